--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -140,7 +140,7 @@
 	}
 	c.slept = total
 	c.effects.Deposed = true
-	c.effects.Notes = append(c.effects.Notes, Note{What: "owner was suspended", Why: fmt.Sprintf("for %d ms; it gives its cell up", slept.Milliseconds())})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "owner was suspended", Reason: fmt.Sprintf("for %d ms; it gives its cell up", slept.Milliseconds())})
 	return true
 }
 
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -24,8 +24,8 @@
 	Deposed bool
 	// AskBoxes asks for the platform's list of boxes: an endpoint is silent.
 	AskBoxes bool
-	// Notes are decisions and changes of belief for the log.
-	Notes []Note
+	// LogLines are decisions and changes of belief for the log.
+	LogLines []LogLine
 }
 
 // Commit is what is to be appended to the cell's stream next.
@@ -59,17 +59,17 @@
 	Reply  wire.JobReply
 }
 
-// Note is a decision or a change of belief, for the log.
-type Note struct {
-	What     string
+// LogLine is a decision or a change of belief, for the log.
+type LogLine struct {
+	Message  string
 	Queue    string
 	Customer string
 	Job      string
 	Task     string
 	Endpoint string
-	Why      string
-	// Minor marks what happens for each task, of which the log has room for less.
-	Minor bool
+	Reason   string
+	// Debug marks what happens for each task, of which the log has room for less.
+	Debug bool
 }
 
 // Stats counts what a cell has done.
@@ -103,32 +103,32 @@
 }
 
 func (c *Cell) note(what string, r *run, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{
-		What: what, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Why: why,
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{
+		Message: what, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Reason: why,
 	})
 }
 
 // noteStart notes that an attempt is ordered, and what decided where.
 func (c *Cell) noteStart(r *run) {
-	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Minor: true,
-		Why: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{
+		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
+		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
 			c.now.Sub(r.since).Milliseconds(), r.at.used.CPU, r.at.info.Capacity.CPU),
 	})
 }
 
 func (c *Cell) noteJob(what string, j *job, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Job: j.id, Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Job: j.id, Reason: why})
 }
 
 func (c *Cell) noteCustomer(what, customer, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Customer: customer, Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Customer: customer, Reason: why})
 }
 
 func (c *Cell) noteQueue(what, queue, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Queue: queue, Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Queue: queue, Reason: why})
 }
 
 func (c *Cell) noteEndpoint(what string, e *endpoint, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Endpoint: e.info.Life.String(), Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Endpoint: e.info.Life.String(), Reason: why})
 }
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -358,9 +358,9 @@
 	if effects.Deposed {
 		lines = append(lines, "deposed")
 	}
-	for _, note := range effects.Notes {
-		if (strings.HasPrefix(note.What, "job ") || note.What == "task given up") && note.What != "job accepted" || strings.HasPrefix(note.What, "endpoint ") && note.What != "endpoint listed" && note.What != "endpoint attached" {
-			lines = append(lines, strings.TrimSpace(fmt.Sprintf("note: %s %s%s: %s", note.What, note.Job, note.Endpoint, note.Why)))
+	for _, note := range effects.LogLines {
+		if (strings.HasPrefix(note.Message, "job ") || note.Message == "task given up") && note.Message != "job accepted" || strings.HasPrefix(note.Message, "endpoint ") && note.Message != "endpoint listed" && note.Message != "endpoint attached" {
+			lines = append(lines, strings.TrimSpace(fmt.Sprintf("note: %s %s%s: %s", note.Message, note.Job, note.Endpoint, note.Reason)))
 		}
 	}
 	return lines
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -153,9 +153,9 @@
 		o.die("deposed by an endpoint")
 		return
 	}
-	for _, note := range effects.Notes {
-		if note.What == "run lost" || strings.HasPrefix(note.What, "job failed") {
-			w.logf("%s: %s %s %s: %s", o.name, note.What, note.Task, note.Job, note.Why)
+	for _, note := range effects.LogLines {
+		if note.Message == "run lost" || strings.HasPrefix(note.Message, "job failed") {
+			w.logf("%s: %s %s %s: %s", o.name, note.Message, note.Task, note.Job, note.Reason)
 		}
 	}
 	for _, reply := range effects.Replies {
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -31,7 +31,7 @@
 // carryOut does what the cell has decided. It says whether the cell is lost.
 func (o *Owner) carryOut() bool {
 	effects := o.cell.Take()
-	for _, note := range effects.Notes {
+	for _, note := range effects.LogLines {
 		o.log(note)
 	}
 	for _, reply := range effects.Replies {
@@ -67,19 +67,19 @@
 	return false
 }
 
-func (o *Owner) log(note cell.Note) {
+func (o *Owner) log(note cell.LogLine) {
 	fields := logrus.Fields{}
-	for name, value := range map[string]string{"queue": note.Queue, "customer": note.Customer, "job": note.Job, "task": note.Task, "endpoint": note.Endpoint, "why": note.Why} {
+	for name, value := range map[string]string{"queue": note.Queue, "customer": note.Customer, "job": note.Job, "task": note.Task, "endpoint": note.Endpoint, "why": note.Reason} {
 		if value != "" {
 			fields[name] = value
 		}
 	}
 	line := o.deps.Logger.WithFields(fields)
-	if note.Minor {
-		line.Debug(note.What)
+	if note.Debug {
+		line.Debug(note.Message)
 		return
 	}
-	line.Info(note.What)
+	line.Info(note.Message)
 }
 
 // commit appends to the cell's stream until that is done.
