--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -36,21 +36,21 @@
 
 // Start is an order to an endpoint.
 type Start struct {
-	At    damsonwinch.Endpoint
-	Order damsonwinch.StartOrder
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.StartOrder
 }
 
 // Stop is an order to an endpoint.
 type Stop struct {
-	At    damsonwinch.Endpoint
-	Order damsonwinch.StopOrder
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.StopOrder
 }
 
 // Look is a question to an endpoint.
 type Look struct {
-	At     damsonwinch.Endpoint
-	Order  damsonwinch.LookOrder
-	Number int
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.LookOrder
+	Number   int
 }
 
 // Reply answers a client's call.
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -111,7 +111,7 @@
 		c.prolong(e, order.Until)
 	}
 	c.stats.Looks++
-	c.effects.Looks = append(c.effects.Looks, Look{At: e.info, Order: order, Number: sent.number})
+	c.effects.Looks = append(c.effects.Looks, Look{Endpoint: e.info, Request: order, Number: sent.number})
 }
 
 // take removes and returns the look of a number.
@@ -271,5 +271,5 @@
 // stopStray ends a run that belongs to nothing that should run.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
-	c.effects.Stops = append(c.effects.Stops, Stop{At: e.info, Order: damsonwinch.StopOrder{Run: stray, Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopOrder{Run: stray, Token: c.token}})
 }
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -76,11 +76,11 @@
 			return
 		}
 		for _, look := range effects.Looks {
-			m.looks[look.At.Life.ID] = look
+			m.looks[look.Endpoint.Life.ID] = look
 		}
 		for _, start := range effects.Starts {
-			m.runs[start.At.Life.ID] = append(m.runs[start.At.Life.ID], start.Order.Run)
-			m.cell.Started(m.now, start.At.Life, start.Order.Run, nil)
+			m.runs[start.Endpoint.Life.ID] = append(m.runs[start.Endpoint.Life.ID], start.Request.Run)
+			m.cell.Started(m.now, start.Endpoint.Life, start.Request.Run, nil)
 		}
 		if effects.Commit != nil {
 			for _, record := range effects.Commit.Records {
@@ -106,7 +106,7 @@
 	for _, run := range m.runs[id] {
 		found.Running = append(found.Running, damsonwinch.Running{Run: run, Percent: 100})
 	}
-	m.cell.Looked(m.now, look.At.Life, look.Number, found, nil)
+	m.cell.Looked(m.now, look.Endpoint.Life, look.Number, found, nil)
 	m.serve()
 }
 
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -35,11 +35,11 @@
 				c.Committed(now, effects.Commit.Number)
 			}
 			for _, look := range effects.Looks {
-				c.Looked(now, look.At.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
+				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
 			}
 			for _, start := range append(effects.Starts, c.Take().Starts...) {
 				starts++
-				c.Started(now, start.At.Life, start.Order.Run, refusal)
+				c.Started(now, start.Endpoint.Life, start.Request.Run, refusal)
 			}
 		}
 		assert.Assert(t, starts >= 3 && starts <= 8, "%d starts in 5 s: %v", starts, refusal)
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -95,7 +95,7 @@
 	case "stopped":
 		s.cell.Stopped(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "acknowledged":
-		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Order.Seen)
+		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Request.Seen)
 	case "advised":
 		s.advised(d)
 	case "paced":
@@ -276,7 +276,7 @@
 		return "no look is on its way to " + at + "\n"
 	}
 	delete(s.looks, at)
-	found := damsonwinch.Look{Born: number(s.t, d, "born", sent.At.Life.Born), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	found := damsonwinch.Look{Born: number(s.t, d, "born", sent.Endpoint.Life.Born), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
 	for _, text := range list(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
@@ -288,7 +288,7 @@
 		count, _ := strconv.Atoi(parts[0])
 		found.Finished = append(found.Finished, damsonwinch.Finished{Number: count, Run: runOf(parts[1]), How: damsonwinch.Ending(parts[2])})
 	}
-	s.cell.Looked(s.now, sent.At.Life, sent.Number, found, errorOf(d, s.t))
+	s.cell.Looked(s.now, sent.Endpoint.Life, sent.Number, found, errorOf(d, s.t))
 	return s.effects()
 }
 
@@ -326,7 +326,7 @@
 	var lines []string
 	effects := s.cell.Take()
 	for _, look := range effects.Looks {
-		s.looks[look.At.Life.String()] = look
+		s.looks[look.Endpoint.Life.String()] = look
 	}
 	if effects.Commit != nil {
 		s.commit = effects.Commit
@@ -336,14 +336,14 @@
 		lines = append(lines, fmt.Sprintf("reply %d: %s %s", reply.Ticket, reply.Reply.Outcome, reply.Reply.Reason))
 	}
 	for _, start := range effects.Starts {
-		line := fmt.Sprintf("start %s attempt %d on %s", start.Order.Task, start.Order.Attempt, start.At.Life)
-		if start.Order.Ticket != "" {
-			line += " with " + start.Order.Ticket
+		line := fmt.Sprintf("start %s attempt %d on %s", start.Request.Task, start.Request.Attempt, start.Endpoint.Life)
+		if start.Request.Ticket != "" {
+			line += " with " + start.Request.Ticket
 		}
 		lines = append(lines, line)
 	}
 	for _, stop := range effects.Stops {
-		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Order.Task, stop.Order.Attempt, stop.At.Life))
+		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Request.Task, stop.Request.Attempt, stop.Endpoint.Life))
 	}
 	for _, pace := range effects.Paces {
 		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.At.Life, pace.Order.Percent))
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -347,34 +347,34 @@
 }
 
 func (o *simOwner) start(start cell.Start) {
-	o.reach(start.At.Life.ID, func(e *simEndpoint) func() error {
-		err := e.start(start.Order)
+	o.reach(start.Endpoint.Life.ID, func(e *simEndpoint) func() error {
+		err := e.start(start.Request)
 		return func() error { return err }
 	}, func(err error) {
-		o.whenAwake(func() { o.cell.Started(o.now(), start.At.Life, start.Order.Run, err) })
+		o.whenAwake(func() { o.cell.Started(o.now(), start.Endpoint.Life, start.Request.Run, err) })
 	})
 }
 
 func (o *simOwner) stop(stop cell.Stop) {
-	o.reach(stop.At.Life.ID, func(e *simEndpoint) func() error {
-		err := e.stop(stop.Order)
+	o.reach(stop.Endpoint.Life.ID, func(e *simEndpoint) func() error {
+		err := e.stop(stop.Request)
 		return func() error { return err }
 	}, func(err error) {
-		o.whenAwake(func() { o.cell.Stopped(o.now(), stop.At.Life, stop.Order.Run, err) })
+		o.whenAwake(func() { o.cell.Stopped(o.now(), stop.Endpoint.Life, stop.Request.Run, err) })
 	})
 }
 
 func (o *simOwner) look(look cell.Look) {
 	w := o.world
-	order := look.Order
+	order := look.Request
 	if w.sabotage.forgetEarly {
 		order.Seen = 1 << 30
 	}
 	var found damsonwinch.Look
 	var there *simEndpoint
-	o.reach(look.At.Life.ID, func(e *simEndpoint) func() error {
+	o.reach(look.Endpoint.Life.ID, func(e *simEndpoint) func() error {
 		there = e
-		answer, err := e.lookFor(look.At.Life, order)
+		answer, err := e.lookFor(look.Endpoint.Life, order)
 		found = answer
 		return func() error { return err }
 	}, func(err error) {
@@ -388,7 +388,7 @@
 			wait = order.Wait
 		}
 		w.after(wait, func() {
-			o.whenAwake(func() { o.cell.Looked(o.now(), look.At.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Looked(o.now(), look.Endpoint.Life, look.Number, found, err) })
 		})
 	})
 }
@@ -405,10 +405,10 @@
 		var found damsonwinch.Look
 		err := broken
 		if err == nil {
-			found, err = e.lookFor(look.At.Life, order)
+			found, err = e.lookFor(look.Endpoint.Life, order)
 		}
 		w.after(delay, func() {
-			o.whenAwake(func() { o.cell.Looked(o.now(), look.At.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Looked(o.now(), look.Endpoint.Life, look.Number, found, err) })
 		})
 	}
 	ended := func() { answer(w.between(time.Millisecond, 10*time.Millisecond), nil) }
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -110,15 +110,15 @@
 
 func (o *Owner) start(start cell.Start) {
 	o.calling.Do(func() {
-		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.At, start.Order)
-		o.send(started{endpoint: start.At.Life, run: start.Order.Run, err: err})
+		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.Endpoint, start.Request)
+		o.send(started{endpoint: start.Endpoint.Life, run: start.Request.Run, err: err})
 	})
 }
 
 func (o *Owner) stop(stop cell.Stop) {
 	o.calling.Do(func() {
-		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.At, stop.Order)
-		o.send(stopped{endpoint: stop.At.Life, run: stop.Order.Run, err: err})
+		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.Endpoint, stop.Request)
+		o.send(stopped{endpoint: stop.Endpoint.Life, run: stop.Request.Run, err: err})
 	})
 }
 
@@ -142,8 +142,8 @@
 
 func (o *Owner) look(look cell.Look) {
 	o.calling.Do(func() {
-		found, err := o.deps.Endpoints.Look(o.within(look.Order.Wait+lookMargin), look.At, look.Order)
-		o.send(looked{endpoint: look.At.Life, number: look.Number, look: found, err: err})
+		found, err := o.deps.Endpoints.Look(o.within(look.Request.Wait+lookMargin), look.Endpoint, look.Request)
+		o.send(looked{endpoint: look.Endpoint.Life, number: look.Number, look: found, err: err})
 	})
 }
 
