--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -43,7 +43,7 @@
 			now = now.Add(100 * time.Millisecond)
 			c.Tick(now)
 			effects := c.Take()
-			for _, look := range effects.Looks {
+			for _, look := range effects.Polls {
 				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{}, nil)
 			}
 			if effects.Commit != nil {
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -16,7 +16,7 @@
 	Paces  []Pace
 	// Asks are calls for permits; Advised follows each.
 	Asks  []Ask
-	Looks []Look
+	Polls []Poll
 	// Replies answer clients' calls by the tickets they came with.
 	Replies []Reply
 	// Deposed says that a newer owner has been at an endpoint, or may have come unnoticed: no
@@ -46,8 +46,8 @@
 	Request  damsonwinch.StopOrder
 }
 
-// Look is a question to an endpoint.
-type Look struct {
+// Poll is a question to an endpoint.
+type Poll struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.LookOrder
 	Number   int
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -111,7 +111,7 @@
 		c.prolong(e, order.Until)
 	}
 	c.stats.Looks++
-	c.effects.Looks = append(c.effects.Looks, Look{Endpoint: e.info, Request: order, Number: sent.number})
+	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
 }
 
 // take removes and returns the look of a number.
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -15,7 +15,7 @@
 type benchmark struct {
 	cell  *cell.Cell
 	now   time.Time
-	looks map[string]cell.Look
+	looks map[string]cell.Poll
 	runs  map[string][]damsonwinch.Run
 	ends  map[string]int
 	ids   []string
@@ -33,7 +33,7 @@
 )
 
 func newBenchmark(endpoints int) *benchmark {
-	m := &benchmark{now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Look{}, runs: map[string][]damsonwinch.Run{}, ends: map[string]int{}}
+	m := &benchmark{now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, runs: map[string][]damsonwinch.Run{}, ends: map[string]int{}}
 	m.cell = cell.New(cell.Options{
 		MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
 		LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond, KeepEnded: time.Minute,
@@ -72,10 +72,10 @@
 func (m *benchmark) serve() {
 	for {
 		effects := m.cell.Take()
-		if effects.Commit == nil && len(effects.Starts) == 0 && len(effects.Looks) == 0 {
+		if effects.Commit == nil && len(effects.Starts) == 0 && len(effects.Polls) == 0 {
 			return
 		}
-		for _, look := range effects.Looks {
+		for _, look := range effects.Polls {
 			m.looks[look.Endpoint.Life.ID] = look
 		}
 		for _, start := range effects.Starts {
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -34,7 +34,7 @@
 			if effects.Commit != nil {
 				c.Committed(now, effects.Commit.Number)
 			}
-			for _, look := range effects.Looks {
+			for _, look := range effects.Polls {
 				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
 			}
 			for _, start := range append(effects.Starts, c.Take().Starts...) {
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -23,7 +23,7 @@
 	cell    *cell.Cell
 	ticket  int
 	listed  []damsonwinch.Endpoint
-	looks   map[string]cell.Look
+	looks   map[string]cell.Poll
 	commit  *cell.Commit
 	ask     cell.Ask
 	stream  map[string]damsonwinch.Record
@@ -38,7 +38,7 @@
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/script", func(t *testing.T, path string) {
 		s := &script{
-			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Look{}, stream: map[string]damsonwinch.Record{},
+			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, stream: map[string]damsonwinch.Record{},
 			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second},
 			options: cell.Options{
 				MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
@@ -55,7 +55,7 @@
 func (s *script) own() {
 	s.token++
 	s.cell = cell.New(s.options, s.token)
-	s.looks, s.commit = map[string]cell.Look{}, nil
+	s.looks, s.commit = map[string]cell.Poll{}, nil
 	var records []damsonwinch.Record
 	for _, record := range s.stream {
 		records = append(records, record)
@@ -325,7 +325,7 @@
 func (s *script) collect() []string {
 	var lines []string
 	effects := s.cell.Take()
-	for _, look := range effects.Looks {
+	for _, look := range effects.Polls {
 		s.looks[look.Endpoint.Life.String()] = look
 	}
 	if effects.Commit != nil {
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -174,7 +174,7 @@
 	for _, stop := range effects.Stops {
 		o.stop(stop)
 	}
-	for _, look := range effects.Looks {
+	for _, look := range effects.Polls {
 		o.look(look)
 	}
 	if effects.AskBoxes {
@@ -364,7 +364,7 @@
 	})
 }
 
-func (o *simOwner) look(look cell.Look) {
+func (o *simOwner) look(look cell.Poll) {
 	w := o.world
 	order := look.Request
 	if w.sabotage.forgetEarly {
@@ -394,7 +394,7 @@
 }
 
 // await has a look wait at its endpoint: for an end, its time, or the end of the life.
-func (o *simOwner) await(look cell.Look, order damsonwinch.LookOrder, e *simEndpoint) {
+func (o *simOwner) await(look cell.Poll, order damsonwinch.LookOrder, e *simEndpoint) {
 	w := o.world
 	answered := false
 	answer := func(delay time.Duration, broken error) {
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -55,7 +55,7 @@
 	for _, pace := range effects.Paces {
 		o.pace(pace)
 	}
-	for _, look := range effects.Looks {
+	for _, look := range effects.Polls {
 		o.look(look)
 	}
 	for _, ask := range effects.Asks {
@@ -140,7 +140,7 @@
 	})
 }
 
-func (o *Owner) look(look cell.Look) {
+func (o *Owner) look(look cell.Poll) {
 	o.calling.Do(func() {
 		found, err := o.deps.Endpoints.Look(o.within(look.Request.Wait+lookMargin), look.Endpoint, look.Request)
 		o.send(looked{endpoint: look.Endpoint.Life, number: look.Number, look: found, err: err})
