--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -22,8 +22,8 @@
 	askAgain = 500 * time.Millisecond
 )
 
-// Ask is a call for permits.
-type Ask struct {
+// PermitRequest is a call for permits.
+type PermitRequest struct {
 	Job       string
 	Round     int
 	Phase     int
@@ -79,18 +79,18 @@
 		return
 	}
 	slices.SortStableFunc(wanted, func(x, y *endpoint) int { return c.score(t, y) - c.score(t, x) })
-	ask := Ask{Job: p.job().id, Round: p.round.number, Phase: p.number}
+	ask := PermitRequest{Job: p.job().id, Round: p.round.number, Phase: p.number}
 	for _, e := range wanted[:min(len(wanted), mostAsked)] {
 		ask.Endpoints = append(ask.Endpoints, e.info.Life.ID)
 	}
 	a.asking, a.askedAt = true, c.now
 	c.asking++
-	c.effects.Asks = append(c.effects.Asks, ask)
+	c.effects.PermitRequests = append(c.effects.PermitRequests, ask)
 }
 
 // Advised takes the answer to a call for permits, which was sent at some moment and
 // whose permits hold for a time from then on at least.
-func (c *Cell) Advised(now, sentAt time.Time, ask Ask, permits []damsonwinch.Permit, valid time.Duration, err error) {
+func (c *Cell) Advised(now, sentAt time.Time, ask PermitRequest, permits []damsonwinch.Permit, valid time.Duration, err error) {
 	c.begin(now)
 	c.changed()
 	defer c.settle()
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -14,9 +14,9 @@
 	Starts []Start
 	Stops  []Stop
 	Paces  []Pace
-	// Asks are calls for permits; Advised follows each.
-	Asks  []Ask
-	Polls []Poll
+	// PermitRequests are calls for permits; Advised follows each.
+	PermitRequests []PermitRequest
+	Polls          []Poll
 	// Replies answer clients' calls by the tickets they came with.
 	Replies []Reply
 	// Deposed says that a newer owner has been at an endpoint, or may have come unnoticed: no
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -25,7 +25,7 @@
 	listed  []damsonwinch.Endpoint
 	looks   map[string]cell.Poll
 	commit  *cell.Commit
-	ask     cell.Ask
+	ask     cell.PermitRequest
 	stream  map[string]damsonwinch.Record
 	token   int
 	queue   damsonwinch.Queue
@@ -348,7 +348,7 @@
 	for _, pace := range effects.Paces {
 		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.At.Life, pace.Order.Percent))
 	}
-	for _, ask := range effects.Asks {
+	for _, ask := range effects.PermitRequests {
 		s.ask = ask
 		lines = append(lines, fmt.Sprintf("ask for advice on %s.%d.%d: %s", ask.Job, ask.Round, ask.Phase, strings.Join(ask.Endpoints, " ")))
 	}
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -58,7 +58,7 @@
 	for _, look := range effects.Polls {
 		o.look(look)
 	}
-	for _, ask := range effects.Asks {
+	for _, ask := range effects.PermitRequests {
 		o.seek(ask)
 	}
 	if effects.AskBoxes {
@@ -129,7 +129,7 @@
 	})
 }
 
-func (o *Owner) seek(ask cell.Ask) {
+func (o *Owner) seek(ask cell.PermitRequest) {
 	sentAt := o.deps.Clock.Now()
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, adviceTimeout)
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -82,7 +82,7 @@
 func (m paced) apply(o *Owner, now time.Time) { o.cell.Paced(now, m.endpoint, m.run, m.err) }
 
 type advised struct {
-	ask     cell.Ask
+	ask     cell.PermitRequest
 	sentAt  time.Time
 	permits []damsonwinch.Permit
 	valid   time.Duration
