--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -70,12 +70,12 @@
 }
 
 func (c *Cell) reply(ticket int, reply wire.JobReply) {
-	c.effects.Replies = append(c.effects.Replies, Reply{Ticket: ticket, Reply: reply})
+	c.effects.Replies = append(c.effects.Replies, Reply{CallID: ticket, Reply: reply})
 }
 
 // replyRecorded answers a call once the stream holds the job as it is now.
 func (c *Cell) replyRecorded(j *job, ticket int, reply wire.JobReply) {
-	waiting := waitingReply{Reply: Reply{Ticket: ticket, Reply: reply}, job: j}
+	waiting := waitingReply{Reply: Reply{CallID: ticket, Reply: reply}, job: j}
 	switch {
 	case c.commits.dirty[j.id]:
 		c.commits.replies = append(c.commits.replies, waiting)
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -55,7 +55,7 @@
 
 // Reply answers a client's call.
 type Reply struct {
-	Ticket int
+	CallID int
 	Reply  wire.JobReply
 }
 
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -81,7 +81,7 @@
 		if waiting.job != j {
 			return false
 		}
-		c.reply(waiting.Ticket, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: why, RetryAfterMs: int(comeBack.Milliseconds())})
+		c.reply(waiting.CallID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: why, RetryAfterMs: int(comeBack.Milliseconds())})
 		return true
 	})
 	delete(c.commits.dirty, j.id)
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -333,7 +333,7 @@
 		lines = append(lines, "append")
 	}
 	for _, reply := range effects.Replies {
-		lines = append(lines, fmt.Sprintf("reply %d: %s %s", reply.Ticket, reply.Reply.Outcome, reply.Reply.Reason))
+		lines = append(lines, fmt.Sprintf("reply %d: %s %s", reply.CallID, reply.Reply.Outcome, reply.Reply.Reason))
 	}
 	for _, start := range effects.Starts {
 		line := fmt.Sprintf("start %s attempt %d on %s", start.Request.Task, start.Request.Attempt, start.Endpoint.Life)
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -159,8 +159,8 @@
 		}
 	}
 	for _, reply := range effects.Replies {
-		if call := o.calls[reply.Ticket]; call != nil {
-			delete(o.calls, reply.Ticket)
+		if call := o.calls[reply.CallID]; call != nil {
+			delete(o.calls, reply.CallID)
 			w.after(w.between(time.Millisecond, 10*time.Millisecond), func() { call(reply.Reply) })
 		}
 	}
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -35,9 +35,9 @@
 		o.log(note)
 	}
 	for _, reply := range effects.Replies {
-		if call, waits := o.calls[reply.Ticket]; waits {
+		if call, waits := o.calls[reply.CallID]; waits {
 			call <- reply.Reply
-			delete(o.calls, reply.Ticket)
+			delete(o.calls, reply.CallID)
 		}
 	}
 	if effects.Deposed {
