--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -139,7 +139,7 @@
 		return false
 	}
 	c.slept = total
-	c.effects.Deposed = true
+	c.effects.OwnershipLost = true
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "owner was suspended", Reason: fmt.Sprintf("for %d ms; it gives its cell up", slept.Milliseconds())})
 	return true
 }
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -19,11 +19,11 @@
 	Polls          []Poll
 	// Replies answer clients' calls by the tickets they came with.
 	Replies []Reply
-	// Deposed says that a newer owner has been at an endpoint, or may have come unnoticed: no
+	// OwnershipLost says that a newer owner has been at an endpoint, or may have come unnoticed: no
 	// order is to be given any more.
-	Deposed bool
-	// AskBoxes asks for the platform's list of boxes: an endpoint is silent.
-	AskBoxes bool
+	OwnershipLost bool
+	// ListBoxes asks for the platform's list of boxes: an endpoint is silent.
+	ListBoxes bool
 	// LogLines are decisions and changes of belief for the log.
 	LogLines []LogLine
 }
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -208,7 +208,7 @@
 func (c *Cell) seekMissing() {
 	for _, e := range c.ranked {
 		if len(e.runs) > 0 && !e.gone && !e.attached && e.info.Address == "" {
-			c.effects.AskBoxes = true
+			c.effects.ListBoxes = true
 			return
 		}
 	}
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -180,7 +180,7 @@
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(e, "another life answers at its address")
 	case errors.Is(err, damsonwinch.ErrOldToken):
-		c.effects.Deposed = true
+		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
 			c.noteEndpoint("endpoint silent", e, err.Error())
@@ -188,7 +188,7 @@
 			e.broke = c.awake() && c.now.Sub(sent.at) < sent.wait
 		}
 		if len(e.runs) > 0 {
-			c.effects.AskBoxes = true
+			c.effects.ListBoxes = true
 			c.copyRuns(e)
 		}
 	}
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -352,10 +352,10 @@
 		s.ask = ask
 		lines = append(lines, fmt.Sprintf("ask for advice on %s.%d.%d: %s", ask.Job, ask.Round, ask.Phase, strings.Join(ask.Endpoints, " ")))
 	}
-	if effects.AskBoxes {
+	if effects.ListBoxes {
 		lines = append(lines, "ask for the list of boxes")
 	}
-	if effects.Deposed {
+	if effects.OwnershipLost {
 		lines = append(lines, "deposed")
 	}
 	for _, note := range effects.LogLines {
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -149,7 +149,7 @@
 	}
 	w := o.world
 	effects := o.cell.Take()
-	if effects.Deposed {
+	if effects.OwnershipLost {
 		o.die("deposed by an endpoint")
 		return
 	}
@@ -177,7 +177,7 @@
 	for _, look := range effects.Polls {
 		o.look(look)
 	}
-	if effects.AskBoxes {
+	if effects.ListBoxes {
 		w.after(w.between(5*time.Millisecond, 50*time.Millisecond), func() {
 			boxes := w.boxes()
 			w.after(5*time.Millisecond, func() { o.whenAwake(func() { o.cell.SetBoxes(o.now(), boxes) }) })
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -40,7 +40,7 @@
 			delete(o.calls, reply.CallID)
 		}
 	}
-	if effects.Deposed {
+	if effects.OwnershipLost {
 		return true
 	}
 	if effects.Commit != nil {
@@ -61,7 +61,7 @@
 	for _, ask := range effects.PermitRequests {
 		o.seek(ask)
 	}
-	if effects.AskBoxes {
+	if effects.ListBoxes {
 		o.askBoxes()
 	}
 	return false
