--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -74,27 +74,27 @@
 
 // Stats counts what a cell has done.
 type Stats struct {
-	Accepted  int
-	Completed int
-	Failed    int
-	Cancelled int
-	// Refused counts jobs that the store could not be given in time.
-	Refused   int
-	Starts    int
-	Reruns    int
-	Refusals  int
-	Commits   int
-	Looks     int
-	Lapsed    int
-	Ejections int
+	JobsAccepted  int
+	JobsCompleted int
+	JobsFailed    int
+	JobsCancelled int
+	// JobsRefused counts jobs that the store could not be given in time.
+	JobsRefused   int
+	Starts        int
+	Reruns        int
+	StartsRefused int
+	Commits       int
+	Polls         int
+	RunsLapsed    int
+	Ejections     int
 	// EndpointsLost counts lives that ended while tasks may have run there, and RunsLost
 	// those tasks.
 	EndpointsLost int
 	RunsLost      int
-	// Held counts how often a customer has come to wait for its allowance.
-	Held int
-	// GivenUp counts jobs that were given up since a task crashes its endpoints.
-	GivenUp int
+	// QuotaWaits counts how often a customer has come to wait for its allowance.
+	QuotaWaits int
+	// JobsGivenUp counts jobs that were given up since a task crashes its endpoints.
+	JobsGivenUp int
 }
 
 // Stats returns the counters.
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -61,7 +61,7 @@
 	j := t.phase.job()
 	c.touch(j)
 	if !t.done && !j.ended() && failures(t) >= c.attemptsOf(j) {
-		c.stats.Failed++
+		c.stats.JobsFailed++
 		c.end(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
 	}
 }
@@ -135,6 +135,6 @@
 			return
 		}
 	}
-	c.stats.Completed++
+	c.stats.JobsCompleted++
 	c.end(j, wire.JobStateCompleted, "all tasks are done")
 }
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -22,7 +22,7 @@
 // lapsed takes back a run whose lease must have run out, and keeps in mind that it may have
 // failed.
 func (c *Cell) lapsed(r *run) {
-	c.stats.Lapsed++
+	c.stats.RunsLapsed++
 	r.at.lapses = append(r.at.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.at.heardAt)})
 	r.task.lapses++
 	c.again(r)
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -110,7 +110,7 @@
 		order.Until = e.clock(c.now) + int(c.options.MostLease.Milliseconds())
 		c.prolong(e, order.Until)
 	}
-	c.stats.Looks++
+	c.stats.Polls++
 	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
 }
 
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -139,7 +139,7 @@
 		return
 	}
 	t.givenUp = true
-	c.stats.GivenUp++
+	c.stats.JobsGivenUp++
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hopes() {
 		c.end(j, wire.JobStateFailed, why)
 	} else {
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -141,7 +141,7 @@
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuota)) {
 		if c.heldSince[customer].IsZero() {
 			c.heldSince[customer] = c.now
-			c.stats.Held++
+			c.stats.QuotaWaits++
 			c.noteCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
 		}
 	}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -203,7 +203,7 @@
 
 // refused takes back a run that its endpoint has turned away.
 func (c *Cell) refused(r *run, err error) {
-	c.stats.Refusals++
+	c.stats.StartsRefused++
 	c.countStarts(r.task, -1)
 	c.note("start refused", r, err.Error())
 	defer c.abandonGang(r.task.phase, "a member of its gang was refused")
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -33,7 +33,7 @@
 	j.waitFor(now, args.WaitMs)
 	c.jobs[j.id] = j
 	c.order = append(c.order, j)
-	c.stats.Accepted++
+	c.stats.JobsAccepted++
 	if !jobs.Lasting(j.spec) {
 		chain := slices.Max(j.chains)
 		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
@@ -82,7 +82,7 @@
 		return
 	}
 	if !j.ended() {
-		c.stats.Cancelled++
+		c.stats.JobsCancelled++
 		c.end(j, wire.JobStateCancelled, "a client cancelled it")
 	}
 	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
