--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -94,8 +94,8 @@
 // New returns an empty cell for an owner with a fencing token. It orders nothing
 // before Load has been called.
 func New(options Options, token int) *Cell {
-	if options.Blame == (crash.Rules{}) {
-		options.Blame = crash.Usual()
+	if options.CrashRules == (crash.Rules{}) {
+		options.CrashRules = crash.Usual()
 	}
 	return &Cell{
 		options: options, token: token,
@@ -168,7 +168,7 @@
 // sure says whether this owner may go on prolonging leases: a new owner counts on
 // earlier ones to end that in time.
 func (c *Cell) sure() bool {
-	return c.now.Sub(c.confirmedAt) < c.options.TokenGrace
+	return c.now.Sub(c.confirmedAt) < c.options.RenewalGrace
 }
 
 // Tick lets time pass.
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -95,7 +95,7 @@
 // flush begins the next append, unless one is on its way or the last was just now.
 func (c *Cell) flush() {
 	w := &c.commits
-	if w.sent != nil || !c.pendingCommit() || c.now.Sub(w.startAt) < c.options.CommitGap {
+	if w.sent != nil || !c.pendingCommit() || c.now.Sub(w.startAt) < c.options.MinCommitInterval {
 		return
 	}
 	w.number++
@@ -194,7 +194,7 @@
 		wake = c.tickedAt.Add(busyTick)
 	}
 	if c.commits.sent == nil && c.pendingCommit() {
-		if due := c.commits.startAt.Add(c.options.CommitGap); due.Before(wake) {
+		if due := c.commits.startAt.Add(c.options.MinCommitInterval); due.Before(wake) {
 			return due
 		}
 	}
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -112,7 +112,7 @@
 	}
 	e := &endpoint{info: damsonwinch.Endpoint{Life: life}, runs: map[damsonwinch.Run]*run{}, lastBusy: c.now}
 	// An older owner may have prolonged leases until it noticed that it was one.
-	e.leaseBound = c.now.Add(c.options.TokenGrace + slack(c.options.MostLease))
+	e.leaseBound = c.now.Add(c.options.RenewalGrace + slack(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.settleIn(e)
 	c.ranked = slices.Insert(c.ranked, c.rankOf(life), e)
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -183,7 +183,7 @@
 // elsewhereMs estimates how long a run would take on another endpoint, where what
 // is left of it here takes leftMs.
 func (c *Cell) elsewhereMs(r *run, leftMs float64) float64 {
-	stop := float64(c.options.StopTime.Milliseconds())
+	stop := float64(c.options.MaxStopTime.Milliseconds())
 	if r.task.phase.spec.Checkpoints {
 		return stop + float64(c.options.RestoreTime.Milliseconds()) + leftMs
 	}
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -65,7 +65,7 @@
 	since := c.now.Sub(e.looks.lastAt)
 	switch {
 	case e.silent:
-		if e.looks.quick == nil && since >= c.options.RetryLook {
+		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
 	case !e.attached, e.wantLook:
@@ -76,17 +76,17 @@
 	case e.seen > e.recorded:
 		// The endpoint would repeat the ends at once; they are not recorded yet.
 		// While the store is away, leases need prolonging all the same.
-		if e.looks.quick == nil && since >= c.options.RetryLook {
+		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
 	case e.strays > 0:
 		// It takes no work until they have ended.
-		if since >= c.options.RetryLook {
+		if since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
 	case len(e.runs) > 0:
-		c.sendLook(e, c.options.LookWait)
-	case since >= c.options.IdleLook:
+		c.sendLook(e, c.options.PollWait)
+	case since >= c.options.IdlePollInterval:
 		c.sendLook(e, 0)
 	}
 }
@@ -107,7 +107,7 @@
 		order.Seen = 0
 	}
 	if e.attached && !e.silent && c.sure() {
-		order.Until = e.clock(c.now) + int(c.options.MostLease.Milliseconds())
+		order.Until = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
 		c.prolong(e, order.Until)
 	}
 	c.stats.Polls++
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -26,7 +26,7 @@
 	c.blameLapsed(e)
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
-	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.Blame.Young()) {
+	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.CrashRules.Young()) {
 		c.chance.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
@@ -78,7 +78,7 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.trial; r != nil && r.state != runIntended && c.options.Blame.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.trial; r != nil && r.state != runIntended && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
 		return r
 	}
 	return nil
@@ -95,7 +95,7 @@
 		end.Least, end.Sure = end.Age, r.state == runConfirmed || end.Trial
 	}
 	if r.adopted {
-		end.Age = max(end.Age, c.options.Blame.Settled)
+		end.Age = max(end.Age, c.options.CrashRules.Settled)
 	}
 	return end
 }
@@ -104,7 +104,7 @@
 // that is enough.
 func (c *Cell) endedUnder(r *run, lost lostRun) {
 	t := r.task
-	t.crashes = c.options.Blame.Add(t.crashes, lost.end)
+	t.crashes = c.options.CrashRules.Add(t.crashes, lost.end)
 	c.noteRunLost(r, lost)
 	if t.done || t.phase.job().ended() || c.giveUpConvicted(t, lost) {
 		return
@@ -115,7 +115,7 @@
 // giveUpConvicted ends the job of a task whose trials have shown that it crashes its
 // endpoints. It says whether it is one.
 func (c *Cell) giveUpConvicted(t *task, last lostRun) bool {
-	if !c.options.Blame.Convicted(t.crashes) {
+	if !c.options.CrashRules.Convicted(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
@@ -125,7 +125,7 @@
 
 // giveUpSpent gives a task up that has been started too often. It says whether it is one.
 func (c *Cell) giveUpSpent(t *task) bool {
-	if !c.options.Blame.Spent(t.crashes) {
+	if !c.options.CrashRules.Spent(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Count, t.id(), t.crashes.Starts))
@@ -162,7 +162,7 @@
 // countStarts counts a start of a task under which many endpoints have ended, or takes it
 // back where its endpoint has certainly not begun it.
 func (c *Cell) countStarts(t *task, more int) {
-	if c.options.Blame.Counts(t.crashes) {
+	if c.options.CrashRules.Counts(t.crashes) {
 		t.crashes = t.crashes.WithStarts(more)
 	}
 }
@@ -171,7 +171,7 @@
 // there: it may have ended before that, and because of them.
 func (c *Cell) blameLapsed(e *endpoint) {
 	for _, l := range e.lapses {
-		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.End{Least: l.outlived, Age: c.options.Blame.Settled})
+		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.End{Least: l.outlived, Age: c.options.CrashRules.Settled})
 		c.suspect(l.task)
 	}
 }
@@ -263,7 +263,7 @@
 				Count: row[1], Sure: row[2], Like: row[3], Low: time.Duration(row[4]) * time.Millisecond, High: time.Duration(row[5]) * time.Millisecond,
 				Weight: row[6], Starts: row[7],
 			}
-			t.givenUp = c.options.Blame.Convicted(t.crashes)
+			t.givenUp = c.options.CrashRules.Convicted(t.crashes)
 			c.suspect(t)
 		}
 	}
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -35,8 +35,8 @@
 func newBenchmark(endpoints int) *benchmark {
 	m := &benchmark{now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, runs: map[string][]damsonwinch.Run{}, ends: map[string]int{}}
 	m.cell = cell.New(cell.Options{
-		MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
-		LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond, KeepEnded: time.Minute,
+		MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
+		PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond, EndedJobRetention: time.Minute,
 	}, 1)
 	m.cell.Configure(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
 	var listed []damsonwinch.Endpoint
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -70,7 +70,7 @@
 // and what is to be expected by the time that another box could have come.
 func (c *Cell) offered(now time.Time) (steady, expected int) {
 	for _, known := range c.learned {
-		rate, work := known.rates(now, c.options.BoxAhead), known.meanWork()
+		rate, work := known.rates(now, c.options.BoxLeadTime), known.meanWork()
 		steady += int(rate.steady * work / float64(time.Second.Milliseconds()))
 		expected += int(rate.expected * work / float64(time.Second.Milliseconds()))
 	}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -140,7 +140,7 @@
 	r.state = runOrdered
 	c.noteStart(r)
 	r.since = c.now
-	until := r.at.clock(c.now) + int(c.options.StartLate.Milliseconds())
+	until := r.at.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
 	c.prolong(r.at, until)
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartOrder{
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -41,9 +41,9 @@
 			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, stream: map[string]damsonwinch.Record{},
 			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second},
 			options: cell.Options{
-				MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
-				CommitGap: 10 * time.Millisecond, LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond,
-				KeepEnded: time.Minute,
+				MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
+				MinCommitInterval: 10 * time.Millisecond, PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond,
+				EndedJobRetention: time.Minute,
 			},
 		}
 		s.own()
@@ -238,7 +238,7 @@
 
 // commitNow puts the append on its way into the stream.
 func (s *script) commitNow() string {
-	s.now = s.now.Add(s.options.CommitGap)
+	s.now = s.now.Add(s.options.MinCommitInterval)
 	if s.commit == nil {
 		s.cell.Tick(s.now)
 		s.collect()
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -268,17 +268,17 @@
 
 func simOptions(broken sabotage) cell.Options {
 	options := cell.Options{
-		MostLease: simLease, TokenGrace: simGrace, StopTime: simStop, StartLate: time.Second, CommitGap: 10 * time.Millisecond,
-		LookWait: 300 * time.Millisecond, IdleLook: time.Second, RetryLook: 200 * time.Millisecond, KeepEnded: time.Minute,
+		MaxLease: simLease, RenewalGrace: simGrace, MaxStopTime: simStop, MaxStartDelay: time.Second, MinCommitInterval: 10 * time.Millisecond,
+		PollWait: 300 * time.Millisecond, IdlePollInterval: time.Second, PollRetryInterval: 200 * time.Millisecond, EndedJobRetention: time.Minute,
 	}
 	if broken.impatient {
-		options.MostLease, options.TokenGrace = 50*time.Millisecond, 0
+		options.MaxLease, options.RenewalGrace = 50*time.Millisecond, 0
 	}
 	switch {
 	case broken.blameNobody:
-		options.Blame = crash.Rules{Prompt: -1, Enough: math.MaxInt, Most: math.MaxInt}
+		options.CrashRules = crash.Rules{Prompt: -1, Enough: math.MaxInt, Most: math.MaxInt}
 	case broken.blameByCount:
-		options.Blame = crash.Rules{Prompt: -1, Settled: time.Hour, Enough: math.MaxInt, Most: 2}
+		options.CrashRules = crash.Rules{Prompt: -1, Settled: time.Hour, Enough: math.MaxInt, Most: 2}
 	}
 	return options
 }
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -116,7 +116,7 @@
 	}
 	clear(c.order[len(keep):])
 	c.order = keep
-	limit := int(c.now.Add(-c.options.KeepEnded).UnixMilli())
+	limit := int(c.now.Add(-c.options.EndedJobRetention).UnixMilli())
 	for id, j := range c.jobs {
 		if j.ended() && j.runs == 0 && j.shown == j.state && j.endedMs < limit {
 			delete(c.jobs, id)
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -92,7 +92,7 @@
 		z.doubted = false
 	}
 	for _, e := range c.ranked {
-		since, overdue := e.overdueSince(c.now, c.options.LookWait)
+		since, overdue := e.overdueSince(c.now, c.options.PollWait)
 		e.overdue = overdue
 		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.inDoubt() {
 			e.zone.doubted = true
--- a/pkg/owner/behind_test.go
+++ b/pkg/owner/behind_test.go
@@ -19,7 +19,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	o := &Owner{
-		deps: Deps{Clock: clock, Logger: logger, Metrics: metrics.New()}, cell: cell.New(cell.Options{KeepEnded: time.Minute}, 1),
+		deps: Deps{Clock: clock, Logger: logger, Metrics: metrics.New()}, cell: cell.New(cell.Options{EndedJobRetention: time.Minute}, 1),
 		calls: map[int]chan<- wire.JobReply{},
 	}
 	return o
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -131,9 +131,9 @@
 			Node: config.Node, Address: config.CallAddress, Weight: weightOf(config), Incarnation: int(env.Clock.Now().UnixMilli()),
 		},
 		Cells: cell.Options{
-			MostLease: milliseconds(bounds.LeaseMostMs), TokenGrace: tokenGrace, StartLate: startLate, StopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), CommitGap: commitGap,
-			LookWait: lookWait, IdleLook: idleLook, RetryLook: retryLook, KeepEnded: time.Duration(bounds.KeepEndedS) * time.Second,
-			BoxAhead: seconds(bounds.MoveS) + supply.ArrivalTime,
+			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: tokenGrace, MaxStartDelay: startLate, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: commitGap,
+			PollWait: lookWait, IdlePollInterval: idleLook, PollRetryInterval: retryLook, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
+			BoxLeadTime: seconds(bounds.MoveS) + supply.ArrivalTime,
 		},
 		Supply: supply.Options{
 			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), Hold: poolHold, HolderGap: milliseconds(bounds.HolderMs),
