--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -130,10 +130,10 @@
 	wakeTime = 100 * time.Millisecond
 )
 
-// Slept takes for how long the machine has been suspended since this owner began. The steady
+// Suspended takes for how long the machine has been suspended since this owner began. The steady
 // clock hasn't counted that: what this owner holds for certain may long be over, and another
-// may own the cell. It gives no order any more. Slept says whether that is so.
-func (c *Cell) Slept(total time.Duration) bool {
+// may own the cell. It gives no order any more. Suspended says whether that is so.
+func (c *Cell) Suspended(total time.Duration) bool {
 	slept := total - c.slept
 	if slept < damsonwinch.NegligibleSleep {
 		return false
@@ -149,17 +149,17 @@
 	return c.now.Sub(c.wokeAt) >= wakeTime
 }
 
-// Configure takes the queues in force. Queues that have gone are remembered for
+// SetQueues takes the queues in force. Queues that have gone are remembered for
 // the jobs that still run.
-func (c *Cell) Configure(now time.Time, queues []damsonwinch.Queue) {
+func (c *Cell) SetQueues(now time.Time, queues []damsonwinch.Queue) {
 	c.begin(now)
 	for _, queue := range queues {
 		c.queues[queue.Name] = queue
 	}
 }
 
-// Confirm takes note that the owner's claim stood at a moment.
-func (c *Cell) Confirm(at time.Time) {
+// ConfirmOwnership takes note that the owner's claim stood at a moment.
+func (c *Cell) ConfirmOwnership(at time.Time) {
 	if at.After(c.confirmedAt) {
 		c.confirmedAt = at
 	}
@@ -193,9 +193,9 @@
 	c.settle()
 }
 
-// Together takes several events and does what follows from all of them at once: the
+// Batch takes several events and does what follows from all of them at once: the
 // more an owner has to do, the less each event costs.
-func (c *Cell) Together(events func()) {
+func (c *Cell) Batch(events func()) {
 	c.together = true
 	events()
 	c.together = false
@@ -218,8 +218,8 @@
 	c.unplaced, c.lookAtAll = true, true
 }
 
-// Take returns the effects that have come up since the last call.
-func (c *Cell) Take() Effects {
+// TakeEffects returns the effects that have come up since the last call.
+func (c *Cell) TakeEffects() Effects {
 	taken := c.effects
 	c.effects = Effects{}
 	return taken
@@ -248,13 +248,13 @@
 	return count
 }
 
-// Waits says whether tasks that may start have found no room.
-func (c *Cell) Waits() bool {
+// HasWaitingTasks says whether tasks that may start have found no room.
+func (c *Cell) HasWaitingTasks() bool {
 	return len(c.open) > 0
 }
 
-// Knows says whether a job has been handed in, and not been forgotten or refused.
-func (c *Cell) Knows(id string) bool {
+// HasJob says whether a job has been handed in, and not been forgotten or refused.
+func (c *Cell) HasJob(id string) bool {
 	return c.jobs[id] != nil
 }
 
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -150,7 +150,7 @@
 	if sent == nil || sent.number != number {
 		return
 	}
-	c.Confirm(sent.at)
+	c.ConfirmOwnership(sent.at)
 	if now.Sub(sent.at) > startStale {
 		// This owner stood still, or the store did: another one may have come since.
 		for _, r := range sent.starts {
@@ -187,8 +187,8 @@
 	}
 }
 
-// Wake returns when Tick should be called next, however much else happens until then.
-func (c *Cell) Wake() time.Time {
+// NextTick returns when Tick should be called next, however much else happens until then.
+func (c *Cell) NextTick() time.Time {
 	wake := c.tickedAt.Add(idleTick)
 	if len(c.order) > 0 {
 		wake = c.tickedAt.Add(busyTick)
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -35,14 +35,14 @@
 		}
 		now := time.UnixMilli(1_700_000_000_000)
 		c := cell.New(options, 1)
-		c.Configure(now, queues)
+		c.SetQueues(now, queues)
 		c.SetEndpoints(now, listed)
 		c.Submit(now, wire.JobArgs{Id: "job", Queue: "queue", Cell: "pool", Spec: &spec, ReceivedMs: int(now.UnixMilli())}, 1)
 		var records []damsonwinch.Record
 		for range 40 {
 			now = now.Add(100 * time.Millisecond)
 			c.Tick(now)
-			effects := c.Take()
+			effects := c.TakeEffects()
 			for _, look := range effects.Polls {
 				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{}, nil)
 			}
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -152,8 +152,8 @@
 	return most
 }
 
-// Withdraw takes what the fleet planner wants of the endpoints.
-func (c *Cell) Withdraw(now time.Time, args wire.SyncArgs) {
+// ApplySync takes what the fleet planner wants of the endpoints.
+func (c *Cell) ApplySync(now time.Time, args wire.SyncArgs) {
 	c.begin(now)
 	c.changed()
 	defer c.settle()
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -38,7 +38,7 @@
 		MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
 		PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond, EndedJobRetention: time.Minute,
 	}, 1)
-	m.cell.Configure(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
+	m.cell.SetQueues(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
 	var listed []damsonwinch.Endpoint
 	for at := range endpoints {
 		id := fmt.Sprintf("endpoint-%04d", at)
@@ -71,7 +71,7 @@
 // serve carries out the cell's effects at once, but for looks, which wait.
 func (m *benchmark) serve() {
 	for {
-		effects := m.cell.Take()
+		effects := m.cell.TakeEffects()
 		if effects.Commit == nil && len(effects.Starts) == 0 && len(effects.Polls) == 0 {
 			return
 		}
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -16,7 +16,7 @@
 // it. Every recorded run may still be running where its record says.
 func (c *Cell) Load(now time.Time, records []damsonwinch.Record) error {
 	c.begin(now)
-	c.Confirm(now)
+	c.ConfirmOwnership(now)
 	specs := map[string]wire.AcceptedJob{}
 	for _, record := range records {
 		if id, isSpec := strings.CutSuffix(record.Key, specSuffix); isSpec {
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -19,7 +19,7 @@
 		now := time.UnixMilli(1_700_000_000_000)
 		c := cell.New(simOptions(sabotage{}), 1)
 		assert.NilError(t, c.Load(now, nil))
-		c.Configure(now, simQueues)
+		c.SetQueues(now, simQueues)
 		c.SetEndpoints(now, []damsonwinch.Endpoint{
 			{Life: damsonwinch.Life{ID: "e1"}, Address: "e1:1", Pool: "pool", Capacity: damsonwinch.Resources{CPU: 4000, MemoryMB: 4000}},
 			{Life: damsonwinch.Life{ID: "e2"}, Address: "e2:1", Pool: "pool", Capacity: damsonwinch.Resources{CPU: 4000, MemoryMB: 4000}},
@@ -28,16 +28,16 @@
 		c.Submit(now, wire.JobArgs{Queue: "queue", Id: "job", Spec: &spec, ReceivedMs: int(now.UnixMilli())}, 1)
 		starts := 0
 		for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-			c.Confirm(now)
+			c.ConfirmOwnership(now)
 			c.Tick(now)
-			effects := c.Take()
+			effects := c.TakeEffects()
 			if effects.Commit != nil {
 				c.Committed(now, effects.Commit.Number)
 			}
 			for _, look := range effects.Polls {
 				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
 			}
-			for _, start := range append(effects.Starts, c.Take().Starts...) {
+			for _, start := range append(effects.Starts, c.TakeEffects().Starts...) {
 				starts++
 				c.Started(now, start.Endpoint.Life, start.Request.Run, refusal)
 			}
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -63,7 +63,7 @@
 	if err := s.cell.Load(s.now, records); err != nil {
 		s.t.Fatal(err)
 	}
-	s.cell.Configure(s.now, []damsonwinch.Queue{s.queue})
+	s.cell.SetQueues(s.now, []damsonwinch.Queue{s.queue})
 	s.cell.SetEndpoints(s.now, s.listed)
 }
 
@@ -78,7 +78,7 @@
 		if d.HasArg("advice") {
 			s.queue.Advice = &damsonwinch.Advice{Valid: 2 * time.Second}
 		}
-		s.cell.Configure(s.now, []damsonwinch.Queue{s.queue})
+		s.cell.SetQueues(s.now, []damsonwinch.Queue{s.queue})
 	case "submit":
 		s.submit(d)
 	case "cancel":
@@ -101,7 +101,7 @@
 	case "paced":
 		s.cell.Paced(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "sync":
-		s.cell.Withdraw(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
+		s.cell.ApplySync(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
 	case "boxes":
 		s.boxes(d)
 	case "allow":
@@ -111,7 +111,7 @@
 		s.now = s.now.Add(time.Duration(number(s.t, d, "ms", 0)) * time.Millisecond)
 	case "wait":
 		s.now = s.now.Add(time.Duration(number(s.t, d, "ms", 0)) * time.Millisecond)
-		s.cell.Confirm(s.now)
+		s.cell.ConfirmOwnership(s.now)
 		s.cell.Tick(s.now)
 	case "explain":
 		return strings.Join(s.cell.Explain(arg(s.t, d, "id")), "\n") + "\n"
@@ -128,7 +128,7 @@
 		}
 		return strings.Join(lives, " ") + "\n"
 	case "wake":
-		return fmt.Sprintf("in %d ms\n", s.cell.Wake().Sub(s.now).Milliseconds())
+		return fmt.Sprintf("in %d ms\n", s.cell.NextTick().Sub(s.now).Milliseconds())
 	case "pending":
 		return fmt.Sprintf("%d\n", s.cell.Pending("queue"))
 	case "show":
@@ -307,7 +307,7 @@
 	whole := damsonwinch.Resources{CPU: number(s.t, d, "cap", 8000)}
 	customer := arg(s.t, d, "customer")
 	s.cell.SetCustomers(s.now, s.allowed, []damsonwinch.Customer{{Name: customer, Cap: whole}})
-	s.cell.Withdraw(s.now, wire.SyncArgs{
+	s.cell.ApplySync(s.now, wire.SyncArgs{
 		Token: 1, CellToken: s.token, AllowanceNumber: s.allowed, ConfigVersion: s.allowed,
 		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.CPU}}},
 	})
@@ -324,7 +324,7 @@
 // collect keeps what is on its way and returns the rest as lines.
 func (s *script) collect() []string {
 	var lines []string
-	effects := s.cell.Take()
+	effects := s.cell.TakeEffects()
 	for _, look := range effects.Polls {
 		s.looks[look.Endpoint.Life.String()] = look
 	}
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -76,7 +76,7 @@
 				w.rules.fail("load: %v", err)
 				return
 			}
-			o.cell.Configure(o.now(), simQueues)
+			o.cell.SetQueues(o.now(), simQueues)
 			o.cell.SetGuarded(o.now(), w.room == nil || w.sabotage.oldRoom)
 			o.cell.SetEndpoints(o.now(), w.listed())
 			o.ready = true
@@ -117,7 +117,7 @@
 	}
 	do()
 	if !o.world.sabotage.sleepless {
-		o.cell.Slept(o.slept)
+		o.cell.Suspended(o.slept)
 	}
 	o.act()
 }
@@ -129,13 +129,13 @@
 				o.die("sees a newer claim")
 				return
 			}
-			o.cell.Confirm(o.now())
+			o.cell.ConfirmOwnership(o.now())
 		}
 		if o.world.room == nil || !o.world.room.out {
 			o.cell.SetEndpoints(o.now(), o.world.listed())
 		}
 		o.cell.Tick(o.now())
-		if o.cell.Stuck(o.now()) > simStuck && !o.cutFromStore {
+		if o.cell.CommitAge(o.now()) > simStuck && !o.cutFromStore {
 			o.move()
 		}
 		o.world.after(50*time.Millisecond, o.tick)
@@ -148,7 +148,7 @@
 		return
 	}
 	w := o.world
-	effects := o.cell.Take()
+	effects := o.cell.TakeEffects()
 	if effects.OwnershipLost {
 		o.die("deposed by an endpoint")
 		return
--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -115,7 +115,7 @@
 	s.sync(thisCell, func(args wire.SyncArgs, give func(wire.SyncReply)) {
 		o.whenAwake(func() {
 			if o.ready {
-				o.cell.Withdraw(o.now(), args)
+				o.cell.ApplySync(o.now(), args)
 				give(o.cell.Report(o.now()))
 			}
 		})
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -9,8 +9,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Stuck returns for how long the append on its way has not been done, 0 for none.
-func (c *Cell) Stuck(now time.Time) time.Duration {
+// CommitAge returns for how long the append on its way has not been done, 0 for none.
+func (c *Cell) CommitAge(now time.Time) time.Duration {
 	if c.commits.sent == nil {
 		return 0
 	}
--- a/pkg/owner/behind.go
+++ b/pkg/owner/behind.go
@@ -24,7 +24,7 @@
 // behind says whether a submission is to be refused because the owner can't keep up. Of a
 // job that is known that would not be true.
 func (o *Owner) behind(now time.Time, m clientCall) bool {
-	return now.Sub(m.at) > mostBehind && !o.cell.Knows(m.args.Id)
+	return now.Sub(m.at) > mostBehind && !o.cell.HasJob(m.args.Id)
 }
 
 func (o *Owner) refuseBehind(now time.Time, m clientCall) wire.JobReply {
--- a/pkg/owner/behind_test.go
+++ b/pkg/owner/behind_test.go
@@ -41,13 +41,13 @@
 
 	submission("a", now.Add(-20*time.Millisecond), replies).apply(o, now)
 	assert.Equal(t, len(replies), 0, "it waits for its record")
-	assert.Assert(t, o.cell.Knows("a"))
+	assert.Assert(t, o.cell.HasJob("a"))
 
 	submission("b", now.Add(-2*time.Second), replies).apply(o, now)
 	refused := <-replies
 	assert.Equal(t, refused.Outcome, wire.JobOutcomeRefused)
 	assert.Assert(t, refused.RetryAfterMs >= 700 && refused.RetryAfterMs <= 2000, "%d ms", refused.RetryAfterMs)
-	assert.Assert(t, !o.cell.Knows("b"), "what is refused never runs")
+	assert.Assert(t, !o.cell.HasJob("b"), "what is refused never runs")
 
 	submission("a", now.Add(-2*time.Second), replies).apply(o, now)
 	assert.Equal(t, len(replies), 0, "a job that may run is not said to be refused")
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -30,7 +30,7 @@
 
 // carryOut does what the cell has decided. It says whether the cell is lost.
 func (o *Owner) carryOut() bool {
-	effects := o.cell.Take()
+	effects := o.cell.TakeEffects()
 	for _, note := range effects.LogLines {
 		o.log(note)
 	}
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -19,14 +19,14 @@
 }
 
 func (m configured) apply(o *Owner, now time.Time) {
-	o.cell.Configure(now, m.configuration.Queues)
+	o.cell.SetQueues(now, m.configuration.Queues)
 	o.cell.SetCustomers(now, m.configuration.Version, m.configuration.Customers)
 	o.cell.SetGuarded(now, m.guarded)
 }
 
 type confirmed struct{ at time.Time }
 
-func (m confirmed) apply(o *Owner, _ time.Time) { o.cell.Confirm(m.at) }
+func (m confirmed) apply(o *Owner, _ time.Time) { o.cell.ConfirmOwnership(m.at) }
 
 type endpointsListed struct{ endpoints []damsonwinch.Endpoint }
 
@@ -139,7 +139,7 @@
 		return
 	}
 	o.plannerToken = m.args.Token
-	o.cell.Withdraw(now, m.args)
+	o.cell.ApplySync(now, m.args)
 	if len(m.args.Allowances) > 0 {
 		o.syncs = append(o.syncs, waitingSync{reply: m.reply, since: now})
 		return
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -65,14 +65,14 @@
 		return
 	}
 	o.move.triedAt = now
-	o.deps.Logger.WithField("stuck_ms", o.cell.Stuck(now).Milliseconds()).Warn("the store doesn't take the cell's records; another partition is sought")
+	o.deps.Logger.WithField("stuck_ms", o.cell.CommitAge(now).Milliseconds()).Warn("the store doesn't take the cell's records; another partition is sought")
 	o.deps.Metrics.Add("moves_tried", 1)
 	o.deps.TakePartition(func(number int) { o.send(partitionTaken{number: number}) })
 }
 
 // turnedAway tells whether the store doesn't take the append that is on its way.
 func (o *Owner) turnedAway(now time.Time) bool {
-	return o.cell.Stuck(now) >= stuckTime && o.writer.Failed() >= failedTries
+	return o.cell.CommitAge(now) >= stuckTime && o.writer.Failed() >= failedTries
 }
 
 // apply writes the cell to the partition that was taken for it, unless the store has taken
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -161,7 +161,7 @@
 		case <-o.ctx.Done():
 			return o.ctx.Err()
 		case m := <-o.inbox:
-			o.cell.Together(func() { o.takeAll(m) })
+			o.cell.Batch(func() { o.takeAll(m) })
 		case <-timer.Chan():
 			now := o.deps.Clock.Now()
 			o.cell.Tick(now)
@@ -175,14 +175,14 @@
 			return stream.ErrDeposed
 		}
 		o.noteWaits()
-		resetTimer(timer, o.cell.Wake().Sub(o.deps.Clock.Now()))
+		resetTimer(timer, o.cell.NextTick().Sub(o.deps.Clock.Now()))
 	}
 }
 
 // wake tells the cell for how long the machine has been suspended. It must come right before
 // orders are given: what was decided before a suspension is no longer true.
 func (o *Owner) wake() bool {
-	return o.cell.Slept(o.deps.Slept.Total() - o.sleptBefore)
+	return o.cell.Suspended(o.deps.Slept.Total() - o.sleptBefore)
 }
 
 // Waits says whether tasks of the cell wait for room.
@@ -191,7 +191,7 @@
 }
 
 func (o *Owner) noteWaits() {
-	waits := o.cell.Waits()
+	waits := o.cell.HasWaitingTasks()
 	if o.waits.Swap(waits) != waits && waits {
 		o.deps.RoomWanted()
 	}
