--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -64,12 +64,12 @@
 // its tasks.
 func (c *Cell) seekAdvice(p *phase) {
 	a := &p.advice
-	if !c.needsPermit(p) || a.asking || c.asking >= mostAsking || len(p.ready) == 0 || c.now.Sub(a.askedAt) < askAgain {
+	if !c.needsPermit(p) || a.asking || c.permitCalls >= mostAsking || len(p.ready) == 0 || c.now.Sub(a.askedAt) < askAgain {
 		return
 	}
 	t := p.ready[0]
 	var wanted []*endpoint
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		good, asked := a.verdicts[e.info.Life.ID]
 		if (!asked || good) && c.couldTake(t, e) && !c.permitted(p, e) {
 			wanted = append(wanted, e)
@@ -84,7 +84,7 @@
 		ask.Endpoints = append(ask.Endpoints, e.info.Life.ID)
 	}
 	a.asking, a.askedAt = true, c.now
-	c.asking++
+	c.permitCalls++
 	c.effects.PermitRequests = append(c.effects.PermitRequests, ask)
 }
 
@@ -94,7 +94,7 @@
 	c.begin(now)
 	c.changed()
 	defer c.settle()
-	c.asking--
+	c.permitCalls--
 	t := c.findTask(damsonwinch.TaskID{Job: ask.Job, Round: ask.Round, Phase: ask.Phase})
 	if t == nil {
 		return
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -27,14 +27,14 @@
 	token   int
 	queues  map[string]damsonwinch.Queue
 	jobs    map[string]*job
-	// order holds the jobs that have not ended, in order of acceptance.
-	order []*job
-	// open holds the phases with tasks that may start, the most urgent first.
-	open      []*phase
-	endpoints map[damsonwinch.Life]*endpoint
-	// ranked holds the endpoints in order of their IDs, so that choices do not
+	// activeJobs holds the jobs that have not ended, in activeJobs of acceptance.
+	activeJobs []*job
+	// openPhases holds the phases with tasks that may start, the most urgent first.
+	openPhases []*phase
+	endpoints  map[damsonwinch.Life]*endpoint
+	// sortedEndpoints holds the endpoints in order of their IDs, so that choices do not
 	// depend on the order of a map.
-	ranked []*endpoint
+	sortedEndpoints []*endpoint
 	// zones holds the endpoints' zones in order of their names.
 	zones []*zone
 	// suspects are tasks that are to be started on trial, and trials the endpoints where one
@@ -49,32 +49,32 @@
 	// begun there, and prone holds the queues with many of these.
 	proneEnds map[string]*ends
 	prone     map[string]bool
-	// together says that more events follow before anything is done about them.
-	together bool
-	// unplaced says that something has happened since the last choice that may let
+	// batching says that more events follow before anything is done about them.
+	batching bool
+	// placementDue says that something has happened since the last choice that may let
 	// tasks start.
-	unplaced bool
-	// lookDue holds the endpoints to see about, unless it is all of them.
-	lookDue   []*endpoint
-	lookAtAll bool
-	// unguarded says that the endpoints start whatever they are told.
-	unguarded bool
+	placementDue bool
+	// pollDue holds the endpoints to see about, unless it is all of them.
+	pollDue []*endpoint
+	pollAll bool
+	// noCapacityCheck says that the endpoints start whatever they are told.
+	noCapacityCheck bool
 	// step counts events. Looks and answers of different connections overtake
 	// each other; steps tell what was sent before what was known.
 	step int
 	now  time.Time
-	// slept is for how long this owner's machine has been suspended.
-	slept time.Duration
-	// wokeAt is when this owner last went on after it had stood still: what it hears for a
+	// suspendedFor is for how long this owner's machine has been suspended.
+	suspendedFor time.Duration
+	// resumedAt is when this owner last went on after it had stood still: what it hears for a
 	// moment after that has happened before.
-	wokeAt time.Time
-	// tickedAt is when time was last let pass.
-	tickedAt time.Time
+	resumedAt time.Time
+	// lastTickAt is when time was last let pass.
+	lastTickAt time.Time
 	// confirmedAt is until when this owner's claim stood for certain.
 	confirmedAt time.Time
 	commits     commits
-	// asking counts the calls for permits on their way.
-	asking int
+	// permitCalls counts the calls for permits on their way.
+	permitCalls int
 	// learned tells, by queue, how much work comes and how long it takes.
 	learned map[string]*queueStats
 	// quota holds what customers may have running here and have, overQuota those of whom something
@@ -116,7 +116,7 @@
 // begin notes an event and the time at which it came.
 func (c *Cell) begin(now time.Time) {
 	if !c.now.IsZero() && now.Sub(c.now) > stillGap {
-		c.wokeAt = now
+		c.resumedAt = now
 	}
 	c.now = now
 	c.step++
@@ -134,11 +134,11 @@
 // clock hasn't counted that: what this owner holds for certain may long be over, and another
 // may own the cell. It gives no order any more. Suspended says whether that is so.
 func (c *Cell) Suspended(total time.Duration) bool {
-	slept := total - c.slept
+	slept := total - c.suspendedFor
 	if slept < damsonwinch.NegligibleSleep {
 		return false
 	}
-	c.slept = total
+	c.suspendedFor = total
 	c.effects.OwnershipLost = true
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "owner was suspended", Reason: fmt.Sprintf("for %d ms; it gives its cell up", slept.Milliseconds())})
 	return true
@@ -146,7 +146,7 @@
 
 // awake says whether this owner hears of things when they happen.
 func (c *Cell) awake() bool {
-	return c.now.Sub(c.wokeAt) >= wakeTime
+	return c.now.Sub(c.resumedAt) >= wakeTime
 }
 
 // SetQueues takes the queues in force. Queues that have gone are remembered for
@@ -174,7 +174,7 @@
 // Tick lets time pass.
 func (c *Cell) Tick(now time.Time) {
 	c.begin(now)
-	c.tickedAt = now
+	c.lastTickAt = now
 	c.changed()
 	c.openRounds()
 	c.expireLeases()
@@ -185,7 +185,7 @@
 	c.chance.see(now, c.exposed())
 	c.refuseUnkept()
 	c.putOff()
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		c.empty(e)
 	}
 	c.forgetJobs()
@@ -196,15 +196,15 @@
 // Batch takes several events and does what follows from all of them at once: the
 // more an owner has to do, the less each event costs.
 func (c *Cell) Batch(events func()) {
-	c.together = true
+	c.batching = true
 	events()
-	c.together = false
+	c.batching = false
 	c.settle()
 }
 
 // settle does what follows from an event: new starts, looks and a commit.
 func (c *Cell) settle() {
-	if c.together {
+	if c.batching {
 		return
 	}
 	c.place()
@@ -215,7 +215,7 @@
 // changed notes that something about the endpoints may let tasks start or call for
 // looks.
 func (c *Cell) changed() {
-	c.unplaced, c.lookAtAll = true, true
+	c.placementDue, c.pollAll = true, true
 }
 
 // TakeEffects returns the effects that have come up since the last call.
@@ -227,20 +227,20 @@
 
 // sortOpen keeps the open phases in order of urgency.
 func (c *Cell) addOpen(p *phase) {
-	at, _ := slices.BinarySearchFunc(c.open, p, comparePhases)
-	c.open = slices.Insert(c.open, at, p)
+	at, _ := slices.BinarySearchFunc(c.openPhases, p, comparePhases)
+	c.openPhases = slices.Insert(c.openPhases, at, p)
 }
 
 func (c *Cell) removeOpen(p *phase) {
-	if at := slices.Index(c.open, p); at >= 0 {
-		c.open = slices.Delete(c.open, at, at+1)
+	if at := slices.Index(c.openPhases, p); at >= 0 {
+		c.openPhases = slices.Delete(c.openPhases, at, at+1)
 	}
 }
 
 // Pending counts a queue's recorded jobs none of whose tasks has begun.
 func (c *Cell) Pending(queue string) int {
 	count := 0
-	for _, j := range c.order {
+	for _, j := range c.activeJobs {
 		if j.queue == queue && j.recorded && !j.begun && !j.ended() {
 			count++
 		}
@@ -250,7 +250,7 @@
 
 // HasWaitingTasks says whether tasks that may start have found no room.
 func (c *Cell) HasWaitingTasks() bool {
-	return len(c.open) > 0
+	return len(c.openPhases) > 0
 }
 
 // HasJob says whether a job has been handed in, and not been forgotten or refused.
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -189,9 +189,9 @@
 
 // NextTick returns when Tick should be called next, however much else happens until then.
 func (c *Cell) NextTick() time.Time {
-	wake := c.tickedAt.Add(idleTick)
-	if len(c.order) > 0 {
-		wake = c.tickedAt.Add(busyTick)
+	wake := c.lastTickAt.Add(idleTick)
+	if len(c.activeJobs) > 0 {
+		wake = c.lastTickAt.Add(busyTick)
 	}
 	if c.commits.sent == nil && c.pendingCommit() {
 		if due := c.commits.startAt.Add(c.options.MinCommitInterval); due.Before(wake) {
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -13,7 +13,7 @@
 	c.now = now
 	report.SteadyCpu, report.OfferedCpu = c.offered(now)
 	memory, boxMemory := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if c.followed(e) {
 			// The planner has one life for each box.
 			continue
@@ -62,7 +62,7 @@
 // half of whose room was free in sum.
 func (c *Cell) reportWhole(report *wire.SyncReply) {
 	var box, beside damsonwinch.Resources
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		box = most(box, e.info.Capacity)
 		if lasting := e.lastingNeed(); lasting != (damsonwinch.Resources{}) {
 			report.LastingBoxes++
@@ -84,10 +84,10 @@
 		}
 		report.WholeBoxes += count * wholeBox / perBox(box, need)
 	}
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		add(p, len(p.ready), p.late(nowMs))
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, r := range e.ordered {
 			add(r.task.phase, 1, r.late)
 		}
@@ -112,7 +112,7 @@
 	memory := 0
 	nowMs := int(c.now.UnixMilli())
 	allowed := c.newAllowedCPU()
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		need := p.need()
 		if p.spec.Lasting {
 			report.LastingCpu += len(p.ready) * need.CPU
@@ -137,7 +137,7 @@
 // more tasks of one than allowed.
 func (c *Cell) spread() int {
 	most := 0
-	for _, j := range c.order {
+	for _, j := range c.activeJobs {
 		if j.ended() {
 			continue
 		}
@@ -157,7 +157,7 @@
 	c.begin(now)
 	c.changed()
 	defer c.settle()
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		e.withdraw.wanted, e.withdraw.hurry, e.due = false, false, false
 	}
 	c.takeAllowances(args)
@@ -166,7 +166,7 @@
 	c.want(args.Hurry, func(e *endpoint) { e.withdraw.wanted, e.withdraw.hurry = true, true })
 	c.want(args.Due, func(e *endpoint) { e.due = true })
 	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		c.empty(e)
 	}
 }
@@ -220,8 +220,8 @@
 
 // Endpoints returns what is known of the endpoints, for tests and status.
 func (c *Cell) Endpoints() []damsonwinch.Endpoint {
-	found := make([]damsonwinch.Endpoint, 0, len(c.ranked))
-	for _, e := range c.ranked {
+	found := make([]damsonwinch.Endpoint, 0, len(c.sortedEndpoints))
+	for _, e := range c.sortedEndpoints {
 		found = append(found, e.info)
 	}
 	return found
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -115,7 +115,7 @@
 	e.leaseBound = c.now.Add(c.options.RenewalGrace + slack(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.settleIn(e)
-	c.ranked = slices.Insert(c.ranked, c.rankOf(life), e)
+	c.sortedEndpoints = slices.Insert(c.sortedEndpoints, c.rankOf(life), e)
 	return e
 }
 
@@ -154,7 +154,7 @@
 		e.info, e.listed = info, true
 		c.settleIn(e)
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.listed && !present[e.info.Life] {
 			e.listed = false
 			c.noteEndpoint("endpoint unlisted", e, "")
@@ -169,7 +169,7 @@
 
 // sweepEndpoints forgets endpoints that are neither listed nor hold a run.
 func (c *Cell) sweepEndpoints() {
-	c.ranked = slices.DeleteFunc(c.ranked, func(e *endpoint) bool {
+	c.sortedEndpoints = slices.DeleteFunc(c.sortedEndpoints, func(e *endpoint) bool {
 		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.gone && c.now.Before(e.leaseBound.Add(lapseTime)) {
 			return false
 		}
@@ -193,7 +193,7 @@
 			alive[box.Endpoint] = true
 		}
 	}
-	for _, e := range slices.Clone(c.ranked) {
+	for _, e := range slices.Clone(c.sortedEndpoints) {
 		// An endpoint that was listed only after the boxes were asked for is not
 		// missing: it must have been silent before.
 		if !alive[e.info.Life.ID] && !e.gone && (e.silent || !e.attached) && len(e.runs) > 0 {
@@ -206,7 +206,7 @@
 // seekMissing asks for the platform's list of boxes while tasks may run on endpoints that
 // can't be asked: the registry has dropped their entries, perhaps because they ended.
 func (c *Cell) seekMissing() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && !e.gone && !e.attached && e.info.Address == "" {
 			c.effects.ListBoxes = true
 			return
@@ -217,7 +217,7 @@
 // expireLeases takes back runs on endpoints out of reach once their leases must
 // have run out.
 func (c *Cell) expireLeases() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) == 0 || !e.gone && e.attached && !e.silent || !c.now.After(e.leaseBound) {
 			continue
 		}
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -82,7 +82,7 @@
 		return c.whyOverQuota(t)
 	}
 	reasons := map[string]int{}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		reasons[c.obstacle(t, e)]++
 	}
 	if len(reasons) == 0 {
--- a/pkg/cell/gang.go
+++ b/pkg/cell/gang.go
@@ -97,7 +97,7 @@
 // racks returns the racks of the cell's endpoints, in order.
 func (c *Cell) racks() []string {
 	var found []string
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.info.Rack != "" && !slices.Contains(found, e.info.Rack) {
 			found = append(found, e.info.Rack)
 		}
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -112,7 +112,7 @@
 // mayEject says whether the cell can do without one more endpoint.
 func (c *Cell) mayEject() bool {
 	out, all := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if !e.usable() {
 			continue
 		}
@@ -172,7 +172,7 @@
 // short tasks have ended there. The largest ones may have no other place than where they
 // are, and come to nothing if they are stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
 			return true
 		}
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -195,7 +195,7 @@
 		return
 	}
 	t.ready, t.triedFrom = true, c.now
-	c.unplaced = true
+	c.placementDue = true
 	p.ready = append(p.ready, t)
 	if !p.open {
 		p.open = true
@@ -240,7 +240,7 @@
 
 // openRounds starts the rounds that have fallen due.
 func (c *Cell) openRounds() {
-	for _, j := range c.order {
+	for _, j := range c.activeJobs {
 		for !j.ended() && len(j.rounds) < j.roundsInAll() && !c.now.Before(j.roundDue(len(j.rounds))) {
 			c.startRound(j, len(j.rounds))
 		}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -51,7 +51,7 @@
 
 func (c *Cell) dropLapse(l lapse) {
 	l.task.lapses--
-	c.unplaced = true
+	c.placementDue = true
 	c.touch(l.task.phase.job())
 }
 
@@ -71,7 +71,7 @@
 	if len(rows) == 0 {
 		return
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, l := range e.lapses {
 			if row, known := rows[l.task]; known && l.task.phase.job() == j {
 				record.Lapsed = append(record.Lapsed, []int{row, l.attempt, placeOf(e, record)})
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -9,7 +9,7 @@
 
 // rankOf returns the place of a life among those known, which are in the order of their names.
 func (c *Cell) rankOf(life damsonwinch.Life) int {
-	at, _ := slices.BinarySearchFunc(c.ranked, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
+	at, _ := slices.BinarySearchFunc(c.sortedEndpoints, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
 	return at
 }
 
@@ -17,10 +17,10 @@
 func (c *Cell) livesUnder(id string) []*endpoint {
 	from := c.rankOf(damsonwinch.Life{ID: id, Born: math.MinInt})
 	to := from
-	for to < len(c.ranked) && c.ranked[to].info.Life.ID == id {
+	for to < len(c.sortedEndpoints) && c.sortedEndpoints[to].info.Life.ID == id {
 		to++
 	}
-	return c.ranked[from:to]
+	return c.sortedEndpoints[from:to]
 }
 
 // followed says that a life has ended and another one under its ID is known.
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -33,9 +33,9 @@
 // lookAround sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
 func (c *Cell) lookAround() {
-	due := c.lookDue
-	if c.lookAtAll {
-		due = c.ranked
+	due := c.pollDue
+	if c.pollAll {
+		due = c.sortedEndpoints
 	}
 	for _, e := range due {
 		e.lookDue = false
@@ -44,14 +44,14 @@
 		}
 		c.lookAt(e)
 	}
-	c.lookDue, c.lookAtAll = c.lookDue[:0], false
+	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
 // lookSoon notes that a look at an endpoint may be due.
 func (c *Cell) lookSoon(e *endpoint) {
 	if !e.lookDue {
 		e.lookDue = true
-		c.lookDue = append(c.lookDue, e)
+		c.pollDue = append(c.pollDue, e)
 	}
 }
 
@@ -136,7 +136,7 @@
 	if e == nil {
 		return
 	}
-	c.unplaced = true
+	c.placementDue = true
 	c.lookSoon(e)
 	sent := e.looks.take(number)
 	if sent == nil || e.gone {
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -194,7 +194,7 @@
 // its zone. Where many endpoints end, two do at one moment by chance as well.
 func (c *Cell) endShared(e *endpoint, endedAt time.Time) bool {
 	zone, ended := 0, 0
-	for _, other := range c.ranked {
+	for _, other := range c.sortedEndpoints {
 		if other == e || other.zone != e.zone {
 			continue
 		}
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -14,7 +14,7 @@
 
 // putOff chooses the phases that wait behind the others because not all can be in time.
 func (c *Cell) putOff() {
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		p.deferred = false
 	}
 	nowMs := int(c.now.UnixMilli())
@@ -36,7 +36,7 @@
 // waitingInTime returns the phases with waiting tasks whose jobs can be in time, and the
 // room that they need.
 func (c *Cell) waitingInTime(nowMs int) (waiting []*phase, needed int) {
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		if !p.spec.Lasting && p.lateMs > 0 && !p.late(nowMs) && len(p.ready) > 0 && p.heldSince.IsZero() {
 			waiting = append(waiting, p)
 			needed += len(p.ready) * p.need().CPU
@@ -48,7 +48,7 @@
 // room returns what the cell's endpoints have free and how fast their tasks end.
 func (c *Cell) room() triage.Room {
 	free, turning := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
 			continue
 		}
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -10,18 +10,18 @@
 // that can still be done in time first, and there the most urgent; then those that are
 // put off for them.
 func (c *Cell) place() {
-	if len(c.open) == 0 || !c.unplaced {
+	if len(c.openPhases) == 0 || !c.placementDue {
 		return
 	}
-	c.unplaced = false
+	c.placementDue = false
 	c.seeProne()
 	clear(c.overQuota)
 	clear(c.inLine)
 	c.placeSuspects()
-	inTime := make([]*phase, 0, len(c.open))
+	inTime := make([]*phase, 0, len(c.openPhases))
 	var deferred, late []*phase
 	nowMs := int(c.now.UnixMilli())
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		switch {
 		case p.late(nowMs):
 			late = append(late, p)
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -83,7 +83,7 @@
 // or nil.
 func (c *Cell) chooseLeast(t *task, label string) *endpoint {
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.hasLabel(label) && c.allowed(t, e) {
 			choice.offer(e, c.leaning(t, e)-c.stake(e, t.phase.job())/milliCore)
 		}
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -21,7 +21,7 @@
 	c.begin(now)
 	defer c.settle()
 	c.quota.Configure(version, customers)
-	c.unplaced = true
+	c.placementDue = true
 }
 
 // share is what a task counts against its customer's cap. What fills counts with what it asks for:
@@ -66,7 +66,7 @@
 		c.commits.allowances = true
 	}
 	if len(args.Allowances) > 0 {
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
 
@@ -95,7 +95,7 @@
 // reportCustomers tells the planner which customers want more than they may have running.
 func (c *Cell) reportCustomers(report *wire.SyncReply) {
 	wanted := map[string]quota.Wanted{}
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		customer := p.job().customer
 		if customer == "" || len(p.ready) == 0 {
 			continue
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -32,8 +32,8 @@
 			return err
 		}
 	}
-	slices.SortFunc(c.order, func(a, b *job) int { return a.acceptedMs - b.acceptedMs })
-	for _, j := range c.order {
+	slices.SortFunc(c.activeJobs, func(a, b *job) int { return a.acceptedMs - b.acceptedMs })
+	for _, j := range c.activeJobs {
 		c.reopen(j)
 	}
 	return nil
@@ -76,7 +76,7 @@
 		return err
 	}
 	if !j.ended() || j.runs > 0 {
-		c.order = append(c.order, j)
+		c.activeJobs = append(c.activeJobs, j)
 	}
 	return nil
 }
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -29,7 +29,7 @@
 	if sent == nil || c.now.Sub(sent.at) < awayTime {
 		return
 	}
-	for _, j := range slices.Clone(c.order) {
+	for _, j := range slices.Clone(c.activeJobs) {
 		if _, given := sent.shown[j]; !j.recorded && !given && !j.ended() && !c.now.Before(c.holdUntil(j)) {
 			c.refuseJob(j, fmt.Sprintf("the store has not answered for %d ms", c.now.Sub(sent.at).Milliseconds()))
 		}
@@ -86,5 +86,5 @@
 	})
 	delete(c.commits.dirty, j.id)
 	delete(c.jobs, j.id)
-	c.order = slices.DeleteFunc(c.order, func(other *job) bool { return other == j })
+	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(other *job) bool { return other == j })
 }
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -117,7 +117,7 @@
 	c.leave(r)
 	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs--
-	c.unplaced = true
+	c.placementDue = true
 	c.touch(r.task.phase.job())
 }
 
@@ -304,7 +304,7 @@
 
 // retryOrders sends stops again that nobody has answered.
 func (c *Cell) retryOrders() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, r := range e.ordered {
 			if r.stopping && !r.stopped && r.state != runIntended && r.state != runOrdered && r.state != runSuspect &&
 				c.now.Sub(r.stopSent) >= retryStop {
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -25,7 +25,7 @@
 // is refused must not run.
 func (c *Cell) Snapshot() []damsonwinch.Record {
 	var records []damsonwinch.Record
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.withdrawn {
 			records = append(records, e.markRecord(c.now))
 		}
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -32,7 +32,7 @@
 	j := c.newJob(args)
 	j.waitFor(now, args.WaitMs)
 	c.jobs[j.id] = j
-	c.order = append(c.order, j)
+	c.activeJobs = append(c.activeJobs, j)
 	c.stats.JobsAccepted++
 	if !jobs.Lasting(j.spec) {
 		chain := slices.Max(j.chains)
@@ -108,14 +108,14 @@
 
 // forgetJobs drops ended jobs that nobody will ask for any more.
 func (c *Cell) forgetJobs() {
-	keep := c.order[:0]
-	for _, j := range c.order {
+	keep := c.activeJobs[:0]
+	for _, j := range c.activeJobs {
 		if !j.ended() || j.runs > 0 || j.shown != j.state {
 			keep = append(keep, j)
 		}
 	}
-	clear(c.order[len(keep):])
-	c.order = keep
+	clear(c.activeJobs[len(keep):])
+	c.activeJobs = keep
 	limit := int(c.now.Add(-c.options.EndedJobRetention).UnixMilli())
 	for id, j := range c.jobs {
 		if j.ended() && j.runs == 0 && j.shown == j.state && j.endedMs < limit {
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -97,7 +97,7 @@
 // trialPlace returns the endpoint for a trial where the least is lost if that ends it.
 func (c *Cell) trialPlace(t *task) *endpoint {
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if c.quiet(e) && c.allowed(t, e) {
 			choice.offer(e, -e.atStake())
 		}
@@ -135,7 +135,7 @@
 	if len(c.prone) > 0 {
 		share = proneShare
 	}
-	return len(c.trials)+c.trialEnds.within(c.now, backTime) < max(1, len(c.ranked)*share/wholePercent)
+	return len(c.trials)+c.trialEnds.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/wholePercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
@@ -151,7 +151,7 @@
 // exposed counts the endpoints that run something and would end by themselves if they did now.
 func (c *Cell) exposed() int {
 	count := 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.CrashRules.Young()) {
 			count++
 		}
@@ -165,7 +165,7 @@
 		return
 	}
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.trial == nil && e.promised == nil && c.mayTry(e) && c.couldHold(t, e) {
 			choice.offer(e, -e.atStake())
 		}
@@ -223,6 +223,6 @@
 func (c *Cell) outlive(e *endpoint, sentAt time.Time) {
 	if e.trial != nil && e.trial.state == runConfirmed && !sentAt.Before(c.outlivesAt(e.trial)) {
 		e.trial = nil
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -74,7 +74,7 @@
 
 // roomElsewhere says whether a run could go on at another endpoint now.
 func (c *Cell) roomElsewhere(r *run) bool {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e != r.at && !e.withdraw.wanted && c.allowed(r.task, e) {
 			return true
 		}
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -72,7 +72,7 @@
 	e.overdue = false
 	if e.zone.inDoubt() {
 		e.zone.doubtSince = time.Time{}
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
 
@@ -91,7 +91,7 @@
 	for _, z := range c.zones {
 		z.doubted = false
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		since, overdue := e.overdueSince(c.now, c.options.PollWait)
 		e.overdue = overdue
 		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.inDoubt() {
