--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -39,16 +39,16 @@
 	zones []*zone
 	// suspects are tasks that are to be started on trial, and trials the endpoints where one
 	// is on trial or is about to be.
-	suspects []*task
-	trials   []*endpoint
-	// chance tells how often endpoints end by themselves, and trialEnds how often they do in
+	suspects       []*task
+	probeEndpoints []*endpoint
+	// baselineExits tells how often endpoints end by themselves, and trialEnds how often they do in
 	// trials.
-	chance    chance
-	trialEnds ends
-	// proneEnds tells, by queue, of the endpoints that have ended just after something of it had
+	baselineExits chance
+	probeExits    ends
+	// queueExits tells, by queue, of the endpoints that have ended just after something of it had
 	// begun there, and prone holds the queues with many of these.
-	proneEnds map[string]*ends
-	prone     map[string]bool
+	queueExits map[string]*ends
+	crashProne map[string]bool
 	// batching says that more events follow before anything is done about them.
 	batching bool
 	// placementDue says that something has happened since the last choice that may let
@@ -75,20 +75,20 @@
 	commits     commits
 	// permitCalls counts the calls for permits on their way.
 	permitCalls int
-	// learned tells, by queue, how much work comes and how long it takes.
-	learned map[string]*queueStats
+	// statsByQueue tells, by queue, how much work comes and how long it takes.
+	statsByQueue map[string]*queueStats
 	// quota holds what customers may have running here and have, overQuota those of whom something
 	// waits for that, as the last choice found, and inLine those of whom nothing else may begin.
-	quota     *quota.Allowances
-	overQuota map[string]bool
-	inLine    map[string]bool
-	// heldSince is since when customers wait for their allowances.
-	heldSince map[string]time.Time
-	// learnedNew says that something was learned since it was last recorded.
-	learnedNew bool
-	learnedAt  time.Time
-	effects    Effects
-	stats      Stats
+	quota        *quota.Allowances
+	overQuota    map[string]bool
+	quotaBlocked map[string]bool
+	// overQuotaSince is since when customers wait for their allowances.
+	overQuotaSince map[string]time.Time
+	// queueStatsDirty says that something was learned since it was last recorded.
+	queueStatsDirty      bool
+	queueStatsRecordedAt time.Time
+	effects              Effects
+	stats                Stats
 }
 
 // New returns an empty cell for an owner with a fencing token. It orders nothing
@@ -99,17 +99,17 @@
 	}
 	return &Cell{
 		options: options, token: token,
-		queues:    map[string]damsonwinch.Queue{},
-		jobs:      map[string]*job{},
-		endpoints: map[damsonwinch.Life]*endpoint{},
-		commits:   newCommits(),
-		learned:   map[string]*queueStats{},
-		proneEnds: map[string]*ends{},
-		prone:     map[string]bool{},
-		quota:     quota.NewAllowances(),
-		overQuota: map[string]bool{},
-		inLine:    map[string]bool{},
-		heldSince: map[string]time.Time{},
+		queues:         map[string]damsonwinch.Queue{},
+		jobs:           map[string]*job{},
+		endpoints:      map[damsonwinch.Life]*endpoint{},
+		commits:        newCommits(),
+		statsByQueue:   map[string]*queueStats{},
+		queueExits:     map[string]*ends{},
+		crashProne:     map[string]bool{},
+		quota:          quota.NewAllowances(),
+		overQuota:      map[string]bool{},
+		quotaBlocked:   map[string]bool{},
+		overQuotaSince: map[string]time.Time{},
 	}
 }
 
@@ -182,7 +182,7 @@
 	c.seeOverdue()
 	c.seekMissing()
 	c.watchTrials()
-	c.chance.see(now, c.exposed())
+	c.baselineExits.see(now, c.exposed())
 	c.refuseUnkept()
 	c.putOff()
 	for _, e := range c.sortedEndpoints {
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -35,7 +35,7 @@
 	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.adopted && !r.resumed {
 			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.since), t.phase.spec.EstimateMs)
-			c.learnedNew = true
+			c.queueStatsDirty = true
 		}
 		c.complete(t)
 	case end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
--- a/pkg/cell/learned.go
+++ b/pkg/cell/learned.go
@@ -21,13 +21,13 @@
 
 // learnedRecords returns what was learned of all queues, when it is time.
 func (c *Cell) learnedRecords() []damsonwinch.Record {
-	if !c.learnedNew || c.now.Sub(c.learnedAt) < learnedEvery {
+	if !c.queueStatsDirty || c.now.Sub(c.queueStatsRecordedAt) < learnedEvery {
 		return nil
 	}
-	c.learnedNew, c.learnedAt = false, c.now
+	c.queueStatsDirty, c.queueStatsRecordedAt = false, c.now
 	var records []damsonwinch.Record
-	for _, queue := range slices.Sorted(maps.Keys(c.learned)) {
-		known := c.learned[queue]
+	for _, queue := range slices.Sorted(maps.Keys(c.statsByQueue)) {
+		known := c.statsByQueue[queue]
 		records = append(records, damsonwinch.Record{Key: learnedPrefix + queue, Value: encode(wire.QueueRecord{
 			Queue: queue, Actual: known.times.actual.record(), Error: known.times.error.record(), MeanMs: known.times.mean,
 			Jobs: known.jobs, Work: known.work.record(), SlackMs: known.slack, ChainMs: known.chain,
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -27,11 +27,11 @@
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
 	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.CrashRules.Young()) {
-		c.chance.ends.add(c.now)
+		c.baselineExits.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
 	if e.trial != nil {
-		c.trialEnds.add(c.now)
+		c.probeExits.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
 		if r.state == runIntended {
@@ -87,7 +87,7 @@
 // endOf describes the end of a run's endpoint.
 func (c *Cell) endOf(r *run) crash.End {
 	endedAt := r.at.endedAt(c.now)
-	end := crash.End{Age: r.age(endedAt), Least: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Trial: r.at.trial == r, Rate: c.chance.rate(c.now)}
+	end := crash.End{Age: r.age(endedAt), Least: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Trial: r.at.trial == r, Rate: c.baselineExits.rate(c.now)}
 	if r.at.silent && r.at.broke {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -16,7 +16,7 @@
 	c.placementDue = false
 	c.seeProne()
 	clear(c.overQuota)
-	clear(c.inLine)
+	clear(c.quotaBlocked)
 	c.placeSuspects()
 	inTime := make([]*phase, 0, len(c.openPhases))
 	var deferred, late []*phase
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -37,28 +37,28 @@
 		young := r.state != runIntended && endedAt.Sub(r.since) < c.options.CrashRules.Young()
 		if young && !counted[queue] {
 			counted[queue] = true
-			if c.proneEnds[queue] == nil {
-				c.proneEnds[queue] = &ends{}
+			if c.queueExits[queue] == nil {
+				c.queueExits[queue] = &ends{}
 			}
-			c.proneEnds[queue].add(c.now)
+			c.queueExits[queue].add(c.now)
 		}
 	}
 }
 
 // seeProne finds the queues whose tasks crash endpoints of late.
 func (c *Cell) seeProne() {
-	for _, queue := range slices.Sorted(maps.Keys(c.proneEnds)) {
-		count := c.proneEnds[queue].within(c.now, proneTime)
+	for _, queue := range slices.Sorted(maps.Keys(c.queueExits)) {
+		count := c.queueExits[queue].within(c.now, proneTime)
 		switch {
-		case count >= proneEnds && !c.prone[queue]:
-			c.prone[queue] = true
+		case count >= proneEnds && !c.crashProne[queue]:
+			c.crashProne[queue] = true
 			c.noteQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, proneTime))
-		case count < proneEnds && c.prone[queue]:
-			delete(c.prone, queue)
+		case count < proneEnds && c.crashProne[queue]:
+			delete(c.crashProne, queue)
 			c.noteQueue("queue's tasks crash no endpoints any more", queue, "")
 		}
 		if count == 0 {
-			delete(c.proneEnds, queue)
+			delete(c.queueExits, queue)
 		}
 	}
 }
@@ -67,12 +67,12 @@
 // that is of a queue whose tasks crash endpoints. What ends an endpoint is known then to be of
 // one job, and no sound one waits for trials.
 func (c *Cell) apart(t *task, e *endpoint) bool {
-	if len(c.prone) == 0 {
+	if len(c.crashProne) == 0 {
 		return true
 	}
 	j := t.phase.job()
 	for _, r := range e.ordered {
-		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.since) < c.options.CrashRules.Prompt {
+		if other := r.task.phase.job(); other != j && (c.crashProne[j.queue] || c.crashProne[other.queue]) && c.now.Sub(r.since) < c.options.CrashRules.Prompt {
 			return false
 		}
 	}
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -33,10 +33,10 @@
 
 // statsOf returns what is known of a queue.
 func (c *Cell) statsOf(queue string) *queueStats {
-	known := c.learned[queue]
+	known := c.statsByQueue[queue]
 	if known == nil {
 		known = &queueStats{}
-		c.learned[queue] = known
+		c.statsByQueue[queue] = known
 	}
 	return known
 }
@@ -69,7 +69,7 @@
 // offered returns the work that arrives, in thousandths of a core: what now comes,
 // and what is to be expected by the time that another box could have come.
 func (c *Cell) offered(now time.Time) (steady, expected int) {
-	for _, known := range c.learned {
+	for _, known := range c.statsByQueue {
 		rate, work := known.rates(now, c.options.BoxLeadTime), known.meanWork()
 		steady += int(rate.steady * work / float64(time.Second.Milliseconds()))
 		expected += int(rate.expected * work / float64(time.Second.Milliseconds()))
@@ -80,7 +80,7 @@
 // slackMs returns the time that arriving jobs can wait, weighed by their work.
 func (c *Cell) slackMs(now time.Time) int {
 	sum, work := 0.0, 0.0
-	for _, known := range c.learned {
+	for _, known := range c.statsByQueue {
 		weight := known.rates(now, 0).steady * known.meanWork()
 		sum += known.slack * weight
 		work += weight
@@ -89,7 +89,7 @@
 		return int(sum / work)
 	}
 	// Nothing comes now; what came before tells.
-	for _, known := range c.learned {
+	for _, known := range c.statsByQueue {
 		sum += known.slack * float64(known.jobs)
 		work += float64(known.jobs)
 	}
@@ -103,7 +103,7 @@
 // their numbers.
 func (c *Cell) taskMs() int {
 	sum, runs := 0.0, 0
-	for _, known := range c.learned {
+	for _, known := range c.statsByQueue {
 		sum += known.times.mean * float64(known.times.actual.count)
 		runs += known.times.actual.count
 	}
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -42,7 +42,7 @@
 	switch {
 	case customer == "":
 		return true
-	case c.inLine[customer]:
+	case c.quotaBlocked[customer]:
 		return false
 	case c.quota.Allows(customer, times(p.share(), count)):
 		p.heldSince = time.Time{}
@@ -52,7 +52,7 @@
 	if p.heldSince.IsZero() {
 		p.heldSince = c.now
 	}
-	c.inLine[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
+	c.quotaBlocked[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
 	return false
 }
 
@@ -139,16 +139,16 @@
 // more.
 func (c *Cell) noteQuotas() {
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuota)) {
-		if c.heldSince[customer].IsZero() {
-			c.heldSince[customer] = c.now
+		if c.overQuotaSince[customer].IsZero() {
+			c.overQuotaSince[customer] = c.now
 			c.stats.QuotaWaits++
 			c.noteCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
 		}
 	}
-	for _, customer := range slices.Sorted(maps.Keys(c.heldSince)) {
+	for _, customer := range slices.Sorted(maps.Keys(c.overQuotaSince)) {
 		if !c.overQuota[customer] {
-			c.noteCustomer("customer goes on", customer, fmt.Sprintf("after %d ms", c.now.Sub(c.heldSince[customer]).Milliseconds()))
-			delete(c.heldSince, customer)
+			c.noteCustomer("customer goes on", customer, fmt.Sprintf("after %d ms", c.now.Sub(c.overQuotaSince[customer]).Milliseconds()))
+			delete(c.overQuotaSince, customer)
 		}
 	}
 }
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -78,7 +78,7 @@
 // choose returns the endpoint that suits a task best, or nil: in its job's zone if
 // there is room. A label that isn't empty leaves only the endpoints that have it.
 func (c *Cell) choose(t *task, label string) *endpoint {
-	if c.prone[t.phase.job().queue] {
+	if c.crashProne[t.phase.job().queue] {
 		return c.chooseLeast(t, label)
 	}
 	if home := c.home(t); home != nil {
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -33,7 +33,7 @@
 	if c.quota.Known() {
 		records = append(records, c.allowancesRecord(&sentCommit{}))
 	}
-	c.learnedAt = time.Time{}
+	c.queueStatsRecordedAt = time.Time{}
 	records = append(records, c.learnedRecords()...)
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if j := c.jobs[id]; c.given(j) {
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -62,7 +62,7 @@
 // trialWait returns how long a suspect waits for a trial. Then it starts as any other does: a
 // crowd of suspects, most of them sound, must not stand still.
 func (c *Cell) trialWait(t *task) time.Duration {
-	if c.prone[t.phase.job().queue] {
+	if c.crashProne[t.phase.job().queue] {
 		return proneWait
 	}
 	return usualWait
@@ -76,7 +76,7 @@
 		}
 		return !t.suspected
 	})
-	c.trials = slices.DeleteFunc(c.trials, func(e *endpoint) bool {
+	c.probeEndpoints = slices.DeleteFunc(c.probeEndpoints, func(e *endpoint) bool {
 		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.triedInVain(t)) {
 			e.promised = nil
 		}
@@ -132,10 +132,10 @@
 		return true
 	}
 	share := trialShare
-	if len(c.prone) > 0 {
+	if len(c.crashProne) > 0 {
 		share = proneShare
 	}
-	return len(c.trials)+c.trialEnds.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/wholePercent)
+	return len(c.probeEndpoints)+c.probeExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/wholePercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
@@ -161,7 +161,7 @@
 
 // promise keeps an endpoint for a task until nothing young runs there and there is room.
 func (c *Cell) promise(t *task) {
-	if slices.ContainsFunc(c.trials, func(e *endpoint) bool { return e.promised == t }) {
+	if slices.ContainsFunc(c.probeEndpoints, func(e *endpoint) bool { return e.promised == t }) {
 		return
 	}
 	var choice choice
@@ -172,7 +172,7 @@
 	}
 	if choice.best != nil {
 		choice.best.promised = t
-		c.trials = append(c.trials, choice.best)
+		c.probeEndpoints = append(c.probeEndpoints, choice.best)
 	}
 }
 
@@ -189,15 +189,15 @@
 // outlived that.
 func (c *Cell) beginTrial(r *run) {
 	r.at.trial, r.at.promised = r, nil
-	if !slices.Contains(c.trials, r.at) {
-		c.trials = append(c.trials, r.at)
+	if !slices.Contains(c.probeEndpoints, r.at) {
+		c.probeEndpoints = append(c.probeEndpoints, r.at)
 	}
 }
 
 // watchTrials looks at endpoints where a trial should be over, and clears lasting tasks that
 // have been at work for long.
 func (c *Cell) watchTrials() {
-	for _, e := range c.trials {
+	for _, e := range c.probeEndpoints {
 		if e.trial != nil && e.trial.state == runConfirmed && !c.now.Before(c.outlivesAt(e.trial)) {
 			c.wantLook(e)
 		}
