--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -264,8 +264,8 @@
 	if !known || !j.recorded || !j.visibleTo(args) {
 		return "", false
 	}
-	if j.shown == wire.JobStateQueued && j.placed {
+	if j.recordedState == wire.JobStateQueued && j.placed {
 		return wire.JobStateRunning, true
 	}
-	return j.shown, true
+	return j.recordedState, true
 }
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -79,7 +79,7 @@
 	switch {
 	case c.commits.dirty[j.id]:
 		c.commits.replies = append(c.commits.replies, waiting)
-	case c.commits.sent != nil && j.shown != j.state, c.commits.sent != nil && !j.recorded:
+	case c.commits.sent != nil && j.recordedState != j.state, c.commits.sent != nil && !j.recorded:
 		c.commits.sent.replies = append(c.commits.sent.replies, waiting)
 	default:
 		c.reply(ticket, reply)
@@ -169,7 +169,7 @@
 func (c *Cell) finish(sent *sentCommit) {
 	c.commits.sent = nil
 	for j, state := range sent.shown {
-		j.recorded, j.shown = true, state
+		j.recorded, j.recordedState = true, state
 	}
 	for _, seen := range sent.seen {
 		seen.at.recorded = max(seen.at.recorded, seen.number)
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -122,7 +122,7 @@
 		may := allowed.take(p, wanted)
 		if p.late(nowMs) {
 			report.LateCpu += may
-			if p.job().runs == 0 && may >= need.CPU {
+			if p.job().runCount == 0 && may >= need.CPU {
 				report.StalledCpu += need.CPU
 			}
 			continue
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if end.Checkpoint != "" {
-		t.saved = end.Checkpoint
+		t.checkpoint = end.Checkpoint
 	}
 	c.resolve(r)
 	c.learn(r, end.How)
@@ -57,7 +57,7 @@
 
 // countFailure counts a failed attempt, and ends the job with the last one.
 func (c *Cell) countFailure(t *task) {
-	t.failed++
+	t.failedAttempts++
 	j := t.phase.job()
 	c.touch(j)
 	if !t.done && !j.ended() && failures(t) >= c.attemptsOf(j) {
@@ -70,11 +70,11 @@
 // gang.
 func failures(t *task) int {
 	if !t.phase.spec.Gang {
-		return t.failed
+		return t.failedAttempts
 	}
 	sum := 0
 	for _, member := range t.phase.tasks {
-		sum += member.failed
+		sum += member.failedAttempts
 	}
 	return sum
 }
@@ -103,9 +103,9 @@
 			c.stop(copied, "another attempt is done")
 		}
 	}
-	p.left--
+	p.unfinishedTasks--
 	c.touch(p.job())
-	if p.left == 0 {
+	if p.unfinishedTasks == 0 {
 		c.completePhase(p)
 	}
 }
@@ -115,23 +115,23 @@
 func (c *Cell) completePhase(p *phase) {
 	c.closePhase(p)
 	r := p.round
-	r.left--
+	r.unfinishedPhases--
 	for _, later := range r.phases {
 		for _, waited := range later.spec.After {
 			if waited == p.number {
-				later.waitsFor--
+				later.unfinishedDeps--
 			}
 		}
-		if later.waitsFor == 0 && later.left > 0 && !later.open {
+		if later.unfinishedDeps == 0 && later.unfinishedTasks > 0 && !later.open {
 			c.openPhase(later)
 		}
 	}
 	j := r.job
-	if r.left > 0 || j.ended() || len(j.rounds) < j.roundsInAll() {
+	if r.unfinishedPhases > 0 || j.ended() || len(j.rounds) < j.roundsInAll() {
 		return
 	}
 	for _, other := range j.rounds {
-		if other.left > 0 {
+		if other.unfinishedPhases > 0 {
 			return
 		}
 	}
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -22,7 +22,7 @@
 		return []string{fmt.Sprintf("job %s is not known here", id)}
 	}
 	lines := []string{fmt.Sprintf("job %s of queue %s is %s (recorded as %s); priority %d, accepted at %d ms, should be done by %d ms",
-		id, j.queue, j.state, j.shown, j.priority, j.acceptedMs, j.dueMs)}
+		id, j.queue, j.state, j.recordedState, j.priority, j.acceptedMs, j.dueMs)}
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
 			lines = append(lines, c.explainPhase(p)...)
@@ -33,13 +33,13 @@
 
 func (c *Cell) explainPhase(p *phase) []string {
 	name := fmt.Sprintf("round %d phase %d", p.round.number, p.number)
-	if p.left == 0 {
+	if p.unfinishedTasks == 0 {
 		return []string{fmt.Sprintf("%s: all %d tasks are done", name, len(p.tasks))}
 	}
-	if p.waitsFor > 0 {
-		return []string{fmt.Sprintf("%s: waits for %d earlier phases", name, p.waitsFor)}
+	if p.unfinishedDeps > 0 {
+		return []string{fmt.Sprintf("%s: waits for %d earlier phases", name, p.unfinishedDeps)}
 	}
-	lines := []string{fmt.Sprintf("%s: %d of %d tasks are left, %d wait to be started", name, p.left, len(p.tasks), len(p.ready))}
+	lines := []string{fmt.Sprintf("%s: %d of %d tasks are left, %d wait to be started", name, p.unfinishedTasks, len(p.tasks), len(p.ready))}
 	for _, t := range p.tasks {
 		if !t.done {
 			lines = append(lines, c.explainTask(t))
@@ -49,7 +49,7 @@
 }
 
 func (c *Cell) explainTask(t *task) string {
-	line := fmt.Sprintf("task %s: %d attempts, %d failed", t.id(), t.attempt, t.failed)
+	line := fmt.Sprintf("task %s: %d attempts, %d failed", t.id(), t.lastAttempt, t.failedAttempts)
 	if t.crashes.Count > 0 {
 		line += fmt.Sprintf("; %d endpoints ended under it, the last %d between %d and %d ms after its start",
 			t.crashes.Count, t.crashes.Like, t.crashes.Low.Milliseconds(), t.crashes.High.Milliseconds())
@@ -72,11 +72,11 @@
 		return fmt.Sprintf("endpoints have refused it %d times in a row; it is tried again in %d ms", t.refusals, t.notBefore.Sub(c.now).Milliseconds())
 	}
 	if c.held(t) {
-		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapses)
+		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapsedCount)
 	}
 	if t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
 		return fmt.Sprintf("for %d ms it is only started where nothing else begins; %d endpoints are in use for that, and %d have ended so of late",
-			t.triedFrom.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probeEndpoints), c.probeExits.within(c.now, backTime))
+			t.probeWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probeEndpoints), c.probeExits.within(c.now, backTime))
 	}
 	if !c.quota.Allows(t.phase.job().customer, t.phase.share()) || c.overQuota[t.phase.job().customer] {
 		return c.whyOverQuota(t)
--- a/pkg/cell/gang.go
+++ b/pkg/cell/gang.go
@@ -11,7 +11,7 @@
 
 // placeGang starts all tasks of a phase together, or none.
 func (c *Cell) placeGang(p *phase) {
-	if len(p.ready) < p.left {
+	if len(p.ready) < p.unfinishedTasks {
 		// Some members are still ending.
 		return
 	}
@@ -24,14 +24,14 @@
 	}
 	attempt := 0
 	for _, t := range p.tasks {
-		attempt = max(attempt, t.attempt)
+		attempt = max(attempt, t.lastAttempt)
 	}
 	members := p.ready
-	p.ready, p.readySince = nil, time.Time{}
+	p.ready, p.gangReadySince = nil, time.Time{}
 	for at, t := range members {
 		t.ready = false
 		// All members share the attempt.
-		t.attempt = attempt
+		t.lastAttempt = attempt
 		c.intend(t, chosen[at])
 	}
 }
@@ -53,8 +53,8 @@
 
 // chooseGang returns an endpoint for each waiting task of a gang, or nil.
 func (c *Cell) chooseGang(p *phase) []*endpoint {
-	if p.readySince.IsZero() {
-		p.readySince = c.now
+	if p.gangReadySince.IsZero() {
+		p.gangReadySince = c.now
 	}
 	if !p.spec.SameRack {
 		return c.chooseAmong(p, "")
@@ -64,7 +64,7 @@
 			return chosen
 		}
 	}
-	if c.now.Sub(p.readySince) < rackWait {
+	if c.now.Sub(p.gangReadySince) < rackWait {
 		return nil
 	}
 	return c.chooseAmong(p, "")
@@ -75,12 +75,12 @@
 // count on the same.
 func (c *Cell) chooseAmong(p *phase, label string) []*endpoint {
 	chosen := make([]*endpoint, 0, len(p.ready))
-	p.held = map[*endpoint]int{}
+	p.gangReserved = map[*endpoint]int{}
 	defer func() {
 		for _, e := range chosen {
 			c.release(e, p.need())
 		}
-		p.held = nil
+		p.gangReserved = nil
 	}()
 	for _, t := range p.ready {
 		e := c.choose(t, label)
@@ -89,7 +89,7 @@
 		}
 		chosen = append(chosen, e)
 		c.occupy(e, p.need())
-		p.held[e]++
+		p.gangReserved[e]++
 	}
 	return chosen
 }
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -82,7 +82,7 @@
 		if r.task.phase.spec.Lasting {
 			return
 		}
-		if r.task.failed > 0 {
+		if r.task.failedAttempts > 0 {
 			// It failed elsewhere, too: the task is to blame.
 			return
 		}
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -18,17 +18,17 @@
 	customer   string
 	spec       wire.JobSpec
 	acceptedMs int
-	// waitedForUntil is until when a client waits to hear that the job is kept.
-	waitedForUntil time.Time
-	dueMs          int
-	endedMs        int
-	priority       int
-	// mostAttempts is the queue's limit when the job came; a newer one of the
+	// clientWaitsUntil is until when a client waits to hear that the job is kept.
+	clientWaitsUntil time.Time
+	dueMs            int
+	endedMs          int
+	priority         int
+	// maxAttempts is the queue's limit when the job came; a newer one of the
 	// queue goes before it.
-	mostAttempts int
+	maxAttempts int
 	// state is what the owner has decided, and shown what the stream holds.
-	state wire.JobState
-	shown wire.JobState
+	state         wire.JobState
+	recordedState wire.JobState
 	// recorded says that the stream holds the job.
 	recorded bool
 	// placed says that an endpoint has been chosen for a task, and begun that a task is
@@ -36,18 +36,18 @@
 	placed bool
 	begun  bool
 	rounds []*round
-	// runs counts attempts that may be running.
-	runs int
-	// chains tells, by phase, how long the job takes from there on.
-	chains []int
+	// runCount counts attempts that may be running.
+	runCount int
+	// criticalPathMs tells, by phase, how long the job takes from there on.
+	criticalPathMs []int
 	// taskMs is the time that a task of each phase is expected to take, and work that
 	// of all of them times their room, in thousandths of a core times milliseconds.
 	taskMs []int
 	work   int
-	// home is the zone where its tasks are started, as far as there is room.
-	home *zone
-	// specSaved says that the stream holds, or is being given, the job's text.
-	specSaved bool
+	// homeZone is the zone where its tasks are started, as far as there is room.
+	homeZone *zone
+	// specRecorded says that the stream holds, or is being given, the job's text.
+	specRecorded bool
 }
 
 // ended says whether the job's end is decided.
@@ -60,8 +60,8 @@
 	job    *job
 	number int
 	phases []*phase
-	// left counts phases that are not done.
-	left int
+	// unfinishedPhases counts phases that are not done.
+	unfinishedPhases int
 }
 
 // phase is a set of like tasks of a round.
@@ -70,23 +70,23 @@
 	number int
 	spec   *wire.Phase
 	tasks  []*task
-	// waitsFor counts earlier phases that are not done.
-	waitsFor int
-	// left counts tasks that are not done.
-	left int
+	// unfinishedDeps counts earlier phases that are not done.
+	unfinishedDeps int
+	// unfinishedTasks counts tasks that are not done.
+	unfinishedTasks int
 	// ready holds the tasks that may start now, in order.
 	ready []*task
-	// readySince is when a gang was first ready to be placed as a whole, and held
+	// gangReadySince is when a gang was first ready to be placed as a whole, and held
 	// the places held for it while it is placed.
-	readySince time.Time
-	held       map[*endpoint]int
-	advice     advice
-	// lateMs is when its job can hardly be done in time any more, 0 for never.
-	lateMs int
+	gangReadySince time.Time
+	gangReserved   map[*endpoint]int
+	advice         advice
+	// lateAtMs is when its job can hardly be done in time any more, 0 for never.
+	lateAtMs int
 	// deferred says that it waits behind others so that those are in time.
 	deferred bool
-	// heldSince is since when its tasks wait for their customer's allowance, zero for not.
-	heldSince time.Time
+	// overQuotaSince is since when its tasks wait for their customer's allowance, zero for not.
+	overQuotaSince time.Time
 	// open says that the phase stands among the cell's open ones.
 	open bool
 }
@@ -108,25 +108,25 @@
 type task struct {
 	phase *phase
 	index int
-	// attempt is the highest that has been used.
-	attempt int
-	// failed counts attempts that ended as failed.
-	failed int
-	done   bool
-	ready  bool
-	// saved is the newest known checkpoint.
-	saved string
-	runs  []*run
+	// lastAttempt is the highest that has been used.
+	lastAttempt int
+	// failedAttempts counts attempts that ended as failedAttempts.
+	failedAttempts int
+	done           bool
+	ready          bool
+	// checkpoint is the newest known checkpoint.
+	checkpoint string
+	runs       []*run
 	// crashes tells of the endpoints that have ended under it, and suspected that it stands
 	// among the cell's suspects.
 	crashes   crash.Record
 	suspected bool
-	// triedFrom is since when it waits for a trial, if it is a suspect.
-	triedFrom time.Time
+	// probeWaitSince is since when it waits for a trial, if it is a suspect.
+	probeWaitSince time.Time
 	// givenUp says that it is not started any more.
 	givenUp bool
-	// lapses counts the attempts of which it isn't known how they ended.
-	lapses int
+	// lapsedCount counts the attempts of which it isn't known how they ended.
+	lapsedCount int
 	// refusals counts the starts in a row that endpoints have refused for good, and notBefore
 	// is when it may be started again.
 	refusals  int
@@ -154,10 +154,10 @@
 
 // newRound returns a round with all its phases closed.
 func newRound(j *job, number int) *round {
-	r := &round{job: j, number: number, left: len(j.spec.Phases)}
+	r := &round{job: j, number: number, unfinishedPhases: len(j.spec.Phases)}
 	for at := range j.spec.Phases {
 		spec := &j.spec.Phases[at]
-		p := &phase{round: r, number: at, spec: spec, waitsFor: len(spec.After), left: spec.Count}
+		p := &phase{round: r, number: at, spec: spec, unfinishedDeps: len(spec.After), unfinishedTasks: spec.Count}
 		p.tasks = make([]*task, spec.Count)
 		for index := range p.tasks {
 			p.tasks[index] = &task{phase: p, index: index}
@@ -172,7 +172,7 @@
 	r := newRound(j, number)
 	j.rounds = append(j.rounds, r)
 	for _, p := range r.phases {
-		if p.waitsFor == 0 {
+		if p.unfinishedDeps == 0 {
 			c.openPhase(p)
 		}
 	}
@@ -191,10 +191,10 @@
 // makeReady puts a task among those that may start.
 func (c *Cell) makeReady(t *task) {
 	p := t.phase
-	if t.ready || t.done || p.waitsFor > 0 || p.job().ended() || t.givenUp || c.giveUpSpent(t) {
+	if t.ready || t.done || p.unfinishedDeps > 0 || p.job().ended() || t.givenUp || c.giveUpSpent(t) {
 		return
 	}
-	t.ready, t.triedFrom = true, c.now
+	t.ready, t.probeWaitSince = true, c.now
 	c.placementDue = true
 	p.ready = append(p.ready, t)
 	if !p.open {
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -254,7 +254,7 @@
 	c.signal(r)
 	r.percent, r.load, r.lost = row.Percent, row.Load, nil
 	if row.Checkpoint != "" {
-		r.task.saved = row.Checkpoint
+		r.task.checkpoint = row.Checkpoint
 	}
 	if r.state == runIntended || r.state == runConfirmed {
 		return
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -140,7 +140,7 @@
 	}
 	t.givenUp = true
 	c.stats.JobsGivenUp++
-	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hopes() {
+	if j := t.phase.job(); !t.phase.spec.Lasting || j.runCount == 0 && !j.hopes() {
 		c.end(j, wire.JobStateFailed, why)
 	} else {
 		c.noteJob("task given up", j, why)
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -37,7 +37,7 @@
 // room that they need.
 func (c *Cell) waitingInTime(nowMs int) (waiting []*phase, needed int) {
 	for _, p := range c.openPhases {
-		if !p.spec.Lasting && p.lateMs > 0 && !p.late(nowMs) && len(p.ready) > 0 && p.heldSince.IsZero() {
+		if !p.spec.Lasting && p.lateAtMs > 0 && !p.late(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
 			waiting = append(waiting, p)
 			needed += len(p.ready) * p.need().CPU
 		}
@@ -81,7 +81,7 @@
 	j := p.job()
 	rest := 0
 	for _, other := range p.round.phases {
-		left := other.left
+		left := other.unfinishedTasks
 		if other == p {
 			left = len(p.ready)
 		}
@@ -97,5 +97,5 @@
 // startBy returns until when a phase's tasks have to start for its job to be in time, if
 // they take as long as expected.
 func (p *phase) startBy() int {
-	return p.lateMs - p.job().chains[p.number]*(100-surePart)/100
+	return p.lateAtMs - p.job().criticalPathMs[p.number]*(100-surePart)/100
 }
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -117,7 +117,7 @@
 // onEndpoint counts a phase's runs at an endpoint, with the places that are held
 // there while a gang is placed.
 func onEndpoint(p *phase, e *endpoint) int {
-	count := p.held[e]
+	count := p.gangReserved[e]
 	for _, t := range p.tasks {
 		for _, r := range t.runs {
 			if r.at == e {
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -45,14 +45,14 @@
 	case c.quotaBlocked[customer]:
 		return false
 	case c.quota.Allows(customer, times(p.share(), count)):
-		p.heldSince = time.Time{}
+		p.overQuotaSince = time.Time{}
 		return true
 	}
 	c.overQuota[customer] = true
-	if p.heldSince.IsZero() {
-		p.heldSince = c.now
+	if p.overQuotaSince.IsZero() {
+		p.overQuotaSince = c.now
 	}
-	c.quotaBlocked[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
+	c.quotaBlocked[customer] = c.now.Sub(p.overQuotaSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
 	return false
 }
 
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -31,23 +31,23 @@
 // jobRecords returns the records by which the stream holds a job as it is now.
 func (c *Cell) jobRecords(j *job) []damsonwinch.Record {
 	var records []damsonwinch.Record
-	if !j.specSaved && (!j.ended() || j.runs > 0) {
+	if !j.specRecorded && (!j.ended() || j.runCount > 0) {
 		// Who takes over a job that has ended must know what of it still runs.
-		j.specSaved = true
+		j.specRecorded = true
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix, Value: encode(wire.AcceptedJob{
-			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.mostAttempts, DueMs: j.dueMs, Spec: j.spec,
+			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.maxAttempts, DueMs: j.dueMs, Spec: j.spec,
 		})})
 	}
-	if j.ended() && j.specSaved && j.runs == 0 {
+	if j.ended() && j.specRecorded && j.runCount == 0 {
 		// Nothing of it can run any more.
-		j.specSaved = false
+		j.specRecorded = false
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix})
 	}
 	record := wire.JobRecord{State: j.state, EndedMs: j.endedMs}
-	if !j.specSaved {
+	if !j.specRecorded {
 		record.Customer = j.customer
 	}
-	if !j.ended() || j.runs > 0 {
+	if !j.ended() || j.runCount > 0 {
 		c.writeLapses(j, writeTasks(j, &record), &record)
 	}
 	return append(records, damsonwinch.Record{Key: j.id, Value: encode(record)})
@@ -60,10 +60,10 @@
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
 			for _, t := range p.tasks {
-				if t.attempt == 0 && !t.done {
+				if t.lastAttempt == 0 && !t.done {
 					continue
 				}
-				if t.lapses > 0 {
+				if t.lapsedCount > 0 {
 					if rows == nil {
 						rows = map[*task]int{}
 					}
@@ -79,11 +79,11 @@
 func writeTask(t *task, record *wire.JobRecord) {
 	row := make([]int, columnRuns, columnRuns+runColumns*len(t.runs))
 	row[columnRound], row[columnPhase], row[columnIndex] = t.phase.round.number, t.phase.number, t.index
-	row[columnAttempt], row[columnFailed] = t.attempt, t.failed
+	row[columnAttempt], row[columnFailed] = t.lastAttempt, t.failedAttempts
 	if t.done {
 		row[columnDone] = 1
-	} else if t.saved != "" {
-		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.saved})
+	} else if t.checkpoint != "" {
+		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.checkpoint})
 	}
 	for _, r := range t.runs {
 		row = append(row, r.attempt, placeOf(r.at, record))
@@ -124,7 +124,7 @@
 			return fmt.Errorf("job %s has a checkpoint for row %d of %d", j.id, saved.Row, len(record.Tasks))
 		}
 		if t := c.findTask(idOf(j, record.Tasks[saved.Row])); t != nil {
-			t.saved = saved.Checkpoint
+			t.checkpoint = saved.Checkpoint
 		}
 	}
 	if err := c.readCrashes(j, record); err != nil {
@@ -149,7 +149,7 @@
 	}
 	j.placed = true
 	j.begun = j.begun || row[columnDone] != 0 || row[columnFailed] > 0
-	t.attempt, t.failed = row[columnAttempt], row[columnFailed]
+	t.lastAttempt, t.failedAttempts = row[columnAttempt], row[columnFailed]
 	for runs := row[columnRuns:]; len(runs) > 0; runs = runs[runColumns:] {
 		attempt, at := runs[0], runs[1]
 		if at < 0 || at >= len(record.Endpoints) {
@@ -159,7 +159,7 @@
 	}
 	if row[columnDone] != 0 && !t.done {
 		t.done = true
-		t.phase.left--
+		t.phase.unfinishedTasks--
 	}
 	return nil
 }
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -59,7 +59,7 @@
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read record of job %s: %w", record.Key, err)
 	}
-	j := &job{id: record.Key, customer: saved.Customer, endedMs: saved.EndedMs, state: saved.State, shown: saved.State, recorded: true}
+	j := &job{id: record.Key, customer: saved.Customer, endedMs: saved.EndedMs, state: saved.State, recordedState: saved.State, recorded: true}
 	c.jobs[j.id] = j
 	accepted, hasSpec := specs[record.Key]
 	if !hasSpec {
@@ -70,12 +70,12 @@
 	}
 	j.customer = accepted.Customer
 	j.queue, j.spec, j.acceptedMs, j.dueMs = accepted.Queue, accepted.Spec, accepted.AcceptedMs, accepted.DueMs
-	j.priority, j.mostAttempts, j.specSaved = accepted.Priority, accepted.MostAttempts, true
+	j.priority, j.maxAttempts, j.specRecorded = accepted.Priority, accepted.MostAttempts, true
 	c.expect(j)
 	if err := c.readTasks(j, saved); err != nil {
 		return err
 	}
-	if !j.ended() || j.runs > 0 {
+	if !j.ended() || j.runCount > 0 {
 		c.activeJobs = append(c.activeJobs, j)
 	}
 	return nil
@@ -84,20 +84,20 @@
 // reopen opens the phases of a loaded job whose turn has come.
 func (c *Cell) reopen(j *job) {
 	for _, r := range j.rounds {
-		r.left = 0
+		r.unfinishedPhases = 0
 		for _, p := range r.phases {
-			p.waitsFor = 0
+			p.unfinishedDeps = 0
 			for _, earlier := range p.spec.After {
-				if r.phases[earlier].left > 0 {
-					p.waitsFor++
+				if r.phases[earlier].unfinishedTasks > 0 {
+					p.unfinishedDeps++
 				}
 			}
-			if p.left > 0 {
-				r.left++
+			if p.unfinishedTasks > 0 {
+				r.unfinishedPhases++
 			}
 		}
 		for _, p := range r.phases {
-			if p.waitsFor == 0 && p.left > 0 {
+			if p.unfinishedDeps == 0 && p.unfinishedTasks > 0 {
 				c.openPhase(p)
 			}
 		}
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -38,10 +38,10 @@
 
 // holdUntil returns until when a job that isn't kept yet is worth holding.
 func (c *Cell) holdUntil(j *job) time.Time {
-	until := j.waitedForUntil
+	until := j.clientWaitsUntil
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
-			if late := time.UnixMilli(int64(p.lateMs)); p.lateMs > 0 && late.Before(until) {
+			if late := time.UnixMilli(int64(p.lateAtMs)); p.lateAtMs > 0 && late.Before(until) {
 				until = late
 			}
 		}
@@ -55,8 +55,8 @@
 	if waitMs > 0 {
 		until = now.Add(time.Duration(waitMs)*time.Millisecond - answerTime)
 	}
-	if until.After(j.waitedForUntil) {
-		j.waitedForUntil = until
+	if until.After(j.clientWaitsUntil) {
+		j.clientWaitsUntil = until
 	}
 }
 
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -68,8 +68,8 @@
 
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
-	t.attempt++
-	r := &run{task: t, attempt: t.attempt, at: at, since: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	t.lastAttempt++
+	r := &run{task: t, attempt: t.lastAttempt, at: at, since: c.now, resumed: t.checkpoint != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
@@ -77,7 +77,7 @@
 	}
 	c.countStarts(t, 1)
 	t.phase.job().placed = true
-	if t.attempt > 1 {
+	if t.lastAttempt > 1 {
 		c.stats.Reruns++
 	}
 	c.touch(t.phase.job())
@@ -89,7 +89,7 @@
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
 	c.quota.Begin(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
-	r.task.phase.job().runs++
+	r.task.phase.job().runCount++
 }
 
 // enter ties a run to its endpoint, and leave takes it from there.
@@ -116,7 +116,7 @@
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
 	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
-	r.task.phase.job().runs--
+	r.task.phase.job().runCount--
 	c.placementDue = true
 	c.touch(r.task.phase.job())
 }
@@ -144,7 +144,7 @@
 	c.prolong(r.at, until)
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartOrder{
-		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
+		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.checkpoint,
 		Ticket: c.ticket(r.task.phase, r.at),
 	}})
 }
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -38,7 +38,7 @@
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if j := c.jobs[id]; c.given(j) {
 			// The text isn't in the new stream.
-			j.specSaved = false
+			j.specRecorded = false
 			records = append(records, c.jobRecords(j)...)
 		}
 	}
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -35,12 +35,12 @@
 	c.activeJobs = append(c.activeJobs, j)
 	c.stats.JobsAccepted++
 	if !jobs.Lasting(j.spec) {
-		chain := slices.Max(j.chains)
+		chain := slices.Max(j.criticalPathMs)
 		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
 	}
 	c.touch(j)
 	c.noteJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
-		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.chains), j.dueMs-j.acceptedMs))
+		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
 	c.openRounds()
 	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
@@ -48,10 +48,10 @@
 func (c *Cell) newJob(args wire.JobArgs) *job {
 	j := &job{
 		id: args.Id, queue: args.Queue, customer: args.Customer, spec: *args.Spec, acceptedMs: args.ReceivedMs,
-		state: wire.JobStateQueued, shown: wire.JobStateQueued,
+		state: wire.JobStateQueued, recordedState: wire.JobStateQueued,
 	}
 	queue := c.queues[args.Queue]
-	j.priority, j.mostAttempts = queue.Priority, queue.MostAttempts
+	j.priority, j.maxAttempts = queue.Priority, queue.MostAttempts
 	c.setDue(j)
 	return j
 }
@@ -61,7 +61,7 @@
 	if queue, known := c.queues[j.queue]; known && queue.MostAttempts > 0 {
 		return queue.MostAttempts
 	}
-	return max(1, j.mostAttempts)
+	return max(1, j.maxAttempts)
 }
 
 // visibleTo says whether a job may be shown to a caller, and changed by it: to its own customer,
@@ -110,7 +110,7 @@
 func (c *Cell) forgetJobs() {
 	keep := c.activeJobs[:0]
 	for _, j := range c.activeJobs {
-		if !j.ended() || j.runs > 0 || j.shown != j.state {
+		if !j.ended() || j.runCount > 0 || j.recordedState != j.state {
 			keep = append(keep, j)
 		}
 	}
@@ -118,7 +118,7 @@
 	c.activeJobs = keep
 	limit := int(c.now.Add(-c.options.EndedJobRetention).UnixMilli())
 	for id, j := range c.jobs {
-		if j.ended() && j.runs == 0 && j.shown == j.state && j.endedMs < limit {
+		if j.ended() && j.runCount == 0 && j.recordedState == j.state && j.endedMs < limit {
 			delete(c.jobs, id)
 			c.drop(j)
 		}
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -7,13 +7,13 @@
 func (c *Cell) expect(j *job) {
 	times := &c.statsOf(j.queue).times
 	phases := j.spec.Phases
-	j.taskMs, j.chains, j.work = make([]int, len(phases)), make([]int, len(phases)), 0
+	j.taskMs, j.criticalPathMs, j.work = make([]int, len(phases)), make([]int, len(phases)), 0
 	for number := len(phases) - 1; number >= 0; number-- {
 		phase := &phases[number]
 		j.taskMs[number] = times.estimate(phase.EstimateMs)
-		j.chains[number] += j.taskMs[number]
+		j.criticalPathMs[number] += j.taskMs[number]
 		for _, earlier := range phase.After {
-			j.chains[earlier] = max(j.chains[earlier], j.chains[number])
+			j.criticalPathMs[earlier] = max(j.criticalPathMs[earlier], j.criticalPathMs[number])
 		}
 		if !phase.Lasting && !phase.Fills {
 			j.work += phase.Count * phase.Cpu * j.taskMs[number]
@@ -26,7 +26,7 @@
 	c.expect(j)
 	queue := c.queues[j.queue]
 	chain := 0
-	for _, from := range j.chains {
+	for _, from := range j.criticalPathMs {
 		chain = max(chain, from)
 	}
 	j.dueMs = j.acceptedMs + int(queue.Extension*float64(chain)) + int(queue.Target.Milliseconds())
@@ -35,7 +35,7 @@
 // late says whether a phase's job can hardly be done in time any more. Late jobs
 // go behind the others: running them first would make those late, too.
 func (p *phase) late(nowMs int) bool {
-	return p.lateMs > 0 && nowMs > p.lateMs
+	return p.lateAtMs > 0 && nowMs > p.lateAtMs
 }
 
 // setLate works out when a phase that may start is late.
@@ -48,7 +48,7 @@
 	if j.spec.Rounds > 0 {
 		due += p.round.number * j.spec.EveryMs
 	}
-	p.lateMs = due - int(lateMargin.Milliseconds()) - j.chains[p.number]*surePart/100
+	p.lateAtMs = due - int(lateMargin.Milliseconds()) - j.criticalPathMs[p.number]*surePart/100
 }
 
 const (
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -65,7 +65,7 @@
 // for a while.
 func (c *Cell) canWait(r *run) bool {
 	j := r.task.phase.job()
-	return int(c.now.Add(waitForRoom).UnixMilli())+j.chains[r.task.phase.number] < j.dueMs
+	return int(c.now.Add(waitForRoom).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.dueMs
 }
 
 // waitForRoom is how long a stopped task may have to wait for room, with the time
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -137,10 +137,10 @@
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
 		return nil
 	}
-	if j.home == nil || j.home.inDoubt() {
-		j.home = c.roomiest()
+	if j.homeZone == nil || j.homeZone.inDoubt() {
+		j.homeZone = c.roomiest()
 	}
-	return j.home
+	return j.homeZone
 }
 
 // roomiest returns the zone with the most free cores, nil if there is none.
