--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -91,9 +91,9 @@
 // Advised takes the answer to a call for permits, which was sent at some moment and
 // whose permits hold for a time from then on at least.
 func (c *Cell) Advised(now, sentAt time.Time, ask PermitRequest, permits []damsonwinch.Permit, valid time.Duration, err error) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
 	c.permitCalls--
 	t := c.findTask(damsonwinch.TaskID{Job: ask.Job, Round: ask.Round, Phase: ask.Phase})
 	if t == nil {
@@ -102,7 +102,7 @@
 	a := &t.phase.advice
 	a.asking = false
 	if err != nil {
-		c.noteJob("no advice", t.phase.job(), err.Error())
+		c.logJob("no advice", t.phase.job(), err.Error())
 		return
 	}
 	// Another call may follow at once, about other endpoints.
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// begin notes an event and the time at which it came.
-func (c *Cell) begin(now time.Time) {
+// beginEvent notes an event and the time at which it came.
+func (c *Cell) beginEvent(now time.Time) {
 	if !c.now.IsZero() && now.Sub(c.now) > stillGap {
 		c.resumedAt = now
 	}
@@ -144,15 +144,15 @@
 	return true
 }
 
-// awake says whether this owner hears of things when they happen.
-func (c *Cell) awake() bool {
+// caughtUp says whether this owner hears of things when they happen.
+func (c *Cell) caughtUp() bool {
 	return c.now.Sub(c.resumedAt) >= wakeTime
 }
 
 // SetQueues takes the queues in force. Queues that have gone are remembered for
 // the jobs that still run.
 func (c *Cell) SetQueues(now time.Time, queues []damsonwinch.Queue) {
-	c.begin(now)
+	c.beginEvent(now)
 	for _, queue := range queues {
 		c.queues[queue.Name] = queue
 	}
@@ -165,17 +165,17 @@
 	}
 }
 
-// sure says whether this owner may go on prolonging leases: a new owner counts on
+// mayRenewLeases says whether this owner may go on prolonging leases: a new owner counts on
 // earlier ones to end that in time.
-func (c *Cell) sure() bool {
+func (c *Cell) mayRenewLeases() bool {
 	return c.now.Sub(c.confirmedAt) < c.options.RenewalGrace
 }
 
 // Tick lets time pass.
 func (c *Cell) Tick(now time.Time) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.lastTickAt = now
-	c.changed()
+	c.endpointsChanged()
 	c.openRounds()
 	c.expireLeases()
 	c.retryOrders()
@@ -190,7 +190,7 @@
 	}
 	c.forgetJobs()
 	c.noteQuotas()
-	c.settle()
+	c.finishEvent()
 }
 
 // Batch takes several events and does what follows from all of them at once: the
@@ -199,11 +199,11 @@
 	c.batching = true
 	events()
 	c.batching = false
-	c.settle()
+	c.finishEvent()
 }
 
-// settle does what follows from an event: new starts, looks and a commit.
-func (c *Cell) settle() {
+// finishEvent does what follows from an event: new starts, looks and a commit.
+func (c *Cell) finishEvent() {
 	if c.batching {
 		return
 	}
@@ -212,9 +212,9 @@
 	c.flush()
 }
 
-// changed notes that something about the endpoints may let tasks start or call for
+// endpointsChanged notes that something about the endpoints may let tasks start or call for
 // looks.
-func (c *Cell) changed() {
+func (c *Cell) endpointsChanged() {
 	c.placementDue, c.pollAll = true, true
 }
 
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -144,8 +144,8 @@
 
 // Committed takes note that the stream holds an append.
 func (c *Cell) Committed(now time.Time, number int) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	sent := c.commits.sent
 	if sent == nil || sent.number != number {
 		return
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -154,9 +154,9 @@
 
 // ApplySync takes what the fleet planner wants of the endpoints.
 func (c *Cell) ApplySync(now time.Time, args wire.SyncArgs) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
 	for _, e := range c.sortedEndpoints {
 		e.withdraw.wanted, e.withdraw.hurry, e.due = false, false, false
 	}
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -102,14 +102,14 @@
 	return c.stats
 }
 
-func (c *Cell) note(what string, r *run, why string) {
+func (c *Cell) logRun(what string, r *run, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: what, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Reason: why,
 	})
 }
 
-// noteStart notes that an attempt is ordered, and what decided where.
-func (c *Cell) noteStart(r *run) {
+// logStart notes that an attempt is ordered, and what decided where.
+func (c *Cell) logStart(r *run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
 		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
@@ -117,18 +117,18 @@
 	})
 }
 
-func (c *Cell) noteJob(what string, j *job, why string) {
+func (c *Cell) logJob(what string, j *job, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Job: j.id, Reason: why})
 }
 
-func (c *Cell) noteCustomer(what, customer, why string) {
+func (c *Cell) logCustomer(what, customer, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Customer: customer, Reason: why})
 }
 
-func (c *Cell) noteQueue(what, queue, why string) {
+func (c *Cell) logQueue(what, queue, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Queue: queue, Reason: why})
 }
 
-func (c *Cell) noteEndpoint(what string, e *endpoint, why string) {
+func (c *Cell) logEndpoint(what string, e *endpoint, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Endpoint: e.info.Life.String(), Reason: why})
 }
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -138,18 +138,18 @@
 
 // SetEndpoints takes the cell's endpoints as the registry has them now.
 func (c *Cell) SetEndpoints(now time.Time, listed []damsonwinch.Endpoint) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
 	present := make(map[damsonwinch.Life]bool, len(listed))
 	for _, info := range listed {
 		present[info.Life] = true
 		e := c.endpointOf(info.Life)
 		if info.Draining && !e.info.Draining {
-			c.noteEndpoint("endpoint drains", e, "")
+			c.logEndpoint("endpoint drains", e, "")
 		}
 		if !e.listed && !e.gone {
-			c.noteEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
+			c.logEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
 		}
 		e.info, e.listed = info, true
 		c.settleIn(e)
@@ -157,7 +157,7 @@
 	for _, e := range c.sortedEndpoints {
 		if e.listed && !present[e.info.Life] {
 			e.listed = false
-			c.noteEndpoint("endpoint unlisted", e, "")
+			c.logEndpoint("endpoint unlisted", e, "")
 		}
 	}
 	c.sweepEndpoints()
@@ -184,9 +184,9 @@
 // SetBoxes takes the platform's list of boxes, which tells lives that have ended
 // from those that are only out of reach.
 func (c *Cell) SetBoxes(now time.Time, boxes []damsonwinch.Box) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
 	alive := make(map[string]bool, len(boxes))
 	for _, box := range boxes {
 		if box.State == damsonwinch.BoxUp {
@@ -225,7 +225,7 @@
 			c.freeKept(e)
 			continue
 		}
-		c.noteEndpoint("leases lapsed", e, "out of reach")
+		c.logEndpoint("leases lapsed", e, "out of reach")
 		for _, r := range e.sortedRuns() {
 			if r.state != runIntended {
 				c.lapsed(r)
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -39,7 +39,7 @@
 		}
 		c.complete(t)
 	case end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
-		c.note("run failed", r, "")
+		c.logRun("run failed", r, "")
 		c.fail(t, r)
 	case len(t.runs) == 0:
 		c.makeReady(t)
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -11,7 +11,7 @@
 // is known of their room must be new: a task too many harms all that run there.
 func (c *Cell) SetGuarded(now time.Time, guarded bool) {
 	if c.noCapacityCheck != !guarded {
-		c.begin(now)
+		c.beginEvent(now)
 		c.noCapacityCheck = !guarded
 	}
 }
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -75,7 +75,7 @@
 	switch how {
 	case damsonwinch.EndedDone:
 		if h.onTrial {
-			c.noteEndpoint("endpoint well again", r.at, "")
+			c.logEndpoint("endpoint well again", r.at, "")
 		}
 		h.failures, h.ejections, h.onTrial = 0, 0, false
 	case damsonwinch.EndedFailed:
@@ -105,7 +105,7 @@
 	h.onTrial = true
 	h.failures, h.signs = 0, nil
 	c.stats.Ejections++
-	c.noteEndpoint("endpoint ejected", e, why)
+	c.logEndpoint("endpoint ejected", e, why)
 	return true
 }
 
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -103,7 +103,7 @@
 // handOn has a run be at a later life under the ID of its own, as one of which it must be found
 // out whether it is there.
 func (c *Cell) handOn(r *run, there *endpoint) {
-	c.note("run may be at a later life", r, "born "+there.info.Life.String())
+	c.logRun("run may be at a later life", r, "born "+there.info.Life.String())
 	c.leave(r)
 	r.at = there
 	c.enter(r)
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -106,7 +106,7 @@
 		// If another life answers under its ID, that is not to forget its own first ends.
 		order.Seen = 0
 	}
-	if e.attached && !e.silent && c.sure() {
+	if e.attached && !e.silent && c.mayRenewLeases() {
 		order.Until = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
 		c.prolong(e, order.Until)
 	}
@@ -130,8 +130,8 @@
 
 // Looked takes the answer to a look.
 func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	e := c.endpoints[asked]
 	if e == nil {
 		return
@@ -157,7 +157,7 @@
 	e.looks.answered = sent.step
 	c.followLives(e, look, sent.step)
 	if e.silent {
-		c.noteEndpoint("endpoint answers again", e, "")
+		c.logEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
 	e.clockSample, e.clockAt = look.Clock, c.now
@@ -171,7 +171,7 @@
 	c.share(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
-		c.noteEndpoint("endpoint attached", e, "box "+e.info.Box)
+		c.logEndpoint("endpoint attached", e, "box "+e.info.Box)
 	}
 }
 
@@ -183,9 +183,9 @@
 		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
-			c.noteEndpoint("endpoint silent", e, err.Error())
+			c.logEndpoint("endpoint silent", e, err.Error())
 			e.silent, e.silentAt, e.silentStep = true, c.now, c.step
-			e.broke = c.awake() && c.now.Sub(sent.at) < sent.wait
+			e.broke = c.caughtUp() && c.now.Sub(sent.at) < sent.wait
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -67,7 +67,7 @@
 
 // notThere takes away a run that its endpoint doesn't have.
 func (c *Cell) notThere(r *run) {
-	c.note("run is not there", r, "")
+	c.logRun("run is not there", r, "")
 	if r.lost != nil {
 		c.loseRun(r, *r.lost)
 		return
@@ -143,7 +143,7 @@
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runCount == 0 && !j.hopes() {
 		c.end(j, wire.JobStateFailed, why)
 	} else {
-		c.noteJob("task given up", j, why)
+		c.logJob("task given up", j, why)
 	}
 }
 
@@ -218,13 +218,13 @@
 // noteLost tells what a lost endpoint takes with it.
 func (c *Cell) noteLost(e *endpoint, why string) {
 	if len(e.runs) == 0 {
-		c.noteEndpoint("endpoint lost", e, why)
+		c.logEndpoint("endpoint lost", e, why)
 		return
 	}
 	c.stats.EndpointsLost++
 	endedAt := e.endedAt(c.now)
 	youngest := e.ordered[len(e.ordered)-1].age(endedAt)
-	c.noteEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
+	c.logEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
 		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
 
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -52,10 +52,10 @@
 		switch {
 		case count >= proneEnds && !c.crashProne[queue]:
 			c.crashProne[queue] = true
-			c.noteQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, proneTime))
+			c.logQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, proneTime))
 		case count < proneEnds && c.crashProne[queue]:
 			delete(c.crashProne, queue)
-			c.noteQueue("queue's tasks crash no endpoints any more", queue, "")
+			c.logQueue("queue's tasks crash no endpoints any more", queue, "")
 		}
 		if count == 0 {
 			delete(c.queueExits, queue)
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -18,8 +18,8 @@
 
 // SetCustomers takes the customers of the configuration in force.
 func (c *Cell) SetCustomers(now time.Time, version int, customers []damsonwinch.Customer) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	c.quota.Configure(version, customers)
 	c.placementDue = true
 }
@@ -142,12 +142,12 @@
 		if c.overQuotaSince[customer].IsZero() {
 			c.overQuotaSince[customer] = c.now
 			c.stats.QuotaWaits++
-			c.noteCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
+			c.logCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
 		}
 	}
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuotaSince)) {
 		if !c.overQuota[customer] {
-			c.noteCustomer("customer goes on", customer, fmt.Sprintf("after %d ms", c.now.Sub(c.overQuotaSince[customer]).Milliseconds()))
+			c.logCustomer("customer goes on", customer, fmt.Sprintf("after %d ms", c.now.Sub(c.overQuotaSince[customer]).Milliseconds()))
 			delete(c.overQuotaSince, customer)
 		}
 	}
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -15,7 +15,7 @@
 // key, after the stream's epoch was raised, so that no earlier owner can add to
 // it. Every recorded run may still be running where its record says.
 func (c *Cell) Load(now time.Time, records []damsonwinch.Record) error {
-	c.begin(now)
+	c.beginEvent(now)
 	c.ConfirmOwnership(now)
 	specs := map[string]wire.AcceptedJob{}
 	for _, record := range records {
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -62,7 +62,7 @@
 
 // refuseJob takes back all that a job that was never recorded has led to.
 func (c *Cell) refuseJob(j *job, why string) {
-	c.noteJob("job refused", j, why)
+	c.logJob("job refused", j, why)
 	c.stats.JobsRefused++
 	var runs []*run
 	for _, r := range j.rounds {
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -138,7 +138,7 @@
 		return
 	}
 	r.state = runOrdered
-	c.noteStart(r)
+	c.logStart(r)
 	r.since = c.now
 	until := r.at.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
 	c.prolong(r.at, until)
@@ -151,8 +151,8 @@
 
 // Started takes the answer to a start.
 func (c *Cell) Started(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	r := c.findRun(at, which)
 	if r == nil || r.state != runOrdered {
 		return
@@ -177,7 +177,7 @@
 		c.refused(r, err)
 	default:
 		r.state = runUncertain
-		c.note("start unanswered", r, err.Error())
+		c.logRun("start unanswered", r, err.Error())
 		c.wantLook(r.at)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
@@ -205,7 +205,7 @@
 func (c *Cell) refused(r *run, err error) {
 	c.stats.StartsRefused++
 	c.countStarts(r.task, -1)
-	c.note("start refused", r, err.Error())
+	c.logRun("start refused", r, err.Error())
 	defer c.abandonGang(r.task.phase, "a member of its gang was refused")
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
@@ -242,7 +242,7 @@
 
 // notSent takes back a run whose order has certainly not come to its endpoint.
 func (c *Cell) notSent(r *run, err error) {
-	c.note("start not sent", r, err.Error())
+	c.logRun("start not sent", r, err.Error())
 	c.countStarts(r.task, -1)
 	c.wantLook(r.at)
 	r.at.pauseUntil = c.now.Add(refusalPause)
@@ -265,7 +265,7 @@
 		return
 	}
 	if !r.stopping {
-		c.note("stop", r, why)
+		c.logRun("stop", r, why)
 	}
 	r.stopping = true
 	if r.state == runOrdered {
@@ -283,8 +283,8 @@
 
 // Stopped takes the answer to a stop.
 func (c *Cell) Stopped(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	r := c.findRun(at, which)
 	if r == nil {
 		return
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -88,12 +88,12 @@
 // Paced takes the answer to an order on a run's speed. One that was not answered
 // may not have been done: the next look tells.
 func (c *Cell) Paced(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := c.findRun(at, which)
 	if r == nil || err == nil {
 		return
 	}
-	c.note("pace not set", r, err.Error())
+	c.logRun("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
 	r.at.pacedAt = time.Time{}
 	r.speed = wholePercent
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -12,11 +12,11 @@
 // Submit takes a job. The reply comes as an effect with the ticket, once the
 // stream holds the job.
 func (c *Cell) Submit(now time.Time, args wire.JobArgs, ticket int) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	if known, exists := c.jobs[args.Id]; exists {
 		if !known.visibleTo(args) {
-			c.noteJob("job refused", known, "another customer has a job of this ID")
+			c.logJob("job refused", known, "another customer has a job of this ID")
 			c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(comeBack.Milliseconds())})
 			return
 		}
@@ -39,7 +39,7 @@
 		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
 	}
 	c.touch(j)
-	c.noteJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
+	c.logJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
 		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
 	c.openRounds()
 	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
@@ -74,8 +74,8 @@
 // Cancel ends a job for good. The reply comes as an effect, once the stream holds
 // the end.
 func (c *Cell) Cancel(now time.Time, args wire.JobArgs, ticket int) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	j, known := c.jobs[args.Id]
 	if !known || !j.visibleTo(args) {
 		c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeNoSuchJob})
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	c.noteJob("job "+string(state), j, why)
+	c.logJob("job "+string(state), j, why)
 	c.touch(j)
 }
 
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -38,7 +38,7 @@
 	}
 	e.withdrawn = true
 	c.mark(e)
-	c.noteEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
+	c.logEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
 }
 
 // evacuate stops what would not end soon by itself, so that it runs elsewhere.
@@ -89,7 +89,7 @@
 	}
 	e.withdrawn, e.withdraw = false, withdrawal{}
 	c.commits.marks = append(c.commits.marks, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
-	c.noteEndpoint("endpoint restored", e, "the fleet planner does not need its box")
+	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
 
 // mark records that an endpoint is withdrawn.
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -80,7 +80,7 @@
 // address.
 func (c *Cell) heard(e *endpoint) {
 	c.answered(e)
-	if c.awake() {
+	if c.caughtUp() {
 		e.heardAt = c.now
 	}
 }
