--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -13,20 +13,20 @@
 	dirty map[string]bool
 	// dropped are keys that the stream is to forget.
 	dropped []string
-	// marks are records about endpoints.
-	marks []damsonwinch.Record
+	// endpointRecords are records about endpoints.
+	endpointRecords []damsonwinch.Record
 	// allowances says that the record of the allowances is out of date.
 	allowances bool
-	// ends says that ends were taken in that no record may mention, such as those
+	// ackEndpoints says that ackEndpoints were taken in that no record may mention, such as those
 	// of jobs that nobody knows; they too are forgotten only after a commit.
-	ends    []*endpoint
-	starts  []*run
-	replies []waitingReply
-	// withdrawn are endpoints whose withdrawal counts once it is recorded.
-	withdrawn []*endpoint
-	number    int
-	sent      *sentCommit
-	startAt   time.Time
+	ackEndpoints []*endpoint
+	starts       []*run
+	replies      []waitingReply
+	// withdrawals are endpoints whose withdrawal counts once it is recorded.
+	withdrawals []*endpoint
+	number      int
+	sent        *sentCommit
+	startAt     time.Time
 }
 
 // sentCommit is the append on its way.
@@ -59,13 +59,13 @@
 	return commits{dirty: map[string]bool{}}
 }
 
-// touch notes that a job's record is out of date.
-func (c *Cell) touch(j *job) {
+// markDirty notes that a job's record is out of date.
+func (c *Cell) markDirty(j *job) {
 	c.commits.dirty[j.id] = true
 }
 
-// drop makes the stream forget a job.
-func (c *Cell) drop(j *job) {
+// deleteRecord makes the stream forget a job.
+func (c *Cell) deleteRecord(j *job) {
 	c.commits.dropped = append(c.commits.dropped, j.id)
 }
 
@@ -89,7 +89,7 @@
 // pendingCommit says whether anything waits for the stream.
 func (c *Cell) pendingCommit() bool {
 	w := &c.commits
-	return len(w.dirty) > 0 || len(w.dropped) > 0 || len(w.marks) > 0 || len(w.ends) > 0 || w.allowances
+	return len(w.dirty) > 0 || len(w.dropped) > 0 || len(w.endpointRecords) > 0 || len(w.ackEndpoints) > 0 || w.allowances
 }
 
 // flush begins the next append, unless one is on its way or the last was just now.
@@ -100,13 +100,13 @@
 	}
 	w.number++
 	w.startAt = c.now
-	sent := &sentCommit{number: w.number, at: c.now, starts: w.starts, replies: w.replies, withdrawn: w.withdrawn, shown: map[*job]wire.JobState{}}
+	sent := &sentCommit{number: w.number, at: c.now, starts: w.starts, replies: w.replies, withdrawn: w.withdrawals, shown: map[*job]wire.JobState{}}
 	records := c.compose(sent)
-	for _, e := range w.ends {
+	for _, e := range w.ackEndpoints {
 		sent.seen = append(sent.seen, seenEnds{at: e, number: e.seen})
 	}
 	clear(w.dirty)
-	w.dropped, w.marks, w.ends, w.starts, w.replies, w.withdrawn, w.allowances = nil, nil, nil, nil, nil, nil, false
+	w.dropped, w.endpointRecords, w.ackEndpoints, w.starts, w.replies, w.withdrawals, w.allowances = nil, nil, nil, nil, nil, nil, false
 	w.sent = sent
 	c.stats.Commits++
 	if len(records) == 0 {
@@ -119,7 +119,7 @@
 // compose returns the records of all that is out of date in the stream.
 func (c *Cell) compose(sent *sentCommit) []damsonwinch.Record {
 	w := &c.commits
-	records := append(w.marks, c.learnedRecords()...)
+	records := append(w.endpointRecords, c.learnedRecords()...)
 	if w.allowances {
 		records = append(records, c.allowancesRecord(sent))
 	}
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -158,12 +158,12 @@
 	c.endpointsChanged()
 	defer c.finishEvent()
 	for _, e := range c.sortedEndpoints {
-		e.withdraw.wanted, e.withdraw.hurry, e.due = false, false, false
+		e.withdraw.requested, e.withdraw.urgent, e.due = false, false, false
 	}
 	c.takeAllowances(args)
 	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
-	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.wanted = true })
-	c.want(args.Hurry, func(e *endpoint) { e.withdraw.wanted, e.withdraw.hurry = true, true })
+	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.requested = true })
+	c.want(args.Hurry, func(e *endpoint) { e.withdraw.requested, e.withdraw.urgent = true, true })
 	c.want(args.Due, func(e *endpoint) { e.due = true })
 	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
 	for _, e := range c.sortedEndpoints {
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -81,7 +81,7 @@
 
 // usable says whether new work may be ordered there.
 func (e *endpoint) usable() bool {
-	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdraw.wanted && !e.silent && !e.info.Draining
+	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdraw.requested && !e.silent && !e.info.Draining
 }
 
 // free returns the room that is left.
@@ -176,7 +176,7 @@
 		c.forgetLapses(e)
 		delete(c.endpoints, e.info.Life)
 		e.zone.rooms.drop(e)
-		c.dropEndpoint(e)
+		c.deleteEndpointRecord(e)
 		return true
 	})
 }
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -59,10 +59,10 @@
 func (c *Cell) countFailure(t *task) {
 	t.failedAttempts++
 	j := t.phase.job()
-	c.touch(j)
-	if !t.done && !j.ended() && failures(t) >= c.attemptsOf(j) {
+	c.markDirty(j)
+	if !t.done && !j.ended() && failures(t) >= c.maxAttempts(j) {
 		c.stats.JobsFailed++
-		c.end(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
+		c.endJob(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
 	}
 }
 
@@ -97,14 +97,14 @@
 	}
 	t.done = true
 	p := t.phase
-	p.unready(t)
+	p.removeReady(t)
 	if !p.spec.Gang {
 		for _, copied := range slices.Clone(t.runs) {
 			c.stop(copied, "another attempt is done")
 		}
 	}
 	p.unfinishedTasks--
-	c.touch(p.job())
+	c.markDirty(p.job())
 	if p.unfinishedTasks == 0 {
 		c.completePhase(p)
 	}
@@ -127,7 +127,7 @@
 		}
 	}
 	j := r.job
-	if r.unfinishedPhases > 0 || j.ended() || len(j.rounds) < j.roundsInAll() {
+	if r.unfinishedPhases > 0 || j.ended() || len(j.rounds) < j.totalRounds() {
 		return
 	}
 	for _, other := range j.rounds {
@@ -136,5 +136,5 @@
 		}
 	}
 	c.stats.JobsCompleted++
-	c.end(j, wire.JobStateCompleted, "all tasks are done")
+	c.endJob(j, wire.JobStateCompleted, "all tasks are done")
 }
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// unready takes a task from those that may start.
-func (p *phase) unready(t *task) {
+// removeReady takes a task from those that may start.
+func (p *phase) removeReady(t *task) {
 	if !t.ready {
 		return
 	}
@@ -226,7 +226,7 @@
 }
 
 // rounds returns how many rounds a job has in all.
-func (j *job) roundsInAll() int {
+func (j *job) totalRounds() int {
 	return max(1, j.spec.Rounds)
 }
 
@@ -241,7 +241,7 @@
 // openRounds starts the rounds that have fallen due.
 func (c *Cell) openRounds() {
 	for _, j := range c.activeJobs {
-		for !j.ended() && len(j.rounds) < j.roundsInAll() && !c.now.Before(j.roundDue(len(j.rounds))) {
+		for !j.ended() && len(j.rounds) < j.totalRounds() && !c.now.Before(j.roundDue(len(j.rounds))) {
 			c.startRound(j, len(j.rounds))
 		}
 	}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -52,14 +52,14 @@
 func (c *Cell) dropLapse(l lapse) {
 	l.task.lapsedCount--
 	c.placementDue = true
-	c.touch(l.task.phase.job())
+	c.markDirty(l.task.phase.job())
 }
 
 // held says whether a task must wait: since endpoints have refused it, or until it is known how
 // attempts at it have ended. With those that may have failed it has failed as often as it is
 // tried.
 func (c *Cell) held(t *task) bool {
-	return c.now.Before(t.notBefore) || t.lapsedCount > 0 && !t.phase.spec.Lasting && failures(t)+t.lapsedCount >= c.attemptsOf(t.phase.job())
+	return c.now.Before(t.notBefore) || t.lapsedCount > 0 && !t.phase.spec.Lasting && failures(t)+t.lapsedCount >= c.maxAttempts(t.phase.job())
 }
 
 // lapseColumns is the number of columns of a lapse in a job's record: the place of its
@@ -74,7 +74,7 @@
 	for _, e := range c.sortedEndpoints {
 		for _, l := range e.lapses {
 			if row, known := rows[l.task]; known && l.task.phase.job() == j {
-				record.Lapsed = append(record.Lapsed, []int{row, l.attempt, placeOf(e, record)})
+				record.Lapsed = append(record.Lapsed, []int{row, l.attempt, endpointIndex(e, record)})
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 		if len(row) != lapseColumns || row[0] < 0 || row[0] >= len(record.Tasks) || row[2] < 0 || row[2] >= len(record.Endpoints) {
 			return fmt.Errorf("job %s has a lapse %v", j.id, row)
 		}
-		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
+		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			e := c.endpointOf(damsonwinch.ParseLife(record.Endpoints[row[2]]))
 			e.lapses = append(e.lapses, lapse{task: t, attempt: row[1]})
 			t.lapsedCount++
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -109,7 +109,7 @@
 	c.enter(r)
 	// What the earlier life has been told doesn't bind this one.
 	r.stopped = false
-	c.touch(r.task.phase.job())
+	c.markDirty(r.task.phase.job())
 }
 
 // loseUnheard takes note that a life has ended, by somebody else's word. Orders to it may still
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -202,7 +202,7 @@
 			continue
 		}
 		e.seen = end.Number
-		c.commits.ends = append(c.commits.ends, e)
+		c.commits.ackEndpoints = append(c.commits.ackEndpoints, e)
 		c.finished(e, end)
 	}
 }
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -141,7 +141,7 @@
 	t.givenUp = true
 	c.stats.JobsGivenUp++
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runCount == 0 && !j.hopes() {
-		c.end(j, wire.JobStateFailed, why)
+		c.endJob(j, wire.JobStateFailed, why)
 	} else {
 		c.logJob("task given up", j, why)
 	}
@@ -258,7 +258,7 @@
 		if len(row) != crashColumns || row[0] < 0 || row[0] >= len(record.Tasks) {
 			return fmt.Errorf("job %s has a crashed task %v", j.id, row)
 		}
-		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
+		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			t.crashes = crash.Record{
 				Count: row[1], Sure: row[2], Like: row[3], Low: time.Duration(row[4]) * time.Millisecond, High: time.Duration(row[5]) * time.Millisecond,
 				Weight: row[6], Starts: row[7],
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -86,14 +86,14 @@
 		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.checkpoint})
 	}
 	for _, r := range t.runs {
-		row = append(row, r.attempt, placeOf(r.at, record))
+		row = append(row, r.attempt, endpointIndex(r.at, record))
 	}
 	writeCrashes(t, record)
 	record.Tasks = append(record.Tasks, row)
 }
 
-// placeOf returns the place of an endpoint among those of a job's record.
-func placeOf(e *endpoint, record *wire.JobRecord) int {
+// endpointIndex returns the place of an endpoint among those of a job's record.
+func endpointIndex(e *endpoint, record *wire.JobRecord) int {
 	life := e.info.Life.String()
 	if at := slices.Index(record.Endpoints, life); at >= 0 {
 		return at
@@ -123,7 +123,7 @@
 		if saved.Row < 0 || saved.Row >= len(record.Tasks) {
 			return fmt.Errorf("job %s has a checkpoint for row %d of %d", j.id, saved.Row, len(record.Tasks))
 		}
-		if t := c.findTask(idOf(j, record.Tasks[saved.Row])); t != nil {
+		if t := c.findTask(rowTaskID(j, record.Tasks[saved.Row])); t != nil {
 			t.checkpoint = saved.Checkpoint
 		}
 	}
@@ -137,13 +137,13 @@
 	if len(row) < columnRuns || (len(row)-columnRuns)%runColumns != 0 {
 		return fmt.Errorf("%d columns", len(row))
 	}
-	if row[columnRound] >= j.roundsInAll() {
-		return fmt.Errorf("round %d of %d", row[columnRound], j.roundsInAll())
+	if row[columnRound] >= j.totalRounds() {
+		return fmt.Errorf("round %d of %d", row[columnRound], j.totalRounds())
 	}
 	for len(j.rounds) <= row[columnRound] {
 		j.rounds = append(j.rounds, newRound(j, len(j.rounds)))
 	}
-	t := c.findTask(idOf(j, row))
+	t := c.findTask(rowTaskID(j, row))
 	if t == nil {
 		return fmt.Errorf("no task %v", row[:columnAttempt])
 	}
@@ -164,6 +164,6 @@
 	return nil
 }
 
-func idOf(j *job, row []int) damsonwinch.TaskID {
+func rowTaskID(j *job, row []int) damsonwinch.TaskID {
 	return damsonwinch.TaskID{Job: j.id, Round: row[columnRound], Phase: row[columnPhase], Index: row[columnIndex]}
 }
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -80,7 +80,7 @@
 	if t.lastAttempt > 1 {
 		c.stats.Reruns++
 	}
-	c.touch(t.phase.job())
+	c.markDirty(t.phase.job())
 	c.commits.starts = append(c.commits.starts, r)
 }
 
@@ -118,7 +118,7 @@
 	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runCount--
 	c.placementDue = true
-	c.touch(r.task.phase.job())
+	c.markDirty(r.task.phase.job())
 }
 
 // again resolves a run that came to nothing and makes its task ready.
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -38,7 +38,7 @@
 		chain := slices.Max(j.criticalPathMs)
 		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.logJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
 		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
 	c.openRounds()
@@ -56,8 +56,8 @@
 	return j
 }
 
-// attemptsOf returns how many failures of a task fail the job.
-func (c *Cell) attemptsOf(j *job) int {
+// maxAttempts returns how many failures of a task fail the job.
+func (c *Cell) maxAttempts(j *job) int {
 	if queue, known := c.queues[j.queue]; known && queue.MostAttempts > 0 {
 		return queue.MostAttempts
 	}
@@ -83,13 +83,13 @@
 	}
 	if !j.ended() {
 		c.stats.JobsCancelled++
-		c.end(j, wire.JobStateCancelled, "a client cancelled it")
+		c.endJob(j, wire.JobStateCancelled, "a client cancelled it")
 	}
 	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
-// end decides a job's end and stops what still runs of it.
-func (c *Cell) end(j *job, state wire.JobState, why string) {
+// endJob decides a job's endJob and stops what still runs of it.
+func (c *Cell) endJob(j *job, state wire.JobState, why string) {
 	j.state = state
 	j.endedMs = int(c.now.UnixMilli())
 	for _, r := range j.rounds {
@@ -103,7 +103,7 @@
 		}
 	}
 	c.logJob("job "+string(state), j, why)
-	c.touch(j)
+	c.markDirty(j)
 }
 
 // forgetJobs drops ended jobs that nobody will ask for any more.
@@ -120,7 +120,7 @@
 	for id, j := range c.jobs {
 		if j.ended() && j.runCount == 0 && j.recordedState == j.state && j.endedMs < limit {
 			delete(c.jobs, id)
-			c.drop(j)
+			c.deleteRecord(j)
 		}
 	}
 }
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		if e := c.trialPlace(t); e != nil {
-			t.phase.unready(t)
+			t.phase.removeReady(t)
 			c.intend(t, e)
 		} else if !c.triedInVain(t) {
 			c.promise(t)
@@ -208,7 +208,7 @@
 		}
 		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.since) >= outlivedTime {
 			t.crashes, t.suspected = crash.Record{}, false
-			c.touch(t.phase.job())
+			c.markDirty(t.phase.job())
 		}
 	}
 }
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -15,10 +15,10 @@
 
 // withdrawal is how far the emptying of an endpoint is.
 type withdrawal struct {
-	// wanted says that the planner wants it empty.
-	wanted bool
-	// hurry says that its tasks are to be run elsewhere instead of waited for.
-	hurry bool
+	// requested says that the planner wants it empty.
+	requested bool
+	// urgent says that its tasks are to be run elsewhere instead of waited for.
+	urgent bool
 	// recorded says that the stream holds the withdrawal.
 	recorded bool
 }
@@ -26,7 +26,7 @@
 // empty goes on with the emptying of an endpoint, and withdraws it for good once
 // nothing runs there any more.
 func (c *Cell) empty(e *endpoint) {
-	if !e.withdraw.wanted || e.withdrawn || e.gone {
+	if !e.withdraw.requested || e.withdrawn || e.gone {
 		return
 	}
 	if len(e.runs) > 0 {
@@ -52,10 +52,10 @@
 		case spec.Lasting:
 			// In a hurry it waits for room elsewhere: it goes first there, as soon as a
 			// short task ends. In a full cell it would hold its box up for ever.
-			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdraw.hurry || c.roomElsewhere(r)) {
+			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdraw.urgent || c.roomElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
-		case e.withdraw.hurry && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
+		case e.withdraw.urgent && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
 			c.stop(r, "its box is wanted")
 		}
 	}
@@ -75,7 +75,7 @@
 // roomElsewhere says whether a run could go on at another endpoint now.
 func (c *Cell) roomElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
-		if e != r.at && !e.withdraw.wanted && c.allowed(r.task, e) {
+		if e != r.at && !e.withdraw.requested && c.allowed(r.task, e) {
 			return true
 		}
 	}
@@ -88,14 +88,14 @@
 		return
 	}
 	e.withdrawn, e.withdraw = false, withdrawal{}
-	c.commits.marks = append(c.commits.marks, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
+	c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
 	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
 
 // mark records that an endpoint is withdrawn.
 func (c *Cell) mark(e *endpoint) {
-	c.commits.marks = append(c.commits.marks, e.markRecord(c.now))
-	c.commits.withdrawn = append(c.commits.withdrawn, e)
+	c.commits.endpointRecords = append(c.commits.endpointRecords, e.markRecord(c.now))
+	c.commits.withdrawals = append(c.commits.withdrawals, e)
 }
 
 func (c *Cell) loadMark(record damsonwinch.Record) error {
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// dropEndpoint makes the stream forget an endpoint.
-func (c *Cell) dropEndpoint(e *endpoint) {
+// deleteEndpointRecord makes the stream forget an endpoint.
+func (c *Cell) deleteEndpointRecord(e *endpoint) {
 	if e.withdrawn {
-		c.commits.marks = append(c.commits.marks, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
+		c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
 	}
 }
