--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -42,8 +42,8 @@
 
 // permit allows a phase at an endpoint for a time.
 type permit struct {
-	ticket string
-	until  time.Time
+	permitTicket string
+	until        time.Time
 }
 
 // needsPermit says whether a phase may run only where the advice service allows.
@@ -51,8 +51,8 @@
 	return c.queues[p.job().queue].Advice != nil
 }
 
-// permitted says whether a phase may start at an endpoint now.
-func (c *Cell) permitted(p *phase, e *endpoint) bool {
+// hasPermit says whether a phase may start at an endpoint now.
+func (c *Cell) hasPermit(p *phase, e *endpoint) bool {
 	if !c.needsPermit(p) {
 		return true
 	}
@@ -60,9 +60,9 @@
 	return has && c.now.Add(permitMargin).Before(held.until)
 }
 
-// seekAdvice asks where a phase may run, for endpoints that would otherwise take
+// requestPermits asks where a phase may run, for endpoints that would otherwise take
 // its tasks.
-func (c *Cell) seekAdvice(p *phase) {
+func (c *Cell) requestPermits(p *phase) {
 	a := &p.advice
 	if !c.needsPermit(p) || a.asking || c.permitCalls >= mostAsking || len(p.ready) == 0 || c.now.Sub(a.askedAt) < askAgain {
 		return
@@ -71,7 +71,7 @@
 	var wanted []*endpoint
 	for _, e := range c.sortedEndpoints {
 		good, asked := a.verdicts[e.info.Life.ID]
-		if (!asked || good) && c.couldTake(t, e) && !c.permitted(p, e) {
+		if (!asked || good) && c.couldTake(t, e) && !c.hasPermit(p, e) {
 			wanted = append(wanted, e)
 		}
 	}
@@ -115,13 +115,13 @@
 	}
 	for _, granted := range permits {
 		a.verdicts[granted.Endpoint] = true
-		a.permits[granted.Endpoint] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
+		a.permits[granted.Endpoint] = permit{permitTicket: granted.Ticket, until: sentAt.Add(valid)}
 	}
 }
 
 // ticket returns what a start at an endpoint has to bring.
 func (c *Cell) ticket(p *phase, e *endpoint) string {
-	return p.advice.permits[e.info.Life.ID].ticket
+	return p.advice.permits[e.info.Life.ID].permitTicket
 }
 
 // dropPermit forgets a permit that an endpoint has not accepted.
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -40,7 +40,7 @@
 	// suspects are tasks that are to be started on trial, and trials the endpoints where one
 	// is on trial or is about to be.
 	suspects       []*task
-	probeEndpoints []*endpoint
+	probationEndpoints []*endpoint
 	// baselineExits tells how often endpoints end by themselves, and trialEnds how often they do in
 	// trials.
 	baselineExits chance
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -64,7 +64,7 @@
 	var box, beside damsonwinch.Resources
 	for _, e := range c.sortedEndpoints {
 		box = most(box, e.info.Capacity)
-		if lasting := e.lastingNeed(); lasting != (damsonwinch.Resources{}) {
+		if lasting := e.longRunningNeed(); lasting != (damsonwinch.Resources{}) {
 			report.LastingBoxes++
 			beside = most(beside, e.info.Capacity.Minus(lasting))
 		}
@@ -85,7 +85,7 @@
 		report.WholeBoxes += count * wholeBox / perBox(box, need)
 	}
 	for _, p := range c.openPhases {
-		add(p, len(p.ready), p.late(nowMs))
+		add(p, len(p.ready), p.isLate(nowMs))
 	}
 	for _, e := range c.sortedEndpoints {
 		for _, r := range e.ordered {
@@ -120,7 +120,7 @@
 		}
 		wanted := len(p.ready) * need.CPU
 		may := allowed.take(p, wanted)
-		if p.late(nowMs) {
+		if p.isLate(nowMs) {
 			report.LateCpu += may
 			if p.job().runCount == 0 && may >= need.CPU {
 				report.StalledCpu += need.CPU
@@ -198,7 +198,7 @@
 // atWork says whether a lasting task has started and is not being stopped.
 func (c *Cell) atWork(t *task) bool {
 	for _, r := range t.runs {
-		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= wholePercent && !c.mayBeStopping(r) {
+		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
 			return true
 		}
 	}
@@ -216,7 +216,7 @@
 // the task then takes to end.
 const stopOnWay = 300 * time.Millisecond
 
-const wholePercent = 100
+const fullPercent = 100
 
 // Endpoints returns what is known of the endpoints, for tests and status.
 func (c *Cell) Endpoints() []damsonwinch.Endpoint {
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -120,7 +120,7 @@
 }
 
 func slack(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * clockSlack)
+	return time.Duration(float64(lease) * clockDriftFactor)
 }
 
 // leaseMargin is added to every bound of a lease, for rounding and scheduling.
--- a/pkg/cell/estimate.go
+++ b/pkg/cell/estimate.go
@@ -30,8 +30,8 @@
 	mean float64
 }
 
-// finished learns from a task that is done.
-func (t *runTimes) finished(took time.Duration, estimateMs int) {
+// addRun learns from a task that is done.
+func (t *runTimes) addRun(took time.Duration, estimateMs int) {
 	ms := max(1, float64(took.Milliseconds()))
 	t.actual.add(math.Log(ms))
 	t.mean += max(learnWeight, 1/float64(t.actual.count)) * (ms - t.mean)
@@ -44,25 +44,25 @@
 // queue's tasks usually take and what the client says are each believed as far as
 // they have been right.
 func (t *runTimes) estimate(estimateMs int) int {
-	if t.actual.count < learnedRuns {
+	if t.actual.count < minLearnedRuns {
 		return estimateMs
 	}
-	if estimateMs <= 0 || t.error.count < learnedRuns {
+	if estimateMs <= 0 || t.error.count < minLearnedRuns {
 		return int(t.mean)
 	}
 	said := math.Log(float64(estimateMs)) + t.error.mean
-	belief := t.actual.variance / (t.actual.variance + t.error.variance + leastVariance)
+	belief := t.actual.variance / (t.actual.variance + t.error.variance + minVariance)
 	return int(math.Exp(belief*said + (1-belief)*t.actual.mean))
 }
 
-// uncertainty returns the variance of the logarithm of a task's time about its
+// estimateVariance returns the variance of the logarithm of a task's time about its
 // estimate.
-func (t *runTimes) uncertainty() float64 {
-	if t.error.count < learnedRuns {
+func (t *runTimes) estimateVariance() float64 {
+	if t.error.count < minLearnedRuns {
 		return t.actual.variance
 	}
-	return t.actual.variance * t.error.variance / (t.actual.variance + t.error.variance + leastVariance)
+	return t.actual.variance * t.error.variance / (t.actual.variance + t.error.variance + minVariance)
 }
 
-// leastVariance keeps the weights apart from a division by nothing.
-const leastVariance = 1e-6
+// minVariance keeps the weights apart from a division by nothing.
+const minVariance = 1e-6
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -76,9 +76,9 @@
 	}
 	if t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
 		return fmt.Sprintf("for %d ms it is only started where nothing else begins; %d endpoints are in use for that, and %d have ended so of late",
-			t.probeWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probeEndpoints), c.probeExits.within(c.now, backTime))
+			t.probeWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probationEndpoints), c.probeExits.within(c.now, backTime))
 	}
-	if !c.quota.Allows(t.phase.job().customer, t.phase.share()) || c.overQuota[t.phase.job().customer] {
+	if !c.quota.Allows(t.phase.job().customer, t.phase.quotaNeed()) || c.overQuota[t.phase.job().customer] {
 		return c.whyOverQuota(t)
 	}
 	reasons := map[string]int{}
@@ -120,7 +120,7 @@
 		return "lack the label " + p.spec.Label
 	case !e.free().Holds(p.need()):
 		return "are full"
-	case !c.permitted(p, e):
+	case !c.hasPermit(p, e):
 		return "have no permit"
 	case !c.undisturbed(t, e):
 		return "have begun something just now that may crash them, or are kept for it"
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -141,7 +141,7 @@
 func (c *Cell) standsStill(e *endpoint) bool {
 	tasks := 0
 	for _, r := range e.runs {
-		if r.task.phase.spec.Lasting || r.state != runConfirmed || r.stopping || r.percent >= wholePercent {
+		if r.task.phase.spec.Lasting || r.state != runConfirmed || r.stopping || r.percent >= fullPercent {
 			continue
 		}
 		tasks++
@@ -173,7 +173,7 @@
 // are, and come to nothing if they are stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
-		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
+		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.longRunningNeed()).Holds(r.task.phase.need()) {
 			return true
 		}
 	}
--- a/pkg/cell/options.go
+++ b/pkg/cell/options.go
@@ -38,6 +38,6 @@
 	EndedJobRetention time.Duration
 }
 
-// clockSlack covers a steady clock that runs 2% slow, as the platform allows,
+// clockDriftFactor covers a steady clock that runs 2% slow, as the platform allows,
 // and a little more.
-const clockSlack = 1.03
+const clockDriftFactor = 1.03
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -37,7 +37,7 @@
 // room that they need.
 func (c *Cell) waitingInTime(nowMs int) (waiting []*phase, needed int) {
 	for _, p := range c.openPhases {
-		if !p.spec.Lasting && p.lateAtMs > 0 && !p.late(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
+		if !p.spec.Lasting && p.lateAtMs > 0 && !p.isLate(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
 			waiting = append(waiting, p)
 			needed += len(p.ready) * p.need().CPU
 		}
@@ -53,7 +53,7 @@
 			continue
 		}
 		free += max(0, e.free().CPU)
-		turning += max(0, e.info.Capacity.CPU-e.lastingNeed().CPU)
+		turning += max(0, e.info.Capacity.CPU-e.longRunningNeed().CPU)
 	}
 	taskMs := c.taskMs()
 	if taskMs == 0 {
@@ -65,8 +65,8 @@
 // usualTask is the time of a task while none has ended yet.
 const usualTask = time.Second
 
-// lastingNeed returns the room that lasting tasks take at an endpoint.
-func (e *endpoint) lastingNeed() damsonwinch.Resources {
+// longRunningNeed returns the room that lasting tasks take at an endpoint.
+func (e *endpoint) longRunningNeed() damsonwinch.Resources {
 	var sum damsonwinch.Resources
 	for _, r := range e.ordered {
 		if r.task.phase.spec.Lasting {
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -43,7 +43,7 @@
 // isn't known.
 func (p *pace) totalMs() float64 {
 	if speed := p.perMs(); speed > 0 {
-		return wholePercent / speed
+		return fullPercent / speed
 	}
 	return 0
 }
@@ -52,7 +52,7 @@
 // known.
 func (r *run) leftMs() float64 {
 	if speed := r.pace.perMs(); speed > 0 {
-		return float64(wholePercent-r.percent) / speed
+		return float64(fullPercent-r.percent) / speed
 	}
 	return 0
 }
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -23,7 +23,7 @@
 	nowMs := int(c.now.UnixMilli())
 	for _, p := range c.openPhases {
 		switch {
-		case p.late(nowMs):
+		case p.isLate(nowMs):
 			late = append(late, p)
 		case p.deferred:
 			deferred = append(deferred, p)
@@ -48,7 +48,7 @@
 		} else if !c.placeTasks(p) && c.unconstrained(p) {
 			full = append(full, p.need())
 		}
-		c.seekAdvice(p)
+		c.requestPermits(p)
 		if len(p.ready) == 0 && p.open {
 			c.closePhase(p)
 		}
@@ -100,7 +100,7 @@
 
 // allowed says whether a task may be started at an endpoint now.
 func (c *Cell) allowed(t *task, e *endpoint) bool {
-	return !c.held(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.permitted(t.phase, e)
+	return !c.held(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.hasPermit(t.phase, e)
 }
 
 // couldTake says whether an endpoint has room for a task and may run it, as far as
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -9,8 +9,8 @@
 const (
 	// learnWeight is the part that a new value has in a learned mean.
 	learnWeight = 0.05
-	// learnedRuns is the number of runs after which the mean time is believed.
-	learnedRuns = 20
+	// minLearnedRuns is the number of runs after which the mean time is believed.
+	minLearnedRuns = 20
 	// mostWorkVariance bounds the variance of the logarithm of jobs' work that is
 	// believed: the first jobs are few, and a single giant must not double the mean.
 	mostWorkVariance = 0.6
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -24,9 +24,9 @@
 	c.placementDue = true
 }
 
-// share is what a task counts against its customer's cap. What fills counts with what it asks for:
+// quotaNeed is what a task counts against its customer's cap. What fills counts with what it asks for:
 // it runs, whatever else its box holds.
-func (p *phase) share() damsonwinch.Resources {
+func (p *phase) quotaNeed() damsonwinch.Resources {
 	return damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
 }
 
@@ -44,7 +44,7 @@
 		return true
 	case c.quotaBlocked[customer]:
 		return false
-	case c.quota.Allows(customer, times(p.share(), count)):
+	case c.quota.Allows(customer, scaleResources(p.quotaNeed(), count)):
 		p.overQuotaSince = time.Time{}
 		return true
 	}
@@ -52,11 +52,11 @@
 	if p.overQuotaSince.IsZero() {
 		p.overQuotaSince = c.now
 	}
-	c.quotaBlocked[customer] = c.now.Sub(p.overQuotaSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
+	c.quotaBlocked[customer] = c.now.Sub(p.overQuotaSince) >= passTime && c.quota.Fits(customer, scaleResources(p.quotaNeed(), count))
 	return false
 }
 
-func times(need damsonwinch.Resources, count int) damsonwinch.Resources {
+func scaleResources(need damsonwinch.Resources, count int) damsonwinch.Resources {
 	return damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count}
 }
 
@@ -100,9 +100,9 @@
 		if customer == "" || len(p.ready) == 0 {
 			continue
 		}
-		need := p.share()
+		need := p.quotaNeed()
 		if p.spec.Gang {
-			wanted[customer] = wanted[customer].With(times(need, len(p.ready)), 1)
+			wanted[customer] = wanted[customer].With(scaleResources(need, len(p.ready)), 1)
 			continue
 		}
 		wanted[customer] = wanted[customer].With(need, len(p.ready))
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -69,7 +69,7 @@
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.lastAttempt++
-	r := &run{task: t, attempt: t.lastAttempt, at: at, since: c.now, resumed: t.checkpoint != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	r := &run{task: t, attempt: t.lastAttempt, at: at, since: c.now, resumed: t.checkpoint != "", speed: fullPercent, late: t.phase.isLate(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
@@ -88,7 +88,7 @@
 func (c *Cell) attach(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
-	c.quota.Begin(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
+	c.quota.Begin(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runCount++
 }
 
@@ -115,7 +115,7 @@
 func (c *Cell) resolve(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
-	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
+	c.quota.End(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runCount--
 	c.placementDue = true
 	c.markDirty(r.task.phase.job())
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -38,17 +38,17 @@
 	case worst >= nearTarget:
 		e.calmSince = time.Time{}
 		c.setPaces(e, func(percent int) int {
-			if percent*paceDown/wholePercent < leastPace {
+			if percent*paceDown/fullPercent < leastPace {
 				return 0
 			}
-			return percent * paceDown / wholePercent
+			return percent * paceDown / fullPercent
 		})
 	case worst < farFromTarget:
 		if e.calmSince.IsZero() {
 			e.calmSince = c.now
 		}
 		if c.now.Sub(e.calmSince) >= calmTime {
-			c.setPaces(e, func(percent int) int { return min(wholePercent, percent+paceUp) })
+			c.setPaces(e, func(percent int) int { return min(fullPercent, percent+paceUp) })
 		}
 	default:
 		e.calmSince = time.Time{}
@@ -61,7 +61,7 @@
 	worst := 0
 	for _, r := range e.runs {
 		if target := r.task.phase.spec.TargetMs; target > 0 && !r.stopping {
-			worst = max(worst, r.load*wholePercent/target)
+			worst = max(worst, r.load*fullPercent/target)
 		}
 	}
 	return worst
@@ -96,7 +96,7 @@
 	c.logRun("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
 	r.at.pacedAt = time.Time{}
-	r.speed = wholePercent
+	r.speed = fullPercent
 }
 
 // besides says whether an endpoint runs tasks that a phase's should not stand
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -27,7 +27,7 @@
 	}
 	r.judged = true
 	times := &c.statsOf(r.task.phase.job().queue).times
-	if times.actual.count < learnedRuns {
+	if times.actual.count < minLearnedRuns {
 		return
 	}
 	h := &r.at.health
@@ -40,13 +40,13 @@
 			return
 		}
 	}
-	h.signs = append(h.signs, sign{phase: r.task.phase, at: c.now, sum: off, count: 1, variance: times.uncertainty()})
+	h.signs = append(h.signs, sign{phase: r.task.phase, at: c.now, sum: off, count: 1, variance: times.estimateVariance()})
 }
 
 // slowness returns how many times as long as expected the tasks of an endpoint
 // take, or 0 while that may be chance.
 func (h *health) slowness(now time.Time) float64 {
-	sum, variance, count := 0.0, leastVariance, 0.0
+	sum, variance, count := 0.0, minVariance, 0.0
 	for _, s := range h.signs {
 		if now.Sub(s.at) > signTime {
 			continue
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -76,7 +76,7 @@
 		}
 		return !t.suspected
 	})
-	c.probeEndpoints = slices.DeleteFunc(c.probeEndpoints, func(e *endpoint) bool {
+	c.probationEndpoints = slices.DeleteFunc(c.probationEndpoints, func(e *endpoint) bool {
 		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.triedInVain(t)) {
 			e.promised = nil
 		}
@@ -84,7 +84,7 @@
 	})
 	nowMs := int(c.now.UnixMilli())
 	slices.SortStableFunc(c.suspects, func(a, b *task) int {
-		if late := a.phase.late(nowMs); late != b.phase.late(nowMs) {
+		if late := a.phase.isLate(nowMs); late != b.phase.isLate(nowMs) {
 			if late {
 				return 1
 			}
@@ -135,7 +135,7 @@
 	if len(c.crashProne) > 0 {
 		share = proneShare
 	}
-	return len(c.probeEndpoints)+c.probeExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/wholePercent)
+	return len(c.probationEndpoints)+c.probeExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
@@ -161,7 +161,7 @@
 
 // promise keeps an endpoint for a task until nothing young runs there and there is room.
 func (c *Cell) promise(t *task) {
-	if slices.ContainsFunc(c.probeEndpoints, func(e *endpoint) bool { return e.promised == t }) {
+	if slices.ContainsFunc(c.probationEndpoints, func(e *endpoint) bool { return e.promised == t }) {
 		return
 	}
 	var choice choice
@@ -172,32 +172,32 @@
 	}
 	if choice.best != nil {
 		choice.best.promised = t
-		c.probeEndpoints = append(c.probeEndpoints, choice.best)
+		c.probationEndpoints = append(c.probationEndpoints, choice.best)
 	}
 }
 
 // couldHold says whether a task could run at an endpoint once the short tasks there have ended.
 func (c *Cell) couldHold(t *task, e *endpoint) bool {
 	p := t.phase
-	if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
+	if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) || !e.hasLabel(p.spec.Label) || !c.hasPermit(p, e) {
 		return false
 	}
-	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
+	return e.info.Capacity.Minus(e.longRunningNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
 }
 
 // beginTrial notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
 func (c *Cell) beginTrial(r *run) {
 	r.at.trial, r.at.promised = r, nil
-	if !slices.Contains(c.probeEndpoints, r.at) {
-		c.probeEndpoints = append(c.probeEndpoints, r.at)
+	if !slices.Contains(c.probationEndpoints, r.at) {
+		c.probationEndpoints = append(c.probationEndpoints, r.at)
 	}
 }
 
 // watchTrials looks at endpoints where a trial should be over, and clears lasting tasks that
 // have been at work for long.
 func (c *Cell) watchTrials() {
-	for _, e := range c.probeEndpoints {
+	for _, e := range c.probationEndpoints {
 		if e.trial != nil && e.trial.state == runConfirmed && !c.now.Before(c.outlivesAt(e.trial)) {
 			c.wantLook(e)
 		}
@@ -206,7 +206,7 @@
 		if !t.phase.spec.Lasting || len(t.runs) == 0 {
 			continue
 		}
-		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.since) >= outlivedTime {
+		if r := t.runs[0]; r.percent >= fullPercent && c.now.Sub(r.since) >= outlivedTime {
 			t.crashes, t.suspected = crash.Record{}, false
 			c.markDirty(t.phase.job())
 		}
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -32,9 +32,9 @@
 	j.dueMs = j.acceptedMs + int(queue.Extension*float64(chain)) + int(queue.Target.Milliseconds())
 }
 
-// late says whether a phase's job can hardly be done in time any more. Late jobs
-// go behind the others: running them first would make those late, too.
-func (p *phase) late(nowMs int) bool {
+// isLate says whether a phase's job can hardly be done in time any more. Late jobs
+// go behind the others: running them first would make those isLate, too.
+func (p *phase) isLate(nowMs int) bool {
 	return p.lateAtMs > 0 && nowMs > p.lateAtMs
 }
 
