--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -39,12 +39,12 @@
 	zones []*zone
 	// suspects are tasks that are to be started on trial, and trials the endpoints where one
 	// is on trial or is about to be.
-	suspects       []*task
+	suspects           []*task
 	probationEndpoints []*endpoint
 	// baselineExits tells how often endpoints end by themselves, and trialEnds how often they do in
 	// trials.
-	baselineExits chance
-	probeExits    ends
+	baselineExits  chance
+	probationExits ends
 	// queueExits tells, by queue, of the endpoints that have ended just after something of it had
 	// begun there, and prone holds the queues with many of these.
 	queueExits map[string]*ends
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -72,11 +72,11 @@
 		return fmt.Sprintf("endpoints have refused it %d times in a row; it is tried again in %d ms", t.refusals, t.notBefore.Sub(c.now).Milliseconds())
 	}
 	if c.held(t) {
-		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapsedCount)
+		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapsedAttempts)
 	}
 	if t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
 		return fmt.Sprintf("for %d ms it is only started where nothing else begins; %d endpoints are in use for that, and %d have ended so of late",
-			t.probeWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probationEndpoints), c.probeExits.within(c.now, backTime))
+			t.probationWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probationEndpoints), c.probationExits.within(c.now, backTime))
 	}
 	if !c.quota.Allows(t.phase.job().customer, t.phase.quotaNeed()) || c.overQuota[t.phase.job().customer] {
 		return c.whyOverQuota(t)
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -121,12 +121,12 @@
 	// among the cell's suspects.
 	crashes   crash.Record
 	suspected bool
-	// probeWaitSince is since when it waits for a trial, if it is a suspect.
-	probeWaitSince time.Time
+	// probationWaitSince is since when it waits for a trial, if it is a suspect.
+	probationWaitSince time.Time
 	// givenUp says that it is not started any more.
 	givenUp bool
-	// lapsedCount counts the attempts of which it isn't known how they ended.
-	lapsedCount int
+	// lapsedAttempts counts the attempts of which it isn't known how they ended.
+	lapsedAttempts int
 	// refusals counts the starts in a row that endpoints have refused for good, and notBefore
 	// is when it may be started again.
 	refusals  int
@@ -194,7 +194,7 @@
 	if t.ready || t.done || p.unfinishedDeps > 0 || p.job().ended() || t.givenUp || c.giveUpSpent(t) {
 		return
 	}
-	t.ready, t.probeWaitSince = true, c.now
+	t.ready, t.probationWaitSince = true, c.now
 	c.placementDue = true
 	p.ready = append(p.ready, t)
 	if !p.open {
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -24,7 +24,7 @@
 func (c *Cell) lapsed(r *run) {
 	c.stats.RunsLapsed++
 	r.at.lapses = append(r.at.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.at.heardAt)})
-	r.task.lapsedCount++
+	r.task.lapsedAttempts++
 	c.again(r)
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (c *Cell) dropLapse(l lapse) {
-	l.task.lapsedCount--
+	l.task.lapsedAttempts--
 	c.placementDue = true
 	c.markDirty(l.task.phase.job())
 }
@@ -59,7 +59,7 @@
 // attempts at it have ended. With those that may have failed it has failed as often as it is
 // tried.
 func (c *Cell) held(t *task) bool {
-	return c.now.Before(t.notBefore) || t.lapsedCount > 0 && !t.phase.spec.Lasting && failures(t)+t.lapsedCount >= c.maxAttempts(t.phase.job())
+	return c.now.Before(t.notBefore) || t.lapsedAttempts > 0 && !t.phase.spec.Lasting && failures(t)+t.lapsedAttempts >= c.maxAttempts(t.phase.job())
 }
 
 // lapseColumns is the number of columns of a lapse in a job's record: the place of its
@@ -89,7 +89,7 @@
 		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			e := c.endpointOf(damsonwinch.ParseLife(record.Endpoints[row[2]]))
 			e.lapses = append(e.lapses, lapse{task: t, attempt: row[1]})
-			t.lapsedCount++
+			t.lapsedAttempts++
 		}
 	}
 	return nil
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -31,7 +31,7 @@
 	}
 	c.noteProne(e, blamed)
 	if e.trial != nil {
-		c.probeExits.add(c.now)
+		c.probationExits.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
 		if r.state == runIntended {
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -63,7 +63,7 @@
 				if t.lastAttempt == 0 && !t.done {
 					continue
 				}
-				if t.lapsedCount > 0 {
+				if t.lapsedAttempts > 0 {
 					if rows == nil {
 						rows = map[*task]int{}
 					}
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -26,7 +26,7 @@
 // suspect puts a task among the suspects if the ends of endpoints under it call for that.
 func (c *Cell) suspect(t *task) {
 	if !t.suspected && !t.done && c.options.CrashRules.Suspects(t.crashes) {
-		t.suspected, t.probeWaitSince = true, c.now
+		t.suspected, t.probationWaitSince = true, c.now
 		c.suspects = append(c.suspects, t)
 	}
 }
@@ -56,7 +56,7 @@
 
 // triedInVain says whether a suspect has waited for a trial for too long.
 func (c *Cell) triedInVain(t *task) bool {
-	return c.now.Sub(t.probeWaitSince) >= c.trialWait(t)
+	return c.now.Sub(t.probationWaitSince) >= c.trialWait(t)
 }
 
 // trialWait returns how long a suspect waits for a trial. Then it starts as any other does: a
@@ -135,7 +135,7 @@
 	if len(c.crashProne) > 0 {
 		share = proneShare
 	}
-	return len(c.probationEndpoints)+c.probeExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
+	return len(c.probationEndpoints)+c.probationExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
