--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -42,8 +42,8 @@
 
 // permit allows a phase at an endpoint for a time.
 type permit struct {
-	permitTicket string
-	until        time.Time
+	ticket string
+	until  time.Time
 }
 
 // needsPermit says whether a phase may run only where the advice service allows.
@@ -115,13 +115,13 @@
 	}
 	for _, granted := range permits {
 		a.verdicts[granted.Endpoint] = true
-		a.permits[granted.Endpoint] = permit{permitTicket: granted.Ticket, until: sentAt.Add(valid)}
+		a.permits[granted.Endpoint] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
 	}
 }
 
-// ticket returns what a start at an endpoint has to bring.
-func (c *Cell) ticket(p *phase, e *endpoint) string {
-	return p.advice.permits[e.info.Life.ID].permitTicket
+// permitTicket returns what a start at an endpoint has to bring.
+func (c *Cell) permitTicket(p *phase, e *endpoint) string {
+	return p.advice.permits[e.info.Life.ID].ticket
 }
 
 // dropPermit forgets a permit that an endpoint has not accepted.
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -145,7 +145,7 @@
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartOrder{
 		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.checkpoint,
-		Ticket: c.ticket(r.task.phase, r.at),
+		Ticket: c.permitTicket(r.task.phase, r.at),
 	}})
 }
 
