--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -9,17 +9,17 @@
 
 // Rules of asking for permits.
 const (
-	// mostAsked is the number of endpoints named in one call: each adds to the time
+	// maxEndpointsPerCall is the number of endpoints named in one call: each adds to the time
 	// that the call takes, and a phase's objective counts one call on 30.
-	mostAsked = 30
-	// mostAsking is the number of calls on their way: the service takes one at a
+	maxEndpointsPerCall = 30
+	// maxPermitCalls is the number of calls on their way: the service takes one at a
 	// time from each node and turns calls away when 32 wait, also those of other
 	// cells here.
-	mostAsking = 6
+	maxPermitCalls = 6
 	// permitMargin is left of a permit's time for the start to arrive.
 	permitMargin = 250 * time.Millisecond
-	// askAgain is the time between two calls for a phase that got no permit.
-	askAgain = 500 * time.Millisecond
+	// permitRetryInterval is the time between two calls for a phase that got no permit.
+	permitRetryInterval = 500 * time.Millisecond
 )
 
 // PermitRequest is a call for permits.
@@ -32,12 +32,12 @@
 
 // advice is what the advice service has said about a phase.
 type advice struct {
-	asking  bool
-	askedAt time.Time
-	// verdicts tell for each life that was asked about whether it may run the
+	inFlight    bool
+	requestedAt time.Time
+	// decisions tell for each life that was asked about whether it may run the
 	// phase, which doesn't change.
-	verdicts map[string]bool
-	permits  map[string]permit
+	decisions map[string]bool
+	permits   map[string]permit
 }
 
 // permit allows a phase at an endpoint for a time.
@@ -64,13 +64,13 @@
 // its tasks.
 func (c *Cell) requestPermits(p *phase) {
 	a := &p.advice
-	if !c.needsPermit(p) || a.asking || c.permitCalls >= mostAsking || len(p.ready) == 0 || c.now.Sub(a.askedAt) < askAgain {
+	if !c.needsPermit(p) || a.inFlight || c.permitCalls >= maxPermitCalls || len(p.ready) == 0 || c.now.Sub(a.requestedAt) < permitRetryInterval {
 		return
 	}
 	t := p.ready[0]
 	var wanted []*endpoint
 	for _, e := range c.sortedEndpoints {
-		good, asked := a.verdicts[e.info.Life.ID]
+		good, asked := a.decisions[e.info.Life.ID]
 		if (!asked || good) && c.couldTake(t, e) && !c.hasPermit(p, e) {
 			wanted = append(wanted, e)
 		}
@@ -80,10 +80,10 @@
 	}
 	slices.SortStableFunc(wanted, func(x, y *endpoint) int { return c.score(t, y) - c.score(t, x) })
 	ask := PermitRequest{Job: p.job().id, Round: p.round.number, Phase: p.number}
-	for _, e := range wanted[:min(len(wanted), mostAsked)] {
+	for _, e := range wanted[:min(len(wanted), maxEndpointsPerCall)] {
 		ask.Endpoints = append(ask.Endpoints, e.info.Life.ID)
 	}
-	a.asking, a.askedAt = true, c.now
+	a.inFlight, a.requestedAt = true, c.now
 	c.permitCalls++
 	c.effects.PermitRequests = append(c.effects.PermitRequests, ask)
 }
@@ -100,21 +100,21 @@
 		return
 	}
 	a := &t.phase.advice
-	a.asking = false
+	a.inFlight = false
 	if err != nil {
 		c.logJob("no advice", t.phase.job(), err.Error())
 		return
 	}
 	// Another call may follow at once, about other endpoints.
-	a.askedAt = time.Time{}
-	if a.verdicts == nil {
-		a.verdicts, a.permits = map[string]bool{}, map[string]permit{}
+	a.requestedAt = time.Time{}
+	if a.decisions == nil {
+		a.decisions, a.permits = map[string]bool{}, map[string]permit{}
 	}
 	for _, id := range ask.Endpoints {
-		a.verdicts[id] = false
+		a.decisions[id] = false
 	}
 	for _, granted := range permits {
-		a.verdicts[granted.Endpoint] = true
+		a.decisions[granted.Endpoint] = true
 		a.permits[granted.Endpoint] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
 	}
 }
--- a/pkg/cell/arrivals_test.go
+++ b/pkg/cell/arrivals_test.go
@@ -29,12 +29,12 @@
 						known.add(now)
 					}
 				}
-				known.turn(now)
+				known.advance(now)
 				return "arrived"
 			case "rates":
 				ahead := 0
 				d.MaybeScanArgs(t, "ahead_ms", &ahead)
-				found := known.perSecond(now, time.Duration(ahead)*time.Millisecond)
+				found := known.rates(now, time.Duration(ahead)*time.Millisecond)
 				return fmt.Sprintf("steady %.1f, expected %.1f a second", found.steady, found.expected)
 			}
 			t.Fatalf("unknown command %s", d.Cmd)
@@ -48,7 +48,7 @@
 	var known queueStats
 	now := time.UnixMilli(1_700_000_000_000)
 	for _, work := range []int{80_000, 110_000, 100_000, 3_000_000, 90_000} {
-		known.arrive(now, work, 1000, 1000)
+		known.addJob(now, work, 1000, 1000)
 	}
 	if mean := known.meanWork(); mean < 100_000 || mean > 300_000 {
 		t.Errorf("mean work %.0f, want that of the usual jobs", mean)
--- a/pkg/cell/batches.go
+++ b/pkg/cell/batches.go
@@ -18,7 +18,7 @@
 	begin, bytes := 0, 0
 	for at := 0; at < len(c.Records); {
 		next, size := at, 0
-		for ; next < len(c.Records) && jobOf(c.Records[next]) == jobOf(c.Records[at]); next++ {
+		for ; next < len(c.Records) && recordJob(c.Records[next]) == recordJob(c.Records[at]); next++ {
 			size += len(c.Records[next].Key) + len(c.Records[next].Value) + recordOverhead
 		}
 		if bytes > 0 && bytes+size > mostBytes {
@@ -30,7 +30,7 @@
 	return append(batches, c.Records[begin:])
 }
 
-// jobOf returns the job that a record is about, or the record's key.
-func jobOf(record damsonwinch.Record) string {
+// recordJob returns the job that a record is about, or the record's key.
+func recordJob(record damsonwinch.Record) string {
 	return strings.TrimSuffix(record.Key, specSuffix)
 }
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -115,7 +115,7 @@
 
 // beginEvent notes an event and the time at which it came.
 func (c *Cell) beginEvent(now time.Time) {
-	if !c.now.IsZero() && now.Sub(c.now) > stillGap {
+	if !c.now.IsZero() && now.Sub(c.now) > pauseThreshold {
 		c.resumedAt = now
 	}
 	c.now = now
@@ -123,11 +123,11 @@
 }
 
 const (
-	// stillGap is the time between two events from which an owner has stood still: it ticks
+	// pauseThreshold is the time between two events from which an owner has stood still: it ticks
 	// four times a second when nothing happens.
-	stillGap = 400 * time.Millisecond
-	// wakeTime is how long it takes to hear of what happened meanwhile.
-	wakeTime = 100 * time.Millisecond
+	pauseThreshold = 400 * time.Millisecond
+	// catchUpTime is how long it takes to hear of what happened meanwhile.
+	catchUpTime = 100 * time.Millisecond
 )
 
 // Suspended takes for how long the machine has been suspended since this owner began. The steady
@@ -146,7 +146,7 @@
 
 // caughtUp says whether this owner hears of things when they happen.
 func (c *Cell) caughtUp() bool {
-	return c.now.Sub(c.resumedAt) >= wakeTime
+	return c.now.Sub(c.resumedAt) >= catchUpTime
 }
 
 // SetQueues takes the queues in force. Queues that have gone are remembered for
@@ -176,20 +176,20 @@
 	c.beginEvent(now)
 	c.lastTickAt = now
 	c.endpointsChanged()
-	c.openRounds()
+	c.startDueRounds()
 	c.expireLeases()
 	c.retryOrders()
 	c.seeOverdue()
 	c.seekMissing()
 	c.watchTrials()
 	c.baselineExits.see(now, c.exposed())
-	c.refuseUnkept()
-	c.putOff()
+	c.refuseUnrecordedJobs()
+	c.deferPhases()
 	for _, e := range c.sortedEndpoints {
-		c.empty(e)
+		c.continueWithdrawal(e)
 	}
-	c.forgetJobs()
-	c.noteQuotas()
+	c.forgetEndedJobs()
+	c.logQuotaWaits()
 	c.finishEvent()
 }
 
@@ -226,12 +226,12 @@
 }
 
 // sortOpen keeps the open phases in order of urgency.
-func (c *Cell) addOpen(p *phase) {
+func (c *Cell) insertOpenPhase(p *phase) {
 	at, _ := slices.BinarySearchFunc(c.openPhases, p, comparePhases)
 	c.openPhases = slices.Insert(c.openPhases, at, p)
 }
 
-func (c *Cell) removeOpen(p *phase) {
+func (c *Cell) removeOpenPhase(p *phase) {
 	if at := slices.Index(c.openPhases, p); at >= 0 {
 		c.openPhases = slices.Delete(c.openPhases, at, at+1)
 	}
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -9,9 +9,9 @@
 
 // Report tells the fleet planner how the cell is.
 func (c *Cell) Report(now time.Time) wire.SyncReply {
-	report := wire.SyncReply{Known: true, TaskMs: c.taskMs(), SlackMs: c.slackMs(now)}
+	report := wire.SyncReply{Known: true, TaskMs: c.meanTaskMs(), SlackMs: c.meanSlackMs(now)}
 	c.now = now
-	report.SteadyCpu, report.OfferedCpu = c.offered(now)
+	report.SteadyCpu, report.OfferedCpu = c.offeredCPU(now)
 	memory, boxMemory := 0, 0
 	for _, e := range c.sortedEndpoints {
 		if c.followed(e) {
@@ -49,24 +49,24 @@
 	}
 	memory += c.reportWaiting(&report)
 	if boxMemory > 0 {
-		report.MemoryShare = memory * wholeBox / boxMemory
+		report.MemoryShare = memory * sharesPerBox / boxMemory
 	}
-	report.Spread = c.spread()
-	c.reportWhole(&report)
+	report.Spread = c.spreadBoxes()
+	c.reportDedicatedBoxes(&report)
 	c.reportCustomers(&report)
 	return report
 }
 
-// reportWhole adds what asks for boxes without lasting tasks: the largest tasks don't fit
+// reportDedicatedBoxes adds what asks for boxes without lasting tasks: the largest tasks don't fit
 // beside one. A job of tasks of 29 cores stood still for 15 s beside 38 boxes of 32 cores,
 // half of whose room was free in sum.
-func (c *Cell) reportWhole(report *wire.SyncReply) {
+func (c *Cell) reportDedicatedBoxes(report *wire.SyncReply) {
 	var box, beside damsonwinch.Resources
 	for _, e := range c.sortedEndpoints {
-		box = most(box, e.info.Capacity)
+		box = maxResources(box, e.info.Capacity)
 		if lasting := e.longRunningNeed(); lasting != (damsonwinch.Resources{}) {
 			report.LastingBoxes++
-			beside = most(beside, e.info.Capacity.Minus(lasting))
+			beside = maxResources(beside, e.info.Capacity.Minus(lasting))
 		}
 	}
 	if report.LastingBoxes == 0 {
@@ -79,10 +79,10 @@
 			return
 		}
 		if late {
-			report.WholeLateBoxes += count * wholeBox / perBox(box, need)
+			report.WholeLateBoxes += count * sharesPerBox / tasksPerBox(box, need)
 			return
 		}
-		report.WholeBoxes += count * wholeBox / perBox(box, need)
+		report.WholeBoxes += count * sharesPerBox / tasksPerBox(box, need)
 	}
 	for _, p := range c.openPhases {
 		add(p, len(p.ready), p.isLate(nowMs))
@@ -94,18 +94,18 @@
 	}
 }
 
-// most returns the larger one of each kind of room.
-func most(a, b damsonwinch.Resources) damsonwinch.Resources {
+// maxResources returns the larger one of each kind of room.
+func maxResources(a, b damsonwinch.Resources) damsonwinch.Resources {
 	return damsonwinch.Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPU: max(a.GPU, b.GPU)}
 }
 
-// perBox returns how many tasks of a need an empty box holds, 1 at least.
-func perBox(box, need damsonwinch.Resources) int {
+// tasksPerBox returns how many tasks of a need an empty box holds, 1 at least.
+func tasksPerBox(box, need damsonwinch.Resources) int {
 	return max(1, min(box.CPU/max(1, need.CPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
-// wholeBox is a box's room in the unit of shares.
-const wholeBox = 1000
+// sharesPerBox is a box's room in the unit of shares.
+const sharesPerBox = 1000
 
 // reportWaiting adds what ready tasks ask for, and returns their memory.
 func (c *Cell) reportWaiting(report *wire.SyncReply) int {
@@ -133,9 +133,9 @@
 	return memory
 }
 
-// spread returns how many boxes the cell's lasting phases need so that no box has
+// spreadBoxes returns how many boxes the cell's lasting phases need so that no box has
 // more tasks of one than allowed.
-func (c *Cell) spread() int {
+func (c *Cell) spreadBoxes() int {
 	most := 0
 	for _, j := range c.activeJobs {
 		if j.ended() {
@@ -160,20 +160,20 @@
 	for _, e := range c.sortedEndpoints {
 		e.withdraw.requested, e.withdraw.urgent, e.due = false, false, false
 	}
-	c.takeAllowances(args)
-	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
-	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.requested = true })
-	c.want(args.Hurry, func(e *endpoint) { e.withdraw.requested, e.withdraw.urgent = true, true })
-	c.want(args.Due, func(e *endpoint) { e.due = true })
-	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
+	c.applyAllowances(args)
+	c.forEachLife(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
+	c.forEachLife(args.Withdraw, func(e *endpoint) { e.withdraw.requested = true })
+	c.forEachLife(args.Hurry, func(e *endpoint) { e.withdraw.requested, e.withdraw.urgent = true, true })
+	c.forEachLife(args.Due, func(e *endpoint) { e.due = true })
+	c.forEachLife(args.Restore, func(e *endpoint) { c.restoreEndpoint(e) })
 	for _, e := range c.sortedEndpoints {
-		c.empty(e)
+		c.continueWithdrawal(e)
 	}
 }
 
-// want does something with the endpoints of some lives. The planner doesn't know when those were
+// forEachLife does something with the endpoints of some lives. The planner doesn't know when those were
 // born that it hasn't been told of.
-func (c *Cell) want(lives []string, do func(e *endpoint)) {
+func (c *Cell) forEachLife(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
 		for _, e := range c.livesUnder(life.ID) {
@@ -184,19 +184,19 @@
 	}
 }
 
-// lastingAway counts a phase's lasting tasks that are not at work.
-func (c *Cell) lastingAway(p *phase) int {
+// countUnavailable counts a phase's lasting tasks that are not at work.
+func (c *Cell) countUnavailable(p *phase) int {
 	away := 0
 	for _, t := range p.tasks {
-		if !c.atWork(t) {
+		if !c.isAvailable(t) {
 			away++
 		}
 	}
 	return away
 }
 
-// atWork says whether a lasting task has started and is not being stopped.
-func (c *Cell) atWork(t *task) bool {
+// isAvailable says whether a lasting task has started and is not being stopped.
+func (c *Cell) isAvailable(t *task) bool {
 	for _, r := range t.runs {
 		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
 			return true
@@ -208,13 +208,13 @@
 // mayBeStopping says whether an earlier owner may have stopped a run that is still
 // listed: it could do so until this owner's token came to the endpoint.
 func (c *Cell) mayBeStopping(r *run) bool {
-	return r.adopted && c.now.Sub(r.at.attachedAt) < c.options.MaxStopTime+stopOnWay
+	return r.adopted && c.now.Sub(r.at.attachedAt) < c.options.MaxStopTime+maxStopTransit
 }
 
-// stopOnWay is how long an earlier owner's stop may have been on its way when it
+// maxStopTransit is how long an earlier owner's stop may have been on its way when it
 // reached the endpoint before this owner's first look did, beside the time that
 // the task then takes to end.
-const stopOnWay = 300 * time.Millisecond
+const maxStopTransit = 300 * time.Millisecond
 
 const fullPercent = 100
 
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -61,13 +61,13 @@
 		}
 	}
 	if t.ready && len(t.runs) == 0 {
-		line += "; waits: " + c.whyNot(t)
+		line += "; waits: " + c.explainWait(t)
 	}
 	return line
 }
 
-// whyNot says why no endpoint takes a task now.
-func (c *Cell) whyNot(t *task) string {
+// explainWait says why no endpoint takes a task now.
+func (c *Cell) explainWait(t *task) string {
 	if c.now.Before(t.notBefore) {
 		return fmt.Sprintf("endpoints have refused it %d times in a row; it is tried again in %d ms", t.refusals, t.notBefore.Sub(c.now).Milliseconds())
 	}
@@ -79,7 +79,7 @@
 			t.probationWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probationEndpoints), c.probationExits.within(c.now, backTime))
 	}
 	if !c.quota.Allows(t.phase.job().customer, t.phase.quotaNeed()) || c.overQuota[t.phase.job().customer] {
-		return c.whyOverQuota(t)
+		return c.explainQuota(t)
 	}
 	reasons := map[string]int{}
 	for _, e := range c.sortedEndpoints {
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -199,8 +199,8 @@
 	p.ready = append(p.ready, t)
 	if !p.open {
 		p.open = true
-		p.setLate()
-		c.addOpen(p)
+		p.setLateTime()
+		c.insertOpenPhase(p)
 	}
 }
 
@@ -217,7 +217,7 @@
 func (c *Cell) closePhase(p *phase) {
 	if p.open {
 		p.open = false
-		c.removeOpen(p)
+		c.removeOpenPhase(p)
 	}
 	for _, t := range p.ready {
 		t.ready = false
@@ -238,8 +238,8 @@
 	return time.UnixMilli(int64(j.spec.FirstMs + number*j.spec.EveryMs))
 }
 
-// openRounds starts the rounds that have fallen due.
-func (c *Cell) openRounds() {
+// startDueRounds starts the rounds that have fallen due.
+func (c *Cell) startDueRounds() {
 	for _, j := range c.activeJobs {
 		for !j.ended() && len(j.rounds) < j.totalRounds() && !c.now.Before(j.roundDue(len(j.rounds))) {
 			c.startRound(j, len(j.rounds))
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -8,34 +8,34 @@
 	"damsonwinch/pkg/triage"
 )
 
-// fixedWorth is the part of a job's worth that doesn't grow with its work, by which the
+// fixedValueShare is the part of a job's worth that doesn't grow with its work, by which the
 // users measure: 0.3, and 0.7 times its work over the queue's mean.
-const fixedWorth = 0.3
+const fixedValueShare = 0.3
 
-// putOff chooses the phases that wait behind the others because not all can be in time.
-func (c *Cell) putOff() {
+// deferPhases chooses the phases that wait behind the others because not all can be in time.
+func (c *Cell) deferPhases() {
 	for _, p := range c.openPhases {
 		p.deferred = false
 	}
 	nowMs := int(c.now.UnixMilli())
-	waiting, needed := c.waitingInTime(nowMs)
-	room := c.room()
-	if needed <= room.Free {
+	waiting, needed := c.onTimePhases(nowMs)
+	capacity := c.room()
+	if needed <= capacity.Free {
 		return
 	}
-	slices.SortStableFunc(waiting, func(a, b *phase) int { return a.startBy() - b.startBy() })
+	slices.SortStableFunc(waiting, func(a, b *phase) int { return a.startByMs() - b.startByMs() })
 	items := make([]triage.Item, len(waiting))
 	for at, p := range waiting {
-		items[at] = c.item(p, nowMs)
+		items[at] = c.triageItem(p, nowMs)
 	}
-	for at, put := range triage.Defer(items, room) {
+	for at, put := range triage.Defer(items, capacity) {
 		waiting[at].deferred = put
 	}
 }
 
-// waitingInTime returns the phases with waiting tasks whose jobs can be in time, and the
+// onTimePhases returns the phases with waiting tasks whose jobs can be in time, and the
 // room that they need.
-func (c *Cell) waitingInTime(nowMs int) (waiting []*phase, needed int) {
+func (c *Cell) onTimePhases(nowMs int) (waiting []*phase, needed int) {
 	for _, p := range c.openPhases {
 		if !p.spec.Lasting && p.lateAtMs > 0 && !p.isLate(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
 			waiting = append(waiting, p)
@@ -55,15 +55,15 @@
 		free += max(0, e.free().CPU)
 		turning += max(0, e.info.Capacity.CPU-e.longRunningNeed().CPU)
 	}
-	taskMs := c.taskMs()
+	taskMs := c.meanTaskMs()
 	if taskMs == 0 {
-		taskMs = int(usualTask.Milliseconds())
+		taskMs = int(defaultTaskTime.Milliseconds())
 	}
 	return triage.Room{Free: free, PerMs: float64(turning) / float64(taskMs)}
 }
 
-// usualTask is the time of a task while none has ended yet.
-const usualTask = time.Second
+// defaultTaskTime is the time of a task while none has ended yet.
+const defaultTaskTime = time.Second
 
 // longRunningNeed returns the room that lasting tasks take at an endpoint.
 func (e *endpoint) longRunningNeed() damsonwinch.Resources {
@@ -76,8 +76,8 @@
 	return sum
 }
 
-// item says what a phase needs and what its job is worth.
-func (c *Cell) item(p *phase, nowMs int) triage.Item {
+// triageItem says what a phase needs and what its job is worth.
+func (c *Cell) triageItem(p *phase, nowMs int) triage.Item {
 	j := p.job()
 	rest := 0
 	for _, other := range p.round.phases {
@@ -89,13 +89,13 @@
 	}
 	mean := c.statsOf(j.queue).meanWork()
 	return triage.Item{
-		Need: len(p.ready) * p.need().CPU, StartBy: p.startBy() - nowMs,
-		Worth: fixedWorth*mean + (1-fixedWorth)*float64(j.work), Rest: float64(rest),
+		Need: len(p.ready) * p.need().CPU, StartBy: p.startByMs() - nowMs,
+		Worth: fixedValueShare*mean + (1-fixedValueShare)*float64(j.work), Rest: float64(rest),
 	}
 }
 
-// startBy returns until when a phase's tasks have to start for its job to be in time, if
+// startByMs returns until when a phase's tasks have to start for its job to be in time, if
 // they take as long as expected.
-func (p *phase) startBy() int {
-	return p.lateAtMs - p.job().criticalPathMs[p.number]*(100-surePart)/100
+func (p *phase) startByMs() int {
+	return p.lateAtMs - p.job().criticalPathMs[p.number]*(100-minPathPercent)/100
 }
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -7,13 +7,13 @@
 
 // Rules of what is learned of queues.
 const (
-	// learnWeight is the part that a new value has in a learned mean.
-	learnWeight = 0.05
+	// minSampleWeight is the part that a new value has in a learned mean.
+	minSampleWeight = 0.05
 	// minLearnedRuns is the number of runs after which the mean time is believed.
 	minLearnedRuns = 20
-	// mostWorkVariance bounds the variance of the logarithm of jobs' work that is
+	// maxWorkVariance bounds the variance of the logarithm of jobs' work that is
 	// believed: the first jobs are few, and a single giant must not double the mean.
-	mostWorkVariance = 0.6
+	maxWorkVariance = 0.6
 )
 
 // queueStats is what an owner learns of a queue.
@@ -21,14 +21,14 @@
 	arrivals arrivals
 	// times are those of its tasks.
 	times runTimes
-	// work is of the logarithms of its jobs' work, in thousandths of a core times
+	// logWork is of the logarithms of its jobs' logWork, in thousandths of a core times
 	// milliseconds.
-	work spreadOf
-	// jobs is the number of jobs, slack the mean time that they can wait and chain
+	logWork runningStats
+	// jobCount is the number of jobCount, slack the mean time that they can wait and chain
 	// the mean time that they take when nothing waits, in milliseconds.
-	jobs  int
-	slack float64
-	chain float64
+	jobCount    int
+	meanSlackMs float64
+	meanPathMs  float64
 }
 
 // statsOf returns what is known of a queue.
@@ -41,48 +41,48 @@
 	return known
 }
 
-// arrive counts a job and learns of its work.
-func (q *queueStats) arrive(now time.Time, work, slackMs, chainMs int) {
+// addJob counts a job and learns of its work.
+func (q *queueStats) addJob(now time.Time, work, slackMs, chainMs int) {
 	q.arrivals.add(now)
-	q.work.add(math.Log(max(1, float64(work))))
-	q.jobs++
-	weight := max(learnWeight, 1/float64(q.jobs))
-	q.slack += weight * (float64(slackMs) - q.slack)
-	q.chain += weight * (float64(chainMs) - q.chain)
+	q.logWork.add(math.Log(max(1, float64(work))))
+	q.jobCount++
+	weight := max(minSampleWeight, 1/float64(q.jobCount))
+	q.meanSlackMs += weight * (float64(slackMs) - q.meanSlackMs)
+	q.meanPathMs += weight * (float64(chainMs) - q.meanPathMs)
 }
 
 // meanWork returns the mean work of a job, taking the logarithms to be spread evenly
 // about their mean.
 func (q *queueStats) meanWork() float64 {
-	if q.jobs == 0 {
+	if q.jobCount == 0 {
 		return 0
 	}
-	return math.Exp(q.work.mean + min(q.work.variance, mostWorkVariance)/2)
+	return math.Exp(q.logWork.mean + min(q.logWork.variance, maxWorkVariance)/2)
 }
 
-// rates returns the jobs a second that come now, and those that will be at work some
+// arrivalRates returns the jobs a second that come now, and those that will be at work some
 // time ahead: what is at work then came half its own time earlier.
-func (q *queueStats) rates(now time.Time, ahead time.Duration) rates {
-	return q.arrivals.perSecond(now, max(0, ahead-time.Duration(q.chain/2)*time.Millisecond))
+func (q *queueStats) arrivalRates(now time.Time, ahead time.Duration) rates {
+	return q.arrivals.rates(now, max(0, ahead-time.Duration(q.meanPathMs/2)*time.Millisecond))
 }
 
-// offered returns the work that arrives, in thousandths of a core: what now comes,
+// offeredCPU returns the work that arrives, in thousandths of a core: what now comes,
 // and what is to be expected by the time that another box could have come.
-func (c *Cell) offered(now time.Time) (steady, expected int) {
+func (c *Cell) offeredCPU(now time.Time) (steady, expected int) {
 	for _, known := range c.statsByQueue {
-		rate, work := known.rates(now, c.options.BoxLeadTime), known.meanWork()
+		rate, work := known.arrivalRates(now, c.options.BoxLeadTime), known.meanWork()
 		steady += int(rate.steady * work / float64(time.Second.Milliseconds()))
 		expected += int(rate.expected * work / float64(time.Second.Milliseconds()))
 	}
 	return steady, expected
 }
 
-// slackMs returns the time that arriving jobs can wait, weighed by their work.
-func (c *Cell) slackMs(now time.Time) int {
+// meanSlackMs returns the time that arriving jobs can wait, weighed by their work.
+func (c *Cell) meanSlackMs(now time.Time) int {
 	sum, work := 0.0, 0.0
 	for _, known := range c.statsByQueue {
-		weight := known.rates(now, 0).steady * known.meanWork()
-		sum += known.slack * weight
+		weight := known.arrivalRates(now, 0).steady * known.meanWork()
+		sum += known.meanSlackMs * weight
 		work += weight
 	}
 	if work > 0 {
@@ -90,8 +90,8 @@
 	}
 	// Nothing comes now; what came before tells.
 	for _, known := range c.statsByQueue {
-		sum += known.slack * float64(known.jobs)
-		work += float64(known.jobs)
+		sum += known.meanSlackMs * float64(known.jobCount)
+		work += float64(known.jobCount)
 	}
 	if work == 0 {
 		return 0
@@ -99,13 +99,13 @@
 	return int(sum / work)
 }
 
-// taskMs returns the usual time of a cell's tasks in milliseconds, weighed by
+// meanTaskMs returns the usual time of a cell's tasks in milliseconds, weighed by
 // their numbers.
-func (c *Cell) taskMs() int {
+func (c *Cell) meanTaskMs() int {
 	sum, runs := 0.0, 0
 	for _, known := range c.statsByQueue {
-		sum += known.times.mean * float64(known.times.actual.count)
-		runs += known.times.actual.count
+		sum += known.times.meanMs * float64(known.times.logTime.count)
+		runs += known.times.logTime.count
 	}
 	if runs == 0 {
 		return 0
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -30,10 +30,10 @@
 	return damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
 }
 
-// passTime is how long a phase lets less urgent ones of its customer pass while its own tasks need
+// maxOvertakeTime is how long a phase lets less urgent ones of its customer pass while its own tasks need
 // more than is left of the allowance. After that nothing of the customer's begins before them: in
 // an allowance that is always full a large task would find no room.
-const passTime = 200 * time.Millisecond
+const maxOvertakeTime = 200 * time.Millisecond
 
 // withinQuota says whether so many tasks of a phase may begin now as far as its customer's
 // allowance goes.
@@ -52,7 +52,7 @@
 	if p.overQuotaSince.IsZero() {
 		p.overQuotaSince = c.now
 	}
-	c.quotaBlocked[customer] = c.now.Sub(p.overQuotaSince) >= passTime && c.quota.Fits(customer, scaleResources(p.quotaNeed(), count))
+	c.quotaBlocked[customer] = c.now.Sub(p.overQuotaSince) >= maxOvertakeTime && c.quota.Fits(customer, scaleResources(p.quotaNeed(), count))
 	return false
 }
 
@@ -60,10 +60,10 @@
 	return damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count}
 }
 
-// takeAllowances takes the word of the planner on what the cell may have running.
-func (c *Cell) takeAllowances(args wire.SyncArgs) {
+// applyAllowances takes the word of the planner on what the cell may have running.
+func (c *Cell) applyAllowances(args wire.SyncArgs) {
 	if c.quota.Take(c.token, args) {
-		c.commits.allowances = true
+		c.commits.allowancesDirty = true
 	}
 	if len(args.Allowances) > 0 {
 		c.placementDue = true
@@ -72,14 +72,14 @@
 
 // AllowancesPending says whether the planner's word on allowances waits to be recorded.
 func (c *Cell) AllowancesPending() bool {
-	return c.commits.allowances || c.commits.sent != nil && c.commits.sent.allowances > 0
+	return c.commits.allowancesDirty || c.commits.inFlight != nil && c.commits.inFlight.allowanceNumber > 0
 }
 
 // allowancesRecord returns the record of the allowances, and notes under which number its commit
 // confirms them.
 func (c *Cell) allowancesRecord(sent *sentCommit) damsonwinch.Record {
 	record, number := c.quota.Record()
-	sent.allotter, sent.allowances = c.quota.Allotter(), number
+	sent.allocatorToken, sent.allowanceNumber = c.quota.Allotter(), number
 	return damsonwinch.Record{Key: allowancesKey, Value: encode(record)}
 }
 
@@ -135,9 +135,9 @@
 	return may
 }
 
-// noteQuotas tells which customers have come to wait for their allowances, and which don't any
+// logQuotaWaits tells which customers have come to wait for their allowances, and which don't any
 // more.
-func (c *Cell) noteQuotas() {
+func (c *Cell) logQuotaWaits() {
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuota)) {
 		if c.overQuotaSince[customer].IsZero() {
 			c.overQuotaSince[customer] = c.now
@@ -153,7 +153,7 @@
 	}
 }
 
-// whyOverQuota says why a task waits for its customer's allowance.
-func (c *Cell) whyOverQuota(t *task) string {
+// explainQuota says why a task waits for its customer's allowance.
+func (c *Cell) explainQuota(t *task) string {
 	return "customer " + t.phase.job().customer + " " + c.quota.Explain(t.phase.job().customer)
 }
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -34,7 +34,7 @@
 	}
 	slices.SortFunc(c.activeJobs, func(a, b *job) int { return a.acceptedMs - b.acceptedMs })
 	for _, j := range c.activeJobs {
-		c.reopen(j)
+		c.reopenPhases(j)
 	}
 	return nil
 }
@@ -45,10 +45,10 @@
 		return nil
 	case record.Key == allowancesKey:
 		return c.loadAllowances(record)
-	case strings.HasPrefix(record.Key, markPrefix):
-		return c.loadMark(record)
-	case strings.HasPrefix(record.Key, learnedPrefix):
-		return c.loadLearned(record)
+	case strings.HasPrefix(record.Key, endpointKeyPrefix):
+		return c.loadEndpointRecord(record)
+	case strings.HasPrefix(record.Key, queueStatsPrefix):
+		return c.loadQueueStats(record)
 	}
 	return c.loadJob(record, specs)
 }
@@ -71,7 +71,7 @@
 	j.customer = accepted.Customer
 	j.queue, j.spec, j.acceptedMs, j.dueMs = accepted.Queue, accepted.Spec, accepted.AcceptedMs, accepted.DueMs
 	j.priority, j.maxAttempts, j.specRecorded = accepted.Priority, accepted.MostAttempts, true
-	c.expect(j)
+	c.estimateJob(j)
 	if err := c.readTasks(j, saved); err != nil {
 		return err
 	}
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// reopen opens the phases of a loaded job whose turn has come.
-func (c *Cell) reopen(j *job) {
+// reopenPhases opens the phases of a loaded job whose turn has come.
+func (c *Cell) reopenPhases(j *job) {
 	for _, r := range j.rounds {
 		r.unfinishedPhases = 0
 		for _, p := range r.phases {
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// awayTime is the age of an append on its way from which the store counts as away;
+	// storeOutageAfter is the age of an append on its way from which the store counts as away;
 	// on a slow day it answers within some 350 ms.
-	awayTime = 600 * time.Millisecond
-	// mostHold bounds how long a job waits for a store that is away where its client
+	storeOutageAfter = 600 * time.Millisecond
+	// maxUnrecordedWait bounds how long a job waits for a store that is away where its client
 	// doesn't tell how long it waits; the users' wait three seconds.
-	mostHold = 2400 * time.Millisecond
-	// answerTime is left of a client's time for the answer's way back.
-	answerTime = 150 * time.Millisecond
-	// comeBack tells a refused client when to try again: the store's outages that the
+	maxUnrecordedWait = 2400 * time.Millisecond
+	// replyMargin is left of a client's time for the answer's way back.
+	replyMargin = 150 * time.Millisecond
+	// retryAfter tells a refused client when to try again: the store's outages that the
 	// users name last some seconds.
-	comeBack = time.Second
+	retryAfter = time.Second
 )
 
-// refuseUnkept refuses the jobs that wait for a store that is away and can't be done in
+// refuseUnrecordedJobs refuses the jobs that wait for a store that is away and can't be done in
 // time any more. The store has never been given them, so that they certainly don't run.
-func (c *Cell) refuseUnkept() {
-	sent := c.commits.sent
-	if sent == nil || c.now.Sub(sent.at) < awayTime {
+func (c *Cell) refuseUnrecordedJobs() {
+	sent := c.commits.inFlight
+	if sent == nil || c.now.Sub(sent.sentAt) < storeOutageAfter {
 		return
 	}
 	for _, j := range slices.Clone(c.activeJobs) {
-		if _, given := sent.shown[j]; !j.recorded && !given && !j.ended() && !c.now.Before(c.holdUntil(j)) {
-			c.refuseJob(j, fmt.Sprintf("the store has not answered for %d ms", c.now.Sub(sent.at).Milliseconds()))
+		if _, given := sent.states[j]; !j.recorded && !given && !j.ended() && !c.now.Before(c.refuseAt(j)) {
+			c.refuseJob(j, fmt.Sprintf("the store has not answered for %d ms", c.now.Sub(sent.sentAt).Milliseconds()))
 		}
 	}
 }
 
-// holdUntil returns until when a job that isn't kept yet is worth holding.
-func (c *Cell) holdUntil(j *job) time.Time {
+// refuseAt returns until when a job that isn't kept yet is worth holding.
+func (c *Cell) refuseAt(j *job) time.Time {
 	until := j.clientWaitsUntil
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
@@ -49,11 +49,11 @@
 	return until
 }
 
-// waitFor notes how long the caller who hands a job in waits for the answer.
-func (j *job) waitFor(now time.Time, waitMs int) {
-	until := now.Add(mostHold)
+// extendClientWait notes how long the caller who hands a job in waits for the answer.
+func (j *job) extendClientWait(now time.Time, waitMs int) {
+	until := now.Add(maxUnrecordedWait)
 	if waitMs > 0 {
-		until = now.Add(time.Duration(waitMs)*time.Millisecond - answerTime)
+		until = now.Add(time.Duration(waitMs)*time.Millisecond - replyMargin)
 	}
 	if until.After(j.clientWaitsUntil) {
 		j.clientWaitsUntil = until
@@ -77,14 +77,14 @@
 		c.resolve(r)
 	}
 	c.commits.starts = slices.DeleteFunc(c.commits.starts, func(r *run) bool { return slices.Contains(runs, r) })
-	c.commits.replies = slices.DeleteFunc(c.commits.replies, func(waiting waitingReply) bool {
+	c.commits.replies = slices.DeleteFunc(c.commits.replies, func(waiting pendingReply) bool {
 		if waiting.job != j {
 			return false
 		}
-		c.reply(waiting.CallID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: why, RetryAfterMs: int(comeBack.Milliseconds())})
+		c.reply(waiting.CallID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: why, RetryAfterMs: int(retryAfter.Milliseconds())})
 		return true
 	})
-	delete(c.commits.dirty, j.id)
+	delete(c.commits.dirtyJobs, j.id)
 	delete(c.jobs, j.id)
 	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(other *job) bool { return other == j })
 }
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -27,7 +27,7 @@
 	}
 	r.judged = true
 	times := &c.statsOf(r.task.phase.job().queue).times
-	if times.actual.count < minLearnedRuns {
+	if times.logTime.count < minLearnedRuns {
 		return
 	}
 	h := &r.at.health
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -11,10 +11,10 @@
 
 // CommitAge returns for how long the append on its way has not been done, 0 for none.
 func (c *Cell) CommitAge(now time.Time) time.Duration {
-	if c.commits.sent == nil {
+	if c.commits.inFlight == nil {
 		return 0
 	}
-	return now.Sub(c.commits.sent.at)
+	return now.Sub(c.commits.inFlight.sentAt)
 }
 
 // Snapshot returns the records by which another stream would hold the cell as it is now, so
@@ -27,16 +27,16 @@
 	var records []damsonwinch.Record
 	for _, e := range c.sortedEndpoints {
 		if e.withdrawn {
-			records = append(records, e.markRecord(c.now))
+			records = append(records, e.withdrawalRecord(c.now))
 		}
 	}
 	if c.quota.Known() {
 		records = append(records, c.allowancesRecord(&sentCommit{}))
 	}
 	c.queueStatsRecordedAt = time.Time{}
-	records = append(records, c.learnedRecords()...)
+	records = append(records, c.queueStatsRecords()...)
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
-		if j := c.jobs[id]; c.given(j) {
+		if j := c.jobs[id]; c.mayBeStored(j) {
 			// The text isn't in the new stream.
 			j.specRecorded = false
 			records = append(records, c.jobRecords(j)...)
@@ -45,19 +45,19 @@
 	return records
 }
 
-// given says whether the store may hold a job.
-func (c *Cell) given(j *job) bool {
+// mayBeStored says whether the store may hold a job.
+func (c *Cell) mayBeStored(j *job) bool {
 	if j.recorded {
 		return true
 	}
-	if c.commits.sent == nil {
+	if c.commits.inFlight == nil {
 		return false
 	}
-	_, sent := c.commits.sent.shown[j]
+	_, sent := c.commits.inFlight.states[j]
 	return sent
 }
 
-// markRecord returns the record of an endpoint that is withdrawn.
-func (e *endpoint) markRecord(now time.Time) damsonwinch.Record {
-	return damsonwinch.Record{Key: markPrefix + e.info.Life.String(), Value: encode(wire.EndpointRecord{Withdrawn: true, AtMs: int(now.UnixMilli())})}
+// withdrawalRecord returns the record of an endpoint that is withdrawn.
+func (e *endpoint) withdrawalRecord(now time.Time) damsonwinch.Record {
+	return damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String(), Value: encode(wire.EndpointRecord{Withdrawn: true, AtMs: int(now.UnixMilli())})}
 }
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -17,12 +17,12 @@
 	if known, exists := c.jobs[args.Id]; exists {
 		if !known.visibleTo(args) {
 			c.logJob("job refused", known, "another customer has a job of this ID")
-			c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(comeBack.Milliseconds())})
+			c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(retryAfter.Milliseconds())})
 			return
 		}
 		// The client didn't hear the answer to an earlier call.
-		known.waitFor(now, args.WaitMs)
-		c.replyRecorded(known, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
+		known.extendClientWait(now, args.WaitMs)
+		c.replyOnceRecorded(known, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 		return
 	}
 	if err := jobs.Check(*args.Spec); err != nil {
@@ -30,19 +30,19 @@
 		return
 	}
 	j := c.newJob(args)
-	j.waitFor(now, args.WaitMs)
+	j.extendClientWait(now, args.WaitMs)
 	c.jobs[j.id] = j
 	c.activeJobs = append(c.activeJobs, j)
 	c.stats.JobsAccepted++
 	if !jobs.Lasting(j.spec) {
 		chain := slices.Max(j.criticalPathMs)
-		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
+		c.statsOf(j.queue).addJob(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
 	}
 	c.markDirty(j)
 	c.logJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
 		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
-	c.openRounds()
-	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
+	c.startDueRounds()
+	c.replyOnceRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
 func (c *Cell) newJob(args wire.JobArgs) *job {
@@ -85,7 +85,7 @@
 		c.stats.JobsCancelled++
 		c.endJob(j, wire.JobStateCancelled, "a client cancelled it")
 	}
-	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
+	c.replyOnceRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
 // endJob decides a job's endJob and stops what still runs of it.
@@ -106,8 +106,8 @@
 	c.markDirty(j)
 }
 
-// forgetJobs drops ended jobs that nobody will ask for any more.
-func (c *Cell) forgetJobs() {
+// forgetEndedJobs drops ended jobs that nobody will ask for any more.
+func (c *Cell) forgetEndedJobs() {
 	keep := c.activeJobs[:0]
 	for _, j := range c.activeJobs {
 		if !j.ended() || j.runCount > 0 || j.recordedState != j.state {
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// expect works out what a job takes: the time of a task of each phase, that of the
+// estimateJob works out what a job takes: the time of a task of each phase, that of the
 // longest chain of tasks from each phase's start to the job's end, and its work.
-func (c *Cell) expect(j *job) {
+func (c *Cell) estimateJob(j *job) {
 	times := &c.statsOf(j.queue).times
 	phases := j.spec.Phases
 	j.taskMs, j.criticalPathMs, j.work = make([]int, len(phases)), make([]int, len(phases)), 0
@@ -23,7 +23,7 @@
 
 // setDue works out by when a job should be done.
 func (c *Cell) setDue(j *job) {
-	c.expect(j)
+	c.estimateJob(j)
 	queue := c.queues[j.queue]
 	chain := 0
 	for _, from := range j.criticalPathMs {
@@ -38,8 +38,8 @@
 	return p.lateAtMs > 0 && nowMs > p.lateAtMs
 }
 
-// setLate works out when a phase that may start is late.
-func (p *phase) setLate() {
+// setLateTime works out when a phase that may start is late.
+func (p *phase) setLateTime() {
 	j := p.job()
 	if p.spec.Lasting || j.dueMs == 0 {
 		return
@@ -48,14 +48,14 @@
 	if j.spec.Rounds > 0 {
 		due += p.round.number * j.spec.EveryMs
 	}
-	p.lateAtMs = due - int(lateMargin.Milliseconds()) - j.criticalPathMs[p.number]*surePart/100
+	p.lateAtMs = due - int(jobOverhead.Milliseconds()) - j.criticalPathMs[p.number]*minPathPercent/100
 }
 
 const (
-	// lateMargin is what a job needs beside its tasks' own time: records, orders
+	// jobOverhead is what a job needs beside its tasks' own time: records, orders
 	// and the client's next look.
-	lateMargin = 50 * time.Millisecond
-	// surePart of a chain's estimated time, in percent, is counted on; a job that
+	jobOverhead = 50 * time.Millisecond
+	// minPathPercent of a chain's estimated time, in percent, is counted on; a job that
 	// may still be in time is not given up.
-	surePart = 60
+	minPathPercent = 60
 )
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -10,8 +10,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// markPrefix starts the keys of records about endpoints.
-const markPrefix = "endpoint/"
+// endpointKeyPrefix starts the keys of records about endpoints.
+const endpointKeyPrefix = "endpoint/"
 
 // withdrawal is how far the emptying of an endpoint is.
 type withdrawal struct {
@@ -23,9 +23,9 @@
 	recorded bool
 }
 
-// empty goes on with the emptying of an endpoint, and withdraws it for good once
+// continueWithdrawal goes on with the emptying of an endpoint, and withdraws it for good once
 // nothing runs there any more.
-func (c *Cell) empty(e *endpoint) {
+func (c *Cell) continueWithdrawal(e *endpoint) {
 	if !e.withdraw.requested || e.withdrawn || e.gone {
 		return
 	}
@@ -37,7 +37,7 @@
 		return
 	}
 	e.withdrawn = true
-	c.mark(e)
+	c.recordWithdrawal(e)
 	c.logEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
 }
 
@@ -52,28 +52,28 @@
 		case spec.Lasting:
 			// In a hurry it waits for room elsewhere: it goes first there, as soon as a
 			// short task ends. In a full cell it would hold its box up for ever.
-			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdraw.urgent || c.roomElsewhere(r)) {
+			if c.countUnavailable(r.task.phase) < spec.AwayAtMost && (e.withdraw.urgent || c.canStartElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
-		case e.withdraw.urgent && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
+		case e.withdraw.urgent && spec.Checkpoints && !spec.Gang && (c.canWaitForCapacity(r) || c.canStartElsewhere(r)):
 			c.stop(r, "its box is wanted")
 		}
 	}
 }
 
-// canWait says whether a run's job would still be in time if the run stood still
+// canWaitForCapacity says whether a run's job would still be in time if the run stood still
 // for a while.
-func (c *Cell) canWait(r *run) bool {
+func (c *Cell) canWaitForCapacity(r *run) bool {
 	j := r.task.phase.job()
-	return int(c.now.Add(waitForRoom).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.dueMs
+	return int(c.now.Add(capacityWait).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.dueMs
 }
 
-// waitForRoom is how long a stopped task may have to wait for room, with the time
+// capacityWait is how long a stopped task may have to wait for room, with the time
 // of its stop and of its return to where it was.
-const waitForRoom = 1500 * time.Millisecond
+const capacityWait = 1500 * time.Millisecond
 
-// roomElsewhere says whether a run could go on at another endpoint now.
-func (c *Cell) roomElsewhere(r *run) bool {
+// canStartElsewhere says whether a run could go on at another endpoint now.
+func (c *Cell) canStartElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
 		if e != r.at && !e.withdraw.requested && c.allowed(r.task, e) {
 			return true
@@ -82,28 +82,28 @@
 	return false
 }
 
-// restore takes an endpoint back into use.
-func (c *Cell) restore(e *endpoint) {
+// restoreEndpoint takes an endpoint back into use.
+func (c *Cell) restoreEndpoint(e *endpoint) {
 	if !e.withdrawn {
 		return
 	}
 	e.withdrawn, e.withdraw = false, withdrawal{}
-	c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
+	c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String()})
 	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
 
-// mark records that an endpoint is withdrawn.
-func (c *Cell) mark(e *endpoint) {
-	c.commits.endpointRecords = append(c.commits.endpointRecords, e.markRecord(c.now))
+// recordWithdrawal records that an endpoint is withdrawn.
+func (c *Cell) recordWithdrawal(e *endpoint) {
+	c.commits.endpointRecords = append(c.commits.endpointRecords, e.withdrawalRecord(c.now))
 	c.commits.withdrawals = append(c.commits.withdrawals, e)
 }
 
-func (c *Cell) loadMark(record damsonwinch.Record) error {
+func (c *Cell) loadEndpointRecord(record damsonwinch.Record) error {
 	var mark wire.EndpointRecord
 	if err := json.Unmarshal(record.Value, &mark); err != nil {
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
-	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
+	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, endpointKeyPrefix)))
 	e.withdrawn, e.withdraw.recorded = mark.Withdrawn, mark.Withdrawn
 	return nil
 }
@@ -111,6 +111,6 @@
 // deleteEndpointRecord makes the stream forget an endpoint.
 func (c *Cell) deleteEndpointRecord(e *endpoint) {
 	if e.withdrawn {
-		c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
+		c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String()})
 	}
 }
