--- a/pkg/intake/cells.go
+++ b/pkg/intake/cells.go
@@ -84,6 +84,6 @@
 
 // inCell returns a call for one cell of its pool.
 func inCell(args wire.JobArgs, number int) wire.JobArgs {
-	args.Cell, args.Pool = shard.Cell(args.Pool, number), ""
+	args.Cell, args.Pool = shard.CellName(args.Pool, number), ""
 	return args
 }
--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -67,7 +67,7 @@
 
 func newFakeCells(shards int) *fakeCells {
 	c := &fakeCells{layout: shard.NewLayout(shards, []string{"pool"}), owners: map[string]*fakeOwner{}}
-	for number, cell := range c.layout.Cells("pool") {
+	for number, cell := range c.layout.CellNames("pool") {
 		c.owners[cell] = &fakeOwner{jobs: map[string]bool{}, pending: wire.JobReply{Outcome: wire.JobOutcomeFound, Pending: 1 + number}}
 	}
 	return c
@@ -96,7 +96,7 @@
 			}
 			assert.Equal(t, router.Submit(ctx, jobOf(name, lasting)).Outcome, wire.JobOutcomeAccepted)
 			if lasting {
-				assert.Assert(t, cells.owners[shard.Cell("pool", cells.layout.LongRunningJobShard("pool"))].jobs[name])
+				assert.Assert(t, cells.owners[shard.CellName("pool", cells.layout.LongRunningJobShard("pool"))].jobs[name])
 			}
 			asked := wire.JobArgs{Queue: "queue", Pool: "pool", Id: name}
 			assert.Equal(t, router.Show(ctx, asked).State, wire.JobStateRunning)
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -18,7 +18,7 @@
 func cellsOf(configuration damsonwinch.Configuration, layout shard.Layout) []string {
 	cells := []string{fleetCell}
 	for _, pool := range runningPools(configuration) {
-		cells = append(cells, layout.Cells(pool)...)
+		cells = append(cells, layout.CellNames(pool)...)
 	}
 	return cells
 }
--- a/pkg/node/lives_test.go
+++ b/pkg/node/lives_test.go
@@ -30,7 +30,7 @@
 		_, _ = r.take(endpointRecords{records: []damsonwinch.Record{entry("a", strconv.Itoa(born))}, askedAt: at(ms), takenAt: at(ms)})
 		_, _ = r.sort(layout, map[string]bool{"p": true}, &placed)
 		for number := range layout.Shards {
-			if listed := r.of(shard.Cell("p", number), layout); len(listed) > 0 {
+			if listed := r.of(shard.CellName("p", number), layout); len(listed) > 0 {
 				assert.Equal(t, len(listed), 1)
 				return listed[0].Life, number
 			}
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -74,7 +74,7 @@
 // guarded says whether the endpoints of a cell refuse what doesn't fit; those of a pool that
 // isn't known are not counted on.
 func (n *Node) guarded(cell string) bool {
-	name, _ := shard.Split(cell)
+	name, _ := shard.ParseCellName(cell)
 	pool, known := n.state.configuration.Pool(name)
 	return known && pool.GuardsRoom
 }
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -117,7 +117,7 @@
 func (n *Node) sortLives() bool {
 	pools := map[string]bool{}
 	for cell := range *n.holdings.Load() {
-		pool, _ := shard.Split(cell)
+		pool, _ := shard.ParseCellName(cell)
 		pools[pool] = true
 	}
 	sorted, waiting := n.state.registry.sort(n.state.layout, pools, &n.state.placements)
--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -130,7 +130,7 @@
 // of returns the endpoints of a cell.
 func (r *registry) of(cell string, layout shard.Layout) []damsonwinch.Endpoint {
 	var found []damsonwinch.Endpoint
-	pool, number := shard.Split(cell)
+	pool, number := shard.ParseCellName(cell)
 	for _, endpoint := range r.endpoints {
 		if endpoint.Pool == pool && r.isIn(endpoint.Life, number, layout) {
 			found = append(found, endpoint)
--- a/pkg/node/registry_test.go
+++ b/pkg/node/registry_test.go
@@ -111,7 +111,7 @@
 	}
 	cellOf := func() int {
 		for number := range layout.Shards {
-			if len(r.of(shard.Cell("p", number), layout)) > 0 {
+			if len(r.of(shard.CellName("p", number), layout)) > 0 {
 				return number
 			}
 		}
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -27,7 +27,7 @@
 	var names []string
 	for _, pool := range p.pools {
 		if !pool.Parking {
-			names = append(names, p.layout.Cells(pool.Name)...)
+			names = append(names, p.layout.CellNames(pool.Name)...)
 		}
 	}
 	return names
--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -72,11 +72,11 @@
 	return int(xxhash.Sum64String(name) % uint64(l.Shards))
 }
 
-// Cells returns the names of a pool's cells.
-func (l Layout) Cells(pool string) []string {
+// CellNames returns the names of a pool's cells.
+func (l Layout) CellNames(pool string) []string {
 	names := make([]string, l.Shards)
 	for number := range names {
-		names[number] = Cell(pool, number)
+		names[number] = CellName(pool, number)
 	}
 	return names
 }
@@ -85,16 +85,16 @@
 // have it.
 const separator = "@"
 
-// Cell returns the name of a pool's cell. The first one has the pool's own name.
-func Cell(pool string, number int) string {
+// CellName returns the name of a pool's cell. The first one has the pool's own name.
+func CellName(pool string, number int) string {
 	if number == 0 {
 		return pool
 	}
 	return pool + separator + strconv.Itoa(number)
 }
 
-// Split returns the pool and the shard of a cell.
-func Split(cell string) (pool string, number int) {
+// ParseCellName returns the pool and the shard of a cell.
+func ParseCellName(cell string) (pool string, number int) {
 	at := strings.LastIndex(cell, separator)
 	if at <= 0 {
 		return cell, 0
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -74,14 +74,14 @@
 
 // TestCellsAreNamedByPoolAndShard so that both can be told from a cell's name.
 func TestCellsAreNamedByPoolAndShard(t *testing.T) {
-	assert.DeepEqual(t, shard.NewLayout(3, nil).Cells("pool"), []string{"pool", "pool@1", "pool@2"})
-	for number, name := range shard.NewLayout(3, nil).Cells("pool") {
-		pool, of := shard.Split(name)
+	assert.DeepEqual(t, shard.NewLayout(3, nil).CellNames("pool"), []string{"pool", "pool@1", "pool@2"})
+	for number, name := range shard.NewLayout(3, nil).CellNames("pool") {
+		pool, of := shard.ParseCellName(name)
 		assert.Equal(t, pool, "pool")
 		assert.Equal(t, of, number)
 	}
 	for _, name := range []string{"@fleet", "pool@x", "pool"} {
-		pool, of := shard.Split(name)
+		pool, of := shard.ParseCellName(name)
 		assert.Equal(t, pool, name)
 		assert.Equal(t, of, 0)
 	}
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -128,7 +128,7 @@
 
 // cell returns the cell in which a box is.
 func (b *box) cell() string {
-	return shard.Cell(b.info.Pool, b.shard)
+	return shard.CellName(b.info.Pool, b.shard)
 }
 
 // dropPurpose gives up the emptying of a box whose endpoint has ended.
--- a/pkg/supply/census.go
+++ b/pkg/supply/census.go
@@ -63,7 +63,7 @@
 	case b.purpose != nil:
 		number = b.purpose.shard
 	}
-	return shard.Cell(pool, number)
+	return shard.CellName(pool, number)
 }
 
 // servedPool returns the pool that a box serves, or will without another decision;
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -70,25 +70,25 @@
 			f.planner.SetBoxes(f.now.Add(-time.Minute), f.boxes)
 			held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: lendLasting + 1}
 			held.Endpoints = f.reports("held", 1)
-			f.planner.SetReport(f.now, shard.Cell("held", 2), held)
+			f.planner.SetReport(f.now, shard.CellName("held", 2), held)
 			heap := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 300 * scriptCPU}
 			heap.Endpoints = f.reports("short", 0)
-			f.planner.SetReport(f.now, shard.Cell("short", 0), heap)
+			f.planner.SetReport(f.now, shard.CellName("short", 0), heap)
 
 			moved := ""
 			for _, order := range f.planner.Plan(f.now) {
-				moved = shard.Cell(order.Pool, order.Shard)
+				moved = shard.CellName(order.Pool, order.Shard)
 			}
-			hurried := func() int { return len(f.planner.Wishes(shard.Cell("short", 0)).Hurry) }
+			hurried := func() int { return len(f.planner.Wishes(shard.CellName("short", 0)).Hurry) }
 			assert.Equal(t, hurried(), 0, "a box that is maintained comes back soon")
 			if parked > 0 {
-				assert.Equal(t, moved, shard.Cell("held", 2))
+				assert.Equal(t, moved, shard.CellName("held", 2))
 				return
 			}
 			f.now = f.now.Add(5 * time.Second)
 			f.planner.SetBoxes(f.now, f.boxes)
-			f.planner.SetReport(f.now, shard.Cell("held", 2), held)
-			f.planner.SetReport(f.now, shard.Cell("short", 0), heap)
+			f.planner.SetReport(f.now, shard.CellName("held", 2), held)
+			f.planner.SetReport(f.now, shard.CellName("short", 0), heap)
 			f.planner.Plan(f.now)
 			assert.Equal(t, hurried(), 1, "one box of the heap's is emptied")
 		})
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -56,9 +56,9 @@
 			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: 1})
 		}
 	}
-	planner.SetReport(now, shard.Cell("held", shortShard), held)
+	planner.SetReport(now, shard.CellName("held", shortShard), held)
 	// Work for 25 boxes in one cell.
-	planner.SetReport(now, shard.Cell("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptCPU})
+	planner.SetReport(now, shard.CellName("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptCPU})
 
 	lent := 0
 	for _, order := range planner.Plan(now) {
@@ -67,5 +67,5 @@
 		}
 	}
 	assert.Assert(t, lent >= 25, "%d of %d parked boxes go to the cell that is short", lent, lendParked)
-	assert.Equal(t, len(planner.Wishes(shard.Cell("held", shortShard)).Hurry), 0, "none is taken from lasting tasks")
+	assert.Equal(t, len(planner.Wishes(shard.CellName("held", shortShard)).Hurry), 0, "none is taken from lasting tasks")
 }
--- a/pkg/supply/moves.go
+++ b/pkg/supply/moves.go
@@ -109,7 +109,7 @@
 	}
 	receiver := p.cells[name]
 	var choice cheapest
-	for _, from := range p.layout.Cells(parking) {
+	for _, from := range p.layout.CellNames(parking) {
 		for _, b := range p.byCell[from] {
 			if p.free(b) && !b.refuses[receiver.pool] {
 				// A box that is due for maintenance is better left where it costs nothing,
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -133,7 +133,7 @@
 			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
 		}
 	}
-	s.planner.SetReport(s.now, shard.Cell(pool, in), reply)
+	s.planner.SetReport(s.now, shard.CellName(pool, in), reply)
 }
 
 func (s *script) wave(d *datadriven.TestData) {
@@ -152,7 +152,7 @@
 func (s *script) cells() []string {
 	var names []string
 	for _, pool := range s.pools {
-		names = append(names, s.layout.Cells(pool.Name)...)
+		names = append(names, s.layout.CellNames(pool.Name)...)
 	}
 	return names
 }
@@ -161,7 +161,7 @@
 func (s *script) plan() string {
 	var lines []string
 	for _, order := range s.planner.Plan(s.now) {
-		lines = append(lines, fmt.Sprintf("move %s to %s", order.Box, shard.Cell(order.Pool, order.Shard)))
+		lines = append(lines, fmt.Sprintf("move %s to %s", order.Box, shard.CellName(order.Pool, order.Shard)))
 	}
 	for _, cell := range s.cells() {
 		wishes := s.planner.Wishes(cell)
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -85,7 +85,7 @@
 	known := map[string]*cell{}
 	p.names = p.names[:0]
 	for _, listed := range pools {
-		for number, name := range layout.Cells(listed.Name) {
+		for number, name := range layout.CellNames(listed.Name) {
 			kept := p.cells[name]
 			if kept == nil {
 				kept = &cell{name: name, pool: listed.Name, shard: number}
