--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -7,11 +7,11 @@
 type Placement struct {
 	// Pool is where the box goes; empty if it stays where it is.
 	Pool string
-	// Endpoint is the life that the order ends, empty for none.
-	Endpoint damsonwinch.Life
+	// Life is the life that the order ends, empty for none.
+	Life damsonwinch.Life
 	// Shard is the box's shard after that, and Before its shard until then.
 	Shard  int
-	Before int
+	PreviousShard int
 }
 
 // LifeShard returns the shard of a box's life in a pool, by the newest order on the box, if
@@ -20,8 +20,8 @@
 	if placed == nil {
 		return l.BoxShard(box)
 	}
-	number := placed.Before
-	if !life.MayBe(placed.Endpoint) && (placed.Pool == "" || placed.Pool == pool) {
+	number := placed.PreviousShard
+	if !life.MayBe(placed.Life) && (placed.Pool == "" || placed.Pool == pool) {
 		number = placed.Shard
 	}
 	if number < 0 || number >= max(1, l.Shards) {
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -129,7 +129,7 @@
 				if target == pool {
 					target = ""
 				}
-				next := &shard.Placement{Pool: target, Endpoint: life(), Shard: of, Before: of}
+				next := &shard.Placement{Pool: target, Life: life(), Shard: of, PreviousShard: of}
 				if target != "" {
 					next.Shard = chance.IntN(layout.Shards)
 				}
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -236,7 +236,7 @@
 
 // placement returns to which shard an order takes its box.
 func (o Order) placement() *shard.Placement {
-	return &shard.Placement{Pool: o.Pool, Endpoint: o.Endpoint, Shard: o.Shard, Before: o.Before}
+	return &shard.Placement{Pool: o.Pool, Life: o.Endpoint, Shard: o.Shard, PreviousShard: o.Before}
 }
 
 // PlacementOf returns to which shard a recorded order takes its box, nil if it tells none.
@@ -244,7 +244,7 @@
 	if record.Placement == nil {
 		return nil
 	}
-	return &shard.Placement{Pool: record.Pool, Endpoint: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, Before: record.Placement.Before}
+	return &shard.Placement{Pool: record.Pool, Life: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, PreviousShard: record.Placement.Before}
 }
 
 // Recall takes over an order that an earlier holder recorded.
@@ -257,7 +257,7 @@
 	p.place(b)
 	order := Order{Box: record.Box, Pool: record.Pool, Wave: record.Wave, Endpoint: damsonwinch.ParseLife(record.Endpoint), Cause: record.Cause, Shard: b.shard, Before: b.shard}
 	if b.placed != nil {
-		order.Shard, order.Before = b.placed.Shard, b.placed.Before
+		order.Shard, order.Before = b.placed.Shard, b.placed.PreviousShard
 	}
 	b.foreignAt = time.UnixMilli(int64(record.AtMs))
 	// Whether it was carried out is not known; unless the list of boxes shows it, it
