--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -46,7 +46,7 @@
 	if view.Layout.Decided() || n.state.boxes == 0 || len(pools) == 0 {
 		return
 	}
-	count := shard.Count(n.state.boxes, len(pools), weightsOf(view.Members))
+	count := shard.ChooseCount(n.state.boxes, len(pools), weightsOf(view.Members))
 	if count > 1 && !view.Steady {
 		return
 	}
--- a/pkg/shard/count.go
+++ b/pkg/shard/count.go
@@ -16,10 +16,10 @@
 	wholeCore = 1000
 )
 
-// Count returns into how many shards a fleet is best cut: as few as the nodes that would
+// ChooseCount returns into how many shards a fleet is best cut: as few as the nodes that would
 // own the cells can carry, each one cell, or as leave them the least to carry. The weights
 // are what the nodes can carry, in thousandths of a core.
-func Count(boxes, pools int, weights []int) int {
+func ChooseCount(boxes, pools int, weights []int) int {
 	if pools == 0 || len(weights) == 0 {
 		return 1
 	}
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -20,7 +20,7 @@
 		var boxes, pools int
 		d.ScanArgs(t, "boxes", &boxes)
 		d.ScanArgs(t, "pools", &pools)
-		return fmt.Sprintf("shards %d\n", shard.Count(boxes, pools, weights(t, d.Input)))
+		return fmt.Sprintf("shards %d\n", shard.ChooseCount(boxes, pools, weights(t, d.Input)))
 	})
 }
 
