--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -136,7 +136,7 @@
 			BoxAhead: seconds(bounds.MoveS) + supply.ArrivalTime,
 		},
 		Supply: supply.Options{
-			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), Hold: poolHold, HolderGap: milliseconds(bounds.HolderMs),
+			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
 		TTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
 		Partitions: orUsual(config.Partitions, usualPartitions),
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -160,7 +160,7 @@
 // free says whether the planner may decide something new about a box.
 func (p *Planner) free(b *box) bool {
 	return b.info.State == damsonwinch.BoxUp && b.ordered == nil && b.purpose == nil &&
-		p.now.Sub(b.foreignAt) >= p.options.HolderGap
+		p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay
 }
 
 // take begins to empty a box.
@@ -192,7 +192,7 @@
 		case b.purpose != nil && b.report != nil && b.report.Withdrawn:
 			p.orderNow(b, *b.purpose)
 		case b.ordered != nil && !b.ordered.answered && !b.ordered.onTheWay && p.now.Sub(b.ordered.triedAt) >= orderRetry &&
-			p.now.Sub(b.foreignAt) >= p.options.HolderGap:
+			p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay:
 			b.ordered.onTheWay, b.ordered.triedAt = true, p.now
 			p.orders = append(p.orders, b.ordered.Order)
 		}
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -23,7 +23,7 @@
 
 func newLendFleet() *lendFleet {
 	f := &lendFleet{now: time.Unix(1_000_000, 0), layout: shard.NewLayout(lendShards, []string{"held", "short"})}
-	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, f.layout)
 	return f
 }
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -28,7 +28,7 @@
 func TestACellIsLentBoxesOfOtherShards(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	layout := shard.NewLayout(lendShards, []string{"held", "short"})
-	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, layout)
 	var boxes []damsonwinch.Box
 	add := func(pool string, count int, fits func(name string) bool) {
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -141,7 +141,7 @@
 	l.lasting = max(l.report.Spread, (l.report.LastingCpu+boxCPU-1)/boxCPU)
 	l.average(now)
 	steady := max(reactive, l.report.SteadyCpu*(100+growth)/100)
-	hold := time.Duration(int64(p.options.Hold) * int64(l.slack()) / int64(usualSlack))
+	hold := time.Duration(int64(p.options.ScaleDownDelay) * int64(l.slack()) / int64(usualSlack))
 	l.remember(now, hold, max(l.boxesFor(l.report.LastingCpu+steady, boxCPU), l.wholeBoxes(l.wholeLate())))
 }
 
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -22,7 +22,7 @@
 
 func newFleet(boxes, pools int) *fleetOf {
 	f := &fleetOf{now: time.Unix(1_000_000, 0)}
-	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at := range pools {
 		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), Parking: at == 0})
 	}
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -87,7 +87,7 @@
 
 func (s *script) fleet(shards int, input string) {
 	s.layout = shard.NewLayout(shards, nil)
-	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at, line := range strings.Split(input, "\n") {
 		words := strings.Fields(line)
 		count, err := strconv.Atoi(words[1])
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -19,11 +19,11 @@
 	// MoveTime and MaintainTime are what the platform takes.
 	MoveTime     time.Duration
 	MaintainTime time.Duration
-	// Hold is how long a pool keeps boxes after it has needed them last: moves
+	// ScaleDownDelay is how long a pool keeps boxes after it has needed them last: moves
 	// to and fro cost more than the boxes' time.
-	Hold time.Duration
-	// HolderGap is the time between the orders of two holders for one box.
-	HolderGap time.Duration
+	ScaleDownDelay time.Duration
+	// TakeoverDelay is the time between the orders of two holders for one box.
+	TakeoverDelay time.Duration
 }
 
 // Order is an order on a box.
