--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -45,7 +45,7 @@
 		p.next += len(m.records)
 	}
 	for _, record := range m.records {
-		box, placement, err := planner.PlacementOf(record)
+		box, placement, err := planner.ParsePlacement(record)
 		switch {
 		case err != nil:
 			refused = append(refused, err)
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -22,10 +22,10 @@
 	return nil
 }
 
-// PlacementOf reads from a record of a planner's stream to which shard an order takes its box;
+// ParsePlacement reads from a record of a planner's stream to which shard an order takes its box;
 // the box is empty for a record that is of no order, and the placement nil for an order that
 // tells none.
-func PlacementOf(record damsonwinch.Record) (box string, placement *shard.Placement, err error) {
+func ParsePlacement(record damsonwinch.Record) (box string, placement *shard.Placement, err error) {
 	if !strings.HasPrefix(record.Key, orderPrefix) {
 		return "", nil, nil
 	}
