--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -133,7 +133,7 @@
 		Cells: cell.Options{
 			MostLease: milliseconds(bounds.LeaseMostMs), TokenGrace: tokenGrace, StartLate: startLate, StopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), CommitGap: commitGap,
 			LookWait: lookWait, IdleLook: idleLook, RetryLook: retryLook, KeepEnded: time.Duration(bounds.KeepEndedS) * time.Second,
-			BoxAhead: seconds(bounds.MoveS) + supply.ArrivalTime,
+			BoxAhead: seconds(bounds.MoveS) + supply.FirstTaskDelay,
 		},
 		Supply: supply.Options{
 			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -30,8 +30,8 @@
 	lateShare = 20
 	// usualTaskMs is the time of a task while none has ended yet.
 	usualTaskMs = 1000
-	// ArrivalTime is added to a move's own time until a box has work.
-	ArrivalTime = 500 * time.Millisecond
+	// FirstTaskDelay is added to a move's own time until a box has work.
+	FirstTaskDelay = 500 * time.Millisecond
 	// reserve is room that every pool keeps free for jobs to come, in thousandths
 	// of a box. That of each cell of a pool in several shards is less by the root of
 	// their number, as what comes by chance is.
@@ -153,7 +153,7 @@
 		taskMs = usualTaskMs
 	}
 	short := max(0, l.report.OfferedCpu+l.report.LastingCpu-p.has(l.name)*boxCPU)
-	lead := p.options.MoveTime + ArrivalTime
+	lead := p.options.MoveTime + FirstTaskDelay
 	behind := (l.report.WaitingCpu+l.lateCPU())*taskMs + short*int(lead.Milliseconds())
 	// Half of the slack is left for what else comes.
 	return max(l.report.OfferedCpu*(100+growth)/100, l.report.RunningCpu) + 2*behind/int(l.slack().Milliseconds())
