--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -44,12 +44,12 @@
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.Slept
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.Slept
 	// Sync asks the owner of a cell.
 	Sync func(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error)
-	// BoxesListed is told how many boxes the first list that was read has.
-	BoxesListed func(count int)
+	// OnFirstBoxList is told how many boxes the first list that was read has.
+	OnFirstBoxList func(count int)
 	// WaveReport returns the record that tells the operator of a wave.
 	WaveReport func(wave int, completed bool) (damsonwinch.Stream, damsonwinch.Record)
 }
@@ -137,7 +137,7 @@
 		deps: deps, options: options, supply: supply.New(options.Supply), allotter: quota.NewAllotter(), inbox: make(chan any, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncing: map[string]bool{}, syncedAt: map[string]time.Time{}, telling: map[int]bool{},
-		sleptBefore: deps.Slept.Total(),
+		sleptBefore: deps.SuspendedTime.Total(),
 	}
 	group.Go(p.run)
 	return p
@@ -214,7 +214,7 @@
 // awake returns an error once the machine has been suspended: another node may plan by then,
 // and what this one knows of boxes is old. It gives no order any more.
 func (p *Planner) awake() error {
-	slept := p.deps.Slept.Total() - p.sleptBefore
+	slept := p.deps.SuspendedTime.Total() - p.sleptBefore
 	if slept < damsonwinch.NegligibleSleep {
 		return nil
 	}
@@ -265,7 +265,7 @@
 		}
 		if !p.boxesIn {
 			p.boxesIn = true
-			p.deps.BoxesListed(len(m.boxes))
+			p.deps.OnFirstBoxList(len(m.boxes))
 		}
 		p.supply.SetBoxes(m.askedAt, m.boxes)
 	case appended:
