--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -45,7 +45,7 @@
 		p.next += len(m.records)
 	}
 	for _, record := range m.records {
-		box, placement, err := planner.PlacementOf(record)
+		box, placement, err := planner.ParsePlacement(record)
 		switch {
 		case err != nil:
 			refused = append(refused, err)
@@ -73,7 +73,7 @@
 // fleet in one shard never does.
 func (n *Node) needPlacements() {
 	claim, known := n.View().Claims[fleetCell]
-	if n.state.placing || !known || !n.state.layout.Cut() {
+	if n.state.placing || !known || !n.state.layout.Sharded() {
 		return
 	}
 	n.state.placing = true
@@ -117,7 +117,7 @@
 func (n *Node) sortLives() bool {
 	pools := map[string]bool{}
 	for cell := range *n.holdings.Load() {
-		pool, _ := shard.Split(cell)
+		pool, _ := shard.ParseCellName(cell)
 		pools[pool] = true
 	}
 	sorted, waiting := n.state.registry.sort(n.state.layout, pools, &n.state.placements)
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -115,7 +115,7 @@
 
 // place notes the shard of a box's present life.
 func (p *Planner) place(b *box) {
-	b.shard = p.layout.OfLife(b.info.Name, b.info.Pool, b.life, b.placed)
+	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placed)
 }
 
 // groupBoxes sorts the boxes by their cells.
@@ -128,7 +128,7 @@
 
 // cell returns the cell in which a box is.
 func (b *box) cell() string {
-	return shard.Cell(b.info.Pool, b.shard)
+	return shard.CellName(b.info.Pool, b.shard)
 }
 
 // dropPurpose gives up the emptying of a box whose endpoint has ended.
@@ -160,7 +160,7 @@
 // free says whether the planner may decide something new about a box.
 func (p *Planner) free(b *box) bool {
 	return b.info.State == damsonwinch.BoxUp && b.ordered == nil && b.purpose == nil &&
-		p.now.Sub(b.foreignAt) >= p.options.HolderGap
+		p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay
 }
 
 // take begins to empty a box.
@@ -192,7 +192,7 @@
 		case b.purpose != nil && b.report != nil && b.report.Withdrawn:
 			p.orderNow(b, *b.purpose)
 		case b.ordered != nil && !b.ordered.answered && !b.ordered.onTheWay && p.now.Sub(b.ordered.triedAt) >= orderRetry &&
-			p.now.Sub(b.foreignAt) >= p.options.HolderGap:
+			p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay:
 			b.ordered.onTheWay, b.ordered.triedAt = true, p.now
 			p.orders = append(p.orders, b.ordered.Order)
 		}
@@ -236,7 +236,7 @@
 
 // placement returns to which shard an order takes its box.
 func (o Order) placement() *shard.Placement {
-	return &shard.Placement{Pool: o.Pool, Endpoint: o.Endpoint, Shard: o.Shard, Before: o.Before}
+	return &shard.Placement{Pool: o.Pool, Life: o.Endpoint, Shard: o.Shard, PreviousShard: o.Before}
 }
 
 // PlacementOf returns to which shard a recorded order takes its box, nil if it tells none.
@@ -244,7 +244,7 @@
 	if record.Placement == nil {
 		return nil
 	}
-	return &shard.Placement{Pool: record.Pool, Endpoint: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, Before: record.Placement.Before}
+	return &shard.Placement{Pool: record.Pool, Life: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, PreviousShard: record.Placement.Before}
 }
 
 // Recall takes over an order that an earlier holder recorded.
@@ -257,7 +257,7 @@
 	p.place(b)
 	order := Order{Box: record.Box, Pool: record.Pool, Wave: record.Wave, Endpoint: damsonwinch.ParseLife(record.Endpoint), Cause: record.Cause, Shard: b.shard, Before: b.shard}
 	if b.placed != nil {
-		order.Shard, order.Before = b.placed.Shard, b.placed.Before
+		order.Shard, order.Before = b.placed.Shard, b.placed.PreviousShard
 	}
 	b.foreignAt = time.UnixMilli(int64(record.AtMs))
 	// Whether it was carried out is not known; unless the list of boxes shows it, it
