--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -112,7 +112,7 @@
 	}
 	e := &endpoint{info: damsonwinch.Endpoint{Life: life}, runs: map[damsonwinch.Run]*run{}, lastBusy: c.now}
 	// An older owner may have prolonged leases until it noticed that it was one.
-	e.leaseBound = c.now.Add(c.options.TokenGrace + slack(c.options.MostLease))
+	e.leaseBound = c.now.Add(c.options.RenewalGrace + slack(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.settleIn(e)
 	c.ranked = slices.Insert(c.ranked, c.rankOf(life), e)
@@ -208,7 +208,7 @@
 func (c *Cell) seekMissing() {
 	for _, e := range c.ranked {
 		if len(e.runs) > 0 && !e.gone && !e.attached && e.info.Address == "" {
-			c.effects.AskBoxes = true
+			c.effects.ListBoxes = true
 			return
 		}
 	}
