--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -27,7 +27,7 @@
 // simCaps deals a customer's cap between the cell and another one.
 type simCaps struct {
 	world    *world
-	allotter *quota.Allotter
+	allotter *quota.Allocator
 	token    int
 	ledger   map[string]wire.AllottedRecord
 	other    *quota.Allowances
@@ -90,9 +90,9 @@
 // replace has a new allotter take over what the last one has recorded.
 func (s *simCaps) replace() {
 	s.token++
-	s.allotter = quota.NewAllotter()
+	s.allotter = quota.NewAllocator()
 	for customer, record := range s.ledger {
-		s.allotter.Recall(customer, record)
+		s.allotter.Load(customer, record)
 	}
 	s.allotter.Configure(len(s.versions), s.customers(len(s.versions)))
 	s.allotter.SetCells(s.world.now, []string{thisCell, otherCell})
@@ -102,11 +102,11 @@
 func (s *simCaps) round() {
 	w := s.world
 	w.after(capRound, s.round)
-	raised := s.allotter.Deal(w.now)
+	raised := s.allotter.Allocate(w.now)
 	for _, customer := range raised {
 		s.ledger[customer] = s.allotter.Record(customer)
 	}
-	s.allotter.Recorded(raised)
+	s.allotter.MarkRecorded(raised)
 	s.sync(otherCell, func(args wire.SyncArgs, give func(wire.SyncReply)) { give(s.takeOther(args)) })
 	o := w.owner()
 	if o == nil {
@@ -138,7 +138,7 @@
 			if w.chance(0.1) || allotter != s.allotter {
 				return
 			}
-			w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { allotter.Heard(cell, token, reply) })
+			w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { allotter.HandleReply(cell, token, reply) })
 		})
 	})
 }
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -18,7 +18,7 @@
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read %s: %w", record.Key, err)
 	}
-	p.allotter.Recall(strings.TrimPrefix(record.Key, allottedPrefix), saved)
+	p.allotter.Load(strings.TrimPrefix(record.Key, allottedPrefix), saved)
 	return nil
 }
 
@@ -38,7 +38,7 @@
 	if !p.layout.Known() {
 		return
 	}
-	for _, customer := range p.allotter.Deal(p.deps.Clock.Now()) {
+	for _, customer := range p.allotter.Allocate(p.deps.Clock.Now()) {
 		p.add(allottedPrefix+customer, p.allotter.Record(customer))
 		p.raised = append(p.raised, customer)
 	}
@@ -72,7 +72,7 @@
 	cells := p.cells()
 	now, gap := p.deps.Clock.Now(), time.Duration(len(cells))*newsGap
 	for _, cell := range cells {
-		if p.allotter.HasNews(cell) && now.Sub(p.syncedAt[cell]) >= gap {
+		if p.allotter.HasUpdate(cell) && now.Sub(p.syncedAt[cell]) >= gap {
 			p.syncOnce(cell)
 		}
 	}
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -68,7 +68,7 @@
 	deps     Deps
 	options  Options
 	supply   *supply.Planner
-	allotter *quota.Allotter
+	allotter *quota.Allocator
 	inbox    chan any
 	group    *errgroup.Group
 	ctx      context.Context // Ends with the task.
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	p := &Planner{
-		deps: deps, options: options, supply: supply.New(options.Supply), allotter: quota.NewAllotter(), inbox: make(chan any, inboxSize),
+		deps: deps, options: options, supply: supply.New(options.Supply), allotter: quota.NewAllocator(), inbox: make(chan any, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncing: map[string]bool{}, syncedAt: map[string]time.Time{}, telling: map[int]bool{},
 		sleptBefore: deps.Slept.Total(),
@@ -254,7 +254,7 @@
 		delete(p.syncing, m.cell)
 		if m.err == nil {
 			p.supply.SetReport(now, m.cell, m.reply)
-			p.allotter.Heard(m.cell, p.options.Token, m.reply)
+			p.allotter.HandleReply(m.cell, p.options.Token, m.reply)
 			p.dealPaced(now)
 		}
 	case boxesListed:
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -88,7 +88,7 @@
 	if m.err != nil {
 		return m.err
 	}
-	p.allotter.Recorded(m.raised)
+	p.allotter.MarkRecorded(m.raised)
 	p.tellNews()
 	for _, order := range m.orders {
 		p.order(order)
--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -10,9 +10,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Allotter deals the caps of customers to the cells. What it has recorded is at least what each
+// Allocator deals the caps of customers to the cells. What it has recorded is at least what each
 // cell may have running, at any moment and for whoever comes after it.
-type Allotter struct {
+type Allocator struct {
 	// version is that of the configuration in force.
 	version   int
 	customers map[string]*account
@@ -61,12 +61,12 @@
 	largest amounts
 }
 
-// NewAllotter returns an allotter that has dealt nothing.
-func NewAllotter() *Allotter {
-	return &Allotter{customers: map[string]*account{}, due: map[string]bool{}, goneAt: map[string]time.Time{}, contacts: map[string]*contact{}}
+// NewAllocator returns an allotter that has dealt nothing.
+func NewAllocator() *Allocator {
+	return &Allocator{customers: map[string]*account{}, due: map[string]bool{}, goneAt: map[string]time.Time{}, contacts: map[string]*contact{}}
 }
 
-func (a *Allotter) accountOf(customer string) *account {
+func (a *Allocator) accountOf(customer string) *account {
 	known := a.customers[customer]
 	if known == nil {
 		known = &account{limits: map[string]amounts{}, targets: map[string]amounts{}, reports: map[string]report{}, retold: map[string]bool{}, turns: map[string]int{}, unsettled: map[string]amounts{}}
@@ -75,9 +75,9 @@
 	return known
 }
 
-// Recall takes over what an earlier allotter has recorded of a customer. Cells that it names none
+// Load takes over what an earlier allotter has recorded of a customer. Cells that it names none
 // for have never been given anything.
-func (a *Allotter) Recall(customer string, record wire.AllottedRecord) {
+func (a *Allocator) Load(customer string, record wire.AllottedRecord) {
 	known := a.accountOf(customer)
 	known.cap, known.counted = fromWire(record.Cap), true
 	for _, row := range record.Limits {
@@ -86,7 +86,7 @@
 }
 
 // Configure takes the customers of the configuration in force.
-func (a *Allotter) Configure(version int, customers []damsonwinch.Customer) {
+func (a *Allocator) Configure(version int, customers []damsonwinch.Customer) {
 	if version < a.version {
 		return
 	}
@@ -142,7 +142,7 @@
 
 // SetCells takes the cells that there are. Of one that is new all is known: it has been given
 // nothing. But at first nothing is, of a customer of whom nothing is recorded.
-func (a *Allotter) SetCells(now time.Time, cells []string) {
+func (a *Allocator) SetCells(now time.Time, cells []string) {
 	first := len(a.cells) == 0
 	for _, cell := range a.cells {
 		if !slices.Contains(cells, cell) {
@@ -167,7 +167,7 @@
 
 // forgetCells drops the limits of cells that have been gone for so long that nothing can run there
 // any more.
-func (a *Allotter) forgetCells(now time.Time) {
+func (a *Allocator) forgetCells(now time.Time) {
 	for cell, since := range a.goneAt {
 		if now.Sub(since) < goneTime {
 			continue
@@ -187,8 +187,8 @@
 // and the longest lease of the users' endpoints is 10 s.
 const goneTime = 40 * time.Second
 
-// Heard takes what the owner of a cell says.
-func (a *Allotter) Heard(cell string, token int, reply wire.SyncReply) {
+// HandleReply takes what the owner of a cell says.
+func (a *Allocator) HandleReply(cell string, token int, reply wire.SyncReply) {
 	if !reply.Known || reply.Token == 0 {
 		return
 	}
@@ -232,7 +232,7 @@
 }
 
 // changed notes that there may be something new to tell all cells of a customer.
-func (a *Allotter) changed(customer string) {
+func (a *Allocator) changed(customer string) {
 	a.due[customer] = true
 	for _, c := range a.contacts {
 		c.unsaid[customer] = true
@@ -240,7 +240,7 @@
 }
 
 // tellRetold notes that there is something new to tell the cells whose targets have been changed.
-func (a *Allotter) tellRetold(customer string) {
+func (a *Allocator) tellRetold(customer string) {
 	known := a.customers[customer]
 	for cell := range known.retold {
 		if c := a.contacts[cell]; c != nil {
@@ -274,7 +274,7 @@
 }
 
 // Record returns the record of a customer's limits.
-func (a *Allotter) Record(customer string) wire.AllottedRecord {
+func (a *Allocator) Record(customer string) wire.AllottedRecord {
 	known := a.customers[customer]
 	record := wire.AllottedRecord{Cap: known.cap.wire()}
 	for _, cell := range slices.Sorted(maps.Keys(known.limits)) {
@@ -283,8 +283,8 @@
 	return record
 }
 
-// Recorded takes note that the raised limits of customers are recorded: cells may be told.
-func (a *Allotter) Recorded(customers []string) {
+// MarkRecorded takes note that the raised limits of customers are recorded: cells may be told.
+func (a *Allocator) MarkRecorded(customers []string) {
 	for _, customer := range customers {
 		known := a.customers[customer]
 		known.recording = false
@@ -297,7 +297,7 @@
 }
 
 // Summary tells of the customers of whom cells want more than they have.
-func (a *Allotter) Summary() []string {
+func (a *Allocator) Summary() []string {
 	var lines []string
 	for _, customer := range slices.Sorted(maps.Keys(a.customers)) {
 		known := a.customers[customer]
--- a/pkg/quota/contact.go
+++ b/pkg/quota/contact.go
@@ -39,7 +39,7 @@
 }
 
 // contactOf returns the contact with the owner of a cell; a new owner has heard nothing.
-func (a *Allotter) contactOf(cell string, token int) *contact {
+func (a *Allocator) contactOf(cell string, token int) *contact {
 	c := a.contacts[cell]
 	if c != nil && token <= c.token {
 		return c
@@ -68,8 +68,8 @@
 	return found
 }
 
-// HasNews says whether the owner of a cell is to be told something that needn't wait.
-func (a *Allotter) HasNews(cell string) bool {
+// HasUpdate says whether the owner of a cell is to be told something that needn't wait.
+func (a *Allocator) HasUpdate(cell string) bool {
 	c := a.contacts[cell]
 	if c == nil {
 		return false
@@ -108,7 +108,7 @@
 
 // Words returns what is to be said to the owner of a cell next; nothing to one that hasn't been
 // heard of. All that it hasn't confirmed is said again.
-func (a *Allotter) Words(cell string) Words {
+func (a *Allocator) Words(cell string) Words {
 	c := a.contacts[cell]
 	if c == nil {
 		return Words{}
--- a/pkg/quota/deal.go
+++ b/pkg/quota/deal.go
@@ -18,9 +18,9 @@
 	headroom = 50
 )
 
-// Deal decides what the cells may have running and returns the customers whose limits are raised
+// Allocate decides what the cells may have running and returns the customers whose limits are raised
 // by that. They have to be recorded before cells are told.
-func (a *Allotter) Deal(now time.Time) []string {
+func (a *Allocator) Allocate(now time.Time) []string {
 	a.forgetCells(now)
 	var raised []string
 	for _, customer := range slices.Sorted(maps.Keys(a.due)) {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -130,9 +130,9 @@
 
 // dealt returns an allotter that has dealt a cap of 400 to two cells, which have confirmed it, and
 // their allowances.
-func dealt(t *testing.T) (*Allotter, []*Allowances) {
+func dealt(t *testing.T) (*Allocator, []*Allowances) {
 	t.Helper()
-	a := NewAllotter()
+	a := NewAllocator()
 	a.Configure(1, customers(400))
 	a.SetCells(time.Time{}, cellNames)
 	var cells []*Allowances
@@ -160,11 +160,11 @@
 
 // sync has the allotter talk to the cells once, the first of which has so many tasks waiting, and
 // all be recorded at once but for what some cells hear.
-func sync(a *Allotter, cells []*Allowances, waiting int, unrecorded map[int]bool) {
-	a.Recorded(a.Deal(time.Time{}))
+func sync(a *Allocator, cells []*Allowances, waiting int, unrecorded map[int]bool) {
+	a.MarkRecorded(a.Allocate(time.Time{}))
 	for at, cell := range cells {
 		reply := tell(a, at, cell, waiting)
-		a.Heard(cellNames[at], allotterToken, reply)
+		a.HandleReply(cellNames[at], allotterToken, reply)
 		if !unrecorded[at] {
 			_, number := cell.Record()
 			cell.Recorded(allotterToken, number)
@@ -172,7 +172,7 @@
 	}
 }
 
-func tell(a *Allotter, at int, cell *Allowances, waiting int) wire.SyncReply {
+func tell(a *Allocator, at int, cell *Allowances, waiting int) wire.SyncReply {
 	words := a.Words(cellNames[at])
 	cell.Take(ownerToken, wire.SyncArgs{
 		Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
@@ -235,7 +235,7 @@
 		need := damsonwinch.Resources{CPU: task}
 		running := 0
 		for range 12 {
-			a.Recorded(a.Deal(time.Time{}))
+			a.MarkRecorded(a.Allocate(time.Time{}))
 			for at, cell := range cells {
 				for cell.Allows(simCustomer, need) {
 					cell.Begin(simCustomer, need, false)
@@ -247,7 +247,7 @@
 				_, number := cell.Record()
 				cell.Recorded(allotterToken, number)
 				cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(need, 50)}, &reply)
-				a.Heard(cellNames[at], allotterToken, reply)
+				a.HandleReply(cellNames[at], allotterToken, reply)
 			}
 		}
 		assert.Equal(t, running, 400/task, "tasks of %d under a cap of 400", task)
@@ -257,7 +257,7 @@
 // TestATaskWithoutABoxHoldsNobodyUp: cells in which large tasks wait that have no box to run on are
 // given room for them, and don't use it. A cell whose share doesn't hold its task gets its turn.
 func TestATaskWithoutABoxHoldsNobodyUp(t *testing.T) {
-	a := NewAllotter()
+	a := NewAllocator()
 	a.Configure(1, customers(400))
 	names := []string{"a", "b", "c", "d"}
 	a.SetCells(time.Time{}, names)
@@ -269,7 +269,7 @@
 	}
 	needs := []int{300, 290, 280, 120}
 	for now := (time.Time{}); now.Before(time.Time{}.Add(6 * time.Second)); now = now.Add(100 * time.Millisecond) {
-		a.Recorded(a.Deal(now))
+		a.MarkRecorded(a.Allocate(now))
 		for at, cell := range cells {
 			words := a.Words(names[at])
 			cell.Take(ownerToken, wire.SyncArgs{
@@ -279,7 +279,7 @@
 			cell.Recorded(allotterToken, number)
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
-			a.Heard(names[at], allotterToken, reply)
+			a.HandleReply(names[at], allotterToken, reply)
 		}
 		if cells[3].Allows(simCustomer, damsonwinch.Resources{CPU: needs[3]}) {
 			return
@@ -303,17 +303,17 @@
 // such a one first and took its word that nothing ran, while eight ran under the next owner.
 func TestAReplacedOwnerConfirmsNothing(t *testing.T) {
 	_, cells := dealt(t)
-	next := NewAllotter()
+	next := NewAllocator()
 	next.Configure(1, customers(400))
 	next.SetCells(time.Time{}, cellNames)
 	for range 5 {
-		next.Recorded(next.Deal(time.Time{}))
+		next.MarkRecorded(next.Allocate(time.Time{}))
 		for at, cell := range cells {
 			words := next.Words(cellNames[at])
 			cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows})
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, nil, &reply)
-			next.Heard(cellNames[at], allotterToken+1, reply)
+			next.HandleReply(cellNames[at], allotterToken+1, reply)
 		}
 	}
 	for _, cell := range cellNames {
@@ -328,7 +328,7 @@
 	for number := range 200 {
 		all = append(all, damsonwinch.Customer{Name: fmt.Sprintf("customer-%d", number), Cap: damsonwinch.Resources{CPU: 1_000_000, MemoryMB: 2_000_000}})
 	}
-	a := NewAllotter()
+	a := NewAllocator()
 	a.Configure(1, all)
 	var names []string
 	for number := range 225 {
@@ -337,7 +337,7 @@
 	a.SetCells(time.Time{}, names)
 	numbers := map[string]int{}
 	round := func(number int) {
-		a.Recorded(a.Deal(time.Time{}))
+		a.MarkRecorded(a.Allocate(time.Time{}))
 		for at, name := range names {
 			reply := wire.SyncReply{Known: true, Token: ownerToken, AllotterToken: allotterToken, AllowanceNumber: numbers[name]}
 			if at < 10 {
@@ -345,7 +345,7 @@
 					Customer: fmt.Sprintf("customer-%d", at), Used: wire.Amount{Cpu: 5000 + number%5000}, Wanted: wire.Amount{Cpu: 100}, Largest: wire.Amount{Cpu: 100},
 				}}
 			}
-			a.Heard(name, allotterToken, reply)
+			a.HandleReply(name, allotterToken, reply)
 			numbers[name] = a.Words(name).Number
 		}
 	}
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -112,7 +112,7 @@
 type simAllotter struct {
 	world     *world
 	token     int
-	allotter  *Allotter
+	allotter  *Allocator
 	dead      bool
 	appending bool
 	syncing   map[string]bool
@@ -425,11 +425,11 @@
 		// Its appends are fenced from now on.
 		a.token = -max(a.token, -a.token)
 	}
-	a := &simAllotter{world: w, token: w.nextEpoch(), allotter: NewAllotter(), syncing: map[string]bool{}, cut: map[string]bool{}}
+	a := &simAllotter{world: w, token: w.nextEpoch(), allotter: NewAllocator(), syncing: map[string]bool{}, cut: map[string]bool{}}
 	w.allotters = append(w.allotters, a)
 	w.logf("allotter %d", a.token)
 	for customer, record := range w.ledger {
-		a.allotter.Recall(customer, record)
+		a.allotter.Load(customer, record)
 	}
 	token := a.token
 	newest := w.versions[len(w.versions)-1]
@@ -489,7 +489,7 @@
 	if a.appending {
 		return
 	}
-	raised := a.allotter.Deal(w.now)
+	raised := a.allotter.Allocate(w.now)
 	if w.sabotage.eager {
 		for _, known := range a.allotter.customers {
 			for cell, target := range known.targets {
@@ -503,7 +503,7 @@
 	record := a.allotter.Record(simCustomer)
 	a.appending = true
 	if w.sabotage.tellFirst {
-		a.allotter.Recorded(raised)
+		a.allotter.MarkRecorded(raised)
 	}
 	delay := w.between(5*time.Millisecond, 30*time.Millisecond)
 	if w.chance(0.1) {
@@ -516,7 +516,7 @@
 		}
 		w.ledger[simCustomer] = record
 		a.appending = false
-		a.allotter.Recorded(raised)
+		a.allotter.MarkRecorded(raised)
 		a.tellNews(token)
 	})
 }
@@ -524,7 +524,7 @@
 // tellNews calls the owners that have something to hear.
 func (a *simAllotter) tellNews(token int) {
 	for _, c := range a.world.cells {
-		if !a.syncing[c.name] && a.allotter.HasNews(c.name) {
+		if !a.syncing[c.name] && a.allotter.HasUpdate(c.name) {
 			a.syncing[c.name] = true
 			a.sync(c, token)
 		}
@@ -551,7 +551,7 @@
 		done = true
 		a.syncing[c.name] = false
 		if ok {
-			a.allotter.Heard(c.name, token, reply)
+			a.allotter.HandleReply(c.name, token, reply)
 			a.deal(token)
 			a.tellNews(token)
 		}
