--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -125,9 +125,9 @@
 // sync makes one call, which may be lost or late there or on its way back.
 func (s *simCaps) sync(cell string, call func(args wire.SyncArgs, give func(wire.SyncReply))) {
 	w, allotter, token := s.world, s.allotter, s.token
-	words := allotter.Words(cell)
+	words := allotter.NextUpdate(cell)
 	args := wire.SyncArgs{
-		Cell: cell, Token: token, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: slices.Clone(words.Rows),
+		Cell: cell, Token: token, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: slices.Clone(words.Allowances),
 	}
 	delay := w.between(time.Millisecond, 20*time.Millisecond)
 	if w.chance(0.1) {
--- a/pkg/planner/sync.go
+++ b/pkg/planner/sync.go
@@ -17,10 +17,10 @@
 // sync tells the owner of a cell what the planner wishes, and asks it how the cell is.
 func (p *Planner) sync(cell string) {
 	wishes := p.supply.Wishes(cell)
-	words := p.allotter.Words(cell)
+	words := p.allotter.NextUpdate(cell)
 	args := wire.SyncArgs{
 		Cell: cell, Token: p.options.Token, Withdraw: wishes.Withdraw, Hurry: wishes.Hurry, Restore: wishes.Restore, Gone: wishes.Gone, Due: wishes.Due,
-		CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
+		CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 	}
 	p.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
--- a/pkg/quota/contact.go
+++ b/pkg/quota/contact.go
@@ -96,22 +96,22 @@
 	}
 }
 
-// Words is what is said to the owner of a cell.
-type Words struct {
-	// Cell is the token by which it owns the cell, Number that of this word among those to it, and
+// Update is what is said to the owner of a cell.
+type Update struct {
+	// OwnerToken is the token by which it owns the cell, Number that of this word among those to it, and
 	// Version that of the configuration by which all that it has been told was dealt.
-	Cell    int
-	Number  int
-	Version int
-	Rows    []wire.AllowanceRow
+	OwnerToken    int
+	Number        int
+	ConfigVersion int
+	Allowances    []wire.AllowanceRow
 }
 
-// Words returns what is to be said to the owner of a cell next; nothing to one that hasn't been
+// NextUpdate returns what is to be said to the owner of a cell next; nothing to one that hasn't been
 // heard of. All that it hasn't confirmed is said again.
-func (a *Allocator) Words(cell string) Words {
+func (a *Allocator) NextUpdate(cell string) Update {
 	c := a.contacts[cell]
 	if c == nil {
-		return Words{}
+		return Update{}
 	}
 	c.number++
 	heldBack := false
@@ -130,10 +130,10 @@
 	if !heldBack {
 		c.version = a.version
 	}
-	words := Words{Cell: c.token, Number: c.number, Version: c.version}
+	words := Update{OwnerToken: c.token, Number: c.number, ConfigVersion: c.version}
 	for _, customer := range slices.Sorted(maps.Keys(c.told)) {
 		said := c.told[customer][len(c.told[customer])-1]
-		words.Rows = append(words.Rows, wire.AllowanceRow{Customer: customer, Amount: said.amount.wire(), Cap: said.cap.wire()})
+		words.Allowances = append(words.Allowances, wire.AllowanceRow{Customer: customer, Amount: said.amount.wire(), Cap: said.cap.wire()})
 	}
 	return words
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -173,9 +173,9 @@
 }
 
 func tell(a *Allocator, at int, cell *Allowances, waiting int) wire.SyncReply {
-	words := a.Words(cellNames[at])
+	words := a.NextUpdate(cellNames[at])
 	cell.Take(ownerToken, wire.SyncArgs{
-		Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
+		Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 	})
 	reply := wire.SyncReply{Known: true}
 	var wanted map[string]Wanted
@@ -241,8 +241,8 @@
 					cell.Begin(simCustomer, need, false)
 					running++
 				}
-				words := a.Words(cellNames[at])
-				cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows})
+				words := a.NextUpdate(cellNames[at])
+				cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
 				reply := wire.SyncReply{Known: true}
 				_, number := cell.Record()
 				cell.Recorded(allotterToken, number)
@@ -271,9 +271,9 @@
 	for now := (time.Time{}); now.Before(time.Time{}.Add(6 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		a.MarkRecorded(a.Allocate(now))
 		for at, cell := range cells {
-			words := a.Words(names[at])
+			words := a.NextUpdate(names[at])
 			cell.Take(ownerToken, wire.SyncArgs{
-				Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
+				Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 			})
 			_, number := cell.Record()
 			cell.Recorded(allotterToken, number)
@@ -309,8 +309,8 @@
 	for range 5 {
 		next.MarkRecorded(next.Allocate(time.Time{}))
 		for at, cell := range cells {
-			words := next.Words(cellNames[at])
-			cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows})
+			words := next.NextUpdate(cellNames[at])
+			cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, nil, &reply)
 			next.HandleReply(cellNames[at], allotterToken+1, reply)
@@ -346,7 +346,7 @@
 				}}
 			}
 			a.HandleReply(name, allotterToken, reply)
-			numbers[name] = a.Words(name).Number
+			numbers[name] = a.NextUpdate(name).Number
 		}
 	}
 	for number := range 5 {
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -535,9 +535,9 @@
 // come twice.
 func (a *simAllotter) sync(c *simCell, token int) {
 	w := a.world
-	words := a.allotter.Words(c.name)
+	words := a.allotter.NextUpdate(c.name)
 	args := wire.SyncArgs{
-		Cell: c.name, Token: token, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: slices.Clone(words.Rows),
+		Cell: c.name, Token: token, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: slices.Clone(words.Allowances),
 	}
 	o := c.owners[len(c.owners)-1]
 	if len(c.owners) > 1 && w.chance(0.2) {
