--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -178,7 +178,7 @@
 	for _, e := range sent.withdrawn {
 		e.withdraw.recorded = true
 	}
-	c.quota.Recorded(sent.allotter, sent.allowances)
+	c.quota.MarkRecorded(sent.allotter, sent.allowances)
 	for _, r := range sent.starts {
 		c.sendStart(r)
 	}
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -52,7 +52,7 @@
 	if p.heldSince.IsZero() {
 		p.heldSince = c.now
 	}
-	c.inLine[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
+	c.inLine[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.CanEverFit(customer, times(p.share(), count))
 	return false
 }
 
@@ -62,7 +62,7 @@
 
 // takeAllowances takes the word of the planner on what the cell may have running.
 func (c *Cell) takeAllowances(args wire.SyncArgs) {
-	if c.quota.Take(c.token, args) {
+	if c.quota.ApplyUpdate(c.token, args) {
 		c.commits.allowances = true
 	}
 	if len(args.Allowances) > 0 {
@@ -79,7 +79,7 @@
 // confirms them.
 func (c *Cell) allowancesRecord(sent *sentCommit) damsonwinch.Record {
 	record, number := c.quota.Record()
-	sent.allotter, sent.allowances = c.quota.Allotter(), number
+	sent.allotter, sent.allowances = c.quota.AllocatorToken(), number
 	return damsonwinch.Record{Key: allowancesKey, Value: encode(record)}
 }
 
@@ -128,7 +128,7 @@
 		return cpu
 	}
 	if _, known := a.left[customer]; !known {
-		a.left[customer] = a.quota.Left(customer, math.MaxInt)
+		a.left[customer] = a.quota.RemainingCPU(customer, math.MaxInt)
 	}
 	may := min(cpu, a.left[customer])
 	a.left[customer] -= may
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -88,7 +88,7 @@
 func (c *Cell) attach(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
-	c.quota.Begin(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
+	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs++
 }
 
@@ -115,7 +115,7 @@
 func (c *Cell) resolve(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
-	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
+	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs--
 	c.unplaced = true
 	c.touch(r.task.phase.job())
--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -146,9 +146,9 @@
 // takeOther takes a call for the other cell, whose work comes and goes.
 func (s *simCaps) takeOther(args wire.SyncArgs) wire.SyncReply {
 	w := s.world
-	if s.other.Take(1, args) {
+	if s.other.ApplyUpdate(1, args) {
 		_, number := s.other.Record()
-		s.other.Recorded(s.other.Allotter(), number)
+		s.other.MarkRecorded(s.other.AllocatorToken(), number)
 	}
 	one := damsonwinch.Resources{CPU: 500}
 	waiting := 0
@@ -158,11 +158,11 @@
 	wanted := map[string]quota.Wanted{cappedCustomer: quota.Wanted{}.With(one, waiting)}
 	for range waiting {
 		if s.other.Allows(cappedCustomer, one) {
-			s.other.Begin(cappedCustomer, one, false)
+			s.other.AddRun(cappedCustomer, one, false)
 			s.otherUsed += one.CPU
 			w.rules.capped(one.CPU)
 			w.after(w.between(50*time.Millisecond, 600*time.Millisecond), func() {
-				s.other.End(cappedCustomer, one, false)
+				s.other.RemoveRun(cappedCustomer, one, false)
 				s.otherUsed -= one.CPU
 			})
 		}
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -30,7 +30,7 @@
 			records = append(records, e.markRecord(c.now))
 		}
 	}
-	if c.quota.Known() {
+	if c.quota.HasAny() {
 		records = append(records, c.allowancesRecord(&sentCommit{}))
 	}
 	c.learnedAt = time.Time{}
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -66,17 +66,17 @@
 	}
 }
 
-// Begin counts a run of a customer's, and End takes it back once it is known to be over. One that
+// AddRun counts a run of a customer's, and End takes it back once it is known to be over. One that
 // lasts runs until it is stopped.
-func (a *Allowances) Begin(customer string, need damsonwinch.Resources, lasts bool) {
+func (a *Allowances) AddRun(customer string, need damsonwinch.Resources, lasts bool) {
 	a.used.add(customer, amountsOf(need))
 	if lasts {
 		a.lasting.add(customer, amountsOf(need))
 	}
 }
 
-// End takes a run back that is over.
-func (a *Allowances) End(customer string, need damsonwinch.Resources, lasts bool) {
+// RemoveRun takes a run back that is over.
+func (a *Allowances) RemoveRun(customer string, need damsonwinch.Resources, lasts bool) {
 	a.used.add(customer, amounts{}.minus(amountsOf(need)))
 	if lasts {
 		a.lasting.add(customer, amounts{}.minus(amountsOf(need)))
@@ -138,8 +138,8 @@
 	return true
 }
 
-// Fits says whether a run of a customer's can ever begin beside those that last.
-func (a *Allowances) Fits(customer string, need damsonwinch.Resources) bool {
+// CanEverFit says whether a run of a customer's can ever begin beside those that last.
+func (a *Allowances) CanEverFit(customer string, need damsonwinch.Resources) bool {
 	limit, _ := a.capOf(customer)
 	wanted, lasting := amountsOf(need), a.lasting[customer]
 	for kind := range limit {
@@ -150,9 +150,9 @@
 	return true
 }
 
-// Left returns how much of a thing that a customer waits for fits into its allowance beside what
+// RemainingCPU returns how much of a thing that a customer waits for fits into its allowance beside what
 // runs, in thousandths of a core.
-func (a *Allowances) Left(customer string, wantedCPU int) int {
+func (a *Allowances) RemainingCPU(customer string, wantedCPU int) int {
 	limit, known := a.capOf(customer)
 	switch {
 	case customer == "", known && limit[cpu] == 0:
@@ -163,11 +163,11 @@
 	return max(0, min(wantedCPU, a.granted[customer].amount[cpu]-a.used[customer][cpu]))
 }
 
-// Take takes the allotter's word, and says whether it must be recorded before it is confirmed: a
+// ApplyUpdate takes the allotter's word, and says whether it must be recorded before it is confirmed: a
 // later owner of the cell must not go by a higher allowance, and one that has been replaced and
 // doesn't know it can record nothing, so that it confirms nothing. A word for another owner of the
 // cell, or one that newer ones have overtaken, changes nothing.
-func (a *Allowances) Take(token int, args wire.SyncArgs) bool {
+func (a *Allowances) ApplyUpdate(token int, args wire.SyncArgs) bool {
 	if args.CellToken != token || args.Token < a.allotter || args.Token == a.allotter && args.AllowanceNumber <= a.taken {
 		return false
 	}
@@ -201,16 +201,16 @@
 	return record, a.taken
 }
 
-// Recorded takes note that a record of the allotter's word up to a number is kept.
-func (a *Allowances) Recorded(allotter, number int) {
+// MarkRecorded takes note that a record of the allotter's word up to a number is kept.
+func (a *Allowances) MarkRecorded(allotter, number int) {
 	if allotter != a.allotter {
 		return
 	}
 	a.recorded = max(a.recorded, number)
 }
 
-// Allotter returns the token of the newest allotter that was heard.
-func (a *Allowances) Allotter() int {
+// AllocatorToken returns the token of the newest allotter that was heard.
+func (a *Allowances) AllocatorToken() int {
 	return a.allotter
 }
 
@@ -222,8 +222,8 @@
 	}
 }
 
-// Known says whether anything has been heard or taken over of allowances.
-func (a *Allowances) Known() bool {
+// HasAny says whether anything has been heard or taken over of allowances.
+func (a *Allowances) HasAny() bool {
 	return len(a.granted) > 0
 }
 
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -167,14 +167,14 @@
 		a.HandleReply(cellNames[at], allotterToken, reply)
 		if !unrecorded[at] {
 			_, number := cell.Record()
-			cell.Recorded(allotterToken, number)
+			cell.MarkRecorded(allotterToken, number)
 		}
 	}
 }
 
 func tell(a *Allocator, at int, cell *Allowances, waiting int) wire.SyncReply {
 	words := a.NextUpdate(cellNames[at])
-	cell.Take(ownerToken, wire.SyncArgs{
+	cell.ApplyUpdate(ownerToken, wire.SyncArgs{
 		Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 	})
 	reply := wire.SyncReply{Known: true}
@@ -212,7 +212,7 @@
 func TestNothingBeginsWhileTooMuchRuns(t *testing.T) {
 	a, cells := dealt(t)
 	running := damsonwinch.Resources{CPU: 200}
-	cells[0].Begin(simCustomer, running, false)
+	cells[0].AddRun(simCustomer, running, false)
 	a.Configure(2, customers(100))
 	small := damsonwinch.Resources{CPU: 1}
 	for range 5 {
@@ -220,7 +220,7 @@
 		assert.Assert(t, !cells[0].Allows(simCustomer, small))
 		assert.Assert(t, !cells[1].Allows(simCustomer, small))
 	}
-	cells[0].End(simCustomer, running, false)
+	cells[0].RemoveRun(simCustomer, running, false)
 	for range 5 {
 		sync(a, cells, 1000, nil)
 	}
@@ -238,14 +238,14 @@
 			a.MarkRecorded(a.Allocate(time.Time{}))
 			for at, cell := range cells {
 				for cell.Allows(simCustomer, need) {
-					cell.Begin(simCustomer, need, false)
+					cell.AddRun(simCustomer, need, false)
 					running++
 				}
 				words := a.NextUpdate(cellNames[at])
-				cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
+				cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
 				reply := wire.SyncReply{Known: true}
 				_, number := cell.Record()
-				cell.Recorded(allotterToken, number)
+				cell.MarkRecorded(allotterToken, number)
 				cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(need, 50)}, &reply)
 				a.HandleReply(cellNames[at], allotterToken, reply)
 			}
@@ -272,11 +272,11 @@
 		a.MarkRecorded(a.Allocate(now))
 		for at, cell := range cells {
 			words := a.NextUpdate(names[at])
-			cell.Take(ownerToken, wire.SyncArgs{
+			cell.ApplyUpdate(ownerToken, wire.SyncArgs{
 				Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 			})
 			_, number := cell.Record()
-			cell.Recorded(allotterToken, number)
+			cell.MarkRecorded(allotterToken, number)
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
 			a.HandleReply(names[at], allotterToken, reply)
@@ -310,7 +310,7 @@
 		next.MarkRecorded(next.Allocate(time.Time{}))
 		for at, cell := range cells {
 			words := next.NextUpdate(cellNames[at])
-			cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
+			cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, nil, &reply)
 			next.HandleReply(cellNames[at], allotterToken+1, reply)
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -251,7 +251,7 @@
 	for _, r := range c.runs {
 		o.runs = append(o.runs, r)
 		if !w.sabotage.heirsForget {
-			o.allowances.Begin(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+			o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
 		}
 		if r.ended {
 			// Its endpoint tells that it isn't there.
@@ -331,7 +331,7 @@
 	w := o.cell.world
 	r := &simRun{need: need, token: o.token}
 	o.runs = append(o.runs, r)
-	o.allowances.Begin(simCustomer, damsonwinch.Resources{CPU: need}, false)
+	o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: need}, false)
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		if o.token != o.cell.token {
 			return // Fenced: it is never ordered.
@@ -354,7 +354,7 @@
 func (o *simOwner) drop(r *simRun) {
 	if at := slices.Index(o.runs, r); at >= 0 {
 		o.runs = slices.Delete(o.runs, at, at+1)
-		o.allowances.End(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+		o.allowances.RemoveRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
 	}
 }
 
@@ -381,16 +381,16 @@
 	if w.sabotage.anyOwner {
 		args.CellToken = o.token
 	}
-	if o.allowances.Take(o.token, args) {
+	if o.allowances.ApplyUpdate(o.token, args) {
 		record, number := o.allowances.Record()
-		allotter := o.allowances.Allotter()
+		allotter := o.allowances.AllocatorToken()
 		w.after(w.between(5*time.Millisecond, 60*time.Millisecond), func() {
 			if o.token != o.cell.token {
 				return
 			}
 			o.cell.record = &record
 			o.whenAwake(func() {
-				o.allowances.Recorded(allotter, number)
+				o.allowances.MarkRecorded(allotter, number)
 				give(o.report())
 			})
 		})
