--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -94,7 +94,7 @@
 
 // reportCustomers tells the planner which customers want more than they may have running.
 func (c *Cell) reportCustomers(report *wire.SyncReply) {
-	wanted := map[string]quota.Wanted{}
+	wanted := map[string]quota.Demand{}
 	for _, p := range c.open {
 		customer := p.job().customer
 		if customer == "" || len(p.ready) == 0 {
@@ -102,10 +102,10 @@
 		}
 		need := p.share()
 		if p.spec.Gang {
-			wanted[customer] = wanted[customer].With(times(need, len(p.ready)), 1)
+			wanted[customer] = wanted[customer].WithTasks(times(need, len(p.ready)), 1)
 			continue
 		}
-		wanted[customer] = wanted[customer].With(need, len(p.ready))
+		wanted[customer] = wanted[customer].WithTasks(need, len(p.ready))
 	}
 	c.quota.Report(c.token, wanted, report)
 }
--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -155,7 +155,7 @@
 	if w.trouble {
 		waiting = w.random.IntN(8)
 	}
-	wanted := map[string]quota.Wanted{cappedCustomer: quota.Wanted{}.With(one, waiting)}
+	wanted := map[string]quota.Demand{cappedCustomer: quota.Demand{}.WithTasks(one, waiting)}
 	for range waiting {
 		if s.other.Allows(cappedCustomer, one) {
 			s.other.AddRun(cappedCustomer, one, false)
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -227,16 +227,16 @@
 	return len(a.granted) > 0
 }
 
-// Wanted is what waits of a customer's and could start by now.
-type Wanted struct {
-	All damsonwinch.Resources
+// Demand is what waits of a customer's and could start by now.
+type Demand struct {
+	Total damsonwinch.Resources
 	// Largest is the most that a single task asks for, of each kind.
 	Largest damsonwinch.Resources
 }
 
-// With returns what waits with so many tasks of a need more.
-func (w Wanted) With(need damsonwinch.Resources, count int) Wanted {
-	w.All = w.All.Plus(damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count})
+// WithTasks returns what waits with so many tasks of a need more.
+func (w Demand) WithTasks(need damsonwinch.Resources, count int) Demand {
+	w.Total = w.Total.Plus(damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count})
 	w.Largest = damsonwinch.Resources{
 		CPU: max(w.Largest.CPU, need.CPU), MemoryMB: max(w.Largest.MemoryMB, need.MemoryMB), GPU: max(w.Largest.GPU, need.GPU),
 	}
@@ -245,7 +245,7 @@
 
 // Report tells the allotter how the cell gets on with its allowances: which word it has heard for
 // good, and of the customers those that want more than they have or still run more than that.
-func (a *Allowances) Report(token int, wanted map[string]Wanted, reply *wire.SyncReply) {
+func (a *Allowances) Report(token int, wanted map[string]Demand, reply *wire.SyncReply) {
 	reply.Token, reply.AllowanceNumber, reply.AllotterToken = token, a.recorded, a.allotter
 	customers := map[string]bool{}
 	for customer := range a.used {
@@ -256,7 +256,7 @@
 	}
 	for _, customer := range slices.Sorted(maps.Keys(customers)) {
 		limit, known := a.capOf(customer)
-		used, wants := a.used[customer], amountsOf(wanted[customer].All)
+		used, wants := a.used[customer], amountsOf(wanted[customer].Total)
 		if customer == "" || known && limit.unlimited() || !a.pressed(customer, limit, used, wants) {
 			continue
 		}
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -178,9 +178,9 @@
 		Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 	})
 	reply := wire.SyncReply{Known: true}
-	var wanted map[string]Wanted
+	var wanted map[string]Demand
 	if at == 0 && waiting > 0 {
-		wanted = map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: 1}, waiting)}
+		wanted = map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: 1}, waiting)}
 	}
 	cell.Report(ownerToken, wanted, &reply)
 	return reply
@@ -246,7 +246,7 @@
 				reply := wire.SyncReply{Known: true}
 				_, number := cell.Record()
 				cell.MarkRecorded(allotterToken, number)
-				cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(need, 50)}, &reply)
+				cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(need, 50)}, &reply)
 				a.HandleReply(cellNames[at], allotterToken, reply)
 			}
 		}
@@ -278,7 +278,7 @@
 			_, number := cell.Record()
 			cell.MarkRecorded(allotterToken, number)
 			reply := wire.SyncReply{Known: true}
-			cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
+			cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
 			a.HandleReply(names[at], allotterToken, reply)
 		}
 		if cells[3].Allows(simCustomer, damsonwinch.Resources{CPU: needs[3]}) {
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -412,9 +412,9 @@
 // report tells how the cell gets on.
 func (o *simOwner) report() wire.SyncReply {
 	reply := wire.SyncReply{Known: true}
-	wanted := map[string]Wanted{}
+	wanted := map[string]Demand{}
 	if waiting := o.cell.demand - len(o.runs); waiting > 0 {
-		wanted[simCustomer] = Wanted{}.With(damsonwinch.Resources{CPU: 5}, waiting).With(damsonwinch.Resources{CPU: o.cell.next}, 1)
+		wanted[simCustomer] = Demand{}.WithTasks(damsonwinch.Resources{CPU: 5}, waiting).WithTasks(damsonwinch.Resources{CPU: o.cell.next}, 1)
 	}
 	o.allowances.Report(o.token, wanted, &reply)
 	return reply
