--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -95,7 +95,7 @@
 // before Load has been called.
 func New(options Options, token int) *Cell {
 	if options.Blame == (crash.Rules{}) {
-		options.Blame = crash.Usual()
+		options.Blame = crash.DefaultRules()
 	}
 	return &Cell{
 		options: options, token: token,
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -26,7 +26,7 @@
 	c.blameLapsed(e)
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
-	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.Blame.Young()) {
+	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.Blame.MeasuredSuspectAge()) {
 		c.chance.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
@@ -95,7 +95,7 @@
 		end.Least, end.Sure = end.Age, r.state == runConfirmed || end.Trial
 	}
 	if r.adopted {
-		end.Age = max(end.Age, c.options.Blame.Settled)
+		end.Age = max(end.Age, c.options.Blame.MaxCrashAge)
 	}
 	return end
 }
@@ -115,7 +115,7 @@
 // giveUpConvicted ends the job of a task whose trials have shown that it crashes its
 // endpoints. It says whether it is one.
 func (c *Cell) giveUpConvicted(t *task, last lostRun) bool {
-	if !c.options.Blame.Convicted(t.crashes) {
+	if !c.options.Blame.IsCrasher(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
@@ -125,7 +125,7 @@
 
 // giveUpSpent gives a task up that has been started too often. It says whether it is one.
 func (c *Cell) giveUpSpent(t *task) bool {
-	if !c.options.Blame.Spent(t.crashes) {
+	if !c.options.Blame.StartsExhausted(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Count, t.id(), t.crashes.Starts))
@@ -162,7 +162,7 @@
 // countStarts counts a start of a task under which many endpoints have ended, or takes it
 // back where its endpoint has certainly not begun it.
 func (c *Cell) countStarts(t *task, more int) {
-	if c.options.Blame.Counts(t.crashes) {
+	if c.options.Blame.CountsStarts(t.crashes) {
 		t.crashes = t.crashes.WithStarts(more)
 	}
 }
@@ -171,7 +171,7 @@
 // there: it may have ended before that, and because of them.
 func (c *Cell) blameLapsed(e *endpoint) {
 	for _, l := range e.lapses {
-		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.End{Least: l.outlived, Age: c.options.Blame.Settled})
+		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.End{Least: l.outlived, Age: c.options.Blame.MaxCrashAge})
 		c.suspect(l.task)
 	}
 }
@@ -263,7 +263,7 @@
 				Count: row[1], Sure: row[2], Like: row[3], Low: time.Duration(row[4]) * time.Millisecond, High: time.Duration(row[5]) * time.Millisecond,
 				Weight: row[6], Starts: row[7],
 			}
-			t.givenUp = c.options.Blame.Convicted(t.crashes)
+			t.givenUp = c.options.Blame.IsCrasher(t.crashes)
 			c.suspect(t)
 		}
 	}
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -34,7 +34,7 @@
 	counted := map[string]bool{}
 	for _, r := range e.ordered {
 		queue := r.task.phase.job().queue
-		young := r.state != runIntended && endedAt.Sub(r.since) < c.options.Blame.Young()
+		young := r.state != runIntended && endedAt.Sub(r.since) < c.options.Blame.MeasuredSuspectAge()
 		if young && !counted[queue] {
 			counted[queue] = true
 			if c.proneEnds[queue] == nil {
@@ -72,7 +72,7 @@
 	}
 	j := t.phase.job()
 	for _, r := range e.ordered {
-		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.since) < c.options.Blame.Prompt {
+		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.since) < c.options.Blame.SuspectAge {
 			return false
 		}
 	}
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -276,9 +276,9 @@
 	}
 	switch {
 	case broken.blameNobody:
-		options.Blame = crash.Rules{Prompt: -1, Enough: math.MaxInt, Most: math.MaxInt}
+		options.Blame = crash.Rules{SuspectAge: -1, ProofWeight: math.MaxInt, MaxLosses: math.MaxInt}
 	case broken.blameByCount:
-		options.Blame = crash.Rules{Prompt: -1, Settled: time.Hour, Enough: math.MaxInt, Most: 2}
+		options.Blame = crash.Rules{SuspectAge: -1, MaxCrashAge: time.Hour, ProofWeight: math.MaxInt, MaxLosses: 2}
 	}
 	return options
 }
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -25,7 +25,7 @@
 
 // suspect puts a task among the suspects if the ends of endpoints under it call for that.
 func (c *Cell) suspect(t *task) {
-	if !t.suspected && !t.done && c.options.Blame.Suspects(t.crashes) {
+	if !t.suspected && !t.done && c.options.Blame.IsSuspect(t.crashes) {
 		t.suspected, t.triedFrom = true, c.now
 		c.suspects = append(c.suspects, t)
 	}
@@ -140,7 +140,7 @@
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
 func (c *Cell) quiet(e *endpoint) bool {
-	return !c.begunWithin(e, c.now, c.options.Blame.Prompt)
+	return !c.begunWithin(e, c.now, c.options.Blame.SuspectAge)
 }
 
 // begunWithin says whether something has begun at an endpoint within a time before a moment.
@@ -152,7 +152,7 @@
 func (c *Cell) exposed() int {
 	count := 0
 	for _, e := range c.ranked {
-		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.Blame.Young()) {
+		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.Blame.MeasuredSuspectAge()) {
 			count++
 		}
 	}
@@ -215,7 +215,7 @@
 
 // outlivesAt returns when a run on trial has outlived it.
 func (c *Cell) outlivesAt(r *run) time.Time {
-	return r.since.Add(c.options.Blame.Watch(r.task.crashes))
+	return r.since.Add(c.options.Blame.ProbationTime(r.task.crashes))
 }
 
 // outlive ends the trial at an endpoint that has answered a look which was sent after it
--- a/pkg/crash/crash.go
+++ b/pkg/crash/crash.go
@@ -18,33 +18,33 @@
 
 // Rules are the figures by which blame is laid.
 type Rules struct {
-	// Prompt is the age up to which a task is a suspect the first time that an endpoint ends
+	// SuspectAge is the age up to which a task is a suspect the first time that an endpoint ends
 	// under it. Older ones become suspects when another does at a like age.
-	Prompt time.Duration
-	// Settled is the age from which a task has nothing to do with the end of its endpoint, and
+	SuspectAge time.Duration
+	// MaxCrashAge is the age from which a task has nothing to do with the end of its endpoint, and
 	// has outlived what was held against it.
-	Settled time.Duration
-	// LeastWatch and MostWatch bound how long a trial lasts, usually for as long as the task had
+	MaxCrashAge time.Duration
+	// MinProbation and MostWatch bound how long a trial lasts, usually for as long as the task had
 	// been under way at most.
-	LeastWatch time.Duration
-	MostWatch  time.Duration
+	MinProbation time.Duration
+	MaxProbation time.Duration
 	// Jitter is by how much longer than measured a task may have been under way, and Lag by how
 	// much shorter: a busy owner hears of ends late. Beside that two ages may differ by LikePart
 	// of them to be alike.
-	Jitter   time.Duration
-	Lag      time.Duration
-	LikePart float64
-	// LeastRate is how often an endpoint ends by itself, a second, where fewer do.
-	LeastRate float64
-	// Enough is the weight of evidence with which a task is given up.
-	Enough int
-	// Most is the number of endpoints that may end under a task, after which it may be started
+	Jitter       time.Duration
+	DetectionLag time.Duration
+	AgeTolerance float64
+	// MinLossRate is how often an endpoint ends by itself, a second, where fewer do.
+	MinLossRate float64
+	// ProofWeight is the weight of evidence with which a task is given up.
+	ProofWeight int
+	// MaxLosses is the number of endpoints that may end under a task, after which it may be started
 	// MoreStarts times more, whatever comes of that. Then it is given up.
-	Most       int
-	MoreStarts int
+	MaxLosses      int
+	MaxExtraStarts int
 }
 
-// Usual returns the rules that are used.
+// DefaultRules returns the rules that are used.
 //
 // A task may be given up once two endpoints have crashed under it, and must not be started
 // a third time more once three have: hence Most and MoreStarts. Tasks that crash their
@@ -58,10 +58,10 @@
 // 3,000 times; Enough asks for once in 500. With two suspects for each end and two ends in
 // a day, one sound task in 700 days is lost. Where endpoints end thirty times as often, each
 // 4 s, a second trial must end badly, and one sound task in 3,000 suspects is lost.
-func Usual() Rules {
+func DefaultRules() Rules {
 	return Rules{
-		Prompt: 100 * time.Millisecond, Settled: 800 * time.Millisecond, LeastWatch: 60 * time.Millisecond, MostWatch: time.Second,
-		Jitter: 20 * time.Millisecond, Lag: 150 * time.Millisecond, LikePart: 0.25, LeastRate: 0.0075, Enough: Weight(1.0 / 500), Most: 3, MoreStarts: 2,
+		SuspectAge: 100 * time.Millisecond, MaxCrashAge: 800 * time.Millisecond, MinProbation: 60 * time.Millisecond, MaxProbation: time.Second,
+		Jitter: 20 * time.Millisecond, DetectionLag: 150 * time.Millisecond, AgeTolerance: 0.25, MinLossRate: 0.0075, ProofWeight: Weight(1.0 / 500), MaxLosses: 3, MaxExtraStarts: 2,
 	}
 }
 
@@ -116,7 +116,7 @@
 
 // Add returns a task's record with one more end.
 func (r Rules) Add(known Record, end End) Record {
-	if r.low(end.Least) >= r.Settled {
+	if r.low(end.Least) >= r.MaxCrashAge {
 		return Record{}
 	}
 	known.Weight += r.weigh(known, end)
@@ -140,58 +140,58 @@
 
 // low and high return between what the ages are that are like one as measured.
 func (r Rules) low(age time.Duration) time.Duration {
-	return max(0, age-time.Duration(r.LikePart*float64(age))-r.Lag)
+	return max(0, age-time.Duration(r.AgeTolerance*float64(age))-r.DetectionLag)
 }
 
 func (r Rules) high(age time.Duration) time.Duration {
-	return age + time.Duration(r.LikePart*float64(age)) + r.Jitter
+	return age + time.Duration(r.AgeTolerance*float64(age)) + r.Jitter
 }
 
 // weigh returns the weight of an end as evidence against a task: how unlikely it is that an
 // endpoint ends by itself in the task's trial, and there at the same age as before.
 func (r Rules) weigh(known Record, end End) int {
-	watch := r.Watch(known)
-	if !r.Suspects(known) || !end.Trial || !end.Sure || end.Explained || end.Age > watch {
+	watch := r.ProbationTime(known)
+	if !r.IsSuspect(known) || !end.Trial || !end.Sure || end.Explained || end.Age > watch {
 		return 0
 	}
 	like := min(watch, known.High) - known.Low
 	if end.Age < known.Low || end.Age > known.High {
 		like = watch
 	}
-	return Weight(max(end.Rate, r.LeastRate) * like.Seconds())
+	return Weight(max(end.Rate, r.MinLossRate) * like.Seconds())
 }
 
 // Blames says whether the end of an endpoint is a task's doing, by what was known before.
 func (r Rules) Blames(before Record, end End) bool {
-	return r.weigh(before, end) >= r.Enough
+	return r.weigh(before, end) >= r.ProofWeight
 }
 
-// Suspects says whether a task must be started on trial.
-func (r Rules) Suspects(known Record) bool {
-	return known.Like > 1 || known.Like == 1 && known.High <= r.Young()
+// IsSuspect says whether a task must be started on trial.
+func (r Rules) IsSuspect(known Record) bool {
+	return known.Like > 1 || known.Like == 1 && known.High <= r.MeasuredSuspectAge()
 }
 
-// Young returns the age up to which a task may be a suspect the first time, as measured.
-func (r Rules) Young() time.Duration {
-	return r.high(r.Prompt)
+// MeasuredSuspectAge returns the age up to which a task may be a suspect the first time, as measured.
+func (r Rules) MeasuredSuspectAge() time.Duration {
+	return r.high(r.SuspectAge)
 }
 
-// Watch returns how long a task on trial must be under way until it has outlived that.
-func (r Rules) Watch(known Record) time.Duration {
-	return min(max(known.High, r.LeastWatch), r.MostWatch)
+// ProbationTime returns how long a task on trial must be under way until it has outlived that.
+func (r Rules) ProbationTime(known Record) time.Duration {
+	return min(max(known.High, r.MinProbation), r.MaxProbation)
 }
 
-// Counts says whether the starts of a task are counted.
-func (r Rules) Counts(known Record) bool {
-	return known.Count >= r.Most
+// CountsStarts says whether the starts of a task are counted.
+func (r Rules) CountsStarts(known Record) bool {
+	return known.Count >= r.MaxLosses
 }
 
-// Spent says whether a task must not be started any more, whatever ended its endpoints.
-func (r Rules) Spent(known Record) bool {
-	return r.Counts(known) && known.Starts >= r.MoreStarts
+// StartsExhausted says whether a task must not be started any more, whatever ended its endpoints.
+func (r Rules) StartsExhausted(known Record) bool {
+	return r.CountsStarts(known) && known.Starts >= r.MaxExtraStarts
 }
 
-// Convicted says whether its trials are evidence enough against a task.
-func (r Rules) Convicted(known Record) bool {
-	return known.Sure > 1 && known.Weight >= r.Enough
+// IsCrasher says whether its trials are evidence enough against a task.
+func (r Rules) IsCrasher(known Record) bool {
+	return known.Sure > 1 && known.Weight >= r.ProofWeight
 }
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -12,7 +12,7 @@
 
 // TestBlame leads a task through ends of endpoints under it.
 func TestBlame(t *testing.T) {
-	rules := crash.Usual()
+	rules := crash.DefaultRules()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var known crash.Record
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -36,7 +36,7 @@
 				}
 				known = rules.Add(known, end)
 			case "start":
-				if rules.Counts(known) {
+				if rules.CountsStarts(known) {
 					known = known.WithStarts(1)
 				}
 			default:
@@ -51,10 +51,10 @@
 // next says how a task is started next.
 func next(rules crash.Rules, known crash.Record) string {
 	switch {
-	case rules.Convicted(known), rules.Spent(known):
+	case rules.IsCrasher(known), rules.StartsExhausted(known):
 		return "never again"
-	case rules.Suspects(known):
-		return fmt.Sprintf("on trial for %v", rules.Watch(known))
+	case rules.IsSuspect(known):
+		return fmt.Sprintf("on trial for %v", rules.ProbationTime(known))
 	}
 	return "as any other"
 }
