--- a/pkg/cell/copies.go
+++ b/pkg/cell/copies.go
@@ -10,7 +10,7 @@
 // start.
 func (c *Cell) copyRuns(e *endpoint) {
 	for _, r := range e.sortedRuns() {
-		if r.task.phase.spec.Copies && !r.stopping && len(r.task.runs) < mostCopies && r.task.crashes.Count == 0 {
+		if r.task.phase.spec.Copies && !r.stopping && len(r.task.runs) < mostCopies && r.task.crashes.Losses == 0 {
 			r.task.avoid = e.info.Life
 			c.makeReady(r.task)
 		}
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -50,9 +50,9 @@
 
 func (c *Cell) explainTask(t *task) string {
 	line := fmt.Sprintf("task %s: %d attempts, %d failed", t.id(), t.attempt, t.failed)
-	if t.crashes.Count > 0 {
+	if t.crashes.Losses > 0 {
 		line += fmt.Sprintf("; %d endpoints ended under it, the last %d between %d and %d ms after its start",
-			t.crashes.Count, t.crashes.Like, t.crashes.Low.Milliseconds(), t.crashes.High.Milliseconds())
+			t.crashes.Losses, t.crashes.SimilarLosses, t.crashes.MinAge.Milliseconds(), t.crashes.MaxAge.Milliseconds())
 	}
 	for _, r := range t.runs {
 		line += fmt.Sprintf("; attempt %d on %s is %s", r.attempt, r.at.info.Life, runStateNames[r.state])
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -119,7 +119,7 @@
 	runs  []*run
 	// crashes tells of the endpoints that have ended under it, and suspected that it stands
 	// among the cell's suspects.
-	crashes   crash.Record
+	crashes   crash.History
 	suspected bool
 	// triedFrom is since when it waits for a trial, if it is a suspect.
 	triedFrom time.Time
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -119,7 +119,7 @@
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
-		t.id(), t.crashes.Count, last.with, last.end.Age.Milliseconds()))
+		t.id(), t.crashes.Losses, last.with, last.end.Age.Milliseconds()))
 	return true
 }
 
@@ -128,7 +128,7 @@
 	if !c.options.Blame.StartsExhausted(t.crashes) {
 		return false
 	}
-	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Count, t.id(), t.crashes.Starts))
+	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Losses, t.id(), t.crashes.ExtraStarts))
 	return true
 }
 
@@ -163,7 +163,7 @@
 // back where its endpoint has certainly not begun it.
 func (c *Cell) countStarts(t *task, more int) {
 	if c.options.Blame.CountsStarts(t.crashes) {
-		t.crashes = t.crashes.WithStarts(more)
+		t.crashes = t.crashes.WithExtraStarts(more)
 	}
 }
 
@@ -232,9 +232,9 @@
 func (c *Cell) noteRunLost(r *run, lost lostRun) {
 	end := lost.end
 	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Count <= 1,
+		What: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Losses <= 1,
 		Why: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
-			end.Least.Milliseconds(), end.Age.Milliseconds(), end.Sure, end.Explained, end.Trial, end.Rate, r.attempt, r.task.crashes.Count, r.task.crashes.Weight, r.task.crashes.Starts),
+			end.Least.Milliseconds(), end.Age.Milliseconds(), end.Sure, end.Explained, end.Trial, end.Rate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
 }
 
@@ -247,8 +247,8 @@
 // writeCrashes adds what is known of a task's crashes to its job's record, whose next row is
 // the task's.
 func writeCrashes(t *task, record *wire.JobRecord) {
-	if t.crashes.Count > 0 && !t.done {
-		record.Crashed = append(record.Crashed, []int{len(record.Tasks), t.crashes.Count, t.crashes.Sure, t.crashes.Like, int(t.crashes.Low.Milliseconds()), int(t.crashes.High.Milliseconds()), t.crashes.Weight, t.crashes.Starts})
+	if t.crashes.Losses > 0 && !t.done {
+		record.Crashed = append(record.Crashed, []int{len(record.Tasks), t.crashes.Losses, t.crashes.CertainLosses, t.crashes.SimilarLosses, int(t.crashes.MinAge.Milliseconds()), int(t.crashes.MaxAge.Milliseconds()), t.crashes.Weight, t.crashes.ExtraStarts})
 	}
 }
 
@@ -259,9 +259,9 @@
 			return fmt.Errorf("job %s has a crashed task %v", j.id, row)
 		}
 		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
-			t.crashes = crash.Record{
-				Count: row[1], Sure: row[2], Like: row[3], Low: time.Duration(row[4]) * time.Millisecond, High: time.Duration(row[5]) * time.Millisecond,
-				Weight: row[6], Starts: row[7],
+			t.crashes = crash.History{
+				Losses: row[1], CertainLosses: row[2], SimilarLosses: row[3], MinAge: time.Duration(row[4]) * time.Millisecond, MaxAge: time.Duration(row[5]) * time.Millisecond,
+				Weight: row[6], ExtraStarts: row[7],
 			}
 			t.givenUp = c.options.Blame.IsCrasher(t.crashes)
 			c.suspect(t)
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -207,7 +207,7 @@
 			continue
 		}
 		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.since) >= outlivedTime {
-			t.crashes, t.suspected = crash.Record{}, false
+			t.crashes, t.suspected = crash.History{}, false
 			c.touch(t.phase.job())
 		}
 	}
--- a/pkg/crash/crash.go
+++ b/pkg/crash/crash.go
@@ -73,27 +73,27 @@
 	return int(math.Round(-weightPerTen * math.Log10(min(1, chance))))
 }
 
-// Record is what is known of a task.
-type Record struct {
-	// Count is the number of endpoints that have ended under it.
-	Count int
-	// Sure is the number of those where it certainly ran: the order to start it may have been
+// History is what is known of a task.
+type History struct {
+	// Losses is the number of endpoints that have ended under it.
+	Losses int
+	// CertainLosses is the number of those where it certainly ran: the order to start it may have been
 	// lost, or the answer that it had ended.
-	Sure int
-	// Like is the number of the last ones in a row at which it may have been under way for
+	CertainLosses int
+	// SimilarLosses is the number of the last ones in a row at which it may have been under way for
 	// the same time, which is between Low and High then.
-	Like int
-	Low  time.Duration
-	High time.Duration
+	SimilarLosses int
+	MinAge        time.Duration
+	MaxAge        time.Duration
 	// Weight is that of the evidence of its trials.
 	Weight int
-	// Starts counts how often it was started since Most endpoints have ended under it.
-	Starts int
+	// ExtraStarts counts how often it was started since Most endpoints have ended under it.
+	ExtraStarts int
 }
 
-// WithStarts returns the record with so many starts more.
-func (r Record) WithStarts(more int) Record {
-	r.Starts += more
+// WithExtraStarts returns the record with so many starts more.
+func (r History) WithExtraStarts(more int) History {
+	r.ExtraStarts += more
 	return r
 }
 
@@ -115,25 +115,25 @@
 }
 
 // Add returns a task's record with one more end.
-func (r Rules) Add(known Record, end End) Record {
+func (r Rules) Add(known History, end End) History {
 	if r.low(end.Least) >= r.MaxCrashAge {
-		return Record{}
+		return History{}
 	}
 	known.Weight += r.weigh(known, end)
-	known.Count++
+	known.Losses++
 	if end.Sure {
-		known.Sure++
+		known.CertainLosses++
 	}
 	low, high := r.low(end.Least), r.high(end.Age)
 	switch {
-	case known.Like > 0 && high < known.Low:
+	case known.SimilarLosses > 0 && high < known.MinAge:
 		// It has ended before it could tell.
-	case known.Like > 0 && low <= known.High:
-		known.Like, known.Low, known.High = known.Like+1, max(known.Low, low), min(known.High, high)
+	case known.SimilarLosses > 0 && low <= known.MaxAge:
+		known.SimilarLosses, known.MinAge, known.MaxAge = known.SimilarLosses+1, max(known.MinAge, low), min(known.MaxAge, high)
 	case !end.Explained:
 		// No task becomes a suspect for an end that is explained: when a rack goes dark,
 		// hundreds would wait for their trials.
-		known.Like, known.Low, known.High = 1, low, high
+		known.SimilarLosses, known.MinAge, known.MaxAge = 1, low, high
 	}
 	return known
 }
@@ -149,26 +149,26 @@
 
 // weigh returns the weight of an end as evidence against a task: how unlikely it is that an
 // endpoint ends by itself in the task's trial, and there at the same age as before.
-func (r Rules) weigh(known Record, end End) int {
+func (r Rules) weigh(known History, end End) int {
 	watch := r.ProbationTime(known)
 	if !r.IsSuspect(known) || !end.Trial || !end.Sure || end.Explained || end.Age > watch {
 		return 0
 	}
-	like := min(watch, known.High) - known.Low
-	if end.Age < known.Low || end.Age > known.High {
+	like := min(watch, known.MaxAge) - known.MinAge
+	if end.Age < known.MinAge || end.Age > known.MaxAge {
 		like = watch
 	}
 	return Weight(max(end.Rate, r.MinLossRate) * like.Seconds())
 }
 
 // Blames says whether the end of an endpoint is a task's doing, by what was known before.
-func (r Rules) Blames(before Record, end End) bool {
+func (r Rules) Blames(before History, end End) bool {
 	return r.weigh(before, end) >= r.ProofWeight
 }
 
 // IsSuspect says whether a task must be started on trial.
-func (r Rules) IsSuspect(known Record) bool {
-	return known.Like > 1 || known.Like == 1 && known.High <= r.MeasuredSuspectAge()
+func (r Rules) IsSuspect(known History) bool {
+	return known.SimilarLosses > 1 || known.SimilarLosses == 1 && known.MaxAge <= r.MeasuredSuspectAge()
 }
 
 // MeasuredSuspectAge returns the age up to which a task may be a suspect the first time, as measured.
@@ -177,21 +177,21 @@
 }
 
 // ProbationTime returns how long a task on trial must be under way until it has outlived that.
-func (r Rules) ProbationTime(known Record) time.Duration {
-	return min(max(known.High, r.MinProbation), r.MaxProbation)
+func (r Rules) ProbationTime(known History) time.Duration {
+	return min(max(known.MaxAge, r.MinProbation), r.MaxProbation)
 }
 
 // CountsStarts says whether the starts of a task are counted.
-func (r Rules) CountsStarts(known Record) bool {
-	return known.Count >= r.MaxLosses
+func (r Rules) CountsStarts(known History) bool {
+	return known.Losses >= r.MaxLosses
 }
 
 // StartsExhausted says whether a task must not be started any more, whatever ended its endpoints.
-func (r Rules) StartsExhausted(known Record) bool {
-	return r.CountsStarts(known) && known.Starts >= r.MaxExtraStarts
+func (r Rules) StartsExhausted(known History) bool {
+	return r.CountsStarts(known) && known.ExtraStarts >= r.MaxExtraStarts
 }
 
 // IsCrasher says whether its trials are evidence enough against a task.
-func (r Rules) IsCrasher(known Record) bool {
-	return known.Sure > 1 && known.Weight >= r.ProofWeight
+func (r Rules) IsCrasher(known History) bool {
+	return known.CertainLosses > 1 && known.Weight >= r.ProofWeight
 }
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -14,12 +14,12 @@
 func TestBlame(t *testing.T) {
 	rules := crash.DefaultRules()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var known crash.Record
+		var known crash.History
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			verdict := ""
 			switch d.Cmd {
 			case "fresh":
-				known = crash.Record{}
+				known = crash.History{}
 			case "end":
 				end := crash.End{Sure: d.HasArg("sure"), Explained: d.HasArg("explained"), Trial: d.HasArg("trial")}
 				var ms int
@@ -37,19 +37,19 @@
 				known = rules.Add(known, end)
 			case "start":
 				if rules.CountsStarts(known) {
-					known = known.WithStarts(1)
+					known = known.WithExtraStarts(1)
 				}
 			default:
 				d.Fatalf(t, "unknown command")
 			}
 			return fmt.Sprintf("%d ended, %d surely under it, %d alike at %v to %v, weight %d; %s%s\n",
-				known.Count, known.Sure, known.Like, known.Low, known.High, known.Weight, next(rules, known), verdict)
+				known.Losses, known.CertainLosses, known.SimilarLosses, known.MinAge, known.MaxAge, known.Weight, next(rules, known), verdict)
 		})
 	})
 }
 
 // next says how a task is started next.
-func next(rules crash.Rules, known crash.Record) string {
+func next(rules crash.Rules, known crash.History) string {
 	switch {
 	case rules.IsCrasher(known), rules.StartsExhausted(known):
 		return "never again"
