--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -52,7 +52,7 @@
 // lostRun is how a run went: with which life, and how that ended.
 type lostRun struct {
 	with damsonwinch.Life
-	end  crash.End
+	end  crash.Loss
 }
 
 // loseRun takes away a run that has gone with its endpoint.
@@ -85,17 +85,17 @@
 }
 
 // endOf describes the end of a run's endpoint.
-func (c *Cell) endOf(r *run) crash.End {
+func (c *Cell) endOf(r *run) crash.Loss {
 	endedAt := r.at.endedAt(c.now)
-	end := crash.End{Age: r.age(endedAt), Least: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Trial: r.at.trial == r, Rate: c.chance.rate(c.now)}
+	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Probation: r.at.trial == r, LossRate: c.chance.rate(c.now)}
 	if r.at.silent && r.at.broke {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
 		// nothing else had begun, the weight of the end says how surely.
-		end.Least, end.Sure = end.Age, r.state == runConfirmed || end.Trial
+		end.MinAge, end.Certain = end.MaxAge, r.state == runConfirmed || end.Probation
 	}
 	if r.adopted {
-		end.Age = max(end.Age, c.options.Blame.MaxCrashAge)
+		end.MaxAge = max(end.MaxAge, c.options.Blame.MaxCrashAge)
 	}
 	return end
 }
@@ -119,7 +119,7 @@
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
-		t.id(), t.crashes.Losses, last.with, last.end.Age.Milliseconds()))
+		t.id(), t.crashes.Losses, last.with, last.end.MaxAge.Milliseconds()))
 	return true
 }
 
@@ -171,7 +171,7 @@
 // there: it may have ended before that, and because of them.
 func (c *Cell) blameLapsed(e *endpoint) {
 	for _, l := range e.lapses {
-		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.End{Least: l.outlived, Age: c.options.Blame.MaxCrashAge})
+		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.Loss{MinAge: l.outlived, MaxAge: c.options.Blame.MaxCrashAge})
 		c.suspect(l.task)
 	}
 }
@@ -234,7 +234,7 @@
 	c.effects.Notes = append(c.effects.Notes, Note{
 		What: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Losses <= 1,
 		Why: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
-			end.Least.Milliseconds(), end.Age.Milliseconds(), end.Sure, end.Explained, end.Trial, end.Rate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
+			end.MinAge.Milliseconds(), end.MaxAge.Milliseconds(), end.Certain, end.Explained, end.Probation, end.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
 }
 
--- a/pkg/crash/crash.go
+++ b/pkg/crash/crash.go
@@ -97,34 +97,34 @@
 	return r
 }
 
-// End is the end of an endpoint under a task.
-type End struct {
-	// Age is how long the task had been under way there, at most, and Least at least: where no
+// Loss is the end of an endpoint under a task.
+type Loss struct {
+	// MaxAge is how long the task had been under way there, at most, and Least at least: where no
 	// connection broke, the endpoint has ended at some time since it was last heard of.
-	Age   time.Duration
-	Least time.Duration
-	// Sure says that the task certainly ran.
-	Sure bool
+	MaxAge time.Duration
+	MinAge time.Duration
+	// Certain says that the task certainly ran.
+	Certain bool
 	// Explained says that something else has probably ended it: others ended with it, a rack
 	// or a zone, say, or another task was on trial there.
 	Explained bool
-	// Trial says that the task was on trial there, and not seen to have outlived it.
-	Trial bool
-	// Rate is how often an endpoint ends by itself, a second, as seen of late.
-	Rate float64
+	// Probation says that the task was on trial there, and not seen to have outlived it.
+	Probation bool
+	// LossRate is how often an endpoint ends by itself, a second, as seen of late.
+	LossRate float64
 }
 
 // Add returns a task's record with one more end.
-func (r Rules) Add(known History, end End) History {
-	if r.low(end.Least) >= r.MaxCrashAge {
+func (r Rules) Add(known History, end Loss) History {
+	if r.low(end.MinAge) >= r.MaxCrashAge {
 		return History{}
 	}
 	known.Weight += r.weigh(known, end)
 	known.Losses++
-	if end.Sure {
+	if end.Certain {
 		known.CertainLosses++
 	}
-	low, high := r.low(end.Least), r.high(end.Age)
+	low, high := r.low(end.MinAge), r.high(end.MaxAge)
 	switch {
 	case known.SimilarLosses > 0 && high < known.MinAge:
 		// It has ended before it could tell.
@@ -149,20 +149,20 @@
 
 // weigh returns the weight of an end as evidence against a task: how unlikely it is that an
 // endpoint ends by itself in the task's trial, and there at the same age as before.
-func (r Rules) weigh(known History, end End) int {
+func (r Rules) weigh(known History, end Loss) int {
 	watch := r.ProbationTime(known)
-	if !r.IsSuspect(known) || !end.Trial || !end.Sure || end.Explained || end.Age > watch {
+	if !r.IsSuspect(known) || !end.Probation || !end.Certain || end.Explained || end.MaxAge > watch {
 		return 0
 	}
 	like := min(watch, known.MaxAge) - known.MinAge
-	if end.Age < known.MinAge || end.Age > known.MaxAge {
+	if end.MaxAge < known.MinAge || end.MaxAge > known.MaxAge {
 		like = watch
 	}
-	return Weight(max(end.Rate, r.MinLossRate) * like.Seconds())
+	return Weight(max(end.LossRate, r.MinLossRate) * like.Seconds())
 }
 
 // Blames says whether the end of an endpoint is a task's doing, by what was known before.
-func (r Rules) Blames(before History, end End) bool {
+func (r Rules) Blames(before History, end Loss) bool {
 	return r.weigh(before, end) >= r.ProofWeight
 }
 
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -21,16 +21,16 @@
 			case "fresh":
 				known = crash.History{}
 			case "end":
-				end := crash.End{Sure: d.HasArg("sure"), Explained: d.HasArg("explained"), Trial: d.HasArg("trial")}
+				end := crash.Loss{Certain: d.HasArg("sure"), Explained: d.HasArg("explained"), Probation: d.HasArg("trial")}
 				var ms int
 				d.ScanArgs(t, "age", &ms)
-				end.Age = time.Duration(ms) * time.Millisecond
-				end.Least = end.Age
+				end.MaxAge = time.Duration(ms) * time.Millisecond
+				end.MinAge = end.MaxAge
 				if d.HasArg("least") {
 					d.ScanArgs(t, "least", &ms)
-					end.Least = time.Duration(ms) * time.Millisecond
+					end.MinAge = time.Duration(ms) * time.Millisecond
 				}
-				d.MaybeScanArgs(t, "rate", &end.Rate)
+				d.MaybeScanArgs(t, "rate", &end.LossRate)
 				if rules.Blames(known, end) {
 					verdict = "; it is to blame"
 				}
