--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -89,8 +89,8 @@
 	}
 	mean := c.statsOf(j.queue).meanWork()
 	return triage.Item{
-		Need: len(p.ready) * p.need().CPU, StartBy: p.startBy() - nowMs,
-		Worth: fixedWorth*mean + (1-fixedWorth)*float64(j.work), Rest: float64(rest),
+		CPU: len(p.ready) * p.need().CPU, StartWithinMs: p.startBy() - nowMs,
+		Value: fixedWorth*mean + (1-fixedWorth)*float64(j.work), RemainingWork: float64(rest),
 	}
 }
 
--- a/pkg/triage/heap.go
+++ b/pkg/triage/heap.go
@@ -17,7 +17,7 @@
 // don't change from one time to the next.
 func (b *byWorth) Less(i, j int) bool {
 	one, other := b.items[b.order[i]], b.items[b.order[j]]
-	if left, right := one.Worth*other.Rest, other.Worth*one.Rest; left != right {
+	if left, right := one.Value*other.RemainingWork, other.Value*one.RemainingWork; left != right {
 		return left < right
 	}
 	return b.order[i] > b.order[j]
--- a/pkg/triage/triage.go
+++ b/pkg/triage/triage.go
@@ -7,15 +7,15 @@
 
 // Item is work that waits: the tasks of one phase of a job that may start.
 type Item struct {
-	// Need is the room that its tasks take, in thousandths of a core.
-	Need int
-	// StartBy is until when they have to start for the job to be in time, in
+	// CPU is the room that its tasks take, in thousandths of a core.
+	CPU int
+	// StartWithinMs is until when they have to start for the job to be in time, in
 	// milliseconds from now.
-	StartBy int
-	// Worth is what the job is worth if it is in time, and Rest what it still takes,
+	StartWithinMs int
+	// Value is what the job is worth if it is in time, and Rest what it still takes,
 	// both in thousandths of a core times milliseconds.
-	Worth float64
-	Rest  float64
+	Value         float64
+	RemainingWork float64
 }
 
 // Room is what the items have.
@@ -45,16 +45,16 @@
 	kept := &byWorth{items: items}
 	needed := 0
 	for at, item := range items {
-		if item.Need == 0 {
+		if item.CPU == 0 {
 			continue
 		}
-		needed += item.Need
+		needed += item.CPU
 		heap.Push(kept, at)
-		for float64(needed) > room.by(item.StartBy) && kept.Len() > 0 {
+		for float64(needed) > room.by(item.StartWithinMs) && kept.Len() > 0 {
 			worst := kept.order[0]
 			heap.Pop(kept)
 			put[worst] = true
-			needed -= items[worst].Need
+			needed -= items[worst].CPU
 		}
 	}
 	return put
--- a/pkg/triage/triage_test.go
+++ b/pkg/triage/triage_test.go
@@ -203,7 +203,7 @@
 	items := make([]triage.Item, len(jobs))
 	for number, j := range jobs {
 		items[number] = triage.Item{
-			Need: len(j.phases[0]) * taskCPU, StartBy: j.startBy() - at, Worth: j.worth(meanTasks), Rest: float64(j.rest()),
+			CPU: len(j.phases[0]) * taskCPU, StartWithinMs: j.startBy() - at, Value: j.worth(meanTasks), RemainingWork: float64(j.rest()),
 		}
 	}
 	put := make([]bool, len(jobs))
@@ -249,13 +249,13 @@
 
 // TestNothingIsPutOffWhileThereIsRoom for all.
 func TestNothingIsPutOffWhileThereIsRoom(t *testing.T) {
-	items := []triage.Item{{Need: 900, StartBy: 0, Worth: 1, Rest: 1}, {Need: 900, StartBy: 500, Worth: 1, Rest: 9}}
+	items := []triage.Item{{CPU: 900, StartWithinMs: 0, Value: 1, RemainingWork: 1}, {CPU: 900, StartWithinMs: 500, Value: 1, RemainingWork: 9}}
 	assert.DeepEqual(t, triage.Defer(items, triage.Room{Free: 1800}), []bool{false, false})
 }
 
 // TestWhatIsNearlyDoneGoesOn before what has just come, though it is worth no more.
 func TestWhatIsNearlyDoneGoesOn(t *testing.T) {
-	items := []triage.Item{{Need: 900, StartBy: 0, Worth: 6, Rest: 6}, {Need: 900, StartBy: 0, Worth: 6, Rest: 1}}
+	items := []triage.Item{{CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 6}, {CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 1}}
 	assert.DeepEqual(t, triage.Defer(items, triage.Room{Free: 900}), []bool{true, false})
 }
 
@@ -263,7 +263,7 @@
 func TestNoOrderOfItemsIsAskedTwice(t *testing.T) {
 	items := make([]triage.Item, 50)
 	for at := range items {
-		items[at] = triage.Item{Need: 900, StartBy: 100, Worth: 6, Rest: 6}
+		items[at] = triage.Item{CPU: 900, StartWithinMs: 100, Value: 6, RemainingWork: 6}
 	}
 	room := triage.Room{Free: 9000, PerMs: 9}
 	first := triage.Defer(items, room)
@@ -277,7 +277,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	items := make([]triage.Item, 1000)
 	for at := range items {
-		items[at] = triage.Item{Need: 5400, StartBy: at, Worth: 6, Rest: 1 + 20*random.Float64()}
+		items[at] = triage.Item{CPU: 5400, StartWithinMs: at, Value: 6, RemainingWork: 1 + 20*random.Float64()}
 	}
 	for b.Loop() {
 		triage.Defer(items, triage.Room{Free: 9000, PerMs: 300})
