--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -20,7 +20,7 @@
 	nowMs := int(c.now.UnixMilli())
 	waiting, needed := c.waitingInTime(nowMs)
 	room := c.room()
-	if needed <= room.Free {
+	if needed <= room.FreeCPU {
 		return
 	}
 	slices.SortStableFunc(waiting, func(a, b *phase) int { return a.startBy() - b.startBy() })
@@ -46,7 +46,7 @@
 }
 
 // room returns what the cell's endpoints have free and how fast their tasks end.
-func (c *Cell) room() triage.Room {
+func (c *Cell) room() triage.Capacity {
 	free, turning := 0, 0
 	for _, e := range c.ranked {
 		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
@@ -59,7 +59,7 @@
 	if taskMs == 0 {
 		taskMs = int(usualTask.Milliseconds())
 	}
-	return triage.Room{Free: free, PerMs: float64(turning) / float64(taskMs)}
+	return triage.Capacity{FreeCPU: free, FreedCPUPerMs: float64(turning) / float64(taskMs)}
 }
 
 // usualTask is the time of a task while none has ended yet.
--- a/pkg/triage/triage.go
+++ b/pkg/triage/triage.go
@@ -18,12 +18,12 @@
 	RemainingWork float64
 }
 
-// Room is what the items have.
-type Room struct {
-	// Free is what is free now, in thousandths of a core, and PerMs what becomes free
+// Capacity is what the items have.
+type Capacity struct {
+	// FreeCPU is what is free now, in thousandths of a core, and PerMs what becomes free
 	// in each millisecond because tasks end.
-	Free  int
-	PerMs float64
+	FreeCPU       int
+	FreedCPUPerMs float64
 }
 
 // waitShare is the part of the time that an item can wait in which room for it is
@@ -40,7 +40,7 @@
 // all be started soon enough, the one that is worth least for what it still takes is put
 // off: Moore's rule for the fewest late jobs, weighed by their worth. What is nearly done
 // takes little any more and goes on.
-func Defer(items []Item, room Room) []bool {
+func Defer(items []Item, room Capacity) []bool {
 	put := make([]bool, len(items))
 	kept := &byWorth{items: items}
 	needed := 0
@@ -61,6 +61,6 @@
 }
 
 // by returns the room that is counted on for items that have to start by a time.
-func (r Room) by(startBy int) float64 {
-	return float64(r.Free) + waitShare*r.PerMs*float64(max(0, startBy))
+func (r Capacity) by(startBy int) float64 {
+	return float64(r.FreeCPU) + waitShare*r.FreedCPUPerMs*float64(max(0, startBy))
 }
--- a/pkg/triage/triage_test.go
+++ b/pkg/triage/triage_test.go
@@ -208,7 +208,7 @@
 	}
 	put := make([]bool, len(jobs))
 	if putOff {
-		put = triage.Defer(items, triage.Room{Free: free, PerMs: float64(room) / taskMs})
+		put = triage.Defer(items, triage.Capacity{FreeCPU: free, FreedCPUPerMs: float64(room) / taskMs})
 	}
 	for number, j := range jobs {
 		if put[number] {
@@ -250,13 +250,13 @@
 // TestNothingIsPutOffWhileThereIsRoom for all.
 func TestNothingIsPutOffWhileThereIsRoom(t *testing.T) {
 	items := []triage.Item{{CPU: 900, StartWithinMs: 0, Value: 1, RemainingWork: 1}, {CPU: 900, StartWithinMs: 500, Value: 1, RemainingWork: 9}}
-	assert.DeepEqual(t, triage.Defer(items, triage.Room{Free: 1800}), []bool{false, false})
+	assert.DeepEqual(t, triage.Defer(items, triage.Capacity{FreeCPU: 1800}), []bool{false, false})
 }
 
 // TestWhatIsNearlyDoneGoesOn before what has just come, though it is worth no more.
 func TestWhatIsNearlyDoneGoesOn(t *testing.T) {
 	items := []triage.Item{{CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 6}, {CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 1}}
-	assert.DeepEqual(t, triage.Defer(items, triage.Room{Free: 900}), []bool{true, false})
+	assert.DeepEqual(t, triage.Defer(items, triage.Capacity{FreeCPU: 900}), []bool{true, false})
 }
 
 // TestNoOrderOfItemsIsAskedTwice in a way that changes: the same items are put off again.
@@ -265,7 +265,7 @@
 	for at := range items {
 		items[at] = triage.Item{CPU: 900, StartWithinMs: 100, Value: 6, RemainingWork: 6}
 	}
-	room := triage.Room{Free: 9000, PerMs: 9}
+	room := triage.Capacity{FreeCPU: 9000, FreedCPUPerMs: 9}
 	first := triage.Defer(items, room)
 	for range 10 {
 		assert.DeepEqual(t, triage.Defer(items, room), first)
@@ -280,6 +280,6 @@
 		items[at] = triage.Item{CPU: 5400, StartWithinMs: at, Value: 6, RemainingWork: 1 + 20*random.Float64()}
 	}
 	for b.Loop() {
-		triage.Defer(items, triage.Room{Free: 9000, PerMs: 300})
+		triage.Defer(items, triage.Capacity{FreeCPU: 9000, FreedCPUPerMs: 300})
 	}
 }
