--- a/pkg/eject/eject.go
+++ b/pkg/eject/eject.go
@@ -21,8 +21,8 @@
 	forgetAfter = 2 * time.Minute
 )
 
-// Book remembers failures of boxes and of requests.
-type Book struct {
+// Tracker remembers failures of boxes and of requests.
+type Tracker struct {
 	boxes    map[string]*record
 	requests map[string]*trial
 }
@@ -44,19 +44,19 @@
 }
 
 // New returns an empty book.
-func New() *Book {
-	return &Book{boxes: map[string]*record{}, requests: map[string]*trial{}}
+func New() *Tracker {
+	return &Tracker{boxes: map[string]*record{}, requests: map[string]*trial{}}
 }
 
-func (b *Book) box(name string) *record {
+func (b *Tracker) box(name string) *record {
 	if b.boxes[name] == nil {
 		b.boxes[name] = &record{strikes: map[string]bool{}}
 	}
 	return b.boxes[name]
 }
 
-// Failed notes that a request failed on a box.
-func (b *Book) Failed(request, box string, now time.Time) {
+// AddFailure notes that a request failed on a box.
+func (b *Tracker) AddFailure(request, box string, now time.Time) {
 	known := b.requests[request]
 	if known == nil {
 		known = &trial{}
@@ -65,13 +65,13 @@
 	known.failed = append(known.failed, box)
 	known.at = now
 	b.box(box).run++
-	if b.BadRequest(request) {
+	if b.FailsEverywhere(request) {
 		b.excuse(request, known)
 	}
 }
 
 // excuse takes a request's failures off the boxes: it fails everywhere.
-func (b *Book) excuse(request string, known *trial) {
+func (b *Tracker) excuse(request string, known *trial) {
 	for _, name := range known.failed {
 		box := b.box(name)
 		delete(box.strikes, request)
@@ -79,9 +79,9 @@
 	}
 }
 
-// Answered notes that a request was answered by a box. Where it failed before,
+// AddSuccess notes that a request was answered by a box. Where it failed before,
 // the box was to blame.
-func (b *Book) Answered(request, box string) {
+func (b *Tracker) AddSuccess(request, box string) {
 	passed := b.box(box)
 	passed.run = 0
 	passed.answered++
@@ -102,29 +102,29 @@
 	delete(b.requests, request)
 }
 
-// BadRequest says whether a request has failed on so many boxes that it is to
+// FailsEverywhere says whether a request has failed on so many boxes that it is to
 // blame itself.
-func (b *Book) BadRequest(request string) bool {
+func (b *Tracker) FailsEverywhere(request string) bool {
 	known := b.requests[request]
 	if known == nil {
 		return false
 	}
 	different := map[string]bool{}
 	for _, box := range known.failed {
-		if !b.Ejected(box) {
+		if !b.IsEjected(box) {
 			different[box] = true
 		}
 	}
 	return len(different) >= boxesToBlame
 }
 
-// Done forgets a request that is tried no more.
-func (b *Book) Done(request string) {
+// ForgetRequest forgets a request that is tried no more.
+func (b *Tracker) ForgetRequest(request string) {
 	delete(b.requests, request)
 }
 
-// Suspect says whether a box has failed often enough to be ejected.
-func (b *Book) Suspect(name string) bool {
+// ShouldEject says whether a box has failed often enough to be ejected.
+func (b *Tracker) ShouldEject(name string) bool {
 	box := b.boxes[name]
 	if box == nil || box.ejected {
 		return false
@@ -133,7 +133,7 @@
 }
 
 // Eject takes a box out for a time that doubles with each ejection in a row.
-func (b *Book) Eject(name string, now time.Time) {
+func (b *Tracker) Eject(name string, now time.Time) {
 	box := b.box(name)
 	pause := min(mostEjection, firstEjection<<min(box.times, 10))
 	box.ejected, box.until = true, now.Add(pause)
@@ -142,26 +142,26 @@
 	box.strikes = map[string]bool{}
 }
 
-// Ejected says whether a box is out, waiting or on trial.
-func (b *Book) Ejected(name string) bool {
+// IsEjected says whether a box is out, waiting or on trial.
+func (b *Tracker) IsEjected(name string) bool {
 	box := b.boxes[name]
 	return box != nil && box.ejected
 }
 
-// OnTrial says whether an ejected box may be tried with one repeatable request.
-func (b *Book) OnTrial(name string, now time.Time) bool {
+// MayProbe says whether an ejected box may be tried with one repeatable request.
+func (b *Tracker) MayProbe(name string, now time.Time) bool {
 	box := b.boxes[name]
 	return box != nil && box.ejected && !now.Before(box.until)
 }
 
-// Return takes an ejected box back after it has answered.
-func (b *Book) Return(name string) {
+// Reinstate takes an ejected box back after it has answered.
+func (b *Tracker) Reinstate(name string) {
 	box := b.box(name)
 	box.ejected, box.run, box.answered = false, 0, 0
 }
 
-// Forget drops old failures of requests.
-func (b *Book) Forget(now time.Time) {
+// ForgetOldFailures drops old failures of requests.
+func (b *Tracker) ForgetOldFailures(now time.Time) {
 	for request, known := range b.requests {
 		if now.Sub(known.at) > forgetAfter {
 			delete(b.requests, request)
--- a/pkg/eject/eject_test.go
+++ b/pkg/eject/eject_test.go
@@ -14,12 +14,12 @@
 	book := New()
 	for number := range strikesToEject {
 		request := fmt.Sprint(number)
-		assert.Assert(t, !book.Suspect("bad"))
-		book.Failed(request, "bad", start)
-		book.Answered(request, "good")
+		assert.Assert(t, !book.ShouldEject("bad"))
+		book.AddFailure(request, "bad", start)
+		book.AddSuccess(request, "good")
 	}
-	assert.Assert(t, book.Suspect("bad"))
-	assert.Assert(t, !book.Suspect("good"))
+	assert.Assert(t, book.ShouldEject("bad"))
+	assert.Assert(t, !book.ShouldEject("good"))
 }
 
 func TestARequestThatFailsEverywhereBlamesNoBox(t *testing.T) {
@@ -27,45 +27,45 @@
 	for number := range 20 {
 		request := fmt.Sprint(number)
 		for _, box := range []string{"a", "b", "c"} {
-			book.Failed(request, box, start)
+			book.AddFailure(request, box, start)
 		}
-		assert.Assert(t, book.BadRequest(request))
-		book.Done(request)
+		assert.Assert(t, book.FailsEverywhere(request))
+		book.ForgetRequest(request)
 	}
 	for _, box := range []string{"a", "b", "c"} {
-		assert.Assert(t, !book.Suspect(box), box)
+		assert.Assert(t, !book.ShouldEject(box), box)
 	}
 }
 
 func TestFailuresInARowEjectWithoutRetries(t *testing.T) {
 	book := New()
 	for number := range runToEject {
-		book.Failed(fmt.Sprint(number), "bad", start)
-		book.Answered(fmt.Sprint("other", number), "good")
+		book.AddFailure(fmt.Sprint(number), "bad", start)
+		book.AddSuccess(fmt.Sprint("other", number), "good")
 	}
-	assert.Assert(t, book.Suspect("bad"))
+	assert.Assert(t, book.ShouldEject("bad"))
 }
 
 func TestEjectionsGrowLongerAndEnd(t *testing.T) {
 	book := New()
 	book.Eject("bad", start)
-	assert.Assert(t, !book.OnTrial("bad", start.Add(firstEjection-1)))
-	assert.Assert(t, book.OnTrial("bad", start.Add(firstEjection)))
+	assert.Assert(t, !book.MayProbe("bad", start.Add(firstEjection-1)))
+	assert.Assert(t, book.MayProbe("bad", start.Add(firstEjection)))
 	book.Eject("bad", start)
-	assert.Assert(t, !book.OnTrial("bad", start.Add(firstEjection)))
-	book.Return("bad")
-	assert.Assert(t, !book.Ejected("bad"))
+	assert.Assert(t, !book.MayProbe("bad", start.Add(firstEjection)))
+	book.Reinstate("bad")
+	assert.Assert(t, !book.IsEjected("bad"))
 	for number := range strikesToEject {
-		book.Answered(fmt.Sprint(number), "bad")
+		book.AddSuccess(fmt.Sprint(number), "bad")
 	}
 	book.Eject("bad", start)
-	assert.Assert(t, book.OnTrial("bad", start.Add(firstEjection)))
+	assert.Assert(t, book.MayProbe("bad", start.Add(firstEjection)))
 }
 
 func TestOldFailuresAreForgotten(t *testing.T) {
 	book := New()
-	book.Failed("r", "bad", start)
-	book.Forget(start.Add(forgetAfter + 1))
-	book.Answered("r", "good")
+	book.AddFailure("r", "bad", start)
+	book.ForgetOldFailures(start.Add(forgetAfter + 1))
+	book.AddSuccess("r", "good")
 	assert.Equal(t, len(book.box("bad").strikes), 0)
 }
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -86,9 +86,9 @@
 	if own.Epoch != box.Epoch {
 		own.asked, own.givenUp = time.Time{}, false
 	}
-	if own.Health != wire.HealthUp && box.Health == wire.HealthUp && f.book.Ejected(box.Info.Name) {
+	if own.Health != wire.HealthUp && box.Health == wire.HealthUp && f.book.IsEjected(box.Info.Name) {
 		// It was maintained, or another judged it: begin slowly.
-		f.book.Return(box.Info.Name)
+		f.book.Reinstate(box.Info.Name)
 		f.learner.SlowStart(box.Info.Name)
 	}
 	own.Box = box
@@ -146,8 +146,8 @@
 	if _, leaving := f.avoid[name]; leaving || box.givenUp || box.Phase != fold.Serving {
 		return false
 	}
-	if f.book.Ejected(name) {
-		return repeatable && box.inUse == 0 && f.book.OnTrial(name, f.now()) && box.Health != wire.HealthLeaving && box.Health != wire.HealthGone
+	if f.book.IsEjected(name) {
+		return repeatable && box.inUse == 0 && f.book.MayProbe(name, f.now()) && box.Health != wire.HealthLeaving && box.Health != wire.HealthGone
 	}
 	return box.Health == wire.HealthUp
 }
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -168,7 +168,7 @@
 	}
 	for _, box := range f.inPool(pool) {
 		name := box.Info.Name
-		if f.book.Ejected(name) && f.open(box, true) && item.Size <= box.Info.Slots {
+		if f.book.IsEjected(name) && f.open(box, true) && item.Size <= box.Info.Slots {
 			return name
 		}
 	}
@@ -177,7 +177,7 @@
 
 func (f *Front) anyOnTrial(pool string, now time.Time) bool {
 	for _, box := range f.inPool(pool) {
-		if box.inUse == 0 && f.book.OnTrial(box.Info.Name, now) {
+		if box.inUse == 0 && f.book.MayProbe(box.Info.Name, now) {
 			return true
 		}
 	}
@@ -211,7 +211,7 @@
 		f.learn(done, box, m.report)
 	}
 	if m.report.last {
-		f.book.Done(m.id)
+		f.book.ForgetRequest(m.id)
 	}
 	if box != nil && box.Phase == fold.Draining && box.inUse == 0 {
 		f.endDrains(f.ctx)
@@ -232,16 +232,16 @@
 	case report.kind == send.Broken && !report.failed:
 		// Its caller left or its time was short: that says nothing of the box.
 	case report.failed:
-		if f.book.Ejected(name) {
+		if f.book.IsEjected(name) {
 			f.book.Eject(name, f.now())
 			return
 		}
-		f.book.Failed(done.item.ID, name, f.now())
+		f.book.AddFailure(done.item.ID, name, f.now())
 	default:
 		f.learner.Answered(done.item.Service, name, report.took, box.Info.Slots)
-		f.book.Answered(done.item.ID, name)
-		if f.book.Ejected(name) {
-			f.book.Return(name)
+		f.book.AddSuccess(done.item.ID, name)
+		if f.book.IsEjected(name) {
+			f.book.Reinstate(name)
 			f.learner.SlowStart(name)
 		}
 	}
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -90,7 +90,7 @@
 	queues  map[string]*queue.Queue
 	running map[string]*usage
 	learner *pick.Learner
-	book    *eject.Book
+	book    *eject.Tracker
 	random  *rand.Rand
 	avoid   map[string]time.Time
 	leasing leasing
--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -45,13 +45,13 @@
 	now := f.now()
 	var proposals []wire.Proposal
 	for name, box := range f.boxes {
-		if f.book.Suspect(name) && f.mayEject(box) {
+		if f.book.ShouldEject(name) && f.mayEject(box) {
 			f.book.Eject(name, now)
 			f.deps.Metrics.Add("ejections", 1)
 			f.deps.Logger.WithField("box", name).Warn("box is ejected: requests that failed on it passed elsewhere")
 		}
 		wanted := wire.HealthUp
-		if f.book.Ejected(name) {
+		if f.book.IsEjected(name) {
 			wanted = wire.HealthDown
 		}
 		if !f.mayJudge(box, wanted) || now.Sub(box.asked) < askAgain {
@@ -82,7 +82,7 @@
 	}
 	slots := f.state.Pool(box.Pool).Slots
 	for name, other := range f.boxes {
-		if other.Pool == box.Pool && other.Usable() && f.book.Ejected(name) {
+		if other.Pool == box.Pool && other.Usable() && f.book.IsEjected(name) {
 			slots -= other.Info.Slots
 		}
 	}
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -97,7 +97,7 @@
 		return true
 	}
 	for _, box := range f.boxes {
-		if box.Phase == fold.Draining || box.givenUp || f.book.Ejected(box.Info.Name) {
+		if box.Phase == fold.Draining || box.givenUp || f.book.IsEjected(box.Info.Name) {
 			return true
 		}
 	}
@@ -184,7 +184,7 @@
 		f.judgeBoxes(ctx)
 	}
 	if ticks%tidyEvery == 0 {
-		f.book.Forget(f.now())
+		f.book.ForgetOldFailures(f.now())
 		f.gauges()
 	}
 	f.dispatchAll()
