--- a/pkg/liveness/evidence.go
+++ b/pkg/liveness/evidence.go
@@ -50,13 +50,13 @@
 	still  bool
 }
 
-// AskedAt returns when the newest question was asked.
-func (e Evidence) AskedAt() time.Time {
+// LastRequestAt returns when the newest question was asked.
+func (e Evidence) LastRequestAt() time.Time {
 	return e.askedAt
 }
 
-// WithQuestion returns the evidence after a question.
-func (e Evidence) WithQuestion(now time.Time) Evidence {
+// WithRequest returns the evidence after a question.
+func (e Evidence) WithRequest(now time.Time) Evidence {
 	if now.Sub(e.askedAt) > mostGap {
 		// It has not been watched of late, or this node stood still itself.
 		e = Evidence{}
@@ -69,26 +69,26 @@
 	return e
 }
 
-// WithAnswer returns the evidence after the answer to a question.
-func (e Evidence) WithAnswer(askedAt time.Time) Evidence {
+// WithReply returns the evidence after the answer to a question.
+func (e Evidence) WithReply(askedAt time.Time) Evidence {
 	if e.unansweredSince.After(askedAt) {
 		return e
 	}
 	return Evidence{askedAt: e.askedAt}
 }
 
-// ReadingDue says whether the node's streams are to be read now.
-func (e Evidence) ReadingDue(now time.Time) bool {
+// StreamReadDue says whether the node's streams are to be read now.
+func (e Evidence) StreamReadDue(now time.Time) bool {
 	if e.unanswered == 0 || now.Sub(e.unansweredSince) < readAfter || e.still {
 		return false
 	}
 	return e.readAt.IsZero() || now.Sub(e.readAt) >= e.gap
 }
 
-// WithReading returns the evidence after a reading of the node's streams, which was asked
+// WithStreamRead returns the evidence after a reading of the node's streams, which was asked
 // for at a time, took a while and showed the sum of their ends. Where they have grown, the
 // node is slow and not gone, and its silence counts anew.
-func (e Evidence) WithReading(askedAt time.Time, took time.Duration, ends int) Evidence {
+func (e Evidence) WithStreamRead(askedAt time.Time, took time.Duration, ends int) Evidence {
 	switch {
 	case e.unanswered == 0 || askedAt.Before(e.unansweredSince):
 	case e.readAt.IsZero():
@@ -101,13 +101,13 @@
 	return e
 }
 
-// Grown says whether the newest reading has shown work that the evidence before it didn't.
-func (e Evidence) Grown(before Evidence) bool {
+// ShowsProgressSince says whether the newest reading has shown work that the evidence before it didn't.
+func (e Evidence) ShowsProgressSince(before Evidence) bool {
 	return before.unanswered > 0 && !before.readAt.IsZero() && e.readAt.IsZero()
 }
 
-// Silent says whether the node is to be taken for lost, with a claim of an age.
-func (e Evidence) Silent(now time.Time, claimAge time.Duration) bool {
+// IsLost says whether the node is to be taken for lost, with a claim of an age.
+func (e Evidence) IsLost(now time.Time, claimAge time.Duration) bool {
 	wait := patience
 	if claimAge < youngTime {
 		wait = youngPatience
--- a/pkg/liveness/evidence_test.go
+++ b/pkg/liveness/evidence_test.go
@@ -74,7 +74,7 @@
 func (s *script) watch(length, claimAge time.Duration) string {
 	for passed := time.Duration(0); passed < length; passed += step {
 		s.pass(passed)
-		if !s.still && s.evidence.Silent(s.now, claimAge+passed) {
+		if !s.still && s.evidence.IsLost(s.now, claimAge+passed) {
 			return fmt.Sprintf("lost after %d ms\n", passed.Milliseconds())
 		}
 		s.now = s.now.Add(step)
@@ -94,19 +94,19 @@
 	if s.still {
 		return
 	}
-	if s.now.Sub(s.evidence.AskedAt()) >= askEvery {
+	if s.now.Sub(s.evidence.LastRequestAt()) >= askEvery {
 		s.ask()
 	}
-	if !s.reading && s.evidence.ReadingDue(s.now) {
+	if !s.reading && s.evidence.StreamReadDue(s.now) {
 		s.read()
 	}
 }
 
 func (s *script) ask() {
-	s.evidence = s.evidence.WithQuestion(s.now)
+	s.evidence = s.evidence.WithRequest(s.now)
 	asked := s.now
 	if s.answers > 0 {
-		s.after(s.answers, func() { s.evidence = s.evidence.WithAnswer(asked) })
+		s.after(s.answers, func() { s.evidence = s.evidence.WithReply(asked) })
 	}
 }
 
@@ -117,7 +117,7 @@
 		ends := s.ends
 		s.after(s.store/2, func() {
 			s.reading = false
-			s.evidence = s.evidence.WithReading(asked, s.now.Sub(asked), ends)
+			s.evidence = s.evidence.WithStreamRead(asked, s.now.Sub(asked), ends)
 		})
 	})
 }
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -57,7 +57,7 @@
 func (o *Ownership) silent(node string, incarnation int) bool {
 	known := o.proofOf(node, incarnation)
 	now := o.deps.Clock.Now()
-	return known.replaced || known.evidence.Silent(now, o.claimAge(node, now))
+	return known.replaced || known.evidence.IsLost(now, o.claimAge(node, now))
 }
 
 // claimAge returns how long ago a node made its newest claim, as far as that was seen.
@@ -81,11 +81,11 @@
 	for _, cell := range s.watched {
 		claim := s.claims[cell]
 		known := o.proofOf(claim.Node, claim.Incarnation)
-		if now.Sub(known.evidence.AskedAt()) >= proofEvery {
-			known.evidence = known.evidence.WithQuestion(now)
+		if now.Sub(known.evidence.LastRequestAt()) >= proofEvery {
+			known.evidence = known.evidence.WithRequest(now)
 			o.askProof(claim, now)
 		}
-		if !known.reading && known.evidence.ReadingDue(now) {
+		if !known.reading && known.evidence.StreamReadDue(now) {
 			known.reading = true
 			o.readWork(claim, now)
 		}
@@ -164,8 +164,8 @@
 		return
 	}
 	before := known.evidence
-	known.evidence = before.WithReading(m.askedAt, now.Sub(m.askedAt), m.ends)
-	if known.evidence.Grown(before) && !known.slow {
+	known.evidence = before.WithStreamRead(m.askedAt, now.Sub(m.askedAt), m.ends)
+	if known.evidence.ShowsProgressSince(before) && !known.slow {
 		known.slow = true
 		o.deps.Metrics.Add("owners_slow", 1)
 		o.deps.Logger.WithFields(logrus.Fields{"peer": m.node, "incarnation": m.incarnation, "ends": m.ends}).Info("owner of a cell doesn't answer but works")
@@ -188,7 +188,7 @@
 	default:
 		known.storeless = m.reply.StoreAgeMs >= int(storeTime.Milliseconds())
 		known.noted, known.slow = false, false
-		known.evidence = known.evidence.WithAnswer(m.askedAt)
+		known.evidence = known.evidence.WithReply(m.askedAt)
 	}
 	s.proofs[m.node] = known
 }
