--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -27,7 +27,7 @@
 // simCaps deals a customer's cap between the cell and another one.
 type simCaps struct {
 	world    *world
-	allotter *quota.Allotter
+	allotter *quota.Allocator
 	token    int
 	ledger   map[string]wire.AllottedRecord
 	other    *quota.Allowances
@@ -90,9 +90,9 @@
 // replace has a new allotter take over what the last one has recorded.
 func (s *simCaps) replace() {
 	s.token++
-	s.allotter = quota.NewAllotter()
+	s.allotter = quota.NewAllocator()
 	for customer, record := range s.ledger {
-		s.allotter.Recall(customer, record)
+		s.allotter.Load(customer, record)
 	}
 	s.allotter.Configure(len(s.versions), s.customers(len(s.versions)))
 	s.allotter.SetCells(s.world.now, []string{thisCell, otherCell})
@@ -102,11 +102,11 @@
 func (s *simCaps) round() {
 	w := s.world
 	w.after(capRound, s.round)
-	raised := s.allotter.Deal(w.now)
+	raised := s.allotter.Allocate(w.now)
 	for _, customer := range raised {
 		s.ledger[customer] = s.allotter.Record(customer)
 	}
-	s.allotter.Recorded(raised)
+	s.allotter.MarkRecorded(raised)
 	s.sync(otherCell, func(args wire.SyncArgs, give func(wire.SyncReply)) { give(s.takeOther(args)) })
 	o := w.owner()
 	if o == nil {
@@ -125,9 +125,9 @@
 // sync makes one call, which may be lost or late there or on its way back.
 func (s *simCaps) sync(cell string, call func(args wire.SyncArgs, give func(wire.SyncReply))) {
 	w, allotter, token := s.world, s.allotter, s.token
-	words := allotter.Words(cell)
+	words := allotter.NextUpdate(cell)
 	args := wire.SyncArgs{
-		Cell: cell, Token: token, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: slices.Clone(words.Rows),
+		Cell: cell, Token: token, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: slices.Clone(words.Allowances),
 	}
 	delay := w.between(time.Millisecond, 20*time.Millisecond)
 	if w.chance(0.1) {
@@ -138,7 +138,7 @@
 			if w.chance(0.1) || allotter != s.allotter {
 				return
 			}
-			w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { allotter.Heard(cell, token, reply) })
+			w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { allotter.HandleReply(cell, token, reply) })
 		})
 	})
 }
@@ -146,23 +146,23 @@
 // takeOther takes a call for the other cell, whose work comes and goes.
 func (s *simCaps) takeOther(args wire.SyncArgs) wire.SyncReply {
 	w := s.world
-	if s.other.Take(1, args) {
+	if s.other.ApplyUpdate(1, args) {
 		_, number := s.other.Record()
-		s.other.Recorded(s.other.Allotter(), number)
+		s.other.MarkRecorded(s.other.AllocatorToken(), number)
 	}
 	one := damsonwinch.Resources{CPU: 500}
 	waiting := 0
 	if w.trouble {
 		waiting = w.random.IntN(8)
 	}
-	wanted := map[string]quota.Wanted{cappedCustomer: quota.Wanted{}.With(one, waiting)}
+	wanted := map[string]quota.Demand{cappedCustomer: quota.Demand{}.WithTasks(one, waiting)}
 	for range waiting {
 		if s.other.Allows(cappedCustomer, one) {
-			s.other.Begin(cappedCustomer, one, false)
+			s.other.AddRun(cappedCustomer, one, false)
 			s.otherUsed += one.CPU
 			w.rules.capped(one.CPU)
 			w.after(w.between(50*time.Millisecond, 600*time.Millisecond), func() {
-				s.other.End(cappedCustomer, one, false)
+				s.other.RemoveRun(cappedCustomer, one, false)
 				s.otherUsed -= one.CPU
 			})
 		}
--- a/pkg/crash/crash.go
+++ b/pkg/crash/crash.go
@@ -18,33 +18,33 @@
 
 // Rules are the figures by which blame is laid.
 type Rules struct {
-	// Prompt is the age up to which a task is a suspect the first time that an endpoint ends
+	// SuspectAge is the age up to which a task is a suspect the first time that an endpoint ends
 	// under it. Older ones become suspects when another does at a like age.
-	Prompt time.Duration
-	// Settled is the age from which a task has nothing to do with the end of its endpoint, and
+	SuspectAge time.Duration
+	// MaxCrashAge is the age from which a task has nothing to do with the end of its endpoint, and
 	// has outlived what was held against it.
-	Settled time.Duration
-	// LeastWatch and MostWatch bound how long a trial lasts, usually for as long as the task had
+	MaxCrashAge time.Duration
+	// MinProbation and MostWatch bound how long a trial lasts, usually for as long as the task had
 	// been under way at most.
-	LeastWatch time.Duration
-	MostWatch  time.Duration
+	MinProbation time.Duration
+	MaxProbation time.Duration
 	// Jitter is by how much longer than measured a task may have been under way, and Lag by how
 	// much shorter: a busy owner hears of ends late. Beside that two ages may differ by LikePart
 	// of them to be alike.
-	Jitter   time.Duration
-	Lag      time.Duration
-	LikePart float64
-	// LeastRate is how often an endpoint ends by itself, a second, where fewer do.
-	LeastRate float64
-	// Enough is the weight of evidence with which a task is given up.
-	Enough int
-	// Most is the number of endpoints that may end under a task, after which it may be started
+	Jitter       time.Duration
+	DetectionLag time.Duration
+	AgeTolerance float64
+	// MinLossRate is how often an endpoint ends by itself, a second, where fewer do.
+	MinLossRate float64
+	// ProofWeight is the weight of evidence with which a task is given up.
+	ProofWeight int
+	// MaxLosses is the number of endpoints that may end under a task, after which it may be started
 	// MoreStarts times more, whatever comes of that. Then it is given up.
-	Most       int
-	MoreStarts int
+	MaxLosses      int
+	MaxExtraStarts int
 }
 
-// Usual returns the rules that are used.
+// DefaultRules returns the rules that are used.
 //
 // A task may be given up once two endpoints have crashed under it, and must not be started
 // a third time more once three have: hence Most and MoreStarts. Tasks that crash their
@@ -58,10 +58,10 @@
 // 3,000 times; Enough asks for once in 500. With two suspects for each end and two ends in
 // a day, one sound task in 700 days is lost. Where endpoints end thirty times as often, each
 // 4 s, a second trial must end badly, and one sound task in 3,000 suspects is lost.
-func Usual() Rules {
+func DefaultRules() Rules {
 	return Rules{
-		Prompt: 100 * time.Millisecond, Settled: 800 * time.Millisecond, LeastWatch: 60 * time.Millisecond, MostWatch: time.Second,
-		Jitter: 20 * time.Millisecond, Lag: 150 * time.Millisecond, LikePart: 0.25, LeastRate: 0.0075, Enough: Weight(1.0 / 500), Most: 3, MoreStarts: 2,
+		SuspectAge: 100 * time.Millisecond, MaxCrashAge: 800 * time.Millisecond, MinProbation: 60 * time.Millisecond, MaxProbation: time.Second,
+		Jitter: 20 * time.Millisecond, DetectionLag: 150 * time.Millisecond, AgeTolerance: 0.25, MinLossRate: 0.0075, ProofWeight: Weight(1.0 / 500), MaxLosses: 3, MaxExtraStarts: 2,
 	}
 }
 
@@ -73,125 +73,125 @@
 	return int(math.Round(-weightPerTen * math.Log10(min(1, chance))))
 }
 
-// Record is what is known of a task.
-type Record struct {
-	// Count is the number of endpoints that have ended under it.
-	Count int
-	// Sure is the number of those where it certainly ran: the order to start it may have been
+// History is what is known of a task.
+type History struct {
+	// Losses is the number of endpoints that have ended under it.
+	Losses int
+	// CertainLosses is the number of those where it certainly ran: the order to start it may have been
 	// lost, or the answer that it had ended.
-	Sure int
-	// Like is the number of the last ones in a row at which it may have been under way for
+	CertainLosses int
+	// SimilarLosses is the number of the last ones in a row at which it may have been under way for
 	// the same time, which is between Low and High then.
-	Like int
-	Low  time.Duration
-	High time.Duration
+	SimilarLosses int
+	MinAge        time.Duration
+	MaxAge        time.Duration
 	// Weight is that of the evidence of its trials.
 	Weight int
-	// Starts counts how often it was started since Most endpoints have ended under it.
-	Starts int
+	// ExtraStarts counts how often it was started since Most endpoints have ended under it.
+	ExtraStarts int
 }
 
-// WithStarts returns the record with so many starts more.
-func (r Record) WithStarts(more int) Record {
-	r.Starts += more
+// WithExtraStarts returns the record with so many starts more.
+func (r History) WithExtraStarts(more int) History {
+	r.ExtraStarts += more
 	return r
 }
 
-// End is the end of an endpoint under a task.
-type End struct {
-	// Age is how long the task had been under way there, at most, and Least at least: where no
+// Loss is the end of an endpoint under a task.
+type Loss struct {
+	// MaxAge is how long the task had been under way there, at most, and Least at least: where no
 	// connection broke, the endpoint has ended at some time since it was last heard of.
-	Age   time.Duration
-	Least time.Duration
-	// Sure says that the task certainly ran.
-	Sure bool
+	MaxAge time.Duration
+	MinAge time.Duration
+	// Certain says that the task certainly ran.
+	Certain bool
 	// Explained says that something else has probably ended it: others ended with it, a rack
 	// or a zone, say, or another task was on trial there.
 	Explained bool
-	// Trial says that the task was on trial there, and not seen to have outlived it.
-	Trial bool
-	// Rate is how often an endpoint ends by itself, a second, as seen of late.
-	Rate float64
+	// Probation says that the task was on trial there, and not seen to have outlived it.
+	Probation bool
+	// LossRate is how often an endpoint ends by itself, a second, as seen of late.
+	LossRate float64
 }
 
 // Add returns a task's record with one more end.
-func (r Rules) Add(known Record, end End) Record {
-	if r.low(end.Least) >= r.Settled {
-		return Record{}
+func (r Rules) Add(known History, end Loss) History {
+	if r.low(end.MinAge) >= r.MaxCrashAge {
+		return History{}
 	}
 	known.Weight += r.weigh(known, end)
-	known.Count++
-	if end.Sure {
-		known.Sure++
+	known.Losses++
+	if end.Certain {
+		known.CertainLosses++
 	}
-	low, high := r.low(end.Least), r.high(end.Age)
+	low, high := r.low(end.MinAge), r.high(end.MaxAge)
 	switch {
-	case known.Like > 0 && high < known.Low:
+	case known.SimilarLosses > 0 && high < known.MinAge:
 		// It has ended before it could tell.
-	case known.Like > 0 && low <= known.High:
-		known.Like, known.Low, known.High = known.Like+1, max(known.Low, low), min(known.High, high)
+	case known.SimilarLosses > 0 && low <= known.MaxAge:
+		known.SimilarLosses, known.MinAge, known.MaxAge = known.SimilarLosses+1, max(known.MinAge, low), min(known.MaxAge, high)
 	case !end.Explained:
 		// No task becomes a suspect for an end that is explained: when a rack goes dark,
 		// hundreds would wait for their trials.
-		known.Like, known.Low, known.High = 1, low, high
+		known.SimilarLosses, known.MinAge, known.MaxAge = 1, low, high
 	}
 	return known
 }
 
 // low and high return between what the ages are that are like one as measured.
 func (r Rules) low(age time.Duration) time.Duration {
-	return max(0, age-time.Duration(r.LikePart*float64(age))-r.Lag)
+	return max(0, age-time.Duration(r.AgeTolerance*float64(age))-r.DetectionLag)
 }
 
 func (r Rules) high(age time.Duration) time.Duration {
-	return age + time.Duration(r.LikePart*float64(age)) + r.Jitter
+	return age + time.Duration(r.AgeTolerance*float64(age)) + r.Jitter
 }
 
 // weigh returns the weight of an end as evidence against a task: how unlikely it is that an
 // endpoint ends by itself in the task's trial, and there at the same age as before.
-func (r Rules) weigh(known Record, end End) int {
-	watch := r.Watch(known)
-	if !r.Suspects(known) || !end.Trial || !end.Sure || end.Explained || end.Age > watch {
+func (r Rules) weigh(known History, end Loss) int {
+	watch := r.ProbationTime(known)
+	if !r.IsSuspect(known) || !end.Probation || !end.Certain || end.Explained || end.MaxAge > watch {
 		return 0
 	}
-	like := min(watch, known.High) - known.Low
-	if end.Age < known.Low || end.Age > known.High {
+	like := min(watch, known.MaxAge) - known.MinAge
+	if end.MaxAge < known.MinAge || end.MaxAge > known.MaxAge {
 		like = watch
 	}
-	return Weight(max(end.Rate, r.LeastRate) * like.Seconds())
+	return Weight(max(end.LossRate, r.MinLossRate) * like.Seconds())
 }
 
 // Blames says whether the end of an endpoint is a task's doing, by what was known before.
-func (r Rules) Blames(before Record, end End) bool {
-	return r.weigh(before, end) >= r.Enough
+func (r Rules) Blames(before History, end Loss) bool {
+	return r.weigh(before, end) >= r.ProofWeight
 }
 
-// Suspects says whether a task must be started on trial.
-func (r Rules) Suspects(known Record) bool {
-	return known.Like > 1 || known.Like == 1 && known.High <= r.Young()
+// IsSuspect says whether a task must be started on trial.
+func (r Rules) IsSuspect(known History) bool {
+	return known.SimilarLosses > 1 || known.SimilarLosses == 1 && known.MaxAge <= r.MeasuredSuspectAge()
 }
 
-// Young returns the age up to which a task may be a suspect the first time, as measured.
-func (r Rules) Young() time.Duration {
-	return r.high(r.Prompt)
+// MeasuredSuspectAge returns the age up to which a task may be a suspect the first time, as measured.
+func (r Rules) MeasuredSuspectAge() time.Duration {
+	return r.high(r.SuspectAge)
 }
 
-// Watch returns how long a task on trial must be under way until it has outlived that.
-func (r Rules) Watch(known Record) time.Duration {
-	return min(max(known.High, r.LeastWatch), r.MostWatch)
+// ProbationTime returns how long a task on trial must be under way until it has outlived that.
+func (r Rules) ProbationTime(known History) time.Duration {
+	return min(max(known.MaxAge, r.MinProbation), r.MaxProbation)
 }
 
-// Counts says whether the starts of a task are counted.
-func (r Rules) Counts(known Record) bool {
-	return known.Count >= r.Most
+// CountsStarts says whether the starts of a task are counted.
+func (r Rules) CountsStarts(known History) bool {
+	return known.Losses >= r.MaxLosses
 }
 
-// Spent says whether a task must not be started any more, whatever ended its endpoints.
-func (r Rules) Spent(known Record) bool {
-	return r.Counts(known) && known.Starts >= r.MoreStarts
+// StartsExhausted says whether a task must not be started any more, whatever ended its endpoints.
+func (r Rules) StartsExhausted(known History) bool {
+	return r.CountsStarts(known) && known.ExtraStarts >= r.MaxExtraStarts
 }
 
-// Convicted says whether its trials are evidence enough against a task.
-func (r Rules) Convicted(known Record) bool {
-	return known.Sure > 1 && known.Weight >= r.Enough
+// IsCrasher says whether its trials are evidence enough against a task.
+func (r Rules) IsCrasher(known History) bool {
+	return known.CertainLosses > 1 && known.Weight >= r.ProofWeight
 }
