--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -95,7 +95,7 @@
 // before Load has been called.
 func New(options Options, token int) *Cell {
 	if options.CrashRules == (crash.Rules{}) {
-		options.CrashRules = crash.Usual()
+		options.CrashRules = crash.DefaultRules()
 	}
 	return &Cell{
 		options: options, token: token,
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -178,7 +178,7 @@
 	for _, e := range sent.withdrawals {
 		e.withdraw.recorded = true
 	}
-	c.quota.Recorded(sent.allocatorToken, sent.allowanceNumber)
+	c.quota.MarkRecorded(sent.allocatorToken, sent.allowanceNumber)
 	for _, r := range sent.starts {
 		c.sendStart(r)
 	}
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -133,10 +133,10 @@
 		Cells: cell.Options{
 			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: tokenGrace, MaxStartDelay: startLate, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: commitGap,
 			PollWait: lookWait, IdlePollInterval: idleLook, PollRetryInterval: retryLook, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
-			BoxLeadTime: seconds(bounds.MoveS) + supply.ArrivalTime,
+			BoxLeadTime: seconds(bounds.MoveS) + supply.FirstTaskDelay,
 		},
 		Supply: supply.Options{
-			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), Hold: poolHold, HolderGap: milliseconds(bounds.HolderMs),
+			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
 		TTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
 		Partitions: orUsual(config.Partitions, usualPartitions),
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -112,7 +112,7 @@
 type simAllotter struct {
 	world     *world
 	token     int
-	allotter  *Allotter
+	allotter  *Allocator
 	dead      bool
 	appending bool
 	syncing   map[string]bool
@@ -251,7 +251,7 @@
 	for _, r := range c.runs {
 		o.runs = append(o.runs, r)
 		if !w.sabotage.heirsForget {
-			o.allowances.Begin(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+			o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
 		}
 		if r.ended {
 			// Its endpoint tells that it isn't there.
@@ -331,7 +331,7 @@
 	w := o.cell.world
 	r := &simRun{need: need, token: o.token}
 	o.runs = append(o.runs, r)
-	o.allowances.Begin(simCustomer, damsonwinch.Resources{CPU: need}, false)
+	o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: need}, false)
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		if o.token != o.cell.token {
 			return // Fenced: it is never ordered.
@@ -354,7 +354,7 @@
 func (o *simOwner) drop(r *simRun) {
 	if at := slices.Index(o.runs, r); at >= 0 {
 		o.runs = slices.Delete(o.runs, at, at+1)
-		o.allowances.End(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+		o.allowances.RemoveRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
 	}
 }
 
@@ -381,16 +381,16 @@
 	if w.sabotage.anyOwner {
 		args.CellToken = o.token
 	}
-	if o.allowances.Take(o.token, args) {
+	if o.allowances.ApplyUpdate(o.token, args) {
 		record, number := o.allowances.Record()
-		allotter := o.allowances.Allotter()
+		allotter := o.allowances.AllocatorToken()
 		w.after(w.between(5*time.Millisecond, 60*time.Millisecond), func() {
 			if o.token != o.cell.token {
 				return
 			}
 			o.cell.record = &record
 			o.whenAwake(func() {
-				o.allowances.Recorded(allotter, number)
+				o.allowances.MarkRecorded(allotter, number)
 				give(o.report())
 			})
 		})
@@ -412,9 +412,9 @@
 // report tells how the cell gets on.
 func (o *simOwner) report() wire.SyncReply {
 	reply := wire.SyncReply{Known: true}
-	wanted := map[string]Wanted{}
+	wanted := map[string]Demand{}
 	if waiting := o.cell.demand - len(o.runs); waiting > 0 {
-		wanted[simCustomer] = Wanted{}.With(damsonwinch.Resources{CPU: 5}, waiting).With(damsonwinch.Resources{CPU: o.cell.next}, 1)
+		wanted[simCustomer] = Demand{}.WithTasks(damsonwinch.Resources{CPU: 5}, waiting).WithTasks(damsonwinch.Resources{CPU: o.cell.next}, 1)
 	}
 	o.allowances.Report(o.token, wanted, &reply)
 	return reply
@@ -425,11 +425,11 @@
 		// Its appends are fenced from now on.
 		a.token = -max(a.token, -a.token)
 	}
-	a := &simAllotter{world: w, token: w.nextEpoch(), allotter: NewAllotter(), syncing: map[string]bool{}, cut: map[string]bool{}}
+	a := &simAllotter{world: w, token: w.nextEpoch(), allotter: NewAllocator(), syncing: map[string]bool{}, cut: map[string]bool{}}
 	w.allotters = append(w.allotters, a)
 	w.logf("allotter %d", a.token)
 	for customer, record := range w.ledger {
-		a.allotter.Recall(customer, record)
+		a.allotter.Load(customer, record)
 	}
 	token := a.token
 	newest := w.versions[len(w.versions)-1]
@@ -489,7 +489,7 @@
 	if a.appending {
 		return
 	}
-	raised := a.allotter.Deal(w.now)
+	raised := a.allotter.Allocate(w.now)
 	if w.sabotage.eager {
 		for _, known := range a.allotter.customers {
 			for cell, target := range known.targets {
@@ -503,7 +503,7 @@
 	record := a.allotter.Record(simCustomer)
 	a.appending = true
 	if w.sabotage.tellFirst {
-		a.allotter.Recorded(raised)
+		a.allotter.MarkRecorded(raised)
 	}
 	delay := w.between(5*time.Millisecond, 30*time.Millisecond)
 	if w.chance(0.1) {
@@ -516,7 +516,7 @@
 		}
 		w.ledger[simCustomer] = record
 		a.appending = false
-		a.allotter.Recorded(raised)
+		a.allotter.MarkRecorded(raised)
 		a.tellNews(token)
 	})
 }
@@ -524,7 +524,7 @@
 // tellNews calls the owners that have something to hear.
 func (a *simAllotter) tellNews(token int) {
 	for _, c := range a.world.cells {
-		if !a.syncing[c.name] && a.allotter.HasNews(c.name) {
+		if !a.syncing[c.name] && a.allotter.HasUpdate(c.name) {
 			a.syncing[c.name] = true
 			a.sync(c, token)
 		}
@@ -535,9 +535,9 @@
 // come twice.
 func (a *simAllotter) sync(c *simCell, token int) {
 	w := a.world
-	words := a.allotter.Words(c.name)
+	words := a.allotter.NextUpdate(c.name)
 	args := wire.SyncArgs{
-		Cell: c.name, Token: token, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: slices.Clone(words.Rows),
+		Cell: c.name, Token: token, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: slices.Clone(words.Allowances),
 	}
 	o := c.owners[len(c.owners)-1]
 	if len(c.owners) > 1 && w.chance(0.2) {
@@ -551,7 +551,7 @@
 		done = true
 		a.syncing[c.name] = false
 		if ok {
-			a.allotter.Heard(c.name, token, reply)
+			a.allotter.HandleReply(c.name, token, reply)
 			a.deal(token)
 			a.tellNews(token)
 		}
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -86,8 +86,8 @@
 }
 
 func (s *script) fleet(shards int, input string) {
-	s.layout = shard.New(shards, nil)
-	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	s.layout = shard.NewLayout(shards, nil)
+	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at, line := range strings.Split(input, "\n") {
 		words := strings.Fields(line)
 		count, err := strconv.Atoi(words[1])
@@ -129,11 +129,11 @@
 	}
 	in := number(s.t, d, "shard")
 	for _, b := range s.boxes {
-		if b.Pool == pool && s.layout.OfBox(b.Name) == in {
+		if b.Pool == pool && s.layout.BoxShard(b.Name) == in {
 			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
 		}
 	}
-	s.planner.SetReport(s.now, shard.Cell(pool, in), reply)
+	s.planner.SetReport(s.now, shard.CellName(pool, in), reply)
 }
 
 func (s *script) wave(d *datadriven.TestData) {
@@ -152,7 +152,7 @@
 func (s *script) cells() []string {
 	var names []string
 	for _, pool := range s.pools {
-		names = append(names, s.layout.Cells(pool.Name)...)
+		names = append(names, s.layout.CellNames(pool.Name)...)
 	}
 	return names
 }
@@ -161,7 +161,7 @@
 func (s *script) plan() string {
 	var lines []string
 	for _, order := range s.planner.Plan(s.now) {
-		lines = append(lines, fmt.Sprintf("move %s to %s", order.Box, shard.Cell(order.Pool, order.Shard)))
+		lines = append(lines, fmt.Sprintf("move %s to %s", order.Box, shard.CellName(order.Pool, order.Shard)))
 	}
 	for _, cell := range s.cells() {
 		wishes := s.planner.Wishes(cell)
--- a/pkg/triage/triage.go
+++ b/pkg/triage/triage.go
@@ -7,23 +7,23 @@
 
 // Item is work that waits: the tasks of one phase of a job that may start.
 type Item struct {
-	// Need is the room that its tasks take, in thousandths of a core.
-	Need int
-	// StartBy is until when they have to start for the job to be in time, in
+	// CPU is the room that its tasks take, in thousandths of a core.
+	CPU int
+	// StartWithinMs is until when they have to start for the job to be in time, in
 	// milliseconds from now.
-	StartBy int
-	// Worth is what the job is worth if it is in time, and Rest what it still takes,
+	StartWithinMs int
+	// Value is what the job is worth if it is in time, and Rest what it still takes,
 	// both in thousandths of a core times milliseconds.
-	Worth float64
-	Rest  float64
+	Value         float64
+	RemainingWork float64
 }
 
-// Room is what the items have.
-type Room struct {
-	// Free is what is free now, in thousandths of a core, and PerMs what becomes free
+// Capacity is what the items have.
+type Capacity struct {
+	// FreeCPU is what is free now, in thousandths of a core, and PerMs what becomes free
 	// in each millisecond because tasks end.
-	Free  int
-	PerMs float64
+	FreeCPU       int
+	FreedCPUPerMs float64
 }
 
 // waitShare is the part of the time that an item can wait in which room for it is
@@ -40,27 +40,27 @@
 // all be started soon enough, the one that is worth least for what it still takes is put
 // off: Moore's rule for the fewest late jobs, weighed by their worth. What is nearly done
 // takes little any more and goes on.
-func Defer(items []Item, room Room) []bool {
+func Defer(items []Item, room Capacity) []bool {
 	put := make([]bool, len(items))
 	kept := &byWorth{items: items}
 	needed := 0
 	for at, item := range items {
-		if item.Need == 0 {
+		if item.CPU == 0 {
 			continue
 		}
-		needed += item.Need
+		needed += item.CPU
 		heap.Push(kept, at)
-		for float64(needed) > room.by(item.StartBy) && kept.Len() > 0 {
+		for float64(needed) > room.by(item.StartWithinMs) && kept.Len() > 0 {
 			worst := kept.order[0]
 			heap.Pop(kept)
 			put[worst] = true
-			needed -= items[worst].Need
+			needed -= items[worst].CPU
 		}
 	}
 	return put
 }
 
 // by returns the room that is counted on for items that have to start by a time.
-func (r Room) by(startBy int) float64 {
-	return float64(r.Free) + waitShare*r.PerMs*float64(max(0, startBy))
+func (r Capacity) by(startBy int) float64 {
+	return float64(r.FreeCPU) + waitShare*r.FreedCPUPerMs*float64(max(0, startBy))
 }
