--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -1,12 +1,14 @@
-// Package cell decides for the owner of a cell: which task starts where, what is
-// recorded before it is told, and what a new owner may take for granted. It is
-// pure: events and the time go in, effects come out.
+// Package cell makes the decisions of a cell's owner: which task starts on which endpoint, what is
+// recorded before anyone is told of it, and what a new owner may assume about the work of earlier
+// owners. It does no I/O and reads no clock: each method that takes an event also takes the current
+// time, and TakeEffects returns the calls, appends, replies and log lines that follow.
 //
-// A cell is a pool's endpoints with the jobs of the queues that lead there. Three
-// rules hold all the rest:
-//   - A start is ordered only after its record is in the cell's stream, so that a
-//     later owner knows every run that may exist, and where.
-//   - An end is forgotten by its endpoint only after its record is in the stream.
+// A cell is a part of a pool's endpoints together with the jobs of the queues that are routed
+// there. Everything else depends on three rules:
+//   - A start is sent only after its record is in the cell's stream, so that a later owner knows
+//     every run that may exist, and where.
+//   - An endpoint is told to forget the result of a run only after the record of that result is in
+//     the stream.
 //   - A client is told only what is in the stream.
 package cell
 
@@ -21,78 +23,83 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Cell is the owner's view of one cell.
+// Cell holds the owner's state of one cell. It is not safe for concurrent use.
 type Cell struct {
 	options Options
 	token   int
 	queues  map[string]damsonwinch.Queue
 	jobs    map[string]*job
-	// activeJobs holds the jobs that have not ended, in activeJobs of acceptance.
+	// activeJobs holds the jobs that have not ended, or of which runs may still exist, or whose end
+	// is not recorded yet. They are in order of acceptance.
 	activeJobs []*job
-	// openPhases holds the phases with tasks that may start, the most urgent first.
+	// openPhases holds the phases with tasks that are ready to start, the most urgent first.
 	openPhases []*phase
 	endpoints  map[damsonwinch.Life]*endpoint
-	// sortedEndpoints holds the endpoints in order of their IDs, so that choices do not
-	// depend on the order of a map.
+	// sortedEndpoints holds the endpoints in order of their IDs, so that choices do not depend on
+	// the iteration order of a map.
 	sortedEndpoints []*endpoint
-	// zones holds the endpoints' zones in order of their names.
+	// zones holds the availability zones of the endpoints, sorted by name.
 	zones []*zone
-	// suspects are tasks that are to be started on trial, and trials the endpoints where one
-	// is on trial or is about to be.
+	// suspects holds the tasks that have to be started on probation. probationEndpoints holds the
+	// endpoints where a task is on probation or that are reserved for one.
 	suspects           []*task
 	probationEndpoints []*endpoint
-	// baselineExits tells how often endpoints end by themselves, and trialEnds how often they do in
-	// trials.
+	// baselineExits estimates how often endpoints exit for reasons other than their tasks.
+	// probationExits holds the recent exits of endpoints where a task was on probation.
 	baselineExits  chance
 	probationExits ends
-	// queueExits tells, by queue, of the endpoints that have ended just after something of it had
-	// begun there, and prone holds the queues with many of these.
+	// queueExits holds, by queue, the recent exits of endpoints shortly after a task of that queue
+	// started there. crashProne holds the queues with many of these.
 	queueExits map[string]*ends
 	crashProne map[string]bool
-	// batching says that more events follow before anything is done about them.
+	// batching is set while Batch applies events: finishEvent does nothing until the last of them.
 	batching bool
-	// placementDue says that something has happened since the last choice that may let
-	// tasks start.
+	// placementDue is set when something has happened since the last placement that may allow a
+	// task to start.
 	placementDue bool
-	// pollDue holds the endpoints to see about, unless it is all of them.
+	// pollDue holds the endpoints to check for a due poll. With pollAll set, all endpoints are
+	// checked.
 	pollDue []*endpoint
 	pollAll bool
-	// noCapacityCheck says that the endpoints start whatever they are told.
+	// noCapacityCheck is set when the endpoints start tasks that exceed their capacity.
 	noCapacityCheck bool
-	// step counts events. Looks and answers of different connections overtake
-	// each other; steps tell what was sent before what was known.
+	// step is a logical clock that counts events. Replies on different connections may arrive out
+	// of order; comparing steps shows whether a request was sent before something became known.
 	step int
 	now  time.Time
-	// suspendedFor is for how long this owner's machine has been suspended.
+	// suspendedFor is the total time for which the machine was suspended, as of the last call of
+	// Suspended.
 	suspendedFor time.Duration
-	// resumedAt is when this owner last went on after it had stood still: what it hears for a
-	// moment after that has happened before.
+	// resumedAt is when this owner last continued after a pause. Messages that arrive within
+	// catchUpTime after that tell of things that happened earlier.
 	resumedAt time.Time
-	// lastTickAt is when time was last let pass.
+	// lastTickAt is the time of the last Tick.
 	lastTickAt time.Time
-	// confirmedAt is until when this owner's claim stood for certain.
+	// confirmedAt is the last time at which this owner's claim of the cell is known to have been
+	// valid.
 	confirmedAt time.Time
 	commits     commits
-	// permitCalls counts the calls for permits on their way.
+	// permitCalls is the number of calls for permits in flight.
 	permitCalls int
-	// statsByQueue tells, by queue, how much work comes and how long it takes.
+	// statsByQueue holds, by queue, statistics of how much work arrives and how long it takes.
 	statsByQueue map[string]*queueStats
-	// quota holds what customers may have running here and have, overQuota those of whom something
-	// waits for that, as the last choice found, and inLine those of whom nothing else may begin.
+	// quota holds the customers' allowances in this cell and what they have running here. overQuota
+	// holds the customers with tasks that waited for their allowance at the last placement.
+	// quotaBlocked holds those of them that may start nothing else until such a task has started.
 	quota        *quota.Allowances
 	overQuota    map[string]bool
 	quotaBlocked map[string]bool
-	// overQuotaSince is since when customers wait for their allowances.
+	// overQuotaSince holds, by customer, since when tasks have been waiting for the allowance.
 	overQuotaSince map[string]time.Time
-	// queueStatsDirty says that something was learned since it was last recorded.
+	// queueStatsDirty is set when statsByQueue has changed since it was last recorded.
 	queueStatsDirty      bool
 	queueStatsRecordedAt time.Time
 	effects              Effects
 	stats                Stats
 }
 
-// New returns an empty cell for an owner with a fencing token. It orders nothing
-// before Load has been called.
+// New returns an empty cell for the owner with the given fencing token. Call Load before any other
+// event.
 func New(options Options, token int) *Cell {
 	if options.CrashRules == (crash.Rules{}) {
 		options.CrashRules = crash.DefaultRules()
@@ -113,7 +120,7 @@
 	}
 }
 
-// beginEvent notes an event and the time at which it came.
+// beginEvent sets the current time and advances the logical clock. Every event begins with it.
 func (c *Cell) beginEvent(now time.Time) {
 	if !c.now.IsZero() && now.Sub(c.now) > pauseThreshold {
 		c.resumedAt = now
@@ -123,34 +130,38 @@
 }
 
 const (
-	// pauseThreshold is the time between two events from which an owner has stood still: it ticks
-	// four times a second when nothing happens.
+	// pauseThreshold is the time without an event after which this owner is taken to have been
+	// paused: when nothing else happens, it ticks four times a second.
 	pauseThreshold = 400 * time.Millisecond
-	// catchUpTime is how long it takes to hear of what happened meanwhile.
+	// catchUpTime is how long it takes after a pause to receive the messages that arrived
+	// meanwhile.
 	catchUpTime = 100 * time.Millisecond
 )
 
-// Suspended takes for how long the machine has been suspended since this owner began. The steady
-// clock hasn't counted that: what this owner holds for certain may long be over, and another
-// may own the cell. It gives no order any more. Suspended says whether that is so.
+// Suspended reports the total time for which the machine has been suspended since this owner began.
+// The monotonic clock does not count that time, so leases and claims that look valid may have
+// expired long ago, and another node may own the cell. If the machine was suspended for longer than
+// is negligible since the last call, the owner gives the cell up and sends no more requests, and
+// Suspended returns true.
 func (c *Cell) Suspended(total time.Duration) bool {
-	slept := total - c.suspendedFor
-	if slept < damsonwinch.NegligibleSleep {
+	suspended := total - c.suspendedFor
+	if suspended < damsonwinch.NegligibleSleep {
 		return false
 	}
 	c.suspendedFor = total
 	c.effects.OwnershipLost = true
-	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "owner was suspended", Reason: fmt.Sprintf("for %d ms; it gives its cell up", slept.Milliseconds())})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "owner was suspended", Reason: fmt.Sprintf("for %d ms; it gives up its cell", suspended.Milliseconds())})
 	return true
 }
 
-// caughtUp says whether this owner hears of things when they happen.
+// caughtUp reports whether messages arrive promptly, that is, whether the last pause is longer ago
+// than catchUpTime.
 func (c *Cell) caughtUp() bool {
 	return c.now.Sub(c.resumedAt) >= catchUpTime
 }
 
-// SetQueues takes the queues in force. Queues that have gone are remembered for
-// the jobs that still run.
+// SetQueues sets the queues of the configuration in force. Queues that are no longer configured are
+// kept for the jobs that still run.
 func (c *Cell) SetQueues(now time.Time, queues []damsonwinch.Queue) {
 	c.beginEvent(now)
 	for _, queue := range queues {
@@ -158,20 +169,21 @@
 	}
 }
 
-// ConfirmOwnership takes note that the owner's claim stood at a moment.
+// ConfirmOwnership records that this owner's claim of the cell was valid at the given time.
 func (c *Cell) ConfirmOwnership(at time.Time) {
 	if at.After(c.confirmedAt) {
 		c.confirmedAt = at
 	}
 }
 
-// mayRenewLeases says whether this owner may go on prolonging leases: a new owner counts on
-// earlier ones to end that in time.
+// mayRenewLeases reports whether this owner may still renew leases. A new owner relies on earlier
+// owners to stop renewing in time.
 func (c *Cell) mayRenewLeases() bool {
 	return c.now.Sub(c.confirmedAt) < c.options.RenewalGrace
 }
 
-// Tick lets time pass.
+// Tick does what is due because time has passed: rounds of repeated jobs, expired leases, retries,
+// timeouts and cleanup.
 func (c *Cell) Tick(now time.Time) {
 	c.beginEvent(now)
 	c.lastTickAt = now
@@ -193,8 +205,8 @@
 	c.finishEvent()
 }
 
-// Batch takes several events and does what follows from all of them at once: the
-// more an owner has to do, the less each event costs.
+// Batch calls events, which may report several events, and reacts to all of them at once. The
+// busier the owner, the less each event costs.
 func (c *Cell) Batch(events func()) {
 	c.batching = true
 	events()
@@ -202,7 +214,8 @@
 	c.finishEvent()
 }
 
-// finishEvent does what follows from an event: new starts, looks and a commit.
+// finishEvent reacts to an event: it starts tasks, sends polls and begins a commit, as far as they
+// are due.
 func (c *Cell) finishEvent() {
 	if c.batching {
 		return
@@ -212,32 +225,32 @@
 	c.flush()
 }
 
-// endpointsChanged notes that something about the endpoints may let tasks start or call for
-// looks.
+// endpointsChanged makes the next finishEvent place tasks and check all endpoints for due polls.
 func (c *Cell) endpointsChanged() {
 	c.placementDue, c.pollAll = true, true
 }
 
-// TakeEffects returns the effects that have come up since the last call.
+// TakeEffects returns the effects that have accumulated since the last call.
 func (c *Cell) TakeEffects() Effects {
-	taken := c.effects
+	effects := c.effects
 	c.effects = Effects{}
-	return taken
+	return effects
 }
 
-// sortOpen keeps the open phases in order of urgency.
+// insertOpenPhase inserts a phase into openPhases, in order of urgency.
 func (c *Cell) insertOpenPhase(p *phase) {
 	at, _ := slices.BinarySearchFunc(c.openPhases, p, comparePhases)
 	c.openPhases = slices.Insert(c.openPhases, at, p)
 }
 
+// removeOpenPhase removes a phase from openPhases, if it is there.
 func (c *Cell) removeOpenPhase(p *phase) {
 	if at := slices.Index(c.openPhases, p); at >= 0 {
 		c.openPhases = slices.Delete(c.openPhases, at, at+1)
 	}
 }
 
-// Pending counts a queue's recorded jobs none of whose tasks has begun.
+// Pending returns the number of a queue's recorded jobs of which no task is known to have started.
 func (c *Cell) Pending(queue string) int {
 	count := 0
 	for _, j := range c.activeJobs {
@@ -248,20 +261,23 @@
 	return count
 }
 
-// HasWaitingTasks says whether tasks that may start have found no room.
+// HasWaitingTasks reports whether there are tasks that are ready to start and have not found an
+// endpoint.
 func (c *Cell) HasWaitingTasks() bool {
 	return len(c.openPhases) > 0
 }
 
-// HasJob says whether a job has been handed in, and not been forgotten or refused.
+// HasJob reports whether the cell holds the job: it was submitted and has been neither refused nor
+// forgotten.
 func (c *Cell) HasJob(id string) bool {
 	return c.jobs[id] != nil
 }
 
-// Show returns what may be told of a job to a caller.
+// Show returns the recorded state of a job, and false if there is no such job or it is not visible
+// to the client.
 func (c *Cell) Show(args wire.JobArgs) (wire.JobState, bool) {
-	j, known := c.jobs[args.Id]
-	if !known || !j.recorded || !j.visibleTo(args) {
+	j, exists := c.jobs[args.Id]
+	if !exists || !j.recorded || !j.visibleTo(args) {
 		return "", false
 	}
 	if j.recordedState == wire.JobStateQueued && j.placed {
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -7,59 +7,63 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Effects are what the owner has to do after an event.
+// Effects holds what the owner has to do after one or more events.
 type Effects struct {
-	// Commit is the next append, nil for none. Committed or Close follows.
+	// Commit is the next append to the cell's stream, or nil. The owner calls Committed once the
+	// records are there; if the append fails for good, the owner ends.
 	Commit *Commit
+	// Starts, Stops, Paces and Polls are requests to endpoints. The owner passes each reply to Started,
+	// Stopped, Paced or Polled.
 	Starts []Start
 	Stops  []Stop
 	Paces  []Pace
-	// PermitRequests are calls for permits; Advised follows each.
+	// PermitRequests are calls to the advice service. The owner calls Advised with each reply.
 	PermitRequests []PermitRequest
 	Polls          []Poll
-	// Replies answer clients' calls by the tickets they came with.
+	// Replies answer calls of clients, by the call IDs that came with them.
 	Replies []Reply
-	// OwnershipLost says that a newer owner has been at an endpoint, or may have come unnoticed: no
-	// order is to be given any more.
+	// OwnershipLost is set when an endpoint has seen a newer owner, or when a newer owner may exist
+	// unnoticed. The owner must send no more requests.
 	OwnershipLost bool
-	// ListBoxes asks for the platform's list of boxes: an endpoint is silent.
+	// ListBoxes asks for the platform's list of boxes, because an endpoint does not answer.
 	ListBoxes bool
-	// LogLines are decisions and changes of belief for the log.
+	// LogLines are decisions and observations to log.
 	LogLines []LogLine
 }
 
-// Commit is what is to be appended to the cell's stream next.
+// Commit holds the records to append to the cell's stream next. Number identifies it in Committed.
 type Commit struct {
 	Number  int
 	Records []damsonwinch.Record
 }
 
-// Start is an order to an endpoint.
+// Start is a request to an endpoint to run a task.
 type Start struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.StartOrder
 }
 
-// Stop is an order to an endpoint.
+// Stop is a request to an endpoint to stop a run.
 type Stop struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.StopOrder
 }
 
-// Poll is a question to an endpoint.
+// Poll is a request to an endpoint for its runs and results. Number identifies it in Polled.
 type Poll struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.LookOrder
 	Number   int
 }
 
-// Reply answers a client's call.
+// Reply is the reply to the client's call with the given ID.
 type Reply struct {
 	CallID int
 	Reply  wire.JobReply
 }
 
-// LogLine is a decision or a change of belief, for the log.
+// LogLine is a message for the owner's log with the things that it is about. Empty fields are left
+// out.
 type LogLine struct {
 	Message  string
 	Queue    string
@@ -68,32 +72,37 @@
 	Task     string
 	Endpoint string
 	Reason   string
-	// Debug marks what happens for each task, of which the log has room for less.
+	// Debug marks lines that occur for every task. They are logged at debug level, since the log
+	// has limited space.
 	Debug bool
 }
 
-// Stats counts what a cell has done.
+// Stats holds counters of what a cell has done since it was created.
 type Stats struct {
 	JobsAccepted  int
 	JobsCompleted int
 	JobsFailed    int
 	JobsCancelled int
-	// JobsRefused counts jobs that the store could not be given in time.
-	JobsRefused   int
-	Starts        int
-	Reruns        int
+	// JobsRefused counts jobs that could not be recorded in time because the store did not answer.
+	JobsRefused int
+	Starts      int
+	// Reruns counts attempts at tasks that had been attempted before.
+	Reruns int
+	// StartsRefused counts starts that endpoints rejected.
 	StartsRefused int
 	Commits       int
 	Polls         int
-	RunsLapsed    int
-	Ejections     int
-	// EndpointsLost counts lives that ended while tasks may have run there, and RunsLost
-	// those tasks.
+	// RunsLapsed counts runs whose leases expired while their endpoints were unreachable.
+	RunsLapsed int
+	// Ejections counts how often an unhealthy endpoint got no new work for a while.
+	Ejections int
+	// EndpointsLost counts endpoint lives that ended while tasks may have been running there.
+	// RunsLost counts those runs.
 	EndpointsLost int
 	RunsLost      int
-	// QuotaWaits counts how often a customer has come to wait for its allowance.
+	// QuotaWaits counts how often a customer began to wait for its allowance.
 	QuotaWaits int
-	// JobsGivenUp counts jobs that were given up since a task crashes its endpoints.
+	// JobsGivenUp counts tasks that were given up because they crash their endpoints.
 	JobsGivenUp int
 }
 
@@ -102,33 +111,34 @@
 	return c.stats
 }
 
-func (c *Cell) logRun(what string, r *run, why string) {
+// logRun logs a message about a run, with the reason for what happened to it.
+func (c *Cell) logRun(message string, r *run, reason string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: what, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Reason: why,
+		Message: message, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Reason: reason,
 	})
 }
 
-// logStart notes that an attempt is ordered, and what decided where.
+// logStart logs that an attempt is being started and what was known when its endpoint was chosen.
 func (c *Cell) logStart(r *run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
-		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
+		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d of %d thousandths of a core in use there", r.attempt,
 			c.now.Sub(r.since).Milliseconds(), r.at.used.CPU, r.at.info.Capacity.CPU),
 	})
 }
 
-func (c *Cell) logJob(what string, j *job, why string) {
-	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Job: j.id, Reason: why})
+func (c *Cell) logJob(message string, j *job, reason string) {
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Job: j.id, Reason: reason})
 }
 
-func (c *Cell) logCustomer(what, customer, why string) {
-	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Customer: customer, Reason: why})
+func (c *Cell) logCustomer(message, customer, reason string) {
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Customer: customer, Reason: reason})
 }
 
-func (c *Cell) logQueue(what, queue, why string) {
-	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Queue: queue, Reason: why})
+func (c *Cell) logQueue(message, queue, reason string) {
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Queue: queue, Reason: reason})
 }
 
-func (c *Cell) logEndpoint(what string, e *endpoint, why string) {
-	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Endpoint: e.info.Life.String(), Reason: why})
+func (c *Cell) logEndpoint(message string, e *endpoint, reason string) {
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Endpoint: e.info.Life.String(), Reason: reason})
 }
--- a/pkg/cell/options.go
+++ b/pkg/cell/options.go
@@ -6,38 +6,39 @@
 	"damsonwinch/pkg/crash"
 )
 
-// Options are the times by which a cell decides. Those without another source
-// come from the deployment's settings.
+// Options holds the limits and intervals of a cell. Those that no other component defines come from
+// the deployment's settings.
 type Options struct {
 	// MaxLease is the longest lease that an endpoint grants.
 	MaxLease time.Duration
-	// RenewalGrace is how long an owner that lost the store may go on prolonging
-	// leases; a new owner waits that much longer for endpoints it can't reach.
+	// RenewalGrace is how long an owner that cannot reach the store may go on renewing leases. A
+	// new owner waits that much longer before it takes the leases of unreachable endpoints as
+	// expired.
 	RenewalGrace time.Duration
-	// MaxStopTime is the longest time that a stopped task takes to end.
+	// MaxStopTime is the longest time that a task takes to end after it has been stopped.
 	MaxStopTime time.Duration
-	// RestoreTime is how long a task takes to go on from a checkpoint.
+	// RestoreTime is how long a task takes to resume from a checkpoint.
 	RestoreTime time.Duration
-	// MaxStartDelay bounds how late a start may take effect.
+	// MaxStartDelay bounds how long after it was sent a start request may take effect.
 	MaxStartDelay time.Duration
-	// MinCommitInterval is the least time between two appends: each has a price, and
-	// what comes up meanwhile shares one.
+	// MinCommitInterval is the shortest time between two appends. Each append has a cost, and the
+	// changes that accumulate meanwhile share one.
 	MinCommitInterval time.Duration
-	// PollWait is how long a look at a busy endpoint waits for an end.
+	// PollWait is how long a poll of an endpoint with runs waits there for a run to end.
 	PollWait time.Duration
-	// IdlePollInterval is the time between looks at an endpoint without runs.
+	// IdlePollInterval is the time between polls of an endpoint without runs.
 	IdlePollInterval time.Duration
-	// PollRetryInterval is the time between looks at an endpoint that doesn't answer.
+	// PollRetryInterval is the time between polls of an endpoint that does not answer.
 	PollRetryInterval time.Duration
-	// BoxLeadTime is the time from the wish for another box until it can run tasks.
+	// BoxLeadTime is the time from the request for another box until that box can run tasks.
 	BoxLeadTime time.Duration
-	// CrashRules are the rules by which tasks that crash their endpoints are told, zero for the
-	// usual ones.
+	// CrashRules decide which tasks are suspected of crashing their endpoints and when such a task
+	// is given up. The zero value stands for crash.DefaultRules.
 	CrashRules crash.Rules
-	// EndedJobRetention is how long an ended job can still be asked for.
+	// EndedJobRetention is how long a job can still be queried after it has ended.
 	EndedJobRetention time.Duration
 }
 
-// clockDriftFactor covers a steady clock that runs 2% slow, as the platform allows,
-// and a little more.
+// clockDriftFactor extends leases for a monotonic clock that runs 2% slow, which the platform
+// allows, plus a small margin.
 const clockDriftFactor = 1.03
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -9,47 +9,49 @@
 )
 
 const (
-	// storeOutageAfter is the age of an append on its way from which the store counts as away;
-	// on a slow day it answers within some 350 ms.
+	// storeOutageAfter is how long an append may be in flight before the store is taken to be down.
+	// On a slow day it answers within about 350 ms.
 	storeOutageAfter = 600 * time.Millisecond
-	// maxUnrecordedWait bounds how long a job waits for a store that is away where its client
-	// doesn't tell how long it waits; the users' wait three seconds.
+	// maxUnrecordedWait bounds how long a job may wait for a store that is down if its client does
+	// not say how long it waits. The usual clients wait three seconds.
 	maxUnrecordedWait = 2400 * time.Millisecond
-	// replyMargin is left of a client's time for the answer's way back.
+	// replyMargin is the part of a client's wait that is left for the reply to reach it.
 	replyMargin = 150 * time.Millisecond
-	// retryAfter tells a refused client when to try again: the store's outages that the
-	// users name last some seconds.
+	// retryAfter is the delay that refused clients are told before they try again. Users report
+	// store outages of several seconds.
 	retryAfter = time.Second
 )
 
-// refuseUnrecordedJobs refuses the jobs that wait for a store that is away and can't be done in
-// time any more. The store has never been given them, so that they certainly don't run.
+// refuseUnrecordedJobs refuses jobs that wait for a store that is down once they have waited too
+// long to be done in time. The store has never received them, so they certainly do not run.
 func (c *Cell) refuseUnrecordedJobs() {
 	sent := c.commits.inFlight
 	if sent == nil || c.now.Sub(sent.sentAt) < storeOutageAfter {
 		return
 	}
 	for _, j := range slices.Clone(c.activeJobs) {
-		if _, given := sent.states[j]; !j.recorded && !given && !j.ended() && !c.now.Before(c.refuseAt(j)) {
+		if _, isSent := sent.states[j]; !j.recorded && !isSent && !j.ended() && !c.now.Before(c.refuseAt(j)) {
 			c.refuseJob(j, fmt.Sprintf("the store has not answered for %d ms", c.now.Sub(sent.sentAt).Milliseconds()))
 		}
 	}
 }
 
-// refuseAt returns until when a job that isn't kept yet is worth holding.
+// refuseAt returns when an unrecorded job is refused: when its client stops waiting, or when one of
+// its phases becomes late, if that is earlier.
 func (c *Cell) refuseAt(j *job) time.Time {
 	until := j.clientWaitsUntil
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
-			if late := time.UnixMilli(int64(p.lateAtMs)); p.lateAtMs > 0 && late.Before(until) {
-				until = late
+			if lateAt := time.UnixMilli(int64(p.lateAtMs)); p.lateAtMs > 0 && lateAt.Before(until) {
+				until = lateAt
 			}
 		}
 	}
 	return until
 }
 
-// extendClientWait notes how long the caller who hands a job in waits for the answer.
+// extendClientWait notes how long a client waits for the reply to its submission. waitMs is 0 if
+// the client does not say.
 func (j *job) extendClientWait(now time.Time, waitMs int) {
 	until := now.Add(maxUnrecordedWait)
 	if waitMs > 0 {
@@ -60,9 +62,10 @@
 	}
 }
 
-// refuseJob takes back all that a job that was never recorded has led to.
-func (c *Cell) refuseJob(j *job, why string) {
-	c.logJob("job refused", j, why)
+// refuseJob refuses a job that was never recorded and undoes everything that followed from its
+// submission.
+func (c *Cell) refuseJob(j *job, reason string) {
+	c.logJob("job refused", j, reason)
 	c.stats.JobsRefused++
 	var runs []*run
 	for _, r := range j.rounds {
@@ -77,11 +80,11 @@
 		c.resolve(r)
 	}
 	c.commits.starts = slices.DeleteFunc(c.commits.starts, func(r *run) bool { return slices.Contains(runs, r) })
-	c.commits.replies = slices.DeleteFunc(c.commits.replies, func(waiting pendingReply) bool {
-		if waiting.job != j {
+	c.commits.replies = slices.DeleteFunc(c.commits.replies, func(pending pendingReply) bool {
+		if pending.job != j {
 			return false
 		}
-		c.reply(waiting.CallID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: why, RetryAfterMs: int(retryAfter.Milliseconds())})
+		c.reply(pending.CallID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: reason, RetryAfterMs: int(retryAfter.Milliseconds())})
 		return true
 	})
 	delete(c.commits.dirtyJobs, j.id)
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -9,24 +9,24 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Submit takes a job. The reply comes as an effect with the ticket, once the
-// stream holds the job.
-func (c *Cell) Submit(now time.Time, args wire.JobArgs, ticket int) {
+// Submit takes a job from a client. The reply with the given call ID becomes an effect once the job
+// is in the stream, or at once if the job is invalid or refused.
+func (c *Cell) Submit(now time.Time, args wire.JobArgs, callID int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
-	if known, exists := c.jobs[args.Id]; exists {
-		if !known.visibleTo(args) {
-			c.logJob("job refused", known, "another customer has a job of this ID")
-			c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(retryAfter.Milliseconds())})
+	if existing, exists := c.jobs[args.Id]; exists {
+		if !existing.visibleTo(args) {
+			c.logJob("job refused", existing, "another customer has a job of this ID")
+			c.reply(callID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(retryAfter.Milliseconds())})
 			return
 		}
-		// The client didn't hear the answer to an earlier call.
-		known.extendClientWait(now, args.WaitMs)
-		c.replyOnceRecorded(known, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
+		// The client did not receive the reply to an earlier call.
+		existing.extendClientWait(now, args.WaitMs)
+		c.replyOnceRecorded(existing, callID, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 		return
 	}
 	if err := jobs.Check(*args.Spec); err != nil {
-		c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeInvalid, Reason: err.Error()})
+		c.reply(callID, wire.JobReply{Outcome: wire.JobOutcomeInvalid, Reason: err.Error()})
 		return
 	}
 	j := c.newJob(args)
@@ -35,16 +35,17 @@
 	c.activeJobs = append(c.activeJobs, j)
 	c.stats.JobsAccepted++
 	if !jobs.Lasting(j.spec) {
-		chain := slices.Max(j.criticalPathMs)
-		c.statsOf(j.queue).addJob(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
+		criticalPathMs := slices.Max(j.criticalPathMs)
+		c.statsOf(j.queue).addJob(now, j.work, j.dueMs-j.acceptedMs-criticalPathMs, criticalPathMs)
 	}
 	c.markDirty(j)
 	c.logJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
 		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
 	c.startDueRounds()
-	c.replyOnceRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
+	c.replyOnceRecorded(j, callID, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
+// newJob returns the job that a client has submitted, without any round.
 func (c *Cell) newJob(args wire.JobArgs) *job {
 	j := &job{
 		id: args.Id, queue: args.Queue, customer: args.Customer, spec: *args.Spec, acceptedMs: args.ReceivedMs,
@@ -56,57 +57,58 @@
 	return j
 }
 
-// maxAttempts returns how many failures of a task fail the job.
+// maxAttempts returns the number of failed attempts at a task that fails the job.
 func (c *Cell) maxAttempts(j *job) int {
-	if queue, known := c.queues[j.queue]; known && queue.MostAttempts > 0 {
+	if queue, exists := c.queues[j.queue]; exists && queue.MostAttempts > 0 {
 		return queue.MostAttempts
 	}
 	return max(1, j.maxAttempts)
 }
 
-// visibleTo says whether a job may be shown to a caller, and changed by it: to its own customer,
-// or to anybody if its queue asks for no key. One that was handed in without a key is everybody's.
-// For all others it doesn't exist.
+// visibleTo reports whether the client may see and cancel the job: it belongs to the job's
+// customer, or the queue is public, or the job was submitted without a key. For all other clients
+// the job does not exist.
 func (j *job) visibleTo(args wire.JobArgs) bool {
 	return args.Public || j.customer == "" || j.customer == args.Customer
 }
 
-// Cancel ends a job for good. The reply comes as an effect, once the stream holds
-// the end.
-func (c *Cell) Cancel(now time.Time, args wire.JobArgs, ticket int) {
+// Cancel ends a job on a client's request. The reply with the given call ID becomes an effect once
+// the end is in the stream.
+func (c *Cell) Cancel(now time.Time, args wire.JobArgs, callID int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
-	j, known := c.jobs[args.Id]
-	if !known || !j.visibleTo(args) {
-		c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeNoSuchJob})
+	j, exists := c.jobs[args.Id]
+	if !exists || !j.visibleTo(args) {
+		c.reply(callID, wire.JobReply{Outcome: wire.JobOutcomeNoSuchJob})
 		return
 	}
 	if !j.ended() {
 		c.stats.JobsCancelled++
 		c.endJob(j, wire.JobStateCancelled, "a client cancelled it")
 	}
-	c.replyOnceRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
+	c.replyOnceRecorded(j, callID, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
-// endJob decides a job's endJob and stops what still runs of it.
-func (c *Cell) endJob(j *job, state wire.JobState, why string) {
+// endJob sets the final state of a job and stops its remaining runs.
+func (c *Cell) endJob(j *job, state wire.JobState, reason string) {
 	j.state = state
 	j.endedMs = int(c.now.UnixMilli())
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
 			c.closePhase(p)
 			for _, t := range p.tasks {
-				for _, running := range slices.Clone(t.runs) {
-					c.stop(running, "its job has ended")
+				for _, attempt := range slices.Clone(t.runs) {
+					c.stop(attempt, "its job has ended")
 				}
 			}
 		}
 	}
-	c.logJob("job "+string(state), j, why)
+	c.logJob("job "+string(state), j, reason)
 	c.markDirty(j)
 }
 
-// forgetEndedJobs drops ended jobs that nobody will ask for any more.
+// forgetEndedJobs drops ended jobs without runs from the active jobs, and deletes them from the
+// cell and its stream after EndedJobRetention.
 func (c *Cell) forgetEndedJobs() {
 	keep := c.activeJobs[:0]
 	for _, j := range c.activeJobs {
