--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -8,48 +8,54 @@
 	"damsonwinch/pkg/wire"
 )
 
-// commits holds what waits for the stream.
+// commits holds what has changed since the last append and what depends on its being recorded.
 type commits struct {
+	// dirtyJobs holds the IDs of the jobs whose records are out of date.
 	dirtyJobs map[string]bool
-	// deletedKeys are keys that the stream is to forget.
+	// deletedKeys are the keys that the next append deletes from the stream.
 	deletedKeys []string
-	// endpointRecords are records about endpoints.
+	// endpointRecords are the records about endpoints for the next append.
 	endpointRecords []damsonwinch.Record
-	// allowancesDirty says that the record of the allowancesDirty is out of date.
+	// allowancesDirty is set when the record of the allowances is out of date.
 	allowancesDirty bool
-	// ackEndpoints says that ackEndpoints were taken in that no record may mention, such as those
-	// of jobs that nobody knows; they too are forgotten only after a commit.
+	// ackEndpoints are the endpoints whose new results have been applied. The results are
+	// acknowledged after a commit, even those that change no record, such as results of unknown
+	// jobs.
 	ackEndpoints []*endpoint
-	starts       []*run
-	replies      []pendingReply
-	// withdrawals are endpoints whose withdrawal counts once it is recorded.
+	// starts and replies are what is sent once the next append is done.
+	starts  []*run
+	replies []pendingReply
+	// withdrawals are the endpoints whose withdrawal takes effect once it is recorded.
 	withdrawals []*endpoint
 	lastNumber  int
 	inFlight    *sentCommit
 	lastSentAt  time.Time
 }
 
-// sentCommit is the append on its way.
+// sentCommit is an append in flight, with what is done once it is in the stream.
 type sentCommit struct {
 	sentAt      time.Time
 	number      int
 	starts      []*run
 	replies     []pendingReply
 	withdrawals []*endpoint
-	states      map[*job]wire.JobState
-	// allocatorToken and allowances tell which word on allowances it holds.
+	// states holds the state that the append records of each job.
+	states map[*job]wire.JobState
+	// allocatorToken and allowanceNumber identify the allowances that the append contains.
 	allocatorToken  int
 	allowanceNumber int
-	acks            []endpointAck
+	// acks are the results that can be acknowledged once the append is done.
+	acks []endpointAck
 }
 
-// endpointAck is the highest end of an endpoint that an append holds.
+// endpointAck is the highest sequence number among the results of an endpoint that can be
+// acknowledged once the append is done.
 type endpointAck struct {
 	endpoint *endpoint
 	number   int
 }
 
-// pendingReply answers a call on a job once the stream holds the job as it is.
+// pendingReply is a reply on a job that is sent once the job's present state is in the stream.
 type pendingReply struct {
 	Reply
 	job *job
@@ -64,35 +70,37 @@
 	c.commits.dirtyJobs[j.id] = true
 }
 
-// deleteRecord makes the stream forget a job.
+// deleteRecord deletes a job's record with the next append.
 func (c *Cell) deleteRecord(j *job) {
 	c.commits.deletedKeys = append(c.commits.deletedKeys, j.id)
 }
 
-func (c *Cell) reply(ticket int, reply wire.JobReply) {
-	c.effects.Replies = append(c.effects.Replies, Reply{CallID: ticket, Reply: reply})
+// reply answers a call at once.
+func (c *Cell) reply(callID int, reply wire.JobReply) {
+	c.effects.Replies = append(c.effects.Replies, Reply{CallID: callID, Reply: reply})
 }
 
-// replyOnceRecorded answers a call once the stream holds the job as it is now.
-func (c *Cell) replyOnceRecorded(j *job, ticket int, reply wire.JobReply) {
-	waiting := pendingReply{Reply: Reply{CallID: ticket, Reply: reply}, job: j}
+// replyOnceRecorded answers a call once the present state of the job is in the stream.
+func (c *Cell) replyOnceRecorded(j *job, callID int, reply wire.JobReply) {
+	pending := pendingReply{Reply: Reply{CallID: callID, Reply: reply}, job: j}
 	switch {
 	case c.commits.dirtyJobs[j.id]:
-		c.commits.replies = append(c.commits.replies, waiting)
+		c.commits.replies = append(c.commits.replies, pending)
 	case c.commits.inFlight != nil && j.recordedState != j.state, c.commits.inFlight != nil && !j.recorded:
-		c.commits.inFlight.replies = append(c.commits.inFlight.replies, waiting)
+		c.commits.inFlight.replies = append(c.commits.inFlight.replies, pending)
 	default:
-		c.reply(ticket, reply)
+		c.reply(callID, reply)
 	}
 }
 
-// hasUnrecordedChanges says whether anything waits for the stream.
+// hasUnrecordedChanges reports whether there is anything to append.
 func (c *Cell) hasUnrecordedChanges() bool {
 	w := &c.commits
 	return len(w.dirtyJobs) > 0 || len(w.deletedKeys) > 0 || len(w.endpointRecords) > 0 || len(w.ackEndpoints) > 0 || w.allowancesDirty
 }
 
-// flush begins the next append, unless one is on its way or the last was just now.
+// flush begins the next append, unless there is nothing to append, an append is in flight, or the
+// last one began less than MinCommitInterval ago.
 func (c *Cell) flush() {
 	w := &c.commits
 	if w.inFlight != nil || !c.hasUnrecordedChanges() || c.now.Sub(w.lastSentAt) < c.options.MinCommitInterval {
@@ -116,7 +124,8 @@
 	c.effects.Commit = &Commit{Number: sent.number, Records: records}
 }
 
-// buildRecords returns the records of all that is out of date in the stream.
+// buildRecords returns the records of everything that is out of date in the stream, and notes in
+// sent what they confirm.
 func (c *Cell) buildRecords(sent *sentCommit) []damsonwinch.Record {
 	w := &c.commits
 	records := append(w.endpointRecords, c.queueStatsRecords()...)
@@ -142,7 +151,7 @@
 	return records
 }
 
-// Committed takes note that the stream holds an append.
+// Committed reports that the append with the given number is in the stream.
 func (c *Cell) Committed(now time.Time, number int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
@@ -152,7 +161,7 @@
 	}
 	c.ConfirmOwnership(sent.sentAt)
 	if now.Sub(sent.sentAt) > maxStartAge {
-		// This owner stood still, or the store did: another one may have come since.
+		// This owner was paused, or the store was slow: another owner may have taken over since.
 		for _, r := range sent.starts {
 			r.stopping = true
 		}
@@ -160,20 +169,20 @@
 	c.finishCommit(sent)
 }
 
-// maxStartAge is the age of a commit at which its starts are not ordered any more
-// but decided anew. An owner that was paused for long must not order what it
-// decided before.
+// maxStartAge is the age of a commit from which its starts are no longer sent but decided again. An
+// owner that was paused for long must not send what it decided before.
 const maxStartAge = 2 * time.Second
 
-// finishCommit does what waited for an append.
+// finishCommit does what had to wait for the append: it sends starts and replies and allows results
+// to be acknowledged.
 func (c *Cell) finishCommit(sent *sentCommit) {
 	c.commits.inFlight = nil
 	for j, state := range sent.states {
 		j.recorded, j.recordedState = true, state
 	}
-	for _, seen := range sent.acks {
-		seen.endpoint.recorded = max(seen.endpoint.recorded, seen.number)
-		c.lookSoon(seen.endpoint)
+	for _, ack := range sent.acks {
+		ack.endpoint.recorded = max(ack.endpoint.recorded, ack.number)
+		c.lookSoon(ack.endpoint)
 	}
 	for _, e := range sent.withdrawals {
 		e.withdraw.recorded = true
@@ -182,26 +191,27 @@
 	for _, r := range sent.starts {
 		c.sendStart(r)
 	}
-	for _, waiting := range sent.replies {
-		c.effects.Replies = append(c.effects.Replies, waiting.Reply)
+	for _, pending := range sent.replies {
+		c.effects.Replies = append(c.effects.Replies, pending.Reply)
 	}
 }
 
-// NextTick returns when Tick should be called next, however much else happens until then.
+// NextTick returns when Tick should be called next, whatever other events occur before that.
 func (c *Cell) NextTick() time.Time {
-	wake := c.lastTickAt.Add(idleTickInterval)
+	next := c.lastTickAt.Add(idleTickInterval)
 	if len(c.activeJobs) > 0 {
-		wake = c.lastTickAt.Add(busyTickInterval)
+		next = c.lastTickAt.Add(busyTickInterval)
 	}
 	if c.commits.inFlight == nil && c.hasUnrecordedChanges() {
-		if due := c.commits.lastSentAt.Add(c.options.MinCommitInterval); due.Before(wake) {
+		if due := c.commits.lastSentAt.Add(c.options.MinCommitInterval); due.Before(next) {
 			return due
 		}
 	}
-	return wake
+	return next
 }
 
-// Times between ticks: retries and leases are looked after at this grain.
+// Intervals between ticks while there are active jobs and while there are none. They are the
+// resolution of retries and lease expiry.
 const (
 	busyTickInterval = 50 * time.Millisecond
 	idleTickInterval = 250 * time.Millisecond
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -10,84 +10,92 @@
 	"damsonwinch/pkg/wire"
 )
 
-// job is a job as its owner knows it.
+// job is a job with its rounds, and what the owner has decided and recorded about it.
 type job struct {
 	id    string
 	queue string
-	// customer is whose key handed it in, empty for nobody's.
-	customer   string
-	spec       wire.JobSpec
+	// customer is the customer whose key the submission carried, or empty if it carried none.
+	customer string
+	spec     wire.JobSpec
+	// acceptedMs is when the submission arrived, in Unix milliseconds.
 	acceptedMs int
-	// clientWaitsUntil is until when a client waits to hear that the job is kept.
+	// clientWaitsUntil is when the client stops waiting for the reply to its submission, less a margin.
 	clientWaitsUntil time.Time
-	dueMs            int
-	endedMs          int
-	priority         int
-	// maxAttempts is the queue's limit when the job came; a newer one of the
-	// queue goes before it.
+	// dueMs is the deadline and endedMs when the job ended, both in Unix milliseconds.
+	dueMs    int
+	endedMs  int
+	priority int
+	// maxAttempts is the queue's limit of attempts when the job was submitted. A newer limit of the
+	// queue overrides it.
 	maxAttempts int
-	// state is what the owner has decided, and shown what the stream holds.
+	// state is the state that the owner has decided; recordedState is the state in the stream.
 	state         wire.JobState
 	recordedState wire.JobState
-	// recorded says that the stream holds the job.
+	// recorded is set once the stream holds the job.
 	recorded bool
-	// placed says that an endpoint has been chosen for a task, and begun that a task is
-	// known to have started.
+	// placed is set once an endpoint has been chosen for a task, and begun once a task is known to
+	// have started.
 	placed bool
 	begun  bool
 	rounds []*round
-	// runCount counts attempts that may be running.
+	// runCount is the number of attempts that may be running.
 	runCount int
-	// criticalPathMs tells, by phase, how long the job takes from there on.
+	// criticalPathMs holds, by phase, the expected time from the phase's start to the end of the
+	// job, in milliseconds.
 	criticalPathMs []int
-	// taskMs is the time that a task of each phase is expected to take, and work that
-	// of all of them times their room, in thousandths of a core times milliseconds.
+	// taskMs holds, by phase, the expected time of a task in milliseconds. work is the total of all
+	// tasks' expected time multiplied by their CPU, in thousandths of a core times milliseconds;
+	// long-running and filler tasks do not count.
 	taskMs []int
 	work   int
-	// homeZone is the zone where its tasks are started, as far as there is room.
+	// homeZone is the availability zone where the job's tasks are started as long as there is
+	// capacity.
 	homeZone *zone
-	// specRecorded says that the stream holds, or is being given, the job's text.
+	// specRecorded is set when the stream holds the job's specification or an append with it is
+	// being built or in flight.
 	specRecorded bool
 }
 
-// ended says whether the job's end is decided.
+// ended reports whether the job's final state has been decided.
 func (j *job) ended() bool {
 	return j.state == wire.JobStateCompleted || j.state == wire.JobStateFailed || j.state == wire.JobStateCancelled
 }
 
-// round is one time that a job's phases run.
+// round is one execution of all phases of a job. A repeated job has several.
 type round struct {
 	job    *job
 	number int
 	phases []*phase
-	// unfinishedPhases counts phases that are not done.
+	// unfinishedPhases is the number of phases that are not done.
 	unfinishedPhases int
 }
 
-// phase is a set of like tasks of a round.
+// phase is a set of equal tasks in a round. It can start when the phases that it depends on are
+// done.
 type phase struct {
 	round  *round
 	number int
 	spec   *wire.Phase
 	tasks  []*task
-	// unfinishedDeps counts earlier phases that are not done.
+	// unfinishedDeps is the number of phases that it depends on and that are not done.
 	unfinishedDeps int
-	// unfinishedTasks counts tasks that are not done.
+	// unfinishedTasks is the number of tasks that are not done.
 	unfinishedTasks int
-	// ready holds the tasks that may start now, in order.
+	// ready holds the tasks that can start now, in order.
 	ready []*task
-	// gangReadySince is when a gang was first ready to be placed as a whole, and held
-	// the places held for it while it is placed.
+	// gangReadySince is when a gang could first be placed as a whole. gangReserved counts, by
+	// endpoint, the members for which capacity is reserved while the gang is being placed.
 	gangReadySince time.Time
 	gangReserved   map[*endpoint]int
 	advice         advice
-	// lateAtMs is when its job can hardly be done in time any more, 0 for never.
+	// lateAtMs is the time, in Unix milliseconds, from which the job is unlikely to meet its
+	// deadline; 0 means never.
 	lateAtMs int
-	// deferred says that it waits behind others so that those are in time.
+	// deferred is set while the phase waits behind others, so that those meet their deadlines.
 	deferred bool
-	// overQuotaSince is since when its tasks wait for their customer's allowance, zero for not.
+	// overQuotaSince is since when its tasks wait for their customer's allowance, or zero.
 	overQuotaSince time.Time
-	// open says that the phase stands among the cell's open ones.
+	// open is set while the phase is in the cell's openPhases.
 	open bool
 }
 
@@ -95,43 +103,46 @@
 	return p.round.job
 }
 
+// need returns the resources that each task of the phase reserves on its endpoint.
 func (p *phase) need() damsonwinch.Resources {
 	need := damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
 	if p.spec.Fills {
-		// It lives on what others leave.
+		// Filler tasks use the CPU that other tasks leave idle.
 		need.CPU = 0
 	}
 	return need
 }
 
-// task is one task of a phase.
+// task is one task of a phase, with its attempts.
 type task struct {
 	phase *phase
 	index int
-	// lastAttempt is the highest that has been used.
+	// lastAttempt is the highest attempt number used so far.
 	lastAttempt int
-	// failedAttempts counts attempts that ended as failedAttempts.
+	// failedAttempts is the number of attempts that ended as failed.
 	failedAttempts int
 	done           bool
 	ready          bool
-	// checkpoint is the newest known checkpoint.
+	// checkpoint is the newest known checkpoint, or empty.
 	checkpoint string
 	runs       []*run
-	// crashes tells of the endpoints that have ended under it, and suspected that it stands
-	// among the cell's suspects.
+	// crashes sums up the exits of endpoints while the task was running there. suspected is set
+	// while the task is in the cell's suspects.
 	crashes   crash.History
 	suspected bool
-	// probationWaitSince is since when it waits for a trial, if it is a suspect.
+	// probationWaitSince is when the task became ready, or a suspect if that was later. A suspect
+	// waits for its probation from then on.
 	probationWaitSince time.Time
-	// givenUp says that it is not started any more.
+	// givenUp is set when the task must not be started again.
 	givenUp bool
-	// lapsedAttempts counts the attempts of which it isn't known how they ended.
+	// lapsedAttempts is the number of attempts with unknown results, whose leases expired while
+	// their endpoints were unreachable.
 	lapsedAttempts int
-	// refusals counts the starts in a row that endpoints have refused for good, and notBefore
-	// is when it may be started again.
+	// refusals counts consecutive starts that endpoints rejected permanently. notBefore is the
+	// earliest time of the next start.
 	refusals  int
 	notBefore time.Time
-	// avoid names the endpoint where the task failed last.
+	// avoid is the endpoint where the task failed last.
 	avoid damsonwinch.Life
 }
 
@@ -139,8 +150,8 @@
 	return damsonwinch.TaskID{Job: t.phase.round.job.id, Round: t.phase.round.number, Phase: t.phase.number, Index: t.index}
 }
 
-// comparePhases orders phases by urgency: priority, then the time by which the
-// job should be done, then age.
+// comparePhases orders phases by urgency: by priority, then by deadline, then by age. The IDs and
+// numbers make the order unambiguous.
 func comparePhases(a, b *phase) int {
 	return cmp.Or(
 		cmp.Compare(a.job().priority, b.job().priority),
@@ -152,7 +163,7 @@
 	)
 }
 
-// newRound returns a round with all its phases closed.
+// newRound returns a round with no phase open.
 func newRound(j *job, number int) *round {
 	r := &round{job: j, number: number, unfinishedPhases: len(j.spec.Phases)}
 	for at := range j.spec.Phases {
@@ -167,7 +178,7 @@
 	return r
 }
 
-// startRound opens the phases of a round that wait for nothing.
+// startRound adds a round to the job and opens the phases that depend on no other.
 func (c *Cell) startRound(j *job, number int) *round {
 	r := newRound(j, number)
 	j.rounds = append(j.rounds, r)
@@ -179,7 +190,8 @@
 	return r
 }
 
-// openPhase makes a phase's tasks ready.
+// openPhase makes the unfinished tasks of a phase ready, except those with attempts that may be
+// running.
 func (c *Cell) openPhase(p *phase) {
 	for _, t := range p.tasks {
 		if !t.done && len(t.runs) == 0 {
@@ -188,7 +200,8 @@
 	}
 }
 
-// makeReady puts a task among those that may start.
+// makeReady adds a task to the ready ones of its phase, unless it must not or need not start, and
+// puts the phase into openPhases.
 func (c *Cell) makeReady(t *task) {
 	p := t.phase
 	if t.ready || t.done || p.unfinishedDeps > 0 || p.job().ended() || t.givenUp || c.giveUpSpent(t) {
@@ -204,7 +217,7 @@
 	}
 }
 
-// removeReady takes a task from those that may start.
+// removeReady removes a task from the ready ones of its phase.
 func (p *phase) removeReady(t *task) {
 	if !t.ready {
 		return
@@ -213,7 +226,7 @@
 	p.ready = slices.DeleteFunc(p.ready, func(other *task) bool { return other == t })
 }
 
-// closePhase takes a phase from the open ones.
+// closePhase removes a phase from openPhases. None of its tasks is ready after that.
 func (c *Cell) closePhase(p *phase) {
 	if p.open {
 		p.open = false
@@ -225,12 +238,13 @@
 	p.ready = nil
 }
 
-// rounds returns how many rounds a job has in all.
+// totalRounds returns the number of times that the job's phases run.
 func (j *job) totalRounds() int {
 	return max(1, j.spec.Rounds)
 }
 
-// roundDue returns when a round falls due.
+// roundDue returns when a round of a repeated job is due. The round of any other job is due at
+// once.
 func (j *job) roundDue(number int) time.Time {
 	if j.spec.Rounds == 0 {
 		return time.Time{}
@@ -238,7 +252,7 @@
 	return time.UnixMilli(int64(j.spec.FirstMs + number*j.spec.EveryMs))
 }
 
-// startDueRounds starts the rounds that have fallen due.
+// startDueRounds starts the rounds that are due.
 func (c *Cell) startDueRounds() {
 	for _, j := range c.activeJobs {
 		for !j.ended() && len(j.rounds) < j.totalRounds() && !c.now.Before(j.roundDue(len(j.rounds))) {
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -9,11 +9,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// specSuffix marks the key of what was handed in of a job, which is written once.
+// specSuffix ends the key of the record that holds a job as it was submitted. It is written once.
 const specSuffix = "/spec"
 
-// Columns of a task's row in a job's record. Rows without names of fields take 270 bytes
-// of the stream a task through its life; with them it was 920.
+// Columns of a task's row in a job's record. Rows without field names take 270 bytes of the stream
+// per task over its lifetime; with field names it was 920.
 const (
 	columnRound = iota
 	columnPhase
@@ -21,25 +21,27 @@
 	columnAttempt
 	columnFailed
 	columnDone
-	// columnRuns begins pairs of an attempt and its endpoint's place.
+	// columnRuns begins pairs of an attempt's number and the index of its endpoint in
+	// JobRecord.Endpoints.
 	columnRuns
 )
 
-// runColumns is the number of columns of an attempt that may be running.
+// runColumns is the number of columns for each attempt that may be running.
 const runColumns = 2
 
-// jobRecords returns the records by which the stream holds a job as it is now.
+// jobRecords returns the records that hold the present state of a job. It writes the specification
+// once, and deletes it when the job has ended and nothing of it can run.
 func (c *Cell) jobRecords(j *job) []damsonwinch.Record {
 	var records []damsonwinch.Record
 	if !j.specRecorded && (!j.ended() || j.runCount > 0) {
-		// Who takes over a job that has ended must know what of it still runs.
+		// An owner that takes over an ended job must know which of its runs may still exist.
 		j.specRecorded = true
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix, Value: encode(wire.AcceptedJob{
 			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.maxAttempts, DueMs: j.dueMs, Spec: j.spec,
 		})})
 	}
 	if j.ended() && j.specRecorded && j.runCount == 0 {
-		// Nothing of it can run any more.
+		// Nothing of the job can run any more.
 		j.specRecorded = false
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix})
 	}
@@ -53,8 +55,8 @@
 	return append(records, damsonwinch.Record{Key: j.id, Value: encode(record)})
 }
 
-// writeTasks adds the tasks that have begun to a job's record, and returns the places of
-// those that have lapses.
+// writeTasks adds a row for each started task to a job's record. It returns the row numbers of the
+// tasks with lapsed attempts.
 func writeTasks(j *job, record *wire.JobRecord) map[*task]int {
 	var rows map[*task]int
 	for _, r := range j.rounds {
@@ -76,6 +78,7 @@
 	return rows
 }
 
+// writeTask adds the row of a task to its job's record, and its checkpoint and crashes, if any.
 func writeTask(t *task, record *wire.JobRecord) {
 	row := make([]int, columnRuns, columnRuns+runColumns*len(t.runs))
 	row[columnRound], row[columnPhase], row[columnIndex] = t.phase.round.number, t.phase.number, t.index
@@ -92,27 +95,29 @@
 	record.Tasks = append(record.Tasks, row)
 }
 
-// endpointIndex returns the place of an endpoint among those of a job's record.
+// endpointIndex returns the index of an endpoint in the record's list of endpoints, and adds it
+// there if it is missing.
 func endpointIndex(e *endpoint, record *wire.JobRecord) int {
 	life := e.info.Life.String()
-	if at := slices.Index(record.Endpoints, life); at >= 0 {
-		return at
+	if index := slices.Index(record.Endpoints, life); index >= 0 {
+		return index
 	}
 	record.Endpoints = append(record.Endpoints, life)
 	return len(record.Endpoints) - 1
 }
 
-// encode writes a record's value. Plain structs of strings and numbers can't fail
-// to encode.
+// encode returns the JSON value of a record. Encoding plain structs of strings and numbers can't
+// fail.
 func encode(value any) []byte {
-	text, err := json.Marshal(value)
+	data, err := json.Marshal(value)
 	if err != nil {
 		return nil
 	}
-	return text
+	return data
 }
 
-// readTasks fills a job's rounds from its record. Every attempt in it may be running.
+// readTasks restores a job's rounds from its record. Every attempt listed in it may still be
+// running.
 func (c *Cell) readTasks(j *job, record wire.JobRecord) error {
 	for number, row := range record.Tasks {
 		if err := c.readTask(j, record, row); err != nil {
@@ -133,29 +138,30 @@
 	return c.readLapses(j, record)
 }
 
+// readTask restores a task from its row in a job's record.
 func (c *Cell) readTask(j *job, record wire.JobRecord, row []int) error {
 	if len(row) < columnRuns || (len(row)-columnRuns)%runColumns != 0 {
-		return fmt.Errorf("%d columns", len(row))
+		return fmt.Errorf("invalid row with %d columns", len(row))
 	}
 	if row[columnRound] >= j.totalRounds() {
-		return fmt.Errorf("round %d of %d", row[columnRound], j.totalRounds())
+		return fmt.Errorf("reference to missing round %d of %d", row[columnRound], j.totalRounds())
 	}
 	for len(j.rounds) <= row[columnRound] {
 		j.rounds = append(j.rounds, newRound(j, len(j.rounds)))
 	}
 	t := c.findTask(rowTaskID(j, row))
 	if t == nil {
-		return fmt.Errorf("no task %v", row[:columnAttempt])
+		return fmt.Errorf("no task with round, phase and index %v", row[:columnAttempt])
 	}
 	j.placed = true
 	j.begun = j.begun || row[columnDone] != 0 || row[columnFailed] > 0
 	t.lastAttempt, t.failedAttempts = row[columnAttempt], row[columnFailed]
 	for runs := row[columnRuns:]; len(runs) > 0; runs = runs[runColumns:] {
-		attempt, at := runs[0], runs[1]
-		if at < 0 || at >= len(record.Endpoints) {
-			return fmt.Errorf("endpoint %d of %d", at, len(record.Endpoints))
+		attempt, index := runs[0], runs[1]
+		if index < 0 || index >= len(record.Endpoints) {
+			return fmt.Errorf("reference to missing endpoint %d of %d", index, len(record.Endpoints))
 		}
-		c.attach(&run{task: t, attempt: attempt, at: c.endpointOf(damsonwinch.ParseLife(record.Endpoints[at])), state: runSuspect, since: c.now, adopted: true, speed: leastPace})
+		c.attach(&run{task: t, attempt: attempt, at: c.endpointOf(damsonwinch.ParseLife(record.Endpoints[index])), state: runSuspect, since: c.now, adopted: true, speed: leastPace})
 	}
 	if row[columnDone] != 0 && !t.done {
 		t.done = true
@@ -164,6 +170,7 @@
 	return nil
 }
 
+// rowTaskID returns the ID of the task that a row is about.
 func rowTaskID(j *job, row []int) damsonwinch.TaskID {
 	return damsonwinch.TaskID{Job: j.id, Round: row[columnRound], Phase: row[columnPhase], Index: row[columnIndex]}
 }
--- a/pkg/cell/record_test.go
+++ b/pkg/cell/record_test.go
@@ -22,7 +22,7 @@
 		"a task that isn't there":     {`{"state":"running","tasks":[[0,0,7,1,0,0]]}`, "no task"},
 		"a round that isn't there":    {`{"state":"running","tasks":[[1000000000,0,0,1,0,0]]}`, "round 1000000000 of 1"},
 		"a checkpoint of no task":     {`{"state":"running","saved":[{"row":3,"checkpoint":"x"}]}`, "checkpoint for row 3"},
-		"no text":                     {``, "no text"},
+		"no text":                     {``, "no specification"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			accepted, err := json.Marshal(wire.AcceptedJob{Queue: "queue", Spec: simSpec(wire.Phase{Count: 2, Cpu: 1000})})
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -11,9 +11,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Load takes over what the stream holds of the cell: its newest record of each
-// key, after the stream's epoch was raised, so that no earlier owner can add to
-// it. Every recorded run may still be running where its record says.
+// Load restores the cell from the newest record of each key in its stream. Before that, the owner
+// must have raised the stream's epoch, so that no earlier owner can append to it. Every recorded
+// run may still be running on its recorded endpoint.
 func (c *Cell) Load(now time.Time, records []damsonwinch.Record) error {
 	c.beginEvent(now)
 	c.ConfirmOwnership(now)
@@ -22,7 +22,7 @@
 		if id, isSpec := strings.CutSuffix(record.Key, specSuffix); isSpec {
 			var spec wire.AcceptedJob
 			if err := json.Unmarshal(record.Value, &spec); err != nil {
-				return fmt.Errorf("read text of job %s: %w", id, err)
+				return fmt.Errorf("read specification of job %s: %w", id, err)
 			}
 			specs[id] = spec
 		}
@@ -39,6 +39,8 @@
 	return nil
 }
 
+// loadRecord restores what a record holds. The records with the jobs' specifications have been read
+// before, into specs.
 func (c *Cell) loadRecord(record damsonwinch.Record, specs map[string]wire.AcceptedJob) error {
 	switch {
 	case strings.HasSuffix(record.Key, specSuffix):
@@ -53,7 +55,7 @@
 	return c.loadJob(record, specs)
 }
 
-// loadJob takes over a job. One without a text has ended, and nothing of it can run.
+// loadJob restores a job. A job without a specification has ended, and nothing of it can run.
 func (c *Cell) loadJob(record damsonwinch.Record, specs map[string]wire.AcceptedJob) error {
 	var saved wire.JobRecord
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
@@ -64,7 +66,7 @@
 	accepted, hasSpec := specs[record.Key]
 	if !hasSpec {
 		if !j.ended() {
-			return fmt.Errorf("job %s has a record and no text", j.id)
+			return fmt.Errorf("job %s has a record and no specification", j.id)
 		}
 		return nil
 	}
@@ -81,7 +83,8 @@
 	return nil
 }
 
-// reopenPhases opens the phases of a loaded job whose turn has come.
+// reopenPhases recounts the unfinished work of a loaded job and opens the phases whose dependencies
+// are done.
 func (c *Cell) reopenPhases(j *job) {
 	for _, r := range j.rounds {
 		r.unfinishedPhases = 0
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -9,7 +9,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// CommitAge returns for how long the append on its way has not been done, 0 for none.
+// CommitAge returns how long the append in flight has been waiting, or 0 if there is none.
 func (c *Cell) CommitAge(now time.Time) time.Duration {
 	if c.commits.inFlight == nil {
 		return 0
@@ -17,12 +17,12 @@
 	return now.Sub(c.commits.inFlight.sentAt)
 }
 
-// Snapshot returns the records by which another stream would hold the cell as it is now, so
-// that the cell can go on there while the store turns its own stream's calls away. From then
-// on Committed must not be called: what it would set off isn't in the snapshot.
+// Snapshot returns records that hold the present state of the cell, for another stream, so that the
+// cell can continue there while the store rejects calls for its own stream. After that, Committed
+// must not be called, because its effects are not in the snapshot.
 //
-// Jobs that were never given to the store are left out. They may be refused still, and what
-// is refused must not run.
+// Jobs that were never sent to the store are left out. They may still be refused, and a refused job
+// must not run.
 func (c *Cell) Snapshot() []damsonwinch.Record {
 	var records []damsonwinch.Record
 	for _, e := range c.sortedEndpoints {
@@ -37,7 +37,7 @@
 	records = append(records, c.queueStatsRecords()...)
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if j := c.jobs[id]; c.mayBeStored(j) {
-			// The text isn't in the new stream.
+			// The new stream does not hold the specification yet.
 			j.specRecorded = false
 			records = append(records, c.jobRecords(j)...)
 		}
@@ -45,7 +45,7 @@
 	return records
 }
 
-// mayBeStored says whether the store may hold a job.
+// mayBeStored reports whether the store may hold the job: its record is there or in flight.
 func (c *Cell) mayBeStored(j *job) bool {
 	if j.recorded {
 		return true
@@ -57,7 +57,7 @@
 	return sent
 }
 
-// withdrawalRecord returns the record of an endpoint that is withdrawn.
+// withdrawalRecord returns the record that says that the endpoint is withdrawn.
 func (e *endpoint) withdrawalRecord(now time.Time) damsonwinch.Record {
 	return damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String(), Value: encode(wire.EndpointRecord{Withdrawn: true, AtMs: int(now.UnixMilli())})}
 }
