--- a/pkg/cell/arrivals.go
+++ b/pkg/cell/arrivals.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// Sizes of what is remembered of the jobs that arrive.
+// Limits of the statistics on arriving jobs.
 const (
+	// arrivalSlot is the length of a time slot.
 	arrivalSlot = 100 * time.Millisecond
-	// arrivalSlotCount cover the longest window twice: what came before tells whether
-	// the rate changes.
+	// arrivalSlotCount slots cover the longest window twice, because the window before it shows
+	// whether the rate is changing.
 	arrivalSlotCount = 48
-	// minWindowJobs is the number of jobs in a window from which it tells the rate well:
-	// chance makes it a quarter more or less.
+	// minWindowJobs is the number of jobs in a window from which the window gives a good estimate
+	// of the rate: the standard deviation is then a quarter of it.
 	minWindowJobs = 16
-	// steadyDeviations and trendDoubt are the parts of a figure's standard deviation that
-	// are taken for chance, of a steady rate and of one that is seen to change.
+	// steadyDeviations and trendDeviations are the numbers of standard deviations that are
+	// subtracted from a steady rate and from a changing one, as they may be chance.
 	steadyDeviations = 0.15
 	trendDeviations  = 1.5
-	// maxRateFactor bounds how many times the present rate may be expected.
+	// maxRateFactor bounds the expected rate, as a multiple of the present one.
 	maxRateFactor = 3
 )
 
-// arrivalWindows are numbers of slots: a short window shows a change of demand soon,
-// a long one tells the rate of jobs that are few.
+// arrivalWindows are window lengths in slots. A short window shows a change of demand soon; a long
+// one gives the rate when there are few jobs.
 var arrivalWindows = []int{6, 12, 24}
 
-// arrivals counts the jobs of a queue by the time at which they came.
+// arrivals counts the jobs of a queue by the time slot in which they arrived.
 type arrivals struct {
-	// counts holds the jobs of each slot, by the slot's number since 1970.
+	// counts is a ring buffer of the number of jobs in each slot. slot is the newest slot, counted
+	// since 1970.
 	counts [arrivalSlotCount]int
 	slot   int64
 }
 
-// advance forgets the slots that are too long ago.
+// advance moves to the slot of the given time and clears the slots that it reuses.
 func (a *arrivals) advance(now time.Time) {
 	slot := now.UnixMilli() / arrivalSlot.Milliseconds()
 	for step := min(slot-a.slot, arrivalSlotCount) - 1; step >= 0; step-- {
@@ -42,13 +44,14 @@
 	a.slot = max(a.slot, slot)
 }
 
-// add counts a job.
+// add counts a job that arrives now.
 func (a *arrivals) add(now time.Time) {
 	a.advance(now)
 	a.counts[a.slot%arrivalSlotCount]++
 }
 
-// count returns the jobs of a number of slots that ended some slots ago.
+// count returns the number of jobs in a window of the given number of slots that ended ago slots
+// before the newest.
 func (a *arrivals) count(slots, ago int) int {
 	sum := 0
 	for back := ago; back < ago+slots; back++ {
@@ -57,49 +60,50 @@
 	return sum
 }
 
-// rates are a queue's jobs a second.
+// rates are rates of arriving jobs, in jobs per second.
 type rates struct {
-	// steady is what now comes, and expected what will come if a trend goes on.
+	// steady is the present rate, and expected the rate if the trend continues.
 	steady   float64
 	expected float64
 }
 
-// rates returns the rates now and some time ahead. Each is one that is hardly a
-// mere chance.
+// rates returns the present rate and the one some time ahead. Both are low estimates: the part that
+// may be chance is subtracted.
 func (a *arrivals) rates(now time.Time, ahead time.Duration) rates {
 	a.advance(now)
-	var found rates
+	var result rates
 	for _, window := range arrivalWindows {
 		newer := a.count(window, 0)
-		if found.steady == 0 && (newer >= minWindowJobs || window == arrivalWindows[len(arrivalWindows)-1]) {
-			found.steady = steadyRate(newer, window)
+		if result.steady == 0 && (newer >= minWindowJobs || window == arrivalWindows[len(arrivalWindows)-1]) {
+			result.steady = steadyRate(newer, window)
 		}
-		found.expected = max(found.expected, trendRate(newer, a.count(window, window), window, ahead))
+		result.expected = max(result.expected, trendRate(newer, a.count(window, window), window, ahead))
 	}
-	found.expected = max(found.steady, found.expected)
-	return found
+	result.expected = max(result.steady, result.expected)
+	return result
 }
 
-// steadyRate returns the rate of a window's jobs less a little for chance.
+// steadyRate returns the rate of a window with count jobs, less steadyDeviations.
 func steadyRate(count, window int) float64 {
 	return (float64(count) - steadyDeviations*math.Sqrt(float64(count))) / seconds(window)
 }
 
-// trendRate returns the rate some time ahead if it goes on to change as it did from one
-// window to the next, less what may be chance.
+// trendRate returns the rate some time ahead if it continues to change as it did from the older
+// window to the newer one, less trendDeviations.
 func trendRate(newer, older, window int, ahead time.Duration) float64 {
 	length := seconds(window)
-	// The newer window's rate is that of its middle.
-	reach := (length/2 + ahead.Seconds()) / (length * length)
+	// factor multiplies the difference of the counts. The newer window's rate is the rate in its middle.
+	factor := (length/2 + ahead.Seconds()) / (length * length)
 	rate := float64(newer) / length
-	deviation := math.Sqrt(float64(newer)*square(1/length+reach) + float64(older)*square(reach))
-	return min(rate*maxRateFactor, rate+float64(newer-older)*reach-trendDeviations*deviation)
+	deviation := math.Sqrt(float64(newer)*square(1/length+factor) + float64(older)*square(factor))
+	return min(rate*maxRateFactor, rate+float64(newer-older)*factor-trendDeviations*deviation)
 }
 
 func square(value float64) float64 {
 	return value * value
 }
 
+// seconds returns the length of a number of slots in seconds.
 func seconds(slots int) float64 {
 	return (time.Duration(slots) * arrivalSlot).Seconds()
 }
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -7,49 +7,50 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Report tells the fleet planner how the cell is.
+// Report returns the state of the cell for the fleet planner: its endpoints, its demand, and the
+// customers that need more than their allowances.
 func (c *Cell) Report(now time.Time) wire.SyncReply {
 	report := wire.SyncReply{Known: true, TaskMs: c.meanTaskMs(), SlackMs: c.meanSlackMs(now)}
 	c.now = now
 	report.SteadyCpu, report.OfferedCpu = c.offeredCPU(now)
-	memory, boxMemory := 0, 0
+	memoryMB, boxMemoryMB := 0, 0
 	for _, e := range c.sortedEndpoints {
 		if c.followed(e) {
-			// The planner has one life for each box.
+			// The planner tracks one life per box.
 			continue
 		}
-		boxMemory = max(boxMemory, e.info.Capacity.MemoryMB)
-		entry := wire.EndpointReport{
+		boxMemoryMB = max(boxMemoryMB, e.info.Capacity.MemoryMB)
+		row := wire.EndpointReport{
 			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdraw.recorded,
 			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
 		}
 		if len(e.runs) == 0 {
-			entry.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
+			row.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
 		}
 		for _, r := range e.runs {
 			need := r.task.phase.need()
 			if r.task.phase.spec.Lasting {
-				memory += need.MemoryMB
-				entry.Lasting++
+				memoryMB += need.MemoryMB
+				row.Lasting++
 				report.LastingCpu += need.CPU
 				continue
 			}
 			switch {
-			case entry.Silent:
-				// What runs out of reach takes no room of the boxes that are left.
+			case row.Silent:
+				// Runs on unreachable endpoints take no capacity of the remaining boxes.
 			case r.late:
 				report.RunningLateCpu += need.CPU
 			default:
-				memory += need.MemoryMB
+				memoryMB += need.MemoryMB
 				report.RunningCpu += need.CPU
 			}
-			entry.EmptyMs = max(entry.EmptyMs, c.leftMs(r))
+			row.EmptyMs = max(row.EmptyMs, c.leftMs(r))
 		}
-		report.Endpoints = append(report.Endpoints, entry)
+		report.Endpoints = append(report.Endpoints, row)
 	}
-	memory += c.reportWaiting(&report)
-	if boxMemory > 0 {
-		report.MemoryShare = memory * sharesPerBox / boxMemory
+	memoryMB += c.reportWaiting(&report)
+	if boxMemoryMB > 0 {
+		report.MemoryShare = memoryMB * sharesPerBox / boxMemoryMB
 	}
 	report.Spread = c.spreadBoxes()
 	c.reportDedicatedBoxes(&report)
@@ -57,16 +58,16 @@
 	return report
 }
 
-// reportDedicatedBoxes adds what asks for boxes without lasting tasks: the largest tasks don't fit
-// beside one. A job of tasks of 29 cores stood still for 15 s beside 38 boxes of 32 cores,
-// half of whose room was free in sum.
+// reportDedicatedBoxes adds the demand for boxes without long-running tasks, because the largest
+// tasks do not fit beside one. A job with tasks of 29 cores made no progress for 15 s beside 38
+// boxes of 32 cores, although half of their total capacity was free.
 func (c *Cell) reportDedicatedBoxes(report *wire.SyncReply) {
-	var box, beside damsonwinch.Resources
+	var box, besideLongRunning damsonwinch.Resources
 	for _, e := range c.sortedEndpoints {
 		box = maxResources(box, e.info.Capacity)
-		if lasting := e.longRunningNeed(); lasting != (damsonwinch.Resources{}) {
+		if used := e.longRunningNeed(); used != (damsonwinch.Resources{}) {
 			report.LastingBoxes++
-			beside = maxResources(beside, e.info.Capacity.Minus(lasting))
+			besideLongRunning = maxResources(besideLongRunning, e.info.Capacity.Minus(used))
 		}
 	}
 	if report.LastingBoxes == 0 {
@@ -75,7 +76,7 @@
 	nowMs := int(c.now.UnixMilli())
 	add := func(p *phase, count int, late bool) {
 		need := p.need()
-		if p.spec.Lasting || beside.Holds(need) {
+		if p.spec.Lasting || besideLongRunning.Holds(need) {
 			return
 		}
 		if late {
@@ -94,49 +95,49 @@
 	}
 }
 
-// maxResources returns the larger one of each kind of room.
+// maxResources returns the larger amount of each kind of resource.
 func maxResources(a, b damsonwinch.Resources) damsonwinch.Resources {
 	return damsonwinch.Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPU: max(a.GPU, b.GPU)}
 }
 
-// tasksPerBox returns how many tasks of a need an empty box holds, 1 at least.
+// tasksPerBox returns how many tasks with the given need an empty box can hold, at least 1.
 func tasksPerBox(box, need damsonwinch.Resources) int {
 	return max(1, min(box.CPU/max(1, need.CPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
-// sharesPerBox is a box's room in the unit of shares.
+// sharesPerBox is the capacity of a box in the unit in which the report gives parts of boxes.
 const sharesPerBox = 1000
 
-// reportWaiting adds what ready tasks ask for, and returns their memory.
+// reportWaiting adds the demand of the ready tasks, and returns their memory in MB.
 func (c *Cell) reportWaiting(report *wire.SyncReply) int {
-	memory := 0
+	memoryMB := 0
 	nowMs := int(c.now.UnixMilli())
-	allowed := c.newAllowedCPU()
+	allowance := c.newAllowedCPU()
 	for _, p := range c.openPhases {
 		need := p.need()
 		if p.spec.Lasting {
 			report.LastingCpu += len(p.ready) * need.CPU
 			continue
 		}
-		wanted := len(p.ready) * need.CPU
-		may := allowed.take(p, wanted)
+		wantedCPU := len(p.ready) * need.CPU
+		grantedCPU := allowance.take(p, wantedCPU)
 		if p.isLate(nowMs) {
-			report.LateCpu += may
-			if p.job().runCount == 0 && may >= need.CPU {
+			report.LateCpu += grantedCPU
+			if p.job().runCount == 0 && grantedCPU >= need.CPU {
 				report.StalledCpu += need.CPU
 			}
 			continue
 		}
-		memory += len(p.ready) * need.MemoryMB * may / max(1, wanted)
-		report.WaitingCpu += may
+		memoryMB += len(p.ready) * need.MemoryMB * grantedCPU / max(1, wantedCPU)
+		report.WaitingCpu += grantedCPU
 	}
-	return memory
+	return memoryMB
 }
 
-// spreadBoxes returns how many boxes the cell's lasting phases need so that no box has
-// more tasks of one than allowed.
+// spreadBoxes returns how many boxes the cell's long-running phases need so that no box runs more
+// tasks of a phase than MostPerBox.
 func (c *Cell) spreadBoxes() int {
-	most := 0
+	boxes := 0
 	for _, j := range c.activeJobs {
 		if j.ended() {
 			continue
@@ -144,15 +145,16 @@
 		for _, r := range j.rounds {
 			for _, p := range r.phases {
 				if p.spec.Lasting && p.spec.MostPerBox > 0 {
-					most = max(most, (p.spec.Count+p.spec.MostPerBox-1)/p.spec.MostPerBox)
+					boxes = max(boxes, (p.spec.Count+p.spec.MostPerBox-1)/p.spec.MostPerBox)
 				}
 			}
 		}
 	}
-	return most
+	return boxes
 }
 
-// ApplySync takes what the fleet planner wants of the endpoints.
+// ApplySync applies a call of the fleet planner: allowances, endpoints that are known to have
+// exited, and which endpoints to withdraw, restore or expect maintenance for.
 func (c *Cell) ApplySync(now time.Time, args wire.SyncArgs) {
 	c.beginEvent(now)
 	c.endpointsChanged()
@@ -171,8 +173,8 @@
 	}
 }
 
-// forEachLife does something with the endpoints of some lives. The planner doesn't know when those were
-// born that it hasn't been told of.
+// forEachLife calls do for each endpoint that one of the given lives may name. The planner does not
+// know the start time of a life that has not been reported to it yet.
 func (c *Cell) forEachLife(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
@@ -184,18 +186,18 @@
 	}
 }
 
-// countUnavailable counts a phase's lasting tasks that are not at work.
+// countUnavailable returns the number of a phase's long-running tasks that are not available.
 func (c *Cell) countUnavailable(p *phase) int {
-	away := 0
+	count := 0
 	for _, t := range p.tasks {
 		if !c.isAvailable(t) {
-			away++
+			count++
 		}
 	}
-	return away
+	return count
 }
 
-// isAvailable says whether a lasting task has started and is not being stopped.
+// isAvailable reports whether a long-running task has started completely and is not being stopped.
 func (c *Cell) isAvailable(t *task) bool {
 	for _, r := range t.runs {
 		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
@@ -205,24 +207,24 @@
 	return false
 }
 
-// mayBeStopping says whether an earlier owner may have stopped a run that is still
-// listed: it could do so until this owner's token came to the endpoint.
+// mayBeStopping reports whether an earlier owner may have stopped a run that the endpoint still
+// lists. It could do so until the endpoint had seen this owner's token.
 func (c *Cell) mayBeStopping(r *run) bool {
 	return r.adopted && c.now.Sub(r.at.attachedAt) < c.options.MaxStopTime+maxStopTransit
 }
 
-// maxStopTransit is how long an earlier owner's stop may have been on its way when it
-// reached the endpoint before this owner's first look did, beside the time that
-// the task then takes to end.
+// maxStopTransit is how long a stop of an earlier owner may have been in transit when it reached
+// the endpoint before this owner's first poll. The task then takes MaxStopTime to end.
 const maxStopTransit = 300 * time.Millisecond
 
+// fullPercent is full progress of a run, full speed, or a whole, in percent.
 const fullPercent = 100
 
-// Endpoints returns what is known of the endpoints, for tests and status.
+// Endpoints returns the known endpoints in order of their IDs, for tests and status.
 func (c *Cell) Endpoints() []damsonwinch.Endpoint {
-	found := make([]damsonwinch.Endpoint, 0, len(c.sortedEndpoints))
+	infos := make([]damsonwinch.Endpoint, 0, len(c.sortedEndpoints))
 	for _, e := range c.sortedEndpoints {
-		found = append(found, e.info)
+		infos = append(infos, e.info)
 	}
-	return found
+	return infos
 }
--- a/pkg/cell/estimate.go
+++ b/pkg/cell/estimate.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// runningStats is a running mean and variance.
+// runningStats holds a running mean and variance.
 type runningStats struct {
 	count    int
 	mean     float64
 	variance float64
 }
 
-// add learns a value; new ones never count for less than learnWeight.
+// add adds a value. Its weight is never less than minSampleWeight, so that old values fade.
 func (s *runningStats) add(value float64) {
 	s.count++
 	weight := max(minSampleWeight, 1/float64(s.count))
-	off := value - s.mean
-	s.mean += weight * off
-	s.variance = (1 - weight) * (s.variance + weight*off*off)
+	diff := value - s.mean
+	s.mean += weight * diff
+	s.variance = (1 - weight) * (s.variance + weight*diff*diff)
 }
 
-// runTimes learns how long a queue's tasks take, and how far clients' estimates
-// are off. Both spread by factors, so logarithms are kept.
+// runTimes holds statistics of how long a queue's tasks take, and of how far off clients' estimates
+// are. Both vary by factors, so the statistics are of logarithms.
 type runTimes struct {
 	logTime  runningStats // Of the logarithm of the time in milliseconds.
-	logError runningStats // Of the logarithm of the time over its estimate.
-	// meanMs is the plain meanMs in milliseconds.
+	logError runningStats // Of the logarithm of the time divided by its estimate.
+	// meanMs is the arithmetic mean of the time in milliseconds.
 	meanMs float64
 }
 
-// addRun learns from a task that is done.
+// addRun adds the run time of a task that is done. estimateMs is the client's estimate, or 0.
 func (t *runTimes) addRun(took time.Duration, estimateMs int) {
 	ms := max(1, float64(took.Milliseconds()))
 	t.logTime.add(math.Log(ms))
@@ -40,9 +40,9 @@
 	}
 }
 
-// estimate returns the time that a task probably takes, in milliseconds. What the
-// queue's tasks usually take and what the client says are each believed as far as
-// they have been right.
+// estimate returns the expected time of a task in milliseconds, given the client's estimate or 0.
+// It is a mean of the queue's usual time and the client's estimate, each weighted by how precise it
+// has been.
 func (t *runTimes) estimate(estimateMs int) int {
 	if t.logTime.count < minLearnedRuns {
 		return estimateMs
@@ -50,13 +50,12 @@
 	if estimateMs <= 0 || t.logError.count < minLearnedRuns {
 		return int(t.meanMs)
 	}
-	said := math.Log(float64(estimateMs)) + t.logError.mean
-	belief := t.logTime.variance / (t.logTime.variance + t.logError.variance + minVariance)
-	return int(math.Exp(belief*said + (1-belief)*t.logTime.mean))
+	corrected := math.Log(float64(estimateMs)) + t.logError.mean
+	clientWeight := t.logTime.variance / (t.logTime.variance + t.logError.variance + minVariance)
+	return int(math.Exp(clientWeight*corrected + (1-clientWeight)*t.logTime.mean))
 }
 
-// estimateVariance returns the variance of the logarithm of a task's time about its
-// estimate.
+// estimateVariance returns the variance of the logarithm of a task's time around its estimate.
 func (t *runTimes) estimateVariance() float64 {
 	if t.logError.count < minLearnedRuns {
 		return t.logTime.variance
@@ -64,5 +63,5 @@
 	return t.logTime.variance * t.logError.variance / (t.logTime.variance + t.logError.variance + minVariance)
 }
 
-// minVariance keeps the weights apart from a division by nothing.
+// minVariance keeps the weights from a division by zero.
 const minVariance = 1e-6
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -8,18 +8,19 @@
 	"damsonwinch/pkg/triage"
 )
 
-// fixedValueShare is the part of a job's worth that doesn't grow with its work, by which the
-// users measure: 0.3, and 0.7 times its work over the queue's mean.
+// fixedValueShare is the part of a job's value that does not depend on its work. Users measure the
+// value of a job as 0.3, plus 0.7 times its work divided by the queue's mean work.
 const fixedValueShare = 0.3
 
-// deferPhases chooses the phases that wait behind the others because not all can be in time.
+// deferPhases chooses the phases that have to wait behind others, when not all can meet their
+// deadlines.
 func (c *Cell) deferPhases() {
 	for _, p := range c.openPhases {
 		p.deferred = false
 	}
 	nowMs := int(c.now.UnixMilli())
 	waiting, needed := c.onTimePhases(nowMs)
-	capacity := c.room()
+	capacity := c.capacity()
 	if needed <= capacity.FreeCPU {
 		return
 	}
@@ -28,13 +29,13 @@
 	for at, p := range waiting {
 		items[at] = c.triageItem(p, nowMs)
 	}
-	for at, put := range triage.Defer(items, capacity) {
-		waiting[at].deferred = put
+	for at, isDeferred := range triage.Defer(items, capacity) {
+		waiting[at].deferred = isDeferred
 	}
 }
 
-// onTimePhases returns the phases with waiting tasks whose jobs can be in time, and the
-// room that they need.
+// onTimePhases returns the phases with waiting tasks whose jobs can still meet their deadlines, and
+// the CPU that those tasks need.
 func (c *Cell) onTimePhases(nowMs int) (waiting []*phase, needed int) {
 	for _, p := range c.openPhases {
 		if !p.spec.Lasting && p.lateAtMs > 0 && !p.isLate(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
@@ -45,27 +46,28 @@
 	return waiting, needed
 }
 
-// room returns what the cell's endpoints have free and how fast their tasks end.
-func (c *Cell) room() triage.Capacity {
-	free, turning := 0, 0
+// capacity returns the free CPU of the cell's endpoints, and how fast more becomes free as tasks
+// end.
+func (c *Cell) capacity() triage.Capacity {
+	free, turnover := 0, 0
 	for _, e := range c.sortedEndpoints {
 		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
 			continue
 		}
 		free += max(0, e.free().CPU)
-		turning += max(0, e.info.Capacity.CPU-e.longRunningNeed().CPU)
+		turnover += max(0, e.info.Capacity.CPU-e.longRunningNeed().CPU)
 	}
 	taskMs := c.meanTaskMs()
 	if taskMs == 0 {
 		taskMs = int(defaultTaskTime.Milliseconds())
 	}
-	return triage.Capacity{FreeCPU: free, FreedCPUPerMs: float64(turning) / float64(taskMs)}
+	return triage.Capacity{FreeCPU: free, FreedCPUPerMs: float64(turnover) / float64(taskMs)}
 }
 
-// defaultTaskTime is the time of a task while none has ended yet.
+// defaultTaskTime is the assumed time of a task while none has ended yet.
 const defaultTaskTime = time.Second
 
-// longRunningNeed returns the room that lasting tasks take at an endpoint.
+// longRunningNeed returns the resources that long-running tasks use on the endpoint.
 func (e *endpoint) longRunningNeed() damsonwinch.Resources {
 	var sum damsonwinch.Resources
 	for _, r := range e.ordered {
@@ -76,7 +78,7 @@
 	return sum
 }
 
-// triageItem says what a phase needs and what its job is worth.
+// triageItem returns what a phase needs, by when, and the value of its job.
 func (c *Cell) triageItem(p *phase, nowMs int) triage.Item {
 	j := p.job()
 	rest := 0
@@ -94,8 +96,8 @@
 	}
 }
 
-// startByMs returns until when a phase's tasks have to start for its job to be in time, if
-// they take as long as expected.
+// startByMs returns the time, in Unix milliseconds, by which a phase's tasks have to start for the
+// job to meet its deadline, if the tasks take as long as expected.
 func (p *phase) startByMs() int {
 	return p.lateAtMs - p.job().criticalPathMs[p.number]*(100-minPathPercent)/100
 }
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// Rules of what is learned of queues.
+// Limits of the statistics on queues.
 const (
-	// minSampleWeight is the part that a new value has in a learned mean.
+	// minSampleWeight is the smallest weight of a new value in a running mean.
 	minSampleWeight = 0.05
-	// minLearnedRuns is the number of runs after which the mean time is believed.
+	// minLearnedRuns is the number of runs from which the statistics of task times are used.
 	minLearnedRuns = 20
-	// maxWorkVariance bounds the variance of the logarithm of jobs' work that is
-	// believed: the first jobs are few, and a single giant must not double the mean.
+	// maxWorkVariance bounds the variance of the logarithm of jobs' work that is used for the mean.
+	// As long as there are few jobs, a single huge one must not double the mean.
 	maxWorkVariance = 0.6
 )
 
-// queueStats is what an owner learns of a queue.
+// queueStats holds an owner's statistics of a queue.
 type queueStats struct {
 	arrivals arrivals
-	// times are those of its tasks.
+	// times holds statistics of the times of its tasks.
 	times runTimes
-	// logWork is of the logarithms of its jobs' logWork, in thousandths of a core times
+	// logWork holds statistics of the logarithm of a job's work, in thousandths of a core times
 	// milliseconds.
 	logWork runningStats
-	// jobCount is the number of jobCount, slack the mean time that they can wait and chain
-	// the mean time that they take when nothing waits, in milliseconds.
+	// jobCount is the number of jobs. meanSlackMs is the mean time that jobs can wait and still
+	// meet their deadlines, meanPathMs the mean time that they take if nothing waits, both in
+	// milliseconds.
 	jobCount    int
 	meanSlackMs float64
 	meanPathMs  float64
 }
 
-// statsOf returns what is known of a queue.
+// statsOf returns the statistics of a queue, empty ones if there were none.
 func (c *Cell) statsOf(queue string) *queueStats {
-	known := c.statsByQueue[queue]
-	if known == nil {
-		known = &queueStats{}
-		c.statsByQueue[queue] = known
+	stats := c.statsByQueue[queue]
+	if stats == nil {
+		stats = &queueStats{}
+		c.statsByQueue[queue] = stats
 	}
-	return known
+	return stats
 }
 
-// addJob counts a job and learns of its work.
-func (q *queueStats) addJob(now time.Time, work, slackMs, chainMs int) {
+// addJob adds a job that has just arrived to the statistics: its work, the time that it can wait, and
+// the length of its critical path.
+func (q *queueStats) addJob(now time.Time, work, slackMs, pathMs int) {
 	q.arrivals.add(now)
 	q.logWork.add(math.Log(max(1, float64(work))))
 	q.jobCount++
 	weight := max(minSampleWeight, 1/float64(q.jobCount))
 	q.meanSlackMs += weight * (float64(slackMs) - q.meanSlackMs)
-	q.meanPathMs += weight * (float64(chainMs) - q.meanPathMs)
+	q.meanPathMs += weight * (float64(pathMs) - q.meanPathMs)
 }
 
-// meanWork returns the mean work of a job, taking the logarithms to be spread evenly
-// about their mean.
+// meanWork returns the mean work of a job, assuming that the work is log-normally distributed.
 func (q *queueStats) meanWork() float64 {
 	if q.jobCount == 0 {
 		return 0
@@ -60,38 +61,40 @@
 	return math.Exp(q.logWork.mean + min(q.logWork.variance, maxWorkVariance)/2)
 }
 
-// arrivalRates returns the jobs a second that come now, and those that will be at work some
-// time ahead: what is at work then came half its own time earlier.
+// arrivalRates returns the present rate of arriving jobs, and the rate of the jobs that will be
+// running some time ahead. Jobs that run at that time arrived, on average, half their own time
+// earlier.
 func (q *queueStats) arrivalRates(now time.Time, ahead time.Duration) rates {
 	return q.arrivals.rates(now, max(0, ahead-time.Duration(q.meanPathMs/2)*time.Millisecond))
 }
 
-// offeredCPU returns the work that arrives, in thousandths of a core: what now comes,
-// and what is to be expected by the time that another box could have come.
+// offeredCPU returns the work that arrives per time, in thousandths of a core: steady is the
+// present amount, and expected the amount by the time that another box could be available.
 func (c *Cell) offeredCPU(now time.Time) (steady, expected int) {
-	for _, known := range c.statsByQueue {
-		rate, work := known.arrivalRates(now, c.options.BoxLeadTime), known.meanWork()
+	for _, stats := range c.statsByQueue {
+		rate, work := stats.arrivalRates(now, c.options.BoxLeadTime), stats.meanWork()
 		steady += int(rate.steady * work / float64(time.Second.Milliseconds()))
 		expected += int(rate.expected * work / float64(time.Second.Milliseconds()))
 	}
 	return steady, expected
 }
 
-// meanSlackMs returns the time that arriving jobs can wait, weighed by their work.
+// meanSlackMs returns the mean time that arriving jobs can wait, in milliseconds, weighted by their
+// work.
 func (c *Cell) meanSlackMs(now time.Time) int {
 	sum, work := 0.0, 0.0
-	for _, known := range c.statsByQueue {
-		weight := known.arrivalRates(now, 0).steady * known.meanWork()
-		sum += known.meanSlackMs * weight
+	for _, stats := range c.statsByQueue {
+		weight := stats.arrivalRates(now, 0).steady * stats.meanWork()
+		sum += stats.meanSlackMs * weight
 		work += weight
 	}
 	if work > 0 {
 		return int(sum / work)
 	}
-	// Nothing comes now; what came before tells.
-	for _, known := range c.statsByQueue {
-		sum += known.meanSlackMs * float64(known.jobCount)
-		work += float64(known.jobCount)
+	// No jobs arrive now: use the statistics of the earlier ones.
+	for _, stats := range c.statsByQueue {
+		sum += stats.meanSlackMs * float64(stats.jobCount)
+		work += float64(stats.jobCount)
 	}
 	if work == 0 {
 		return 0
@@ -99,13 +102,13 @@
 	return int(sum / work)
 }
 
-// meanTaskMs returns the usual time of a cell's tasks in milliseconds, weighed by
-// their numbers.
+// meanTaskMs returns the mean time of the cell's tasks in milliseconds, weighted by the number of
+// runs of each queue.
 func (c *Cell) meanTaskMs() int {
 	sum, runs := 0.0, 0
-	for _, known := range c.statsByQueue {
-		sum += known.times.meanMs * float64(known.times.logTime.count)
-		runs += known.times.logTime.count
+	for _, stats := range c.statsByQueue {
+		sum += stats.times.meanMs * float64(stats.times.logTime.count)
+		runs += stats.times.logTime.count
 	}
 	if runs == 0 {
 		return 0
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// estimateJob works out what a job takes: the time of a task of each phase, that of the
-// longest chain of tasks from each phase's start to the job's end, and its work.
+// estimateJob computes what a job is expected to take: the time of a task of each phase, the
+// critical path from each phase's start to the end of the job, and the total work.
 func (c *Cell) estimateJob(j *job) {
 	times := &c.statsOf(j.queue).times
 	phases := j.spec.Phases
@@ -21,24 +21,24 @@
 	}
 }
 
-// setDue works out by when a job should be done.
+// setDue computes the deadline of a job.
 func (c *Cell) setDue(j *job) {
 	c.estimateJob(j)
 	queue := c.queues[j.queue]
-	chain := 0
-	for _, from := range j.criticalPathMs {
-		chain = max(chain, from)
+	criticalPathMs := 0
+	for _, pathMs := range j.criticalPathMs {
+		criticalPathMs = max(criticalPathMs, pathMs)
 	}
-	j.dueMs = j.acceptedMs + int(queue.Extension*float64(chain)) + int(queue.Target.Milliseconds())
+	j.dueMs = j.acceptedMs + int(queue.Extension*float64(criticalPathMs)) + int(queue.Target.Milliseconds())
 }
 
-// isLate says whether a phase's job can hardly be done in time any more. Late jobs
-// go behind the others: running them first would make those isLate, too.
+// isLate reports whether the phase's job is unlikely to meet its deadline. Late jobs go behind the
+// others: if they ran first, the others would become late, too.
 func (p *phase) isLate(nowMs int) bool {
 	return p.lateAtMs > 0 && nowMs > p.lateAtMs
 }
 
-// setLateTime works out when a phase that may start is late.
+// setLateTime computes from when the phase is late, if it is still waiting then.
 func (p *phase) setLateTime() {
 	j := p.job()
 	if p.spec.Lasting || j.dueMs == 0 {
@@ -52,10 +52,10 @@
 }
 
 const (
-	// jobOverhead is what a job needs beside its tasks' own time: records, orders
-	// and the client's next look.
+	// jobOverhead is the time that a job needs beside its tasks' own time: for records, requests to
+	// endpoints and the client's next query.
 	jobOverhead = 50 * time.Millisecond
-	// minPathPercent of a chain's estimated time, in percent, is counted on; a job that
-	// may still be in time is not given up.
+	// minPathPercent is the part of the estimated critical path, in percent, that a job is assumed
+	// to need at least. A job is not treated as late as long as it may still be in time.
 	minPathPercent = 60
 )
