--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -7,22 +7,21 @@
 	"damsonwinch"
 )
 
-// Rules of asking for permits.
+// Limits of the calls for permits.
 const (
-	// maxEndpointsPerCall is the number of endpoints named in one call: each adds to the time
-	// that the call takes, and a phase's objective counts one call on 30.
+	// maxEndpointsPerCall is the number of endpoints in one call. Each adds to the time that the
+	// call takes, and the time targets of phases assume one call for 30 endpoints.
 	maxEndpointsPerCall = 30
-	// maxPermitCalls is the number of calls on their way: the service takes one at a
-	// time from each node and turns calls away when 32 wait, also those of other
-	// cells here.
+	// maxPermitCalls is the number of calls in flight. The service handles one call at a time from
+	// each node and rejects calls when 32 are waiting, including those of other cells on this node.
 	maxPermitCalls = 6
-	// permitMargin is left of a permit's time for the start to arrive.
+	// permitMargin is the part of a permit's validity that is kept for the start request to arrive.
 	permitMargin = 250 * time.Millisecond
 	// permitRetryInterval is the time between two calls for a phase that got no permit.
 	permitRetryInterval = 500 * time.Millisecond
 )
 
-// PermitRequest is a call for permits.
+// PermitRequest is a call to the advice service for permits to run a phase on the given endpoints.
 type PermitRequest struct {
 	Job       string
 	Round     int
@@ -30,87 +29,87 @@
 	Endpoints []string
 }
 
-// advice is what the advice service has said about a phase.
+// advice is what the advice service has decided about a phase.
 type advice struct {
 	inFlight    bool
 	requestedAt time.Time
-	// decisions tell for each life that was asked about whether it may run the
-	// phase, which doesn't change.
+	// decisions holds, by endpoint ID, whether the phase may run there. A decision does not change.
 	decisions map[string]bool
 	permits   map[string]permit
 }
 
-// permit allows a phase at an endpoint for a time.
+// permit allows a phase on an endpoint until a time. Starts there have to carry the ticket.
 type permit struct {
 	ticket string
 	until  time.Time
 }
 
-// needsPermit says whether a phase may run only where the advice service allows.
+// needsPermit reports whether the phase may run only where the advice service permits it.
 func (c *Cell) needsPermit(p *phase) bool {
 	return c.queues[p.job().queue].Advice != nil
 }
 
-// hasPermit says whether a phase may start at an endpoint now.
+// hasPermit reports whether the phase may start on the endpoint now, as far as permits are
+// concerned.
 func (c *Cell) hasPermit(p *phase, e *endpoint) bool {
 	if !c.needsPermit(p) {
 		return true
 	}
-	held, has := p.advice.permits[e.info.Life.ID]
-	return has && c.now.Add(permitMargin).Before(held.until)
+	held, ok := p.advice.permits[e.info.Life.ID]
+	return ok && c.now.Add(permitMargin).Before(held.until)
 }
 
-// requestPermits asks where a phase may run, for endpoints that would otherwise take
-// its tasks.
+// requestPermits calls for permits on endpoints that could take the phase's tasks and have no valid
+// permit.
 func (c *Cell) requestPermits(p *phase) {
 	a := &p.advice
 	if !c.needsPermit(p) || a.inFlight || c.permitCalls >= maxPermitCalls || len(p.ready) == 0 || c.now.Sub(a.requestedAt) < permitRetryInterval {
 		return
 	}
 	t := p.ready[0]
-	var wanted []*endpoint
+	var candidates []*endpoint
 	for _, e := range c.sortedEndpoints {
-		good, asked := a.decisions[e.info.Life.ID]
-		if (!asked || good) && c.couldTake(t, e) && !c.hasPermit(p, e) {
-			wanted = append(wanted, e)
+		permitted, decided := a.decisions[e.info.Life.ID]
+		if (!decided || permitted) && c.couldTake(t, e) && !c.hasPermit(p, e) {
+			candidates = append(candidates, e)
 		}
 	}
-	if len(wanted) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	slices.SortStableFunc(wanted, func(x, y *endpoint) int { return c.score(t, y) - c.score(t, x) })
-	ask := PermitRequest{Job: p.job().id, Round: p.round.number, Phase: p.number}
-	for _, e := range wanted[:min(len(wanted), maxEndpointsPerCall)] {
-		ask.Endpoints = append(ask.Endpoints, e.info.Life.ID)
+	slices.SortStableFunc(candidates, func(x, y *endpoint) int { return c.score(t, y) - c.score(t, x) })
+	request := PermitRequest{Job: p.job().id, Round: p.round.number, Phase: p.number}
+	for _, e := range candidates[:min(len(candidates), maxEndpointsPerCall)] {
+		request.Endpoints = append(request.Endpoints, e.info.Life.ID)
 	}
 	a.inFlight, a.requestedAt = true, c.now
 	c.permitCalls++
-	c.effects.PermitRequests = append(c.effects.PermitRequests, ask)
+	c.effects.PermitRequests = append(c.effects.PermitRequests, request)
 }
 
-// Advised takes the answer to a call for permits, which was sent at some moment and
-// whose permits hold for a time from then on at least.
-func (c *Cell) Advised(now, sentAt time.Time, ask PermitRequest, permits []damsonwinch.Permit, valid time.Duration, err error) {
+// Advised handles the reply to a call for permits. The permits are valid for at least the given
+// time from sentAt, when the call was sent.
+func (c *Cell) Advised(now, sentAt time.Time, request PermitRequest, permits []damsonwinch.Permit, valid time.Duration, err error) {
 	c.beginEvent(now)
 	c.endpointsChanged()
 	defer c.finishEvent()
 	c.permitCalls--
-	t := c.findTask(damsonwinch.TaskID{Job: ask.Job, Round: ask.Round, Phase: ask.Phase})
+	t := c.findTask(damsonwinch.TaskID{Job: request.Job, Round: request.Round, Phase: request.Phase})
 	if t == nil {
 		return
 	}
 	a := &t.phase.advice
 	a.inFlight = false
 	if err != nil {
-		c.logJob("no advice", t.phase.job(), err.Error())
+		c.logJob("call for permits failed", t.phase.job(), err.Error())
 		return
 	}
-	// Another call may follow at once, about other endpoints.
+	// Another call, about other endpoints, may follow at once.
 	a.requestedAt = time.Time{}
 	if a.decisions == nil {
 		a.decisions, a.permits = map[string]bool{}, map[string]permit{}
 	}
-	for _, id := range ask.Endpoints {
+	for _, id := range request.Endpoints {
 		a.decisions[id] = false
 	}
 	for _, granted := range permits {
@@ -119,12 +118,12 @@
 	}
 }
 
-// permitTicket returns what a start at an endpoint has to bring.
+// permitTicket returns the ticket that a start of the phase on the endpoint has to carry.
 func (c *Cell) permitTicket(p *phase, e *endpoint) string {
 	return p.advice.permits[e.info.Life.ID].ticket
 }
 
-// dropPermit forgets a permit that an endpoint has not accepted.
+// dropPermit forgets a permit that the endpoint rejected.
 func (p *phase) dropPermit(e *endpoint) {
 	delete(p.advice.permits, e.info.Life.ID)
 }
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// names of the states of a run, for explanations.
+// runStateNames are the names of the run states in explanations.
 var runStateNames = map[runState]string{
 	runIntended:  "about to be ordered",
 	runOrdered:   "ordered, not answered yet",
@@ -15,7 +15,7 @@
 	runSuspect:   "recorded by an earlier owner, not looked at yet",
 }
 
-// Explain says in sentences how a job stands and what it waits for.
+// Explain describes in sentences the state of a job and what its tasks wait for.
 func (c *Cell) Explain(id string) []string {
 	j := c.jobs[id]
 	if j == nil {
@@ -31,6 +31,7 @@
 	return lines
 }
 
+// explainPhase describes a phase and those of its tasks that are not done.
 func (c *Cell) explainPhase(p *phase) []string {
 	name := fmt.Sprintf("round %d phase %d", p.round.number, p.number)
 	if p.unfinishedTasks == 0 {
@@ -48,6 +49,7 @@
 	return lines
 }
 
+// explainTask describes a task, its runs and what it waits for.
 func (c *Cell) explainTask(t *task) string {
 	line := fmt.Sprintf("task %s: %d attempts, %d failed", t.id(), t.lastAttempt, t.failedAttempts)
 	if t.crashes.Losses > 0 {
@@ -96,7 +98,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// obstacle says why a task can't start at an endpoint now.
+// obstacle says why a task can't start on an endpoint now, as the predicate of a sentence about
+// several such endpoints.
 func (c *Cell) obstacle(t *task, e *endpoint) string {
 	p := t.phase
 	switch {
@@ -107,15 +110,15 @@
 	case e.silent:
 		return "do not answer"
 	case e.withdrawn, e.withdraw.requested:
-		return "are being emptied"
+		return "are being withdrawn"
 	case e.info.Draining:
 		return "drain"
 	case !c.roomKnown(e):
 		return "have not said for too long how much room they have"
 	case e.strays > 0:
-		return "run what should not run"
+		return "have runs that should not be there"
 	case !c.fit(e), c.now.Before(e.pauseUntil):
-		return "are unwell"
+		return "are unhealthy"
 	case !e.hasLabel(p.spec.Label):
 		return "lack the label " + p.spec.Label
 	case !e.free().Holds(p.need()):
@@ -123,7 +126,7 @@
 	case !c.hasPermit(p, e):
 		return "have no permit"
 	case !c.undisturbed(t, e):
-		return "have begun something just now that may crash them, or are kept for it"
+		return "have just started something that may crash them, or are reserved for it"
 	case !c.allowed(t, e):
 		return "have enough tasks of this phase"
 	}
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -13,10 +13,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// allowancesKey is the key of the record of what the cell may have running by customer.
+// allowancesKey is the key of the record with the customers' allowances in this cell.
 const allowancesKey = "allowances"
 
-// SetCustomers takes the customers of the configuration in force.
+// SetCustomers sets the customers of the configuration in force, which has the given version.
 func (c *Cell) SetCustomers(now time.Time, version int, customers []damsonwinch.Customer) {
 	c.beginEvent(now)
 	defer c.finishEvent()
@@ -24,19 +24,19 @@
 	c.placementDue = true
 }
 
-// quotaNeed is what a task counts against its customer's cap. What fills counts with what it asks for:
-// it runs, whatever else its box holds.
+// quotaNeed returns what a task counts against its customer's cap. A filler task counts with the
+// CPU that it asks for, although it reserves none: it runs, whatever else runs on its box.
 func (p *phase) quotaNeed() damsonwinch.Resources {
 	return damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
 }
 
-// maxOvertakeTime is how long a phase lets less urgent ones of its customer pass while its own tasks need
-// more than is left of the allowance. After that nothing of the customer's begins before them: in
-// an allowance that is always full a large task would find no room.
+// maxOvertakeTime is how long less urgent phases of the same customer may overtake a phase whose
+// tasks need more than is left of the allowance. After that, nothing of the customer starts before
+// it: otherwise a large task would never find space in an allowance that is always fully used.
 const maxOvertakeTime = 200 * time.Millisecond
 
-// withinQuota says whether so many tasks of a phase may begin now as far as its customer's
-// allowance goes.
+// withinQuota reports whether count tasks of a phase may start now under the customer's allowance.
+// If not, it notes that the customer waits.
 func (c *Cell) withinQuota(p *phase, count int) bool {
 	customer := p.job().customer
 	switch {
@@ -56,11 +56,12 @@
 	return false
 }
 
+// scaleResources returns the resources that count tasks need together.
 func scaleResources(need damsonwinch.Resources, count int) damsonwinch.Resources {
 	return damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count}
 }
 
-// applyAllowances takes the word of the planner on what the cell may have running.
+// applyAllowances applies the planner's newest allowances.
 func (c *Cell) applyAllowances(args wire.SyncArgs) {
 	if c.quota.ApplyUpdate(c.token, args) {
 		c.commits.allowancesDirty = true
@@ -70,19 +71,20 @@
 	}
 }
 
-// AllowancesPending says whether the planner's word on allowances waits to be recorded.
+// AllowancesPending reports whether allowances from the planner are not recorded yet.
 func (c *Cell) AllowancesPending() bool {
 	return c.commits.allowancesDirty || c.commits.inFlight != nil && c.commits.inFlight.allowanceNumber > 0
 }
 
-// allowancesRecord returns the record of the allowances, and notes under which number its commit
-// confirms them.
+// allowancesRecord returns the record of the allowances, and notes in sent which update it
+// confirms.
 func (c *Cell) allowancesRecord(sent *sentCommit) damsonwinch.Record {
 	record, number := c.quota.Record()
 	sent.allocatorToken, sent.allowanceNumber = c.quota.AllocatorToken(), number
 	return damsonwinch.Record{Key: allowancesKey, Value: encode(record)}
 }
 
+// loadAllowances restores the allowances from their record.
 func (c *Cell) loadAllowances(record damsonwinch.Record) error {
 	var saved wire.AllowancesRecord
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// reportCustomers tells the planner which customers want more than they may have running.
+// reportCustomers adds the customers that need more than their allowances to the report.
 func (c *Cell) reportCustomers(report *wire.SyncReply) {
 	wanted := map[string]quota.Demand{}
 	for _, p := range c.openPhases {
@@ -110,18 +112,20 @@
 	c.quota.Report(c.token, wanted, report)
 }
 
-// allowed are the cores that customers may still begin to use, while a report counts what waits:
-// no boxes are to come for what may not start.
+// allowedCPU tracks how much CPU customers may still start to use, while a report adds up the
+// waiting tasks. Tasks that may not start must not cause requests for boxes.
 type allowedCPU struct {
 	quota *quota.Allowances
-	left  map[string]int
+	// left holds, by customer, the CPU that is left in thousandths of a core, once it was asked for.
+	left map[string]int
 }
 
 func (c *Cell) newAllowedCPU() allowedCPU {
 	return allowedCPU{quota: c.quota, left: map[string]int{}}
 }
 
-// take returns how many of the cores that a phase's waiting tasks ask for they may have.
+// take returns how much of the CPU that a phase's waiting tasks need the customer may still use, in
+// thousandths of a core, and deducts it.
 func (a allowedCPU) take(p *phase, cpu int) int {
 	customer := p.job().customer
 	if customer == "" {
@@ -130,13 +134,13 @@
 	if _, known := a.left[customer]; !known {
 		a.left[customer] = a.quota.RemainingCPU(customer, math.MaxInt)
 	}
-	may := min(cpu, a.left[customer])
-	a.left[customer] -= may
-	return may
+	taken := min(cpu, a.left[customer])
+	a.left[customer] -= taken
+	return taken
 }
 
-// logQuotaWaits tells which customers have come to wait for their allowances, and which don't any
-// more.
+// logQuotaWaits logs which customers have begun to wait for their allowances, and which no longer
+// wait.
 func (c *Cell) logQuotaWaits() {
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuota)) {
 		if c.overQuotaSince[customer].IsZero() {
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -10,21 +10,23 @@
 	"damsonwinch/pkg/wire"
 )
 
-// endpointKeyPrefix starts the keys of records about endpoints.
+// endpointKeyPrefix begins the keys of the records about endpoints.
 const endpointKeyPrefix = "endpoint/"
 
-// withdrawal is how far the emptying of an endpoint is.
+// withdrawal is the progress of taking an endpoint out of use, so that its box can be moved or
+// maintained.
 type withdrawal struct {
-	// requested says that the planner wants it empty.
+	// requested is set while the planner wants the endpoint to be without runs.
 	requested bool
-	// urgent says that its tasks are to be run elsewhere instead of waited for.
+	// urgent is set when tasks should be moved to other endpoints, if possible, instead of waiting
+	// for their end.
 	urgent bool
-	// recorded says that the stream holds the withdrawal.
+	// recorded is set once the stream holds the withdrawal.
 	recorded bool
 }
 
-// continueWithdrawal goes on with the emptying of an endpoint, and withdraws it for good once
-// nothing runs there any more.
+// continueWithdrawal goes on with the withdrawal of an endpoint. It evacuates the endpoint, and
+// withdraws it permanently once nothing runs there.
 func (c *Cell) continueWithdrawal(e *endpoint) {
 	if !e.withdraw.requested || e.withdrawn || e.gone {
 		return
@@ -41,7 +43,7 @@
 	c.logEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
 }
 
-// evacuate stops what would not end soon by itself, so that it runs elsewhere.
+// evacuate stops the runs that should move to another endpoint instead of ending here.
 func (c *Cell) evacuate(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed {
@@ -50,8 +52,9 @@
 		spec := r.task.phase.spec
 		switch {
 		case spec.Lasting:
-			// In a hurry it waits for room elsewhere: it goes first there, as soon as a
-			// short task ends. In a full cell it would hold its box up for ever.
+			// In an urgent withdrawal the task is stopped even if no other endpoint has capacity
+			// now: it is placed as soon as a short task ends somewhere. In a full cell it would
+			// keep its box forever.
 			if c.countUnavailable(r.task.phase) < spec.AwayAtMost && (e.withdraw.urgent || c.canStartElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
@@ -61,18 +64,18 @@
 	}
 }
 
-// canWaitForCapacity says whether a run's job would still be in time if the run stood still
-// for a while.
+// canWaitForCapacity reports whether a run's job would still meet its deadline if the run paused
+// for capacityWait.
 func (c *Cell) canWaitForCapacity(r *run) bool {
 	j := r.task.phase.job()
 	return int(c.now.Add(capacityWait).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.dueMs
 }
 
-// capacityWait is how long a stopped task may have to wait for room, with the time
-// of its stop and of its return to where it was.
+// capacityWait is how long a stopped task may have to wait for capacity, including the time to stop
+// and to resume.
 const capacityWait = 1500 * time.Millisecond
 
-// canStartElsewhere says whether a run could go on at another endpoint now.
+// canStartElsewhere reports whether the task of a run could start on another endpoint now.
 func (c *Cell) canStartElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
 		if e != r.at && !e.withdraw.requested && c.allowed(r.task, e) {
@@ -82,7 +85,7 @@
 	return false
 }
 
-// restoreEndpoint takes an endpoint back into use.
+// restoreEndpoint puts a withdrawn endpoint back into use.
 func (c *Cell) restoreEndpoint(e *endpoint) {
 	if !e.withdrawn {
 		return
@@ -92,23 +95,24 @@
 	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
 
-// recordWithdrawal records that an endpoint is withdrawn.
+// recordWithdrawal adds the withdrawal of an endpoint to the next append.
 func (c *Cell) recordWithdrawal(e *endpoint) {
 	c.commits.endpointRecords = append(c.commits.endpointRecords, e.withdrawalRecord(c.now))
 	c.commits.withdrawals = append(c.commits.withdrawals, e)
 }
 
+// loadEndpointRecord restores whether an endpoint is withdrawn.
 func (c *Cell) loadEndpointRecord(record damsonwinch.Record) error {
-	var mark wire.EndpointRecord
-	if err := json.Unmarshal(record.Value, &mark); err != nil {
+	var saved wire.EndpointRecord
+	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
 	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, endpointKeyPrefix)))
-	e.withdrawn, e.withdraw.recorded = mark.Withdrawn, mark.Withdrawn
+	e.withdrawn, e.withdraw.recorded = saved.Withdrawn, saved.Withdrawn
 	return nil
 }
 
-// deleteEndpointRecord makes the stream forget an endpoint.
+// deleteEndpointRecord deletes the record about an endpoint, if there is one, with the next append.
 func (c *Cell) deleteEndpointRecord(e *endpoint) {
 	if e.withdrawn {
 		c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String()})
