--- a/damsonwinch.go
+++ b/damsonwinch.go
@@ -16,21 +16,21 @@
 // Clock is the source of time for everything that decides by it.
 type Clock = clockwork.Clock
 
-// Slept returns for how long the machine has been suspended since the process began, which a
+// SuspendedTime returns for how long the machine has been suspended since the process began, which a
 // Clock doesn't count. A nil one says that it never was.
-type Slept func() time.Duration
+type SuspendedTime func() time.Duration
 
 // Total is the same, also for nil.
-func (s Slept) Total() time.Duration {
+func (s SuspendedTime) Total() time.Duration {
 	if s == nil {
 		return 0
 	}
 	return s()
 }
 
-// NegligibleSleep is for how long a machine may be suspended without any consequence: the
+// NegligibleSuspension is for how long a machine may be suspended without any consequence: the
 // margins of leases and proofs are longer.
-const NegligibleSleep = 100 * time.Millisecond
+const NegligibleSuspension = 100 * time.Millisecond
 
 // Names of the log streams that the system keeps.
 const (
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -135,7 +135,7 @@
 // may own the cell. It gives no order any more. Slept says whether that is so.
 func (c *Cell) Slept(total time.Duration) bool {
 	slept := total - c.slept
-	if slept < damsonwinch.NegligibleSleep {
+	if slept < damsonwinch.NegligibleSuspension {
 		return false
 	}
 	c.slept = total
--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -91,7 +91,7 @@
 
 // newSlept watches for suspensions of the machine. Without the clock that counts them the
 // process goes on as if there were none.
-func newSlept(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.Slept {
+func newSlept(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.SuspendedTime {
 	watch, err := suspend.New(clock, suspend.BootTime)
 	if err != nil {
 		logger.WithError(err).Warn("suspensions of the machine are not seen")
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -51,7 +51,7 @@
 	Logger   logrus.FieldLogger
 	Metrics  *metrics.Set
 	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.Slept
+	Slept damsonwinch.SuspendedTime
 	// CallListener takes the calls of other nodes.
 	CallListener net.Listener
 	// Configured is told each configuration that comes into force.
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -33,7 +33,7 @@
 	Logger    logrus.FieldLogger
 	Metrics   *metrics.Set
 	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.Slept
+	Slept damsonwinch.SuspendedTime
 	// StoreAnsweredAt returns when the store last answered this node.
 	StoreAnsweredAt func() time.Time
 	// TakePartition takes a partition of the store that no cell has had, StreamAt returns its
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -62,7 +62,7 @@
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
 	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.Slept
+	Slept damsonwinch.SuspendedTime
 	// AskPeer asks another node for the claims that it knows.
 	AskPeer func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
 	// Changed is told the claims in force after each change, and what was asked
--- a/pkg/ownership/wake.go
+++ b/pkg/ownership/wake.go
@@ -13,7 +13,7 @@
 func (o *Ownership) wake() {
 	s := &o.state
 	slept := o.deps.Slept.Total() - s.slept
-	if slept < damsonwinch.NegligibleSleep {
+	if slept < damsonwinch.NegligibleSuspension {
 		return
 	}
 	s.slept += slept
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -45,7 +45,7 @@
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
 	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.Slept
+	Slept damsonwinch.SuspendedTime
 	// Sync asks the owner of a cell.
 	Sync func(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error)
 	// BoxesListed is told how many boxes the first list that was read has.
@@ -215,7 +215,7 @@
 // and what this one knows of boxes is old. It gives no order any more.
 func (p *Planner) awake() error {
 	slept := p.deps.Slept.Total() - p.sleptBefore
-	if slept < damsonwinch.NegligibleSleep {
+	if slept < damsonwinch.NegligibleSuspension {
 		return nil
 	}
 	p.deps.Logger.WithField("slept_ms", slept.Milliseconds()).Warn("planning given up: the machine was suspended")
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -25,7 +25,7 @@
 type Env struct {
 	Clock damsonwinch.Clock
 	// Slept tells of suspensions of the machine.
-	Slept  damsonwinch.Slept
+	Slept  damsonwinch.SuspendedTime
 	Dial   damsonwinch.Dial
 	Logger logrus.FieldLogger
 	// Breach is called upon the first breach of each invariant.
