--- a/endpoint.go
+++ b/endpoint.go
@@ -156,8 +156,8 @@
 
 // Look is an endpoint's answer to a look.
 type Look struct {
-	// Born is when the life that answers was born, as in its name.
-	Born int
+	// StartedUnixMs is when the life that answers was born, as in its name.
+	StartedUnixMs int
 	// Clock is the endpoint's steady clock in milliseconds.
 	Clock    int
 	Running  []Running
--- a/life_test.go
+++ b/life_test.go
@@ -10,7 +10,7 @@
 
 func TestLivesAreReadAsTheyWereWritten(t *testing.T) {
 	for _, life := range []damsonwinch.Life{
-		{}, {ID: "w-17"}, {ID: "w-17", Born: 1_764_747_474_000}, {ID: "w@17"}, {ID: "w@17", Born: 5}, {ID: "w@"}, {ID: "@", Born: 1}, {ID: "w-17", Born: -3},
+		{}, {ID: "w-17"}, {ID: "w-17", StartedUnixMs: 1_764_747_474_000}, {ID: "w@17"}, {ID: "w@17", StartedUnixMs: 5}, {ID: "w@"}, {ID: "@", StartedUnixMs: 1}, {ID: "w-17", StartedUnixMs: -3},
 	} {
 		assert.Equal(t, damsonwinch.ParseLife(life.String()), life)
 	}
@@ -18,9 +18,9 @@
 }
 
 func TestLivesThatMayBeOne(t *testing.T) {
-	first, second, untold := damsonwinch.Life{ID: "w", Born: 1}, damsonwinch.Life{ID: "w", Born: 2}, damsonwinch.Life{ID: "w"}
-	assert.Assert(t, first.MayBe(first) && untold.MayBe(untold))
-	assert.Assert(t, !first.MayBe(second) && !second.MayBe(first))
-	assert.Assert(t, first.MayBe(untold) && untold.MayBe(second))
-	assert.Assert(t, !first.MayBe(damsonwinch.Life{ID: "v", Born: 1}))
+	first, second, untold := damsonwinch.Life{ID: "w", StartedUnixMs: 1}, damsonwinch.Life{ID: "w", StartedUnixMs: 2}, damsonwinch.Life{ID: "w"}
+	assert.Assert(t, first.MayBeSame(first) && untold.MayBeSame(untold))
+	assert.Assert(t, !first.MayBeSame(second) && !second.MayBeSame(first))
+	assert.Assert(t, first.MayBeSame(untold) && untold.MayBeSame(second))
+	assert.Assert(t, !first.MayBeSame(damsonwinch.Life{ID: "v", StartedUnixMs: 1}))
 }
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -177,7 +177,7 @@
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
 		for _, e := range c.livesUnder(life.ID) {
-			if life.MayBe(e.info.Life) {
+			if life.MayBeSame(e.info.Life) {
 				do(e)
 			}
 		}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -15,7 +15,7 @@
 
 // livesUnder returns the lives that are known under an ID.
 func (c *Cell) livesUnder(id string) []*endpoint {
-	from := c.rankOf(damsonwinch.Life{ID: id, Born: math.MinInt})
+	from := c.rankOf(damsonwinch.Life{ID: id, StartedUnixMs: math.MinInt})
 	to := from
 	for to < len(c.ranked) && c.ranked[to].info.Life.ID == id {
 		to++
@@ -42,8 +42,8 @@
 // answering returns the life that has answered a look at e, nil if that one is known to have
 // ended.
 func (c *Cell) answering(e *endpoint, sent *sentLook, born int) *endpoint {
-	life := e.info.Life.WithBorn(born)
-	if life.MayBe(e.info.Life) {
+	life := e.info.Life.WithStarted(born)
+	if life.MayBeSame(e.info.Life) {
 		return e
 	}
 	there, known := c.endpoints[life]
@@ -116,7 +116,7 @@
 // be on the way: where lives share an ID, a later one may carry them out.
 func (c *Cell) loseUnheard(e *endpoint, why string) {
 	c.loseAllBut(e, why, func(r *run) bool {
-		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
+		return e.info.Life.StartedUnixMs != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
 	})
 }
 
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -150,7 +150,7 @@
 		// A later look has been answered; this one is out of date.
 		return
 	}
-	if e = c.answering(e, sent, look.Born); e == nil {
+	if e = c.answering(e, sent, look.StartedUnixMs); e == nil {
 		return
 	}
 	c.heard(e)
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -143,7 +143,7 @@
 func (s *script) endpoint(d *datadriven.TestData) {
 	id := arg(s.t, d, "id")
 	info := damsonwinch.Endpoint{
-		Life: damsonwinch.Life{ID: id, Born: number(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
+		Life: damsonwinch.Life{ID: id, StartedUnixMs: number(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
 			CPU: number(s.t, d, "cpu", 8000), MemoryMB: number(s.t, d, "memory", 8000), GPU: number(s.t, d, "gpu", 0),
 		},
 		Draining: d.HasArg("draining"), Labels: list(s.t, d, "labels"), Rack: option(s.t, d, "rack"),
@@ -276,7 +276,7 @@
 		return "no look is on its way to " + at + "\n"
 	}
 	delete(s.looks, at)
-	found := damsonwinch.Look{Born: number(s.t, d, "born", sent.At.Life.Born), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	found := damsonwinch.Look{StartedUnixMs: number(s.t, d, "born", sent.At.Life.StartedUnixMs), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
 	for _, text := range list(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -51,7 +51,7 @@
 	if e.world.sabotage.idsAlone {
 		return 0
 	}
-	return e.info.Life.Born
+	return e.info.Life.StartedUnixMs
 }
 
 // take keeps out orders of older owners.
@@ -173,7 +173,7 @@
 // acknowledges may be ends of this one, which nobody has taken note of: nothing in the call tells
 // them apart.
 func (e *simEndpoint) lookFor(life damsonwinch.Life, order damsonwinch.LookOrder) (damsonwinch.Look, error) {
-	e.misled = !life.MayBe(e.info.Life)
+	e.misled = !life.MayBeSame(e.info.Life)
 	defer func() { e.misled = false }()
 	return e.look(order)
 }
@@ -192,7 +192,7 @@
 	if order.Until > 0 {
 		e.prolong(order.Until)
 	}
-	found := damsonwinch.Look{Born: e.born(), Clock: e.clock(), Finished: append([]damsonwinch.Finished{}, e.finished...)}
+	found := damsonwinch.Look{StartedUnixMs: e.born(), Clock: e.clock(), Finished: append([]damsonwinch.Finished{}, e.finished...)}
 	for _, r := range e.sorted() {
 		percent := 100
 		if r.how == damsonwinch.EndedDone && !e.world.task(r.order.Task).lasting {
--- a/pkg/cell/sim_lives_test.go
+++ b/pkg/cell/sim_lives_test.go
@@ -29,7 +29,7 @@
 	for _, id := range ids {
 		entry := newest[id]
 		if w.sabotage.idsAlone {
-			entry.Life.Born = 0
+			entry.Life.StartedUnixMs = 0
 		}
 		found = append(found, entry)
 	}
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -166,7 +166,7 @@
 	address := fmt.Sprintf("addr-%d", w.lives)
 	if w.reborn {
 		// Boxes' clocks are set back as well as forth.
-		life, address = damsonwinch.Life{ID: "on-" + box, Born: 1 + w.random.IntN(math.MaxInt32)}, "addr-"+box
+		life, address = damsonwinch.Life{ID: "on-" + box, StartedUnixMs: 1 + w.random.IntN(math.MaxInt32)}, "addr-"+box
 	}
 	lag := time.Duration(0)
 	if w.reborn && w.now.After(w.beganAt) {
--- a/pkg/node/lives_test.go
+++ b/pkg/node/lives_test.go
@@ -14,7 +14,7 @@
 // decodeBorn reads an entry whose value is when the life was born.
 func decodeBorn(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
 	born, err := strconv.Atoi(string(record.Value))
-	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key, Born: born}, Pool: "p", Box: "box-" + record.Key}, err
+	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key, StartedUnixMs: born}, Pool: "p", Box: "box-" + record.Key}, err
 }
 
 // TestALaterLifeUnderAnIDIsSortedAnew: an order on its box that ended the earlier life takes it to
@@ -40,14 +40,14 @@
 
 	_ = placed.take(placementRecords{snapshot: true, askedAt: at(100)})
 	life, number := shown(50, 700)
-	assert.Equal(t, life, damsonwinch.Life{ID: "a", Born: 700})
+	assert.Equal(t, life, damsonwinch.Life{ID: "a", StartedUnixMs: 700})
 	assert.Equal(t, number, home)
 
-	ended := damsonwinch.Life{ID: "a", Born: 700}
+	ended := damsonwinch.Life{ID: "a", StartedUnixMs: 700}
 	_ = placed.take(placementRecords{records: []damsonwinch.Record{orderOn(t, "box-a", "p", ended.String(), home, away)}, end: 1, askedAt: at(200)})
 	_, number = shown(210, 700)
 	assert.Equal(t, number, home, "to its end it stays where it is")
 	life, number = shown(190, 600)
-	assert.Equal(t, life, damsonwinch.Life{ID: "a", Born: 600}, "its box's clock was set back")
+	assert.Equal(t, life, damsonwinch.Life{ID: "a", StartedUnixMs: 600}, "its box's clock was set back")
 	assert.Equal(t, number, away)
 }
--- a/pkg/node/registry_test.go
+++ b/pkg/node/registry_test.go
@@ -77,7 +77,7 @@
 		"pool": func(e *damsonwinch.Endpoint) { e.Pool = "q" }, "address": func(e *damsonwinch.Endpoint) { e.Address = "y" },
 		"zone": func(e *damsonwinch.Endpoint) { e.Zone = "y" }, "box": func(e *damsonwinch.Endpoint) { e.Box = "c" },
 		"labels": func(e *damsonwinch.Endpoint) { e.Labels = nil }, "capacity": func(e *damsonwinch.Endpoint) { e.Capacity.CPU = 2 },
-		"life":     func(e *damsonwinch.Endpoint) { e.Life.Born = 2 },
+		"life":     func(e *damsonwinch.Endpoint) { e.Life.StartedUnixMs = 2 },
 		"draining": func(e *damsonwinch.Endpoint) { e.Draining = true },
 	} {
 		after := before
--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -21,7 +21,7 @@
 		return l.OfBox(box)
 	}
 	number := placed.Before
-	if !life.MayBe(placed.Endpoint) && (placed.Pool == "" || placed.Pool == pool) {
+	if !life.MayBeSame(placed.Endpoint) && (placed.Pool == "" || placed.Pool == pool) {
 		number = placed.Shard
 	}
 	if number < 0 || number >= max(1, l.Shards) {
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -102,7 +102,7 @@
 func TestALifeStaysInItsShard(t *testing.T) {
 	for name, named := range map[string]func(number int) damsonwinch.Life{
 		"a new ID for each": func(number int) damsonwinch.Life { return damsonwinch.Life{ID: fmt.Sprintf("life-%d", number)} },
-		"one ID for all":    func(number int) damsonwinch.Life { return damsonwinch.Life{ID: "life", Born: 1 + number} },
+		"one ID for all":    func(number int) damsonwinch.Life { return damsonwinch.Life{ID: "life", StartedUnixMs: 1 + number} },
 	} {
 		t.Run(name, func(t *testing.T) { playOrders(t, named) })
 	}
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -142,7 +142,7 @@
 	if g == nil || askedAt.Before(g.at) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	left := g.left || !b.life.MayBe(g.Endpoint)
+	left := g.left || !b.life.MayBeSame(g.Endpoint)
 	if g.recalled && (left || b.info.Pool == g.Pool) {
 		b.ordered = nil
 		return
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -37,7 +37,7 @@
 
 // report has the owner of the box's cell tell of the life there.
 func (f *livesFleet) report(born int, withdrawn bool) {
-	life := damsonwinch.Life{ID: "at-" + f.box.Name, Born: born}
+	life := damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: born}
 	f.planner.SetReport(f.now, "held", wire.SyncReply{Known: true, TaskMs: 1000, Endpoints: []wire.EndpointReport{{
 		Endpoint: life.String(), Box: f.box.Name, Usable: !withdrawn, Withdrawn: withdrawn,
 	}}})
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newLivesFleet()
 			order := f.maintain(t, 1, 1)
-			assert.Equal(t, order.Endpoint, damsonwinch.Life{ID: "at-" + f.box.Name, Born: 1})
+			assert.Equal(t, order.Endpoint, damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: 1})
 			f.now = f.now.Add(3 * time.Second)
 			back(f)
 			f.list(damsonwinch.BoxUp)
@@ -105,5 +105,5 @@
 	f.report(2, false)
 	orders := f.plan(300 * time.Millisecond)
 	assert.Equal(t, len(orders), 0, "%v", orders)
-	assert.DeepEqual(t, f.planner.Wishes("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, Born: 2}.String()})
+	assert.DeepEqual(t, f.planner.Wishes("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: 2}.String()})
 }
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -185,7 +185,7 @@
 	if life == b.life {
 		return false
 	}
-	if !life.MayBe(b.life) {
+	if !life.MayBeSame(b.life) {
 		// The list of boxes may not have shown that one ended and another came.
 		b.dropPurpose()
 	}
