--- a/endpoint.go
+++ b/endpoint.go
@@ -104,18 +104,18 @@
 	Percent int
 }
 
-// LookOrder asks an endpoint for what runs and what has ended, and prolongs the
+// PollRequest asks an endpoint for what runs and what has ended, and prolongs the
 // lease of all that runs there.
-type LookOrder struct {
+type PollRequest struct {
 	Token int
-	// Seen is the number of the last end that is safely recorded; the endpoint
+	// AckedSequence is the number of the last end that is safely recorded; the endpoint
 	// forgets it and those before.
-	Seen int
-	// Until prolongs the lease, on the endpoint's clock in milliseconds; 0 leaves
+	AckedSequence int
+	// LeaseUntilMs prolongs the lease, on the endpoint's clock in milliseconds; 0 leaves
 	// it as it is.
-	Until int
-	// Wait is how long the endpoint waits for an end before it answers.
-	Wait time.Duration
+	LeaseUntilMs int
+	// MaxWait is how long the endpoint waits for an end before it answers.
+	MaxWait time.Duration
 }
 
 // Running is a run that an endpoint has in hand.
@@ -154,12 +154,12 @@
 	Checkpoint string
 }
 
-// Look is an endpoint's answer to a look.
-type Look struct {
+// PollReply is an endpoint's answer to a look.
+type PollReply struct {
 	// StartedUnixMs is when the life that answers was born, as in its name.
 	StartedUnixMs int
-	// Clock is the endpoint's steady clock in milliseconds.
-	Clock    int
+	// ClockMs is the endpoint's steady clock in milliseconds.
+	ClockMs  int
 	Running  []Running
 	Finished []Finished
 }
@@ -195,8 +195,8 @@
 	Stop(ctx context.Context, at Endpoint, order StopOrder) error
 	// Pace sets how fast a run works.
 	Pace(ctx context.Context, at Endpoint, order PaceOrder) error
-	// Look asks what runs and prolongs leases.
-	Look(ctx context.Context, at Endpoint, order LookOrder) (Look, error)
+	// Poll asks what runs and prolongs leases.
+	Poll(ctx context.Context, at Endpoint, order PollRequest) (PollReply, error)
 }
 
 // Permit is the advice service's permission for a phase of a job on an endpoint.
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -49,7 +49,7 @@
 // Look is a question to an endpoint.
 type Look struct {
 	At     damsonwinch.Endpoint
-	Order  damsonwinch.LookOrder
+	Order  damsonwinch.PollRequest
 	Number int
 }
 
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -63,7 +63,7 @@
 
 // followLives ends the other lives under the ID of one that has answered a look, which was sent
 // at a step.
-func (c *Cell) followLives(there *endpoint, look damsonwinch.Look, sentAt int) {
+func (c *Cell) followLives(there *endpoint, look damsonwinch.PollReply, sentAt int) {
 	for _, earlier := range c.livesUnder(there.info.Life.ID) {
 		if earlier == there {
 			continue
@@ -85,7 +85,7 @@
 
 // mayHaveMoved says whether the order for a run at an earlier life may be carried out by the one
 // that has answered a look: it has been, or the order may still be on its way.
-func (c *Cell) mayHaveMoved(r *run, look damsonwinch.Look, sentAt int) bool {
+func (c *Cell) mayHaveMoved(r *run, look damsonwinch.PollReply, sentAt int) bool {
 	switch r.state {
 	case runIntended:
 		return false
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -101,14 +101,14 @@
 		e.looks.quick = sent
 		e.wantLook = false
 	}
-	order := damsonwinch.LookOrder{Token: c.token, Seen: e.recorded, Wait: wait}
+	order := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recorded, MaxWait: wait}
 	if e.silent {
 		// If another life answers under its ID, that is not to forget its own first ends.
-		order.Seen = 0
+		order.AckedSequence = 0
 	}
 	if e.attached && !e.silent && c.sure() {
-		order.Until = e.clock(c.now) + int(c.options.MostLease.Milliseconds())
-		c.prolong(e, order.Until)
+		order.LeaseUntilMs = e.clock(c.now) + int(c.options.MostLease.Milliseconds())
+		c.prolong(e, order.LeaseUntilMs)
 	}
 	c.stats.Looks++
 	c.effects.Looks = append(c.effects.Looks, Look{At: e.info, Order: order, Number: sent.number})
@@ -129,7 +129,7 @@
 var errEndedLife = errors.New("a life answers that has ended")
 
 // Looked takes the answer to a look.
-func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
+func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
 	c.begin(now)
 	defer c.settle()
 	e := c.endpoints[asked]
@@ -160,7 +160,7 @@
 		c.noteEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSample, e.clockAt = look.Clock, c.now
+	e.clockSample, e.clockAt = look.ClockMs, c.now
 	c.outlive(e, sent.at)
 	c.takeEnds(e, look.Finished)
 	if len(look.Finished) < mostEnds {
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -98,7 +98,7 @@
 		return
 	}
 	delete(m.looks, id)
-	found := damsonwinch.Look{Clock: int(m.now.UnixMilli() % 1_000_000_000)}
+	found := damsonwinch.PollReply{ClockMs: int(m.now.UnixMilli() % 1_000_000_000)}
 	for _, run := range ended {
 		m.ends[id]++
 		found.Finished = append(found.Finished, damsonwinch.Finished{Number: m.ends[id], Run: run, How: damsonwinch.EndedDone})
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -95,7 +95,7 @@
 	case "stopped":
 		s.cell.Stopped(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "acknowledged":
-		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Order.Seen)
+		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Order.AckedSequence)
 	case "advised":
 		s.advised(d)
 	case "paced":
@@ -276,7 +276,7 @@
 		return "no look is on its way to " + at + "\n"
 	}
 	delete(s.looks, at)
-	found := damsonwinch.Look{StartedUnixMs: number(s.t, d, "born", sent.At.Life.StartedUnixMs), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	found := damsonwinch.PollReply{StartedUnixMs: number(s.t, d, "born", sent.At.Life.StartedUnixMs), ClockMs: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
 	for _, text := range list(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -172,27 +172,27 @@
 // lookFor answers a look that is meant for a life. Where that is an earlier one, what the look
 // acknowledges may be ends of this one, which nobody has taken note of: nothing in the call tells
 // them apart.
-func (e *simEndpoint) lookFor(life damsonwinch.Life, order damsonwinch.LookOrder) (damsonwinch.Look, error) {
+func (e *simEndpoint) lookFor(life damsonwinch.Life, order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
 	e.misled = !life.MayBeSame(e.info.Life)
 	defer func() { e.misled = false }()
 	return e.look(order)
 }
 
 // look answers at once; the world makes it wait where it should.
-func (e *simEndpoint) look(order damsonwinch.LookOrder) (damsonwinch.Look, error) {
+func (e *simEndpoint) look(order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
 	if !e.take(order.Token) {
-		return damsonwinch.Look{}, damsonwinch.ErrOldToken
+		return damsonwinch.PollReply{}, damsonwinch.ErrOldToken
 	}
-	for len(e.finished) > 0 && e.finished[0].Number <= order.Seen {
+	for len(e.finished) > 0 && e.finished[0].Number <= order.AckedSequence {
 		if !e.misled {
 			e.world.rules.noted(e, e.finished[0])
 		}
 		e.finished = e.finished[1:]
 	}
-	if order.Until > 0 {
-		e.prolong(order.Until)
+	if order.LeaseUntilMs > 0 {
+		e.prolong(order.LeaseUntilMs)
 	}
-	found := damsonwinch.Look{StartedUnixMs: e.born(), Clock: e.clock(), Finished: append([]damsonwinch.Finished{}, e.finished...)}
+	found := damsonwinch.PollReply{StartedUnixMs: e.born(), ClockMs: e.clock(), Finished: append([]damsonwinch.Finished{}, e.finished...)}
 	for _, r := range e.sorted() {
 		percent := 100
 		if r.how == damsonwinch.EndedDone && !e.world.task(r.order.Task).lasting {
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -368,9 +368,9 @@
 	w := o.world
 	order := look.Order
 	if w.sabotage.forgetEarly {
-		order.Seen = 1 << 30
+		order.AckedSequence = 1 << 30
 	}
-	var found damsonwinch.Look
+	var found damsonwinch.PollReply
 	var there *simEndpoint
 	o.reach(look.At.Life.ID, func(e *simEndpoint) func() error {
 		there = e
@@ -378,14 +378,14 @@
 		found = answer
 		return func() error { return err }
 	}, func(err error) {
-		if w.attentive && err == nil && len(found.Finished) == 0 && order.Wait > 0 {
+		if w.attentive && err == nil && len(found.Finished) == 0 && order.MaxWait > 0 {
 			o.await(look, order, there)
 			return
 		}
 		wait := time.Duration(0)
 		if err == nil && len(found.Finished) == 0 {
 			// It waits for an end; what it shows is as old as that.
-			wait = order.Wait
+			wait = order.MaxWait
 		}
 		w.after(wait, func() {
 			o.whenAwake(func() { o.cell.Looked(o.now(), look.At.Life, look.Number, found, err) })
@@ -394,7 +394,7 @@
 }
 
 // await has a look wait at its endpoint: for an end, its time, or the end of the life.
-func (o *simOwner) await(look cell.Look, order damsonwinch.LookOrder, e *simEndpoint) {
+func (o *simOwner) await(look cell.Look, order damsonwinch.PollRequest, e *simEndpoint) {
 	w := o.world
 	answered := false
 	answer := func(delay time.Duration, broken error) {
@@ -402,7 +402,7 @@
 			return
 		}
 		answered = true
-		var found damsonwinch.Look
+		var found damsonwinch.PollReply
 		err := broken
 		if err == nil {
 			found, err = e.lookFor(look.At.Life, order)
@@ -416,18 +416,18 @@
 		if w.resets {
 			answer(2*time.Millisecond, errNoAnswer)
 		} else {
-			answer(order.Wait+200*time.Millisecond, errNoAnswer)
+			answer(order.MaxWait+200*time.Millisecond, errNoAnswer)
 		}
 	}
 	switch {
 	case e.dead:
 		broke()
-	case len(e.finished) > 0 && e.finished[len(e.finished)-1].Number > order.Seen:
+	case len(e.finished) > 0 && e.finished[len(e.finished)-1].Number > order.AckedSequence:
 		ended()
 	default:
 		e.waiting = append(e.waiting, ended)
 		e.breaking = append(e.breaking, broke)
-		w.after(order.Wait, func() {
+		w.after(order.MaxWait, func() {
 			if !e.dead {
 				ended()
 			}
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -142,7 +142,7 @@
 
 func (o *Owner) look(look cell.Look) {
 	o.calling.Do(func() {
-		found, err := o.deps.Endpoints.Look(o.within(look.Order.Wait+lookMargin), look.At, look.Order)
+		found, err := o.deps.Endpoints.Poll(o.within(look.Order.MaxWait+lookMargin), look.At, look.Order)
 		o.send(looked{endpoint: look.At.Life, number: look.Number, look: found, err: err})
 	})
 }
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -96,7 +96,7 @@
 type looked struct {
 	endpoint damsonwinch.Life
 	number   int
-	look     damsonwinch.Look
+	look     damsonwinch.PollReply
 	err      error
 }
 
