--- a/endpoint.go
+++ b/endpoint.go
@@ -75,33 +75,33 @@
 	Attempt int
 }
 
-// StartOrder asks an endpoint to run a task.
-type StartOrder struct {
+// StartRequest asks an endpoint to run a task.
+type StartRequest struct {
 	Run
 	// Spec is the client's text that tells the endpoint what to do.
 	Spec string
 	// Token is the fencing token of the cell's owner.
 	Token int
-	// Until is the endpoint's clock, in milliseconds, at which a start that is
+	// LeaseUntilMs is the endpoint's clock, in milliseconds, at which a start that is
 	// late is refused; what runs is leased at least until then.
-	Until int
+	LeaseUntilMs int
 	// Checkpoint is where an earlier attempt left off, or empty.
 	Checkpoint string
 	// Ticket is the advice service's permission, where the queue needs one.
 	Ticket string
 }
 
-// StopOrder asks an endpoint to end a run.
-type StopOrder struct {
+// StopRequest asks an endpoint to end a run.
+type StopRequest struct {
 	Run
 	Token int
 }
 
-// PaceOrder sets the share of its speed at which a run works.
-type PaceOrder struct {
+// SpeedRequest sets the share of its speed at which a run works.
+type SpeedRequest struct {
 	Run
-	Token   int
-	Percent int
+	Token        int
+	SpeedPercent int
 }
 
 // PollRequest asks an endpoint for what runs and what has ended, and prolongs the
@@ -190,11 +190,11 @@
 // refusals leaves open whether the order was carried out, now or later.
 type EndpointControl interface {
 	// Start asks for a run.
-	Start(ctx context.Context, at Endpoint, order StartOrder) error
+	Start(ctx context.Context, at Endpoint, order StartRequest) error
 	// Stop asks for the end of a run; the end is listed once it has ended.
-	Stop(ctx context.Context, at Endpoint, order StopOrder) error
-	// Pace sets how fast a run works.
-	Pace(ctx context.Context, at Endpoint, order PaceOrder) error
+	Stop(ctx context.Context, at Endpoint, order StopRequest) error
+	// SetSpeed sets how fast a run works.
+	SetSpeed(ctx context.Context, at Endpoint, order SpeedRequest) error
 	// Poll asks what runs and prolongs leases.
 	Poll(ctx context.Context, at Endpoint, order PollRequest) (PollReply, error)
 }
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -37,13 +37,13 @@
 // Start is an order to an endpoint.
 type Start struct {
 	At    damsonwinch.Endpoint
-	Order damsonwinch.StartOrder
+	Order damsonwinch.StartRequest
 }
 
 // Stop is an order to an endpoint.
 type Stop struct {
 	At    damsonwinch.Endpoint
-	Order damsonwinch.StopOrder
+	Order damsonwinch.StopRequest
 }
 
 // Look is a question to an endpoint.
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -271,5 +271,5 @@
 // stopStray ends a run that belongs to nothing that should run.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.Notes = append(c.effects.Notes, Note{What: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
-	c.effects.Stops = append(c.effects.Stops, Stop{At: e.info, Order: damsonwinch.StopOrder{Run: stray, Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{At: e.info, Order: damsonwinch.StopRequest{Run: stray, Token: c.token}})
 }
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -143,8 +143,8 @@
 	until := r.at.clock(c.now) + int(c.options.StartLate.Milliseconds())
 	c.prolong(r.at, until)
 	c.stats.Starts++
-	c.effects.Starts = append(c.effects.Starts, Start{At: r.at.info, Order: damsonwinch.StartOrder{
-		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
+	c.effects.Starts = append(c.effects.Starts, Start{At: r.at.info, Order: damsonwinch.StartRequest{
+		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.saved,
 		Ticket: c.ticket(r.task.phase, r.at),
 	}})
 }
@@ -278,7 +278,7 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSent = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{At: r.at.info, Order: damsonwinch.StopOrder{Run: r.order(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{At: r.at.info, Order: damsonwinch.StopRequest{Run: r.order(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -28,7 +28,7 @@
 // Pace is an order to an endpoint.
 type Pace struct {
 	At    damsonwinch.Endpoint
-	Order damsonwinch.PaceOrder
+	Order damsonwinch.SpeedRequest
 }
 
 // share holds back what fills an endpoint as long as what serves there needs it.
@@ -80,7 +80,7 @@
 		if next := change(r.speed); next != r.speed {
 			r.speed = next
 			e.pacedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.PaceOrder{Run: r.order(), Token: c.token, Percent: next}})
+			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.SpeedRequest{Run: r.order(), Token: c.token, SpeedPercent: next}})
 		}
 	}
 }
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -34,7 +34,7 @@
 
 // simRun is a run on an endpoint.
 type simRun struct {
-	order   damsonwinch.StartOrder
+	order   damsonwinch.StartRequest
 	need    damsonwinch.Resources
 	startAt time.Time
 	endAt   time.Time
@@ -74,19 +74,19 @@
 	return sum
 }
 
-func (e *simEndpoint) start(order damsonwinch.StartOrder) error {
+func (e *simEndpoint) start(order damsonwinch.StartRequest) error {
 	switch {
 	case !e.take(order.Token):
 		return damsonwinch.ErrOldToken
 	case order.Attempt <= e.highest[order.Task]:
-		e.prolong(order.Until)
+		e.prolong(order.LeaseUntilMs)
 		return damsonwinch.ErrOldRun
-	case order.Until <= e.clock():
+	case order.LeaseUntilMs <= e.clock():
 		return damsonwinch.ErrLate
 	case e.runs[order.Run] != nil:
 		return nil
 	}
-	e.prolong(order.Until)
+	e.prolong(order.LeaseUntilMs)
 	task := e.world.task(order.Task)
 	need := task.need
 	if e.world.room != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (e *simEndpoint) stop(order damsonwinch.StopOrder) error {
+func (e *simEndpoint) stop(order damsonwinch.StopRequest) error {
 	if !e.take(order.Token) {
 		return damsonwinch.ErrOldToken
 	}
--- a/pkg/cell/sim_rules_test.go
+++ b/pkg/cell/sim_rules_test.go
@@ -72,7 +72,7 @@
 }
 
 // started judges a start.
-func (r *rules) started(e *simEndpoint, order damsonwinch.StartOrder) {
+func (r *rules) started(e *simEndpoint, order damsonwinch.StartRequest) {
 	r.starts++
 	r.world.logf("start %s attempt %d on %s by %d", order.Task, order.Attempt, e.info.Life, order.Token)
 	c := r.client(order.Task.Job)
@@ -111,7 +111,7 @@
 }
 
 // fills judges the room that a start takes at an endpoint that starts whatever it is told.
-func (r *rules) fills(e *simEndpoint, order damsonwinch.StartOrder, need damsonwinch.Resources) {
+func (r *rules) fills(e *simEndpoint, order damsonwinch.StartRequest, need damsonwinch.Resources) {
 	used, lately := e.used().CPU, e.roomLately()
 	if !r.world.late && used+need.CPU > lately {
 		r.fail("LIMIT: %s brings %s to %d of %d", order.Task, e.info.Life, used+need.CPU, lately)
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -124,7 +124,7 @@
 
 func (o *Owner) pace(pace cell.Pace) {
 	o.calling.Do(func() {
-		err := o.deps.Endpoints.Pace(o.within(orderTimeout), pace.At, pace.Order)
+		err := o.deps.Endpoints.SetSpeed(o.within(orderTimeout), pace.At, pace.Order)
 		o.send(paced{endpoint: pace.At.Life, run: pace.Order.Run, err: err})
 	})
 }
