--- a/endpoint.go
+++ b/endpoint.go
@@ -118,12 +118,12 @@
 	MaxWait time.Duration
 }
 
-// Running is a run that an endpoint has in hand.
-type Running struct {
+// RunProgress is a run that an endpoint has in hand.
+type RunProgress struct {
 	Run
 	Checkpoint string
-	// Percent is how much of its work is done; a lasting task is at work at 100.
-	Percent int
+	// DonePercent is how much of its work is done; a lasting task is at work at 100.
+	DonePercent int
 	// Load is the tail latency in milliseconds of a task that serves users, and
 	// the CPU in use, in thousandths of a core, of any other.
 	Load int
@@ -145,12 +145,12 @@
 	EndedAlone Ending = "alone"
 )
 
-// Finished is a run that has ended on an endpoint.
-type Finished struct {
+// RunResult is a run that has ended on an endpoint.
+type RunResult struct {
 	Run
-	// Number rises by one with each end within one life of an endpoint.
-	Number     int
-	How        Ending
+	// Sequence rises by one with each end within one life of an endpoint.
+	Sequence   int
+	Ending     Ending
 	Checkpoint string
 }
 
@@ -160,8 +160,8 @@
 	StartedUnixMs int
 	// ClockMs is the endpoint's steady clock in milliseconds.
 	ClockMs  int
-	Running  []Running
-	Finished []Finished
+	Running  []RunProgress
+	Finished []RunResult
 }
 
 // Refusals of an endpoint: in each case it has done nothing.
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -8,7 +8,7 @@
 )
 
 // finished takes note of a run's end.
-func (c *Cell) finished(e *endpoint, end damsonwinch.Finished) {
+func (c *Cell) finished(e *endpoint, end damsonwinch.RunResult) {
 	t := c.findTask(end.Task)
 	if t == nil {
 		return
@@ -18,10 +18,10 @@
 	if r == nil {
 		// An earlier look, or an earlier owner, has taken note of it, or its lease
 		// was taken to have run out.
-		if c.takeLapse(e, end) && end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
+		if c.takeLapse(e, end) && end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
 			c.countFailure(t)
 		}
-		if end.How == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
+		if end.Ending == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
 			c.complete(t)
 		}
 		return
@@ -30,15 +30,15 @@
 		t.saved = end.Checkpoint
 	}
 	c.resolve(r)
-	c.learn(r, end.How)
+	c.learn(r, end.Ending)
 	switch {
-	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
+	case end.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.adopted && !r.resumed {
 			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.since), t.phase.spec.EstimateMs)
 			c.learnedNew = true
 		}
 		c.complete(t)
-	case end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
+	case end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
 		c.note("run failed", r, "")
 		c.fail(t, r)
 	case len(t.runs) == 0:
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -30,7 +30,7 @@
 
 // takeLapse takes note of the end of an attempt that was taken to have lapsed, and says
 // whether it was one.
-func (c *Cell) takeLapse(e *endpoint, end damsonwinch.Finished) bool {
+func (c *Cell) takeLapse(e *endpoint, end damsonwinch.RunResult) bool {
 	at := slices.IndexFunc(e.lapses, func(l lapse) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
 	if at < 0 {
 		return false
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -195,20 +195,20 @@
 }
 
 // takeEnds takes the ends that are new into the state, in order.
-func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.Finished) {
-	slices.SortFunc(ends, func(a, b damsonwinch.Finished) int { return a.Number - b.Number })
+func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.RunResult) {
+	slices.SortFunc(ends, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
 	for _, end := range ends {
-		if end.Number <= e.seen {
+		if end.Sequence <= e.seen {
 			continue
 		}
-		e.seen = end.Number
+		e.seen = end.Sequence
 		c.commits.ends = append(c.commits.ends, e)
 		c.finished(e, end)
 	}
 }
 
 // takeRunning compares what runs with what should.
-func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.Running, sentAt int) {
+func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
 	e.strays = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
@@ -248,11 +248,11 @@
 	return false
 }
 
-func (c *Cell) seenRunning(r *run, row damsonwinch.Running) {
+func (c *Cell) seenRunning(r *run, row damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
-	r.pace.see(c.now, row.Percent)
+	r.pace.see(c.now, row.DonePercent)
 	c.signal(r)
-	r.percent, r.load, r.lost = row.Percent, row.Load, nil
+	r.percent, r.load, r.lost = row.DonePercent, row.Load, nil
 	if row.Checkpoint != "" {
 		r.task.saved = row.Checkpoint
 	}
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -101,10 +101,10 @@
 	found := damsonwinch.PollReply{ClockMs: int(m.now.UnixMilli() % 1_000_000_000)}
 	for _, run := range ended {
 		m.ends[id]++
-		found.Finished = append(found.Finished, damsonwinch.Finished{Number: m.ends[id], Run: run, How: damsonwinch.EndedDone})
+		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: m.ends[id], Run: run, Ending: damsonwinch.EndedDone})
 	}
 	for _, run := range m.runs[id] {
-		found.Running = append(found.Running, damsonwinch.Running{Run: run, Percent: 100})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: run, DonePercent: 100})
 	}
 	m.cell.Looked(m.now, look.At.Life, look.Number, found, nil)
 	m.serve()
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -281,12 +281,12 @@
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
 		load, _ := strconv.Atoi(parts[2])
-		found.Running = append(found.Running, damsonwinch.Running{Run: runOf(parts[0]), Percent: percent, Load: load})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: runOf(parts[0]), DonePercent: percent, Load: load})
 	}
 	for _, text := range list(s.t, d, "ended") {
 		parts := strings.Split(text, ":")
 		count, _ := strconv.Atoi(parts[0])
-		found.Finished = append(found.Finished, damsonwinch.Finished{Number: count, Run: runOf(parts[1]), How: damsonwinch.Ending(parts[2])})
+		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: count, Run: runOf(parts[1]), Ending: damsonwinch.Ending(parts[2])})
 	}
 	s.cell.Looked(s.now, sent.At.Life, sent.Number, found, errorOf(d, s.t))
 	return s.effects()
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -20,7 +20,7 @@
 	until    int // End of the lease of all that runs, on its clock.
 	runs     map[damsonwinch.Run]*simRun
 	highest  map[damsonwinch.TaskID]int // Highest attempt stopped or ended here.
-	finished []damsonwinch.Finished
+	finished []damsonwinch.RunResult
 	number   int
 	dead     bool
 	misled   bool // It answers a look that is meant for an earlier life.
@@ -121,7 +121,7 @@
 	delete(e.runs, r.order.Run)
 	e.highest[r.order.Task] = max(e.highest[r.order.Task], r.order.Attempt)
 	e.number++
-	e.finished = append(e.finished, damsonwinch.Finished{Run: r.order.Run, Number: e.number, How: how})
+	e.finished = append(e.finished, damsonwinch.RunResult{Run: r.order.Run, Sequence: e.number, Ending: how})
 	e.world.rules.ended(e, r, how)
 	waiting := e.waiting
 	e.waiting, e.breaking = nil, nil
@@ -183,7 +183,7 @@
 	if !e.take(order.Token) {
 		return damsonwinch.PollReply{}, damsonwinch.ErrOldToken
 	}
-	for len(e.finished) > 0 && e.finished[0].Number <= order.AckedSequence {
+	for len(e.finished) > 0 && e.finished[0].Sequence <= order.AckedSequence {
 		if !e.misled {
 			e.world.rules.noted(e, e.finished[0])
 		}
@@ -192,13 +192,13 @@
 	if order.LeaseUntilMs > 0 {
 		e.prolong(order.LeaseUntilMs)
 	}
-	found := damsonwinch.PollReply{StartedUnixMs: e.born(), ClockMs: e.clock(), Finished: append([]damsonwinch.Finished{}, e.finished...)}
+	found := damsonwinch.PollReply{StartedUnixMs: e.born(), ClockMs: e.clock(), Finished: append([]damsonwinch.RunResult{}, e.finished...)}
 	for _, r := range e.sorted() {
 		percent := 100
 		if r.how == damsonwinch.EndedDone && !e.world.task(r.order.Task).lasting {
 			percent = int(100 * e.world.now.Sub(r.startAt) / r.endAt.Sub(r.startAt))
 		}
-		found.Running = append(found.Running, damsonwinch.Running{Run: r.order.Run, Percent: percent})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: r.order.Run, DonePercent: percent})
 	}
 	return found, nil
 }
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -422,7 +422,7 @@
 	switch {
 	case e.dead:
 		broke()
-	case len(e.finished) > 0 && e.finished[len(e.finished)-1].Number > order.AckedSequence:
+	case len(e.finished) > 0 && e.finished[len(e.finished)-1].Sequence > order.AckedSequence:
 		ended()
 	default:
 		e.waiting = append(e.waiting, ended)
--- a/pkg/cell/sim_rules_test.go
+++ b/pkg/cell/sim_rules_test.go
@@ -131,8 +131,8 @@
 }
 
 // noted is told when an endpoint forgets an end.
-func (r *rules) noted(_ *simEndpoint, end damsonwinch.Finished) {
-	switch end.How {
+func (r *rules) noted(_ *simEndpoint, end damsonwinch.RunResult) {
+	switch end.Ending {
 	case damsonwinch.EndedDone:
 		if _, before := r.noting[end.Task]; !before {
 			r.noting[end.Task] = r.world.now
