--- a/endpoint.go
+++ b/endpoint.go
@@ -139,10 +139,10 @@
 	EndedStopped Ending = "stopped"
 	// EndedLapsed is the end of a run whose lease ran out.
 	EndedLapsed Ending = "lapsed"
-	// EndedBroken is the end of a gang's member after another member's.
-	EndedBroken Ending = "broken"
-	// EndedAlone is the end of a gang's member that waited in vain for the others.
-	EndedAlone Ending = "alone"
+	// EndedGangFailed is the end of a gang's member after another member's.
+	EndedGangFailed Ending = "broken"
+	// EndedGangIncomplete is the end of a gang's member that waited in vain for the others.
+	EndedGangIncomplete Ending = "alone"
 )
 
 // RunResult is a run that has ended on an endpoint.
