--- a/endpoint.go
+++ b/endpoint.go
@@ -166,16 +166,16 @@
 
 // Refusals of an endpoint: in each case it has done nothing.
 var (
-	// ErrOldToken says that the endpoint has seen a newer owner's token.
-	ErrOldToken = errors.New("the endpoint follows a newer owner")
-	// ErrOldRun says that a newer attempt, or a stop of this one, came before.
-	ErrOldRun = errors.New("the endpoint has seen a newer attempt or a stop")
-	// ErrLate says that the order came after its deadline.
-	ErrLate = errors.New("the order came too late")
-	// ErrNoRoom says that the task doesn't fit the endpoint now.
-	ErrNoRoom = errors.New("the endpoint has no room")
-	// ErrNoTicket says that the advice's permission is missing or has ended.
-	ErrNoTicket = errors.New("the endpoint wants another ticket")
+	// ErrStaleToken says that the endpoint has seen a newer owner's token.
+	ErrStaleToken = errors.New("the endpoint follows a newer owner")
+	// ErrStaleRun says that a newer attempt, or a stop of this one, came before.
+	ErrStaleRun = errors.New("the endpoint has seen a newer attempt or a stop")
+	// ErrTooLate says that the order came after its deadline.
+	ErrTooLate = errors.New("the order came too late")
+	// ErrNoCapacity says that the task doesn't fit the endpoint now.
+	ErrNoCapacity = errors.New("the endpoint has no room")
+	// ErrInvalidTicket says that the advice's permission is missing or has ended.
+	ErrInvalidTicket = errors.New("the endpoint wants another ticket")
 	// ErrOtherLife says that another life answers at the address.
 	ErrOtherLife = errors.New("another endpoint answers at this address")
 	// ErrUnhealthy says that the endpoint is unwell.
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -179,7 +179,7 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(e, "another life answers at its address")
-	case errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrStaleToken):
 		c.effects.Deposed = true
 	default:
 		if !e.silent {
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -15,7 +15,7 @@
 // of an endpoint was. What each endpoint refuses as invalid was ordered anew with each append,
 // 500 times in 5 s for a single task.
 func TestStartsThatAreRefusedComeFurtherApart(t *testing.T) {
-	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrOldRun, damsonwinch.ErrLate} {
+	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate} {
 		now := time.UnixMilli(1_700_000_000_000)
 		c := cell.New(simOptions(sabotage{}), 1)
 		assert.NilError(t, c.Load(now, nil))
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -191,7 +191,7 @@
 
 func refusedStart(err error) bool {
 	for _, refusal := range []error{
-		damsonwinch.ErrOldToken, damsonwinch.ErrOldRun, damsonwinch.ErrLate, damsonwinch.ErrNoRoom, damsonwinch.ErrNoTicket,
+		damsonwinch.ErrStaleToken, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate, damsonwinch.ErrNoCapacity, damsonwinch.ErrInvalidTicket,
 		damsonwinch.ErrOtherLife, damsonwinch.ErrUnhealthy, damsonwinch.ErrInvalid,
 	} {
 		if errors.Is(err, refusal) {
@@ -212,11 +212,11 @@
 		c.again(r)
 		c.lose(r.at, "another life answers at its address")
 		return
-	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
+	case errors.Is(err, damsonwinch.ErrNoCapacity), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
 		r.at.pauseUntil = c.now.Add(refusalPause)
 	}
-	if errors.Is(err, damsonwinch.ErrNoTicket) {
+	if errors.Is(err, damsonwinch.ErrInvalidTicket) {
 		r.task.phase.dropPermit(r.at)
 		c.again(r)
 		return
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -425,11 +425,11 @@
 	case "":
 		return nil
 	case "room":
-		return damsonwinch.ErrNoRoom
+		return damsonwinch.ErrNoCapacity
 	case "ticket":
-		return damsonwinch.ErrNoTicket
+		return damsonwinch.ErrInvalidTicket
 	case "old-token":
-		return damsonwinch.ErrOldToken
+		return damsonwinch.ErrStaleToken
 	case "other-life":
 		return damsonwinch.ErrOtherLife
 	default:
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -77,12 +77,12 @@
 func (e *simEndpoint) start(order damsonwinch.StartRequest) error {
 	switch {
 	case !e.take(order.Token):
-		return damsonwinch.ErrOldToken
+		return damsonwinch.ErrStaleToken
 	case order.Attempt <= e.highest[order.Task]:
 		e.prolong(order.LeaseUntilMs)
-		return damsonwinch.ErrOldRun
+		return damsonwinch.ErrStaleRun
 	case order.LeaseUntilMs <= e.clock():
-		return damsonwinch.ErrLate
+		return damsonwinch.ErrTooLate
 	case e.runs[order.Run] != nil:
 		return nil
 	}
@@ -92,7 +92,7 @@
 	if e.world.room != nil {
 		e.world.rules.fills(e, order, need)
 	} else if !e.info.Capacity.Minus(e.used()).Holds(need) {
-		return damsonwinch.ErrNoRoom
+		return damsonwinch.ErrNoCapacity
 	}
 	e.world.rules.started(e, order)
 	r := &simRun{order: order, need: need, startAt: e.world.now, how: damsonwinch.EndedDone}
@@ -132,7 +132,7 @@
 
 func (e *simEndpoint) stop(order damsonwinch.StopRequest) error {
 	if !e.take(order.Token) {
-		return damsonwinch.ErrOldToken
+		return damsonwinch.ErrStaleToken
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Attempt)
 	if r := e.runs[order.Run]; r != nil && !r.stopped {
@@ -181,7 +181,7 @@
 // look answers at once; the world makes it wait where it should.
 func (e *simEndpoint) look(order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
 	if !e.take(order.Token) {
-		return damsonwinch.PollReply{}, damsonwinch.ErrOldToken
+		return damsonwinch.PollReply{}, damsonwinch.ErrStaleToken
 	}
 	for len(e.finished) > 0 && e.finished[0].Sequence <= order.AckedSequence {
 		if !e.misled {
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -287,7 +287,7 @@
 		p.deps.Logger.WithError(m.err).WithFields(fields).Warn("order on box not carried out")
 	}
 	p.supply.Ordered(now, m.order, m.err)
-	if errors.Is(m.err, damsonwinch.ErrOldToken) {
+	if errors.Is(m.err, damsonwinch.ErrStaleToken) {
 		p.deps.Logger.Warn("planning lost: a newer planner has ordered")
 		p.cancel()
 	}
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -218,7 +218,7 @@
 		b.ordered = nil
 	case errors.Is(err, damsonwinch.ErrBoxBusy):
 		p.takeBack(b, order)
-	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrStaleToken):
 		// Nothing was done; it is tried again.
 	default:
 		// It may have been done, or be done later. It is repeated until it is
