--- a/endpoint.go
+++ b/endpoint.go
@@ -9,27 +9,27 @@
 
 // Resources is room on a box, or what a task needs of it.
 type Resources struct {
-	// CPU is in thousandths of a core.
-	CPU int
+	// MilliCPU is in thousandths of a core.
+	MilliCPU int
 	// MemoryMB is in mebibytes.
 	MemoryMB int
-	// GPU counts accelerators.
-	GPU int
+	// GPUs counts accelerators.
+	GPUs int
 }
 
 // Plus returns the sum.
 func (r Resources) Plus(other Resources) Resources {
-	return Resources{CPU: r.CPU + other.CPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPU: r.GPU + other.GPU}
+	return Resources{MilliCPU: r.MilliCPU + other.MilliCPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPUs: r.GPUs + other.GPUs}
 }
 
 // Minus returns the difference.
 func (r Resources) Minus(other Resources) Resources {
-	return Resources{CPU: r.CPU - other.CPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPU: r.GPU - other.GPU}
+	return Resources{MilliCPU: r.MilliCPU - other.MilliCPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPUs: r.GPUs - other.GPUs}
 }
 
 // Holds says whether a need fits into this room.
 func (r Resources) Holds(need Resources) bool {
-	return need.CPU <= r.CPU && need.MemoryMB <= r.MemoryMB && need.GPU <= r.GPU
+	return need.MilliCPU <= r.MilliCPU && need.MemoryMB <= r.MemoryMB && need.GPUs <= r.GPUs
 }
 
 // Endpoint is one life of the program that runs tasks on a box.
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -27,7 +27,7 @@
 	}
 	options := cell.Options{MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second, KeepEnded: time.Minute}
 	queues := []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second}}
-	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{CPU: 8000, MemoryMB: 16000}}}
+	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{MilliCPU: 8000, MemoryMB: 16000}}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var spec wire.JobSpec
 		if json.Unmarshal(text, &spec) != nil || rounds(spec) > 1000 {
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -21,7 +21,7 @@
 		boxMemory = max(boxMemory, e.info.Capacity.MemoryMB)
 		entry := wire.EndpointReport{
 			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdraw.recorded,
-			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
+			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
 		}
 		if len(e.runs) == 0 {
 			entry.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
@@ -31,17 +31,17 @@
 			if r.task.phase.spec.Lasting {
 				memory += need.MemoryMB
 				entry.Lasting++
-				report.LastingCpu += need.CPU
+				report.LastingCpu += need.MilliCPU
 				continue
 			}
 			switch {
 			case entry.Silent:
 				// What runs out of reach takes no room of the boxes that are left.
 			case r.late:
-				report.RunningLateCpu += need.CPU
+				report.RunningLateCpu += need.MilliCPU
 			default:
 				memory += need.MemoryMB
-				report.RunningCpu += need.CPU
+				report.RunningCpu += need.MilliCPU
 			}
 			entry.EmptyMs = max(entry.EmptyMs, c.leftMs(r))
 		}
@@ -96,12 +96,12 @@
 
 // most returns the larger one of each kind of room.
 func most(a, b damsonwinch.Resources) damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPU: max(a.GPU, b.GPU)}
+	return damsonwinch.Resources{MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
 // perBox returns how many tasks of a need an empty box holds, 1 at least.
 func perBox(box, need damsonwinch.Resources) int {
-	return max(1, min(box.CPU/max(1, need.CPU), box.MemoryMB/max(1, need.MemoryMB)))
+	return max(1, min(box.MilliCPU/max(1, need.MilliCPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
 // wholeBox is a box's room in the unit of shares.
@@ -115,15 +115,15 @@
 	for _, p := range c.open {
 		need := p.need()
 		if p.spec.Lasting {
-			report.LastingCpu += len(p.ready) * need.CPU
+			report.LastingCpu += len(p.ready) * need.MilliCPU
 			continue
 		}
-		wanted := len(p.ready) * need.CPU
+		wanted := len(p.ready) * need.MilliCPU
 		may := allowed.take(p, wanted)
 		if p.late(nowMs) {
 			report.LateCpu += may
-			if p.job().runs == 0 && may >= need.CPU {
-				report.StalledCpu += need.CPU
+			if p.job().runs == 0 && may >= need.MilliCPU {
+				report.StalledCpu += need.MilliCPU
 			}
 			continue
 		}
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -113,7 +113,7 @@
 	c.effects.Notes = append(c.effects.Notes, Note{
 		What: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Minor: true,
 		Why: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.at.used.CPU, r.at.info.Capacity.CPU),
+			c.now.Sub(r.since).Milliseconds(), r.at.used.MilliCPU, r.at.info.Capacity.MilliCPU),
 	})
 }
 
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -96,10 +96,10 @@
 }
 
 func (p *phase) need() damsonwinch.Resources {
-	need := damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
+	need := damsonwinch.Resources{MilliCPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPUs: p.spec.Gpu}
 	if p.spec.Fills {
 		// It lives on what others leave.
-		need.CPU = 0
+		need.MilliCPU = 0
 	}
 	return need
 }
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -39,7 +39,7 @@
 	for _, p := range c.open {
 		if !p.spec.Lasting && p.lateMs > 0 && !p.late(nowMs) && len(p.ready) > 0 && p.heldSince.IsZero() {
 			waiting = append(waiting, p)
-			needed += len(p.ready) * p.need().CPU
+			needed += len(p.ready) * p.need().MilliCPU
 		}
 	}
 	return waiting, needed
@@ -52,8 +52,8 @@
 		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
 			continue
 		}
-		free += max(0, e.free().CPU)
-		turning += max(0, e.info.Capacity.CPU-e.lastingNeed().CPU)
+		free += max(0, e.free().MilliCPU)
+		turning += max(0, e.info.Capacity.MilliCPU-e.lastingNeed().MilliCPU)
 	}
 	taskMs := c.taskMs()
 	if taskMs == 0 {
@@ -89,7 +89,7 @@
 	}
 	mean := c.statsOf(j.queue).meanWork()
 	return triage.Item{
-		Need: len(p.ready) * p.need().CPU, StartBy: p.startBy() - nowMs,
+		Need: len(p.ready) * p.need().MilliCPU, StartBy: p.startBy() - nowMs,
 		Worth: fixedWorth*mean + (1-fixedWorth)*float64(j.work), Rest: float64(rest),
 	}
 }
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -61,7 +61,7 @@
 func exceedsAny(p *phase, full []damsonwinch.Resources) bool {
 	need := p.need()
 	for _, missed := range full {
-		if need.CPU >= missed.CPU && need.MemoryMB >= missed.MemoryMB && need.GPU >= missed.GPU {
+		if need.MilliCPU >= missed.MilliCPU && need.MemoryMB >= missed.MemoryMB && need.GPUs >= missed.GPUs {
 			return true
 		}
 	}
@@ -141,7 +141,7 @@
 )
 
 func (c *Cell) score(t *task, e *endpoint) int {
-	return c.leaning(t, e) - e.free().CPU
+	return c.leaning(t, e) - e.free().MilliCPU
 }
 
 // leaning is what speaks for an endpoint beside its room.
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -45,7 +45,7 @@
 		m.ids = append(m.ids, id)
 		listed = append(listed, damsonwinch.Endpoint{
 			Life: damsonwinch.Life{ID: id}, Address: "10.0.0.1:80", Box: "box-" + id, Pool: "pool", Zone: "zone",
-			Capacity: damsonwinch.Resources{CPU: benchBoxCPU, MemoryMB: 64_000},
+			Capacity: damsonwinch.Resources{MilliCPU: benchBoxCPU, MemoryMB: 64_000},
 		})
 	}
 	m.cell.SetEndpoints(m.now, listed)
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -101,7 +101,7 @@
 		case r.task.phase.spec.Lasting:
 			sum += lastingStake
 		default:
-			sum += r.task.phase.need().CPU * int(c.now.Sub(r.since).Milliseconds())
+			sum += r.task.phase.need().MilliCPU * int(c.now.Sub(r.since).Milliseconds())
 		}
 	}
 	return sum
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -27,7 +27,7 @@
 // share is what a task counts against its customer's cap. What fills counts with what it asks for:
 // it runs, whatever else its box holds.
 func (p *phase) share() damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
+	return damsonwinch.Resources{MilliCPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPUs: p.spec.Gpu}
 }
 
 // passTime is how long a phase lets less urgent ones of its customer pass while its own tasks need
@@ -57,7 +57,7 @@
 }
 
 func times(need damsonwinch.Resources, count int) damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count}
+	return damsonwinch.Resources{MilliCPU: need.MilliCPU * count, MemoryMB: need.MemoryMB * count, GPUs: need.GPUs * count}
 }
 
 // takeAllowances takes the word of the planner on what the cell may have running.
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -21,8 +21,8 @@
 		assert.NilError(t, c.Load(now, nil))
 		c.Configure(now, simQueues)
 		c.SetEndpoints(now, []damsonwinch.Endpoint{
-			{Life: damsonwinch.Life{ID: "e1"}, Address: "e1:1", Pool: "pool", Capacity: damsonwinch.Resources{CPU: 4000, MemoryMB: 4000}},
-			{Life: damsonwinch.Life{ID: "e2"}, Address: "e2:1", Pool: "pool", Capacity: damsonwinch.Resources{CPU: 4000, MemoryMB: 4000}},
+			{Life: damsonwinch.Life{ID: "e1"}, Address: "e1:1", Pool: "pool", Capacity: damsonwinch.Resources{MilliCPU: 4000, MemoryMB: 4000}},
+			{Life: damsonwinch.Life{ID: "e2"}, Address: "e2:1", Pool: "pool", Capacity: damsonwinch.Resources{MilliCPU: 4000, MemoryMB: 4000}},
 		})
 		spec := simSpec(wire.Phase{Count: 1, Cpu: 1000, EstimateMs: 300})
 		c.Submit(now, wire.JobArgs{Queue: "queue", Id: "job", Spec: &spec, ReceivedMs: int(now.UnixMilli())}, 1)
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -39,7 +39,7 @@
 
 // put takes an endpoint in, or moves it to where it belongs now.
 func (r *rooms) put(e *endpoint) {
-	bucket := bucketOf(e.free().CPU)
+	bucket := bucketOf(e.free().MilliCPU)
 	if e.roomed {
 		if e.room == bucket {
 			return
@@ -98,7 +98,7 @@
 	for _, z := range zones {
 		most = max(most, z.rooms.most)
 	}
-	for bucket := bucketOf(t.phase.need().CPU); bucket <= most; bucket++ {
+	for bucket := bucketOf(t.phase.need().MilliCPU); bucket <= most; bucket++ {
 		for _, z := range zones {
 			for _, e := range z.rooms.byCores[bucket] {
 				if e.hasLabel(label) && c.allowed(t, e) {
@@ -107,7 +107,7 @@
 			}
 		}
 		// Endpoints with more room count for less, unless a rack makes up for it.
-		if choice.best != nil && t.phase.spec.Rack == "" && choice.score >= -choice.best.free().CPU {
+		if choice.best != nil && t.phase.spec.Rack == "" && choice.score >= -choice.best.free().MilliCPU {
 			break
 		}
 	}
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -144,7 +144,7 @@
 	id := arg(s.t, d, "id")
 	info := damsonwinch.Endpoint{
 		Life: damsonwinch.Life{ID: id, StartedUnixMs: number(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
-			CPU: number(s.t, d, "cpu", 8000), MemoryMB: number(s.t, d, "memory", 8000), GPU: number(s.t, d, "gpu", 0),
+			MilliCPU: number(s.t, d, "cpu", 8000), MemoryMB: number(s.t, d, "memory", 8000), GPUs: number(s.t, d, "gpu", 0),
 		},
 		Draining: d.HasArg("draining"), Labels: list(s.t, d, "labels"), Rack: option(s.t, d, "rack"),
 	}
@@ -304,12 +304,12 @@
 // allow has the planner say what the cell may have running of a customer.
 func (s *script) allow(d *datadriven.TestData) {
 	s.allowed++
-	whole := damsonwinch.Resources{CPU: number(s.t, d, "cap", 8000)}
+	whole := damsonwinch.Resources{MilliCPU: number(s.t, d, "cap", 8000)}
 	customer := arg(s.t, d, "customer")
 	s.cell.SetCustomers(s.now, s.allowed, []damsonwinch.Customer{{Name: customer, Cap: whole}})
 	s.cell.Withdraw(s.now, wire.SyncArgs{
 		Token: 1, CellToken: s.token, AllowanceNumber: s.allowed, ConfigVersion: s.allowed,
-		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.CPU}}},
+		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.MilliCPU}}},
 	})
 }
 
--- a/pkg/cell/sim_crash_test.go
+++ b/pkg/cell/sim_crash_test.go
@@ -41,16 +41,16 @@
 // some milliseconds after its start, at times much later.
 func (w *world) crashingClient(id string) {
 	behaviour := simTask{
-		need: damsonwinch.Resources{CPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, length: w.between(500*time.Millisecond, 1500*time.Millisecond),
+		need: damsonwinch.Resources{MilliCPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, length: w.between(500*time.Millisecond, 1500*time.Millisecond),
 		crashes: true, crashAfter: 10 * time.Millisecond,
 	}
 	if w.random.Float64() < 0.3 {
 		behaviour.crashAfter = w.between(time.Millisecond, min(behaviour.length, latestCrash)-time.Millisecond)
 	}
-	phase := wire.Phase{Count: 1 + w.random.IntN(4), Cpu: behaviour.need.CPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 300}
+	phase := wire.Phase{Count: 1 + w.random.IntN(4), Cpu: behaviour.need.MilliCPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 300}
 	switch draw := w.random.Float64(); {
 	case draw < 0.2:
-		behaviour.lasting, behaviour.need.CPU = true, 300
+		behaviour.lasting, behaviour.need.MilliCPU = true, 300
 		phase.Lasting, phase.AwayAtMost, phase.Cpu = true, 1, 300
 	case draw < 0.4:
 		phase.Copies = true
--- a/pkg/cell/sim_crowd_test.go
+++ b/pkg/cell/sim_crowd_test.go
@@ -96,10 +96,10 @@
 // six more.
 func (w *world) crowdClient(id string, queues int, crashAfter time.Duration) *simClient {
 	behaviour := simTask{
-		need: damsonwinch.Resources{CPU: 1800, MemoryMB: 100}, length: w.between(500*time.Millisecond, 1100*time.Millisecond),
+		need: damsonwinch.Resources{MilliCPU: 1800, MemoryMB: 100}, length: w.between(500*time.Millisecond, 1100*time.Millisecond),
 		crashes: w.random.Float64() < crowdShare, crashAfter: crashAfter, crashIndex: w.random.IntN(crowdTasks),
 	}
-	phase := wire.Phase{Count: crowdTasks, Cpu: behaviour.need.CPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 800}
+	phase := wire.Phase{Count: crowdTasks, Cpu: behaviour.need.MilliCPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 800}
 	phases := []wire.Phase{phase}
 	if w.random.Float64() < 0.6 {
 		phase.After = []int{0}
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -105,7 +105,7 @@
 	}
 	e.runs[order.Run] = r
 	if e.world.caps != nil {
-		e.world.rules.capped(need.CPU)
+		e.world.rules.capped(need.MilliCPU)
 	}
 	e.world.at(r.endAt, func() { e.end(r, r.how) })
 	if task.crashes && order.Task.Phase == 0 && order.Task.Index == task.crashIndex {
--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -84,7 +84,7 @@
 }
 
 func (s *simCaps) customers(version int) []damsonwinch.Customer {
-	return []damsonwinch.Customer{{Name: cappedCustomer, Cap: damsonwinch.Resources{CPU: s.versions[version-1].cpu}}}
+	return []damsonwinch.Customer{{Name: cappedCustomer, Cap: damsonwinch.Resources{MilliCPU: s.versions[version-1].cpu}}}
 }
 
 // replace has a new allotter take over what the last one has recorded.
@@ -150,7 +150,7 @@
 		_, number := s.other.Record()
 		s.other.Recorded(s.other.Allotter(), number)
 	}
-	one := damsonwinch.Resources{CPU: 500}
+	one := damsonwinch.Resources{MilliCPU: 500}
 	waiting := 0
 	if w.trouble {
 		waiting = w.random.IntN(8)
@@ -159,11 +159,11 @@
 	for range waiting {
 		if s.other.Allows(cappedCustomer, one) {
 			s.other.Begin(cappedCustomer, one, false)
-			s.otherUsed += one.CPU
-			w.rules.capped(one.CPU)
+			s.otherUsed += one.MilliCPU
+			w.rules.capped(one.MilliCPU)
 			w.after(w.between(50*time.Millisecond, 600*time.Millisecond), func() {
 				s.other.End(cappedCustomer, one, false)
-				s.otherUsed -= one.CPU
+				s.otherUsed -= one.MilliCPU
 			})
 		}
 	}
@@ -189,7 +189,7 @@
 	running := caps.otherUsed
 	for _, e := range r.world.endpoints {
 		if !e.dead {
-			running += e.used().CPU
+			running += e.used().MilliCPU
 		}
 	}
 	if most := caps.most(); running > most {
--- a/pkg/cell/sim_room_test.go
+++ b/pkg/cell/sim_room_test.go
@@ -55,14 +55,14 @@
 func (w *world) changeRoom() {
 	if !w.trouble {
 		for _, e := range w.endpoints {
-			e.info.Capacity.CPU = w.boxCPU
+			e.info.Capacity.MilliCPU = w.boxCPU
 		}
 		return
 	}
 	if e := w.endpoints[w.random.IntN(len(w.endpoints))]; !e.dead {
 		e.before = append(e.before, roomBefore{room: e.info.Capacity, until: w.now})
-		e.info.Capacity.CPU = w.boxCPU * w.random.IntN(11) / 10
-		w.logf("%s has room for %d", e.info.Life, e.info.Capacity.CPU)
+		e.info.Capacity.MilliCPU = w.boxCPU * w.random.IntN(11) / 10
+		w.logf("%s has room for %d", e.info.Life, e.info.Capacity.MilliCPU)
 	}
 	w.after(roomChange, w.changeRoom)
 }
@@ -96,10 +96,10 @@
 
 // roomLately returns the most room that an endpoint has had lately.
 func (e *simEndpoint) roomLately() int {
-	most := e.info.Capacity.CPU
+	most := e.info.Capacity.MilliCPU
 	for _, before := range e.before {
 		if e.world.now.Sub(before.until) <= roomContact+roomBeat {
-			most = max(most, before.room.CPU)
+			most = max(most, before.room.MilliCPU)
 		}
 	}
 	return most
--- a/pkg/cell/sim_rules_test.go
+++ b/pkg/cell/sim_rules_test.go
@@ -112,9 +112,9 @@
 
 // fills judges the room that a start takes at an endpoint that starts whatever it is told.
 func (r *rules) fills(e *simEndpoint, order damsonwinch.StartRequest, need damsonwinch.Resources) {
-	used, lately := e.used().CPU, e.roomLately()
-	if !r.world.late && used+need.CPU > lately {
-		r.fail("LIMIT: %s brings %s to %d of %d", order.Task, e.info.Life, used+need.CPU, lately)
+	used, lately := e.used().MilliCPU, e.roomLately()
+	if !r.world.late && used+need.MilliCPU > lately {
+		r.fail("LIMIT: %s brings %s to %d of %d", order.Task, e.info.Life, used+need.MilliCPU, lately)
 	}
 }
 
--- a/pkg/cell/sim_test.go
+++ b/pkg/cell/sim_test.go
@@ -73,18 +73,18 @@
 // client adds a client with a job drawn at random.
 func (w *world) client(id string) {
 	behaviour := simTask{
-		need: damsonwinch.Resources{CPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, length: w.between(50*time.Millisecond, w.longest),
+		need: damsonwinch.Resources{MilliCPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, length: w.between(50*time.Millisecond, w.longest),
 	}
 	if w.random.Float64() < 0.15 {
 		behaviour.failing = 0.4
 	}
-	phase := wire.Phase{Count: 1 + w.random.IntN(4), Cpu: behaviour.need.CPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 300}
+	phase := wire.Phase{Count: 1 + w.random.IntN(4), Cpu: behaviour.need.MilliCPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 300}
 	phase.Copies = w.random.Float64() < 0.2
 	phases := []wire.Phase{phase}
 	switch {
 	case w.random.Float64() < 0.15:
 		// Small, so that there is room for the others for good.
-		behaviour.lasting, behaviour.failing, behaviour.need.CPU = true, 0, 300
+		behaviour.lasting, behaviour.failing, behaviour.need.MilliCPU = true, 0, 300
 		phases[0].Lasting, phases[0].Copies, phases[0].AwayAtMost, phases[0].Cpu = true, false, 1, 300
 	case w.random.Float64() < 0.5:
 		second := phase
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -176,7 +176,7 @@
 		world: w, entryLag: lag, drift: 0.98 + 0.04*w.random.Float64(), bornAt: w.now, runs: map[damsonwinch.Run]*simRun{}, highest: map[damsonwinch.TaskID]int{},
 		info: damsonwinch.Endpoint{
 			Life: life, Box: box, Address: address, Pool: "pool",
-			Capacity: damsonwinch.Resources{CPU: w.boxCPU, MemoryMB: 8000},
+			Capacity: damsonwinch.Resources{MilliCPU: w.boxCPU, MemoryMB: 8000},
 		},
 	})
 	if w.room != nil {
--- a/pkg/node/registry_test.go
+++ b/pkg/node/registry_test.go
@@ -72,11 +72,11 @@
 
 // TestOwnersAreToldWhatIsNewOfAnEndpoint and not each time that it writes its entry.
 func TestOwnersAreToldWhatIsNewOfAnEndpoint(t *testing.T) {
-	before := damsonwinch.Endpoint{Life: damsonwinch.Life{ID: "a"}, Pool: "p", Address: "x", Zone: "z", Box: "b", Labels: []string{"l"}, Capacity: damsonwinch.Resources{CPU: 1}}
+	before := damsonwinch.Endpoint{Life: damsonwinch.Life{ID: "a"}, Pool: "p", Address: "x", Zone: "z", Box: "b", Labels: []string{"l"}, Capacity: damsonwinch.Resources{MilliCPU: 1}}
 	for name, change := range map[string]func(*damsonwinch.Endpoint){
 		"pool": func(e *damsonwinch.Endpoint) { e.Pool = "q" }, "address": func(e *damsonwinch.Endpoint) { e.Address = "y" },
 		"zone": func(e *damsonwinch.Endpoint) { e.Zone = "y" }, "box": func(e *damsonwinch.Endpoint) { e.Box = "c" },
-		"labels": func(e *damsonwinch.Endpoint) { e.Labels = nil }, "capacity": func(e *damsonwinch.Endpoint) { e.Capacity.CPU = 2 },
+		"labels": func(e *damsonwinch.Endpoint) { e.Labels = nil }, "capacity": func(e *damsonwinch.Endpoint) { e.Capacity.MilliCPU = 2 },
 		"life":     func(e *damsonwinch.Endpoint) { e.Life.StartedUnixMs = 2 },
 		"draining": func(e *damsonwinch.Endpoint) { e.Draining = true },
 	} {
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -236,9 +236,9 @@
 
 // With returns what waits with so many tasks of a need more.
 func (w Wanted) With(need damsonwinch.Resources, count int) Wanted {
-	w.All = w.All.Plus(damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count})
+	w.All = w.All.Plus(damsonwinch.Resources{MilliCPU: need.MilliCPU * count, MemoryMB: need.MemoryMB * count, GPUs: need.GPUs * count})
 	w.Largest = damsonwinch.Resources{
-		CPU: max(w.Largest.CPU, need.CPU), MemoryMB: max(w.Largest.MemoryMB, need.MemoryMB), GPU: max(w.Largest.GPU, need.GPU),
+		MilliCPU: max(w.Largest.MilliCPU, need.MilliCPU), MemoryMB: max(w.Largest.MemoryMB, need.MemoryMB), GPUs: max(w.Largest.GPUs, need.GPUs),
 	}
 	return w
 }
--- a/pkg/quota/amount.go
+++ b/pkg/quota/amount.go
@@ -30,7 +30,7 @@
 const unknown = math.MaxInt / 1024
 
 func amountsOf(r damsonwinch.Resources) amounts {
-	return amounts{cpu: r.CPU, memory: r.MemoryMB, gpu: r.GPU}
+	return amounts{cpu: r.MilliCPU, memory: r.MemoryMB, gpu: r.GPUs}
 }
 
 func fromWire(a wire.Amount) amounts {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -180,7 +180,7 @@
 	reply := wire.SyncReply{Known: true}
 	var wanted map[string]Wanted
 	if at == 0 && waiting > 0 {
-		wanted = map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: 1}, waiting)}
+		wanted = map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{MilliCPU: 1}, waiting)}
 	}
 	cell.Report(ownerToken, wanted, &reply)
 	return reply
@@ -211,10 +211,10 @@
 // begins anywhere, also not in a cell that runs nothing, until what runs fits.
 func TestNothingBeginsWhileTooMuchRuns(t *testing.T) {
 	a, cells := dealt(t)
-	running := damsonwinch.Resources{CPU: 200}
+	running := damsonwinch.Resources{MilliCPU: 200}
 	cells[0].Begin(simCustomer, running, false)
 	a.Configure(2, customers(100))
-	small := damsonwinch.Resources{CPU: 1}
+	small := damsonwinch.Resources{MilliCPU: 1}
 	for range 5 {
 		sync(a, cells, 1000, nil)
 		assert.Assert(t, !cells[0].Allows(simCustomer, small))
@@ -232,7 +232,7 @@
 func TestWholeTasksUseTheCap(t *testing.T) {
 	for _, task := range []int{133, 100, 57, 90, 130} {
 		a, cells := dealt(t)
-		need := damsonwinch.Resources{CPU: task}
+		need := damsonwinch.Resources{MilliCPU: task}
 		running := 0
 		for range 12 {
 			a.Recorded(a.Deal(time.Time{}))
@@ -278,10 +278,10 @@
 			_, number := cell.Record()
 			cell.Recorded(allotterToken, number)
 			reply := wire.SyncReply{Known: true}
-			cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
+			cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{MilliCPU: needs[at]}, 3)}, &reply)
 			a.Heard(names[at], allotterToken, reply)
 		}
-		if cells[3].Allows(simCustomer, damsonwinch.Resources{CPU: needs[3]}) {
+		if cells[3].Allows(simCustomer, damsonwinch.Resources{MilliCPU: needs[3]}) {
 			return
 		}
 	}
@@ -326,7 +326,7 @@
 func BenchmarkRound(b *testing.B) {
 	var all []damsonwinch.Customer
 	for number := range 200 {
-		all = append(all, damsonwinch.Customer{Name: fmt.Sprintf("customer-%d", number), Cap: damsonwinch.Resources{CPU: 1_000_000, MemoryMB: 2_000_000}})
+		all = append(all, damsonwinch.Customer{Name: fmt.Sprintf("customer-%d", number), Cap: damsonwinch.Resources{MilliCPU: 1_000_000, MemoryMB: 2_000_000}})
 	}
 	a := NewAllotter()
 	a.Configure(1, all)
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -251,7 +251,7 @@
 	for _, r := range c.runs {
 		o.runs = append(o.runs, r)
 		if !w.sabotage.heirsForget {
-			o.allowances.Begin(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+			o.allowances.Begin(simCustomer, damsonwinch.Resources{MilliCPU: r.need}, false)
 		}
 		if r.ended {
 			// Its endpoint tells that it isn't there.
@@ -280,7 +280,7 @@
 }
 
 func customers(limit int) []damsonwinch.Customer {
-	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{CPU: limit}}}
+	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{MilliCPU: limit}}}
 }
 
 // whenAwake runs something now, or once a freeze is over.
@@ -323,7 +323,7 @@
 	if o.cell.world.sabotage.unsuspended {
 		o.allowances.dealt = max(o.allowances.dealt, o.allowances.version)
 	}
-	return o.allowances.Allows(simCustomer, damsonwinch.Resources{CPU: need})
+	return o.allowances.Allows(simCustomer, damsonwinch.Resources{MilliCPU: need})
 }
 
 // intend counts a run, records it and orders it; its endpoint may carry the order out late.
@@ -331,7 +331,7 @@
 	w := o.cell.world
 	r := &simRun{need: need, token: o.token}
 	o.runs = append(o.runs, r)
-	o.allowances.Begin(simCustomer, damsonwinch.Resources{CPU: need}, false)
+	o.allowances.Begin(simCustomer, damsonwinch.Resources{MilliCPU: need}, false)
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		if o.token != o.cell.token {
 			return // Fenced: it is never ordered.
@@ -354,7 +354,7 @@
 func (o *simOwner) drop(r *simRun) {
 	if at := slices.Index(o.runs, r); at >= 0 {
 		o.runs = slices.Delete(o.runs, at, at+1)
-		o.allowances.End(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+		o.allowances.End(simCustomer, damsonwinch.Resources{MilliCPU: r.need}, false)
 	}
 }
 
@@ -414,7 +414,7 @@
 	reply := wire.SyncReply{Known: true}
 	wanted := map[string]Wanted{}
 	if waiting := o.cell.demand - len(o.runs); waiting > 0 {
-		wanted[simCustomer] = Wanted{}.With(damsonwinch.Resources{CPU: 5}, waiting).With(damsonwinch.Resources{CPU: o.cell.next}, 1)
+		wanted[simCustomer] = Wanted{}.With(damsonwinch.Resources{MilliCPU: 5}, waiting).With(damsonwinch.Resources{MilliCPU: o.cell.next}, 1)
 	}
 	o.allowances.Report(o.token, wanted, &reply)
 	return reply
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -37,7 +37,7 @@
 		}
 		count--
 		box := damsonwinch.Box{
-			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 		}
 		if pool != "off" {
 			box.Endpoint = "at-" + name
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -39,7 +39,7 @@
 			}
 			count--
 			boxes = append(boxes, damsonwinch.Box{
-				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 			if pool != "off" {
 				boxes[len(boxes)-1].Endpoint = "at-" + name
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -112,7 +112,7 @@
 	for _, b := range p.order {
 		if b.report != nil && b.report.Usable {
 			used[b.info.Pool] += b.report.UsedCpu
-			room[b.info.Pool] += b.info.Capacity.CPU
+			room[b.info.Pool] += b.info.Capacity.MilliCPU
 		}
 	}
 	idle := make(map[string]bool, len(room))
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -29,7 +29,7 @@
 	for at := range boxes {
 		f.boxes = append(f.boxes, damsonwinch.Box{
 			Name: fmt.Sprintf("box-%04d", at), Pool: f.pools[at%pools].Name, State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", at%4),
-			Capacity: damsonwinch.Resources{CPU: 32000, MemoryMB: 128000}, Endpoint: fmt.Sprintf("endpoint-%04d", at),
+			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, Endpoint: fmt.Sprintf("endpoint-%04d", at),
 		})
 	}
 	f.planner.SetPools(f.pools, shard.New(1, nil))
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -97,7 +97,7 @@
 			name := fmt.Sprintf("%s-%02d", words[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
 				Name: name, Pool: words[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), Endpoint: "at-" + name,
-				Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+				Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 		}
 	}
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -234,13 +234,13 @@
 func (p *Planner) wholeBoxCPU(name string) int {
 	most := 0
 	for _, b := range p.byCell[name] {
-		most = max(most, b.info.Capacity.CPU)
+		most = max(most, b.info.Capacity.MilliCPU)
 	}
 	if most > 0 {
 		return most
 	}
 	for _, b := range p.order {
-		most = max(most, b.info.Capacity.CPU)
+		most = max(most, b.info.Capacity.MilliCPU)
 	}
 	return most
 }
