--- a/endpoint.go
+++ b/endpoint.go
@@ -201,8 +201,8 @@
 
 // Permit is the advice service's permission for a phase of a job on an endpoint.
 type Permit struct {
-	Endpoint string
-	Ticket   string
+	EndpointID string
+	Ticket     string
 }
 
 // Advisor tells which endpoints may run a phase of a job, where a queue's policy
--- a/fleet.go
+++ b/fleet.go
@@ -26,9 +26,9 @@
 	Rack     string
 	Labels   []string
 	Capacity Resources
-	// Endpoint is the ID of the life that runs on it, empty if none does. The list doesn't say
+	// EndpointID is the ID of the life that runs on it, empty if none does. The list doesn't say
 	// when it was born.
-	Endpoint string
+	EndpointID string
 }
 
 // Holder proves who gives an order on boxes.
--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -114,8 +114,8 @@
 		a.verdicts[id] = false
 	}
 	for _, granted := range permits {
-		a.verdicts[granted.Endpoint] = true
-		a.permits[granted.Endpoint] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
+		a.verdicts[granted.EndpointID] = true
+		a.permits[granted.EndpointID] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
 	}
 }
 
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -190,7 +190,7 @@
 	alive := make(map[string]bool, len(boxes))
 	for _, box := range boxes {
 		if box.State == damsonwinch.BoxUp {
-			alive[box.Endpoint] = true
+			alive[box.EndpointID] = true
 		}
 	}
 	for _, e := range slices.Clone(c.ranked) {
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -296,7 +296,7 @@
 func (s *script) advised(d *datadriven.TestData) {
 	var permits []damsonwinch.Permit
 	for _, id := range list(s.t, d, "good") {
-		permits = append(permits, damsonwinch.Permit{Endpoint: id, Ticket: "ticket-" + id})
+		permits = append(permits, damsonwinch.Permit{EndpointID: id, Ticket: "ticket-" + id})
 	}
 	s.cell.Advised(s.now, s.now, s.ask, permits, s.queue.Advice.Valid, errorOf(d, s.t))
 }
@@ -316,7 +316,7 @@
 func (s *script) boxes(d *datadriven.TestData) {
 	var boxes []damsonwinch.Box
 	for _, id := range list(s.t, d, "up") {
-		boxes = append(boxes, damsonwinch.Box{Name: "box-" + id, State: damsonwinch.BoxUp, Endpoint: id})
+		boxes = append(boxes, damsonwinch.Box{Name: "box-" + id, State: damsonwinch.BoxUp, EndpointID: id})
 	}
 	s.cell.SetBoxes(s.now, boxes)
 }
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -216,7 +216,7 @@
 	var found []damsonwinch.Box
 	for _, e := range w.endpoints {
 		if !e.dead {
-			found = append(found, damsonwinch.Box{Name: e.info.Box, State: damsonwinch.BoxUp, Endpoint: e.info.Life.ID})
+			found = append(found, damsonwinch.Box{Name: e.info.Box, State: damsonwinch.BoxUp, EndpointID: e.info.Life.ID})
 		}
 	}
 	return found
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -77,15 +77,15 @@
 		if b == nil {
 			b = p.addBox(info.Name)
 		}
-		if b.info.Endpoint != info.Endpoint || b.info.State != info.State || b.info.Pool != info.Pool {
+		if b.info.EndpointID != info.EndpointID || b.info.State != info.State || b.info.Pool != info.Pool {
 			b.upAt = askedAt
 		}
-		if b.info.Endpoint != info.Endpoint || info.State != damsonwinch.BoxUp {
+		if b.info.EndpointID != info.EndpointID || info.State != damsonwinch.BoxUp {
 			b.dropPurpose()
 		}
 		b.info = info
-		if b.life.ID != info.Endpoint {
-			b.life = damsonwinch.Life{ID: info.Endpoint}
+		if b.life.ID != info.EndpointID {
+			b.life = damsonwinch.Life{ID: info.EndpointID}
 		}
 		if b.ordered != nil && info.State != damsonwinch.BoxUp {
 			b.ordered.left = true
@@ -151,7 +151,7 @@
 		return
 	}
 	moved := g.Pool != "" && b.info.Pool == g.Pool
-	maintained := g.Pool == "" && askedAt.Sub(g.at) >= p.options.MaintainTime && (left || b.info.Endpoint == "")
+	maintained := g.Pool == "" && askedAt.Sub(g.at) >= p.options.MaintainTime && (left || b.info.EndpointID == "")
 	if moved || maintained {
 		b.ordered = nil
 	}
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -40,7 +40,7 @@
 			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 		}
 		if pool != "off" {
-			box.Endpoint = "at-" + name
+			box.EndpointID = "at-" + name
 		}
 		f.boxes = append(f.boxes, box)
 	}
@@ -51,7 +51,7 @@
 	var found []wire.EndpointReport
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			found = append(found, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: lasting})
+			found = append(found, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, Lasting: lasting})
 		}
 	}
 	return found
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -42,7 +42,7 @@
 				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 			if pool != "off" {
-				boxes[len(boxes)-1].Endpoint = "at-" + name
+				boxes[len(boxes)-1].EndpointID = "at-" + name
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: lendLasting}
 	for _, b := range boxes {
 		if b.Pool == "held" {
-			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: 1})
+			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, Lasting: 1})
 		}
 	}
 	planner.SetReport(now, shard.Cell("held", shortShard), held)
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -28,9 +28,9 @@
 // list shows the box in a state.
 func (f *livesFleet) list(state damsonwinch.BoxState) {
 	f.box.State = state
-	f.box.Endpoint = ""
+	f.box.EndpointID = ""
 	if state == damsonwinch.BoxUp {
-		f.box.Endpoint = "at-" + f.box.Name
+		f.box.EndpointID = "at-" + f.box.Name
 	}
 	f.planner.SetBoxes(f.now, []damsonwinch.Box{f.box})
 }
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -29,7 +29,7 @@
 	for at := range boxes {
 		f.boxes = append(f.boxes, damsonwinch.Box{
 			Name: fmt.Sprintf("box-%04d", at), Pool: f.pools[at%pools].Name, State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", at%4),
-			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, Endpoint: fmt.Sprintf("endpoint-%04d", at),
+			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, EndpointID: fmt.Sprintf("endpoint-%04d", at),
 		})
 	}
 	f.planner.SetPools(f.pools, shard.New(1, nil))
@@ -60,7 +60,7 @@
 	for at := range f.boxes {
 		if f.boxes[at].Name == order.Box && order.Pool != "" {
 			f.boxes[at].Pool = order.Pool
-			f.boxes[at].Endpoint += "+"
+			f.boxes[at].EndpointID += "+"
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: !withdrawn[b.Endpoint], Withdrawn: withdrawn[b.Endpoint]})
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: !withdrawn[b.EndpointID], Withdrawn: withdrawn[b.EndpointID]})
 		}
 	}
 	reply.RunningCpu = len(f.boxes) * 32000 / len(f.pools) * 2 * share / len(f.pools)
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -96,7 +96,7 @@
 		for box := range count {
 			name := fmt.Sprintf("%s-%02d", words[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
-				Name: name, Pool: words[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), Endpoint: "at-" + name,
+				Name: name, Pool: words[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), EndpointID: "at-" + name,
 				Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 		}
@@ -130,7 +130,7 @@
 	in := number(s.t, d, "shard")
 	for _, b := range s.boxes {
 		if b.Pool == pool && s.layout.OfBox(b.Name) == in {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
 		}
 	}
 	s.planner.SetReport(s.now, shard.Cell(pool, in), reply)
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -137,7 +137,7 @@
 func (p *Planner) Wishes(name string) Wishes {
 	var wishes Wishes
 	for _, b := range p.byCell[name] {
-		if b.info.Endpoint == "" {
+		if b.info.EndpointID == "" {
 			continue
 		}
 		if p.dueWave(b) != nil {
@@ -167,7 +167,7 @@
 	var found []string
 	for _, entry := range known.report.Endpoints {
 		b := p.boxes[entry.Box]
-		if b != nil && (b.info.Endpoint != damsonwinch.ParseLife(entry.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
+		if b != nil && (b.info.EndpointID != damsonwinch.ParseLife(entry.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
 			found = append(found, entry.Endpoint)
 		}
 	}
@@ -209,7 +209,7 @@
 		for at := range known.report.Endpoints {
 			entry := &known.report.Endpoints[at]
 			life := damsonwinch.ParseLife(entry.Endpoint)
-			if b := p.boxes[entry.Box]; b != nil && b.info.Endpoint == life.ID {
+			if b := p.boxes[entry.Box]; b != nil && b.info.EndpointID == life.ID {
 				b.report = entry
 				moved = p.learnLife(b, life) || moved
 			}
