--- a/fleet.go
+++ b/fleet.go
@@ -31,16 +31,16 @@
 	EndpointID string
 }
 
-// Holder proves who gives an order on boxes.
-type Holder struct {
+// Issuer proves who gives an order on boxes.
+type Issuer struct {
 	Node  string
 	Token int
 }
 
 // Refusals of orders on boxes.
 var (
-	// ErrBoxBusy says that the box isn't up, or is leaving.
-	ErrBoxBusy = errors.New("the box is not up")
+	// ErrBoxNotUp says that the box isn't up, or is leaving.
+	ErrBoxNotUp = errors.New("the box is not up")
 	// ErrNotInWave says that the box isn't of the named wave.
 	ErrNotInWave = errors.New("the box is not of this wave")
 )
@@ -51,7 +51,7 @@
 	// Boxes lists all boxes.
 	Boxes(ctx context.Context) ([]Box, error)
 	// Move takes a box to another pool. All that runs there dies at once.
-	Move(ctx context.Context, holder Holder, box, pool string) error
+	Move(ctx context.Context, holder Issuer, box, pool string) error
 	// Maintain maintains a box for a wave. All that runs there dies at once.
-	Maintain(ctx context.Context, holder Holder, box string, wave int) error
+	Maintain(ctx context.Context, holder Issuer, box string, wave int) error
 }
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -342,7 +342,7 @@
 // order gives a recorded order.
 func (p *Planner) order(order supply.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
-	holder := damsonwinch.Holder{Node: p.options.Node, Token: p.options.Token}
+	holder := damsonwinch.Issuer{Node: p.options.Node, Token: p.options.Token}
 	p.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 		defer cancel()
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -216,7 +216,7 @@
 	case errors.Is(err, damsonwinch.ErrNotInWave):
 		// The wave has changed; what was noted of it stays so.
 		b.ordered = nil
-	case errors.Is(err, damsonwinch.ErrBoxBusy):
+	case errors.Is(err, damsonwinch.ErrBoxNotUp):
 		p.takeBack(b, order)
 	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrStaleToken):
 		// Nothing was done; it is tried again.
