--- a/pkg/ownership/group.go
+++ b/pkg/ownership/group.go
@@ -27,7 +27,7 @@
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 		defer cancel()
-		partitions, err := o.deps.Store.Owners(ctx, groupName)
+		partitions, err := o.deps.Store.Assignments(ctx, groupName)
 		o.send(membersListed{members: distinct(partitions), topics: topicsOf(partitions), crowded: crowded(partitions), askedAt: now, err: err})
 		return nil
 	})
@@ -69,7 +69,7 @@
 
 // crowded says whether hardly a partition is left over. There may be members that hold
 // none then, and the list doesn't show them.
-func crowded(partitions []damsonwinch.Partition) bool {
+func crowded(partitions []damsonwinch.Assignment) bool {
 	holders := make(map[string]bool, len(partitions))
 	for _, partition := range partitions {
 		holders[partition.Member] = true
@@ -78,7 +78,7 @@
 }
 
 // topicsOf counts the topics whose partitions are dealt out.
-func topicsOf(partitions []damsonwinch.Partition) int {
+func topicsOf(partitions []damsonwinch.Assignment) int {
 	topics := map[string]bool{}
 	for _, partition := range partitions {
 		topics[partition.Stream.Topic] = true
@@ -106,7 +106,7 @@
 
 // distinct returns the members that hold a partition, in order of their names.
 // Of several lives of one node only the newest counts.
-func distinct(partitions []damsonwinch.Partition) []Member {
+func distinct(partitions []damsonwinch.Assignment) []Member {
 	byNode := map[string]Member{}
 	for _, partition := range partitions {
 		member, understood := parseMember(partition.Member)
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -92,9 +92,9 @@
 		"one member holds two":    {96, 95, true},
 		"room for all of them":    {192, 147, false},
 	} {
-		var dealt []damsonwinch.Partition
+		var dealt []damsonwinch.Assignment
 		for number := range test.partitions {
-			dealt = append(dealt, damsonwinch.Partition{
+			dealt = append(dealt, damsonwinch.Assignment{
 				Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: strconv.Itoa(number % max(1, test.holders)),
 			})
 		}
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -268,7 +268,7 @@
 			o.deps.Metrics.Add("join_failures", 1)
 			return
 		}
-		s.generation, s.unlisted = m.membership.Generation, len(m.membership.Mine) == 0
+		s.generation, s.unlisted = m.membership.Generation, len(m.membership.Assigned) == 0
 		o.answeredAt.Store(now.UnixNano())
 	case membersListed:
 		s.reading = false
--- a/pkg/ownership/store_test.go
+++ b/pkg/ownership/store_test.go
@@ -154,29 +154,29 @@
 	return nil
 }
 
-// Owners implements damsonwinch.Store.
-func (s *memoryStore) Owners(context.Context, string) ([]damsonwinch.Partition, error) {
+// Assignments implements damsonwinch.Store.
+func (s *memoryStore) Assignments(context.Context, string) ([]damsonwinch.Assignment, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.places > 0 {
 		return s.deal(), nil
 	}
-	var dealt []damsonwinch.Partition
+	var dealt []damsonwinch.Assignment
 	for number, member := range s.members {
 		if s.hidden[member] {
 			continue
 		}
-		dealt = append(dealt, damsonwinch.Partition{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: member})
+		dealt = append(dealt, damsonwinch.Assignment{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: member})
 	}
 	if len(dealt) > 0 && !s.full {
-		dealt = append(dealt, damsonwinch.Partition{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: len(s.members)}, Member: dealt[0].Member})
+		dealt = append(dealt, damsonwinch.Assignment{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: len(s.members)}, Member: dealt[0].Member})
 	}
 	return dealt, nil
 }
 
 // deal gives the partitions of all topics to the members that deal in them, evenly.
-func (s *memoryStore) deal() []damsonwinch.Partition {
-	var dealt []damsonwinch.Partition
+func (s *memoryStore) deal() []damsonwinch.Assignment {
+	var dealt []damsonwinch.Assignment
 	held := map[string]int{}
 	for topic := range mostTopics {
 		for part := range s.places {
@@ -191,7 +191,7 @@
 			}
 			held[best]++
 			stream := damsonwinch.Stream{Topic: groupTopic + strconv.Itoa(topic), Partition: part}
-			dealt = append(dealt, damsonwinch.Partition{Stream: stream, Member: best})
+			dealt = append(dealt, damsonwinch.Assignment{Stream: stream, Member: best})
 		}
 	}
 	return dealt
--- a/store.go
+++ b/store.go
@@ -56,8 +56,8 @@
 	End int
 }
 
-// Partition is one dealt partition of a group.
-type Partition struct {
+// Assignment is one dealt partition of a group.
+type Assignment struct {
 	Stream Stream
 	Member string
 }
@@ -65,8 +65,8 @@
 // Membership is what a member of a group knows after it has joined.
 type Membership struct {
 	Generation int
-	// Mine are the streams that the group has dealt to this member.
-	Mine []Stream
+	// Assigned are the streams that the group has dealt to this member.
+	Assigned []Stream
 }
 
 // JoinRequest asks to join a group or to stay in it.
@@ -132,6 +132,6 @@
 	Join(ctx context.Context, request JoinRequest) (Membership, error)
 	// Leave leaves a group at once.
 	Leave(ctx context.Context, group, member string) error
-	// Owners returns all dealt partitions of a group.
-	Owners(ctx context.Context, group string) ([]Partition, error)
+	// Assignments returns all dealt partitions of a group.
+	Assignments(ctx context.Context, group string) ([]Assignment, error)
 }
