--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -243,7 +243,7 @@
 	case sequence <= s.last:
 		return nil
 	case sequence != s.last+1:
-		return damsonwinch.ErrSequence
+		return damsonwinch.ErrOutOfSequence
 	default:
 		s.last = sequence
 	}
--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -172,7 +172,7 @@
 	case err == nil:
 		s.end = end + 1
 		return true
-	case errors.Is(err, damsonwinch.ErrMoved):
+	case errors.Is(err, damsonwinch.ErrConflict):
 		// Somebody has appended what hasn't been read here.
 		o.deps.Metrics.Add("claims_outdated", 1)
 		s.outdated = end
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -106,7 +106,7 @@
 func (o *Ownership) takePartition(m partitionTaken) {
 	s := &o.state
 	done := o.takeAppended(m.err, m.end, o.deps.Logger.WithField("cell", partitionsKey))
-	if errors.Is(m.err, damsonwinch.ErrMoved) {
+	if errors.Is(m.err, damsonwinch.ErrConflict) {
 		return
 	}
 	// Where it isn't known whether it is taken, another one will do.
--- a/pkg/ownership/store_test.go
+++ b/pkg/ownership/store_test.go
@@ -80,7 +80,7 @@
 		return errLost
 	}
 	if at != len(s.claims) {
-		return damsonwinch.ErrMoved
+		return damsonwinch.ErrConflict
 	}
 	for _, record := range records {
 		s.add(record)
--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -132,7 +132,7 @@
 	switch {
 	case err == nil:
 		return true, nil
-	case errors.Is(err, damsonwinch.ErrFenced), errors.Is(err, damsonwinch.ErrSequence):
+	case errors.Is(err, damsonwinch.ErrFenced), errors.Is(err, damsonwinch.ErrOutOfSequence):
 		return true, fmt.Errorf("%w: %w", ErrDeposed, err)
 	case ctx.Err() != nil:
 		return true, ctx.Err()
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -88,7 +88,7 @@
 
 // TestADeposedOwnerIsTold and tries no more.
 func TestADeposedOwnerIsTold(t *testing.T) {
-	for _, refusal := range []error{damsonwinch.ErrFenced, damsonwinch.ErrSequence} {
+	for _, refusal := range []error{damsonwinch.ErrFenced, damsonwinch.ErrOutOfSequence} {
 		store := &scripted{answers: []answer{{err: refusal}}}
 		w := newWriter(store)
 		_, err := w.TakeOver(context.Background())
--- a/store.go
+++ b/store.go
@@ -85,10 +85,10 @@
 var (
 	// ErrFenced says that a newer epoch has written to the stream.
 	ErrFenced = errors.New("a newer epoch has written")
-	// ErrSequence says that the append doesn't follow the last one of its epoch.
-	ErrSequence = errors.New("out of sequence")
-	// ErrMoved says that somebody else has appended meanwhile.
-	ErrMoved = errors.New("the stream has moved on")
+	// ErrOutOfSequence says that the append doesn't follow the last one of its epoch.
+	ErrOutOfSequence = errors.New("out of sequence")
+	// ErrConflict says that somebody else has appended meanwhile.
+	ErrConflict = errors.New("the stream has moved on")
 	// ErrExpired says that the records asked for are no longer kept.
 	ErrExpired = errors.New("records have expired")
 	// ErrRefused says that the store did nothing and may do so on another try.
