--- a/configuration.go
+++ b/configuration.go
@@ -7,36 +7,36 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Advice says how long the advice service takes for a queue's phases.
-type Advice struct {
-	// Decide is the time of one call, and Each the time that every named
+// AdviceTimes says how long the advice service takes for a queue's phases.
+type AdviceTimes struct {
+	// CallTime is the time of one call, and Each the time that every named
 	// endpoint adds.
-	Decide time.Duration
-	Each   time.Duration
-	// Valid is how long a permit holds.
-	Valid time.Duration
+	CallTime        time.Duration
+	TimePerEndpoint time.Duration
+	// PermitTTL is how long a permit holds.
+	PermitTTL time.Duration
 }
 
 // Queue is a route by which clients hand in jobs.
 type Queue struct {
 	Name string
 	// Host and Prefix are how clients address it.
-	Host   string
-	Prefix string
+	Host       string
+	PathPrefix string
 	// Pool is the service whose endpoints run its tasks.
 	Pool string
 	// Priority 0 comes first.
 	Priority int
-	// MostAttempts is the number of failed attempts at a task that fail its job.
-	MostAttempts int
-	// Extension times the longest chain of work, plus Target, is the time in
+	// MaxAttempts is the number of failed attempts at a task that fail its job.
+	MaxAttempts int
+	// DeadlineFactor times the longest chain of work, plus Target, is the time in
 	// which a job should be done.
-	Extension float64
-	Target    time.Duration
+	DeadlineFactor float64
+	TargetLatency  time.Duration
 	// Timeout is how long a call on the queue may take.
 	Timeout time.Duration
 	// Advice is set where only some endpoints may run a phase.
-	Advice *Advice
+	Advice *AdviceTimes
 	// Public says that its calls need no key.
 	Public bool
 }
@@ -44,18 +44,18 @@
 // Pool is a service with the boxes that run its tasks.
 type Pool struct {
 	Name string
-	// GuardsRoom says that its endpoints refuse what doesn't fit.
-	GuardsRoom bool
-	// Parking says that its boxes are off and cost nothing.
-	Parking bool
+	// RejectsOverload says that its endpoints refuse what doesn't fit.
+	RejectsOverload bool
+	// PoweredOff says that its boxes are off and cost nothing.
+	PoweredOff bool
 }
 
 // Limits bound clients' calls.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Configuration is what the operator has put in force, whole.
@@ -66,8 +66,8 @@
 	// Customers are those whose keys are asked for on queues that are not public.
 	Customers []Customer
 	Limits    Limits
-	// Flaws say what of the operator's record is not in force, and why.
-	Flaws []string
+	// Problems say what of the operator's record is not in force, and why.
+	Problems []string
 }
 
 // Queue returns a queue by its name.
@@ -96,8 +96,8 @@
 	Boxes  []string
 	// Duration is the time in which all of them should be done.
 	Duration time.Duration
-	// MostDown is how many may be down for it at once.
-	MostDown int
+	// MaxDown is how many may be down for it at once.
+	MaxDown int
 	// Offset is where the store has the request.
 	Offset int
 }
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -26,7 +26,7 @@
 		f.Add(text)
 	}
 	options := cell.Options{MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second, KeepEnded: time.Minute}
-	queues := []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second}}
+	queues := []damsonwinch.Queue{{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 2, TargetLatency: time.Second}}
 	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{MilliCPU: 8000, MemoryMB: 16000}}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var spec wire.JobSpec
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -38,7 +38,7 @@
 		MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
 		LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond, KeepEnded: time.Minute,
 	}, 1)
-	m.cell.Configure(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
+	m.cell.Configure(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 20, TargetLatency: time.Minute}})
 	var listed []damsonwinch.Endpoint
 	for at := range endpoints {
 		id := fmt.Sprintf("endpoint-%04d", at)
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -39,7 +39,7 @@
 	datadriven.Walk(t, "testdata/script", func(t *testing.T, path string) {
 		s := &script{
 			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Look{}, stream: map[string]damsonwinch.Record{},
-			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second},
+			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 2, TargetLatency: time.Second},
 			options: cell.Options{
 				MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
 				CommitGap: 10 * time.Millisecond, LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond,
@@ -74,9 +74,9 @@
 	case "unlist":
 		s.unlist(d)
 	case "queue":
-		s.queue.MostAttempts = number(s.t, d, "attempts", s.queue.MostAttempts)
+		s.queue.MaxAttempts = number(s.t, d, "attempts", s.queue.MaxAttempts)
 		if d.HasArg("advice") {
-			s.queue.Advice = &damsonwinch.Advice{Valid: 2 * time.Second}
+			s.queue.Advice = &damsonwinch.AdviceTimes{PermitTTL: 2 * time.Second}
 		}
 		s.cell.Configure(s.now, []damsonwinch.Queue{s.queue})
 	case "submit":
@@ -298,7 +298,7 @@
 	for _, id := range list(s.t, d, "good") {
 		permits = append(permits, damsonwinch.Permit{EndpointID: id, Ticket: "ticket-" + id})
 	}
-	s.cell.Advised(s.now, s.now, s.ask, permits, s.queue.Advice.Valid, errorOf(d, s.t))
+	s.cell.Advised(s.now, s.now, s.ask, permits, s.queue.Advice.PermitTTL, errorOf(d, s.t))
 }
 
 // allow has the planner say what the cell may have running of a customer.
--- a/pkg/cell/sim_rules_test.go
+++ b/pkg/cell/sim_rules_test.go
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	if !phase.Lasting && r.failed[order.Task] >= simQueues[0].MostAttempts {
+	if !phase.Lasting && r.failed[order.Task] >= simQueues[0].MaxAttempts {
 		r.fail("BUDGET: %s starts after %d failures", order.Task, r.failed[order.Task])
 	}
 	if r.crashedUnder[order.Task] >= mostCrashed && !r.world.late {
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -284,8 +284,8 @@
 }
 
 var simQueues = []damsonwinch.Queue{
-	{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 1.6, Target: 600 * time.Millisecond},
-	{Name: "second", Pool: "pool", MostAttempts: 3, Extension: 1.6, Target: 600 * time.Millisecond},
+	{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 1.6, TargetLatency: 600 * time.Millisecond},
+	{Name: "second", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 1.6, TargetLatency: 600 * time.Millisecond},
 }
 
 func simSpec(phases ...wire.Phase) wire.JobSpec {
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -51,15 +51,15 @@
 		state: wire.JobStateQueued, shown: wire.JobStateQueued,
 	}
 	queue := c.queues[args.Queue]
-	j.priority, j.mostAttempts = queue.Priority, queue.MostAttempts
+	j.priority, j.mostAttempts = queue.Priority, queue.MaxAttempts
 	c.setDue(j)
 	return j
 }
 
 // attemptsOf returns how many failures of a task fail the job.
 func (c *Cell) attemptsOf(j *job) int {
-	if queue, known := c.queues[j.queue]; known && queue.MostAttempts > 0 {
-		return queue.MostAttempts
+	if queue, known := c.queues[j.queue]; known && queue.MaxAttempts > 0 {
+		return queue.MaxAttempts
 	}
 	return max(1, j.mostAttempts)
 }
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -29,7 +29,7 @@
 	for _, from := range j.chains {
 		chain = max(chain, from)
 	}
-	j.dueMs = j.acceptedMs + int(queue.Extension*float64(chain)) + int(queue.Target.Milliseconds())
+	j.dueMs = j.acceptedMs + int(queue.DeadlineFactor*float64(chain)) + int(queue.TargetLatency.Milliseconds())
 }
 
 // late says whether a phase's job can hardly be done in time any more. Late jobs
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -27,7 +27,7 @@
 func runningPools(configuration damsonwinch.Configuration) []string {
 	var names []string
 	for _, pool := range configuration.Pools {
-		if !pool.Parking {
+		if !pool.PoweredOff {
 			names = append(names, pool.Name)
 		}
 	}
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -55,7 +55,7 @@
 	}
 	n.deps.Metrics.Put("configuration_version", configuration.Version)
 	n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "queues": len(configuration.Queues), "customers": book.Len()}).Info("configuration in force")
-	for _, flaw := range slices.Concat(configuration.Flaws, flaws) {
+	for _, flaw := range slices.Concat(configuration.Problems, flaws) {
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
 	}
 	n.deps.Configured(configuration, book)
@@ -76,13 +76,13 @@
 func (n *Node) guarded(cell string) bool {
 	name, _ := shard.Split(cell)
 	pool, known := n.state.configuration.Pool(name)
-	return known && pool.GuardsRoom
+	return known && pool.RejectsOverload
 }
 
 // takeWave passes a wave on to the planner, if that is here.
 func (n *Node) takeWave(wave damsonwinch.Wave) {
 	n.state.waves[wave.Number] = wave
-	n.deps.Logger.WithFields(logrus.Fields{"wave": wave.Number, "boxes": len(wave.Boxes), "most_down": wave.MostDown, "duration": wave.Duration.String()}).Info("wave asked for")
+	n.deps.Logger.WithFields(logrus.Fields{"wave": wave.Number, "boxes": len(wave.Boxes), "most_down": wave.MaxDown, "duration": wave.Duration.String()}).Info("wave asked for")
 	if planning, here := (*n.holdings.Load())[fleetCell].(*planner.Planner); here {
 		planning.SetWave(wave)
 	}
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -26,7 +26,7 @@
 func (p *Planner) cells() []string {
 	var names []string
 	for _, pool := range p.pools {
-		if !pool.Parking {
+		if !pool.PoweredOff {
 			names = append(names, p.layout.Cells(pool.Name)...)
 		}
 	}
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -24,7 +24,7 @@
 func newLendFleet() *lendFleet {
 	f := &lendFleet{now: time.Unix(1_000_000, 0), layout: shard.New(lendShards, []string{"held", "short"})}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
-	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, f.layout)
+	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, f.layout)
 	return f
 }
 
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -29,7 +29,7 @@
 	now := time.Unix(1_000_000, 0)
 	layout := shard.New(lendShards, []string{"held", "short"})
 	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
-	planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, layout)
+	planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, layout)
 	var boxes []damsonwinch.Box
 	add := func(pool string, count int, fits func(name string) bool) {
 		for number := 0; count > 0; number++ {
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -50,7 +50,7 @@
 
 // maintain has the box maintained for a wave, and returns the order.
 func (f *livesFleet) maintain(t *testing.T, wave, born int) supply.Order {
-	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
+	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.list(damsonwinch.BoxUp)
 	f.report(born, false)
 	var orders []supply.Order
@@ -96,7 +96,7 @@
 // TestAWithdrawalIsOfOneLife: a life that was withdrawn says nothing of the one that came after it.
 func TestAWithdrawalIsOfOneLife(t *testing.T) {
 	f := newLivesFleet()
-	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
+	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.report(1, false)
 	f.plan(0)
 	f.list(damsonwinch.BoxUp)
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -24,7 +24,7 @@
 	f := &fleetOf{now: time.Unix(1_000_000, 0)}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
 	for at := range pools {
-		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), Parking: at == 0})
+		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), PoweredOff: at == 0})
 	}
 	for at := range boxes {
 		f.boxes = append(f.boxes, damsonwinch.Box{
@@ -43,7 +43,7 @@
 func (f *fleetOf) round(number int) int {
 	f.now = f.now.Add(100 * time.Millisecond)
 	for at, pool := range f.pools {
-		if !pool.Parking {
+		if !pool.PoweredOff {
 			f.planner.SetReport(f.now, pool.Name, f.report(pool.Name, (number/10+at)%len(f.pools)))
 		}
 	}
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -92,7 +92,7 @@
 		words := strings.Fields(line)
 		count, err := strconv.Atoi(words[1])
 		assert.NilError(s.t, err)
-		s.pools = append(s.pools, damsonwinch.Pool{Name: words[0], Parking: at == 0})
+		s.pools = append(s.pools, damsonwinch.Pool{Name: words[0], PoweredOff: at == 0})
 		for box := range count {
 			name := fmt.Sprintf("%s-%02d", words[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
@@ -137,7 +137,7 @@
 }
 
 func (s *script) wave(d *datadriven.TestData) {
-	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MostDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
+	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MaxDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
 	for _, given := range d.CmdArgs {
 		for _, b := range s.boxes {
 			if given.Key == "pools" && slices.Contains(given.Vals, b.Pool) {
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -90,7 +90,7 @@
 			if kept == nil {
 				kept = &cell{name: name, pool: listed.Name, shard: number}
 			}
-			kept.parking, kept.shards = listed.Parking, layout.Shards
+			kept.parking, kept.shards = listed.PoweredOff, layout.Shards
 			known[name] = kept
 			p.names = append(p.names, name)
 		}
--- a/pkg/supply/waves.go
+++ b/pkg/supply/waves.go
@@ -121,7 +121,7 @@
 		}
 		return
 	}
-	budget := w.MostDown - down - emptying
+	budget := w.MaxDown - down - emptying
 	atOnce := p.pace(w, len(due)+emptying+down) - down - emptying
 	budget -= p.maintainParked(w, due, min(budget, max(atOnce, p.parkedFree()-leastParked)))
 	p.emptyForWave(w, due, min(budget, atOnce))
@@ -192,9 +192,9 @@
 	cycle := emptyingTime + p.options.MaintainTime
 	remaining := w.Duration*waveShare/100 - p.now.Sub(w.begunAt)
 	if remaining <= cycle {
-		return w.MostDown
+		return w.MaxDown
 	}
-	return min(w.MostDown, 1+int(time.Duration(left)*cycle/remaining))
+	return min(w.MaxDown, 1+int(time.Duration(left)*cycle/remaining))
 }
 
 // emptyForWave begins to empty boxes for a wave: in each pool one with lasting tasks,
