--- a/configuration.go
+++ b/configuration.go
@@ -102,8 +102,8 @@
 	Offset int
 }
 
-// Jobs takes clients' calls on jobs. Each call ends when the context does.
-type Jobs interface {
+// JobService takes clients' calls on jobs. Each call ends when the context does.
+type JobService interface {
 	// Submit hands in a job; only the outcome "accepted" promises that it is kept,
 	// and "refused" that it never runs.
 	Submit(ctx context.Context, args wire.JobArgs) wire.JobReply
--- a/customer.go
+++ b/customer.go
@@ -13,8 +13,8 @@
 // lead back to it.
 type KeyDigest [keyDigestBytes]byte
 
-// DigestOf returns the digest of a key.
-func DigestOf(key string) KeyDigest {
+// DigestKey returns the digest of a key.
+func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(sum[:keyDigestBytes])
 }
--- a/damsonwinch.go
+++ b/damsonwinch.go
@@ -53,8 +53,8 @@
 	Read(ctx context.Context, stream string, from, maximum, waitMs int) (wire.LogPage, error)
 }
 
-// List is the platform's lagging list of boxes.
-type List interface {
+// BoxLister is the platform's lagging list of boxes.
+type BoxLister interface {
 	// Boxes returns every box that the list shows of a hall.
 	Boxes(ctx context.Context, hall string) ([]wire.ListedBox, error)
 }
@@ -68,8 +68,8 @@
 // Dial opens a connection to an address, an IP number and a port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Source gives a follower the records of the fleet stream.
-type Source interface {
+// RecordSource gives a follower the records of the fleet stream.
+type RecordSource interface {
 	// Name says who the source is, for errors and counters.
 	Name() string
 	// Read returns records from offset from on, or a snapshot when those have
--- a/pkg/customer/book_test.go
+++ b/pkg/customer/book_test.go
@@ -12,7 +12,7 @@
 func customerOf(name string, keys ...string) damsonwinch.Customer {
 	c := damsonwinch.Customer{Name: name}
 	for _, key := range keys {
-		c.Keys = append(c.Keys, damsonwinch.DigestOf(key))
+		c.Keys = append(c.Keys, damsonwinch.DigestKey(key))
 	}
 	return c
 }
@@ -23,7 +23,7 @@
 		customerOf("bakery", "b1", "b2", "b2"), customerOf("mill", "m1", "shared"), customerOf("farm", "shared", "f1"), customerOf("bakery", "b9"), customerOf("", "n"),
 	})
 	for key, want := range map[string]string{"b1": "bakery", "b2": "bakery", "m1": "mill", "f1": "farm", "shared": "", "b9": "", "n": "", "none": "", "": ""} {
-		name, inForce := book.Of(damsonwinch.DigestOf(key))
+		name, inForce := book.Of(damsonwinch.DigestKey(key))
 		assert.Equal(t, name, want, key)
 		assert.Equal(t, inForce, want != "", key)
 	}
@@ -35,7 +35,7 @@
 
 // TestADigestComesThroughTheWire, and nothing else is taken for one.
 func TestADigestComesThroughTheWire(t *testing.T) {
-	digest := damsonwinch.DigestOf("key")
+	digest := damsonwinch.DigestKey("key")
 	assert.Equal(t, damsonwinch.ParseKeyDigest(digest.Text()), digest)
 	for _, text := range []string{"", "x", digest.Text() + "x", "!!!!!!!!!!!!!!!!!!!!!!"} {
 		assert.Equal(t, damsonwinch.ParseKeyDigest(text), damsonwinch.KeyDigest{}, text)
@@ -61,7 +61,7 @@
 	key := "key-00000123-0007"
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, inForce := book.Of(damsonwinch.DigestOf(key)); !inForce {
+		if _, inForce := book.Of(damsonwinch.DigestKey(key)); !inForce {
 			b.Fatal("not found")
 		}
 	}
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -71,7 +71,7 @@
 // Deps is what a follower needs.
 type Deps struct {
 	Clock      damsonwinch.Clock
-	Sources    []damsonwinch.Source
+	Sources    []damsonwinch.RecordSource
 	Invariants *invariant.Book
 	// Empty is the state before the first record.
 	Empty fold.State
@@ -161,7 +161,7 @@
 	f.skipUntil[source] = f.deps.Clock.Now().Add(pause)
 }
 
-func (f *Follower) readFrom(ctx context.Context, source damsonwinch.Source, wait int) (Update, error) {
+func (f *Follower) readFrom(ctx context.Context, source damsonwinch.RecordSource, wait int) (Update, error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	reply, err := source.Read(limited, f.state.Offset(), pageRecords, wait)
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -34,7 +34,7 @@
 	assert.NilError(t, err)
 	r := &reader{t: t, log: log, updates: make(chan Update, 1), breaches: map[string]int{}}
 	r.follower = New(Deps{
-		Clock: clockwork.NewFakeClock(), Sources: []damsonwinch.Source{LogSource{Log: log}}, Updates: r.updates, CheckpointEvery: 4,
+		Clock: clockwork.NewFakeClock(), Sources: []damsonwinch.RecordSource{LogSource{Log: log}}, Updates: r.updates, CheckpointEvery: 4,
 		Invariants: invariant.New(func(name, _ string) { r.breaches[name]++ }), Empty: fold.New(table.New(checker)), WaitMs: -1,
 	})
 	return r
@@ -162,7 +162,7 @@
 	r.updates = make(chan Update, 4)
 	r.follower.deps.Updates = r.updates
 	r.follower.deps.WaitMs = 500
-	r.follower.deps.Sources = []damsonwinch.Source{dead, idle, fresh, last}
+	r.follower.deps.Sources = []damsonwinch.RecordSource{dead, idle, fresh, last}
 	r.follower.skipUntil, r.follower.failures = make([]time.Time, 4), make([]int, 4)
 
 	assert.Assert(t, r.follower.readFromAny(context.Background()))
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -164,7 +164,7 @@
 }
 
 func (f *Front) start(ctx context.Context) {
-	sources := make([]damsonwinch.Source, 0, len(f.keepers))
+	sources := make([]damsonwinch.RecordSource, 0, len(f.keepers))
 	for _, keeper := range f.keepers {
 		sources = append(sources, follow.PeerSource{Client: keeper})
 	}
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -51,7 +51,7 @@
 
 // CellOwner is what the owner of a cell answers.
 type CellOwner interface {
-	damsonwinch.Jobs
+	damsonwinch.JobService
 	// Sync answers the fleet planner.
 	Sync(ctx context.Context, args wire.SyncArgs) wire.SyncReply
 }
@@ -78,7 +78,7 @@
 	failedAt   atomic.Int64
 }
 
-var _ damsonwinch.Jobs = (*Router)(nil)
+var _ damsonwinch.JobService = (*Router)(nil)
 
 // New returns a router.
 func New(deps Deps) *Router {
@@ -97,14 +97,14 @@
 // method is one of the calls on jobs: its name between nodes, and the local call.
 type method struct {
 	name  string
-	local func(jobs damsonwinch.Jobs, ctx context.Context, args wire.JobArgs) wire.JobReply
+	local func(jobs damsonwinch.JobService, ctx context.Context, args wire.JobArgs) wire.JobReply
 }
 
 var (
-	submit  = method{ServiceName + ".Submit", damsonwinch.Jobs.Submit}
-	show    = method{ServiceName + ".Show", damsonwinch.Jobs.Show}
-	cancel  = method{ServiceName + ".Cancel", damsonwinch.Jobs.Cancel}
-	pending = method{ServiceName + ".Pending", damsonwinch.Jobs.Pending}
+	submit  = method{ServiceName + ".Submit", damsonwinch.JobService.Submit}
+	show    = method{ServiceName + ".Show", damsonwinch.JobService.Show}
+	cancel  = method{ServiceName + ".Cancel", damsonwinch.JobService.Cancel}
+	pending = method{ServiceName + ".Pending", damsonwinch.JobService.Pending}
 )
 
 // route tries a call until the owner has answered it or it has waited long
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -39,7 +39,7 @@
 	Settings   settings.Keeper
 	Clock      damsonwinch.Clock
 	Log        damsonwinch.Log
-	List       damsonwinch.List
+	List       damsonwinch.BoxLister
 	Boxes      damsonwinch.BoxControl
 	Dial       damsonwinch.Dial
 	Listener   net.Listener
@@ -141,8 +141,8 @@
 
 // sources are the log first and then the peers, those of the own hall before
 // the others.
-func (k *Keeper) sources() []damsonwinch.Source {
-	sources := []damsonwinch.Source{follow.LogSource{Log: k.deps.Log}}
+func (k *Keeper) sources() []damsonwinch.RecordSource {
+	sources := []damsonwinch.RecordSource{follow.LogSource{Log: k.deps.Log}}
 	for _, near := range []bool{true, false} {
 		for _, peer := range k.deps.Settings.Peers {
 			if (peer.Hall == k.deps.Settings.Hall) == near {
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -178,7 +178,7 @@
 }
 
 // Jobs takes clients' calls.
-func (n *Node) Jobs() damsonwinch.Jobs {
+func (n *Node) Jobs() damsonwinch.JobService {
 	return n.router
 }
 
--- a/pkg/owner/calls.go
+++ b/pkg/owner/calls.go
@@ -8,7 +8,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-var _ damsonwinch.Jobs = (*Owner)(nil)
+var _ damsonwinch.JobService = (*Owner)(nil)
 
 // Submit implements damsonwinch.Jobs.
 func (o *Owner) Submit(ctx context.Context, args wire.JobArgs) wire.JobReply {
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -44,7 +44,7 @@
 
 var (
 	_ damsonwinch.Log        = (*Client)(nil)
-	_ damsonwinch.List       = (*Client)(nil)
+	_ damsonwinch.BoxLister  = (*Client)(nil)
 	_ damsonwinch.BoxControl = (*Client)(nil)
 )
 
