--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -34,7 +34,7 @@
 	c.jobs[j.id] = j
 	c.order = append(c.order, j)
 	c.stats.Accepted++
-	if !jobs.Lasting(j.spec) {
+	if !jobs.IsLongRunning(j.spec) {
 		chain := slices.Max(j.chains)
 		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
 	}
--- a/pkg/intake/cells.go
+++ b/pkg/intake/cells.go
@@ -23,7 +23,7 @@
 		return undecided()
 	}
 	number := layout.OfJob(args.Id)
-	if args.Spec != nil && job.Lasting(*args.Spec) {
+	if args.Spec != nil && job.IsLongRunning(*args.Spec) {
 		number = layout.OfLasting(args.Pool)
 	}
 	return r.route(ctx, submit, inCell(args, number))
--- a/pkg/job/check.go
+++ b/pkg/job/check.go
@@ -11,26 +11,26 @@
 
 // Limits of a job.
 const (
-	// MostTextBytes is the platform's limit of a job's text.
-	MostTextBytes = 4000
-	// MostPhases and MostTasks keep one job from taking an owner's memory: a task
+	// MaxTextBytes is the platform's limit of a job's text.
+	MaxTextBytes = 4000
+	// MaxPhases and MostTasks keep one job from taking an owner's memory: a task
 	// costs about 300 bytes there. The largest jobs of the users' sheets have 5
 	// phases of 32 tasks.
-	MostPhases = 256
-	MostTasks  = 20_000
-	// MostRounds bounds a repeated job.
-	MostRounds = 1_000_000
+	MaxPhases = 256
+	MaxTasks  = 20_000
+	// MaxRounds bounds a repeated job.
+	MaxRounds = 1_000_000
 )
 
 // Check returns what is wrong with a job, or nil.
 func Check(spec wire.JobSpec) error {
-	if len(spec.Text) > MostTextBytes {
-		return fmt.Errorf("the job's text has %d bytes; at most %d are taken", len(spec.Text), MostTextBytes)
+	if len(spec.Text) > MaxTextBytes {
+		return fmt.Errorf("the job's text has %d bytes; at most %d are taken", len(spec.Text), MaxTextBytes)
 	}
-	if len(spec.Phases) == 0 || len(spec.Phases) > MostPhases {
-		return fmt.Errorf("the job has %d phases; allowed are 1 to %d", len(spec.Phases), MostPhases)
+	if len(spec.Phases) == 0 || len(spec.Phases) > MaxPhases {
+		return fmt.Errorf("the job has %d phases; allowed are 1 to %d", len(spec.Phases), MaxPhases)
 	}
-	if spec.Rounds < 0 || spec.Rounds > MostRounds || spec.EveryMs < 0 || spec.FirstMs < 0 {
+	if spec.Rounds < 0 || spec.Rounds > MaxRounds || spec.EveryMs < 0 || spec.FirstMs < 0 {
 		return fmt.Errorf("the job's times make no sense: first %d ms, every %d ms, %d rounds", spec.FirstMs, spec.EveryMs, spec.Rounds)
 	}
 	tasks := 0
@@ -40,8 +40,8 @@
 		}
 		tasks += phase.Count
 	}
-	if tasks > MostTasks {
-		return fmt.Errorf("the job has %d tasks; at most %d are taken", tasks, MostTasks)
+	if tasks > MaxTasks {
+		return fmt.Errorf("the job has %d tasks; at most %d are taken", tasks, MaxTasks)
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Chain returns the longest chain of estimated work.
-func Chain(spec wire.JobSpec) time.Duration {
+// CriticalPath returns the longest chain of estimated work.
+func CriticalPath(spec wire.JobSpec) time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(spec.Phases))
 	for number, phase := range spec.Phases {
@@ -76,8 +76,8 @@
 	return longest
 }
 
-// Lasting says whether a job has tasks that run until it is cancelled.
-func Lasting(spec wire.JobSpec) bool {
+// IsLongRunning says whether a job has tasks that run until it is cancelled.
+func IsLongRunning(spec wire.JobSpec) bool {
 	for _, phase := range spec.Phases {
 		if phase.Lasting {
 			return true
