--- a/pkg/customer/book.go
+++ b/pkg/customer/book.go
@@ -7,8 +7,8 @@
 	"damsonwinch"
 )
 
-// Book holds the customers of one configuration by the digests of their keys. It never changes.
-type Book struct {
+// Index holds the customers of one configuration by the digests of their keys. It never changes.
+type Index struct {
 	byKey  map[damsonwinch.KeyDigest]string
 	byName map[string]damsonwinch.Customer
 }
@@ -18,8 +18,8 @@
 
 // New returns the book of some customers, and what of them isn't in force: a key that two of
 // them have says of neither that it calls.
-func New(customers []damsonwinch.Customer) (*Book, []string) {
-	b := &Book{byKey: map[damsonwinch.KeyDigest]string{}, byName: make(map[string]damsonwinch.Customer, len(customers))}
+func New(customers []damsonwinch.Customer) (*Index, []string) {
+	b := &Index{byKey: map[damsonwinch.KeyDigest]string{}, byName: make(map[string]damsonwinch.Customer, len(customers))}
 	var flaws []string
 	for _, c := range customers {
 		if _, twice := b.byName[c.Name]; twice || c.Name == nobody {
@@ -40,19 +40,19 @@
 	return b, flaws
 }
 
-// Of returns the customer of a key, and whether the key is in force.
-func (b *Book) Of(key damsonwinch.KeyDigest) (name string, inForce bool) {
+// NameByKey returns the customer of a key, and whether the key is in force.
+func (b *Index) NameByKey(key damsonwinch.KeyDigest) (name string, inForce bool) {
 	name = b.byKey[key]
 	return name, name != nobody
 }
 
-// Customer returns a customer by its name.
-func (b *Book) Customer(name string) (damsonwinch.Customer, bool) {
+// ByName returns a customer by its name.
+func (b *Index) ByName(name string) (damsonwinch.Customer, bool) {
 	c, known := b.byName[name]
 	return c, known
 }
 
 // Len returns the number of customers.
-func (b *Book) Len() int {
+func (b *Index) Len() int {
 	return len(b.byName)
 }
--- a/pkg/customer/book_test.go
+++ b/pkg/customer/book_test.go
@@ -23,13 +23,13 @@
 		customerOf("bakery", "b1", "b2", "b2"), customerOf("mill", "m1", "shared"), customerOf("farm", "shared", "f1"), customerOf("bakery", "b9"), customerOf("", "n"),
 	})
 	for key, want := range map[string]string{"b1": "bakery", "b2": "bakery", "m1": "mill", "f1": "farm", "shared": "", "b9": "", "n": "", "none": "", "": ""} {
-		name, inForce := book.Of(damsonwinch.DigestKey(key))
+		name, inForce := book.NameByKey(damsonwinch.DigestKey(key))
 		assert.Equal(t, name, want, key)
 		assert.Equal(t, inForce, want != "", key)
 	}
 	assert.Equal(t, len(flaws), 3, "%q", flaws)
 	assert.Equal(t, book.Len(), 3)
-	_, known := book.Customer("farm")
+	_, known := book.ByName("farm")
 	assert.Assert(t, known)
 }
 
@@ -61,7 +61,7 @@
 	key := "key-00000123-0007"
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, inForce := book.Of(damsonwinch.DigestKey(key)); !inForce {
+		if _, inForce := book.NameByKey(damsonwinch.DigestKey(key)); !inForce {
 			b.Fatal("not found")
 		}
 	}
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -16,13 +16,13 @@
 // inForce is what a configuration says of who may call.
 type inForce struct {
 	version int
-	book    *customer.Book
+	book    *customer.Index
 	public  map[string]bool // By queue.
 	// replaced is closed once a newer one is in force.
 	replaced chan struct{}
 }
 
-func newInForce(configuration damsonwinch.Configuration, book *customer.Book) *inForce {
+func newInForce(configuration damsonwinch.Configuration, book *customer.Index) *inForce {
 	known := &inForce{version: configuration.Version, book: book, public: make(map[string]bool, len(configuration.Queues)), replaced: make(chan struct{})}
 	for _, queue := range configuration.Queues {
 		known.public[queue.Name] = queue.Public
@@ -37,7 +37,7 @@
 	if public || f.book.Len() == 0 && args.Customer == "" {
 		return "", true
 	}
-	if name, keyInForce := f.book.Of(damsonwinch.ParseKeyDigest(args.Key)); keyInForce && name == args.Customer {
+	if name, keyInForce := f.book.NameByKey(damsonwinch.ParseKeyDigest(args.Key)); keyInForce && name == args.Customer {
 		return "", true
 	}
 	if !known {
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -55,7 +55,7 @@
 	// CallListener takes the calls of other nodes.
 	CallListener net.Listener
 	// Configured is told each configuration that comes into force.
-	Configured func(configuration damsonwinch.Configuration, book *customer.Book)
+	Configured func(configuration damsonwinch.Configuration, book *customer.Index)
 }
 
 // Options say who the node is and by which times it decides.
