--- a/pkg/agenda/agenda.go
+++ b/pkg/agenda/agenda.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Agenda holds what is to happen. What falls on one moment happens in the order in which it was
+// Queue holds what is to happen. What falls on one moment happens in the order in which it was
 // put there.
-type Agenda struct {
+type Queue struct {
 	events events
 	number int
 }
 
-// At has something happen at a moment.
-func (a *Agenda) At(at time.Time, do func()) {
+// Schedule has something happen at a moment.
+func (a *Queue) Schedule(at time.Time, do func()) {
 	a.number++
 	heap.Push(&a.events, event{at: at, number: a.number, do: do})
 }
 
-// Next takes out what happens next, if that is at a moment or before it.
-func (a *Agenda) Next(until time.Time) (at time.Time, do func(), found bool) {
+// PopUntil takes out what happens next, if that is at a moment or before it.
+func (a *Queue) PopUntil(until time.Time) (at time.Time, do func(), found bool) {
 	if len(a.events) == 0 || a.events[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -54,7 +54,7 @@
 type world struct {
 	random   *rand.Rand
 	now      time.Time
-	agenda   agenda.Agenda
+	agenda   agenda.Queue
 	sabotage sabotage
 	rules    *rules
 	// streams are those that the cell has had, the newest last, and out says of which the
@@ -123,7 +123,7 @@
 }
 
 func (w *world) at(at time.Time, do func()) {
-	w.agenda.At(at, do)
+	w.agenda.Schedule(at, do)
 }
 
 func (w *world) after(length time.Duration, do func()) {
@@ -149,7 +149,7 @@
 // run lets events happen until a moment or until a rule is broken.
 func (w *world) run(until time.Time) {
 	for w.rules.broken == "" {
-		at, do, found := w.agenda.Next(until)
+		at, do, found := w.agenda.PopUntil(until)
 		if !found {
 			break
 		}
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -46,7 +46,7 @@
 type world struct {
 	random   *rand.Rand
 	now      time.Time
-	agenda   agenda.Agenda
+	agenda   agenda.Queue
 	sabotage sabotage
 	trouble  bool
 	// giants is the part of tasks that need more than any cap.
@@ -136,7 +136,7 @@
 }
 
 func (w *world) after(length time.Duration, do func()) {
-	w.agenda.At(w.now.Add(length), do)
+	w.agenda.Schedule(w.now.Add(length), do)
 }
 
 func (w *world) between(low, high time.Duration) time.Duration {
@@ -153,7 +153,7 @@
 
 func (w *world) run(until time.Time) {
 	for w.broken == "" {
-		at, do, found := w.agenda.Next(until)
+		at, do, found := w.agenda.PopUntil(until)
 		if !found {
 			break
 		}
