--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -97,7 +97,7 @@
 		logger.WithError(err).Warn("suspensions of the machine are not seen")
 		return nil
 	}
-	return watch.Slept
+	return watch.Suspended
 }
 
 // newEnv returns what a real process finds around it.
--- a/pkg/suspend/suspend.go
+++ b/pkg/suspend/suspend.go
@@ -13,8 +13,8 @@
 	"damsonwinch"
 )
 
-// Boot reads a clock that counts the time for which the machine is suspended.
-type Boot func() (time.Duration, error)
+// BootClock reads a clock that counts the time for which the machine is suspended.
+type BootClock func() (time.Duration, error)
 
 // BootTime reads the system's.
 func BootTime() (time.Duration, error) {
@@ -35,25 +35,25 @@
 
 var errApart = errors.New("the clocks can't be read at once")
 
-// Watch compares the two clocks.
-type Watch struct {
+// Detector compares the two clocks.
+type Detector struct {
 	clock   damsonwinch.Clock
-	boot    Boot
+	boot    BootClock
 	begunAt time.Time
 	began   time.Duration
 }
 
 // New begins to watch.
-func New(clock damsonwinch.Clock, boot Boot) (*Watch, error) {
-	w := &Watch{clock: clock, boot: boot, begunAt: clock.Now()}
+func New(clock damsonwinch.Clock, boot BootClock) (*Detector, error) {
+	w := &Detector{clock: clock, boot: boot, begunAt: clock.Now()}
 	began, err := w.ahead()
 	w.began = began
 	return w, err
 }
 
-// Slept returns for how long the machine has been suspended since the watch began. Where the
+// Suspended returns for how long the machine has been suspended since the watch began. Where the
 // clocks can't be read it is as if it had never been.
-func (w *Watch) Slept() time.Duration {
+func (w *Detector) Suspended() time.Duration {
 	ahead, err := w.ahead()
 	if err != nil {
 		return 0
@@ -62,7 +62,7 @@
 }
 
 // ahead returns by how much the clock since boot is ahead of the steady one.
-func (w *Watch) ahead() (time.Duration, error) {
+func (w *Detector) ahead() (time.Duration, error) {
 	for range readings {
 		before := w.clock.Since(w.begunAt)
 		boot, err := w.boot()
--- a/pkg/suspend/suspend_test.go
+++ b/pkg/suspend/suspend_test.go
@@ -18,12 +18,12 @@
 	watch, err := suspend.New(clock, func() (time.Duration, error) { return boot, nil })
 	assert.NilError(t, err)
 	pass(time.Minute)
-	assert.Equal(t, watch.Slept(), time.Duration(0))
+	assert.Equal(t, watch.Suspended(), time.Duration(0))
 	boot += 3 * time.Second
 	pass(time.Second)
-	assert.Equal(t, watch.Slept(), 3*time.Second)
+	assert.Equal(t, watch.Suspended(), 3*time.Second)
 	boot += time.Second
-	assert.Equal(t, watch.Slept(), 4*time.Second)
+	assert.Equal(t, watch.Suspended(), 4*time.Second)
 }
 
 // TestAPauseBetweenTwoReadingsIsNoSuspension: both clocks count it, one of them too late.
@@ -40,9 +40,9 @@
 	})
 	assert.NilError(t, err)
 	pauses = 1
-	assert.Equal(t, watch.Slept(), time.Duration(0))
+	assert.Equal(t, watch.Suspended(), time.Duration(0))
 	pauses = 100
-	assert.Equal(t, watch.Slept(), time.Duration(0), "nothing can be said")
+	assert.Equal(t, watch.Suspended(), time.Duration(0), "nothing can be said")
 }
 
 func TestClocksThatCantBeRead(t *testing.T) {
@@ -53,13 +53,13 @@
 func TestTheSystemsClocks(t *testing.T) {
 	watch, err := suspend.New(clockwork.NewRealClock(), suspend.BootTime)
 	assert.NilError(t, err)
-	assert.Assert(t, watch.Slept() < time.Second)
+	assert.Assert(t, watch.Suspended() < time.Second)
 }
 
 func BenchmarkSlept(b *testing.B) {
 	watch, err := suspend.New(clockwork.NewRealClock(), suspend.BootTime)
 	assert.NilError(b, err)
 	for b.Loop() {
-		watch.Slept()
+		watch.Suspended()
 	}
 }
