--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -107,7 +107,7 @@
 	return process.Env{
 		Clock:  clock,
 		Slept:  newSlept(clock, logger),
-		Dial:   dial.New(newDialer().DialContext),
+		Dial:   dial.WithRetry(newDialer().DialContext),
 		Logger: logger,
 		Breach: func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
 		Seed:   uint64(clock.Now().UnixNano()),
--- a/pkg/dial/dial.go
+++ b/pkg/dial/dial.go
@@ -16,9 +16,9 @@
 // during a cut.
 var attempts = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}
 
-// New returns a dial that tries again where a connection isn't made in time. Refusals
+// WithRetry returns a dial that tries again where a connection isn't made in time. Refusals
 // and other errors are final.
-func New(dial damsonwinch.Dial) damsonwinch.Dial {
+func WithRetry(dial damsonwinch.Dial) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		var last error
 		for _, limit := range attempts {
--- a/pkg/dial/dial_test.go
+++ b/pkg/dial/dial_test.go
@@ -35,7 +35,7 @@
 	network := &lossy{lost: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
-	conn, err := New(network.dial)(ctx, "tcp", "peer")
+	conn, err := WithRetry(network.dial)(ctx, "tcp", "peer")
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
 	assert.Equal(t, network.tries, 2)
@@ -45,7 +45,7 @@
 func TestARefusalIsFinal(t *testing.T) {
 	refusal := errors.New("connection refused")
 	network := &lossy{err: refusal}
-	_, err := New(network.dial)(context.Background(), "tcp", "peer")
+	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, refusal))
 	assert.Equal(t, network.tries, 1)
 }
@@ -53,14 +53,14 @@
 // TestASilentPeerIsGivenUp after all tries, or with the caller's time.
 func TestASilentPeerIsGivenUp(t *testing.T) {
 	network := &lossy{lost: len(attempts)}
-	_, err := New(network.dial)(context.Background(), "tcp", "peer")
+	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	assert.Equal(t, network.tries, len(attempts))
 
 	network = &lossy{lost: len(attempts)}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	_, err = New(network.dial)(ctx, "tcp", "peer")
+	_, err = WithRetry(network.dial)(ctx, "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	assert.Equal(t, network.tries, 1)
 }
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -125,7 +125,7 @@
 // reading on its way: somebody has seen that there is news. A reading whose answer is
 // coming is left alone; it may be large, and would never end if it were begun anew.
 func (f *Feed) Refresh() {
-	if r := f.reading.Load(); r != nil && !idle.Answering(r.ctx) {
+	if r := f.reading.Load(); r != nil && !idle.AnswerStarted(r.ctx) {
 		r.end(errRefreshed)
 	}
 }
--- a/pkg/feed/patience.go
+++ b/pkg/feed/patience.go
@@ -42,7 +42,7 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrRefused):
 		p.silence, p.pause = crowdedSilence, min(mostPause, 2*p.pause)
-	case alive && errors.Is(context.Cause(reading), idle.ErrTimeout) && !idle.Answering(reading):
+	case alive && errors.Is(context.Cause(reading), idle.ErrTimeout) && !idle.AnswerStarted(reading):
 		p.silence, p.pause = crowdedSilence, retryPause
 	default:
 		*p = newPatience()
--- a/pkg/idle/idle.go
+++ b/pkg/idle/idle.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Answering says whether the answer to a call has begun to come.
-func Answering(ctx context.Context) bool {
+// AnswerStarted says whether the answer to a call has begun to come.
+func AnswerStarted(ctx context.Context) bool {
 	w := watchOf(ctx)
 	return w != nil && w.answering.Load()
 }
--- a/pkg/idle/idle_test.go
+++ b/pkg/idle/idle_test.go
@@ -35,7 +35,7 @@
 	clock.Advance(first)
 	assert.Assert(t, ended(ctx))
 	assert.Assert(t, errors.Is(context.Cause(ctx), context.DeadlineExceeded))
-	assert.Assert(t, !Answering(ctx))
+	assert.Assert(t, !AnswerStarted(ctx))
 }
 
 func TestACallGoesOnWhileItMakesProgress(t *testing.T) {
@@ -51,7 +51,7 @@
 		clock.Advance(step)
 	}
 	assert.NilError(t, ctx.Err())
-	assert.Assert(t, Answering(ctx))
+	assert.Assert(t, AnswerStarted(ctx))
 	clock.Advance(next)
 	assert.Assert(t, ended(ctx), "an answer that stops coming ends the call")
 }
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -109,21 +109,21 @@
 }
 
 func (o *Owner) start(start cell.Start) {
-	o.calling.Do(func() {
+	o.calling.Go(func() {
 		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.At, start.Order)
 		o.send(started{endpoint: start.At.Life, run: start.Order.Run, err: err})
 	})
 }
 
 func (o *Owner) stop(stop cell.Stop) {
-	o.calling.Do(func() {
+	o.calling.Go(func() {
 		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.At, stop.Order)
 		o.send(stopped{endpoint: stop.At.Life, run: stop.Order.Run, err: err})
 	})
 }
 
 func (o *Owner) pace(pace cell.Pace) {
-	o.calling.Do(func() {
+	o.calling.Go(func() {
 		err := o.deps.Endpoints.SetSpeed(o.within(orderTimeout), pace.At, pace.Order)
 		o.send(paced{endpoint: pace.At.Life, run: pace.Order.Run, err: err})
 	})
@@ -141,7 +141,7 @@
 }
 
 func (o *Owner) look(look cell.Look) {
-	o.calling.Do(func() {
+	o.calling.Go(func() {
 		found, err := o.deps.Endpoints.Poll(o.within(look.Order.MaxWait+lookMargin), look.At, look.Order)
 		o.send(looked{endpoint: look.At.Life, number: look.Number, look: found, err: err})
 	})
--- a/pkg/workers/workers.go
+++ b/pkg/workers/workers.go
@@ -27,8 +27,8 @@
 	return &Pool{group: group, ctx: ctx, tasks: make(chan func())}
 }
 
-// Do runs a task in a goroutine that waits for one, or in a new one. It doesn't wait.
-func (p *Pool) Do(task func()) {
+// Go runs a task in a goroutine that waits for one, or in a new one. It doesn't wait.
+func (p *Pool) Go(task func()) {
 	select {
 	case p.tasks <- task:
 	default:
--- a/pkg/workers/workers_test.go
+++ b/pkg/workers/workers_test.go
@@ -22,7 +22,7 @@
 		var all sync.WaitGroup
 		all.Add(tasks)
 		for range tasks {
-			pool.Do(func() {
+			pool.Go(func() {
 				all.Done()
 				all.Wait()
 			})
@@ -43,7 +43,7 @@
 	var group errgroup.Group
 	pool := workers.New(ctx, &group)
 	for name, do := range map[string]func(task func()){
-		"kept":     pool.Do,
+		"kept":     pool.Go,
 		"for each": func(task func()) { group.Go(func() error { task(); return nil }) },
 	} {
 		b.Run(name, func(b *testing.B) {
