--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -37,19 +37,19 @@
 // Start is an order to an endpoint.
 type Start struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.StartOrder
+	Request  damsonwinch.StartRequest
 }
 
 // Stop is an order to an endpoint.
 type Stop struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.StopOrder
+	Request  damsonwinch.StopRequest
 }
 
 // Poll is a question to an endpoint.
 type Poll struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.LookOrder
+	Request  damsonwinch.PollRequest
 	Number   int
 }
 
@@ -113,7 +113,7 @@
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
 		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.at.used.CPU, r.at.info.Capacity.CPU),
+			c.now.Sub(r.since).Milliseconds(), r.at.used.MilliCPU, r.at.info.Capacity.MilliCPU),
 	})
 }
 
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -101,14 +101,14 @@
 		e.looks.quick = sent
 		e.wantLook = false
 	}
-	order := damsonwinch.LookOrder{Token: c.token, Seen: e.recorded, Wait: wait}
+	order := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recorded, MaxWait: wait}
 	if e.silent {
 		// If another life answers under its ID, that is not to forget its own first ends.
-		order.Seen = 0
+		order.AckedSequence = 0
 	}
 	if e.attached && !e.silent && c.sure() {
-		order.Until = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
-		c.prolong(e, order.Until)
+		order.LeaseUntilMs = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
+		c.prolong(e, order.LeaseUntilMs)
 	}
 	c.stats.Polls++
 	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
@@ -129,7 +129,7 @@
 var errEndedLife = errors.New("a life answers that has ended")
 
 // Looked takes the answer to a look.
-func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
+func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
 	c.begin(now)
 	defer c.settle()
 	e := c.endpoints[asked]
@@ -150,7 +150,7 @@
 		// A later look has been answered; this one is out of date.
 		return
 	}
-	if e = c.answering(e, sent, look.Born); e == nil {
+	if e = c.answering(e, sent, look.StartedUnixMs); e == nil {
 		return
 	}
 	c.heard(e)
@@ -160,7 +160,7 @@
 		c.noteEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSample, e.clockAt = look.Clock, c.now
+	e.clockSample, e.clockAt = look.ClockMs, c.now
 	c.outlive(e, sent.at)
 	c.takeEnds(e, look.Finished)
 	if len(look.Finished) < mostEnds {
@@ -179,7 +179,7 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(e, "another life answers at its address")
-	case errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrStaleToken):
 		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
@@ -195,20 +195,20 @@
 }
 
 // takeEnds takes the ends that are new into the state, in order.
-func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.Finished) {
-	slices.SortFunc(ends, func(a, b damsonwinch.Finished) int { return a.Number - b.Number })
+func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.RunResult) {
+	slices.SortFunc(ends, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
 	for _, end := range ends {
-		if end.Number <= e.seen {
+		if end.Sequence <= e.seen {
 			continue
 		}
-		e.seen = end.Number
+		e.seen = end.Sequence
 		c.commits.ends = append(c.commits.ends, e)
 		c.finished(e, end)
 	}
 }
 
 // takeRunning compares what runs with what should.
-func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.Running, sentAt int) {
+func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
 	e.strays = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
@@ -248,11 +248,11 @@
 	return false
 }
 
-func (c *Cell) seenRunning(r *run, row damsonwinch.Running) {
+func (c *Cell) seenRunning(r *run, row damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
-	r.pace.see(c.now, row.Percent)
+	r.pace.see(c.now, row.DonePercent)
 	c.signal(r)
-	r.percent, r.load, r.lost = row.Percent, row.Load, nil
+	r.percent, r.load, r.lost = row.DonePercent, row.Load, nil
 	if row.Checkpoint != "" {
 		r.task.saved = row.Checkpoint
 	}
@@ -271,5 +271,5 @@
 // stopStray ends a run that belongs to nothing that should run.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
-	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopOrder{Run: stray, Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopRequest{Run: stray, Token: c.token}})
 }
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -143,8 +143,8 @@
 	until := r.at.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
 	c.prolong(r.at, until)
 	c.stats.Starts++
-	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartOrder{
-		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
+	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartRequest{
+		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.saved,
 		Ticket: c.ticket(r.task.phase, r.at),
 	}})
 }
@@ -191,7 +191,7 @@
 
 func refusedStart(err error) bool {
 	for _, refusal := range []error{
-		damsonwinch.ErrOldToken, damsonwinch.ErrOldRun, damsonwinch.ErrLate, damsonwinch.ErrNoRoom, damsonwinch.ErrNoTicket,
+		damsonwinch.ErrStaleToken, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate, damsonwinch.ErrNoCapacity, damsonwinch.ErrInvalidTicket,
 		damsonwinch.ErrOtherLife, damsonwinch.ErrUnhealthy, damsonwinch.ErrInvalid,
 	} {
 		if errors.Is(err, refusal) {
@@ -212,11 +212,11 @@
 		c.again(r)
 		c.lose(r.at, "another life answers at its address")
 		return
-	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
+	case errors.Is(err, damsonwinch.ErrNoCapacity), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
 		r.at.pauseUntil = c.now.Add(refusalPause)
 	}
-	if errors.Is(err, damsonwinch.ErrNoTicket) {
+	if errors.Is(err, damsonwinch.ErrInvalidTicket) {
 		r.task.phase.dropPermit(r.at)
 		c.again(r)
 		return
@@ -278,7 +278,7 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSent = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.at.info, Request: damsonwinch.StopOrder{Run: r.order(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.at.info, Request: damsonwinch.StopRequest{Run: r.order(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -20,7 +20,7 @@
 	until    int // End of the lease of all that runs, on its clock.
 	runs     map[damsonwinch.Run]*simRun
 	highest  map[damsonwinch.TaskID]int // Highest attempt stopped or ended here.
-	finished []damsonwinch.Finished
+	finished []damsonwinch.RunResult
 	number   int
 	dead     bool
 	misled   bool // It answers a look that is meant for an earlier life.
@@ -34,7 +34,7 @@
 
 // simRun is a run on an endpoint.
 type simRun struct {
-	order   damsonwinch.StartOrder
+	order   damsonwinch.StartRequest
 	need    damsonwinch.Resources
 	startAt time.Time
 	endAt   time.Time
@@ -51,7 +51,7 @@
 	if e.world.sabotage.idsAlone {
 		return 0
 	}
-	return e.info.Life.Born
+	return e.info.Life.StartedUnixMs
 }
 
 // take keeps out orders of older owners.
@@ -74,25 +74,25 @@
 	return sum
 }
 
-func (e *simEndpoint) start(order damsonwinch.StartOrder) error {
+func (e *simEndpoint) start(order damsonwinch.StartRequest) error {
 	switch {
 	case !e.take(order.Token):
-		return damsonwinch.ErrOldToken
+		return damsonwinch.ErrStaleToken
 	case order.Attempt <= e.highest[order.Task]:
-		e.prolong(order.Until)
-		return damsonwinch.ErrOldRun
-	case order.Until <= e.clock():
-		return damsonwinch.ErrLate
+		e.prolong(order.LeaseUntilMs)
+		return damsonwinch.ErrStaleRun
+	case order.LeaseUntilMs <= e.clock():
+		return damsonwinch.ErrTooLate
 	case e.runs[order.Run] != nil:
 		return nil
 	}
-	e.prolong(order.Until)
+	e.prolong(order.LeaseUntilMs)
 	task := e.world.task(order.Task)
 	need := task.need
 	if e.world.room != nil {
 		e.world.rules.fills(e, order, need)
 	} else if !e.info.Capacity.Minus(e.used()).Holds(need) {
-		return damsonwinch.ErrNoRoom
+		return damsonwinch.ErrNoCapacity
 	}
 	e.world.rules.started(e, order)
 	r := &simRun{order: order, need: need, startAt: e.world.now, how: damsonwinch.EndedDone}
@@ -105,7 +105,7 @@
 	}
 	e.runs[order.Run] = r
 	if e.world.caps != nil {
-		e.world.rules.capped(need.CPU)
+		e.world.rules.capped(need.MilliCPU)
 	}
 	e.world.at(r.endAt, func() { e.end(r, r.how) })
 	if task.crashes && order.Task.Phase == 0 && order.Task.Index == task.crashIndex {
@@ -121,7 +121,7 @@
 	delete(e.runs, r.order.Run)
 	e.highest[r.order.Task] = max(e.highest[r.order.Task], r.order.Attempt)
 	e.number++
-	e.finished = append(e.finished, damsonwinch.Finished{Run: r.order.Run, Number: e.number, How: how})
+	e.finished = append(e.finished, damsonwinch.RunResult{Run: r.order.Run, Sequence: e.number, Ending: how})
 	e.world.rules.ended(e, r, how)
 	waiting := e.waiting
 	e.waiting, e.breaking = nil, nil
@@ -130,9 +130,9 @@
 	}
 }
 
-func (e *simEndpoint) stop(order damsonwinch.StopOrder) error {
+func (e *simEndpoint) stop(order damsonwinch.StopRequest) error {
 	if !e.take(order.Token) {
-		return damsonwinch.ErrOldToken
+		return damsonwinch.ErrStaleToken
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Attempt)
 	if r := e.runs[order.Run]; r != nil && !r.stopped {
@@ -172,33 +172,33 @@
 // lookFor answers a look that is meant for a life. Where that is an earlier one, what the look
 // acknowledges may be ends of this one, which nobody has taken note of: nothing in the call tells
 // them apart.
-func (e *simEndpoint) lookFor(life damsonwinch.Life, order damsonwinch.LookOrder) (damsonwinch.Look, error) {
-	e.misled = !life.MayBe(e.info.Life)
+func (e *simEndpoint) lookFor(life damsonwinch.Life, order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
+	e.misled = !life.MayBeSame(e.info.Life)
 	defer func() { e.misled = false }()
 	return e.look(order)
 }
 
 // look answers at once; the world makes it wait where it should.
-func (e *simEndpoint) look(order damsonwinch.LookOrder) (damsonwinch.Look, error) {
+func (e *simEndpoint) look(order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
 	if !e.take(order.Token) {
-		return damsonwinch.Look{}, damsonwinch.ErrOldToken
+		return damsonwinch.PollReply{}, damsonwinch.ErrStaleToken
 	}
-	for len(e.finished) > 0 && e.finished[0].Number <= order.Seen {
+	for len(e.finished) > 0 && e.finished[0].Sequence <= order.AckedSequence {
 		if !e.misled {
 			e.world.rules.noted(e, e.finished[0])
 		}
 		e.finished = e.finished[1:]
 	}
-	if order.Until > 0 {
-		e.prolong(order.Until)
+	if order.LeaseUntilMs > 0 {
+		e.prolong(order.LeaseUntilMs)
 	}
-	found := damsonwinch.Look{Born: e.born(), Clock: e.clock(), Finished: append([]damsonwinch.Finished{}, e.finished...)}
+	found := damsonwinch.PollReply{StartedUnixMs: e.born(), ClockMs: e.clock(), Finished: append([]damsonwinch.RunResult{}, e.finished...)}
 	for _, r := range e.sorted() {
 		percent := 100
 		if r.how == damsonwinch.EndedDone && !e.world.task(r.order.Task).lasting {
 			percent = int(100 * e.world.now.Sub(r.startAt) / r.endAt.Sub(r.startAt))
 		}
-		found.Running = append(found.Running, damsonwinch.Running{Run: r.order.Run, Percent: percent})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: r.order.Run, DonePercent: percent})
 	}
 	return found, nil
 }
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -24,12 +24,12 @@
 	f := &fleetOf{now: time.Unix(1_000_000, 0)}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at := range pools {
-		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), Parking: at == 0})
+		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), PoweredOff: at == 0})
 	}
 	for at := range boxes {
 		f.boxes = append(f.boxes, damsonwinch.Box{
 			Name: fmt.Sprintf("box-%04d", at), Pool: f.pools[at%pools].Name, State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", at%4),
-			Capacity: damsonwinch.Resources{CPU: 32000, MemoryMB: 128000}, Endpoint: fmt.Sprintf("endpoint-%04d", at),
+			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, EndpointID: fmt.Sprintf("endpoint-%04d", at),
 		})
 	}
 	f.planner.SetPools(f.pools, shard.NewLayout(1, nil))
@@ -43,7 +43,7 @@
 func (f *fleetOf) round(number int) int {
 	f.now = f.now.Add(100 * time.Millisecond)
 	for at, pool := range f.pools {
-		if !pool.Parking {
+		if !pool.PoweredOff {
 			f.planner.SetReport(f.now, pool.Name, f.report(pool.Name, (number/10+at)%len(f.pools)))
 		}
 	}
@@ -60,7 +60,7 @@
 	for at := range f.boxes {
 		if f.boxes[at].Name == order.Box && order.Pool != "" {
 			f.boxes[at].Pool = order.Pool
-			f.boxes[at].Endpoint += "+"
+			f.boxes[at].EndpointID += "+"
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: !withdrawn[b.Endpoint], Withdrawn: withdrawn[b.Endpoint]})
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: !withdrawn[b.EndpointID], Withdrawn: withdrawn[b.EndpointID]})
 		}
 	}
 	reply.RunningCpu = len(f.boxes) * 32000 / len(f.pools) * 2 * share / len(f.pools)
