--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -27,19 +27,19 @@
 		return
 	}
 	if end.Checkpoint != "" {
-		t.saved = end.Checkpoint
+		t.checkpoint = end.Checkpoint
 	}
 	c.resolve(r)
 	c.learn(r, end.Ending)
 	switch {
 	case end.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.adopted && !r.resumed {
-			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.since), t.phase.spec.EstimateMs)
-			c.learnedNew = true
+			c.statsOf(t.phase.job().queue).times.addRun(c.now.Sub(r.since), t.phase.spec.EstimateMs)
+			c.queueStatsDirty = true
 		}
 		c.complete(t)
 	case end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
-		c.note("run failed", r, "")
+		c.logRun("run failed", r, "")
 		c.fail(t, r)
 	case len(t.runs) == 0:
 		c.makeReady(t)
@@ -57,12 +57,12 @@
 
 // countFailure counts a failed attempt, and ends the job with the last one.
 func (c *Cell) countFailure(t *task) {
-	t.failed++
+	t.failedAttempts++
 	j := t.phase.job()
-	c.touch(j)
-	if !t.done && !j.ended() && failures(t) >= c.attemptsOf(j) {
+	c.markDirty(j)
+	if !t.done && !j.ended() && failures(t) >= c.maxAttempts(j) {
 		c.stats.JobsFailed++
-		c.end(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
+		c.endJob(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
 	}
 }
 
@@ -70,11 +70,11 @@
 // gang.
 func failures(t *task) int {
 	if !t.phase.spec.Gang {
-		return t.failed
+		return t.failedAttempts
 	}
 	sum := 0
 	for _, member := range t.phase.tasks {
-		sum += member.failed
+		sum += member.failedAttempts
 	}
 	return sum
 }
@@ -97,15 +97,15 @@
 	}
 	t.done = true
 	p := t.phase
-	p.unready(t)
+	p.removeReady(t)
 	if !p.spec.Gang {
 		for _, copied := range slices.Clone(t.runs) {
 			c.stop(copied, "another attempt is done")
 		}
 	}
-	p.left--
-	c.touch(p.job())
-	if p.left == 0 {
+	p.unfinishedTasks--
+	c.markDirty(p.job())
+	if p.unfinishedTasks == 0 {
 		c.completePhase(p)
 	}
 }
@@ -115,26 +115,26 @@
 func (c *Cell) completePhase(p *phase) {
 	c.closePhase(p)
 	r := p.round
-	r.left--
+	r.unfinishedPhases--
 	for _, later := range r.phases {
 		for _, waited := range later.spec.After {
 			if waited == p.number {
-				later.waitsFor--
+				later.unfinishedDeps--
 			}
 		}
-		if later.waitsFor == 0 && later.left > 0 && !later.open {
+		if later.unfinishedDeps == 0 && later.unfinishedTasks > 0 && !later.open {
 			c.openPhase(later)
 		}
 	}
 	j := r.job
-	if r.left > 0 || j.ended() || len(j.rounds) < j.roundsInAll() {
+	if r.unfinishedPhases > 0 || j.ended() || len(j.rounds) < j.totalRounds() {
 		return
 	}
 	for _, other := range j.rounds {
-		if other.left > 0 {
+		if other.unfinishedPhases > 0 {
 			return
 		}
 	}
 	c.stats.JobsCompleted++
-	c.end(j, wire.JobStateCompleted, "all tasks are done")
+	c.endJob(j, wire.JobStateCompleted, "all tasks are done")
 }
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -75,14 +75,14 @@
 	switch how {
 	case damsonwinch.EndedDone:
 		if h.onTrial {
-			c.noteEndpoint("endpoint well again", r.at, "")
+			c.logEndpoint("endpoint well again", r.at, "")
 		}
 		h.failures, h.ejections, h.onTrial = 0, 0, false
 	case damsonwinch.EndedFailed:
 		if r.task.phase.spec.Lasting {
 			return
 		}
-		if r.task.failed > 0 {
+		if r.task.failedAttempts > 0 {
 			// It failed elsewhere, too: the task is to blame.
 			return
 		}
@@ -105,14 +105,14 @@
 	h.onTrial = true
 	h.failures, h.signs = 0, nil
 	c.stats.Ejections++
-	c.noteEndpoint("endpoint ejected", e, why)
+	c.logEndpoint("endpoint ejected", e, why)
 	return true
 }
 
 // mayEject says whether the cell can do without one more endpoint.
 func (c *Cell) mayEject() bool {
 	out, all := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if !e.usable() {
 			continue
 		}
@@ -141,7 +141,7 @@
 func (c *Cell) standsStill(e *endpoint) bool {
 	tasks := 0
 	for _, r := range e.runs {
-		if r.task.phase.spec.Lasting || r.state != runConfirmed || r.stopping || r.percent >= wholePercent {
+		if r.task.phase.spec.Lasting || r.state != runConfirmed || r.stopping || r.percent >= fullPercent {
 			continue
 		}
 		tasks++
@@ -172,8 +172,8 @@
 // short tasks have ended there. The largest ones may have no other place than where they
 // are, and come to nothing if they are stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
-	for _, e := range c.ranked {
-		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
+	for _, e := range c.sortedEndpoints {
+		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.longRunningNeed()).Holds(r.task.phase.need()) {
 			return true
 		}
 	}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -9,7 +9,7 @@
 
 // rankOf returns the place of a life among those known, which are in the order of their names.
 func (c *Cell) rankOf(life damsonwinch.Life) int {
-	at, _ := slices.BinarySearchFunc(c.ranked, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
+	at, _ := slices.BinarySearchFunc(c.sortedEndpoints, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
 	return at
 }
 
@@ -17,10 +17,10 @@
 func (c *Cell) livesUnder(id string) []*endpoint {
 	from := c.rankOf(damsonwinch.Life{ID: id, StartedUnixMs: math.MinInt})
 	to := from
-	for to < len(c.ranked) && c.ranked[to].info.Life.ID == id {
+	for to < len(c.sortedEndpoints) && c.sortedEndpoints[to].info.Life.ID == id {
 		to++
 	}
-	return c.ranked[from:to]
+	return c.sortedEndpoints[from:to]
 }
 
 // followed says that a life has ended and another one under its ID is known.
@@ -103,13 +103,13 @@
 // handOn has a run be at a later life under the ID of its own, as one of which it must be found
 // out whether it is there.
 func (c *Cell) handOn(r *run, there *endpoint) {
-	c.note("run may be at a later life", r, "born "+there.info.Life.String())
+	c.logRun("run may be at a later life", r, "born "+there.info.Life.String())
 	c.leave(r)
 	r.at = there
 	c.enter(r)
 	// What the earlier life has been told doesn't bind this one.
 	r.stopped = false
-	c.touch(r.task.phase.job())
+	c.markDirty(r.task.phase.job())
 }
 
 // loseUnheard takes note that a life has ended, by somebody else's word. Orders to it may still
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -33,9 +33,9 @@
 // lookAround sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
 func (c *Cell) lookAround() {
-	due := c.lookDue
-	if c.lookAtAll {
-		due = c.ranked
+	due := c.pollDue
+	if c.pollAll {
+		due = c.sortedEndpoints
 	}
 	for _, e := range due {
 		e.lookDue = false
@@ -44,14 +44,14 @@
 		}
 		c.lookAt(e)
 	}
-	c.lookDue, c.lookAtAll = c.lookDue[:0], false
+	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
 // lookSoon notes that a look at an endpoint may be due.
 func (c *Cell) lookSoon(e *endpoint) {
 	if !e.lookDue {
 		e.lookDue = true
-		c.lookDue = append(c.lookDue, e)
+		c.pollDue = append(c.pollDue, e)
 	}
 }
 
@@ -106,7 +106,7 @@
 		// If another life answers under its ID, that is not to forget its own first ends.
 		order.AckedSequence = 0
 	}
-	if e.attached && !e.silent && c.sure() {
+	if e.attached && !e.silent && c.mayRenewLeases() {
 		order.LeaseUntilMs = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
 		c.prolong(e, order.LeaseUntilMs)
 	}
@@ -130,13 +130,13 @@
 
 // Looked takes the answer to a look.
 func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	e := c.endpoints[asked]
 	if e == nil {
 		return
 	}
-	c.unplaced = true
+	c.placementDue = true
 	c.lookSoon(e)
 	sent := e.looks.take(number)
 	if sent == nil || e.gone {
@@ -157,7 +157,7 @@
 	e.looks.answered = sent.step
 	c.followLives(e, look, sent.step)
 	if e.silent {
-		c.noteEndpoint("endpoint answers again", e, "")
+		c.logEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
 	e.clockSample, e.clockAt = look.ClockMs, c.now
@@ -171,7 +171,7 @@
 	c.share(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
-		c.noteEndpoint("endpoint attached", e, "box "+e.info.Box)
+		c.logEndpoint("endpoint attached", e, "box "+e.info.Box)
 	}
 }
 
@@ -183,9 +183,9 @@
 		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
-			c.noteEndpoint("endpoint silent", e, err.Error())
+			c.logEndpoint("endpoint silent", e, err.Error())
 			e.silent, e.silentAt, e.silentStep = true, c.now, c.step
-			e.broke = c.awake() && c.now.Sub(sent.at) < sent.wait
+			e.broke = c.caughtUp() && c.now.Sub(sent.at) < sent.wait
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
@@ -202,7 +202,7 @@
 			continue
 		}
 		e.seen = end.Sequence
-		c.commits.ends = append(c.commits.ends, e)
+		c.commits.ackEndpoints = append(c.commits.ackEndpoints, e)
 		c.finished(e, end)
 	}
 }
@@ -254,7 +254,7 @@
 	c.signal(r)
 	r.percent, r.load, r.lost = row.DonePercent, row.Load, nil
 	if row.Checkpoint != "" {
-		r.task.saved = row.Checkpoint
+		r.task.checkpoint = row.Checkpoint
 	}
 	if r.state == runIntended || r.state == runConfirmed {
 		return
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -14,7 +14,7 @@
 
 // putOff chooses the phases that wait behind the others because not all can be in time.
 func (c *Cell) putOff() {
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		p.deferred = false
 	}
 	nowMs := int(c.now.UnixMilli())
@@ -36,8 +36,8 @@
 // waitingInTime returns the phases with waiting tasks whose jobs can be in time, and the
 // room that they need.
 func (c *Cell) waitingInTime(nowMs int) (waiting []*phase, needed int) {
-	for _, p := range c.open {
-		if !p.spec.Lasting && p.lateMs > 0 && !p.late(nowMs) && len(p.ready) > 0 && p.heldSince.IsZero() {
+	for _, p := range c.openPhases {
+		if !p.spec.Lasting && p.lateAtMs > 0 && !p.isLate(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
 			waiting = append(waiting, p)
 			needed += len(p.ready) * p.need().MilliCPU
 		}
@@ -48,12 +48,12 @@
 // room returns what the cell's endpoints have free and how fast their tasks end.
 func (c *Cell) room() triage.Capacity {
 	free, turning := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
 			continue
 		}
 		free += max(0, e.free().MilliCPU)
-		turning += max(0, e.info.Capacity.MilliCPU-e.lastingNeed().MilliCPU)
+		turning += max(0, e.info.Capacity.MilliCPU-e.longRunningNeed().MilliCPU)
 	}
 	taskMs := c.taskMs()
 	if taskMs == 0 {
@@ -65,8 +65,8 @@
 // usualTask is the time of a task while none has ended yet.
 const usualTask = time.Second
 
-// lastingNeed returns the room that lasting tasks take at an endpoint.
-func (e *endpoint) lastingNeed() damsonwinch.Resources {
+// longRunningNeed returns the room that lasting tasks take at an endpoint.
+func (e *endpoint) longRunningNeed() damsonwinch.Resources {
 	var sum damsonwinch.Resources
 	for _, r := range e.ordered {
 		if r.task.phase.spec.Lasting {
@@ -81,7 +81,7 @@
 	j := p.job()
 	rest := 0
 	for _, other := range p.round.phases {
-		left := other.left
+		left := other.unfinishedTasks
 		if other == p {
 			left = len(p.ready)
 		}
@@ -97,5 +97,5 @@
 // startBy returns until when a phase's tasks have to start for its job to be in time, if
 // they take as long as expected.
 func (p *phase) startBy() int {
-	return p.lateMs - p.job().chains[p.number]*(100-surePart)/100
+	return p.lateAtMs - p.job().criticalPathMs[p.number]*(100-surePart)/100
 }
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -72,7 +72,7 @@
 	e.overdue = false
 	if e.zone.inDoubt() {
 		e.zone.doubtSince = time.Time{}
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
 
@@ -80,7 +80,7 @@
 // address.
 func (c *Cell) heard(e *endpoint) {
 	c.answered(e)
-	if c.awake() {
+	if c.caughtUp() {
 		e.heardAt = c.now
 	}
 }
@@ -91,7 +91,7 @@
 	for _, z := range c.zones {
 		z.doubted = false
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		since, overdue := e.overdueSince(c.now, c.options.PollWait)
 		e.overdue = overdue
 		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.inDoubt() {
@@ -137,10 +137,10 @@
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
 		return nil
 	}
-	if j.home == nil || j.home.inDoubt() {
-		j.home = c.roomiest()
+	if j.homeZone == nil || j.homeZone.inDoubt() {
+		j.homeZone = c.roomiest()
 	}
-	return j.home
+	return j.homeZone
 }
 
 // roomiest returns the zone with the most free cores, nil if there is none.
