--- a/endpoint.go
+++ b/endpoint.go
@@ -9,27 +9,27 @@
 
 // Resources is room on a box, or what a task needs of it.
 type Resources struct {
-	// CPU is in thousandths of a core.
-	CPU int
+	// MilliCPU is in thousandths of a core.
+	MilliCPU int
 	// MemoryMB is in mebibytes.
 	MemoryMB int
-	// GPU counts accelerators.
-	GPU int
+	// GPUs counts accelerators.
+	GPUs int
 }
 
 // Plus returns the sum.
 func (r Resources) Plus(other Resources) Resources {
-	return Resources{CPU: r.CPU + other.CPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPU: r.GPU + other.GPU}
+	return Resources{MilliCPU: r.MilliCPU + other.MilliCPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPUs: r.GPUs + other.GPUs}
 }
 
 // Minus returns the difference.
 func (r Resources) Minus(other Resources) Resources {
-	return Resources{CPU: r.CPU - other.CPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPU: r.GPU - other.GPU}
+	return Resources{MilliCPU: r.MilliCPU - other.MilliCPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPUs: r.GPUs - other.GPUs}
 }
 
 // Holds says whether a need fits into this room.
 func (r Resources) Holds(need Resources) bool {
-	return need.CPU <= r.CPU && need.MemoryMB <= r.MemoryMB && need.GPU <= r.GPU
+	return need.MilliCPU <= r.MilliCPU && need.MemoryMB <= r.MemoryMB && need.GPUs <= r.GPUs
 }
 
 // Endpoint is one life of the program that runs tasks on a box.
@@ -75,55 +75,55 @@
 	Attempt int
 }
 
-// StartOrder asks an endpoint to run a task.
-type StartOrder struct {
+// StartRequest asks an endpoint to run a task.
+type StartRequest struct {
 	Run
 	// Spec is the client's text that tells the endpoint what to do.
 	Spec string
 	// Token is the fencing token of the cell's owner.
 	Token int
-	// Until is the endpoint's clock, in milliseconds, at which a start that is
+	// LeaseUntilMs is the endpoint's clock, in milliseconds, at which a start that is
 	// late is refused; what runs is leased at least until then.
-	Until int
+	LeaseUntilMs int
 	// Checkpoint is where an earlier attempt left off, or empty.
 	Checkpoint string
 	// Ticket is the advice service's permission, where the queue needs one.
 	Ticket string
 }
 
-// StopOrder asks an endpoint to end a run.
-type StopOrder struct {
+// StopRequest asks an endpoint to end a run.
+type StopRequest struct {
 	Run
 	Token int
 }
 
-// PaceOrder sets the share of its speed at which a run works.
-type PaceOrder struct {
+// SpeedRequest sets the share of its speed at which a run works.
+type SpeedRequest struct {
 	Run
-	Token   int
-	Percent int
+	Token        int
+	SpeedPercent int
 }
 
-// LookOrder asks an endpoint for what runs and what has ended, and prolongs the
+// PollRequest asks an endpoint for what runs and what has ended, and prolongs the
 // lease of all that runs there.
-type LookOrder struct {
+type PollRequest struct {
 	Token int
-	// Seen is the number of the last end that is safely recorded; the endpoint
+	// AckedSequence is the number of the last end that is safely recorded; the endpoint
 	// forgets it and those before.
-	Seen int
-	// Until prolongs the lease, on the endpoint's clock in milliseconds; 0 leaves
+	AckedSequence int
+	// LeaseUntilMs prolongs the lease, on the endpoint's clock in milliseconds; 0 leaves
 	// it as it is.
-	Until int
-	// Wait is how long the endpoint waits for an end before it answers.
-	Wait time.Duration
+	LeaseUntilMs int
+	// MaxWait is how long the endpoint waits for an end before it answers.
+	MaxWait time.Duration
 }
 
-// Running is a run that an endpoint has in hand.
-type Running struct {
+// RunProgress is a run that an endpoint has in hand.
+type RunProgress struct {
 	Run
 	Checkpoint string
-	// Percent is how much of its work is done; a lasting task is at work at 100.
-	Percent int
+	// DonePercent is how much of its work is done; a lasting task is at work at 100.
+	DonePercent int
 	// Load is the tail latency in milliseconds of a task that serves users, and
 	// the CPU in use, in thousandths of a core, of any other.
 	Load int
@@ -139,43 +139,43 @@
 	EndedStopped Ending = "stopped"
 	// EndedLapsed is the end of a run whose lease ran out.
 	EndedLapsed Ending = "lapsed"
-	// EndedBroken is the end of a gang's member after another member's.
-	EndedBroken Ending = "broken"
-	// EndedAlone is the end of a gang's member that waited in vain for the others.
-	EndedAlone Ending = "alone"
+	// EndedGangFailed is the end of a gang's member after another member's.
+	EndedGangFailed Ending = "broken"
+	// EndedGangIncomplete is the end of a gang's member that waited in vain for the others.
+	EndedGangIncomplete Ending = "alone"
 )
 
-// Finished is a run that has ended on an endpoint.
-type Finished struct {
+// RunResult is a run that has ended on an endpoint.
+type RunResult struct {
 	Run
-	// Number rises by one with each end within one life of an endpoint.
-	Number     int
-	How        Ending
+	// Sequence rises by one with each end within one life of an endpoint.
+	Sequence   int
+	Ending     Ending
 	Checkpoint string
 }
 
-// Look is an endpoint's answer to a look.
-type Look struct {
-	// Born is when the life that answers was born, as in its name.
-	Born int
-	// Clock is the endpoint's steady clock in milliseconds.
-	Clock    int
-	Running  []Running
-	Finished []Finished
+// PollReply is an endpoint's answer to a look.
+type PollReply struct {
+	// StartedUnixMs is when the life that answers was born, as in its name.
+	StartedUnixMs int
+	// ClockMs is the endpoint's steady clock in milliseconds.
+	ClockMs  int
+	Running  []RunProgress
+	Finished []RunResult
 }
 
 // Refusals of an endpoint: in each case it has done nothing.
 var (
-	// ErrOldToken says that the endpoint has seen a newer owner's token.
-	ErrOldToken = errors.New("the endpoint follows a newer owner")
-	// ErrOldRun says that a newer attempt, or a stop of this one, came before.
-	ErrOldRun = errors.New("the endpoint has seen a newer attempt or a stop")
-	// ErrLate says that the order came after its deadline.
-	ErrLate = errors.New("the order came too late")
-	// ErrNoRoom says that the task doesn't fit the endpoint now.
-	ErrNoRoom = errors.New("the endpoint has no room")
-	// ErrNoTicket says that the advice's permission is missing or has ended.
-	ErrNoTicket = errors.New("the endpoint wants another ticket")
+	// ErrStaleToken says that the endpoint has seen a newer owner's token.
+	ErrStaleToken = errors.New("the endpoint follows a newer owner")
+	// ErrStaleRun says that a newer attempt, or a stop of this one, came before.
+	ErrStaleRun = errors.New("the endpoint has seen a newer attempt or a stop")
+	// ErrTooLate says that the order came after its deadline.
+	ErrTooLate = errors.New("the order came too late")
+	// ErrNoCapacity says that the task doesn't fit the endpoint now.
+	ErrNoCapacity = errors.New("the endpoint has no room")
+	// ErrInvalidTicket says that the advice's permission is missing or has ended.
+	ErrInvalidTicket = errors.New("the endpoint wants another ticket")
 	// ErrOtherLife says that another life answers at the address.
 	ErrOtherLife = errors.New("another endpoint answers at this address")
 	// ErrUnhealthy says that the endpoint is unwell.
@@ -190,19 +190,19 @@
 // refusals leaves open whether the order was carried out, now or later.
 type EndpointControl interface {
 	// Start asks for a run.
-	Start(ctx context.Context, at Endpoint, order StartOrder) error
+	Start(ctx context.Context, at Endpoint, order StartRequest) error
 	// Stop asks for the end of a run; the end is listed once it has ended.
-	Stop(ctx context.Context, at Endpoint, order StopOrder) error
-	// Pace sets how fast a run works.
-	Pace(ctx context.Context, at Endpoint, order PaceOrder) error
-	// Look asks what runs and prolongs leases.
-	Look(ctx context.Context, at Endpoint, order LookOrder) (Look, error)
+	Stop(ctx context.Context, at Endpoint, order StopRequest) error
+	// SetSpeed sets how fast a run works.
+	SetSpeed(ctx context.Context, at Endpoint, order SpeedRequest) error
+	// Poll asks what runs and prolongs leases.
+	Poll(ctx context.Context, at Endpoint, order PollRequest) (PollReply, error)
 }
 
 // Permit is the advice service's permission for a phase of a job on an endpoint.
 type Permit struct {
-	Endpoint string
-	Ticket   string
+	EndpointID string
+	Ticket     string
 }
 
 // Advisor tells which endpoints may run a phase of a job, where a queue's policy
--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -113,8 +113,8 @@
 		a.decisions[id] = false
 	}
 	for _, granted := range permits {
-		a.decisions[granted.Endpoint] = true
-		a.permits[granted.Endpoint] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
+		a.decisions[granted.EndpointID] = true
+		a.permits[granted.EndpointID] = permit{ticket: granted.Ticket, until: sentAt.Add(valid)}
 	}
 }
 
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -145,7 +145,7 @@
 // Suspended returns true.
 func (c *Cell) Suspended(total time.Duration) bool {
 	suspended := total - c.suspendedFor
-	if suspended < damsonwinch.NegligibleSleep {
+	if suspended < damsonwinch.NegligibleSuspension {
 		return false
 	}
 	c.suspendedFor = total
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -22,7 +22,7 @@
 		boxMemoryMB = max(boxMemoryMB, e.info.Capacity.MemoryMB)
 		row := wire.EndpointReport{
 			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdraw.recorded,
-			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
+			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
 		}
 		if len(e.runs) == 0 {
 			row.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
@@ -32,17 +32,17 @@
 			if r.task.phase.spec.Lasting {
 				memoryMB += need.MemoryMB
 				row.Lasting++
-				report.LastingCpu += need.CPU
+				report.LastingCpu += need.MilliCPU
 				continue
 			}
 			switch {
 			case row.Silent:
 				// Runs on unreachable endpoints take no capacity of the remaining boxes.
 			case r.late:
-				report.RunningLateCpu += need.CPU
+				report.RunningLateCpu += need.MilliCPU
 			default:
 				memoryMB += need.MemoryMB
-				report.RunningCpu += need.CPU
+				report.RunningCpu += need.MilliCPU
 			}
 			row.EmptyMs = max(row.EmptyMs, c.leftMs(r))
 		}
@@ -97,12 +97,12 @@
 
 // maxResources returns the larger amount of each kind of resource.
 func maxResources(a, b damsonwinch.Resources) damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPU: max(a.GPU, b.GPU)}
+	return damsonwinch.Resources{MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
 // tasksPerBox returns how many tasks with the given need an empty box can hold, at least 1.
 func tasksPerBox(box, need damsonwinch.Resources) int {
-	return max(1, min(box.CPU/max(1, need.CPU), box.MemoryMB/max(1, need.MemoryMB)))
+	return max(1, min(box.MilliCPU/max(1, need.MilliCPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
 // sharesPerBox is the capacity of a box in the unit in which the report gives parts of boxes.
@@ -116,15 +116,15 @@
 	for _, p := range c.openPhases {
 		need := p.need()
 		if p.spec.Lasting {
-			report.LastingCpu += len(p.ready) * need.CPU
+			report.LastingCpu += len(p.ready) * need.MilliCPU
 			continue
 		}
-		wantedCPU := len(p.ready) * need.CPU
+		wantedCPU := len(p.ready) * need.MilliCPU
 		grantedCPU := allowance.take(p, wantedCPU)
 		if p.isLate(nowMs) {
 			report.LateCpu += grantedCPU
-			if p.job().runCount == 0 && grantedCPU >= need.CPU {
-				report.StalledCpu += need.CPU
+			if p.job().runCount == 0 && grantedCPU >= need.MilliCPU {
+				report.StalledCpu += need.MilliCPU
 			}
 			continue
 		}
@@ -179,7 +179,7 @@
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
 		for _, e := range c.livesUnder(life.ID) {
-			if life.MayBe(e.info.Life) {
+			if life.MayBeSame(e.info.Life) {
 				do(e)
 			}
 		}
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -40,19 +40,19 @@
 // Start is a request to an endpoint to run a task.
 type Start struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.StartOrder
+	Request  damsonwinch.StartRequest
 }
 
 // Stop is a request to an endpoint to stop a run.
 type Stop struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.StopOrder
+	Request  damsonwinch.StopRequest
 }
 
 // Poll is a request to an endpoint for its runs and results. Number identifies it in Polled.
 type Poll struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.LookOrder
+	Request  damsonwinch.PollRequest
 	Number   int
 }
 
@@ -123,7 +123,7 @@
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
 		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d of %d thousandths of a core in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.at.used.CPU, r.at.info.Capacity.CPU),
+			c.now.Sub(r.since).Milliseconds(), r.at.used.MilliCPU, r.at.info.Capacity.MilliCPU),
 	})
 }
 
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -105,10 +105,10 @@
 
 // need returns the resources that each task of the phase reserves on its endpoint.
 func (p *phase) need() damsonwinch.Resources {
-	need := damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
+	need := damsonwinch.Resources{MilliCPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPUs: p.spec.Gpu}
 	if p.spec.Fills {
 		// Filler tasks use the CPU that other tasks leave idle.
-		need.CPU = 0
+		need.MilliCPU = 0
 	}
 	return need
 }
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -15,7 +15,7 @@
 
 // livesUnder returns the lives that are known under an ID.
 func (c *Cell) livesUnder(id string) []*endpoint {
-	from := c.rankOf(damsonwinch.Life{ID: id, Born: math.MinInt})
+	from := c.rankOf(damsonwinch.Life{ID: id, StartedUnixMs: math.MinInt})
 	to := from
 	for to < len(c.sortedEndpoints) && c.sortedEndpoints[to].info.Life.ID == id {
 		to++
@@ -42,8 +42,8 @@
 // answering returns the life that has answered a look at e, nil if that one is known to have
 // ended.
 func (c *Cell) answering(e *endpoint, sent *sentLook, born int) *endpoint {
-	life := e.info.Life.WithBorn(born)
-	if life.MayBe(e.info.Life) {
+	life := e.info.Life.WithStarted(born)
+	if life.MayBeSame(e.info.Life) {
 		return e
 	}
 	there, known := c.endpoints[life]
@@ -63,7 +63,7 @@
 
 // followLives ends the other lives under the ID of one that has answered a look, which was sent
 // at a step.
-func (c *Cell) followLives(there *endpoint, look damsonwinch.Look, sentAt int) {
+func (c *Cell) followLives(there *endpoint, look damsonwinch.PollReply, sentAt int) {
 	for _, earlier := range c.livesUnder(there.info.Life.ID) {
 		if earlier == there {
 			continue
@@ -85,7 +85,7 @@
 
 // mayHaveMoved says whether the order for a run at an earlier life may be carried out by the one
 // that has answered a look: it has been, or the order may still be on its way.
-func (c *Cell) mayHaveMoved(r *run, look damsonwinch.Look, sentAt int) bool {
+func (c *Cell) mayHaveMoved(r *run, look damsonwinch.PollReply, sentAt int) bool {
 	switch r.state {
 	case runIntended:
 		return false
@@ -96,8 +96,8 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(look.Running, func(row damsonwinch.Running) bool { return row.Run == r.order() }) ||
-		slices.ContainsFunc(look.Finished, func(end damsonwinch.Finished) bool { return end.Run == r.order() })
+	return slices.ContainsFunc(look.Running, func(row damsonwinch.RunProgress) bool { return row.Run == r.order() }) ||
+		slices.ContainsFunc(look.Finished, func(end damsonwinch.RunResult) bool { return end.Run == r.order() })
 }
 
 // handOn has a run be at a later life under the ID of its own, as one of which it must be found
@@ -116,7 +116,7 @@
 // be on the way: where lives share an ID, a later one may carry them out.
 func (c *Cell) loseUnheard(e *endpoint, why string) {
 	c.loseAllBut(e, why, func(r *run) bool {
-		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
+		return e.info.Life.StartedUnixMs != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
 	})
 }
 
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -40,7 +40,7 @@
 	for _, p := range c.openPhases {
 		if !p.spec.Lasting && p.lateAtMs > 0 && !p.isLate(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
 			waiting = append(waiting, p)
-			needed += len(p.ready) * p.need().CPU
+			needed += len(p.ready) * p.need().MilliCPU
 		}
 	}
 	return waiting, needed
@@ -54,8 +54,8 @@
 		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
 			continue
 		}
-		free += max(0, e.free().CPU)
-		turnover += max(0, e.info.Capacity.CPU-e.longRunningNeed().CPU)
+		free += max(0, e.free().MilliCPU)
+		turnover += max(0, e.info.Capacity.MilliCPU-e.longRunningNeed().MilliCPU)
 	}
 	taskMs := c.meanTaskMs()
 	if taskMs == 0 {
@@ -91,7 +91,7 @@
 	}
 	mean := c.statsOf(j.queue).meanWork()
 	return triage.Item{
-		CPU: len(p.ready) * p.need().CPU, StartWithinMs: p.startByMs() - nowMs,
+		CPU: len(p.ready) * p.need().MilliCPU, StartWithinMs: p.startByMs() - nowMs,
 		Value: fixedValueShare*mean + (1-fixedValueShare)*float64(j.work), RemainingWork: float64(rest),
 	}
 }
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -38,14 +38,14 @@
 		MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
 		PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond, EndedJobRetention: time.Minute,
 	}, 1)
-	m.cell.SetQueues(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
+	m.cell.SetQueues(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 20, TargetLatency: time.Minute}})
 	var listed []damsonwinch.Endpoint
 	for at := range endpoints {
 		id := fmt.Sprintf("endpoint-%04d", at)
 		m.ids = append(m.ids, id)
 		listed = append(listed, damsonwinch.Endpoint{
 			Life: damsonwinch.Life{ID: id}, Address: "10.0.0.1:80", Box: "box-" + id, Pool: "pool", Zone: "zone",
-			Capacity: damsonwinch.Resources{CPU: benchBoxCPU, MemoryMB: 64_000},
+			Capacity: damsonwinch.Resources{MilliCPU: benchBoxCPU, MemoryMB: 64_000},
 		})
 	}
 	m.cell.SetEndpoints(m.now, listed)
@@ -98,13 +98,13 @@
 		return
 	}
 	delete(m.looks, id)
-	found := damsonwinch.Look{Clock: int(m.now.UnixMilli() % 1_000_000_000)}
+	found := damsonwinch.PollReply{ClockMs: int(m.now.UnixMilli() % 1_000_000_000)}
 	for _, run := range ended {
 		m.ends[id]++
-		found.Finished = append(found.Finished, damsonwinch.Finished{Number: m.ends[id], Run: run, How: damsonwinch.EndedDone})
+		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: m.ends[id], Run: run, Ending: damsonwinch.EndedDone})
 	}
 	for _, run := range m.runs[id] {
-		found.Running = append(found.Running, damsonwinch.Running{Run: run, Percent: 100})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: run, DonePercent: 100})
 	}
 	m.cell.Looked(m.now, look.Endpoint.Life, look.Number, found, nil)
 	m.serve()
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -27,7 +27,7 @@
 // quotaNeed returns what a task counts against its customer's cap. A filler task counts with the
 // CPU that it asks for, although it reserves none: it runs, whatever else runs on its box.
 func (p *phase) quotaNeed() damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
+	return damsonwinch.Resources{MilliCPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPUs: p.spec.Gpu}
 }
 
 // maxOvertakeTime is how long less urgent phases of the same customer may overtake a phase whose
@@ -58,7 +58,7 @@
 
 // scaleResources returns the resources that count tasks need together.
 func scaleResources(need damsonwinch.Resources, count int) damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count}
+	return damsonwinch.Resources{MilliCPU: need.MilliCPU * count, MemoryMB: need.MemoryMB * count, GPUs: need.GPUs * count}
 }
 
 // applyAllowances applies the planner's newest allowances.
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -15,14 +15,14 @@
 // of an endpoint was. What each endpoint refuses as invalid was ordered anew with each append,
 // 500 times in 5 s for a single task.
 func TestStartsThatAreRefusedComeFurtherApart(t *testing.T) {
-	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrOldRun, damsonwinch.ErrLate} {
+	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate} {
 		now := time.UnixMilli(1_700_000_000_000)
 		c := cell.New(simOptions(sabotage{}), 1)
 		assert.NilError(t, c.Load(now, nil))
 		c.SetQueues(now, simQueues)
 		c.SetEndpoints(now, []damsonwinch.Endpoint{
-			{Life: damsonwinch.Life{ID: "e1"}, Address: "e1:1", Pool: "pool", Capacity: damsonwinch.Resources{CPU: 4000, MemoryMB: 4000}},
-			{Life: damsonwinch.Life{ID: "e2"}, Address: "e2:1", Pool: "pool", Capacity: damsonwinch.Resources{CPU: 4000, MemoryMB: 4000}},
+			{Life: damsonwinch.Life{ID: "e1"}, Address: "e1:1", Pool: "pool", Capacity: damsonwinch.Resources{MilliCPU: 4000, MemoryMB: 4000}},
+			{Life: damsonwinch.Life{ID: "e2"}, Address: "e2:1", Pool: "pool", Capacity: damsonwinch.Resources{MilliCPU: 4000, MemoryMB: 4000}},
 		})
 		spec := simSpec(wire.Phase{Count: 1, Cpu: 1000, EstimateMs: 300})
 		c.Submit(now, wire.JobArgs{Queue: "queue", Id: "job", Spec: &spec, ReceivedMs: int(now.UnixMilli())}, 1)
@@ -35,7 +35,7 @@
 				c.Committed(now, effects.Commit.Number)
 			}
 			for _, look := range effects.Polls {
-				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
+				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{ClockMs: int(now.UnixMilli())}, nil)
 			}
 			for _, start := range append(effects.Starts, c.TakeEffects().Starts...) {
 				starts++
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -34,7 +34,7 @@
 	c.jobs[j.id] = j
 	c.activeJobs = append(c.activeJobs, j)
 	c.stats.JobsAccepted++
-	if !jobs.Lasting(j.spec) {
+	if !jobs.IsLongRunning(j.spec) {
 		criticalPathMs := slices.Max(j.criticalPathMs)
 		c.statsOf(j.queue).addJob(now, j.work, j.dueMs-j.acceptedMs-criticalPathMs, criticalPathMs)
 	}
@@ -52,15 +52,15 @@
 		state: wire.JobStateQueued, recordedState: wire.JobStateQueued,
 	}
 	queue := c.queues[args.Queue]
-	j.priority, j.maxAttempts = queue.Priority, queue.MostAttempts
+	j.priority, j.maxAttempts = queue.Priority, queue.MaxAttempts
 	c.setDue(j)
 	return j
 }
 
 // maxAttempts returns the number of failed attempts at a task that fails the job.
 func (c *Cell) maxAttempts(j *job) int {
-	if queue, exists := c.queues[j.queue]; exists && queue.MostAttempts > 0 {
-		return queue.MostAttempts
+	if queue, exists := c.queues[j.queue]; exists && queue.MaxAttempts > 0 {
+		return queue.MaxAttempts
 	}
 	return max(1, j.maxAttempts)
 }
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -29,7 +29,7 @@
 	for _, pathMs := range j.criticalPathMs {
 		criticalPathMs = max(criticalPathMs, pathMs)
 	}
-	j.dueMs = j.acceptedMs + int(queue.Extension*float64(criticalPathMs)) + int(queue.Target.Milliseconds())
+	j.dueMs = j.acceptedMs + int(queue.DeadlineFactor*float64(criticalPathMs)) + int(queue.TargetLatency.Milliseconds())
 }
 
 // isLate reports whether the phase's job is unlikely to meet its deadline. Late jobs go behind the
--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -91,13 +91,13 @@
 
 // newSlept watches for suspensions of the machine. Without the clock that counts them the
 // process goes on as if there were none.
-func newSlept(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.Slept {
+func newSlept(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.SuspendedTime {
 	watch, err := suspend.New(clock, suspend.BootTime)
 	if err != nil {
 		logger.WithError(err).Warn("suspensions of the machine are not seen")
 		return nil
 	}
-	return watch.Slept
+	return watch.Suspended
 }
 
 // newEnv returns what a real process finds around it.
@@ -107,7 +107,7 @@
 	return process.Env{
 		Clock:  clock,
 		Slept:  newSlept(clock, logger),
-		Dial:   dial.New(newDialer().DialContext),
+		Dial:   dial.WithRetry(newDialer().DialContext),
 		Logger: logger,
 		Breach: func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
 		Seed:   uint64(clock.Now().UnixNano()),
--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -21,7 +21,7 @@
 		return l.BoxShard(box)
 	}
 	number := placed.PreviousShard
-	if !life.MayBe(placed.Life) && (placed.Pool == "" || placed.Pool == pool) {
+	if !life.MayBeSame(placed.Life) && (placed.Pool == "" || placed.Pool == pool) {
 		number = placed.Shard
 	}
 	if number < 0 || number >= max(1, l.Shards) {
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -28,16 +28,16 @@
 // list shows the box in a state.
 func (f *livesFleet) list(state damsonwinch.BoxState) {
 	f.box.State = state
-	f.box.Endpoint = ""
+	f.box.EndpointID = ""
 	if state == damsonwinch.BoxUp {
-		f.box.Endpoint = "at-" + f.box.Name
+		f.box.EndpointID = "at-" + f.box.Name
 	}
 	f.planner.SetBoxes(f.now, []damsonwinch.Box{f.box})
 }
 
 // report has the owner of the box's cell tell of the life there.
 func (f *livesFleet) report(born int, withdrawn bool) {
-	life := damsonwinch.Life{ID: "at-" + f.box.Name, Born: born}
+	life := damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: born}
 	f.planner.SetReport(f.now, "held", wire.SyncReply{Known: true, TaskMs: 1000, Endpoints: []wire.EndpointReport{{
 		Endpoint: life.String(), Box: f.box.Name, Usable: !withdrawn, Withdrawn: withdrawn,
 	}}})
@@ -50,7 +50,7 @@
 
 // maintain has the box maintained for a wave, and returns the order.
 func (f *livesFleet) maintain(t *testing.T, wave, born int) supply.Order {
-	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
+	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.list(damsonwinch.BoxUp)
 	f.report(born, false)
 	var orders []supply.Order
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newLivesFleet()
 			order := f.maintain(t, 1, 1)
-			assert.Equal(t, order.Endpoint, damsonwinch.Life{ID: "at-" + f.box.Name, Born: 1})
+			assert.Equal(t, order.Endpoint, damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: 1})
 			f.now = f.now.Add(3 * time.Second)
 			back(f)
 			f.list(damsonwinch.BoxUp)
@@ -96,7 +96,7 @@
 // TestAWithdrawalIsOfOneLife: a life that was withdrawn says nothing of the one that came after it.
 func TestAWithdrawalIsOfOneLife(t *testing.T) {
 	f := newLivesFleet()
-	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
+	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.report(1, false)
 	f.plan(0)
 	f.list(damsonwinch.BoxUp)
@@ -105,5 +105,5 @@
 	f.report(2, false)
 	orders := f.plan(300 * time.Millisecond)
 	assert.Equal(t, len(orders), 0, "%v", orders)
-	assert.DeepEqual(t, f.planner.Wishes("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, Born: 2}.String()})
+	assert.DeepEqual(t, f.planner.Wishes("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: 2}.String()})
 }
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -90,7 +90,7 @@
 			if kept == nil {
 				kept = &cell{name: name, pool: listed.Name, shard: number}
 			}
-			kept.parking, kept.shards = listed.Parking, layout.Shards
+			kept.parking, kept.shards = listed.PoweredOff, layout.Shards
 			known[name] = kept
 			p.names = append(p.names, name)
 		}
@@ -137,7 +137,7 @@
 func (p *Planner) Wishes(name string) Wishes {
 	var wishes Wishes
 	for _, b := range p.byCell[name] {
-		if b.info.Endpoint == "" {
+		if b.info.EndpointID == "" {
 			continue
 		}
 		if p.dueWave(b) != nil {
@@ -167,7 +167,7 @@
 	var found []string
 	for _, entry := range known.report.Endpoints {
 		b := p.boxes[entry.Box]
-		if b != nil && (b.info.Endpoint != damsonwinch.ParseLife(entry.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
+		if b != nil && (b.info.EndpointID != damsonwinch.ParseLife(entry.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
 			found = append(found, entry.Endpoint)
 		}
 	}
@@ -185,7 +185,7 @@
 	if life == b.life {
 		return false
 	}
-	if !life.MayBe(b.life) {
+	if !life.MayBeSame(b.life) {
 		// The list of boxes may not have shown that one ended and another came.
 		b.dropPurpose()
 	}
@@ -209,7 +209,7 @@
 		for at := range known.report.Endpoints {
 			entry := &known.report.Endpoints[at]
 			life := damsonwinch.ParseLife(entry.Endpoint)
-			if b := p.boxes[entry.Box]; b != nil && b.info.Endpoint == life.ID {
+			if b := p.boxes[entry.Box]; b != nil && b.info.EndpointID == life.ID {
 				b.report = entry
 				moved = p.learnLife(b, life) || moved
 			}
@@ -234,13 +234,13 @@
 func (p *Planner) wholeBoxCPU(name string) int {
 	most := 0
 	for _, b := range p.byCell[name] {
-		most = max(most, b.info.Capacity.CPU)
+		most = max(most, b.info.Capacity.MilliCPU)
 	}
 	if most > 0 {
 		return most
 	}
 	for _, b := range p.order {
-		most = max(most, b.info.Capacity.CPU)
+		most = max(most, b.info.Capacity.MilliCPU)
 	}
 	return most
 }
