--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -14,9 +14,9 @@
 	Commit *Commit
 	// Starts, Stops, Paces and Polls are requests to endpoints. The owner passes each reply to Started,
 	// Stopped, Paced or Polled.
-	Starts []Start
-	Stops  []Stop
-	Paces  []Pace
+	Starts       []Start
+	Stops        []Stop
+	SpeedChanges []Pace
 	// PermitRequests are calls to the advice service. The owner calls Advised with each reply.
 	PermitRequests []PermitRequest
 	Polls          []Poll
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -345,7 +345,7 @@
 	for _, stop := range effects.Stops {
 		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Request.Task, stop.Request.Attempt, stop.Endpoint.Life))
 	}
-	for _, pace := range effects.Paces {
+	for _, pace := range effects.SpeedChanges {
 		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.At.Life, pace.Order.SpeedPercent))
 	}
 	for _, ask := range effects.PermitRequests {
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -52,7 +52,7 @@
 	for _, stop := range effects.Stops {
 		o.stop(stop)
 	}
-	for _, pace := range effects.Paces {
+	for _, pace := range effects.SpeedChanges {
 		o.pace(pace)
 	}
 	for _, look := range effects.Polls {
