--- a/pkg/cell/arrivals.go
+++ b/pkg/cell/arrivals.go
@@ -16,7 +16,7 @@
 	// of the rate: the standard deviation is then a quarter of it.
 	minWindowJobs = 16
 	// steadyDeviations and trendDeviations are the numbers of standard deviations that are
-	// subtracted from a steady rate and from a changing one, as they may be chance.
+	// subtracted from a steady rate and from a changing one, because that much may be chance.
 	steadyDeviations = 0.15
 	trendDeviations  = 1.5
 	// maxRateFactor bounds the expected rate, as a multiple of the present one.
@@ -67,8 +67,8 @@
 	expected float64
 }
 
-// rates returns the present rate and the one some time ahead. Both are low estimates: the part that
-// may be chance is subtracted.
+// rates returns the present rate and the rate expected after the time ahead. Both are low
+// estimates: the part that may be chance is subtracted.
 func (a *arrivals) rates(now time.Time, ahead time.Duration) rates {
 	a.advance(now)
 	var result rates
@@ -88,8 +88,8 @@
 	return (float64(count) - steadyDeviations*math.Sqrt(float64(count))) / seconds(window)
 }
 
-// trendRate returns the rate some time ahead if it continues to change as it did from the older
-// window to the newer one, less trendDeviations.
+// trendRate returns the rate after the time ahead if it continues to change as it did from the
+// older window to the newer one, less trendDeviations.
 func trendRate(newer, older, window int, ahead time.Duration) float64 {
 	length := seconds(window)
 	// factor multiplies the difference of the counts. The newer window's rate is the rate in its middle.
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -98,8 +98,8 @@
 	stats                Stats
 }
 
-// New returns an empty cell for the owner with the given fencing token. Call Load before any other
-// event.
+// New returns an empty cell for the owner with the given fencing token. Load must come before any
+// other event.
 func New(options Options, token int) *Cell {
 	if options.CrashRules == (crash.Rules{}) {
 		options.CrashRules = crash.DefaultRules()
@@ -140,9 +140,9 @@
 
 // Suspended reports the total time for which the machine has been suspended since this owner began.
 // The monotonic clock does not count that time, so leases and claims that look valid may have
-// expired long ago, and another node may own the cell. If the machine was suspended for longer than
-// is negligible since the last call, the owner gives the cell up and sends no more requests, and
-// Suspended returns true.
+// expired long ago, and another node may own the cell. If the total has grown by at least
+// damsonwinch.NegligibleSuspension since Suspended last returned true, the owner gives up the cell
+// and sends no more requests, and Suspended returns true.
 func (c *Cell) Suspended(total time.Duration) bool {
 	suspended := total - c.suspendedFor
 	if suspended < damsonwinch.NegligibleSuspension {
@@ -205,8 +205,8 @@
 	c.finishEvent()
 }
 
-// Batch calls events, which may report several events, and reacts to all of them at once. The
-// busier the owner, the less each event costs.
+// Batch calls events, which may report several events, and reacts to all of them at once. So the
+// cost per event falls as the owner gets busier.
 func (c *Cell) Batch(events func()) {
 	c.batching = true
 	events()
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -105,7 +105,8 @@
 	return max(1, min(box.MilliCPU/max(1, need.MilliCPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
-// sharesPerBox is the capacity of a box in the unit in which the report gives parts of boxes.
+// sharesPerBox is what a whole box counts in the report's MemoryShare, WholeBoxes and
+// WholeLateBoxes.
 const sharesPerBox = 1000
 
 // reportWaiting adds the demand of the ready tasks, and returns their memory in MB.
@@ -197,7 +198,8 @@
 	return count
 }
 
-// isAvailable reports whether a long-running task has started completely and is not being stopped.
+// isAvailable reports whether a long-running task is at work: an attempt has reached 100% progress,
+// its endpoint answers, and it is not being stopped.
 func (c *Cell) isAvailable(t *task) bool {
 	for _, r := range t.runs {
 		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -12,8 +12,8 @@
 	// Commit is the next append to the cell's stream, or nil. The owner calls Committed once the
 	// records are there; if the append fails for good, the owner ends.
 	Commit *Commit
-	// Starts, Stops, Paces and Polls are requests to endpoints. The owner passes each reply to Started,
-	// Stopped, Paced or Polled.
+	// Starts, Stops, SpeedChanges and Polls are requests to endpoints. The owner passes each reply to
+	// Started, Stopped, SpeedSet or Polled.
 	Starts       []Start
 	Stops        []Stop
 	SpeedChanges []Pace
@@ -25,7 +25,8 @@
 	// OwnershipLost is set when an endpoint has seen a newer owner, or when a newer owner may exist
 	// unnoticed. The owner must send no more requests.
 	OwnershipLost bool
-	// ListBoxes asks for the platform's list of boxes, because an endpoint does not answer.
+	// ListBoxes asks for the platform's list of boxes, because an endpoint that may have runs
+	// cannot be reached.
 	ListBoxes bool
 	// LogLines are decisions and observations to log.
 	LogLines []LogLine
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -70,14 +70,14 @@
 	unfinishedPhases int
 }
 
-// phase is a set of equal tasks in a round. It can start when the phases that it depends on are
+// phase is a set of identical tasks in a round. It can start when the phases that it depends on are
 // done.
 type phase struct {
 	round  *round
 	number int
 	spec   *wire.Phase
 	tasks  []*task
-	// unfinishedDeps is the number of phases that it depends on and that are not done.
+	// unfinishedDeps is the number of unfinished phases that this phase depends on.
 	unfinishedDeps int
 	// unfinishedTasks is the number of tasks that are not done.
 	unfinishedTasks int
@@ -88,8 +88,8 @@
 	gangReadySince time.Time
 	gangReserved   map[*endpoint]int
 	advice         advice
-	// lateAtMs is the time, in Unix milliseconds, from which the job is unlikely to meet its
-	// deadline; 0 means never.
+	// lateAtMs is the Unix time in milliseconds after which the job is unlikely to meet its
+	// deadline if the phase still waits; 0 means never.
 	lateAtMs int
 	// deferred is set while the phase waits behind others, so that those meet their deadlines.
 	deferred bool
@@ -142,7 +142,7 @@
 	// earliest time of the next start.
 	refusals  int
 	notBefore time.Time
-	// avoid is the endpoint where the task failed last.
+	// avoid is the endpoint to avoid at the next start, usually the one where the task failed last.
 	avoid damsonwinch.Life
 }
 
@@ -150,8 +150,8 @@
 	return damsonwinch.TaskID{Job: t.phase.round.job.id, Round: t.phase.round.number, Phase: t.phase.number, Index: t.index}
 }
 
-// comparePhases orders phases by urgency: by priority, then by deadline, then by age. The IDs and
-// numbers make the order unambiguous.
+// comparePhases orders phases by urgency: by priority, then by deadline, then by age. Ties are
+// broken by job ID, round and phase.
 func comparePhases(a, b *phase) int {
 	return cmp.Or(
 		cmp.Compare(a.job().priority, b.job().priority),
--- a/pkg/cell/options.go
+++ b/pkg/cell/options.go
@@ -12,7 +12,7 @@
 	// MaxLease is the longest lease that an endpoint grants.
 	MaxLease time.Duration
 	// RenewalGrace is how long an owner that cannot reach the store may go on renewing leases. A
-	// new owner waits that much longer before it takes the leases of unreachable endpoints as
+	// new owner waits that much longer before it treats the leases of unreachable endpoints as
 	// expired.
 	RenewalGrace time.Duration
 	// MaxStopTime is the longest time that a task takes to end after it has been stopped.
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -9,7 +9,7 @@
 const (
 	// minSampleWeight is the smallest weight of a new value in a running mean.
 	minSampleWeight = 0.05
-	// minLearnedRuns is the number of runs from which the statistics of task times are used.
+	// minLearnedRuns is the number of runs after which the statistics of task times are used.
 	minLearnedRuns = 20
 	// maxWorkVariance bounds the variance of the logarithm of jobs' work that is used for the mean.
 	// As long as there are few jobs, a single huge one must not double the mean.
@@ -62,7 +62,7 @@
 }
 
 // arrivalRates returns the present rate of arriving jobs, and the rate of the jobs that will be
-// running some time ahead. Jobs that run at that time arrived, on average, half their own time
+// running after the time ahead. Jobs that run at that time arrived, on average, half their own time
 // earlier.
 func (q *queueStats) arrivalRates(now time.Time, ahead time.Duration) rates {
 	return q.arrivals.rates(now, max(0, ahead-time.Duration(q.meanPathMs/2)*time.Millisecond))
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -13,7 +13,7 @@
 const specSuffix = "/spec"
 
 // Columns of a task's row in a job's record. Rows without field names take 270 bytes of the stream
-// per task over its lifetime; with field names it was 920.
+// per task over its lifetime; with field names they would take 920.
 const (
 	columnRound = iota
 	columnPhase
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -13,7 +13,7 @@
 	// On a slow day it answers within about 350 ms.
 	storeOutageAfter = 600 * time.Millisecond
 	// maxUnrecordedWait bounds how long a job may wait for a store that is down if its client does
-	// not say how long it waits. The usual clients wait three seconds.
+	// not say how long it waits. Users' clients wait three seconds.
 	maxUnrecordedWait = 2400 * time.Millisecond
 	// replyMargin is the part of a client's wait that is left for the reply to reach it.
 	replyMargin = 150 * time.Millisecond
@@ -22,8 +22,9 @@
 	retryAfter = time.Second
 )
 
-// refuseUnrecordedJobs refuses jobs that wait for a store that is down once they have waited too
-// long to be done in time. The store has never received them, so they certainly do not run.
+// refuseUnrecordedJobs refuses jobs that wait for a store that is down, once their clients stop
+// waiting or the jobs can no longer be done in time. The store has never received them, so they
+// certainly do not run.
 func (c *Cell) refuseUnrecordedJobs() {
 	sent := c.commits.inFlight
 	if sent == nil || c.now.Sub(sent.sentAt) < storeOutageAfter {
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -10,7 +10,7 @@
 )
 
 // Submit takes a job from a client. The reply with the given call ID becomes an effect once the job
-// is in the stream, or at once if the job is invalid or refused.
+// is in the stream, or as soon as the job is found invalid or refused.
 func (c *Cell) Submit(now time.Time, args wire.JobArgs, callID int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -43,7 +43,7 @@
 	c.logEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
 }
 
-// evacuate stops the runs that should move to another endpoint instead of ending here.
+// evacuate stops the runs that should continue on another endpoint instead of ending here.
 func (c *Cell) evacuate(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed {
