--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -176,7 +176,7 @@
 		c.lookSoon(seen.at)
 	}
 	for _, e := range sent.withdrawn {
-		e.withdraw.recorded = true
+		e.withdrawal.recorded = true
 	}
 	c.quota.Recorded(sent.allotter, sent.allowances)
 	for _, r := range sent.starts {
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -20,7 +20,7 @@
 		}
 		boxMemory = max(boxMemory, e.info.Capacity.MemoryMB)
 		entry := wire.EndpointReport{
-			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdraw.recorded,
+			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdrawal.recorded,
 			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
 		}
 		if len(e.runs) == 0 {
@@ -158,12 +158,12 @@
 	c.changed()
 	defer c.settle()
 	for _, e := range c.ranked {
-		e.withdraw.wanted, e.withdraw.hurry, e.due = false, false, false
+		e.withdrawal.wanted, e.withdrawal.hurry, e.due = false, false, false
 	}
 	c.takeAllowances(args)
 	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
-	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.wanted = true })
-	c.want(args.Hurry, func(e *endpoint) { e.withdraw.wanted, e.withdraw.hurry = true, true })
+	c.want(args.Withdraw, func(e *endpoint) { e.withdrawal.wanted = true })
+	c.want(args.Hurry, func(e *endpoint) { e.withdrawal.wanted, e.withdrawal.hurry = true, true })
 	c.want(args.Due, func(e *endpoint) { e.due = true })
 	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
 	for _, e := range c.ranked {
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -30,7 +30,7 @@
 	// withdrawn says that it gets no more work, since its box is to be moved or
 	// maintained.
 	withdrawn bool
-	withdraw  withdrawal
+	withdrawal  withdrawal
 	// due says that its box is still to be maintained.
 	due  bool
 	runs map[damsonwinch.Run]*run
@@ -81,7 +81,7 @@
 
 // usable says whether new work may be ordered there.
 func (e *endpoint) usable() bool {
-	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdraw.wanted && !e.silent && !e.info.Draining
+	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdrawal.wanted && !e.silent && !e.info.Draining
 }
 
 // free returns the room that is left.
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -106,7 +106,7 @@
 		return "have not answered yet"
 	case e.silent:
 		return "do not answer"
-	case e.withdrawn, e.withdraw.wanted:
+	case e.withdrawn, e.withdrawal.wanted:
 		return "are being emptied"
 	case e.info.Draining:
 		return "drain"
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -39,7 +39,7 @@
 	}
 	for _, e := range due {
 		e.lookDue = false
-		if e.gone || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdraw.recorded)) {
+		if e.gone || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdrawal.recorded)) {
 			continue
 		}
 		c.lookAt(e)
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -26,7 +26,7 @@
 // empty goes on with the emptying of an endpoint, and withdraws it for good once
 // nothing runs there any more.
 func (c *Cell) empty(e *endpoint) {
-	if !e.withdraw.wanted || e.withdrawn || e.gone {
+	if !e.withdrawal.wanted || e.withdrawn || e.gone {
 		return
 	}
 	if len(e.runs) > 0 {
@@ -52,10 +52,10 @@
 		case spec.Lasting:
 			// In a hurry it waits for room elsewhere: it goes first there, as soon as a
 			// short task ends. In a full cell it would hold its box up for ever.
-			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdraw.hurry || c.roomElsewhere(r)) {
+			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdrawal.hurry || c.roomElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
-		case e.withdraw.hurry && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
+		case e.withdrawal.hurry && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
 			c.stop(r, "its box is wanted")
 		}
 	}
@@ -75,7 +75,7 @@
 // roomElsewhere says whether a run could go on at another endpoint now.
 func (c *Cell) roomElsewhere(r *run) bool {
 	for _, e := range c.ranked {
-		if e != r.at && !e.withdraw.wanted && c.allowed(r.task, e) {
+		if e != r.at && !e.withdrawal.wanted && c.allowed(r.task, e) {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 	if !e.withdrawn {
 		return
 	}
-	e.withdrawn, e.withdraw = false, withdrawal{}
+	e.withdrawn, e.withdrawal = false, withdrawal{}
 	c.commits.marks = append(c.commits.marks, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
 	c.noteEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
@@ -104,7 +104,7 @@
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
 	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
-	e.withdrawn, e.withdraw.recorded = mark.Withdrawn, mark.Withdrawn
+	e.withdrawn, e.withdrawal.recorded = mark.Withdrawn, mark.Withdrawn
 	return nil
 }
 
