--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -88,7 +88,7 @@
 		add(p, len(p.ready), p.late(nowMs))
 	}
 	for _, e := range c.ranked {
-		for _, r := range e.ordered {
+		for _, r := range e.runsByStart {
 			add(r.task.phase, 1, r.late)
 		}
 	}
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -34,8 +34,8 @@
 	// due says that its box is still to be maintained.
 	due  bool
 	runs map[damsonwinch.Run]*run
-	// ordered holds the same runs in the order in which they were started.
-	ordered []*run
+	// runsByStart holds the same runs in the order in which they were started.
+	runsByStart []*run
 	used    damsonwinch.Resources
 	// strays is the number of runs there, by the last look, that belong to nothing that should
 	// run: the room that they take until they have ended isn't known.
@@ -102,7 +102,7 @@
 // sortedRuns returns the runs in an order that doesn't depend on the map's. The
 // slice stays as it is when runs come and go.
 func (e *endpoint) sortedRuns() []*run {
-	return slices.Clone(e.ordered)
+	return slices.Clone(e.runsByStart)
 }
 
 // endpointOf returns the endpoint of a life, made known if need be.
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -223,7 +223,7 @@
 	}
 	c.stats.EndpointsLost++
 	endedAt := e.endedAt(c.now)
-	youngest := e.ordered[len(e.ordered)-1].age(endedAt)
+	youngest := e.runsByStart[len(e.runsByStart)-1].age(endedAt)
 	c.noteEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
 		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -68,7 +68,7 @@
 // lastingNeed returns the room that lasting tasks take at an endpoint.
 func (e *endpoint) lastingNeed() damsonwinch.Resources {
 	var sum damsonwinch.Resources
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if r.task.phase.spec.Lasting {
 			sum = sum.Plus(r.task.phase.need())
 		}
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -32,7 +32,7 @@
 		return
 	}
 	counted := map[string]bool{}
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		queue := r.task.phase.job().queue
 		young := r.state != runIntended && endedAt.Sub(r.since) < c.options.Blame.Young()
 		if young && !counted[queue] {
@@ -71,7 +71,7 @@
 		return true
 	}
 	j := t.phase.job()
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.since) < c.options.Blame.Prompt {
 			return false
 		}
@@ -95,7 +95,7 @@
 // core times milliseconds.
 func (c *Cell) stake(e *endpoint, but *job) int {
 	sum := 0
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		switch {
 		case r.task.phase.job() == but:
 		case r.task.phase.spec.Lasting:
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -95,14 +95,14 @@
 // enter ties a run to its endpoint, and leave takes it from there.
 func (c *Cell) enter(r *run) {
 	r.at.runs[r.order()] = r
-	r.at.ordered = append(r.at.ordered, r)
+	r.at.runsByStart = append(r.at.runsByStart, r)
 	c.occupy(r.at, r.task.phase.need())
 	c.lookSoon(r.at)
 }
 
 func (c *Cell) leave(r *run) {
 	delete(r.at.runs, r.order())
-	r.at.ordered = slices.DeleteFunc(r.at.ordered, func(other *run) bool { return other == r })
+	r.at.runsByStart = slices.DeleteFunc(r.at.runsByStart, func(other *run) bool { return other == r })
 	c.release(r.at, r.task.phase.need())
 	r.at.lastBusy = c.now
 	if r.at.trial == r {
@@ -305,7 +305,7 @@
 // retryOrders sends stops again that nobody has answered.
 func (c *Cell) retryOrders() {
 	for _, e := range c.ranked {
-		for _, r := range e.ordered {
+		for _, r := range e.runsByStart {
 			if r.stopping && !r.stopped && r.state != runIntended && r.state != runOrdered && r.state != runSuspect &&
 				c.now.Sub(r.stopSent) >= retryStop {
 				c.sendStop(r)
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -108,7 +108,7 @@
 // atStake weighs what an endpoint takes with it when it ends.
 func (e *endpoint) atStake() int {
 	sum := 0
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if r.task.phase.spec.Lasting {
 			sum += lastingBeside
 		} else {
@@ -145,7 +145,7 @@
 
 // begunWithin says whether something has begun at an endpoint within a time before a moment.
 func (c *Cell) begunWithin(e *endpoint, at time.Time, length time.Duration) bool {
-	return slices.ContainsFunc(e.ordered, func(r *run) bool { return at.Sub(r.since) < length })
+	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.since) < length })
 }
 
 // exposed counts the endpoints that run something and would end by themselves if they did now.
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -120,7 +120,7 @@
 			oldest = at
 		}
 	}
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if r.state == runOrdered && r.since.Before(oldest) {
 			oldest = r.since
 		}
