--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -37,9 +37,9 @@
 	// runsByStart holds the same runs in the order in which they were started.
 	runsByStart []*run
 	used    damsonwinch.Resources
-	// strays is the number of runs there, by the last look, that belong to nothing that should
+	// strayRuns is the number of runs there, by the last look, that belong to nothing that should
 	// run: the room that they take until they have ended isn't known.
-	strays   int
+	strayRuns   int
 	lastBusy time.Time
 	// clockSample is its clock, in milliseconds, in an answer that came at clockAt.
 	clockSample int
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -112,7 +112,7 @@
 		return "drain"
 	case !c.roomKnown(e):
 		return "have not said for too long how much room they have"
-	case e.strays > 0:
+	case e.strayRuns > 0:
 		return "run what should not run"
 	case !c.fit(e), c.now.Before(e.pauseUntil):
 		return "are unwell"
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -79,7 +79,7 @@
 		if e.looks.quick == nil && since >= c.options.RetryLook {
 			c.sendLook(e, 0)
 		}
-	case e.strays > 0:
+	case e.strayRuns > 0:
 		// It takes no work until they have ended.
 		if since >= c.options.RetryLook {
 			c.sendLook(e, 0)
@@ -209,11 +209,11 @@
 
 // takeRunning compares what runs with what should.
 func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.Running, sentAt int) {
-	e.strays = 0
+	e.strayRuns = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
 		if r == nil {
-			e.strays++
+			e.strayRuns++
 			c.stopStray(e, row.Run)
 			continue
 		}
