--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -71,7 +71,7 @@
 	promised *task
 	// overdue says that it has left a call unanswered for longer than usual.
 	overdue    bool
-	pauseUntil time.Time
+	backoffUntil time.Time
 	health     health
 	// pacedAt is when the speed of a task there was last changed, and calmSince
 	// since when what serves there is far from its target.
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -214,7 +214,7 @@
 		return
 	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
-		r.at.pauseUntil = c.now.Add(refusalPause)
+		r.at.backoffUntil = c.now.Add(refusalPause)
 	}
 	if errors.Is(err, damsonwinch.ErrNoTicket) {
 		r.task.phase.dropPermit(r.at)
@@ -245,7 +245,7 @@
 	c.note("start not sent", r, err.Error())
 	c.countStarts(r.task, -1)
 	c.wantLook(r.at)
-	r.at.pauseUntil = c.now.Add(refusalPause)
+	r.at.backoffUntil = c.now.Add(refusalPause)
 	c.again(r)
 	c.abandonGang(r.task.phase, "a member of its gang could not be started")
 }
