--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -25,8 +25,8 @@
 	attached bool
 	// attachedAt is when it first did so.
 	attachedAt time.Time
-	// gone says that this life has ended for certain.
-	gone bool
+	// exited says that this life has ended for certain.
+	exited bool
 	// withdrawn says that it gets no more work, since its box is to be moved or
 	// maintained.
 	withdrawn bool
@@ -81,7 +81,7 @@
 
 // usable says whether new work may be ordered there.
 func (e *endpoint) usable() bool {
-	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdrawal.wanted && !e.silent && !e.info.Draining
+	return e.listed && e.attached && !e.exited && !e.withdrawn && !e.withdrawal.wanted && !e.silent && !e.info.Draining
 }
 
 // free returns the room that is left.
@@ -148,7 +148,7 @@
 		if info.Draining && !e.info.Draining {
 			c.noteEndpoint("endpoint drains", e, "")
 		}
-		if !e.listed && !e.gone {
+		if !e.listed && !e.exited {
 			c.noteEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
 		}
 		e.info, e.listed = info, true
@@ -170,7 +170,7 @@
 // sweepEndpoints forgets endpoints that are neither listed nor hold a run.
 func (c *Cell) sweepEndpoints() {
 	c.ranked = slices.DeleteFunc(c.ranked, func(e *endpoint) bool {
-		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.gone && c.now.Before(e.leaseBound.Add(lapseTime)) {
+		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.exited && c.now.Before(e.leaseBound.Add(lapseTime)) {
 			return false
 		}
 		c.forgetLapses(e)
@@ -196,7 +196,7 @@
 	for _, e := range slices.Clone(c.ranked) {
 		// An endpoint that was listed only after the boxes were asked for is not
 		// missing: it must have been silent before.
-		if !alive[e.info.Life.ID] && !e.gone && (e.silent || !e.attached) && len(e.runs) > 0 {
+		if !alive[e.info.Life.ID] && !e.exited && (e.silent || !e.attached) && len(e.runs) > 0 {
 			c.loseUnheard(e, "the platform's list of boxes does not have it")
 		}
 	}
@@ -207,7 +207,7 @@
 // can't be asked: the registry has dropped their entries, perhaps because they ended.
 func (c *Cell) seekMissing() {
 	for _, e := range c.ranked {
-		if len(e.runs) > 0 && !e.gone && !e.attached && e.info.Address == "" {
+		if len(e.runs) > 0 && !e.exited && !e.attached && e.info.Address == "" {
 			c.effects.AskBoxes = true
 			return
 		}
@@ -218,10 +218,10 @@
 // have run out.
 func (c *Cell) expireLeases() {
 	for _, e := range c.ranked {
-		if len(e.runs) == 0 || !e.gone && e.attached && !e.silent || !c.now.After(e.leaseBound) {
+		if len(e.runs) == 0 || !e.exited && e.attached && !e.silent || !c.now.After(e.leaseBound) {
 			continue
 		}
-		if e.gone {
+		if e.exited {
 			c.freeKept(e)
 			continue
 		}
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -100,7 +100,7 @@
 func (c *Cell) obstacle(t *task, e *endpoint) string {
 	p := t.phase
 	switch {
-	case !e.listed, e.gone:
+	case !e.listed, e.exited:
 		return "have ended"
 	case !e.attached:
 		return "have not answered yet"
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -25,7 +25,7 @@
 
 // followed says that a life has ended and another one under its ID is known.
 func (c *Cell) followed(e *endpoint) bool {
-	return e.gone && len(c.livesUnder(e.info.Life.ID)) > 1
+	return e.exited && len(c.livesUnder(e.info.Life.ID)) > 1
 }
 
 // answeredUnder returns the step at which the newest look was sent that a life under an ID has
@@ -54,7 +54,7 @@
 		there.info.Life = life
 		c.settleIn(there)
 	}
-	if there.gone {
+	if there.exited {
 		c.lookFailed(e, sent, errEndedLife)
 		return nil
 	}
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -39,7 +39,7 @@
 	}
 	for _, e := range due {
 		e.lookDue = false
-		if e.gone || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdrawal.recorded)) {
+		if e.exited || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdrawal.recorded)) {
 			continue
 		}
 		c.lookAt(e)
@@ -139,7 +139,7 @@
 	c.unplaced = true
 	c.lookSoon(e)
 	sent := e.looks.take(number)
-	if sent == nil || e.gone {
+	if sent == nil || e.exited {
 		return
 	}
 	if err != nil {
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -18,11 +18,11 @@
 // loseAllBut takes note that a life has ended, and keeps those of its runs that may yet be found
 // at a later life under its ID.
 func (c *Cell) loseAllBut(e *endpoint, why string, kept func(r *run) bool) {
-	if e.gone {
+	if e.exited {
 		return
 	}
 	c.noteLost(e, why)
-	e.gone = true
+	e.exited = true
 	c.blameLapsed(e)
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -26,7 +26,7 @@
 // empty goes on with the emptying of an endpoint, and withdraws it for good once
 // nothing runs there any more.
 func (c *Cell) empty(e *endpoint) {
-	if !e.withdrawal.wanted || e.withdrawn || e.gone {
+	if !e.withdrawal.wanted || e.withdrawn || e.exited {
 		return
 	}
 	if len(e.runs) > 0 {
