--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -158,13 +158,13 @@
 	c.changed()
 	defer c.settle()
 	for _, e := range c.ranked {
-		e.withdrawal.wanted, e.withdrawal.hurry, e.due = false, false, false
+		e.withdrawal.wanted, e.withdrawal.hurry, e.maintenanceDue = false, false, false
 	}
 	c.takeAllowances(args)
 	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
 	c.want(args.Withdraw, func(e *endpoint) { e.withdrawal.wanted = true })
 	c.want(args.Hurry, func(e *endpoint) { e.withdrawal.wanted, e.withdrawal.hurry = true, true })
-	c.want(args.Due, func(e *endpoint) { e.due = true })
+	c.want(args.Due, func(e *endpoint) { e.maintenanceDue = true })
 	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
 	for _, e := range c.ranked {
 		c.empty(e)
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -31,8 +31,8 @@
 	// maintained.
 	withdrawn bool
 	withdrawal  withdrawal
-	// due says that its box is still to be maintained.
-	due  bool
+	// maintenanceDue says that its box is still to be maintained.
+	maintenanceDue  bool
 	runs map[damsonwinch.Run]*run
 	// runsByStart holds the same runs in the order in which they were started.
 	runsByStart []*run
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -159,7 +159,7 @@
 	if c.besides(t.phase, e) {
 		score += scoreBeside
 	}
-	if e.due && t.phase.spec.Lasting {
+	if e.maintenanceDue && t.phase.spec.Lasting {
 		score += scoreDue
 	}
 	return score
