--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -105,8 +105,8 @@
 	return slices.Clone(e.runsByStart)
 }
 
-// endpointOf returns the endpoint of a life, made known if need be.
-func (c *Cell) endpointOf(life damsonwinch.Life) *endpoint {
+// ensureEndpoint returns the endpoint of a life, made known if need be.
+func (c *Cell) ensureEndpoint(life damsonwinch.Life) *endpoint {
 	if known := c.endpoints[life]; known != nil {
 		return known
 	}
@@ -144,7 +144,7 @@
 	present := make(map[damsonwinch.Life]bool, len(listed))
 	for _, info := range listed {
 		present[info.Life] = true
-		e := c.endpointOf(info.Life)
+		e := c.ensureEndpoint(info.Life)
 		if info.Draining && !e.info.Draining {
 			c.noteEndpoint("endpoint drains", e, "")
 		}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -87,7 +87,7 @@
 			return fmt.Errorf("job %s has a lapse %v", j.id, row)
 		}
 		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
-			e := c.endpointOf(damsonwinch.ParseLife(record.Endpoints[row[2]]))
+			e := c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[row[2]]))
 			e.lapses = append(e.lapses, lapse{task: t, attempt: row[1]})
 			t.lapses++
 		}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -49,7 +49,7 @@
 	there, known := c.endpoints[life]
 	if !known {
 		// Its entry is yet to come; until then it gets no work.
-		there = c.endpointOf(life)
+		there = c.ensureEndpoint(life)
 		there.info = e.info
 		there.info.Life = life
 		c.settleIn(there)
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -103,7 +103,7 @@
 	if err := json.Unmarshal(record.Value, &mark); err != nil {
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
-	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
+	e := c.ensureEndpoint(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
 	e.withdrawn, e.withdrawal.recorded = mark.Withdrawn, mark.Withdrawn
 	return nil
 }
