--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -180,7 +180,7 @@
 	c.expireLeases()
 	c.retryOrders()
 	c.seeOverdue()
-	c.seekMissing()
+	c.requestBoxList()
 	c.watchTrials()
 	c.chance.see(now, c.exposed())
 	c.refuseUnkept()
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -203,9 +203,9 @@
 	c.sweepEndpoints()
 }
 
-// seekMissing asks for the platform's list of boxes while tasks may run on endpoints that
+// requestBoxList asks for the platform's list of boxes while tasks may run on endpoints that
 // can't be asked: the registry has dropped their entries, perhaps because they ended.
-func (c *Cell) seekMissing() {
+func (c *Cell) requestBoxList() {
 	for _, e := range c.ranked {
 		if len(e.runs) > 0 && !e.exited && !e.attached && e.info.Address == "" {
 			c.effects.AskBoxes = true
