--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -114,7 +114,7 @@
 		return "have not said for too long how much room they have"
 	case e.strayRuns > 0:
 		return "run what should not run"
-	case !c.fit(e), c.now.Before(e.backoffUntil):
+	case !c.healthAllows(e), c.now.Before(e.backoffUntil):
 		return "are unwell"
 	case !e.hasLabel(p.spec.Label):
 		return "lack the label " + p.spec.Label
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -49,8 +49,8 @@
 	signs []sign
 }
 
-// fit says whether an endpoint may be given new work, as far as its health goes.
-func (c *Cell) fit(e *endpoint) bool {
+// healthAllows says whether an endpoint may be given new work, as far as its health goes.
+func (c *Cell) healthAllows(e *endpoint) bool {
 	h := &e.health
 	if c.now.Before(h.until) {
 		return false
