--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -208,7 +208,7 @@
 		return
 	}
 	c.place()
-	c.lookAround()
+	c.sendDuePolls()
 	c.flush()
 }
 
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -30,9 +30,9 @@
 // mostEnds is the most ends that an endpoint lists at once; others may follow.
 const mostEnds = 500
 
-// lookAround sends the looks that are due: at the endpoints that something has
+// sendDuePolls sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
-func (c *Cell) lookAround() {
+func (c *Cell) sendDuePolls() {
 	due := c.lookDue
 	if c.lookAtAll {
 		due = c.ranked
