--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -173,7 +173,7 @@
 	}
 	for _, seen := range sent.seen {
 		seen.at.recorded = max(seen.at.recorded, seen.number)
-		c.lookSoon(seen.at)
+		c.schedulePoll(seen.at)
 	}
 	for _, e := range sent.withdrawn {
 		e.withdrawal.recorded = true
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -47,8 +47,8 @@
 	c.lookDue, c.lookAtAll = c.lookDue[:0], false
 }
 
-// lookSoon notes that a look at an endpoint may be due.
-func (c *Cell) lookSoon(e *endpoint) {
+// schedulePoll notes that a look at an endpoint may be due.
+func (c *Cell) schedulePoll(e *endpoint) {
 	if !e.lookDue {
 		e.lookDue = true
 		c.lookDue = append(c.lookDue, e)
@@ -58,7 +58,7 @@
 // wantLook asks for a look that doesn't wait.
 func (c *Cell) wantLook(e *endpoint) {
 	e.wantLook = true
-	c.lookSoon(e)
+	c.schedulePoll(e)
 }
 
 func (c *Cell) lookAt(e *endpoint) {
@@ -137,7 +137,7 @@
 		return
 	}
 	c.unplaced = true
-	c.lookSoon(e)
+	c.schedulePoll(e)
 	sent := e.looks.take(number)
 	if sent == nil || e.exited {
 		return
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -97,7 +97,7 @@
 	r.at.runs[r.order()] = r
 	r.at.runsByStart = append(r.at.runsByStart, r)
 	c.occupy(r.at, r.task.phase.need())
-	c.lookSoon(r.at)
+	c.schedulePoll(r.at)
 }
 
 func (c *Cell) leave(r *run) {
@@ -108,7 +108,7 @@
 	if r.at.trial == r {
 		r.at.trial = nil
 	}
-	c.lookSoon(r.at)
+	c.schedulePoll(r.at)
 }
 
 // resolve takes away a run that is known not to exist any more.
