--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -44,7 +44,7 @@
 			c.Tick(now)
 			effects := c.Take()
 			for _, look := range effects.Looks {
-				c.Looked(now, look.At.Life, look.Number, damsonwinch.Look{}, nil)
+				c.Polled(now, look.At.Life, look.Number, damsonwinch.Look{}, nil)
 			}
 			if effects.Commit != nil {
 				records = append(records, effects.Commit.Records...)
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -128,8 +128,8 @@
 // errEndedLife says that a life has answered that is known to have ended.
 var errEndedLife = errors.New("a life answers that has ended")
 
-// Looked takes the answer to a look.
-func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
+// Polled takes the answer to a look.
+func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
 	c.begin(now)
 	defer c.settle()
 	e := c.endpoints[asked]
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -106,7 +106,7 @@
 	for _, run := range m.runs[id] {
 		found.Running = append(found.Running, damsonwinch.Running{Run: run, Percent: 100})
 	}
-	m.cell.Looked(m.now, look.At.Life, look.Number, found, nil)
+	m.cell.Polled(m.now, look.At.Life, look.Number, found, nil)
 	m.serve()
 }
 
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -35,7 +35,7 @@
 				c.Committed(now, effects.Commit.Number)
 			}
 			for _, look := range effects.Looks {
-				c.Looked(now, look.At.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
+				c.Polled(now, look.At.Life, look.Number, damsonwinch.Look{Clock: int(now.UnixMilli())}, nil)
 			}
 			for _, start := range append(effects.Starts, c.Take().Starts...) {
 				starts++
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -288,7 +288,7 @@
 		count, _ := strconv.Atoi(parts[0])
 		found.Finished = append(found.Finished, damsonwinch.Finished{Number: count, Run: runOf(parts[1]), How: damsonwinch.Ending(parts[2])})
 	}
-	s.cell.Looked(s.now, sent.At.Life, sent.Number, found, errorOf(d, s.t))
+	s.cell.Polled(s.now, sent.At.Life, sent.Number, found, errorOf(d, s.t))
 	return s.effects()
 }
 
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -388,7 +388,7 @@
 			wait = order.Wait
 		}
 		w.after(wait, func() {
-			o.whenAwake(func() { o.cell.Looked(o.now(), look.At.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Polled(o.now(), look.At.Life, look.Number, found, err) })
 		})
 	})
 }
@@ -408,7 +408,7 @@
 			found, err = e.lookFor(look.At.Life, order)
 		}
 		w.after(delay, func() {
-			o.whenAwake(func() { o.cell.Looked(o.now(), look.At.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Polled(o.now(), look.At.Life, look.Number, found, err) })
 		})
 	}
 	ended := func() { answer(w.between(time.Millisecond, 10*time.Millisecond), nil) }
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -101,7 +101,7 @@
 }
 
 func (m looked) apply(o *Owner, now time.Time) {
-	o.cell.Looked(now, m.endpoint, m.number, m.look, m.err)
+	o.cell.Polled(now, m.endpoint, m.number, m.look, m.err)
 }
 
 // clientCall is a client's call that changes a job.
