--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -176,7 +176,7 @@
 func (c *Cell) want(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
-		for _, e := range c.livesUnder(life.ID) {
+		for _, e := range c.livesWithID(life.ID) {
 			if life.MayBe(e.info.Life) {
 				do(e)
 			}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -13,8 +13,8 @@
 	return at
 }
 
-// livesUnder returns the lives that are known under an ID.
-func (c *Cell) livesUnder(id string) []*endpoint {
+// livesWithID returns the lives that are known under an ID.
+func (c *Cell) livesWithID(id string) []*endpoint {
 	from := c.rankOf(damsonwinch.Life{ID: id, Born: math.MinInt})
 	to := from
 	for to < len(c.ranked) && c.ranked[to].info.Life.ID == id {
@@ -25,7 +25,7 @@
 
 // followed says that a life has ended and another one under its ID is known.
 func (c *Cell) followed(e *endpoint) bool {
-	return e.exited && len(c.livesUnder(e.info.Life.ID)) > 1
+	return e.exited && len(c.livesWithID(e.info.Life.ID)) > 1
 }
 
 // answeredUnder returns the step at which the newest look was sent that a life under an ID has
@@ -33,7 +33,7 @@
 // may have been set back in between.
 func (c *Cell) answeredUnder(id string) int {
 	newest := 0
-	for _, e := range c.livesUnder(id) {
+	for _, e := range c.livesWithID(id) {
 		newest = max(newest, e.looks.answered)
 	}
 	return newest
@@ -64,7 +64,7 @@
 // followLives ends the other lives under the ID of one that has answered a look, which was sent
 // at a step.
 func (c *Cell) followLives(there *endpoint, look damsonwinch.Look, sentAt int) {
-	for _, earlier := range c.livesUnder(there.info.Life.ID) {
+	for _, earlier := range c.livesWithID(there.info.Life.ID) {
 		if earlier == there {
 			continue
 		}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -319,7 +319,7 @@
 	if e := c.endpoints[at]; e != nil && e.runs[which] != nil {
 		return e.runs[which]
 	}
-	for _, e := range c.livesUnder(at.ID) {
+	for _, e := range c.livesWithID(at.ID) {
 		if r := e.runs[which]; r != nil {
 			return r
 		}
