--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -14,7 +14,7 @@
 	report.SteadyCpu, report.OfferedCpu = c.offered(now)
 	memory, boxMemory := 0, 0
 	for _, e := range c.ranked {
-		if c.followed(e) {
+		if c.superseded(e) {
 			// The planner has one life for each box.
 			continue
 		}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -23,8 +23,8 @@
 	return c.ranked[from:to]
 }
 
-// followed says that a life has ended and another one under its ID is known.
-func (c *Cell) followed(e *endpoint) bool {
+// superseded says that a life has ended and another one under its ID is known.
+func (c *Cell) superseded(e *endpoint) bool {
 	return e.exited && len(c.livesWithID(e.info.Life.ID)) > 1
 }
 
