--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -161,7 +161,7 @@
 		e.withdrawal.wanted, e.withdrawal.hurry, e.maintenanceDue = false, false, false
 	}
 	c.takeAllowances(args)
-	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
+	c.want(args.Gone, func(e *endpoint) { c.markLostByReport(e, "the fleet planner has seen its box without it") })
 	c.want(args.Withdraw, func(e *endpoint) { e.withdrawal.wanted = true })
 	c.want(args.Hurry, func(e *endpoint) { e.withdrawal.wanted, e.withdrawal.hurry = true, true })
 	c.want(args.Due, func(e *endpoint) { e.maintenanceDue = true })
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -197,7 +197,7 @@
 		// An endpoint that was listed only after the boxes were asked for is not
 		// missing: it must have been silent before.
 		if !alive[e.info.Life.ID] && !e.exited && (e.silent || !e.attached) && len(e.runs) > 0 {
-			c.loseUnheard(e, "the platform's list of boxes does not have it")
+			c.markLostByReport(e, "the platform's list of boxes does not have it")
 		}
 	}
 	c.sweepEndpoints()
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -112,9 +112,9 @@
 	c.touch(r.task.phase.job())
 }
 
-// loseUnheard takes note that a life has ended, by somebody else's word. Orders to it may still
+// markLostByReport takes note that a life has ended, by somebody else's word. Orders to it may still
 // be on the way: where lives share an ID, a later one may carry them out.
-func (c *Cell) loseUnheard(e *endpoint, why string) {
+func (c *Cell) markLostByReport(e *endpoint, why string) {
 	c.loseAllBut(e, why, func(r *run) bool {
 		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
 	})
