--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -191,7 +191,7 @@
 // makeReady puts a task among those that may start.
 func (c *Cell) makeReady(t *task) {
 	p := t.phase
-	if t.ready || t.done || p.waitsFor > 0 || p.job().ended() || t.givenUp || c.giveUpSpent(t) {
+	if t.ready || t.done || p.waitsFor > 0 || p.job().ended() || t.givenUp || c.giveUpIfStartsExhausted(t) {
 		return
 	}
 	t.ready, t.triedFrom = true, c.now
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -123,8 +123,8 @@
 	return true
 }
 
-// giveUpSpent gives a task up that has been started too often. It says whether it is one.
-func (c *Cell) giveUpSpent(t *task) bool {
+// giveUpIfStartsExhausted gives a task up that has been started too often. It says whether it is one.
+func (c *Cell) giveUpIfStartsExhausted(t *task) bool {
 	if !c.options.Blame.Spent(t.crashes) {
 		return false
 	}
