--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -71,7 +71,7 @@
 	if c.now.Before(t.notBefore) {
 		return fmt.Sprintf("endpoints have refused it %d times in a row; it is tried again in %d ms", t.refusals, t.notBefore.Sub(c.now).Milliseconds())
 	}
-	if c.held(t) {
+	if c.mustWait(t) {
 		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapses)
 	}
 	if t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -55,10 +55,10 @@
 	c.touch(l.task.phase.job())
 }
 
-// held says whether a task must wait: since endpoints have refused it, or until it is known how
+// mustWait says whether a task must wait: since endpoints have refused it, or until it is known how
 // attempts at it have ended. With those that may have failed it has failed as often as it is
 // tried.
-func (c *Cell) held(t *task) bool {
+func (c *Cell) mustWait(t *task) bool {
 	return c.now.Before(t.notBefore) || t.lapses > 0 && !t.phase.spec.Lasting && failures(t)+t.lapses >= c.attemptsOf(t.phase.job())
 }
 
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -79,7 +79,7 @@
 	waiting := p.ready
 	p.ready = nil
 	for at, t := range waiting {
-		if c.held(t) || t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
+		if c.mustWait(t) || t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
 			p.ready = append(p.ready, t)
 			continue
 		}
@@ -100,7 +100,7 @@
 
 // allowed says whether a task may be started at an endpoint now.
 func (c *Cell) allowed(t *task, e *endpoint) bool {
-	return !c.held(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.permitted(t.phase, e)
+	return !c.mustWait(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.permitted(t.phase, e)
 }
 
 // couldTake says whether an endpoint has room for a task and may run it, as far as
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -39,7 +39,7 @@
 	}
 	c.dropSuspects()
 	for _, t := range c.suspects {
-		if !t.ready || len(t.runs) > 0 || t.phase.spec.Gang || c.held(t) {
+		if !t.ready || len(t.runs) > 0 || t.phase.spec.Gang || c.mustWait(t) {
 			continue
 		}
 		if !c.withinQuota(t.phase, 1) {
