--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -44,10 +44,10 @@
 	// chance tells how often endpoints end by themselves, and trialEnds how often they do in
 	// trials.
 	chance    chance
-	trialEnds ends
+	trialEnds exits
 	// proneEnds tells, by queue, of the endpoints that have ended just after something of it had
 	// begun there, and prone holds the queues with many of these.
-	proneEnds map[string]*ends
+	proneEnds map[string]*exits
 	prone     map[string]bool
 	// together says that more events follow before anything is done about them.
 	together bool
@@ -104,7 +104,7 @@
 		endpoints: map[damsonwinch.Life]*endpoint{},
 		commits:   newCommits(),
 		learned:   map[string]*queueStats{},
-		proneEnds: map[string]*ends{},
+		proneEnds: map[string]*exits{},
 		prone:     map[string]bool{},
 		quota:     quota.NewAllowances(),
 		overQuota: map[string]bool{},
--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -12,17 +12,17 @@
 	burstTime = 2 * time.Second
 )
 
-// ends are the moments at which endpoints have ended of late under tasks.
-type ends struct {
+// exits are the moments at which endpoints have ended of late under tasks.
+type exits struct {
 	at []time.Time
 }
 
-func (e *ends) add(at time.Time) {
+func (e *exits) add(at time.Time) {
 	e.at = append(e.at, at)
 }
 
 // within returns how many have ended of late.
-func (e *ends) within(now time.Time, length time.Duration) int {
+func (e *exits) within(now time.Time, length time.Duration) int {
 	e.at = slices.DeleteFunc(e.at, func(at time.Time) bool { return now.Sub(at) > rateTime })
 	count := 0
 	for _, at := range e.at {
@@ -38,7 +38,7 @@
 // tasks that crash their endpoints, nearly all are, and counted as chance they would speak for
 // each of those tasks.
 type chance struct {
-	ends ends
+	ends exits
 	// exposed tells for how long endpoints have run something without an end while nothing
 	// had begun there.
 	exposed []exposure
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -38,7 +38,7 @@
 		if young && !counted[queue] {
 			counted[queue] = true
 			if c.proneEnds[queue] == nil {
-				c.proneEnds[queue] = &ends{}
+				c.proneEnds[queue] = &exits{}
 			}
 			c.proneEnds[queue].add(c.now)
 		}
