--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -21,8 +21,8 @@
 	e.at = append(e.at, at)
 }
 
-// within returns how many have ended of late.
-func (e *exits) within(now time.Time, length time.Duration) int {
+// countWithin returns how many have ended of late.
+func (e *exits) countWithin(now time.Time, length time.Duration) int {
 	e.at = slices.DeleteFunc(e.at, func(at time.Time) bool { return now.Sub(at) > rateTime })
 	count := 0
 	for _, at := range e.at {
@@ -71,8 +71,8 @@
 
 // rate returns how often one endpoint ends by itself, a second.
 func (h *chance) rate(now time.Time) float64 {
-	rate := (float64(h.ends.within(now, rateTime)) + priorEnds) / (h.seconds(now, rateTime) + priorTime.Seconds())
-	if lately := h.ends.within(now, burstTime); lately >= burstEnds {
+	rate := (float64(h.ends.countWithin(now, rateTime)) + priorEnds) / (h.seconds(now, rateTime) + priorTime.Seconds())
+	if lately := h.ends.countWithin(now, burstTime); lately >= burstEnds {
 		rate = max(rate, float64(lately)/(h.seconds(now, burstTime)+burstTime.Seconds()))
 	}
 	return rate
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -48,7 +48,7 @@
 // seeProne finds the queues whose tasks crash endpoints of late.
 func (c *Cell) seeProne() {
 	for _, queue := range slices.Sorted(maps.Keys(c.proneEnds)) {
-		count := c.proneEnds[queue].within(c.now, proneTime)
+		count := c.proneEnds[queue].countWithin(c.now, proneTime)
 		switch {
 		case count >= proneEnds && !c.prone[queue]:
 			c.prone[queue] = true
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -135,7 +135,7 @@
 	if len(c.prone) > 0 {
 		share = proneShare
 	}
-	return len(c.trials)+c.trialEnds.within(c.now, backTime) < max(1, len(c.ranked)*share/wholePercent)
+	return len(c.trials)+c.trialEnds.countWithin(c.now, backTime) < max(1, len(c.ranked)*share/wholePercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
