--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -33,11 +33,11 @@
 	return count
 }
 
-// chance tells how often endpoints end by themselves, by those that do while nothing has begun
+// baselineExitRate tells how often endpoints end by themselves, by those that do while nothing has begun
 // there just before. Any other end may be the doing of what has begun: where a queue sends many
-// tasks that crash their endpoints, nearly all are, and counted as chance they would speak for
+// tasks that crash their endpoints, nearly all are, and counted as baselineExitRate they would speak for
 // each of those tasks.
-type chance struct {
+type baselineExitRate struct {
 	ends exits
 	// exposed tells for how long endpoints have run something without an end while nothing
 	// had begun there.
@@ -61,7 +61,7 @@
 )
 
 // see takes note of how many endpoints are exposed since the last time.
-func (h *chance) see(now time.Time, endpoints int) {
+func (h *baselineExitRate) see(now time.Time, endpoints int) {
 	if passed := now.Sub(h.seenAt); !h.seenAt.IsZero() && passed <= time.Second {
 		h.exposed = append(h.exposed, exposure{until: now, seconds: float64(endpoints) * passed.Seconds()})
 	}
@@ -70,7 +70,7 @@
 }
 
 // rate returns how often one endpoint ends by itself, a second.
-func (h *chance) rate(now time.Time) float64 {
+func (h *baselineExitRate) rate(now time.Time) float64 {
 	rate := (float64(h.ends.countWithin(now, rateTime)) + priorEnds) / (h.seconds(now, rateTime) + priorTime.Seconds())
 	if lately := h.ends.countWithin(now, burstTime); lately >= burstEnds {
 		rate = max(rate, float64(lately)/(h.seconds(now, burstTime)+burstTime.Seconds()))
@@ -79,7 +79,7 @@
 }
 
 // seconds returns for how long endpoints were exposed of late.
-func (h *chance) seconds(now time.Time, length time.Duration) float64 {
+func (h *baselineExitRate) seconds(now time.Time, length time.Duration) float64 {
 	sum := 0.0
 	for _, e := range h.exposed {
 		if now.Sub(e.until) <= length {
