--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -60,8 +60,8 @@
 	burstEnds = 2
 )
 
-// see takes note of how many endpoints are exposed since the last time.
-func (h *baselineExitRate) see(now time.Time, endpoints int) {
+// observe takes note of how many endpoints are exposed since the last time.
+func (h *baselineExitRate) observe(now time.Time, endpoints int) {
 	if passed := now.Sub(h.seenAt); !h.seenAt.IsZero() && passed <= time.Second {
 		h.exposed = append(h.exposed, exposure{until: now, seconds: float64(endpoints) * passed.Seconds()})
 	}
