--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -182,7 +182,7 @@
 	c.seeOverdue()
 	c.requestBoxList()
 	c.watchTrials()
-	c.chance.observe(now, c.exposed())
+	c.chance.observe(now, c.countExposed())
 	c.refuseUnkept()
 	c.putOff()
 	for _, e := range c.ranked {
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -148,8 +148,8 @@
 	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.since) < length })
 }
 
-// exposed counts the endpoints that run something and would end by themselves if they did now.
-func (c *Cell) exposed() int {
+// countExposed counts the endpoints that run something and would end by themselves if they did now.
+func (c *Cell) countExposed() int {
 	count := 0
 	for _, e := range c.ranked {
 		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.Blame.Young()) {
