--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -12,7 +12,7 @@
 	// about to be, or which have ended in trials within backTime: some seconds later they are
 	// back. More suspects wait.
 	trialShare = 25
-	backTime   = 3 * time.Second
+	restartTime   = 3 * time.Second
 	// outlivedTime is how long a lasting task that was a suspect must have been at work to be
 	// one no more.
 	outlivedTime = 20 * time.Second
@@ -135,7 +135,7 @@
 	if len(c.prone) > 0 {
 		share = proneShare
 	}
-	return len(c.trials)+c.trialEnds.countWithin(c.now, backTime) < max(1, len(c.ranked)*share/wholePercent)
+	return len(c.trials)+c.trialEnds.countWithin(c.now, restartTime) < max(1, len(c.ranked)*share/wholePercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
