--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -48,14 +48,14 @@
 		if e := c.trialPlace(t); e != nil {
 			t.phase.unready(t)
 			c.intend(t, e)
-		} else if !c.triedInVain(t) {
+		} else if !c.probeWaitExpired(t) {
 			c.promise(t)
 		}
 	}
 }
 
-// triedInVain says whether a suspect has waited for a trial for too long.
-func (c *Cell) triedInVain(t *task) bool {
+// probeWaitExpired says whether a suspect has waited for a trial for too long.
+func (c *Cell) probeWaitExpired(t *task) bool {
 	return c.now.Sub(t.triedFrom) >= c.trialWait(t)
 }
 
@@ -77,7 +77,7 @@
 		return !t.suspected
 	})
 	c.trials = slices.DeleteFunc(c.trials, func(e *endpoint) bool {
-		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.triedInVain(t)) {
+		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probeWaitExpired(t)) {
 			e.promised = nil
 		}
 		return e.trial == nil && e.promised == nil
@@ -123,7 +123,7 @@
 	if e.trial != nil || e.promised != nil && e.promised != t || !c.apart(t, e) {
 		return false
 	}
-	return !t.suspected || t.phase.spec.Gang || c.triedInVain(t) || c.mayTry(e) && c.quiet(e)
+	return !t.suspected || t.phase.spec.Gang || c.probeWaitExpired(t) || c.mayTry(e) && c.quiet(e)
 }
 
 // mayTry says whether one more endpoint may be used for a trial.
