--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -100,7 +100,7 @@
 
 // allowed says whether a task may be started at an endpoint now.
 func (c *Cell) allowed(t *task, e *endpoint) bool {
-	return !c.mustWait(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.permitted(t.phase, e)
+	return !c.mustWait(t) && c.couldTake(t, e) && c.probesAllow(t, e) && c.permitted(t.phase, e)
 }
 
 // couldTake says whether an endpoint has room for a task and may run it, as far as
