--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -181,7 +181,7 @@
 	c.retryOrders()
 	c.seeOverdue()
 	c.requestBoxList()
-	c.watchTrials()
+	c.checkProbes()
 	c.chance.observe(now, c.countExposed())
 	c.refuseUnkept()
 	c.putOff()
