--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -227,7 +227,7 @@
 		}
 		c.noteEndpoint("leases lapsed", e, "out of reach")
 		for _, r := range e.sortedRuns() {
-			if r.state != runIntended {
+			if r.state != runPending {
 				c.lapsed(r)
 			}
 		}
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -8,7 +8,7 @@
 
 // names of the states of a run, for explanations.
 var runStateNames = map[runState]string{
-	runIntended:  "about to be ordered",
+	runPending:  "about to be ordered",
 	runOrdered:   "ordered, not answered yet",
 	runConfirmed: "running",
 	runUncertain: "ordered, the answer was lost",
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -72,7 +72,7 @@
 		c.loseAllBut(earlier, "another life answers under its ID", moved)
 		for _, r := range earlier.sortedRuns() {
 			switch {
-			case r.state == runIntended:
+			case r.state == runPending:
 				// The commit takes it back.
 			case moved(r):
 				c.handOn(r, there)
@@ -87,7 +87,7 @@
 // that has answered a look: it has been, or the order may still be on its way.
 func (c *Cell) mayHaveMoved(r *run, look damsonwinch.Look, sentAt int) bool {
 	switch r.state {
-	case runIntended:
+	case runPending:
 		return false
 	case runOrdered, runUncertain:
 		return true
@@ -123,7 +123,7 @@
 // freeKept gives up the runs that are still kept for a life that has ended.
 func (c *Cell) freeKept(e *endpoint) {
 	for _, r := range e.sortedRuns() {
-		if r.state != runIntended {
+		if r.state != runPending {
 			c.notThere(r)
 		}
 	}
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -256,7 +256,7 @@
 	if row.Checkpoint != "" {
 		r.task.saved = row.Checkpoint
 	}
-	if r.state == runIntended || r.state == runConfirmed {
+	if r.state == runPending || r.state == runConfirmed {
 		return
 	}
 	uncertain := r.state == runUncertain
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -34,7 +34,7 @@
 		c.trialEnds.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
-		if r.state == runIntended {
+		if r.state == runPending {
 			// The commit takes it back.
 			r.stopping = true
 			continue
@@ -78,7 +78,7 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.trial; r != nil && r.state != runIntended && c.options.Blame.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.trial; r != nil && r.state != runPending && c.options.Blame.Blames(r.task.crashes, c.endOf(r)) {
 		return r
 	}
 	return nil
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -34,7 +34,7 @@
 	counted := map[string]bool{}
 	for _, r := range e.runsByStart {
 		queue := r.task.phase.job().queue
-		young := r.state != runIntended && endedAt.Sub(r.since) < c.options.Blame.Young()
+		young := r.state != runPending && endedAt.Sub(r.since) < c.options.Blame.Young()
 		if young && !counted[queue] {
 			counted[queue] = true
 			if c.proneEnds[queue] == nil {
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -12,8 +12,8 @@
 type runState int
 
 const (
-	// runIntended waits for its record before it is ordered.
-	runIntended runState = iota
+	// runPending waits for its record before it is ordered.
+	runPending runState = iota
 	// runOrdered has been ordered and not been answered yet.
 	runOrdered
 	// runConfirmed is known to have been on its endpoint.
@@ -256,7 +256,7 @@
 
 // stop asks for the end of a run.
 func (c *Cell) stop(r *run, why string) {
-	if r.state == runIntended {
+	if r.state == runPending {
 		// It has not been ordered; sendStart or the commit takes it back.
 		r.stopping = true
 		return
@@ -306,7 +306,7 @@
 func (c *Cell) retryOrders() {
 	for _, e := range c.ranked {
 		for _, r := range e.runsByStart {
-			if r.stopping && !r.stopped && r.state != runIntended && r.state != runOrdered && r.state != runSuspect &&
+			if r.stopping && !r.stopped && r.state != runPending && r.state != runOrdered && r.state != runSuspect &&
 				c.now.Sub(r.stopSent) >= retryStop {
 				c.sendStop(r)
 			}
