--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -9,7 +9,7 @@
 // names of the states of a run, for explanations.
 var runStateNames = map[runState]string{
 	runPending:  "about to be ordered",
-	runOrdered:   "ordered, not answered yet",
+	runRequested:   "ordered, not answered yet",
 	runConfirmed: "running",
 	runUncertain: "ordered, the answer was lost",
 	runSuspect:   "recorded by an earlier owner, not looked at yet",
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -89,7 +89,7 @@
 	switch r.state {
 	case runPending:
 		return false
-	case runOrdered, runUncertain:
+	case runRequested, runUncertain:
 		return true
 	case runConfirmed:
 		if r.knownAt > sentAt {
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -14,8 +14,8 @@
 const (
 	// runPending waits for its record before it is ordered.
 	runPending runState = iota
-	// runOrdered has been ordered and not been answered yet.
-	runOrdered
+	// runRequested has been ordered and not been answered yet.
+	runRequested
 	// runConfirmed is known to have been on its endpoint.
 	runConfirmed
 	// runUncertain has been ordered, and the answer was lost.
@@ -137,7 +137,7 @@
 		c.abandonGang(r.task.phase, "a member of its gang can't be started")
 		return
 	}
-	r.state = runOrdered
+	r.state = runRequested
 	c.noteStart(r)
 	r.since = c.now
 	until := r.at.clock(c.now) + int(c.options.StartLate.Milliseconds())
@@ -154,7 +154,7 @@
 	c.begin(now)
 	defer c.settle()
 	r := c.findRun(at, which)
-	if r == nil || r.state != runOrdered {
+	if r == nil || r.state != runRequested {
 		return
 	}
 	switch {
@@ -268,7 +268,7 @@
 		c.note("stop", r, why)
 	}
 	r.stopping = true
-	if r.state == runOrdered {
+	if r.state == runRequested {
 		// The answer to the start is on its way; a stop that overtakes it would
 		// still hold, but the answer tells more.
 		return
@@ -306,7 +306,7 @@
 func (c *Cell) retryOrders() {
 	for _, e := range c.ranked {
 		for _, r := range e.runsByStart {
-			if r.stopping && !r.stopped && r.state != runPending && r.state != runOrdered && r.state != runSuspect &&
+			if r.stopping && !r.stopped && r.state != runPending && r.state != runRequested && r.state != runSuspect &&
 				c.now.Sub(r.stopSent) >= retryStop {
 				c.sendStop(r)
 			}
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -121,7 +121,7 @@
 		}
 	}
 	for _, r := range e.runsByStart {
-		if r.state == runOrdered && r.since.Before(oldest) {
+		if r.state == runRequested && r.since.Before(oldest) {
 			oldest = r.since
 		}
 	}
