--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -12,7 +12,7 @@
 	runRequested:   "ordered, not answered yet",
 	runConfirmed: "running",
 	runUncertain: "ordered, the answer was lost",
-	runSuspect:   "recorded by an earlier owner, not looked at yet",
+	runUnverified:   "recorded by an earlier owner, not looked at yet",
 }
 
 // Explain says in sentences how a job stands and what it waits for.
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -236,7 +236,7 @@
 // exists.
 func (c *Cell) mustBeListed(r *run, sentAt int) bool {
 	switch r.state {
-	case runSuspect:
+	case runUnverified:
 		// This owner's token has kept out later orders of earlier owners.
 		return true
 	case runConfirmed:
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -20,9 +20,9 @@
 	runConfirmed
 	// runUncertain has been ordered, and the answer was lost.
 	runUncertain
-	// runSuspect was recorded by an earlier owner; its endpoint has not been
+	// runUnverified was recorded by an earlier owner; its endpoint has not been
 	// asked yet.
-	runSuspect
+	runUnverified
 )
 
 // run is one attempt at a task that may exist.
@@ -306,7 +306,7 @@
 func (c *Cell) retryOrders() {
 	for _, e := range c.ranked {
 		for _, r := range e.runsByStart {
-			if r.stopping && !r.stopped && r.state != runPending && r.state != runRequested && r.state != runSuspect &&
+			if r.stopping && !r.stopped && r.state != runPending && r.state != runRequested && r.state != runUnverified &&
 				c.now.Sub(r.stopSent) >= retryStop {
 				c.sendStop(r)
 			}
