--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -96,8 +96,8 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(look.Running, func(row damsonwinch.Running) bool { return row.Run == r.order() }) ||
-		slices.ContainsFunc(look.Finished, func(end damsonwinch.Finished) bool { return end.Run == r.order() })
+	return slices.ContainsFunc(look.Running, func(row damsonwinch.Running) bool { return row.Run == r.id() }) ||
+		slices.ContainsFunc(look.Finished, func(end damsonwinch.Finished) bool { return end.Run == r.id() })
 }
 
 // handOn has a run be at a later life under the ID of its own, as one of which it must be found
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -232,7 +232,7 @@
 func (c *Cell) noteRunLost(r *run, lost lostRun) {
 	end := lost.end
 	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Count <= 1,
+		What: "run lost", Job: r.task.phase.job().id, Task: r.id().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Count <= 1,
 		Why: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
 			end.Least.Milliseconds(), end.Age.Milliseconds(), end.Sure, end.Explained, end.Trial, end.Rate, r.attempt, r.task.crashes.Count, r.task.crashes.Weight, r.task.crashes.Starts),
 	})
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -62,7 +62,7 @@
 	speed int
 }
 
-func (r *run) order() damsonwinch.Run {
+func (r *run) id() damsonwinch.Run {
 	return damsonwinch.Run{Task: r.task.id(), Attempt: r.attempt}
 }
 
@@ -94,14 +94,14 @@
 
 // enter ties a run to its endpoint, and leave takes it from there.
 func (c *Cell) enter(r *run) {
-	r.at.runs[r.order()] = r
+	r.at.runs[r.id()] = r
 	r.at.runsByStart = append(r.at.runsByStart, r)
 	c.occupy(r.at, r.task.phase.need())
 	c.schedulePoll(r.at)
 }
 
 func (c *Cell) leave(r *run) {
-	delete(r.at.runs, r.order())
+	delete(r.at.runs, r.id())
 	r.at.runsByStart = slices.DeleteFunc(r.at.runsByStart, func(other *run) bool { return other == r })
 	c.release(r.at, r.task.phase.need())
 	r.at.lastBusy = c.now
@@ -144,7 +144,7 @@
 	c.prolong(r.at, until)
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{At: r.at.info, Order: damsonwinch.StartOrder{
-		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
+		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
 		Ticket: c.ticket(r.task.phase, r.at),
 	}})
 }
@@ -278,7 +278,7 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSent = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{At: r.at.info, Order: damsonwinch.StopOrder{Run: r.order(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{At: r.at.info, Order: damsonwinch.StopOrder{Run: r.id(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -80,7 +80,7 @@
 		if next := change(r.speed); next != r.speed {
 			r.speed = next
 			e.pacedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.PaceOrder{Run: r.order(), Token: c.token, Percent: next}})
+			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
 		}
 	}
 }
