--- a/pkg/cell/copies.go
+++ b/pkg/cell/copies.go
@@ -20,7 +20,7 @@
 // runsAt says whether a task has an attempt at an endpoint.
 func (t *task) runsAt(e *endpoint) bool {
 	for _, r := range t.runs {
-		if r.at == e {
+		if r.endpoint == e {
 			return true
 		}
 	}
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -198,7 +198,7 @@
 // atWork says whether a lasting task has started and is not being stopped.
 func (c *Cell) atWork(t *task) bool {
 	for _, r := range t.runs {
-		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= wholePercent && !c.mayBeStopping(r) {
+		if r.state == runConfirmed && !r.stopping && !r.endpoint.silent && r.percent >= wholePercent && !c.mayBeStopping(r) {
 			return true
 		}
 	}
@@ -208,7 +208,7 @@
 // mayBeStopping says whether an earlier owner may have stopped a run that is still
 // listed: it could do so until this owner's token came to the endpoint.
 func (c *Cell) mayBeStopping(r *run) bool {
-	return r.adopted && c.now.Sub(r.at.attachedAt) < c.options.StopTime+stopOnWay
+	return r.adopted && c.now.Sub(r.endpoint.attachedAt) < c.options.StopTime+stopOnWay
 }
 
 // stopOnWay is how long an earlier owner's stop may have been on its way when it
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -104,16 +104,16 @@
 
 func (c *Cell) note(what string, r *run, why string) {
 	c.effects.Notes = append(c.effects.Notes, Note{
-		What: what, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.at.info.Life.String(), Why: why,
+		What: what, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Why: why,
 	})
 }
 
 // noteStart notes that an attempt is ordered, and what decided where.
 func (c *Cell) noteStart(r *run) {
 	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.at.info.Life.String(), Minor: true,
+		What: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Minor: true,
 		Why: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.at.used.CPU, r.at.info.Capacity.CPU),
+			c.now.Sub(r.since).Milliseconds(), r.endpoint.used.CPU, r.endpoint.info.Capacity.CPU),
 	})
 }
 
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -48,7 +48,7 @@
 
 // fail takes note of a failed attempt.
 func (c *Cell) fail(t *task, r *run) {
-	t.avoid = r.at.info.Life
+	t.avoid = r.endpoint.info.Life
 	c.countFailure(t)
 	if len(t.runs) == 0 {
 		c.makeReady(t)
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -55,7 +55,7 @@
 			t.crashes.Count, t.crashes.Like, t.crashes.Low.Milliseconds(), t.crashes.High.Milliseconds())
 	}
 	for _, r := range t.runs {
-		line += fmt.Sprintf("; attempt %d on %s is %s", r.attempt, r.at.info.Life, runStateNames[r.state])
+		line += fmt.Sprintf("; attempt %d on %s is %s", r.attempt, r.endpoint.info.Life, runStateNames[r.state])
 		if r.stopping {
 			line += " and to be stopped"
 		}
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -23,5 +23,5 @@
 
 // stillFits says whether a run that was given room some time ago may be ordered now.
 func (c *Cell) stillFits(r *run) bool {
-	return c.roomKnown(r.at) && r.at.strayRuns == 0 && r.at.info.Capacity.Holds(r.at.used)
+	return c.roomKnown(r.endpoint) && r.endpoint.strayRuns == 0 && r.endpoint.info.Capacity.Holds(r.endpoint.used)
 }
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -71,11 +71,11 @@
 
 // learn takes what the end of a run tells of its endpoint.
 func (c *Cell) learn(r *run, how damsonwinch.Ending) {
-	h := &r.at.health
+	h := &r.endpoint.health
 	switch how {
 	case damsonwinch.EndedDone:
 		if h.onTrial {
-			c.noteEndpoint("endpoint well again", r.at, "")
+			c.noteEndpoint("endpoint well again", r.endpoint, "")
 		}
 		h.failures, h.ejections, h.onTrial = 0, 0, false
 	case damsonwinch.EndedFailed:
@@ -88,7 +88,7 @@
 		}
 		h.failures++
 		if h.failures >= failuresToEject {
-			c.eject(r.at, "tasks fail there")
+			c.eject(r.endpoint, "tasks fail there")
 		}
 	}
 }
@@ -173,7 +173,7 @@
 // are, and come to nothing if they are stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
 	for _, e := range c.ranked {
-		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
+		if e != r.endpoint && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
 			return true
 		}
 	}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -23,7 +23,7 @@
 // failed.
 func (c *Cell) lapsed(r *run) {
 	c.stats.Lapsed++
-	r.at.lapses = append(r.at.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.at.heardAt)})
+	r.endpoint.lapses = append(r.endpoint.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.endpoint.heardAt)})
 	r.task.lapses++
 	c.again(r)
 }
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -105,7 +105,7 @@
 func (c *Cell) handOn(r *run, there *endpoint) {
 	c.note("run may be at a later life", r, "born "+there.info.Life.String())
 	c.leave(r)
-	r.at = there
+	r.endpoint = there
 	c.enter(r)
 	// What the earlier life has been told doesn't bind this one.
 	r.stopped = false
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -86,9 +86,9 @@
 
 // endOf describes the end of a run's endpoint.
 func (c *Cell) endOf(r *run) crash.End {
-	endedAt := r.at.endedAt(c.now)
-	end := crash.End{Age: r.age(endedAt), Least: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Trial: r.at.trial == r, Rate: c.chance.rate(c.now)}
-	if r.at.silent && r.at.broke {
+	endedAt := r.endpoint.endedAt(c.now)
+	end := crash.End{Age: r.age(endedAt), Least: r.age(r.endpoint.heardAt), Explained: c.endShared(r.endpoint, endedAt), Trial: r.endpoint.trial == r, Rate: c.chance.rate(c.now)}
+	if r.endpoint.silent && r.endpoint.broke {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
 		// nothing else had begun, the weight of the end says how surely.
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -120,7 +120,7 @@
 	count := p.held[e]
 	for _, t := range p.tasks {
 		for _, r := range t.runs {
-			if r.at == e {
+			if r.endpoint == e {
 				count++
 			}
 		}
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -86,7 +86,7 @@
 		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.saved})
 	}
 	for _, r := range t.runs {
-		row = append(row, r.attempt, placeOf(r.at, record))
+		row = append(row, r.attempt, placeOf(r.endpoint, record))
 	}
 	writeCrashes(t, record)
 	record.Tasks = append(record.Tasks, row)
@@ -155,7 +155,7 @@
 		if at < 0 || at >= len(record.Endpoints) {
 			return fmt.Errorf("endpoint %d of %d", at, len(record.Endpoints))
 		}
-		c.attach(&run{task: t, attempt: attempt, at: c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[at])), state: runUnverified, since: c.now, adopted: true, speed: leastPace})
+		c.attach(&run{task: t, attempt: attempt, endpoint: c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[at])), state: runUnverified, since: c.now, adopted: true, speed: leastPace})
 	}
 	if row[columnDone] != 0 && !t.done {
 		t.done = true
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -29,7 +29,7 @@
 type run struct {
 	task    *task
 	attempt int
-	at      *endpoint
+	endpoint      *endpoint
 	state   runState
 	// knownAt is the step after which the endpoint must list the run: a look sent
 	// later that doesn't list it shows that it isn't there.
@@ -69,7 +69,7 @@
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.attempt++
-	r := &run{task: t, attempt: t.attempt, at: at, since: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	r := &run{task: t, attempt: t.attempt, endpoint: at, since: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
@@ -94,21 +94,21 @@
 
 // enter ties a run to its endpoint, and leave takes it from there.
 func (c *Cell) enter(r *run) {
-	r.at.runs[r.id()] = r
-	r.at.runsByStart = append(r.at.runsByStart, r)
-	c.occupy(r.at, r.task.phase.need())
-	c.schedulePoll(r.at)
+	r.endpoint.runs[r.id()] = r
+	r.endpoint.runsByStart = append(r.endpoint.runsByStart, r)
+	c.occupy(r.endpoint, r.task.phase.need())
+	c.schedulePoll(r.endpoint)
 }
 
 func (c *Cell) leave(r *run) {
-	delete(r.at.runs, r.id())
-	r.at.runsByStart = slices.DeleteFunc(r.at.runsByStart, func(other *run) bool { return other == r })
-	c.release(r.at, r.task.phase.need())
-	r.at.lastBusy = c.now
-	if r.at.trial == r {
-		r.at.trial = nil
+	delete(r.endpoint.runs, r.id())
+	r.endpoint.runsByStart = slices.DeleteFunc(r.endpoint.runsByStart, func(other *run) bool { return other == r })
+	c.release(r.endpoint, r.task.phase.need())
+	r.endpoint.lastBusy = c.now
+	if r.endpoint.trial == r {
+		r.endpoint.trial = nil
 	}
-	c.schedulePoll(r.at)
+	c.schedulePoll(r.endpoint)
 }
 
 // resolve takes away a run that is known not to exist any more.
@@ -131,7 +131,7 @@
 
 // sendStart orders a recorded run.
 func (c *Cell) sendStart(r *run) {
-	if r.task.phase.job().ended() || r.stopping || !r.at.usable() || r.at.zone.inDoubt() || !c.stillFits(r) {
+	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.inDoubt() || !c.stillFits(r) {
 		c.countStarts(r.task, -1)
 		c.again(r)
 		c.abandonGang(r.task.phase, "a member of its gang can't be started")
@@ -140,12 +140,12 @@
 	r.state = runRequested
 	c.noteStart(r)
 	r.since = c.now
-	until := r.at.clock(c.now) + int(c.options.StartLate.Milliseconds())
-	c.prolong(r.at, until)
+	until := r.endpoint.clock(c.now) + int(c.options.StartLate.Milliseconds())
+	c.prolong(r.endpoint, until)
 	c.stats.Starts++
-	c.effects.Starts = append(c.effects.Starts, Start{At: r.at.info, Order: damsonwinch.StartOrder{
+	c.effects.Starts = append(c.effects.Starts, Start{At: r.endpoint.info, Order: damsonwinch.StartOrder{
 		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
-		Ticket: c.ticket(r.task.phase, r.at),
+		Ticket: c.ticket(r.task.phase, r.endpoint),
 	}})
 }
 
@@ -159,9 +159,9 @@
 	}
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.answered(r.at)
+		c.answered(r.endpoint)
 	case err == nil, refusedStart(err):
-		c.heard(r.at)
+		c.heard(r.endpoint)
 	}
 	switch {
 	case errors.Is(err, damsonwinch.ErrNotSent):
@@ -178,7 +178,7 @@
 	default:
 		r.state = runUncertain
 		c.note("start unanswered", r, err.Error())
-		c.wantLook(r.at)
+		c.wantLook(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
 			r.knownAt = c.step
@@ -210,18 +210,18 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.again(r)
-		c.lose(r.at, "another life answers at its address")
+		c.lose(r.endpoint, "another life answers at its address")
 		return
 	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
-		r.at.backoffUntil = c.now.Add(refusalPause)
+		r.endpoint.backoffUntil = c.now.Add(refusalPause)
 	}
 	if errors.Is(err, damsonwinch.ErrNoTicket) {
-		r.task.phase.dropPermit(r.at)
+		r.task.phase.dropPermit(r.endpoint)
 		c.again(r)
 		return
 	}
-	r.task.avoid = r.at.info.Life
+	r.task.avoid = r.endpoint.info.Life
 	c.putBack(r.task)
 	c.again(r)
 }
@@ -244,8 +244,8 @@
 func (c *Cell) notSent(r *run, err error) {
 	c.note("start not sent", r, err.Error())
 	c.countStarts(r.task, -1)
-	c.wantLook(r.at)
-	r.at.backoffUntil = c.now.Add(refusalPause)
+	c.wantLook(r.endpoint)
+	r.endpoint.backoffUntil = c.now.Add(refusalPause)
 	c.again(r)
 	c.abandonGang(r.task.phase, "a member of its gang could not be started")
 }
@@ -278,7 +278,7 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSent = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{At: r.at.info, Order: damsonwinch.StopOrder{Run: r.id(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{At: r.endpoint.info, Order: damsonwinch.StopOrder{Run: r.id(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
@@ -291,11 +291,11 @@
 	}
 	switch {
 	case err == nil:
-		c.heard(r.at)
+		c.heard(r.endpoint)
 		r.stopped, r.knownAt = true, c.step
-		c.wantLook(r.at)
+		c.wantLook(r.endpoint)
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.lose(r.at, "another life answers at its address")
+		c.lose(r.endpoint, "another life answers at its address")
 	}
 }
 
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -95,7 +95,7 @@
 	}
 	c.note("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
-	r.at.pacedAt = time.Time{}
+	r.endpoint.pacedAt = time.Time{}
 	r.speed = wholePercent
 }
 
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -30,7 +30,7 @@
 	if times.actual.count < learnedRuns {
 		return
 	}
-	h := &r.at.health
+	h := &r.endpoint.health
 	h.signs = slices.DeleteFunc(h.signs, func(s sign) bool { return c.now.Sub(s.at) > signTime })
 	off := math.Log(total / max(1, float64(times.estimate(r.task.phase.spec.EstimateMs))))
 	for i := range h.signs {
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -188,9 +188,9 @@
 // beginTrial notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
 func (c *Cell) beginTrial(r *run) {
-	r.at.trial, r.at.promised = r, nil
-	if !slices.Contains(c.trials, r.at) {
-		c.trials = append(c.trials, r.at)
+	r.endpoint.trial, r.endpoint.promised = r, nil
+	if !slices.Contains(c.trials, r.endpoint) {
+		c.trials = append(c.trials, r.endpoint)
 	}
 }
 
