--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -113,7 +113,7 @@
 	c.effects.Notes = append(c.effects.Notes, Note{
 		What: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Minor: true,
 		Why: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.endpoint.used.CPU, r.endpoint.info.Capacity.CPU),
+			c.now.Sub(r.startedAt).Milliseconds(), r.endpoint.used.CPU, r.endpoint.info.Capacity.CPU),
 	})
 }
 
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -34,7 +34,7 @@
 	switch {
 	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.adopted && !r.resumed {
-			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.since), t.phase.spec.EstimateMs)
+			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
 			c.learnedNew = true
 		}
 		c.complete(t)
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -212,7 +212,7 @@
 
 // age returns how long a run had been under way when its endpoint ended.
 func (r *run) age(endedAt time.Time) time.Duration {
-	return max(0, endedAt.Sub(r.since))
+	return max(0, endedAt.Sub(r.startedAt))
 }
 
 // noteLost tells what a lost endpoint takes with it.
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -63,7 +63,7 @@
 		return int(left) - int(c.now.Sub(r.pace.seenAt).Milliseconds())
 	}
 	usual := c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs)
-	return max(leastLeftMs, usual-int(c.now.Sub(r.since).Milliseconds()))
+	return max(leastLeftMs, usual-int(c.now.Sub(r.startedAt).Milliseconds()))
 }
 
 // leastLeftMs is what a run is taken to need when it should have ended already.
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -34,7 +34,7 @@
 	counted := map[string]bool{}
 	for _, r := range e.runsByStart {
 		queue := r.task.phase.job().queue
-		young := r.state != runPending && endedAt.Sub(r.since) < c.options.Blame.Young()
+		young := r.state != runPending && endedAt.Sub(r.startedAt) < c.options.Blame.Young()
 		if young && !counted[queue] {
 			counted[queue] = true
 			if c.proneEnds[queue] == nil {
@@ -72,7 +72,7 @@
 	}
 	j := t.phase.job()
 	for _, r := range e.runsByStart {
-		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.since) < c.options.Blame.Prompt {
+		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.startedAt) < c.options.Blame.Prompt {
 			return false
 		}
 	}
@@ -101,7 +101,7 @@
 		case r.task.phase.spec.Lasting:
 			sum += lastingStake
 		default:
-			sum += r.task.phase.need().CPU * int(c.now.Sub(r.since).Milliseconds())
+			sum += r.task.phase.need().CPU * int(c.now.Sub(r.startedAt).Milliseconds())
 		}
 	}
 	return sum
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -43,7 +43,7 @@
 	stopSent time.Time
 	stopped  bool
 	percent  int
-	since    time.Time
+	startedAt    time.Time
 	// resumed says that it goes on from a checkpoint, and adopted that an earlier
 	// owner started it: its time tells nothing of its task's.
 	resumed bool
@@ -69,7 +69,7 @@
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.attempt++
-	r := &run{task: t, attempt: t.attempt, endpoint: at, since: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
@@ -139,7 +139,7 @@
 	}
 	r.state = runRequested
 	c.noteStart(r)
-	r.since = c.now
+	r.startedAt = c.now
 	until := r.endpoint.clock(c.now) + int(c.options.StartLate.Milliseconds())
 	c.prolong(r.endpoint, until)
 	c.stats.Starts++
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -145,7 +145,7 @@
 
 // begunWithin says whether something has begun at an endpoint within a time before a moment.
 func (c *Cell) begunWithin(e *endpoint, at time.Time, length time.Duration) bool {
-	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.since) < length })
+	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.startedAt) < length })
 }
 
 // countExposed counts the endpoints that run something and would end by themselves if they did now.
@@ -206,7 +206,7 @@
 		if !t.phase.spec.Lasting || len(t.runs) == 0 {
 			continue
 		}
-		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.since) >= outlivedTime {
+		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.startedAt) >= outlivedTime {
 			t.crashes, t.suspected = crash.Record{}, false
 			c.touch(t.phase.job())
 		}
@@ -215,7 +215,7 @@
 
 // outlivesAt returns when a run on trial has outlived it.
 func (c *Cell) outlivesAt(r *run) time.Time {
-	return r.since.Add(c.options.Blame.Watch(r.task.crashes))
+	return r.startedAt.Add(c.options.Blame.Watch(r.task.crashes))
 }
 
 // outlive ends the trial at an endpoint that has answered a look which was sent after it
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -121,8 +121,8 @@
 		}
 	}
 	for _, r := range e.runsByStart {
-		if r.state == runRequested && r.since.Before(oldest) {
-			oldest = r.since
+		if r.state == runRequested && r.startedAt.Before(oldest) {
+			oldest = r.startedAt
 		}
 	}
 	age := now.Sub(oldest)
