--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -208,7 +208,7 @@
 // mayBeStopping says whether an earlier owner may have stopped a run that is still
 // listed: it could do so until this owner's token came to the endpoint.
 func (c *Cell) mayBeStopping(r *run) bool {
-	return r.adopted && c.now.Sub(r.endpoint.attachedAt) < c.options.StopTime+stopOnWay
+	return r.inherited && c.now.Sub(r.endpoint.attachedAt) < c.options.StopTime+stopOnWay
 }
 
 // stopOnWay is how long an earlier owner's stop may have been on its way when it
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -33,7 +33,7 @@
 	c.learn(r, end.How)
 	switch {
 	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
-		if !r.adopted && !r.resumed {
+		if !r.inherited && !r.resumed {
 			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
 			c.learnedNew = true
 		}
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -94,7 +94,7 @@
 		// nothing else had begun, the weight of the end says how surely.
 		end.Least, end.Sure = end.Age, r.state == runConfirmed || end.Trial
 	}
-	if r.adopted {
+	if r.inherited {
 		end.Age = max(end.Age, c.options.Blame.Settled)
 	}
 	return end
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -47,7 +47,7 @@
 	// resumed says that it goes on from a checkpoint, and adopted that an earlier
 	// owner started it: its time tells nothing of its task's.
 	resumed bool
-	adopted bool
+	inherited bool
 	// lost is how it went with its endpoint, where a later life under the same ID may have it; nil
 	// otherwise.
 	lost *lostRun
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -22,7 +22,7 @@
 // would say more of long tasks than of short ones, which have ended by then.
 func (c *Cell) signal(r *run) {
 	total := r.pace.totalMs()
-	if total == 0 || r.judged || r.adopted || r.resumed || r.task.phase.spec.Lasting {
+	if total == 0 || r.judged || r.inherited || r.resumed || r.task.phase.spec.Lasting {
 		return
 	}
 	r.judged = true
