--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -58,8 +58,8 @@
 	judged bool
 	// load is its newest figure of load: a serving task's tail in milliseconds.
 	load int
-	// speed is the share of its speed at which it was told to work, in percent.
-	speed int
+	// speedPercent is the share of its speedPercent at which it was told to work, in percent.
+	speedPercent int
 }
 
 func (r *run) id() damsonwinch.Run {
@@ -69,7 +69,7 @@
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.attempt++
-	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -77,8 +77,8 @@
 		if !r.task.phase.spec.Fills || r.state != runConfirmed || r.stopping {
 			continue
 		}
-		if next := change(r.speed); next != r.speed {
-			r.speed = next
+		if next := change(r.speedPercent); next != r.speedPercent {
+			r.speedPercent = next
 			e.pacedAt = c.now
 			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
 		}
@@ -96,7 +96,7 @@
 	c.note("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
 	r.endpoint.pacedAt = time.Time{}
-	r.speed = wholePercent
+	r.speedPercent = wholePercent
 }
 
 // besides says whether an endpoint runs tasks that a phase's should not stand
