--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -37,7 +37,7 @@
 			switch {
 			case entry.Silent:
 				// What runs out of reach takes no room of the boxes that are left.
-			case r.late:
+			case r.jobLate:
 				report.RunningLateCpu += need.CPU
 			default:
 				memory += need.MemoryMB
@@ -89,7 +89,7 @@
 	}
 	for _, e := range c.ranked {
 		for _, r := range e.runsByStart {
-			add(r.task.phase, 1, r.late)
+			add(r.task.phase, 1, r.jobLate)
 		}
 	}
 }
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -51,8 +51,8 @@
 	// lost is how it went with its endpoint, where a later life under the same ID may have it; nil
 	// otherwise.
 	lost *lostRun
-	// late says that its job could hardly be in time any more when it was started.
-	late bool
+	// jobLate says that its job could hardly be in time any more when it was started.
+	jobLate bool
 	pace pace
 	// judged says that its pace has been taken for a sign of its endpoint's health.
 	judged bool
@@ -69,7 +69,7 @@
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.attempt++
-	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, jobLate: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
