--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -71,7 +71,7 @@
 	t.attempt++
 	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, jobLate: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
-	c.attach(r)
+	c.addRun(r)
 	if trial {
 		c.beginTrial(r)
 	}
@@ -84,8 +84,8 @@
 	c.commits.starts = append(c.commits.starts, r)
 }
 
-// attach ties a run to its task and endpoint.
-func (c *Cell) attach(r *run) {
+// addRun ties a run to its task and endpoint.
+func (c *Cell) addRun(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
 	c.quota.Begin(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
