--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -29,7 +29,7 @@
 	if end.Checkpoint != "" {
 		t.saved = end.Checkpoint
 	}
-	c.resolve(r)
+	c.removeRun(r)
 	c.learn(r, end.How)
 	switch {
 	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -58,7 +58,7 @@
 // loseRun takes away a run that has gone with its endpoint.
 func (c *Cell) loseRun(r *run, lost lostRun) {
 	c.stats.RunsLost++
-	c.resolve(r)
+	c.removeRun(r)
 	c.endedUnder(r, lost)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, r := range runs {
-		c.resolve(r)
+		c.removeRun(r)
 	}
 	c.commits.starts = slices.DeleteFunc(c.commits.starts, func(r *run) bool { return slices.Contains(runs, r) })
 	c.commits.replies = slices.DeleteFunc(c.commits.replies, func(waiting waitingReply) bool {
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -111,8 +111,8 @@
 	c.schedulePoll(r.endpoint)
 }
 
-// resolve takes away a run that is known not to exist any more.
-func (c *Cell) resolve(r *run) {
+// removeRun takes away a run that is known not to exist any more.
+func (c *Cell) removeRun(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
 	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
@@ -123,7 +123,7 @@
 
 // again resolves a run that came to nothing and makes its task ready.
 func (c *Cell) again(r *run) {
-	c.resolve(r)
+	c.removeRun(r)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
 	}
