--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -178,7 +178,7 @@
 	c.changed()
 	c.openRounds()
 	c.expireLeases()
-	c.retryOrders()
+	c.resendStops()
 	c.seeOverdue()
 	c.requestBoxList()
 	c.checkProbes()
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -302,8 +302,8 @@
 // retryStop is the time after which an unanswered stop is sent again.
 const retryStop = 400 * time.Millisecond
 
-// retryOrders sends stops again that nobody has answered.
-func (c *Cell) retryOrders() {
+// resendStops sends stops again that nobody has answered.
+func (c *Cell) resendStops() {
 	for _, e := range c.ranked {
 		for _, r := range e.runsByStart {
 			if r.stopping && !r.stopped && r.state != runPending && r.state != runRequested && r.state != runUnverified &&
