--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -124,7 +124,7 @@
 		return "have no permit"
 	case !c.probesAllow(t, e):
 		return "have begun something just now that may crash them, or are kept for it"
-	case !c.allowed(t, e):
+	case !c.canStart(t, e):
 		return "have enough tasks of this phase"
 	}
 	return "could take it"
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -98,8 +98,8 @@
 	return true
 }
 
-// allowed says whether a task may be started at an endpoint now.
-func (c *Cell) allowed(t *task, e *endpoint) bool {
+// canStart says whether a task may be started at an endpoint now.
+func (c *Cell) canStart(t *task, e *endpoint) bool {
 	return !c.mustWait(t) && c.couldTake(t, e) && c.probesAllow(t, e) && c.permitted(t.phase, e)
 }
 
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -84,7 +84,7 @@
 func (c *Cell) chooseLeast(t *task, label string) *endpoint {
 	var choice choice
 	for _, e := range c.ranked {
-		if e.hasLabel(label) && c.allowed(t, e) {
+		if e.hasLabel(label) && c.canStart(t, e) {
 			choice.offer(e, c.leaning(t, e)-c.stake(e, t.phase.job())/milliCore)
 		}
 	}
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -101,7 +101,7 @@
 	for bucket := bucketOf(t.phase.need().CPU); bucket <= most; bucket++ {
 		for _, z := range zones {
 			for _, e := range z.rooms.byCores[bucket] {
-				if e.hasLabel(label) && c.allowed(t, e) {
+				if e.hasLabel(label) && c.canStart(t, e) {
 					choice.offer(e, c.score(t, e))
 				}
 			}
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -98,7 +98,7 @@
 func (c *Cell) trialPlace(t *task) *endpoint {
 	var choice choice
 	for _, e := range c.ranked {
-		if c.quiet(e) && c.allowed(t, e) {
+		if c.quiet(e) && c.canStart(t, e) {
 			choice.offer(e, -e.atStake())
 		}
 	}
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -75,7 +75,7 @@
 // roomElsewhere says whether a run could go on at another endpoint now.
 func (c *Cell) roomElsewhere(r *run) bool {
 	for _, e := range c.ranked {
-		if e != r.endpoint && !e.withdrawal.wanted && c.allowed(r.task, e) {
+		if e != r.endpoint && !e.withdrawal.wanted && c.canStart(r.task, e) {
 			return true
 		}
 	}
