--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -71,7 +71,7 @@
 	var wanted []*endpoint
 	for _, e := range c.ranked {
 		good, asked := a.verdicts[e.info.Life.ID]
-		if (!asked || good) && c.couldTake(t, e) && !c.permitted(p, e) {
+		if (!asked || good) && c.canHost(t, e) && !c.permitted(p, e) {
 			wanted = append(wanted, e)
 		}
 	}
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -100,12 +100,12 @@
 
 // canStart says whether a task may be started at an endpoint now.
 func (c *Cell) canStart(t *task, e *endpoint) bool {
-	return !c.mustWait(t) && c.couldTake(t, e) && c.probesAllow(t, e) && c.permitted(t.phase, e)
+	return !c.mustWait(t) && c.canHost(t, e) && c.probesAllow(t, e) && c.permitted(t.phase, e)
 }
 
-// couldTake says whether an endpoint has room for a task and may run it, as far as
+// canHost says whether an endpoint has room for a task and may run it, as far as
 // no permit is needed.
-func (c *Cell) couldTake(t *task, e *endpoint) bool {
+func (c *Cell) canHost(t *task, e *endpoint) bool {
 	p := t.phase
 	// Most endpoints of a busy cell are full; that is found out first.
 	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.roomKnown(e) || e.overdue || e.zone.inDoubt() || !c.healthAllows(e) || t.runsAt(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
