--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -155,7 +155,7 @@
 		if at < 0 || at >= len(record.Endpoints) {
 			return fmt.Errorf("endpoint %d of %d", at, len(record.Endpoints))
 		}
-		c.addRun(&run{task: t, attempt: attempt, endpoint: c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[at])), state: runUnverified, startedAt: c.now, inherited: true, speedPercent: leastPace})
+		c.addRun(&run{task: t, attempt: attempt, endpoint: c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[at])), state: runUnverified, startedAt: c.now, inherited: true, speedPercent: minSpeedPercent})
 	}
 	if row[columnDone] != 0 && !t.done {
 		t.done = true
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -17,8 +17,8 @@
 	// look that shows too much, and paceUp what it gets back after calmTime.
 	paceDown = 40
 	paceUp   = 15
-	// leastPace is the speed, in percent, under which a filling task stands still.
-	leastPace = 10
+	// minSpeedPercent is the speed, in percent, under which a filling task stands still.
+	minSpeedPercent = 10
 	// paceGap is the time that a changed speed takes to show: the tail is a figure
 	// of the last half second.
 	paceGap  = 600 * time.Millisecond
@@ -38,7 +38,7 @@
 	case worst >= nearTarget:
 		e.calmSince = time.Time{}
 		c.setPaces(e, func(percent int) int {
-			if percent*paceDown/wholePercent < leastPace {
+			if percent*paceDown/wholePercent < minSpeedPercent {
 				return 0
 			}
 			return percent * paceDown / wholePercent
