--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -20,8 +20,8 @@
 		}
 		boxMemory = max(boxMemory, e.info.Capacity.MemoryMB)
 		entry := wire.EndpointReport{
-			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdrawal.recorded,
-			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
+			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCutOff(now), Withdrawn: e.withdrawn && e.withdrawal.recorded,
+			Silent: e.silent || e.zone.isCutOff(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
 		}
 		if len(e.runs) == 0 {
 			entry.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -39,8 +39,8 @@
 	return !z.doubtSince.IsZero()
 }
 
-// isCut says that the zone has been in doubt for so long that it counts as cut off.
-func (z *zone) isCut(now time.Time) bool {
+// isCutOff says that the zone has been in doubt for so long that it counts as cut off.
+func (z *zone) isCutOff(now time.Time) bool {
 	return z.inDoubt() && now.Sub(z.doubtSince) >= cutTime
 }
 
