--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -49,7 +49,7 @@
 func (c *Cell) room() triage.Room {
 	free, turning := 0, 0
 	for _, e := range c.ranked {
-		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.healthAllows(e) {
+		if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) {
 			continue
 		}
 		free += max(0, e.free().CPU)
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -131,7 +131,7 @@
 
 // sendStart orders a recorded run.
 func (c *Cell) sendStart(r *run) {
-	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.inDoubt() || !c.stillFits(r) {
+	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.mayBeCutOff() || !c.stillFits(r) {
 		c.countStarts(r.task, -1)
 		c.again(r)
 		c.abandonGang(r.task.phase, "a member of its gang can't be started")
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -179,7 +179,7 @@
 // couldHold says whether a task could run at an endpoint once the short tasks there have ended.
 func (c *Cell) couldHold(t *task, e *endpoint) bool {
 	p := t.phase
-	if !e.usable() || e.overdue || e.zone.inDoubt() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
+	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
 		return false
 	}
 	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -34,14 +34,14 @@
 	doubted bool
 }
 
-// inDoubt says that the zone may be cut off.
-func (z *zone) inDoubt() bool {
+// mayBeCutOff says that the zone may be cut off.
+func (z *zone) mayBeCutOff() bool {
 	return !z.doubtSince.IsZero()
 }
 
 // isCutOff says that the zone has been in doubt for so long that it counts as cut off.
 func (z *zone) isCutOff(now time.Time) bool {
-	return z.inDoubt() && now.Sub(z.doubtSince) >= cutTime
+	return z.mayBeCutOff() && now.Sub(z.doubtSince) >= cutTime
 }
 
 // zoneOf returns the zone of a name, made known if need be.
@@ -70,7 +70,7 @@
 func (c *Cell) answered(e *endpoint) {
 	e.zone.answeredAt = c.now
 	e.overdue = false
-	if e.zone.inDoubt() {
+	if e.zone.mayBeCutOff() {
 		e.zone.doubtSince = time.Time{}
 		c.unplaced = true
 	}
@@ -94,7 +94,7 @@
 	for _, e := range c.ranked {
 		since, overdue := e.overdueSince(c.now, c.options.LookWait)
 		e.overdue = overdue
-		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.inDoubt() {
+		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.mayBeCutOff() {
 			e.zone.doubted = true
 		}
 	}
@@ -102,7 +102,7 @@
 		switch {
 		case !z.doubted:
 			z.doubtSince = time.Time{}
-		case !z.inDoubt():
+		case !z.mayBeCutOff():
 			z.doubtSince = c.now
 		}
 	}
@@ -137,7 +137,7 @@
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
 		return nil
 	}
-	if j.home == nil || j.home.inDoubt() {
+	if j.home == nil || j.home.mayBeCutOff() {
 		j.home = c.roomiest()
 	}
 	return j.home
@@ -148,7 +148,7 @@
 	var best *zone
 	most := 0
 	for _, z := range c.zones {
-		if free := z.rooms.freeCPU(); !z.inDoubt() && free > most {
+		if free := z.rooms.freeCPU(); !z.mayBeCutOff() && free > most {
 			best, most = z, free
 		}
 	}
