--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -179,7 +179,7 @@
 	c.openRounds()
 	c.expireLeases()
 	c.resendStops()
-	c.seeOverdue()
+	c.updateOverdue()
 	c.requestBoxList()
 	c.checkProbes()
 	c.chance.observe(now, c.countExposed())
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// seeOverdue finds the endpoints that leave calls unanswered, and the zones from
+// updateOverdue finds the endpoints that leave calls unanswered, and the zones from
 // which nothing comes any more. A look would tell only after its whole time.
-func (c *Cell) seeOverdue() {
+func (c *Cell) updateOverdue() {
 	for _, z := range c.zones {
 		z.doubted = false
 	}
