--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -110,7 +110,7 @@
 		return "are being emptied"
 	case e.info.Draining:
 		return "drain"
-	case !c.roomKnown(e):
+	case !c.capacityKnown(e):
 		return "have not said for too long how much room they have"
 	case e.strayRuns > 0:
 		return "run what should not run"
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -16,12 +16,12 @@
 	}
 }
 
-// roomKnown says whether what is known of an endpoint's room is new enough for starts there.
-func (c *Cell) roomKnown(e *endpoint) bool {
+// capacityKnown says whether what is known of an endpoint's room is new enough for starts there.
+func (c *Cell) capacityKnown(e *endpoint) bool {
 	return !c.unguarded || c.now.Sub(e.info.SeenAt) <= entryTime
 }
 
 // stillFits says whether a run that was given room some time ago may be ordered now.
 func (c *Cell) stillFits(r *run) bool {
-	return c.roomKnown(r.endpoint) && r.endpoint.strayRuns == 0 && r.endpoint.info.Capacity.Holds(r.endpoint.used)
+	return c.capacityKnown(r.endpoint) && r.endpoint.strayRuns == 0 && r.endpoint.info.Capacity.Holds(r.endpoint.used)
 }
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -108,7 +108,7 @@
 func (c *Cell) canHost(t *task, e *endpoint) bool {
 	p := t.phase
 	// Most endpoints of a busy cell are full; that is found out first.
-	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.roomKnown(e) || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || t.runsAt(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
+	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.capacityKnown(e) || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || t.runsAt(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
 		return false
 	}
 	return p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox
