--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -77,7 +77,7 @@
 				return
 			}
 			o.cell.Configure(o.now(), simQueues)
-			o.cell.SetGuarded(o.now(), w.room == nil || w.sabotage.oldRoom)
+			o.cell.SetChecksCapacity(o.now(), w.room == nil || w.sabotage.oldRoom)
 			o.cell.SetEndpoints(o.now(), w.listed())
 			o.ready = true
 			if w.caps != nil {
