--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -160,7 +160,7 @@
 		if r.stopping || r.state != runConfirmed || r.task.phase.spec.Lasting || r.task.phase.spec.Copies || !c.fitsElsewhere(r) {
 			continue
 		}
-		here := r.leftMs()
+		here := r.remainingMs()
 		if times > 0 && here > 0 && here < c.elsewhereMs(r, here/times) {
 			continue
 		}
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -48,9 +48,9 @@
 	return 0
 }
 
-// leftMs returns how long the run still takes at its pace, or 0 while that isn't
+// remainingMs returns how long the run still takes at its pace, or 0 while that isn't
 // known.
-func (r *run) leftMs() float64 {
+func (r *run) remainingMs() float64 {
 	if speed := r.pace.perMs(); speed > 0 {
 		return float64(wholePercent-r.percent) / speed
 	}
@@ -59,7 +59,7 @@
 
 // leftMs estimates how long a run still takes, in milliseconds.
 func (c *Cell) leftMs(r *run) int {
-	if left := r.leftMs(); left > 0 {
+	if left := r.remainingMs(); left > 0 {
 		return int(left) - int(c.now.Sub(r.pace.seenAt).Milliseconds())
 	}
 	usual := c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs)
