--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -43,7 +43,7 @@
 				memory += need.MemoryMB
 				report.RunningCpu += need.CPU
 			}
-			entry.EmptyMs = max(entry.EmptyMs, c.leftMs(r))
+			entry.EmptyMs = max(entry.EmptyMs, c.remainingMs(r))
 		}
 		report.Endpoints = append(report.Endpoints, entry)
 	}
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -57,8 +57,8 @@
 	return 0
 }
 
-// leftMs estimates how long a run still takes, in milliseconds.
-func (c *Cell) leftMs(r *run) int {
+// remainingMs estimates how long a run still takes, in milliseconds.
+func (c *Cell) remainingMs(r *run) int {
 	if left := r.remainingMs(); left > 0 {
 		return int(left) - int(c.now.Sub(r.pace.seenAt).Milliseconds())
 	}
