--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -346,7 +346,7 @@
 		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Order.Task, stop.Order.Attempt, stop.At.Life))
 	}
 	for _, pace := range effects.Paces {
-		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.Endpoint.Life, pace.Order.Percent))
+		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Request.Task, pace.Request.Attempt, pace.Endpoint.Life, pace.Request.Percent))
 	}
 	for _, ask := range effects.Asks {
 		s.ask = ask
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -28,7 +28,7 @@
 // Pace is an order to an endpoint.
 type Pace struct {
 	Endpoint    damsonwinch.Endpoint
-	Order damsonwinch.PaceOrder
+	Request damsonwinch.PaceOrder
 }
 
 // share holds back what fills an endpoint as long as what serves there needs it.
@@ -80,7 +80,7 @@
 		if next := change(r.speedPercent); next != r.speedPercent {
 			r.speedPercent = next
 			e.pacedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, Pace{Endpoint: e.info, Order: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
+			c.effects.Paces = append(c.effects.Paces, Pace{Endpoint: e.info, Request: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
 		}
 	}
 }
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -124,8 +124,8 @@
 
 func (o *Owner) pace(pace cell.Pace) {
 	o.calling.Do(func() {
-		err := o.deps.Endpoints.Pace(o.within(orderTimeout), pace.Endpoint, pace.Order)
-		o.send(paced{endpoint: pace.Endpoint.Life, run: pace.Order.Run, err: err})
+		err := o.deps.Endpoints.Pace(o.within(orderTimeout), pace.Endpoint, pace.Request)
+		o.send(paced{endpoint: pace.Endpoint.Life, run: pace.Request.Run, err: err})
 	})
 }
 
