--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -29,18 +29,18 @@
 	exited bool
 	// withdrawn says that it gets no more work, since its box is to be moved or
 	// maintained.
-	withdrawn bool
-	withdrawal  withdrawal
+	withdrawn  bool
+	withdrawal withdrawal
 	// maintenanceDue says that its box is still to be maintained.
-	maintenanceDue  bool
-	runs map[damsonwinch.Run]*run
+	maintenanceDue bool
+	runs           map[damsonwinch.Run]*run
 	// runsByStart holds the same runs in the order in which they were started.
 	runsByStart []*run
-	used    damsonwinch.Resources
+	used        damsonwinch.Resources
 	// strayRuns is the number of runs there, by the last look, that belong to nothing that should
 	// run: the room that they take until they have ended isn't known.
-	strayRuns   int
-	lastBusy time.Time
+	strayRuns int
+	lastBusy  time.Time
 	// clockSample is its clock, in milliseconds, in an answer that came at clockAt.
 	clockSample int
 	clockAt     time.Time
@@ -70,9 +70,9 @@
 	trial    *run
 	promised *task
 	// overdue says that it has left a call unanswered for longer than usual.
-	overdue    bool
+	overdue      bool
 	backoffUntil time.Time
-	health     health
+	health       health
 	// pacedAt is when the speed of a task there was last changed, and calmSince
 	// since when what serves there is far from its target.
 	pacedAt   time.Time
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -8,11 +8,11 @@
 
 // names of the states of a run, for explanations.
 var runStateNames = map[runState]string{
-	runPending:  "about to be ordered",
-	runRequested:   "ordered, not answered yet",
-	runConfirmed: "running",
-	runUncertain: "ordered, the answer was lost",
-	runUnverified:   "recorded by an earlier owner, not looked at yet",
+	runPending:    "about to be ordered",
+	runRequested:  "ordered, not answered yet",
+	runConfirmed:  "running",
+	runUncertain:  "ordered, the answer was lost",
+	runUnverified: "recorded by an earlier owner, not looked at yet",
 }
 
 // Explain says in sentences how a job stands and what it waits for.
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -27,10 +27,10 @@
 
 // run is one attempt at a task that may exist.
 type run struct {
-	task    *task
-	attempt int
-	endpoint      *endpoint
-	state   runState
+	task     *task
+	attempt  int
+	endpoint *endpoint
+	state    runState
 	// knownAt is the step after which the endpoint must list the run: a look sent
 	// later that doesn't list it shows that it isn't there.
 	knownAt int
@@ -40,20 +40,20 @@
 	stopping bool
 	// stopSent is when the stop was last ordered, and stopped that the endpoint
 	// has taken it: the attempt can't begin any more.
-	stopSent time.Time
-	stopped  bool
-	percent  int
-	startedAt    time.Time
+	stopSent  time.Time
+	stopped   bool
+	percent   int
+	startedAt time.Time
 	// resumed says that it goes on from a checkpoint, and adopted that an earlier
 	// owner started it: its time tells nothing of its task's.
-	resumed bool
+	resumed   bool
 	inherited bool
 	// lost is how it went with its endpoint, where a later life under the same ID may have it; nil
 	// otherwise.
 	lost *lostRun
 	// jobLate says that its job could hardly be in time any more when it was started.
 	jobLate bool
-	pace pace
+	pace    pace
 	// judged says that its pace has been taken for a sign of its endpoint's health.
 	judged bool
 	// load is its newest figure of load: a serving task's tail in milliseconds.
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -27,8 +27,8 @@
 
 // Pace is an order to an endpoint.
 type Pace struct {
-	Endpoint    damsonwinch.Endpoint
-	Request damsonwinch.PaceOrder
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.PaceOrder
 }
 
 // share holds back what fills an endpoint as long as what serves there needs it.
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -11,8 +11,8 @@
 	// trialShare is the most of a cell's endpoints, in percent, on which tasks are on trial or
 	// about to be, or which have ended in trials within backTime: some seconds later they are
 	// back. More suspects wait.
-	trialShare = 25
-	restartTime   = 3 * time.Second
+	trialShare  = 25
+	restartTime = 3 * time.Second
 	// outlivedTime is how long a lasting task that was a suspect must have been at work to be
 	// one no more.
 	outlivedTime = 20 * time.Second
