--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -74,7 +74,7 @@
 	if c.mustWait(t) {
 		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapses)
 	}
-	if t.suspected && !t.phase.spec.Gang && !c.probeWaitExpired(t) {
+	if t.suspected && !t.phase.spec.Gang && !c.probationWaitExpired(t) {
 		return fmt.Sprintf("for %d ms it is only started where nothing else begins; %d endpoints are in use for that, and %d have ended so of late",
 			t.triedFrom.Add(c.maxProbeWait(t)).Sub(c.now).Milliseconds(), len(c.trials), c.trialEnds.countWithin(c.now, restartTime))
 	}
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -79,7 +79,7 @@
 	waiting := p.ready
 	p.ready = nil
 	for at, t := range waiting {
-		if c.mustWait(t) || t.suspected && !t.phase.spec.Gang && !c.probeWaitExpired(t) {
+		if c.mustWait(t) || t.suspected && !t.phase.spec.Gang && !c.probationWaitExpired(t) {
 			p.ready = append(p.ready, t)
 			continue
 		}
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -48,14 +48,14 @@
 		if e := c.trialPlace(t); e != nil {
 			t.phase.unready(t)
 			c.intend(t, e)
-		} else if !c.probeWaitExpired(t) {
+		} else if !c.probationWaitExpired(t) {
 			c.promise(t)
 		}
 	}
 }
 
-// probeWaitExpired says whether a suspect has waited for a trial for too long.
-func (c *Cell) probeWaitExpired(t *task) bool {
+// probationWaitExpired says whether a suspect has waited for a trial for too long.
+func (c *Cell) probationWaitExpired(t *task) bool {
 	return c.now.Sub(t.triedFrom) >= c.maxProbeWait(t)
 }
 
@@ -77,7 +77,7 @@
 		return !t.suspected
 	})
 	c.trials = slices.DeleteFunc(c.trials, func(e *endpoint) bool {
-		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probeWaitExpired(t)) {
+		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probationWaitExpired(t)) {
 			e.promised = nil
 		}
 		return e.trial == nil && e.promised == nil
@@ -123,7 +123,7 @@
 	if e.trial != nil || e.promised != nil && e.promised != t || !c.apart(t, e) {
 		return false
 	}
-	return !t.suspected || t.phase.spec.Gang || c.probeWaitExpired(t) || c.mayTry(e) && c.quiet(e)
+	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayTry(e) && c.quiet(e)
 }
 
 // mayTry says whether one more endpoint may be used for a trial.
