--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -76,7 +76,7 @@
 	}
 	if t.suspected && !t.phase.spec.Gang && !c.probationWaitExpired(t) {
 		return fmt.Sprintf("for %d ms it is only started where nothing else begins; %d endpoints are in use for that, and %d have ended so of late",
-			t.triedFrom.Add(c.maxProbeWait(t)).Sub(c.now).Milliseconds(), len(c.trials), c.trialEnds.countWithin(c.now, restartTime))
+			t.triedFrom.Add(c.maxProbationWait(t)).Sub(c.now).Milliseconds(), len(c.trials), c.trialEnds.countWithin(c.now, restartTime))
 	}
 	if !c.quota.Allows(t.phase.job().customer, t.phase.share()) || c.overQuota[t.phase.job().customer] {
 		return c.whyOverQuota(t)
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -56,12 +56,12 @@
 
 // probationWaitExpired says whether a suspect has waited for a trial for too long.
 func (c *Cell) probationWaitExpired(t *task) bool {
-	return c.now.Sub(t.triedFrom) >= c.maxProbeWait(t)
+	return c.now.Sub(t.triedFrom) >= c.maxProbationWait(t)
 }
 
-// maxProbeWait returns how long a suspect waits for a trial. Then it starts as any other does: a
+// maxProbationWait returns how long a suspect waits for a trial. Then it starts as any other does: a
 // crowd of suspects, most of them sound, must not stand still.
-func (c *Cell) maxProbeWait(t *task) time.Duration {
+func (c *Cell) maxProbationWait(t *task) time.Duration {
 	if c.prone[t.phase.job().queue] {
 		return proneWait
 	}
