--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -122,7 +122,7 @@
 		return "are full"
 	case !c.permitted(p, e):
 		return "have no permit"
-	case !c.probesAllow(t, e):
+	case !c.probationAllows(t, e):
 		return "have begun something just now that may crash them, or are kept for it"
 	case !c.canStart(t, e):
 		return "have enough tasks of this phase"
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -100,7 +100,7 @@
 
 // canStart says whether a task may be started at an endpoint now.
 func (c *Cell) canStart(t *task, e *endpoint) bool {
-	return !c.mustWait(t) && c.canHost(t, e) && c.probesAllow(t, e) && c.permitted(t.phase, e)
+	return !c.mustWait(t) && c.canHost(t, e) && c.probationAllows(t, e) && c.permitted(t.phase, e)
 }
 
 // canHost says whether an endpoint has room for a task and may run it, as far as
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -118,8 +118,8 @@
 	return sum
 }
 
-// probesAllow says whether a task may start at an endpoint as far as trials go.
-func (c *Cell) probesAllow(t *task, e *endpoint) bool {
+// probationAllows says whether a task may start at an endpoint as far as trials go.
+func (c *Cell) probationAllows(t *task, e *endpoint) bool {
 	if e.trial != nil || e.promised != nil && e.promised != t || !c.apart(t, e) {
 		return false
 	}
