--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -181,7 +181,7 @@
 	c.resendStops()
 	c.updateOverdue()
 	c.requestBoxList()
-	c.checkProbes()
+	c.checkProbations()
 	c.chance.observe(now, c.countExposed())
 	c.refuseUnkept()
 	c.putOff()
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// checkProbes looks at endpoints where a trial should be over, and clears lasting tasks that
+// checkProbations looks at endpoints where a trial should be over, and clears lasting tasks that
 // have been at work for long.
-func (c *Cell) checkProbes() {
+func (c *Cell) checkProbations() {
 	for _, e := range c.trials {
 		if e.trial != nil && e.trial.state == runConfirmed && !c.now.Before(c.outlivesAt(e.trial)) {
 			c.wantLook(e)
