--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -70,12 +70,12 @@
 }
 
 func (c *Cell) reply(ticket int, reply wire.JobReply) {
-	c.effects.Replies = append(c.effects.Replies, Reply{Ticket: ticket, Reply: reply})
+	c.effects.Replies = append(c.effects.Replies, Reply{CallID: ticket, Reply: reply})
 }
 
 // replyRecorded answers a call once the stream holds the job as it is now.
 func (c *Cell) replyRecorded(j *job, ticket int, reply wire.JobReply) {
-	waiting := waitingReply{Reply: Reply{Ticket: ticket, Reply: reply}, job: j}
+	waiting := waitingReply{Reply: Reply{CallID: ticket, Reply: reply}, job: j}
 	switch {
 	case c.commits.dirty[j.id]:
 		c.commits.replies = append(c.commits.replies, waiting)
@@ -95,7 +95,7 @@
 // flush begins the next append, unless one is on its way or the last was just now.
 func (c *Cell) flush() {
 	w := &c.commits
-	if w.sent != nil || !c.pendingCommit() || c.now.Sub(w.startAt) < c.options.CommitGap {
+	if w.sent != nil || !c.pendingCommit() || c.now.Sub(w.startAt) < c.options.MinCommitInterval {
 		return
 	}
 	w.number++
@@ -150,7 +150,7 @@
 	if sent == nil || sent.number != number {
 		return
 	}
-	c.Confirm(sent.at)
+	c.ConfirmOwnership(sent.at)
 	if now.Sub(sent.at) > startStale {
 		// This owner stood still, or the store did: another one may have come since.
 		for _, r := range sent.starts {
@@ -178,7 +178,7 @@
 	for _, e := range sent.withdrawn {
 		e.withdrawal.recorded = true
 	}
-	c.quota.Recorded(sent.allotter, sent.allowances)
+	c.quota.MarkRecorded(sent.allotter, sent.allowances)
 	for _, r := range sent.starts {
 		c.sendStart(r)
 	}
@@ -187,14 +187,14 @@
 	}
 }
 
-// Wake returns when Tick should be called next, however much else happens until then.
-func (c *Cell) Wake() time.Time {
+// NextTick returns when Tick should be called next, however much else happens until then.
+func (c *Cell) NextTick() time.Time {
 	wake := c.tickedAt.Add(idleTick)
 	if len(c.order) > 0 {
 		wake = c.tickedAt.Add(busyTick)
 	}
 	if c.commits.sent == nil && c.pendingCommit() {
-		if due := c.commits.startAt.Add(c.options.CommitGap); due.Before(wake) {
+		if due := c.commits.startAt.Add(c.options.MinCommitInterval); due.Before(wake) {
 			return due
 		}
 	}
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -14,18 +14,18 @@
 	Starts []Start
 	Stops  []Stop
 	Paces  []Pace
-	// Asks are calls for permits; Advised follows each.
-	Asks  []Ask
-	Looks []Look
+	// PermitRequests are calls for permits; Advised follows each.
+	PermitRequests []PermitRequest
+	Polls          []Poll
 	// Replies answer clients' calls by the tickets they came with.
 	Replies []Reply
-	// Deposed says that a newer owner has been at an endpoint, or may have come unnoticed: no
+	// OwnershipLost says that a newer owner has been at an endpoint, or may have come unnoticed: no
 	// order is to be given any more.
-	Deposed bool
-	// AskBoxes asks for the platform's list of boxes: an endpoint is silent.
-	AskBoxes bool
-	// Notes are decisions and changes of belief for the log.
-	Notes []Note
+	OwnershipLost bool
+	// ListBoxes asks for the platform's list of boxes: an endpoint is silent.
+	ListBoxes bool
+	// LogLines are decisions and changes of belief for the log.
+	LogLines []LogLine
 }
 
 // Commit is what is to be appended to the cell's stream next.
@@ -36,65 +36,65 @@
 
 // Start is an order to an endpoint.
 type Start struct {
-	At    damsonwinch.Endpoint
-	Order damsonwinch.StartOrder
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.StartOrder
 }
 
 // Stop is an order to an endpoint.
 type Stop struct {
-	At    damsonwinch.Endpoint
-	Order damsonwinch.StopOrder
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.StopOrder
 }
 
-// Look is a question to an endpoint.
-type Look struct {
-	At     damsonwinch.Endpoint
-	Order  damsonwinch.LookOrder
-	Number int
+// Poll is a question to an endpoint.
+type Poll struct {
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.LookOrder
+	Number   int
 }
 
 // Reply answers a client's call.
 type Reply struct {
-	Ticket int
+	CallID int
 	Reply  wire.JobReply
 }
 
-// Note is a decision or a change of belief, for the log.
-type Note struct {
-	What     string
+// LogLine is a decision or a change of belief, for the log.
+type LogLine struct {
+	Message  string
 	Queue    string
 	Customer string
 	Job      string
 	Task     string
 	Endpoint string
-	Why      string
-	// Minor marks what happens for each task, of which the log has room for less.
-	Minor bool
+	Reason   string
+	// Debug marks what happens for each task, of which the log has room for less.
+	Debug bool
 }
 
 // Stats counts what a cell has done.
 type Stats struct {
-	Accepted  int
-	Completed int
-	Failed    int
-	Cancelled int
-	// Refused counts jobs that the store could not be given in time.
-	Refused   int
-	Starts    int
-	Reruns    int
-	Refusals  int
-	Commits   int
-	Looks     int
-	Lapsed    int
-	Ejections int
+	JobsAccepted  int
+	JobsCompleted int
+	JobsFailed    int
+	JobsCancelled int
+	// JobsRefused counts jobs that the store could not be given in time.
+	JobsRefused   int
+	Starts        int
+	Reruns        int
+	StartsRefused int
+	Commits       int
+	Polls         int
+	RunsLapsed    int
+	Ejections     int
 	// EndpointsLost counts lives that ended while tasks may have run there, and RunsLost
 	// those tasks.
 	EndpointsLost int
 	RunsLost      int
-	// Held counts how often a customer has come to wait for its allowance.
-	Held int
-	// GivenUp counts jobs that were given up since a task crashes its endpoints.
-	GivenUp int
+	// QuotaWaits counts how often a customer has come to wait for its allowance.
+	QuotaWaits int
+	// JobsGivenUp counts jobs that were given up since a task crashes its endpoints.
+	JobsGivenUp int
 }
 
 // Stats returns the counters.
@@ -103,32 +103,32 @@
 }
 
 func (c *Cell) note(what string, r *run, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{
-		What: what, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Why: why,
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{
+		Message: what, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Reason: why,
 	})
 }
 
 // noteStart notes that an attempt is ordered, and what decided where.
 func (c *Cell) noteStart(r *run) {
-	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Minor: true,
-		Why: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{
+		Message: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Debug: true,
+		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
 			c.now.Sub(r.startedAt).Milliseconds(), r.endpoint.used.CPU, r.endpoint.info.Capacity.CPU),
 	})
 }
 
 func (c *Cell) noteJob(what string, j *job, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Job: j.id, Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Job: j.id, Reason: why})
 }
 
 func (c *Cell) noteCustomer(what, customer, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Customer: customer, Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Customer: customer, Reason: why})
 }
 
 func (c *Cell) noteQueue(what, queue, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Queue: queue, Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Queue: queue, Reason: why})
 }
 
 func (c *Cell) noteEndpoint(what string, e *endpoint, why string) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: what, Endpoint: e.info.Life.String(), Why: why})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Endpoint: e.info.Life.String(), Reason: why})
 }
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -23,9 +23,9 @@
 	cell    *cell.Cell
 	ticket  int
 	listed  []damsonwinch.Endpoint
-	looks   map[string]cell.Look
+	looks   map[string]cell.Poll
 	commit  *cell.Commit
-	ask     cell.Ask
+	ask     cell.PermitRequest
 	stream  map[string]damsonwinch.Record
 	token   int
 	queue   damsonwinch.Queue
@@ -38,12 +38,12 @@
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/script", func(t *testing.T, path string) {
 		s := &script{
-			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Look{}, stream: map[string]damsonwinch.Record{},
+			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, stream: map[string]damsonwinch.Record{},
 			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second},
 			options: cell.Options{
-				MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
-				CommitGap: 10 * time.Millisecond, LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond,
-				KeepEnded: time.Minute,
+				MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
+				MinCommitInterval: 10 * time.Millisecond, PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond,
+				EndedJobRetention: time.Minute,
 			},
 		}
 		s.own()
@@ -55,7 +55,7 @@
 func (s *script) own() {
 	s.token++
 	s.cell = cell.New(s.options, s.token)
-	s.looks, s.commit = map[string]cell.Look{}, nil
+	s.looks, s.commit = map[string]cell.Poll{}, nil
 	var records []damsonwinch.Record
 	for _, record := range s.stream {
 		records = append(records, record)
@@ -63,7 +63,7 @@
 	if err := s.cell.Load(s.now, records); err != nil {
 		s.t.Fatal(err)
 	}
-	s.cell.Configure(s.now, []damsonwinch.Queue{s.queue})
+	s.cell.SetQueues(s.now, []damsonwinch.Queue{s.queue})
 	s.cell.SetEndpoints(s.now, s.listed)
 }
 
@@ -78,7 +78,7 @@
 		if d.HasArg("advice") {
 			s.queue.Advice = &damsonwinch.Advice{Valid: 2 * time.Second}
 		}
-		s.cell.Configure(s.now, []damsonwinch.Queue{s.queue})
+		s.cell.SetQueues(s.now, []damsonwinch.Queue{s.queue})
 	case "submit":
 		s.submit(d)
 	case "cancel":
@@ -95,13 +95,13 @@
 	case "stopped":
 		s.cell.Stopped(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "acknowledged":
-		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Order.Seen)
+		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Request.Seen)
 	case "advised":
 		s.advised(d)
 	case "paced":
 		s.cell.Paced(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "sync":
-		s.cell.Withdraw(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
+		s.cell.ApplySync(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
 	case "boxes":
 		s.boxes(d)
 	case "allow":
@@ -111,7 +111,7 @@
 		s.now = s.now.Add(time.Duration(number(s.t, d, "ms", 0)) * time.Millisecond)
 	case "wait":
 		s.now = s.now.Add(time.Duration(number(s.t, d, "ms", 0)) * time.Millisecond)
-		s.cell.Confirm(s.now)
+		s.cell.ConfirmOwnership(s.now)
 		s.cell.Tick(s.now)
 	case "explain":
 		return strings.Join(s.cell.Explain(arg(s.t, d, "id")), "\n") + "\n"
@@ -128,7 +128,7 @@
 		}
 		return strings.Join(lives, " ") + "\n"
 	case "wake":
-		return fmt.Sprintf("in %d ms\n", s.cell.Wake().Sub(s.now).Milliseconds())
+		return fmt.Sprintf("in %d ms\n", s.cell.NextTick().Sub(s.now).Milliseconds())
 	case "pending":
 		return fmt.Sprintf("%d\n", s.cell.Pending("queue"))
 	case "show":
@@ -238,7 +238,7 @@
 
 // commitNow puts the append on its way into the stream.
 func (s *script) commitNow() string {
-	s.now = s.now.Add(s.options.CommitGap)
+	s.now = s.now.Add(s.options.MinCommitInterval)
 	if s.commit == nil {
 		s.cell.Tick(s.now)
 		s.collect()
@@ -276,7 +276,7 @@
 		return "no look is on its way to " + at + "\n"
 	}
 	delete(s.looks, at)
-	found := damsonwinch.Look{Born: number(s.t, d, "born", sent.At.Life.Born), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	found := damsonwinch.Look{Born: number(s.t, d, "born", sent.Endpoint.Life.Born), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
 	for _, text := range list(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
@@ -288,7 +288,7 @@
 		count, _ := strconv.Atoi(parts[0])
 		found.Finished = append(found.Finished, damsonwinch.Finished{Number: count, Run: runOf(parts[1]), How: damsonwinch.Ending(parts[2])})
 	}
-	s.cell.Polled(s.now, sent.At.Life, sent.Number, found, errorOf(d, s.t))
+	s.cell.Polled(s.now, sent.Endpoint.Life, sent.Number, found, errorOf(d, s.t))
 	return s.effects()
 }
 
@@ -307,7 +307,7 @@
 	whole := damsonwinch.Resources{CPU: number(s.t, d, "cap", 8000)}
 	customer := arg(s.t, d, "customer")
 	s.cell.SetCustomers(s.now, s.allowed, []damsonwinch.Customer{{Name: customer, Cap: whole}})
-	s.cell.Withdraw(s.now, wire.SyncArgs{
+	s.cell.ApplySync(s.now, wire.SyncArgs{
 		Token: 1, CellToken: s.token, AllowanceNumber: s.allowed, ConfigVersion: s.allowed,
 		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.CPU}}},
 	})
@@ -324,43 +324,43 @@
 // collect keeps what is on its way and returns the rest as lines.
 func (s *script) collect() []string {
 	var lines []string
-	effects := s.cell.Take()
-	for _, look := range effects.Looks {
-		s.looks[look.At.Life.String()] = look
+	effects := s.cell.TakeEffects()
+	for _, look := range effects.Polls {
+		s.looks[look.Endpoint.Life.String()] = look
 	}
 	if effects.Commit != nil {
 		s.commit = effects.Commit
 		lines = append(lines, "append")
 	}
 	for _, reply := range effects.Replies {
-		lines = append(lines, fmt.Sprintf("reply %d: %s %s", reply.Ticket, reply.Reply.Outcome, reply.Reply.Reason))
+		lines = append(lines, fmt.Sprintf("reply %d: %s %s", reply.CallID, reply.Reply.Outcome, reply.Reply.Reason))
 	}
 	for _, start := range effects.Starts {
-		line := fmt.Sprintf("start %s attempt %d on %s", start.Order.Task, start.Order.Attempt, start.At.Life)
-		if start.Order.Ticket != "" {
-			line += " with " + start.Order.Ticket
+		line := fmt.Sprintf("start %s attempt %d on %s", start.Request.Task, start.Request.Attempt, start.Endpoint.Life)
+		if start.Request.Ticket != "" {
+			line += " with " + start.Request.Ticket
 		}
 		lines = append(lines, line)
 	}
 	for _, stop := range effects.Stops {
-		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Order.Task, stop.Order.Attempt, stop.At.Life))
+		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Request.Task, stop.Request.Attempt, stop.Endpoint.Life))
 	}
 	for _, pace := range effects.Paces {
 		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Request.Task, pace.Request.Attempt, pace.Endpoint.Life, pace.Request.Percent))
 	}
-	for _, ask := range effects.Asks {
+	for _, ask := range effects.PermitRequests {
 		s.ask = ask
 		lines = append(lines, fmt.Sprintf("ask for advice on %s.%d.%d: %s", ask.Job, ask.Round, ask.Phase, strings.Join(ask.Endpoints, " ")))
 	}
-	if effects.AskBoxes {
+	if effects.ListBoxes {
 		lines = append(lines, "ask for the list of boxes")
 	}
-	if effects.Deposed {
+	if effects.OwnershipLost {
 		lines = append(lines, "deposed")
 	}
-	for _, note := range effects.Notes {
-		if (strings.HasPrefix(note.What, "job ") || note.What == "task given up") && note.What != "job accepted" || strings.HasPrefix(note.What, "endpoint ") && note.What != "endpoint listed" && note.What != "endpoint attached" {
-			lines = append(lines, strings.TrimSpace(fmt.Sprintf("note: %s %s%s: %s", note.What, note.Job, note.Endpoint, note.Why)))
+	for _, note := range effects.LogLines {
+		if (strings.HasPrefix(note.Message, "job ") || note.Message == "task given up") && note.Message != "job accepted" || strings.HasPrefix(note.Message, "endpoint ") && note.Message != "endpoint listed" && note.Message != "endpoint attached" {
+			lines = append(lines, strings.TrimSpace(fmt.Sprintf("note: %s %s%s: %s", note.Message, note.Job, note.Endpoint, note.Reason)))
 		}
 	}
 	return lines
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -76,7 +76,7 @@
 				w.rules.fail("load: %v", err)
 				return
 			}
-			o.cell.Configure(o.now(), simQueues)
+			o.cell.SetQueues(o.now(), simQueues)
 			o.cell.SetChecksCapacity(o.now(), w.room == nil || w.sabotage.oldRoom)
 			o.cell.SetEndpoints(o.now(), w.listed())
 			o.ready = true
@@ -117,7 +117,7 @@
 	}
 	do()
 	if !o.world.sabotage.sleepless {
-		o.cell.Slept(o.slept)
+		o.cell.Suspended(o.slept)
 	}
 	o.act()
 }
@@ -129,13 +129,13 @@
 				o.die("sees a newer claim")
 				return
 			}
-			o.cell.Confirm(o.now())
+			o.cell.ConfirmOwnership(o.now())
 		}
 		if o.world.room == nil || !o.world.room.out {
 			o.cell.SetEndpoints(o.now(), o.world.listed())
 		}
 		o.cell.Tick(o.now())
-		if o.cell.Stuck(o.now()) > simStuck && !o.cutFromStore {
+		if o.cell.CommitAge(o.now()) > simStuck && !o.cutFromStore {
 			o.move()
 		}
 		o.world.after(50*time.Millisecond, o.tick)
@@ -148,19 +148,19 @@
 		return
 	}
 	w := o.world
-	effects := o.cell.Take()
-	if effects.Deposed {
+	effects := o.cell.TakeEffects()
+	if effects.OwnershipLost {
 		o.die("deposed by an endpoint")
 		return
 	}
-	for _, note := range effects.Notes {
-		if note.What == "run lost" || strings.HasPrefix(note.What, "job failed") {
-			w.logf("%s: %s %s %s: %s", o.name, note.What, note.Task, note.Job, note.Why)
+	for _, note := range effects.LogLines {
+		if note.Message == "run lost" || strings.HasPrefix(note.Message, "job failed") {
+			w.logf("%s: %s %s %s: %s", o.name, note.Message, note.Task, note.Job, note.Reason)
 		}
 	}
 	for _, reply := range effects.Replies {
-		if call := o.calls[reply.Ticket]; call != nil {
-			delete(o.calls, reply.Ticket)
+		if call := o.calls[reply.CallID]; call != nil {
+			delete(o.calls, reply.CallID)
 			w.after(w.between(time.Millisecond, 10*time.Millisecond), func() { call(reply.Reply) })
 		}
 	}
@@ -174,10 +174,10 @@
 	for _, stop := range effects.Stops {
 		o.stop(stop)
 	}
-	for _, look := range effects.Looks {
+	for _, look := range effects.Polls {
 		o.look(look)
 	}
-	if effects.AskBoxes {
+	if effects.ListBoxes {
 		w.after(w.between(5*time.Millisecond, 50*time.Millisecond), func() {
 			boxes := w.boxes()
 			w.after(5*time.Millisecond, func() { o.whenAwake(func() { o.cell.SetBoxes(o.now(), boxes) }) })
@@ -347,34 +347,34 @@
 }
 
 func (o *simOwner) start(start cell.Start) {
-	o.reach(start.At.Life.ID, func(e *simEndpoint) func() error {
-		err := e.start(start.Order)
+	o.reach(start.Endpoint.Life.ID, func(e *simEndpoint) func() error {
+		err := e.start(start.Request)
 		return func() error { return err }
 	}, func(err error) {
-		o.whenAwake(func() { o.cell.Started(o.now(), start.At.Life, start.Order.Run, err) })
+		o.whenAwake(func() { o.cell.Started(o.now(), start.Endpoint.Life, start.Request.Run, err) })
 	})
 }
 
 func (o *simOwner) stop(stop cell.Stop) {
-	o.reach(stop.At.Life.ID, func(e *simEndpoint) func() error {
-		err := e.stop(stop.Order)
+	o.reach(stop.Endpoint.Life.ID, func(e *simEndpoint) func() error {
+		err := e.stop(stop.Request)
 		return func() error { return err }
 	}, func(err error) {
-		o.whenAwake(func() { o.cell.Stopped(o.now(), stop.At.Life, stop.Order.Run, err) })
+		o.whenAwake(func() { o.cell.Stopped(o.now(), stop.Endpoint.Life, stop.Request.Run, err) })
 	})
 }
 
-func (o *simOwner) look(look cell.Look) {
+func (o *simOwner) look(look cell.Poll) {
 	w := o.world
-	order := look.Order
+	order := look.Request
 	if w.sabotage.forgetEarly {
 		order.Seen = 1 << 30
 	}
 	var found damsonwinch.Look
 	var there *simEndpoint
-	o.reach(look.At.Life.ID, func(e *simEndpoint) func() error {
+	o.reach(look.Endpoint.Life.ID, func(e *simEndpoint) func() error {
 		there = e
-		answer, err := e.lookFor(look.At.Life, order)
+		answer, err := e.lookFor(look.Endpoint.Life, order)
 		found = answer
 		return func() error { return err }
 	}, func(err error) {
@@ -388,13 +388,13 @@
 			wait = order.Wait
 		}
 		w.after(wait, func() {
-			o.whenAwake(func() { o.cell.Polled(o.now(), look.At.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Polled(o.now(), look.Endpoint.Life, look.Number, found, err) })
 		})
 	})
 }
 
 // await has a look wait at its endpoint: for an end, its time, or the end of the life.
-func (o *simOwner) await(look cell.Look, order damsonwinch.LookOrder, e *simEndpoint) {
+func (o *simOwner) await(look cell.Poll, order damsonwinch.LookOrder, e *simEndpoint) {
 	w := o.world
 	answered := false
 	answer := func(delay time.Duration, broken error) {
@@ -405,10 +405,10 @@
 		var found damsonwinch.Look
 		err := broken
 		if err == nil {
-			found, err = e.lookFor(look.At.Life, order)
+			found, err = e.lookFor(look.Endpoint.Life, order)
 		}
 		w.after(delay, func() {
-			o.whenAwake(func() { o.cell.Polled(o.now(), look.At.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Polled(o.now(), look.Endpoint.Life, look.Number, found, err) })
 		})
 	}
 	ended := func() { answer(w.between(time.Millisecond, 10*time.Millisecond), nil) }
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -18,7 +18,7 @@
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read %s: %w", record.Key, err)
 	}
-	p.allotter.Recall(strings.TrimPrefix(record.Key, allottedPrefix), saved)
+	p.allotter.Load(strings.TrimPrefix(record.Key, allottedPrefix), saved)
 	return nil
 }
 
@@ -27,7 +27,7 @@
 	var names []string
 	for _, pool := range p.pools {
 		if !pool.Parking {
-			names = append(names, p.layout.Cells(pool.Name)...)
+			names = append(names, p.layout.CellNames(pool.Name)...)
 		}
 	}
 	return names
@@ -35,10 +35,10 @@
 
 // deal deals the customers' caps to the cells. What is raised is recorded first.
 func (p *Planner) deal() {
-	if !p.layout.Known() {
+	if !p.layout.Decided() {
 		return
 	}
-	for _, customer := range p.allotter.Deal(p.deps.Clock.Now()) {
+	for _, customer := range p.allotter.Allocate(p.deps.Clock.Now()) {
 		p.add(allottedPrefix+customer, p.allotter.Record(customer))
 		p.raised = append(p.raised, customer)
 	}
@@ -72,7 +72,7 @@
 	cells := p.cells()
 	now, gap := p.deps.Clock.Now(), time.Duration(len(cells))*newsGap
 	for _, cell := range cells {
-		if p.allotter.HasNews(cell) && now.Sub(p.syncedAt[cell]) >= gap {
+		if p.allotter.HasUpdate(cell) && now.Sub(p.syncedAt[cell]) >= gap {
 			p.syncOnce(cell)
 		}
 	}
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -22,7 +22,7 @@
 
 func newFleet(boxes, pools int) *fleetOf {
 	f := &fleetOf{now: time.Unix(1_000_000, 0)}
-	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at := range pools {
 		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), Parking: at == 0})
 	}
@@ -32,7 +32,7 @@
 			Capacity: damsonwinch.Resources{CPU: 32000, MemoryMB: 128000}, Endpoint: fmt.Sprintf("endpoint-%04d", at),
 		})
 	}
-	f.planner.SetPools(f.pools, shard.New(1, nil))
+	f.planner.SetPools(f.pools, shard.NewLayout(1, nil))
 	f.planner.SetBoxes(f.now, f.boxes)
 	f.now = f.now.Add(10 * time.Second)
 	return f
