--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -7,9 +7,9 @@
 // shrunk counts 3 s and one such time later.
 const entryTime = 2500 * time.Millisecond
 
-// SetChecksCapacity says whether the cell's endpoints refuse what doesn't fit. Where they don't, what
+// SetRejectsOverload says whether the cell's endpoints refuse what doesn't fit. Where they don't, what
 // is known of their room must be new: a task too many harms all that run there.
-func (c *Cell) SetChecksCapacity(now time.Time, guarded bool) {
+func (c *Cell) SetRejectsOverload(now time.Time, guarded bool) {
 	if c.unguarded != !guarded {
 		c.begin(now)
 		c.unguarded = !guarded
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -77,7 +77,7 @@
 				return
 			}
 			o.cell.SetQueues(o.now(), simQueues)
-			o.cell.SetChecksCapacity(o.now(), w.room == nil || w.sabotage.oldRoom)
+			o.cell.SetRejectsOverload(o.now(), w.room == nil || w.sabotage.oldRoom)
 			o.cell.SetEndpoints(o.now(), w.listed())
 			o.ready = true
 			if w.caps != nil {
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -21,7 +21,7 @@
 func (m configured) apply(o *Owner, now time.Time) {
 	o.cell.SetQueues(now, m.configuration.Queues)
 	o.cell.SetCustomers(now, m.configuration.Version, m.configuration.Customers)
-	o.cell.SetChecksCapacity(now, m.guarded)
+	o.cell.SetRejectsOverload(now, m.guarded)
 }
 
 type confirmed struct{ at time.Time }
