--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -13,7 +13,7 @@
 	Commit *Commit
 	Starts []Start
 	Stops  []Stop
-	Paces  []Pace
+	Paces  []SpeedChange
 	// PermitRequests are calls for permits; Advised follows each.
 	PermitRequests []PermitRequest
 	Polls          []Poll
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -25,8 +25,8 @@
 	calmTime = 1500 * time.Millisecond
 )
 
-// Pace is an order to an endpoint.
-type Pace struct {
+// SpeedChange is an order to an endpoint.
+type SpeedChange struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.PaceOrder
 }
@@ -80,7 +80,7 @@
 		if next := change(r.speedPercent); next != r.speedPercent {
 			r.speedPercent = next
 			e.pacedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, Pace{Endpoint: e.info, Request: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
+			c.effects.Paces = append(c.effects.Paces, SpeedChange{Endpoint: e.info, Request: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
 		}
 	}
 }
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -122,7 +122,7 @@
 	})
 }
 
-func (o *Owner) pace(pace cell.Pace) {
+func (o *Owner) pace(pace cell.SpeedChange) {
 	o.calling.Do(func() {
 		err := o.deps.Endpoints.Pace(o.within(orderTimeout), pace.Endpoint, pace.Request)
 		o.send(paced{endpoint: pace.Endpoint.Life, run: pace.Request.Run, err: err})
