--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -99,7 +99,7 @@
 	case "advised":
 		s.advised(d)
 	case "paced":
-		s.cell.Paced(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
+		s.cell.SpeedSet(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "sync":
 		s.cell.ApplySync(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
 	case "boxes":
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// Paced takes the answer to an order on a run's speed. One that was not answered
+// SpeedSet takes the answer to an order on a run's speed. One that was not answered
 // may not have been done: the next look tells.
-func (c *Cell) Paced(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
+func (c *Cell) SpeedSet(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
 	c.begin(now)
 	r := c.findRun(at, which)
 	if r == nil || err == nil {
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -79,7 +79,7 @@
 	err      error
 }
 
-func (m paced) apply(o *Owner, now time.Time) { o.cell.Paced(now, m.endpoint, m.run, m.err) }
+func (m paced) apply(o *Owner, now time.Time) { o.cell.SpeedSet(now, m.endpoint, m.run, m.err) }
 
 type advised struct {
 	ask     cell.PermitRequest
