--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -71,7 +71,7 @@
 	var wanted []*endpoint
 	for _, e := range c.sortedEndpoints {
 		good, asked := a.verdicts[e.info.Life.ID]
-		if (!asked || good) && c.couldTake(t, e) && !c.hasPermit(p, e) {
+		if (!asked || good) && c.canHost(t, e) && !c.hasPermit(p, e) {
 			wanted = append(wanted, e)
 		}
 	}
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -43,11 +43,11 @@
 	probationEndpoints []*endpoint
 	// baselineExits tells how often endpoints end by themselves, and trialEnds how often they do in
 	// trials.
-	baselineExits  chance
-	probationExits ends
+	baselineExits baselineExitRate
+	probationExits exits
 	// queueExits tells, by queue, of the endpoints that have ended just after something of it had
 	// begun there, and prone holds the queues with many of these.
-	queueExits map[string]*ends
+	queueExits map[string]*exits
 	crashProne map[string]bool
 	// batching says that more events follow before anything is done about them.
 	batching bool
@@ -104,7 +104,7 @@
 		endpoints:      map[damsonwinch.Life]*endpoint{},
 		commits:        newCommits(),
 		statsByQueue:   map[string]*queueStats{},
-		queueExits:     map[string]*ends{},
+		queueExits:     map[string]*exits{},
 		crashProne:     map[string]bool{},
 		quota:          quota.NewAllowances(),
 		overQuota:      map[string]bool{},
@@ -178,11 +178,11 @@
 	c.endpointsChanged()
 	c.openRounds()
 	c.expireLeases()
-	c.retryOrders()
-	c.seeOverdue()
-	c.seekMissing()
-	c.watchTrials()
-	c.baselineExits.see(now, c.exposed())
+	c.resendStops()
+	c.updateOverdue()
+	c.requestBoxList()
+	c.checkProbations()
+	c.baselineExits.observe(now, c.countExposed())
 	c.refuseUnkept()
 	c.putOff()
 	for _, e := range c.sortedEndpoints {
@@ -208,7 +208,7 @@
 		return
 	}
 	c.place()
-	c.lookAround()
+	c.sendDuePolls()
 	c.flush()
 }
 
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -173,10 +173,10 @@
 	}
 	for _, seen := range sent.seen {
 		seen.at.recorded = max(seen.at.recorded, seen.number)
-		c.lookSoon(seen.at)
+		c.schedulePoll(seen.at)
 	}
 	for _, e := range sent.withdrawn {
-		e.withdraw.recorded = true
+		e.withdrawal.recorded = true
 	}
 	c.quota.MarkRecorded(sent.allotter, sent.allowances)
 	for _, r := range sent.starts {
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -14,14 +14,14 @@
 	report.SteadyCpu, report.OfferedCpu = c.offered(now)
 	memory, boxMemory := 0, 0
 	for _, e := range c.sortedEndpoints {
-		if c.followed(e) {
+		if c.superseded(e) {
 			// The planner has one life for each box.
 			continue
 		}
 		boxMemory = max(boxMemory, e.info.Capacity.MemoryMB)
 		entry := wire.EndpointReport{
-			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdraw.recorded,
-			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
+			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCutOff(now), Withdrawn: e.withdrawn && e.withdrawal.recorded,
+			Silent: e.silent || e.zone.isCutOff(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
 		}
 		if len(e.runs) == 0 {
 			entry.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
@@ -37,13 +37,13 @@
 			switch {
 			case entry.Silent:
 				// What runs out of reach takes no room of the boxes that are left.
-			case r.late:
+			case r.jobLate:
 				report.RunningLateCpu += need.MilliCPU
 			default:
 				memory += need.MemoryMB
 				report.RunningCpu += need.MilliCPU
 			}
-			entry.EmptyMs = max(entry.EmptyMs, c.leftMs(r))
+			entry.EmptyMs = max(entry.EmptyMs, c.remainingMs(r))
 		}
 		report.Endpoints = append(report.Endpoints, entry)
 	}
@@ -88,8 +88,8 @@
 		add(p, len(p.ready), p.isLate(nowMs))
 	}
 	for _, e := range c.sortedEndpoints {
-		for _, r := range e.ordered {
-			add(r.task.phase, 1, r.late)
+		for _, r := range e.runsByStart {
+			add(r.task.phase, 1, r.jobLate)
 		}
 	}
 }
@@ -158,13 +158,13 @@
 	c.endpointsChanged()
 	defer c.finishEvent()
 	for _, e := range c.sortedEndpoints {
-		e.withdraw.requested, e.withdraw.urgent, e.due = false, false, false
+		e.withdrawal.requested, e.withdrawal.urgent, e.maintenanceDue = false, false, false
 	}
 	c.takeAllowances(args)
-	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
-	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.requested = true })
-	c.want(args.Hurry, func(e *endpoint) { e.withdraw.requested, e.withdraw.urgent = true, true })
-	c.want(args.Due, func(e *endpoint) { e.due = true })
+	c.want(args.Gone, func(e *endpoint) { c.markLostByReport(e, "the fleet planner has seen its box without it") })
+	c.want(args.Withdraw, func(e *endpoint) { e.withdrawal.requested = true })
+	c.want(args.Hurry, func(e *endpoint) { e.withdrawal.requested, e.withdrawal.urgent = true, true })
+	c.want(args.Due, func(e *endpoint) { e.maintenanceDue = true })
 	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
 	for _, e := range c.sortedEndpoints {
 		c.empty(e)
@@ -176,7 +176,7 @@
 func (c *Cell) want(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
-		for _, e := range c.livesUnder(life.ID) {
+		for _, e := range c.livesWithID(life.ID) {
 			if life.MayBeSame(e.info.Life) {
 				do(e)
 			}
@@ -198,7 +198,7 @@
 // atWork says whether a lasting task has started and is not being stopped.
 func (c *Cell) atWork(t *task) bool {
 	for _, r := range t.runs {
-		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
+		if r.state == runConfirmed && !r.stopping && !r.endpoint.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
 			return true
 		}
 	}
@@ -208,7 +208,7 @@
 // mayBeStopping says whether an earlier owner may have stopped a run that is still
 // listed: it could do so until this owner's token came to the endpoint.
 func (c *Cell) mayBeStopping(r *run) bool {
-	return r.adopted && c.now.Sub(r.at.attachedAt) < c.options.MaxStopTime+stopOnWay
+	return r.inherited && c.now.Sub(r.endpoint.attachedAt) < c.options.MaxStopTime+stopOnWay
 }
 
 // stopOnWay is how long an earlier owner's stop may have been on its way when it
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -13,7 +13,7 @@
 	Commit *Commit
 	Starts []Start
 	Stops  []Stop
-	Paces  []Pace
+	Paces  []SpeedChange
 	// PermitRequests are calls for permits; Advised follows each.
 	PermitRequests []PermitRequest
 	Polls          []Poll
@@ -104,16 +104,16 @@
 
 func (c *Cell) logRun(what string, r *run, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: what, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Reason: why,
+		Message: what, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Reason: why,
 	})
 }
 
 // logStart notes that an attempt is ordered, and what decided where.
 func (c *Cell) logStart(r *run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
+		Message: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Debug: true,
 		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.at.used.MilliCPU, r.at.info.Capacity.MilliCPU),
+			c.now.Sub(r.startedAt).Milliseconds(), r.endpoint.used.MilliCPU, r.endpoint.info.Capacity.MilliCPU),
 	})
 }
 
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -49,8 +49,8 @@
 	signs []sign
 }
 
-// fit says whether an endpoint may be given new work, as far as its health goes.
-func (c *Cell) fit(e *endpoint) bool {
+// healthAllows says whether an endpoint may be given new work, as far as its health goes.
+func (c *Cell) healthAllows(e *endpoint) bool {
 	h := &e.health
 	if c.now.Before(h.until) {
 		return false
@@ -71,11 +71,11 @@
 
 // learn takes what the end of a run tells of its endpoint.
 func (c *Cell) learn(r *run, how damsonwinch.Ending) {
-	h := &r.at.health
+	h := &r.endpoint.health
 	switch how {
 	case damsonwinch.EndedDone:
 		if h.onTrial {
-			c.logEndpoint("endpoint well again", r.at, "")
+			c.logEndpoint("endpoint well again", r.endpoint, "")
 		}
 		h.failures, h.ejections, h.onTrial = 0, 0, false
 	case damsonwinch.EndedFailed:
@@ -88,7 +88,7 @@
 		}
 		h.failures++
 		if h.failures >= failuresToEject {
-			c.eject(r.at, "tasks fail there")
+			c.eject(r.endpoint, "tasks fail there")
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		if r.stopping || r.state != runConfirmed || r.task.phase.spec.Lasting || r.task.phase.spec.Copies || !c.fitsElsewhere(r) {
 			continue
 		}
-		here := r.leftMs()
+		here := r.remainingMs()
 		if times > 0 && here > 0 && here < c.elsewhereMs(r, here/times) {
 			continue
 		}
@@ -173,7 +173,7 @@
 // are, and come to nothing if they are stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
-		if e != r.at && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.longRunningNeed()).Holds(r.task.phase.need()) {
+		if e != r.endpoint && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.longRunningNeed()).Holds(r.task.phase.need()) {
 			return true
 		}
 	}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -23,7 +23,7 @@
 // failed.
 func (c *Cell) lapsed(r *run) {
 	c.stats.RunsLapsed++
-	r.at.lapses = append(r.at.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.at.heardAt)})
+	r.endpoint.lapses = append(r.endpoint.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.endpoint.heardAt)})
 	r.task.lapsedAttempts++
 	c.again(r)
 }
@@ -55,10 +55,10 @@
 	c.markDirty(l.task.phase.job())
 }
 
-// held says whether a task must wait: since endpoints have refused it, or until it is known how
+// mustWait says whether a task must wait: since endpoints have refused it, or until it is known how
 // attempts at it have ended. With those that may have failed it has failed as often as it is
 // tried.
-func (c *Cell) held(t *task) bool {
+func (c *Cell) mustWait(t *task) bool {
 	return c.now.Before(t.notBefore) || t.lapsedAttempts > 0 && !t.phase.spec.Lasting && failures(t)+t.lapsedAttempts >= c.maxAttempts(t.phase.job())
 }
 
@@ -87,7 +87,7 @@
 			return fmt.Errorf("job %s has a lapse %v", j.id, row)
 		}
 		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
-			e := c.endpointOf(damsonwinch.ParseLife(record.Endpoints[row[2]]))
+			e := c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[row[2]]))
 			e.lapses = append(e.lapses, lapse{task: t, attempt: row[1]})
 			t.lapsedAttempts++
 		}
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -18,11 +18,11 @@
 // loseAllBut takes note that a life has ended, and keeps those of its runs that may yet be found
 // at a later life under its ID.
 func (c *Cell) loseAllBut(e *endpoint, why string, kept func(r *run) bool) {
-	if e.gone {
+	if e.exited {
 		return
 	}
 	c.noteLost(e, why)
-	e.gone = true
+	e.exited = true
 	c.blameLapsed(e)
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
@@ -34,7 +34,7 @@
 		c.probationExits.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
-		if r.state == runIntended {
+		if r.state == runPending {
 			// The commit takes it back.
 			r.stopping = true
 			continue
@@ -58,7 +58,7 @@
 // loseRun takes away a run that has gone with its endpoint.
 func (c *Cell) loseRun(r *run, lost lostRun) {
 	c.stats.RunsLost++
-	c.resolve(r)
+	c.removeRun(r)
 	c.endedUnder(r, lost)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
@@ -78,7 +78,7 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.trial; r != nil && r.state != runIntended && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.trial; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
 		return r
 	}
 	return nil
@@ -86,15 +86,15 @@
 
 // endOf describes the end of a run's endpoint.
 func (c *Cell) endOf(r *run) crash.Loss {
-	endedAt := r.at.endedAt(c.now)
-	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Probation: r.at.trial == r, LossRate: c.baselineExits.rate(c.now)}
-	if r.at.silent && r.at.broke {
+	endedAt := r.endpoint.endedAt(c.now)
+	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.endpoint.heardAt), Explained: c.endShared(r.endpoint, endedAt), Probation: r.endpoint.trial == r, LossRate: c.baselineExits.rate(c.now)}
+	if r.endpoint.silent && r.endpoint.broke {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
 		// nothing else had begun, the weight of the end says how surely.
 		end.MinAge, end.Certain = end.MaxAge, r.state == runConfirmed || end.Probation
 	}
-	if r.adopted {
+	if r.inherited {
 		end.MaxAge = max(end.MaxAge, c.options.CrashRules.MaxCrashAge)
 	}
 	return end
@@ -123,8 +123,8 @@
 	return true
 }
 
-// giveUpSpent gives a task up that has been started too often. It says whether it is one.
-func (c *Cell) giveUpSpent(t *task) bool {
+// giveUpIfStartsExhausted gives a task up that has been started too often. It says whether it is one.
+func (c *Cell) giveUpIfStartsExhausted(t *task) bool {
 	if !c.options.CrashRules.StartsExhausted(t.crashes) {
 		return false
 	}
@@ -212,7 +212,7 @@
 
 // age returns how long a run had been under way when its endpoint ended.
 func (r *run) age(endedAt time.Time) time.Duration {
-	return max(0, endedAt.Sub(r.since))
+	return max(0, endedAt.Sub(r.startedAt))
 }
 
 // noteLost tells what a lost endpoint takes with it.
@@ -223,7 +223,7 @@
 	}
 	c.stats.EndpointsLost++
 	endedAt := e.endedAt(c.now)
-	youngest := e.ordered[len(e.ordered)-1].age(endedAt)
+	youngest := e.runsByStart[len(e.runsByStart)-1].age(endedAt)
 	c.logEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
 		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
@@ -232,7 +232,7 @@
 func (c *Cell) noteRunLost(r *run, lost lostRun) {
 	end := lost.end
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Debug: r.task.crashes.Losses <= 1,
+		Message: "run lost", Job: r.task.phase.job().id, Task: r.id().Task.String(), Endpoint: lost.with.String(), Debug: r.task.crashes.Losses <= 1,
 		Reason: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
 			end.MinAge.Milliseconds(), end.MaxAge.Milliseconds(), end.Certain, end.Explained, end.Probation, end.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -49,7 +49,7 @@
 func (c *Cell) room() triage.Capacity {
 	free, turning := 0, 0
 	for _, e := range c.sortedEndpoints {
-		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
+		if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) {
 			continue
 		}
 		free += max(0, e.free().MilliCPU)
@@ -68,7 +68,7 @@
 // longRunningNeed returns the room that lasting tasks take at an endpoint.
 func (e *endpoint) longRunningNeed() damsonwinch.Resources {
 	var sum damsonwinch.Resources
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if r.task.phase.spec.Lasting {
 			sum = sum.Plus(r.task.phase.need())
 		}
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -48,22 +48,22 @@
 	return 0
 }
 
-// leftMs returns how long the run still takes at its pace, or 0 while that isn't
+// remainingMs returns how long the run still takes at its pace, or 0 while that isn't
 // known.
-func (r *run) leftMs() float64 {
+func (r *run) remainingMs() float64 {
 	if speed := r.pace.perMs(); speed > 0 {
 		return float64(fullPercent-r.percent) / speed
 	}
 	return 0
 }
 
-// leftMs estimates how long a run still takes, in milliseconds.
-func (c *Cell) leftMs(r *run) int {
-	if left := r.leftMs(); left > 0 {
+// remainingMs estimates how long a run still takes, in milliseconds.
+func (c *Cell) remainingMs(r *run) int {
+	if left := r.remainingMs(); left > 0 {
 		return int(left) - int(c.now.Sub(r.pace.seenAt).Milliseconds())
 	}
 	usual := c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs)
-	return max(leastLeftMs, usual-int(c.now.Sub(r.since).Milliseconds()))
+	return max(leastLeftMs, usual-int(c.now.Sub(r.startedAt).Milliseconds()))
 }
 
 // leastLeftMs is what a run is taken to need when it should have ended already.
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -79,7 +79,7 @@
 	waiting := p.ready
 	p.ready = nil
 	for at, t := range waiting {
-		if c.held(t) || t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
+		if c.mustWait(t) || t.suspected && !t.phase.spec.Gang && !c.probationWaitExpired(t) {
 			p.ready = append(p.ready, t)
 			continue
 		}
@@ -98,17 +98,17 @@
 	return true
 }
 
-// allowed says whether a task may be started at an endpoint now.
-func (c *Cell) allowed(t *task, e *endpoint) bool {
-	return !c.held(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.hasPermit(t.phase, e)
+// canStart says whether a task may be started at an endpoint now.
+func (c *Cell) canStart(t *task, e *endpoint) bool {
+	return !c.mustWait(t) && c.canHost(t, e) && c.probationAllows(t, e) && c.hasPermit(t.phase, e)
 }
 
-// couldTake says whether an endpoint has room for a task and may run it, as far as
+// canHost says whether an endpoint has room for a task and may run it, as far as
 // no permit is needed.
-func (c *Cell) couldTake(t *task, e *endpoint) bool {
+func (c *Cell) canHost(t *task, e *endpoint) bool {
 	p := t.phase
 	// Most endpoints of a busy cell are full; that is found out first.
-	if !e.free().Holds(p.need()) || !e.usable() || e.strays > 0 || !c.roomKnown(e) || e.overdue || e.zone.inDoubt() || !c.fit(e) || t.runsAt(e) || c.now.Before(e.pauseUntil) || !e.hasLabel(p.spec.Label) {
+	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.capacityKnown(e) || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || t.runsAt(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
 		return false
 	}
 	return p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox
@@ -120,7 +120,7 @@
 	count := p.gangReserved[e]
 	for _, t := range p.tasks {
 		for _, r := range t.runs {
-			if r.at == e {
+			if r.endpoint == e {
 				count++
 			}
 		}
@@ -159,7 +159,7 @@
 	if c.besides(t.phase, e) {
 		score += scoreBeside
 	}
-	if e.due && t.phase.spec.Lasting {
+	if e.maintenanceDue && t.phase.spec.Lasting {
 		score += scoreDue
 	}
 	return score
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -106,7 +106,7 @@
 	for _, run := range m.runs[id] {
 		found.Running = append(found.Running, damsonwinch.RunProgress{Run: run, DonePercent: 100})
 	}
-	m.cell.Looked(m.now, look.Endpoint.Life, look.Number, found, nil)
+	m.cell.Polled(m.now, look.Endpoint.Life, look.Number, found, nil)
 	m.serve()
 }
 
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -35,7 +35,7 @@
 				c.Committed(now, effects.Commit.Number)
 			}
 			for _, look := range effects.Polls {
-				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{ClockMs: int(now.UnixMilli())}, nil)
+				c.Polled(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{ClockMs: int(now.UnixMilli())}, nil)
 			}
 			for _, start := range append(effects.Starts, c.TakeEffects().Starts...) {
 				starts++
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -17,18 +17,18 @@
 	// look that shows too much, and paceUp what it gets back after calmTime.
 	paceDown = 40
 	paceUp   = 15
-	// leastPace is the speed, in percent, under which a filling task stands still.
-	leastPace = 10
+	// minSpeedPercent is the speed, in percent, under which a filling task stands still.
+	minSpeedPercent = 10
 	// paceGap is the time that a changed speed takes to show: the tail is a figure
 	// of the last half second.
 	paceGap  = 600 * time.Millisecond
 	calmTime = 1500 * time.Millisecond
 )
 
-// Pace is an order to an endpoint.
-type Pace struct {
-	At    damsonwinch.Endpoint
-	Order damsonwinch.SpeedRequest
+// SpeedChange is an order to an endpoint.
+type SpeedChange struct {
+	Endpoint damsonwinch.Endpoint
+	Request  damsonwinch.SpeedRequest
 }
 
 // share holds back what fills an endpoint as long as what serves there needs it.
@@ -38,7 +38,7 @@
 	case worst >= nearTarget:
 		e.calmSince = time.Time{}
 		c.setPaces(e, func(percent int) int {
-			if percent*paceDown/fullPercent < leastPace {
+			if percent*paceDown/fullPercent < minSpeedPercent {
 				return 0
 			}
 			return percent * paceDown / fullPercent
@@ -77,17 +77,17 @@
 		if !r.task.phase.spec.Fills || r.state != runConfirmed || r.stopping {
 			continue
 		}
-		if next := change(r.speed); next != r.speed {
-			r.speed = next
+		if next := change(r.speedPercent); next != r.speedPercent {
+			r.speedPercent = next
 			e.pacedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.SpeedRequest{Run: r.order(), Token: c.token, SpeedPercent: next}})
+			c.effects.Paces = append(c.effects.Paces, SpeedChange{Endpoint: e.info, Request: damsonwinch.SpeedRequest{Run: r.id(), Token: c.token, SpeedPercent: next}})
 		}
 	}
 }
 
-// Paced takes the answer to an order on a run's speed. One that was not answered
+// SpeedSet takes the answer to an order on a run's speed. One that was not answered
 // may not have been done: the next look tells.
-func (c *Cell) Paced(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
+func (c *Cell) SpeedSet(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
 	c.beginEvent(now)
 	r := c.findRun(at, which)
 	if r == nil || err == nil {
@@ -95,8 +95,8 @@
 	}
 	c.logRun("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
-	r.at.pacedAt = time.Time{}
-	r.speed = fullPercent
+	r.endpoint.pacedAt = time.Time{}
+	r.speedPercent = fullPercent
 }
 
 // besides says whether an endpoint runs tasks that a phase's should not stand
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -77,7 +77,7 @@
 				return
 			}
 			o.cell.SetQueues(o.now(), simQueues)
-			o.cell.SetGuarded(o.now(), w.room == nil || w.sabotage.oldRoom)
+			o.cell.SetRejectsOverload(o.now(), w.room == nil || w.sabotage.oldRoom)
 			o.cell.SetEndpoints(o.now(), w.listed())
 			o.ready = true
 			if w.caps != nil {
@@ -388,7 +388,7 @@
 			wait = order.MaxWait
 		}
 		w.after(wait, func() {
-			o.whenAwake(func() { o.cell.Looked(o.now(), look.Endpoint.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Polled(o.now(), look.Endpoint.Life, look.Number, found, err) })
 		})
 	})
 }
@@ -408,7 +408,7 @@
 			found, err = e.lookFor(look.Endpoint.Life, order)
 		}
 		w.after(delay, func() {
-			o.whenAwake(func() { o.cell.Looked(o.now(), look.Endpoint.Life, look.Number, found, err) })
+			o.whenAwake(func() { o.cell.Polled(o.now(), look.Endpoint.Life, look.Number, found, err) })
 		})
 	}
 	ended := func() { answer(w.between(time.Millisecond, 10*time.Millisecond), nil) }
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -11,8 +11,8 @@
 	// trialShare is the most of a cell's endpoints, in percent, on which tasks are on trial or
 	// about to be, or which have ended in trials within backTime: some seconds later they are
 	// back. More suspects wait.
-	trialShare = 25
-	backTime   = 3 * time.Second
+	trialShare  = 25
+	restartTime = 3 * time.Second
 	// outlivedTime is how long a lasting task that was a suspect must have been at work to be
 	// one no more.
 	outlivedTime = 20 * time.Second
@@ -39,7 +39,7 @@
 	}
 	c.dropSuspects()
 	for _, t := range c.suspects {
-		if !t.ready || len(t.runs) > 0 || t.phase.spec.Gang || c.held(t) {
+		if !t.ready || len(t.runs) > 0 || t.phase.spec.Gang || c.mustWait(t) {
 			continue
 		}
 		if !c.withinQuota(t.phase, 1) {
@@ -48,20 +48,20 @@
 		if e := c.trialPlace(t); e != nil {
 			t.phase.removeReady(t)
 			c.intend(t, e)
-		} else if !c.triedInVain(t) {
+		} else if !c.probationWaitExpired(t) {
 			c.promise(t)
 		}
 	}
 }
 
-// triedInVain says whether a suspect has waited for a trial for too long.
-func (c *Cell) triedInVain(t *task) bool {
-	return c.now.Sub(t.probationWaitSince) >= c.trialWait(t)
+// probationWaitExpired says whether a suspect has waited for a trial for too long.
+func (c *Cell) probationWaitExpired(t *task) bool {
+	return c.now.Sub(t.probationWaitSince) >= c.maxProbationWait(t)
 }
 
-// trialWait returns how long a suspect waits for a trial. Then it starts as any other does: a
+// maxProbationWait returns how long a suspect waits for a trial. Then it starts as any other does: a
 // crowd of suspects, most of them sound, must not stand still.
-func (c *Cell) trialWait(t *task) time.Duration {
+func (c *Cell) maxProbationWait(t *task) time.Duration {
 	if c.crashProne[t.phase.job().queue] {
 		return proneWait
 	}
@@ -77,7 +77,7 @@
 		return !t.suspected
 	})
 	c.probationEndpoints = slices.DeleteFunc(c.probationEndpoints, func(e *endpoint) bool {
-		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.triedInVain(t)) {
+		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probationWaitExpired(t)) {
 			e.promised = nil
 		}
 		return e.trial == nil && e.promised == nil
@@ -98,7 +98,7 @@
 func (c *Cell) trialPlace(t *task) *endpoint {
 	var choice choice
 	for _, e := range c.sortedEndpoints {
-		if c.quiet(e) && c.allowed(t, e) {
+		if c.quiet(e) && c.canStart(t, e) {
 			choice.offer(e, -e.atStake())
 		}
 	}
@@ -108,7 +108,7 @@
 // atStake weighs what an endpoint takes with it when it ends.
 func (e *endpoint) atStake() int {
 	sum := 0
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if r.task.phase.spec.Lasting {
 			sum += lastingBeside
 		} else {
@@ -118,12 +118,12 @@
 	return sum
 }
 
-// undisturbed says whether a task may start at an endpoint as far as trials go.
-func (c *Cell) undisturbed(t *task, e *endpoint) bool {
+// probationAllows says whether a task may start at an endpoint as far as trials go.
+func (c *Cell) probationAllows(t *task, e *endpoint) bool {
 	if e.trial != nil || e.promised != nil && e.promised != t || !c.apart(t, e) {
 		return false
 	}
-	return !t.suspected || t.phase.spec.Gang || c.triedInVain(t) || c.mayTry(e) && c.quiet(e)
+	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayTry(e) && c.quiet(e)
 }
 
 // mayTry says whether one more endpoint may be used for a trial.
@@ -135,7 +135,7 @@
 	if len(c.crashProne) > 0 {
 		share = proneShare
 	}
-	return len(c.probationEndpoints)+c.probationExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
+	return len(c.probationEndpoints)+c.probationExits.countWithin(c.now, restartTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
@@ -145,11 +145,11 @@
 
 // begunWithin says whether something has begun at an endpoint within a time before a moment.
 func (c *Cell) begunWithin(e *endpoint, at time.Time, length time.Duration) bool {
-	return slices.ContainsFunc(e.ordered, func(r *run) bool { return at.Sub(r.since) < length })
+	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.startedAt) < length })
 }
 
-// exposed counts the endpoints that run something and would end by themselves if they did now.
-func (c *Cell) exposed() int {
+// countExposed counts the endpoints that run something and would end by themselves if they did now.
+func (c *Cell) countExposed() int {
 	count := 0
 	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.CrashRules.MeasuredSuspectAge()) {
@@ -179,7 +179,7 @@
 // couldHold says whether a task could run at an endpoint once the short tasks there have ended.
 func (c *Cell) couldHold(t *task, e *endpoint) bool {
 	p := t.phase
-	if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) || !e.hasLabel(p.spec.Label) || !c.hasPermit(p, e) {
+	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.hasPermit(p, e) {
 		return false
 	}
 	return e.info.Capacity.Minus(e.longRunningNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
@@ -188,15 +188,15 @@
 // beginTrial notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
 func (c *Cell) beginTrial(r *run) {
-	r.at.trial, r.at.promised = r, nil
-	if !slices.Contains(c.probationEndpoints, r.at) {
-		c.probationEndpoints = append(c.probationEndpoints, r.at)
+	r.endpoint.trial, r.endpoint.promised = r, nil
+	if !slices.Contains(c.probationEndpoints, r.endpoint) {
+		c.probationEndpoints = append(c.probationEndpoints, r.endpoint)
 	}
 }
 
-// watchTrials looks at endpoints where a trial should be over, and clears lasting tasks that
+// checkProbations looks at endpoints where a trial should be over, and clears lasting tasks that
 // have been at work for long.
-func (c *Cell) watchTrials() {
+func (c *Cell) checkProbations() {
 	for _, e := range c.probationEndpoints {
 		if e.trial != nil && e.trial.state == runConfirmed && !c.now.Before(c.outlivesAt(e.trial)) {
 			c.wantLook(e)
@@ -206,7 +206,7 @@
 		if !t.phase.spec.Lasting || len(t.runs) == 0 {
 			continue
 		}
-		if r := t.runs[0]; r.percent >= fullPercent && c.now.Sub(r.since) >= outlivedTime {
+		if r := t.runs[0]; r.percent >= fullPercent && c.now.Sub(r.startedAt) >= outlivedTime {
 			t.crashes, t.suspected = crash.History{}, false
 			c.markDirty(t.phase.job())
 		}
@@ -215,7 +215,7 @@
 
 // outlivesAt returns when a run on trial has outlived it.
 func (c *Cell) outlivesAt(r *run) time.Time {
-	return r.since.Add(c.options.CrashRules.ProbationTime(r.task.crashes))
+	return r.startedAt.Add(c.options.CrashRules.ProbationTime(r.task.crashes))
 }
 
 // outlive ends the trial at an endpoint that has answered a look which was sent after it
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -26,7 +26,7 @@
 // empty goes on with the emptying of an endpoint, and withdraws it for good once
 // nothing runs there any more.
 func (c *Cell) empty(e *endpoint) {
-	if !e.withdraw.requested || e.withdrawn || e.gone {
+	if !e.withdrawal.requested || e.withdrawn || e.exited {
 		return
 	}
 	if len(e.runs) > 0 {
@@ -52,10 +52,10 @@
 		case spec.Lasting:
 			// In a hurry it waits for room elsewhere: it goes first there, as soon as a
 			// short task ends. In a full cell it would hold its box up for ever.
-			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdraw.urgent || c.roomElsewhere(r)) {
+			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdrawal.urgent || c.roomElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
-		case e.withdraw.urgent && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
+		case e.withdrawal.urgent && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
 			c.stop(r, "its box is wanted")
 		}
 	}
@@ -75,7 +75,7 @@
 // roomElsewhere says whether a run could go on at another endpoint now.
 func (c *Cell) roomElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
-		if e != r.at && !e.withdraw.requested && c.allowed(r.task, e) {
+		if e != r.endpoint && !e.withdrawal.requested && c.canStart(r.task, e) {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 	if !e.withdrawn {
 		return
 	}
-	e.withdrawn, e.withdraw = false, withdrawal{}
+	e.withdrawn, e.withdrawal = false, withdrawal{}
 	c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
 	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
@@ -103,8 +103,8 @@
 	if err := json.Unmarshal(record.Value, &mark); err != nil {
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
-	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
-	e.withdrawn, e.withdraw.recorded = mark.Withdrawn, mark.Withdrawn
+	e := c.ensureEndpoint(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
+	e.withdrawn, e.withdrawal.recorded = mark.Withdrawn, mark.Withdrawn
 	return nil
 }
 
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -122,10 +122,10 @@
 	})
 }
 
-func (o *Owner) pace(pace cell.Pace) {
+func (o *Owner) pace(pace cell.SpeedChange) {
 	o.calling.Go(func() {
-		err := o.deps.Endpoints.SetSpeed(o.within(orderTimeout), pace.At, pace.Order)
-		o.send(paced{endpoint: pace.At.Life, run: pace.Order.Run, err: err})
+		err := o.deps.Endpoints.SetSpeed(o.within(orderTimeout), pace.Endpoint, pace.Request)
+		o.send(paced{endpoint: pace.Endpoint.Life, run: pace.Request.Run, err: err})
 	})
 }
 
