--- a/configuration.go
+++ b/configuration.go
@@ -7,50 +7,52 @@
 	"damsonwinch/pkg/wire"
 )
 
-// AdviceTimes says how long the advice service takes for a queue's phases.
+// AdviceTimes describes the timing of the advice service for the phases of one queue's jobs.
 type AdviceTimes struct {
-	// CallTime is the time of one call, and Each the time that every named
-	// endpoint adds.
+	// CallTime is how long one call takes, and TimePerEndpoint is how much each endpoint that
+	// the call names adds to it.
 	CallTime        time.Duration
 	TimePerEndpoint time.Duration
-	// PermitTTL is how long a permit holds.
+	// PermitTTL is how long a permit is valid.
 	PermitTTL time.Duration
 }
 
-// Queue is a route by which clients hand in jobs.
+// Queue is an HTTP route through which clients submit jobs.
 type Queue struct {
 	Name string
-	// Host and Prefix are how clients address it.
+	// Host and PathPrefix select the queue for a client's call.
 	Host       string
 	PathPrefix string
-	// Pool is the service whose endpoints run its tasks.
+	// Pool names the service whose endpoints run the queue's tasks.
 	Pool string
-	// Priority 0 comes first.
+	// Priority orders queues: 0 is the highest.
 	Priority int
-	// MaxAttempts is the number of failed attempts at a task that fail its job.
+	// MaxAttempts is how many failed attempts at one task make its job fail.
 	MaxAttempts int
-	// DeadlineFactor times the longest chain of work, plus Target, is the time in
-	// which a job should be done.
+	// DeadlineFactor times the critical path of a job, which is the longest chain of
+	// dependent work by the client's estimates, plus TargetLatency is the time within
+	// which the job should be done.
 	DeadlineFactor float64
 	TargetLatency  time.Duration
-	// Timeout is how long a call on the queue may take.
+	// Timeout is how long a client's call on the queue may take.
 	Timeout time.Duration
-	// Advice is set where only some endpoints may run a phase.
+	// Advice is set if the advice service decides which endpoints may run a phase, else nil.
 	Advice *AdviceTimes
-	// Public says that its calls need no key.
+	// Public reports whether calls on the queue need no key.
 	Public bool
 }
 
-// Pool is a service with the boxes that run its tasks.
+// Pool is a service and the boxes that run its tasks.
 type Pool struct {
 	Name string
-	// RejectsOverload says that its endpoints refuse what doesn't fit.
+	// RejectsOverload reports whether the service's endpoints reject tasks that exceed their
+	// free capacity.
 	RejectsOverload bool
-	// PoweredOff says that its boxes are off and cost nothing.
+	// PoweredOff reports whether the boxes in this pool are switched off and cost nothing.
 	PoweredOff bool
 }
 
-// Limits bound clients' calls.
+// Limits bounds the size and the duration of clients' HTTP calls.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -58,19 +60,20 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is what the operator has put in force, whole.
+// Configuration is one complete version of the operator's configuration.
 type Configuration struct {
 	Version int
 	Queues  []Queue
 	Pools   []Pool
-	// Customers are those whose keys are asked for on queues that are not public.
+	// Customers lists the customers whose keys are accepted on queues that are not public.
 	Customers []Customer
 	Limits    Limits
-	// Problems say what of the operator's record is not in force, and why.
+	// Problems lists the parts of the operator's record that are not in force, each with the
+	// reason.
 	Problems []string
 }
 
-// Queue returns a queue by its name.
+// Queue returns the queue of the given name, and whether there is one.
 func (c Configuration) Queue(name string) (Queue, bool) {
 	for _, queue := range c.Queues {
 		if queue.Name == name {
@@ -80,7 +83,7 @@
 	return Queue{}, false
 }
 
-// Pool returns a pool by its name.
+// Pool returns the pool of the given name, and whether there is one.
 func (c Configuration) Pool(name string) (Pool, bool) {
 	for _, pool := range c.Pools {
 		if pool.Name == name {
@@ -90,27 +93,27 @@
 	return Pool{}, false
 }
 
-// Wave is an operator's request to maintain boxes.
+// Wave is an operator's request to maintain a set of boxes.
 type Wave struct {
 	Number int
 	Boxes  []string
-	// Duration is the time in which all of them should be done.
+	// Duration is the time within which all boxes should have been maintained.
 	Duration time.Duration
-	// MaxDown is how many may be down for it at once.
+	// MaxDown is how many boxes may be down for the wave at once.
 	MaxDown int
-	// Offset is where the store has the request.
+	// Offset is the offset of the request's record in its stream.
 	Offset int
 }
 
-// JobService takes clients' calls on jobs. Each call ends when the context does.
+// JobService handles clients' calls on jobs. A call returns at the latest when its context ends.
 type JobService interface {
-	// Submit hands in a job; only the outcome "accepted" promises that it is kept,
-	// and "refused" that it never runs.
+	// Submit submits a job. Only the outcome "accepted" guarantees that the job is stored,
+	// and only "refused" that it never runs.
 	Submit(ctx context.Context, args wire.JobArgs) wire.JobReply
-	// Show tells a job's state.
+	// Show returns a job's state.
 	Show(ctx context.Context, args wire.JobArgs) wire.JobReply
-	// Cancel ends a job for good.
+	// Cancel ends a job permanently.
 	Cancel(ctx context.Context, args wire.JobArgs) wire.JobReply
-	// Pending counts the jobs of a queue that have not begun.
+	// Pending returns the number of a queue's jobs that have not started.
 	Pending(ctx context.Context, args wire.JobArgs) wire.JobReply
 }
--- a/customer.go
+++ b/customer.go
@@ -5,26 +5,27 @@
 	"encoding/base64"
 )
 
-// keyDigestBytes is the length of what is kept of a key: two keys of a fleet's don't meet in it,
-// and none can be found from it.
+// keyDigestBytes is the length of a truncated key hash: two keys of one fleet do not collide in it,
+// and no key can be recovered from it.
 const keyDigestBytes = 16
 
-// KeyDigest is what is kept of a customer's key. It tells the key apart from others and doesn't
-// lead back to it.
+// KeyDigest is the truncated SHA-256 of a customer's key, which is kept in place of the key. It
+// identifies the key without revealing it.
 type KeyDigest [keyDigestBytes]byte
 
-// DigestKey returns the digest of a key.
+// DigestKey returns the digest of the key that a customer sends.
 func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(sum[:keyDigestBytes])
 }
 
-// Text returns the digest in a form for the wire.
+// Text returns the digest as unpadded URL-safe base64, as it is sent between nodes.
 func (d KeyDigest) Text() string {
 	return base64.RawURLEncoding.EncodeToString(d[:])
 }
 
-// ParseKeyDigest reads what Text returns; anything else is the digest of no key.
+// ParseKeyDigest parses the result of Text. For any other text it returns the zero KeyDigest,
+// which belongs to no key.
 func ParseKeyDigest(text string) KeyDigest {
 	var digest KeyDigest
 	if base64.RawURLEncoding.DecodedLen(len(text)) != keyDigestBytes {
@@ -36,13 +37,14 @@
 	return digest
 }
 
-// Customer is one whose jobs the fleet runs.
+// Customer is a tenant whose jobs the fleet runs.
 type Customer struct {
 	Name string
-	// Keys are the digests of the keys by which its calls are known.
+	// Keys holds the digests of the keys that identify the customer's calls.
 	Keys []KeyDigest
-	// Weight is its share while the fleet is full, in jobs a second.
+	// Weight is the customer's share while the fleet is full, in jobs per second.
 	Weight int
-	// Cap is what it may have running on all endpoints together; what is 0 has no limit.
+	// Cap is the most that the customer's tasks may use on all endpoints together. A resource
+	// whose cap is 0 has no limit.
 	Cap Resources
 }
--- a/damsonwinch.go
+++ b/damsonwinch.go
@@ -1,6 +1,6 @@
-// Package damsonwinch holds the interfaces of behaviour that varies: what the
-// platform offers, how time passes and how decisions are made. Implementations
-// stand below pkg/.
+// Package damsonwinch defines the interfaces behind which implementations vary: the platform's
+// services, the clock and the policies that make decisions. The implementations are in pkg/ and
+// platform/.
 package damsonwinch
 
 import (
@@ -13,14 +13,15 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Clock is the source of time for everything that decides by it.
+// Clock is the source of time for everything that measures or waits, so that tests can replace it.
 type Clock = clockwork.Clock
 
-// SuspendedTime returns for how long the machine has been suspended since the process began, which a
-// Clock doesn't count. A nil one says that it never was.
+// SuspendedTime returns the total time for which the machine has been suspended since the
+// process started. A Clock doesn't count that time. A nil SuspendedTime means that the machine
+// is never suspended.
 type SuspendedTime func() time.Duration
 
-// Total is the same, also for nil.
+// Total returns the suspended time, and 0 if s is nil.
 func (s SuspendedTime) Total() time.Duration {
 	if s == nil {
 		return 0
@@ -28,51 +29,52 @@
 	return s()
 }
 
-// NegligibleSuspension is for how long a machine may be suspended without any consequence: the
-// margins of leases and proofs are longer.
+// NegligibleSuspension is the longest time for which a machine may be suspended without any
+// consequence: the safety margins of leases and ownership proofs are longer.
 const NegligibleSuspension = 100 * time.Millisecond
 
-// Names of the log streams that the system keeps.
+// Names of the log streams that the system writes.
 const (
-	// StreamFleet carries every proposal on the fleet.
+	// StreamFleet carries every proposed change to the fleet's state.
 	StreamFleet = "fleet"
-	// StreamSnapshots carries snapshots of the folded state.
+	// StreamSnapshots carries snapshots of the state that results from applying StreamFleet.
 	StreamSnapshots = "snapshots"
-	// StreamClaims carries idempotency keys and their outcomes.
+	// StreamClaims carries idempotency keys and the outcomes of their requests.
 	StreamClaims = "claims"
 )
 
 // Log is the platform's append-only log service.
 type Log interface {
 	// Append adds one record and returns its offset. After an error the record
-	// may still be in the log, now or later.
+	// may be in the log all the same, or may still appear there later.
 	Append(ctx context.Context, stream, data string) (int, error)
-	// Read returns records from offset from on, oldest first. It waits up to
-	// waitMs milliseconds for a first one. Page.First above from says that
-	// records have expired.
+	// Read returns at most maximum records, oldest first, starting at offset from.
+	// If there is none yet it waits up to waitMs milliseconds for the first one.
+	// If Page.First is above from, the records in between have expired.
 	Read(ctx context.Context, stream string, from, maximum, waitMs int) (wire.LogPage, error)
 }
 
-// BoxLister is the platform's lagging list of boxes.
+// BoxLister is the platform's list of boxes. The list lags behind their actual state.
 type BoxLister interface {
-	// Boxes returns every box that the list shows of a hall.
-	Boxes(ctx context.Context, hall string) ([]wire.ListedBox, error)
+	// Boxes returns all boxes that the list shows in an availability zone.
+	Boxes(ctx context.Context, zone string) ([]wire.ListedBox, error)
 }
 
-// BoxControl is the platform's maintenance of a drained box.
+// BoxControl runs the platform's maintenance on a drained box.
 type BoxControl interface {
 	// Maintain reboots the box and returns once it serves again.
 	Maintain(ctx context.Context, box string) error
 }
 
-// Dial opens a connection to an address, an IP number and a port.
+// Dial opens a connection to an address, which is an IP address and a port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// RecordSource gives a follower the records of the fleet stream.
+// RecordSource supplies a follower with the records of StreamFleet.
 type RecordSource interface {
-	// Name says who the source is, for errors and counters.
+	// Name identifies the source in errors and counters.
 	Name() string
-	// Read returns records from offset from on, or a snapshot when those have
-	// expired. It waits up to waitMs milliseconds for a first one.
+	// Read returns at most maximum records starting at offset from, or a snapshot if
+	// those records have expired. If there is none yet it waits up to waitMs
+	// milliseconds for the first one.
 	Read(ctx context.Context, from, maximum, waitMs int) (wire.ReadReply, error)
 }
