--- a/endpoint.go
+++ b/endpoint.go
@@ -7,87 +7,87 @@
 	"time"
 )
 
-// Resources is room on a box, or what a task needs of it.
+// Resources is an amount of capacity: what a box offers or a task needs.
 type Resources struct {
-	// MilliCPU is in thousandths of a core.
+	// MilliCPU is CPU capacity in thousandths of a core.
 	MilliCPU int
-	// MemoryMB is in mebibytes.
+	// MemoryMB is memory in mebibytes.
 	MemoryMB int
-	// GPUs counts accelerators.
+	// GPUs is the number of accelerators.
 	GPUs int
 }
 
-// Plus returns the sum.
+// Plus returns the sum of r and other.
 func (r Resources) Plus(other Resources) Resources {
 	return Resources{MilliCPU: r.MilliCPU + other.MilliCPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPUs: r.GPUs + other.GPUs}
 }
 
-// Minus returns the difference.
+// Minus returns r less other. Its fields may be negative.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{MilliCPU: r.MilliCPU - other.MilliCPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPUs: r.GPUs - other.GPUs}
 }
 
-// Holds says whether a need fits into this room.
+// Holds reports whether need fits into the capacity r.
 func (r Resources) Holds(need Resources) bool {
 	return need.MilliCPU <= r.MilliCPU && need.MemoryMB <= r.MemoryMB && need.GPUs <= r.GPUs
 }
 
-// Endpoint is one life of the program that runs tasks on a box.
+// Endpoint is one life of the program that runs tasks on a box, as registered in the store.
 type Endpoint struct {
 	Life    Life
 	Box     string
 	Address string
-	// Pool is the service whose tasks it runs.
+	// Pool names the service whose tasks the endpoint runs.
 	Pool string
 	Zone string
-	// Rack is the label that names its rack, empty if none does.
+	// Rack is the one of Labels that names the box's rack, or empty if none does.
 	Rack     string
 	Labels   []string
 	Capacity Resources
-	// Draining says that it will end on its own and takes no new work.
+	// Draining reports whether the endpoint accepts no new tasks and will exit on its own.
 	Draining bool
-	// Remaining is the least time until it ends, when it drains.
+	// Remaining is the shortest time after which a draining endpoint exits.
 	Remaining time.Duration
-	// Offset is where the store has this entry.
+	// Offset is the offset of this registration in its stream.
 	Offset int
-	// SeenAt is when this node read the entry as it was last written.
+	// SeenAt is when this node read the latest version of the registration.
 	SeenAt time.Time
 }
 
-// TaskID names a task.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job string
-	// Round counts the times that a repeated job runs, from 0.
+	// Round counts the repetitions of a repeated job, from 0.
 	Round int
 	Phase int
 	Index int
 }
 
-// String returns the name as logs show it.
+// String returns the ID in the form that logs show: job, round, phase and index.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Round, t.Phase, t.Index)
 }
 
-// Run is one attempt at a task, as an endpoint knows it.
+// Run identifies one attempt at a task towards an endpoint.
 type Run struct {
 	Task TaskID
-	// Attempt rises with each start of the task, from 1.
+	// Attempt numbers the starts of the task, from 1.
 	Attempt int
 }
 
 // StartRequest asks an endpoint to run a task.
 type StartRequest struct {
 	Run
-	// Spec is the client's text that tells the endpoint what to do.
+	// Spec is the client's description of the work. Only the endpoint interprets it.
 	Spec string
 	// Token is the fencing token of the cell's owner.
 	Token int
-	// LeaseUntilMs is the endpoint's clock, in milliseconds, at which a start that is
-	// late is refused; what runs is leased at least until then.
+	// LeaseUntilMs is a time on the endpoint's clock, in milliseconds. The endpoint refuses
+	// a request that arrives after it, and a run's lease lasts at least until then.
 	LeaseUntilMs int
-	// Checkpoint is where an earlier attempt left off, or empty.
+	// Checkpoint is where an earlier attempt stopped, or empty.
 	Checkpoint string
-	// Ticket is the advice service's permission, where the queue needs one.
+	// Ticket proves the advice service's permission, if the queue needs one.
 	Ticket string
 }
 
@@ -97,117 +97,121 @@
 	Token int
 }
 
-// SpeedRequest sets the share of its speed at which a run works.
+// SpeedRequest sets the speed of a run.
 type SpeedRequest struct {
 	Run
-	Token        int
+	Token int
+	// SpeedPercent is the share of its full speed at which the run works.
 	SpeedPercent int
 }
 
-// PollRequest asks an endpoint for what runs and what has ended, and prolongs the
-// lease of all that runs there.
+// PollRequest asks an endpoint for its running and finished runs, and renews the lease of
+// everything that runs there.
 type PollRequest struct {
 	Token int
-	// AckedSequence is the number of the last end that is safely recorded; the endpoint
-	// forgets it and those before.
+	// AckedSequence is the Sequence of the last result that is durably recorded. The endpoint
+	// discards that result and all before it.
 	AckedSequence int
-	// LeaseUntilMs prolongs the lease, on the endpoint's clock in milliseconds; 0 leaves
-	// it as it is.
+	// LeaseUntilMs is the time on the endpoint's clock, in milliseconds, until which the lease
+	// is renewed; 0 doesn't renew it.
 	LeaseUntilMs int
-	// MaxWait is how long the endpoint waits for an end before it answers.
+	// MaxWait is how long the endpoint may hold the request until a run ends.
 	MaxWait time.Duration
 }
 
-// RunProgress is a run that an endpoint has in hand.
+// RunProgress describes a run in progress on an endpoint.
 type RunProgress struct {
 	Run
 	Checkpoint string
-	// DonePercent is how much of its work is done; a lasting task is at work at 100.
+	// DonePercent is how much of the task is done. A long-running task reports 100 once it is
+	// at work.
 	DonePercent int
-	// Load is the tail latency in milliseconds of a task that serves users, and
-	// the CPU in use, in thousandths of a core, of any other.
+	// Load is the tail latency in milliseconds if the task serves users, and otherwise the
+	// CPU that it uses, in thousandths of a core.
 	Load int
 }
 
-// Ending says how a run ended.
+// Ending is the reason why a run ended.
 type Ending string
 
-// The endings of a run.
+// The reasons why a run ends.
 const (
 	EndedDone    Ending = "done"
 	EndedFailed  Ending = "failed"
 	EndedStopped Ending = "stopped"
-	// EndedLapsed is the end of a run whose lease ran out.
+	// EndedLapsed is the ending of a run whose lease expired.
 	EndedLapsed Ending = "lapsed"
-	// EndedGangFailed is the end of a gang's member after another member's.
+	// EndedGangFailed is the ending of a gang's member after another member has ended.
 	EndedGangFailed Ending = "broken"
-	// EndedGangIncomplete is the end of a gang's member that waited in vain for the others.
+	// EndedGangIncomplete is the ending of a gang's member whose other members did not start
+	// in time.
 	EndedGangIncomplete Ending = "alone"
 )
 
-// RunResult is a run that has ended on an endpoint.
+// RunResult describes a run that has ended on an endpoint.
 type RunResult struct {
 	Run
-	// Sequence rises by one with each end within one life of an endpoint.
+	// Sequence numbers the results of one life of an endpoint and rises by one with each.
 	Sequence   int
 	Ending     Ending
 	Checkpoint string
 }
 
-// PollReply is an endpoint's answer to a look.
+// PollReply is an endpoint's answer to a PollRequest.
 type PollReply struct {
-	// StartedUnixMs is when the life that answers was born, as in its name.
+	// StartedUnixMs is when the life that answers started, as in Life.
 	StartedUnixMs int
-	// ClockMs is the endpoint's steady clock in milliseconds.
+	// ClockMs is the reading of the endpoint's monotonic clock in milliseconds.
 	ClockMs  int
 	Running  []RunProgress
 	Finished []RunResult
 }
 
-// Refusals of an endpoint: in each case it has done nothing.
+// Errors with which an endpoint refuses a request. After each of them it has done nothing.
 var (
-	// ErrStaleToken says that the endpoint has seen a newer owner's token.
-	ErrStaleToken = errors.New("the endpoint follows a newer owner")
-	// ErrStaleRun says that a newer attempt, or a stop of this one, came before.
+	// ErrStaleToken means that a newer owner's fencing token has been seen.
+	ErrStaleToken = errors.New("a newer fencing token has been seen")
+	// ErrStaleRun means that a newer attempt at the task, or a stop of this one, came before.
 	ErrStaleRun = errors.New("the endpoint has seen a newer attempt or a stop")
-	// ErrTooLate says that the order came after its deadline.
-	ErrTooLate = errors.New("the order came too late")
-	// ErrNoCapacity says that the task doesn't fit the endpoint now.
-	ErrNoCapacity = errors.New("the endpoint has no room")
-	// ErrInvalidTicket says that the advice's permission is missing or has ended.
-	ErrInvalidTicket = errors.New("the endpoint wants another ticket")
-	// ErrOtherLife says that another life answers at the address.
+	// ErrTooLate means that the request arrived after its LeaseUntilMs.
+	ErrTooLate = errors.New("the request arrived after its deadline")
+	// ErrNoCapacity means that the task exceeds the endpoint's free capacity now.
+	ErrNoCapacity = errors.New("the endpoint has too little free capacity")
+	// ErrInvalidTicket means that the request has no ticket of the advice service, or one that
+	// has expired.
+	ErrInvalidTicket = errors.New("the ticket is missing or has expired")
+	// ErrOtherLife means that another life answers at the address.
 	ErrOtherLife = errors.New("another endpoint answers at this address")
-	// ErrUnhealthy says that the endpoint is unwell.
-	ErrUnhealthy = errors.New("the endpoint is unwell")
-	// ErrInvalid says that the endpoint can't make sense of the order.
-	ErrInvalid = errors.New("the endpoint refuses the order as invalid")
-	// ErrNotSent says that no connection came about, so that nothing has been ordered.
-	ErrNotSent = errors.New("not sent")
+	// ErrUnhealthy means that the endpoint is overloaded or unavailable.
+	ErrUnhealthy = errors.New("the endpoint is unhealthy")
+	// ErrInvalid means that the request makes no sense to the endpoint.
+	ErrInvalid = errors.New("the request is invalid")
+	// ErrNotSent means that no connection was made, so that nothing has been requested.
+	ErrNotSent = errors.New("the request was not sent")
 )
 
-// EndpointControl gives orders to endpoints. An error that is none of the
-// refusals leaves open whether the order was carried out, now or later.
+// EndpointControl sends requests to endpoints. After an error that is none of the refusals
+// above, the request may have been carried out or may still be carried out later.
 type EndpointControl interface {
-	// Start asks for a run.
-	Start(ctx context.Context, at Endpoint, order StartRequest) error
-	// Stop asks for the end of a run; the end is listed once it has ended.
-	Stop(ctx context.Context, at Endpoint, order StopRequest) error
-	// SetSpeed sets how fast a run works.
-	SetSpeed(ctx context.Context, at Endpoint, order SpeedRequest) error
-	// Poll asks what runs and prolongs leases.
-	Poll(ctx context.Context, at Endpoint, order PollRequest) (PollReply, error)
+	// Start starts a run.
+	Start(ctx context.Context, endpoint Endpoint, request StartRequest) error
+	// Stop asks the endpoint to end a run. Poll returns the result once the run has ended.
+	Stop(ctx context.Context, endpoint Endpoint, request StopRequest) error
+	// SetSpeed sets the speed of a run.
+	SetSpeed(ctx context.Context, endpoint Endpoint, request SpeedRequest) error
+	// Poll returns the endpoint's running and finished runs, and renews their leases.
+	Poll(ctx context.Context, endpoint Endpoint, request PollRequest) (PollReply, error)
 }
 
-// Permit is the advice service's permission for a phase of a job on an endpoint.
+// Permit is the advice service's permission to run a phase of a job on an endpoint.
 type Permit struct {
 	EndpointID string
 	Ticket     string
 }
 
-// Advisor tells which endpoints may run a phase of a job, where a queue's policy
-// asks for that.
+// Advisor decides which endpoints may run a phase of a job, for queues with Queue.Advice set.
 type Advisor interface {
-	// Advise returns the permits among the named endpoints and how long they hold.
+	// Advise returns a permit for each of the given endpoints, which are IDs, that may run the
+	// phase, and how long the permits are valid.
 	Advise(ctx context.Context, job string, round, phase int, endpoints []string) ([]Permit, time.Duration, error)
 }
--- a/fleet.go
+++ b/fleet.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// BoxState says what a box is doing, as the platform knows it.
+// BoxState is the state of a box as the platform reports it.
 type BoxState string
 
 // The states of a box.
@@ -22,36 +22,37 @@
 	Pool  string
 	State BoxState
 	Zone  string
-	// Rack is the label that names its rack, empty if none does.
+	// Rack is the one of Labels that names the box's rack, or empty if none does.
 	Rack     string
 	Labels   []string
 	Capacity Resources
-	// EndpointID is the ID of the life that runs on it, empty if none does. The list doesn't say
-	// when it was born.
+	// EndpointID is the ID of the life that runs on the box, or empty if none does. The list
+	// doesn't include the start time of the life.
 	EndpointID string
 }
 
-// Issuer proves who gives an order on boxes.
+// Issuer identifies the node that gives an order on a box, and its fencing token.
 type Issuer struct {
 	Node  string
 	Token int
 }
 
-// Refusals of orders on boxes.
+// Errors with which the platform refuses an order on a box.
 var (
-	// ErrBoxNotUp says that the box isn't up, or is leaving.
+	// ErrBoxNotUp means that the box isn't up, or that it is about to leave.
 	ErrBoxNotUp = errors.New("the box is not up")
-	// ErrNotInWave says that the box isn't of the named wave.
-	ErrNotInWave = errors.New("the box is not of this wave")
+	// ErrNotInWave means that the box isn't part of the given maintenance wave.
+	ErrNotInWave = errors.New("the box is not part of this wave")
 )
 
-// Fleet is the platform's control of boxes. ErrOldToken, ErrRefused and
-// ErrInvalid are as for endpoints and the store.
+// Fleet is the platform's interface for listing and controlling boxes. Its methods also return
+// ErrStaleToken, ErrRefused and ErrInvalid, with the same meaning as elsewhere in this package.
 type Fleet interface {
-	// Boxes lists all boxes.
+	// Boxes returns all boxes of the fleet.
 	Boxes(ctx context.Context) ([]Box, error)
-	// Move takes a box to another pool. All that runs there dies at once.
-	Move(ctx context.Context, holder Issuer, box, pool string) error
-	// Maintain maintains a box for a wave. All that runs there dies at once.
-	Maintain(ctx context.Context, holder Issuer, box string, wave int) error
+	// Move moves a box to another pool. Everything that runs on the box is killed at once.
+	Move(ctx context.Context, issuer Issuer, box, pool string) error
+	// Maintain starts the maintenance of a box for a wave. Everything that runs on the box is
+	// killed at once.
+	Maintain(ctx context.Context, issuer Issuer, box string, wave int) error
 }
--- a/life.go
+++ b/life.go
@@ -6,52 +6,53 @@
 	"strings"
 )
 
-// Life names one life of the program that runs tasks on a box. The program may start again
-// under the ID that it had: it then holds and knows nothing of what it did before.
+// Life identifies one life of the program that runs tasks on a box: one run from its start to its
+// exit. The program may restart under the same ID. It then has lost all runs and all state.
 type Life struct {
 	ID string
-	// StartedUnixMs is the Unix millisecond of its start, by its own word; 0 where it doesn't tell: its
-	// ID alone names the life then.
+	// StartedUnixMs is when the program started, in Unix milliseconds as the program reports
+	// it. It is 0 if the program doesn't report it; the ID alone identifies the life then.
 	StartedUnixMs int
 }
 
-// bornMark stands between an ID and the moment of the start in the text of a life.
-const bornMark = "@"
+// startSeparator separates the ID from the start time in the text form of a Life.
+const startSeparator = "@"
 
-// String returns the life as records and logs hold it, which ParseLife reads.
+// String returns the text form of the life for records and logs, which ParseLife parses.
 func (l Life) String() string {
-	if l.StartedUnixMs == 0 && !strings.Contains(l.ID, bornMark) {
+	if l.StartedUnixMs == 0 && !strings.Contains(l.ID, startSeparator) {
 		return l.ID
 	}
-	return l.ID + bornMark + strconv.Itoa(l.StartedUnixMs)
+	return l.ID + startSeparator + strconv.Itoa(l.StartedUnixMs)
 }
 
-// ParseLife reads what String has written. A text of another form is an ID.
+// ParseLife parses the result of String. It takes a text of any other form for an ID.
 func ParseLife(text string) Life {
-	at := strings.LastIndex(text, bornMark)
-	if at < 0 {
+	separator := strings.LastIndex(text, startSeparator)
+	if separator < 0 {
 		return Life{ID: text}
 	}
-	born, err := strconv.Atoi(text[at+len(bornMark):])
+	startedUnixMs, err := strconv.Atoi(text[separator+len(startSeparator):])
 	if err != nil {
 		return Life{ID: text}
 	}
-	return Life{ID: text[:at], StartedUnixMs: born}
+	return Life{ID: text[:separator], StartedUnixMs: startedUnixMs}
 }
 
-// WithStarted returns the life under the same ID that was born at another moment.
-func (l Life) WithStarted(born int) Life {
-	l.StartedUnixMs = born
+// WithStarted returns the life of the same ID that started at the given time.
+func (l Life) WithStarted(startedUnixMs int) Life {
+	l.StartedUnixMs = startedUnixMs
 	return l
 }
 
-// MayBeSame says whether two names may be one life's: so they are unless their IDs differ, or both
-// tell when they were born and differ in it.
+// MayBeSame reports whether l and other may identify the same life. They do not if their IDs
+// differ, or if both have a start time and the times differ.
 func (l Life) MayBeSame(other Life) bool {
 	return l.ID == other.ID && (l.StartedUnixMs == other.StartedUnixMs || l.StartedUnixMs == 0 || other.StartedUnixMs == 0)
 }
 
-// Compare orders lives by their IDs, those under one ID next to each other.
+// Compare orders lives by ID and then by start time. It returns a negative number, 0 or a positive
+// number if l sorts before, equals or sorts after other.
 func (l Life) Compare(other Life) int {
 	return cmp.Or(cmp.Compare(l.ID, other.ID), cmp.Compare(l.StartedUnixMs, other.StartedUnixMs))
 }
--- a/store.go
+++ b/store.go
@@ -13,32 +13,32 @@
 	Partition int
 }
 
-// String returns the topic and the partition.
+// String returns the topic and the partition, separated by a slash.
 func (s Stream) String() string {
 	return fmt.Sprintf("%s/%d", s.Topic, s.Partition)
 }
 
-// Record is one entry of a stream.
+// Record is one record of a stream.
 type Record struct {
-	// Key names what the record is about; empty in streams without keys.
+	// Key identifies the subject of the record. It is empty in streams without keys.
 	Key string
-	// Value is empty where the record drops its key.
+	// Value is empty if the record deletes its key.
 	Value []byte
-	// Offset is the record's place in its stream, known once it is there.
+	// Offset is the record's position in its stream, set on records that have been read.
 	Offset int
 }
 
-// Fence makes an append count only while its producer's epoch is the newest
-// that the stream has seen, and only in the order of its sequence.
+// Fence makes the store accept an append only while the producer's epoch is the newest that the
+// stream has seen, and only in the order of sequence numbers.
 type Fence struct {
 	Producer string
 	Epoch    int
-	// Sequence rises by one with each append of an epoch. A repeated one of the
-	// last five gets its first answer again.
+	// Sequence rises by one with each append of an epoch. If an append repeats one of the last
+	// five sequence numbers, the store returns the answer to the first one again.
 	Sequence int
 }
 
-// Page is a stretch of a stream.
+// Page is a contiguous part of a stream.
 type Page struct {
 	Records []Record
 	// First is the oldest offset that the stream still holds.
@@ -47,25 +47,25 @@
 	End int
 }
 
-// KeyPage is a part of the newest records of a keyed stream, in order of keys.
+// KeyPage is a part of the newest records of the keys of a stream, in the order of keys.
 type KeyPage struct {
 	Records []Record
-	// More says that keys above the last one follow.
+	// More reports whether there are keys above the last one in Records.
 	More bool
 	// End is the offset that the next record will get.
 	End int
 }
 
-// Assignment is one dealt partition of a group.
+// Assignment is a stream that a group has assigned to one of its members.
 type Assignment struct {
 	Stream Stream
 	Member string
 }
 
-// Membership is what a member of a group knows after it has joined.
+// Membership is the state of a member of a group after it has joined.
 type Membership struct {
 	Generation int
-	// Assigned are the streams that the group has dealt to this member.
+	// Assigned holds the streams that the group has assigned to this member.
 	Assigned []Stream
 }
 
@@ -74,33 +74,34 @@
 	Group  string
 	Member string
 	Topics []string
-	// TTL is how long the group keeps a silent member.
+	// TTL is how long the group keeps a member that sends no further request.
 	TTL time.Duration
-	// Generation is the newest one that the member has heard of, or 0.
+	// Generation is the newest generation of the group that the member knows, or 0.
 	Generation int
 }
 
-// Outcomes of calls to the store that the caller tells apart. Any other error
-// leaves open whether the call has been carried out, now or later.
+// Errors of the store that callers distinguish. After any other error the call may have been
+// carried out or may still be carried out later.
 var (
-	// ErrFenced says that a newer epoch has written to the stream.
-	ErrFenced = errors.New("a newer epoch has written")
-	// ErrOutOfSequence says that the append doesn't follow the last one of its epoch.
-	ErrOutOfSequence = errors.New("out of sequence")
-	// ErrConflict says that somebody else has appended meanwhile.
-	ErrConflict = errors.New("the stream has moved on")
-	// ErrExpired says that the records asked for are no longer kept.
+	// ErrFenced means that a newer epoch has written to the stream.
+	ErrFenced = errors.New("a newer epoch has written to the stream")
+	// ErrOutOfSequence means that the append doesn't follow the last one of its epoch.
+	ErrOutOfSequence = errors.New("the append is out of sequence")
+	// ErrConflict means that another append has changed the end of the stream.
+	ErrConflict = errors.New("another append has changed the end of the stream")
+	// ErrExpired means that the requested records are no longer kept.
 	ErrExpired = errors.New("records have expired")
-	// ErrRefused says that the store did nothing and may do so on another try.
+	// ErrRefused means that the call did nothing. A retry may succeed.
 	ErrRefused = errors.New("refused, nothing was done")
 )
 
-// PartialError says that a call ended while its answer was coming, and how much of it
-// had come: the peer was slow or the answer large, and not silent.
+// PartialError means that a call ended after a part of its answer had arrived: the peer was slow
+// or the answer large, but the peer was not silent.
 type PartialError struct {
-	// Received is in bytes.
+	// Received is the number of bytes of the answer that had arrived.
 	Received int
-	Err      error
+	// Err is the error that ended the call.
+	Err error
 }
 
 // Error implements error.
@@ -108,30 +109,30 @@
 	return fmt.Sprintf("after %d bytes of the answer: %v", e.Received, e.Err)
 }
 
-// Unwrap returns what ended the call.
+// Unwrap returns the error that ended the call.
 func (e *PartialError) Unwrap() error {
 	return e.Err
 }
 
-// Store is the platform's log: streams of records, some of which keep the newest
-// record of each key for ever, and groups of members.
+// Store is the platform's log. It holds streams of records, some of which keep the newest record
+// of each key forever, and groups that assign streams to their members.
 type Store interface {
-	// Append adds all records or none and returns the offset of the first. No
-	// records and a higher epoch only raise the stream's epoch. An empty fence
-	// is none.
+	// Append adds all records or none and returns the offset of the first. Without records it
+	// only raises the stream's epoch to that of the fence. An empty fence means that the append
+	// isn't fenced.
 	Append(ctx context.Context, stream Stream, records []Record, fence Fence) (int, error)
-	// AppendAt adds all records if the stream ends at the given offset, and fails
-	// with ErrMoved if it doesn't.
-	AppendAt(ctx context.Context, stream Stream, records []Record, at int) error
-	// Read returns records from an offset on, waiting for the first at most as
-	// long as told.
+	// AppendAt adds all records if the next offset of the stream is end, and else returns
+	// ErrConflict.
+	AppendAt(ctx context.Context, stream Stream, records []Record, end int) error
+	// Read returns records starting at offset from. If there is none yet it waits at most wait
+	// for the first one.
 	Read(ctx context.Context, stream Stream, from int, wait time.Duration) (Page, error)
-	// Newest returns the newest records of keys above the given one.
+	// Newest returns the newest record of each key above after, in the order of keys.
 	Newest(ctx context.Context, stream Stream, after string) (KeyPage, error)
-	// Join joins a group or stays in it.
+	// Join joins a group, or renews the membership.
 	Join(ctx context.Context, request JoinRequest) (Membership, error)
-	// Leave leaves a group at once.
+	// Leave leaves a group without waiting for the member's TTL.
 	Leave(ctx context.Context, group, member string) error
-	// Assignments returns all dealt partitions of a group.
+	// Assignments returns all streams that a group has assigned, with their members.
 	Assignments(ctx context.Context, group string) ([]Assignment, error)
 }
