--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -26,7 +26,7 @@
 	c.blameLapsed(e)
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
-	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.Blame.Young()) {
+	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
 		c.chance.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
@@ -52,7 +52,7 @@
 // lostRun is how a run went: with which life, and how that ended.
 type lostRun struct {
 	with damsonwinch.Life
-	end  crash.End
+	end  crash.Loss
 }
 
 // loseRun takes away a run that has gone with its endpoint.
@@ -78,24 +78,24 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.trial; r != nil && r.state != runIntended && c.options.Blame.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.trial; r != nil && r.state != runIntended && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
 		return r
 	}
 	return nil
 }
 
 // endOf describes the end of a run's endpoint.
-func (c *Cell) endOf(r *run) crash.End {
+func (c *Cell) endOf(r *run) crash.Loss {
 	endedAt := r.at.endedAt(c.now)
-	end := crash.End{Age: r.age(endedAt), Least: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Trial: r.at.trial == r, Rate: c.chance.rate(c.now)}
+	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Probation: r.at.trial == r, LossRate: c.chance.rate(c.now)}
 	if r.at.silent && r.at.broke {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
 		// nothing else had begun, the weight of the end says how surely.
-		end.Least, end.Sure = end.Age, r.state == runConfirmed || end.Trial
+		end.MinAge, end.Certain = end.MaxAge, r.state == runConfirmed || end.Probation
 	}
 	if r.adopted {
-		end.Age = max(end.Age, c.options.Blame.Settled)
+		end.MaxAge = max(end.MaxAge, c.options.CrashRules.MaxCrashAge)
 	}
 	return end
 }
@@ -104,7 +104,7 @@
 // that is enough.
 func (c *Cell) endedUnder(r *run, lost lostRun) {
 	t := r.task
-	t.crashes = c.options.Blame.Add(t.crashes, lost.end)
+	t.crashes = c.options.CrashRules.Add(t.crashes, lost.end)
 	c.noteRunLost(r, lost)
 	if t.done || t.phase.job().ended() || c.giveUpConvicted(t, lost) {
 		return
@@ -115,20 +115,20 @@
 // giveUpConvicted ends the job of a task whose trials have shown that it crashes its
 // endpoints. It says whether it is one.
 func (c *Cell) giveUpConvicted(t *task, last lostRun) bool {
-	if !c.options.Blame.Convicted(t.crashes) {
+	if !c.options.CrashRules.IsCrasher(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
-		t.id(), t.crashes.Count, last.with, last.end.Age.Milliseconds()))
+		t.id(), t.crashes.Losses, last.with, last.end.MaxAge.Milliseconds()))
 	return true
 }
 
 // giveUpSpent gives a task up that has been started too often. It says whether it is one.
 func (c *Cell) giveUpSpent(t *task) bool {
-	if !c.options.Blame.Spent(t.crashes) {
+	if !c.options.CrashRules.StartsExhausted(t.crashes) {
 		return false
 	}
-	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Count, t.id(), t.crashes.Starts))
+	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Losses, t.id(), t.crashes.ExtraStarts))
 	return true
 }
 
@@ -139,7 +139,7 @@
 		return
 	}
 	t.givenUp = true
-	c.stats.GivenUp++
+	c.stats.JobsGivenUp++
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hopes() {
 		c.end(j, wire.JobStateFailed, why)
 	} else {
@@ -162,8 +162,8 @@
 // countStarts counts a start of a task under which many endpoints have ended, or takes it
 // back where its endpoint has certainly not begun it.
 func (c *Cell) countStarts(t *task, more int) {
-	if c.options.Blame.Counts(t.crashes) {
-		t.crashes = t.crashes.WithStarts(more)
+	if c.options.CrashRules.CountsStarts(t.crashes) {
+		t.crashes = t.crashes.WithExtraStarts(more)
 	}
 }
 
@@ -171,7 +171,7 @@
 // there: it may have ended before that, and because of them.
 func (c *Cell) blameLapsed(e *endpoint) {
 	for _, l := range e.lapses {
-		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.End{Least: l.outlived, Age: c.options.Blame.Settled})
+		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.outlived, MaxAge: c.options.CrashRules.MaxCrashAge})
 		c.suspect(l.task)
 	}
 }
@@ -231,10 +231,10 @@
 // noteRunLost tells of a run that went with its endpoint. The first time it is one of many.
 func (c *Cell) noteRunLost(r *run, lost lostRun) {
 	end := lost.end
-	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Count <= 1,
-		Why: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
-			end.Least.Milliseconds(), end.Age.Milliseconds(), end.Sure, end.Explained, end.Trial, end.Rate, r.attempt, r.task.crashes.Count, r.task.crashes.Weight, r.task.crashes.Starts),
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{
+		Message: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Debug: r.task.crashes.Losses <= 1,
+		Reason: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
+			end.MinAge.Milliseconds(), end.MaxAge.Milliseconds(), end.Certain, end.Explained, end.Probation, end.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
 }
 
@@ -247,8 +247,8 @@
 // writeCrashes adds what is known of a task's crashes to its job's record, whose next row is
 // the task's.
 func writeCrashes(t *task, record *wire.JobRecord) {
-	if t.crashes.Count > 0 && !t.done {
-		record.Crashed = append(record.Crashed, []int{len(record.Tasks), t.crashes.Count, t.crashes.Sure, t.crashes.Like, int(t.crashes.Low.Milliseconds()), int(t.crashes.High.Milliseconds()), t.crashes.Weight, t.crashes.Starts})
+	if t.crashes.Losses > 0 && !t.done {
+		record.Crashed = append(record.Crashed, []int{len(record.Tasks), t.crashes.Losses, t.crashes.CertainLosses, t.crashes.SimilarLosses, int(t.crashes.MinAge.Milliseconds()), int(t.crashes.MaxAge.Milliseconds()), t.crashes.Weight, t.crashes.ExtraStarts})
 	}
 }
 
@@ -259,11 +259,11 @@
 			return fmt.Errorf("job %s has a crashed task %v", j.id, row)
 		}
 		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
-			t.crashes = crash.Record{
-				Count: row[1], Sure: row[2], Like: row[3], Low: time.Duration(row[4]) * time.Millisecond, High: time.Duration(row[5]) * time.Millisecond,
-				Weight: row[6], Starts: row[7],
+			t.crashes = crash.History{
+				Losses: row[1], CertainLosses: row[2], SimilarLosses: row[3], MinAge: time.Duration(row[4]) * time.Millisecond, MaxAge: time.Duration(row[5]) * time.Millisecond,
+				Weight: row[6], ExtraStarts: row[7],
 			}
-			t.givenUp = c.options.Blame.Convicted(t.crashes)
+			t.givenUp = c.options.CrashRules.IsCrasher(t.crashes)
 			c.suspect(t)
 		}
 	}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -88,7 +88,7 @@
 func (c *Cell) attach(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
-	c.quota.Begin(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
+	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs++
 }
 
@@ -115,7 +115,7 @@
 func (c *Cell) resolve(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
-	c.quota.End(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
+	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs--
 	c.unplaced = true
 	c.touch(r.task.phase.job())
@@ -140,10 +140,10 @@
 	r.state = runOrdered
 	c.noteStart(r)
 	r.since = c.now
-	until := r.at.clock(c.now) + int(c.options.StartLate.Milliseconds())
+	until := r.at.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
 	c.prolong(r.at, until)
 	c.stats.Starts++
-	c.effects.Starts = append(c.effects.Starts, Start{At: r.at.info, Order: damsonwinch.StartRequest{
+	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartRequest{
 		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.saved,
 		Ticket: c.ticket(r.task.phase, r.at),
 	}})
@@ -203,7 +203,7 @@
 
 // refused takes back a run that its endpoint has turned away.
 func (c *Cell) refused(r *run, err error) {
-	c.stats.Refusals++
+	c.stats.StartsRefused++
 	c.countStarts(r.task, -1)
 	c.note("start refused", r, err.Error())
 	defer c.abandonGang(r.task.phase, "a member of its gang was refused")
@@ -278,7 +278,7 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSent = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{At: r.at.info, Order: damsonwinch.StopRequest{Run: r.order(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.at.info, Request: damsonwinch.StopRequest{Run: r.order(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
