--- a/pkg/customer/book.go
+++ b/pkg/customer/book.go
@@ -1,4 +1,4 @@
-// Package customer finds customers by the keys that their calls bring. It is pure.
+// Package customer identifies customers by the keys that their calls carry. It does no I/O.
 package customer
 
 import (
@@ -7,52 +7,53 @@
 	"damsonwinch"
 )
 
-// Index holds the customers of one configuration by the digests of their keys. It never changes.
+// Index finds the customers of one configuration by key digest and by name. It is immutable.
 type Index struct {
 	byKey  map[damsonwinch.KeyDigest]string
 	byName map[string]damsonwinch.Customer
 }
 
-// nobody marks a key that stands with more than one customer.
-const nobody = ""
+// noCustomer marks a key that more than one customer has.
+const noCustomer = ""
 
-// New returns the book of some customers, and what of them isn't in force: a key that two of
-// them have says of neither that it calls.
+// New returns the index of customers, and a description of each problem because of which a part of
+// them isn't in force. A key that two customers have identifies neither of them.
 func New(customers []damsonwinch.Customer) (*Index, []string) {
-	b := &Index{byKey: map[damsonwinch.KeyDigest]string{}, byName: make(map[string]damsonwinch.Customer, len(customers))}
-	var flaws []string
+	x := &Index{byKey: map[damsonwinch.KeyDigest]string{}, byName: make(map[string]damsonwinch.Customer, len(customers))}
+	var problems []string
 	for _, c := range customers {
-		if _, twice := b.byName[c.Name]; twice || c.Name == nobody {
-			flaws = append(flaws, fmt.Sprintf("customer %q stands there twice, or has no name: the first one counts", c.Name))
+		if _, duplicate := x.byName[c.Name]; duplicate || c.Name == noCustomer {
+			problems = append(problems, fmt.Sprintf("customer %q is listed twice, or has no name: only the first one is in force", c.Name))
 			continue
 		}
-		b.byName[c.Name] = c
+		x.byName[c.Name] = c
 		for _, key := range c.Keys {
-			other, taken := b.byKey[key]
+			other, taken := x.byKey[key]
 			if taken && other != c.Name {
-				flaws = append(flaws, fmt.Sprintf("customer %s has a key that another one has as well: it is neither's", c.Name))
-				b.byKey[key] = nobody
+				problems = append(problems, fmt.Sprintf("customer %s has a key that another one has as well: it is neither's", c.Name))
+				x.byKey[key] = noCustomer
 				continue
 			}
-			b.byKey[key] = c.Name
+			x.byKey[key] = c.Name
 		}
 	}
-	return b, flaws
+	return x, problems
 }
 
-// NameByKey returns the customer of a key, and whether the key is in force.
-func (b *Index) NameByKey(key damsonwinch.KeyDigest) (name string, inForce bool) {
-	name = b.byKey[key]
-	return name, name != nobody
+// NameByKey returns the name of the customer that has the key, and whether the key is in force. The
+// name is empty if it isn't.
+func (x *Index) NameByKey(key damsonwinch.KeyDigest) (name string, inForce bool) {
+	name = x.byKey[key]
+	return name, name != noCustomer
 }
 
-// ByName returns a customer by its name.
-func (b *Index) ByName(name string) (damsonwinch.Customer, bool) {
-	c, known := b.byName[name]
+// ByName returns the customer of the given name, and whether there is one.
+func (x *Index) ByName(name string) (damsonwinch.Customer, bool) {
+	c, known := x.byName[name]
 	return c, known
 }
 
-// Len returns the number of customers.
-func (b *Index) Len() int {
-	return len(b.byName)
+// Len returns the number of customers in force.
+func (x *Index) Len() int {
+	return len(x.byName)
 }
--- a/pkg/job/check.go
+++ b/pkg/job/check.go
@@ -1,5 +1,5 @@
-// Package job holds what follows from a job's text alone: whether it makes sense,
-// and how long it should take. It is pure.
+// Package job validates job specifications and derives properties from them, such as the critical
+// path. Its functions are pure.
 package job
 
 import (
@@ -9,20 +9,20 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Limits of a job.
+// Limits of one job.
 const (
-	// MaxTextBytes is the platform's limit of a job's text.
+	// MaxTextBytes is the platform's limit for the text of a job.
 	MaxTextBytes = 4000
-	// MaxPhases and MostTasks keep one job from taking an owner's memory: a task
-	// costs about 300 bytes there. The largest jobs of the users' sheets have 5
-	// phases of 32 tasks.
+	// MaxPhases and MaxTasks keep one job from using up the memory of the node that owns its
+	// cell, where a task costs about 300 bytes. The largest jobs that users have specified have
+	// 5 phases of 32 tasks.
 	MaxPhases = 256
 	MaxTasks  = 20_000
-	// MaxRounds bounds a repeated job.
+	// MaxRounds is the maximum number of repetitions of a repeated job.
 	MaxRounds = 1_000_000
 )
 
-// Check returns what is wrong with a job, or nil.
+// Check returns an error that describes the first violation of a rule in spec, or nil.
 func Check(spec wire.JobSpec) error {
 	if len(spec.Text) > MaxTextBytes {
 		return fmt.Errorf("the job's text has %d bytes; at most %d are taken", len(spec.Text), MaxTextBytes)
@@ -31,7 +31,7 @@
 		return fmt.Errorf("the job has %d phases; allowed are 1 to %d", len(spec.Phases), MaxPhases)
 	}
 	if spec.Rounds < 0 || spec.Rounds > MaxRounds || spec.EveryMs < 0 || spec.FirstMs < 0 {
-		return fmt.Errorf("the job's times make no sense: first %d ms, every %d ms, %d rounds", spec.FirstMs, spec.EveryMs, spec.Rounds)
+		return fmt.Errorf("the job's times are out of range: first %d ms, every %d ms, %d rounds", spec.FirstMs, spec.EveryMs, spec.Rounds)
 	}
 	tasks := 0
 	for number, phase := range spec.Phases {
@@ -51,21 +51,21 @@
 		return fmt.Errorf("phase %d has %d tasks; at least 1 is needed", number, phase.Count)
 	}
 	if phase.Cpu < 0 || phase.MemoryMb < 0 || phase.Gpu < 0 || phase.MostPerBox < 0 {
-		return fmt.Errorf("phase %d asks for less than nothing", number)
+		return fmt.Errorf("phase %d asks for a negative amount", number)
 	}
 	for _, earlier := range phase.After {
-		// Only earlier phases may be named, so that no circle can arise.
+		// Only earlier phases may be named, which rules out dependency cycles.
 		if earlier < 0 || earlier >= number {
-			return fmt.Errorf("phase %d waits for phase %d; only earlier phases can be waited for", number, earlier)
+			return fmt.Errorf("phase %d waits for phase %d; it can only wait for earlier phases", number, earlier)
 		}
 	}
 	return nil
 }
 
-// CriticalPath returns the longest chain of estimated work.
+// CriticalPath returns the longest total of estimated work along a chain of dependent phases.
 func CriticalPath(spec wire.JobSpec) time.Duration {
 	var longest time.Duration
-	ends := make([]time.Duration, len(spec.Phases))
+	ends := make([]time.Duration, len(spec.Phases)) // Earliest end of each phase.
 	for number, phase := range spec.Phases {
 		for _, earlier := range phase.After {
 			ends[number] = max(ends[number], ends[earlier])
@@ -76,7 +76,7 @@
 	return longest
 }
 
-// IsLongRunning says whether a job has tasks that run until it is cancelled.
+// IsLongRunning reports whether a job has tasks that run until the job is cancelled.
 func IsLongRunning(spec wire.JobSpec) bool {
 	for _, phase := range spec.Phases {
 		if phase.Lasting {
