--- a/pkg/agenda/agenda.go
+++ b/pkg/agenda/agenda.go
@@ -1,4 +1,4 @@
-// Package agenda lets time pass in a simulation: what is to happen, in order of its moment.
+// Package agenda provides the event queue of a discrete-event simulation.
 package agenda
 
 import (
@@ -6,45 +6,49 @@
 	"time"
 )
 
-// Queue holds what is to happen. What falls on one moment happens in the order in which it was
-// put there.
+// Queue holds scheduled events, ordered by time. Events at the same time are ordered as they were
+// scheduled. The zero Queue is empty and ready to use.
 type Queue struct {
-	events events
-	number int
+	events eventHeap
+	// scheduled counts all events that have been scheduled.
+	scheduled int
 }
 
-// Schedule has something happen at a moment.
-func (a *Queue) Schedule(at time.Time, do func()) {
-	a.number++
-	heap.Push(&a.events, event{at: at, number: a.number, do: do})
+// Schedule adds an event: at the given time the simulation is to call action.
+func (q *Queue) Schedule(at time.Time, action func()) {
+	q.scheduled++
+	heap.Push(&q.events, event{at: at, number: q.scheduled, action: action})
 }
 
-// PopUntil takes out what happens next, if that is at a moment or before it.
-func (a *Queue) PopUntil(until time.Time) (at time.Time, do func(), found bool) {
-	if len(a.events) == 0 || a.events[0].at.After(until) {
+// PopUntil removes the next event and returns its time and action, if there is one that is not
+// after until. It doesn't call the action.
+func (q *Queue) PopUntil(until time.Time) (at time.Time, action func(), found bool) {
+	if len(q.events) == 0 || q.events[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
-	next := heap.Pop(&a.events).(event)
-	return next.at, next.do, true
+	next := heap.Pop(&q.events).(event)
+	return next.at, next.action, true
 }
 
 type event struct {
-	at     time.Time
+	at time.Time
+	// number orders events at the same time: it rises in the order of scheduling.
 	number int
-	do     func()
+	action func()
 }
 
-type events []event
+// eventHeap implements heap.Interface.
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at.Before(e[j].at) || e[i].at.Equal(e[j].at) && e[i].number < e[j].number
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].number < h[j].number
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	old := *e
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
--- a/pkg/deadline/deadline.go
+++ b/pkg/deadline/deadline.go
@@ -1,6 +1,6 @@
-// Package deadline gives calls a time by which they are to be over, for callers that have
-// thousands of them under way: a deadline of the standard library costs each a timer and
-// entries with its parents.
+// Package deadline provides contexts that carry a deadline without a timer, for callers that have
+// thousands of calls in flight: context.WithDeadline costs a timer and entries in the parent
+// contexts for each call.
 package deadline
 
 import (
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// bounded is a context that tells of a deadline and doesn't keep it.
-type bounded struct {
+// deadlineContext is a context that reports a deadline but isn't cancelled at that time.
+type deadlineContext struct {
 	context.Context
-	at time.Time
+	deadline time.Time
 }
 
-// With returns a context that ends when its parent does and tells of a deadline. It doesn't
-// end by itself then: whoever makes the call sets the deadline on what it waits for, as
-// calls over sockets do anyway.
-func With(parent context.Context, at time.Time) context.Context {
-	if earlier, has := parent.Deadline(); has && earlier.Before(at) {
+// With returns a context that reports the given deadline, or that of parent if it is earlier. The
+// context is cancelled only when parent is, not at the deadline: the code that makes the call has
+// to apply the deadline to whatever it waits for, as calls over sockets do anyway.
+func With(parent context.Context, deadline time.Time) context.Context {
+	if earlier, has := parent.Deadline(); has && earlier.Before(deadline) {
 		return parent
 	}
-	return bounded{Context: parent, at: at}
+	return deadlineContext{Context: parent, deadline: deadline}
 }
 
 // Deadline implements context.Context.
-func (b bounded) Deadline() (time.Time, bool) {
-	return b.at, true
+func (c deadlineContext) Deadline() (time.Time, bool) {
+	return c.deadline, true
 }
--- a/pkg/deadline/deadline_test.go
+++ b/pkg/deadline/deadline_test.go
@@ -10,8 +10,8 @@
 	"damsonwinch/pkg/deadline"
 )
 
-// TestTheEarlierDeadlineHolds and the parent's end ends the call.
-func TestTheEarlierDeadlineHolds(t *testing.T) {
+// TestEarlierDeadlineHolds also checks that the end of the parent cancels the context.
+func TestEarlierDeadlineHolds(t *testing.T) {
 	base := time.Unix(1_000_000_000_000, 0)
 	parent, cancel := context.WithDeadline(t.Context(), base)
 	defer cancel()
--- a/pkg/pace/pace.go
+++ b/pkg/pace/pace.go
@@ -1,6 +1,5 @@
-// Package pace holds a ticker with two speeds: a task looks around often while it
-// has something to do, and seldom otherwise, because an idle tick is most of what
-// an idle process costs.
+// Package pace provides a ticker with two intervals: a loop ticks often while it has work and
+// seldom while it is idle, because idle ticks are most of what an idle process costs.
 package pace
 
 import (
@@ -11,39 +10,40 @@
 	"damsonwinch"
 )
 
-// Ticker ticks fast or slow.
+// Ticker ticks at a short interval while it is set to busy and at a long one otherwise.
 type Ticker struct {
-	ticker clockwork.Ticker
-	fast   time.Duration
-	slow   time.Duration
-	busy   bool
+	ticker       clockwork.Ticker
+	busyInterval time.Duration
+	idleInterval time.Duration
+	busy         bool
 }
 
-// New returns a ticker that ticks slowly.
-func New(clock damsonwinch.Clock, fast, slow time.Duration) *Ticker {
-	slow = max(fast, slow)
-	return &Ticker{ticker: clock.NewTicker(slow), fast: fast, slow: slow}
+// New returns a ticker that is idle. If idleInterval is less than busyInterval, busyInterval is used
+// for both.
+func New(clock damsonwinch.Clock, busyInterval, idleInterval time.Duration) *Ticker {
+	idleInterval = max(busyInterval, idleInterval)
+	return &Ticker{ticker: clock.NewTicker(idleInterval), busyInterval: busyInterval, idleInterval: idleInterval}
 }
 
-// Chan returns the channel of ticks.
+// Chan returns the channel on which the ticks arrive.
 func (t *Ticker) Chan() <-chan time.Time {
 	return t.ticker.Chan()
 }
 
-// SetBusy changes the speed.
+// SetBusy selects the interval. If busy changes, the next tick comes one new interval later.
 func (t *Ticker) SetBusy(busy bool) {
 	if busy == t.busy {
 		return
 	}
 	t.busy = busy
 	if busy {
-		t.ticker.Reset(t.fast)
+		t.ticker.Reset(t.busyInterval)
 		return
 	}
-	t.ticker.Reset(t.slow)
+	t.ticker.Reset(t.idleInterval)
 }
 
-// Stop ends the ticks.
+// Stop stops the ticker.
 func (t *Ticker) Stop() {
 	t.ticker.Stop()
 }
--- a/pkg/pace/pace_test.go
+++ b/pkg/pace/pace_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTicksFollowTheWork(t *testing.T) {
-	const fast, slow = 10 * time.Millisecond, time.Second
+func TestIntervalFollowsBusy(t *testing.T) {
+	const busyInterval, idleInterval = 10 * time.Millisecond, time.Second
 	clock := clockwork.NewFakeClock()
-	ticker := New(clock, fast, slow)
+	ticker := New(clock, busyInterval, idleInterval)
 	defer ticker.Stop()
 	ticked := func(after time.Duration) bool {
 		clock.Advance(after)
@@ -22,11 +22,11 @@
 			return false
 		}
 	}
-	assert.Assert(t, !ticked(fast))
-	assert.Assert(t, ticked(slow))
+	assert.Assert(t, !ticked(busyInterval))
+	assert.Assert(t, ticked(idleInterval))
 	ticker.SetBusy(true)
-	assert.Assert(t, ticked(fast))
+	assert.Assert(t, ticked(busyInterval))
 	ticker.SetBusy(false)
-	assert.Assert(t, !ticked(fast))
-	assert.Assert(t, ticked(slow))
+	assert.Assert(t, !ticked(busyInterval))
+	assert.Assert(t, ticked(idleInterval))
 }
