--- a/pkg/idle/idle.go
+++ b/pkg/idle/idle.go
@@ -1,6 +1,6 @@
-// Package idle bounds calls by how long nothing of them comes or goes, where a bound on
-// the whole call would be one on the size of what it carries: a large answer never comes
-// through a slow link then, however often it is begun anew.
+// Package idle limits how long a call may go without progress. A limit on the duration of the whole
+// call would limit the size of its answer: a large answer would never get through a slow link,
+// however often the call is retried.
 package idle
 
 import (
@@ -14,60 +14,66 @@
 	"damsonwinch"
 )
 
-// ErrTimeout is the cause of the end of a context whose call has made no progress.
+// ErrTimeout is the cause with which a context is cancelled if its call makes no progress. It wraps
+// context.DeadlineExceeded.
 var ErrTimeout = fmt.Errorf("no progress: %w", context.DeadlineExceeded)
 
-// watchKey is the key of a context's watch.
-type watchKey struct{}
+// watchdogKey is the context key of a watchdog.
+type watchdogKey struct{}
 
-// watch ends a context unless it is told of progress.
-type watch struct {
+// watchdog cancels a context unless progress is reported to it in time.
+type watchdog struct {
 	timer clockwork.Timer
-	first time.Duration
-	next  time.Duration
-	// answering says that the answer has begun to come.
-	answering atomic.Bool
-	// outer is the watch of the context from which this one was made.
-	outer *watch
+	// startTimeout bounds the time until the answer starts to arrive, and gapTimeout the time
+	// between two parts of it.
+	startTimeout time.Duration
+	gapTimeout   time.Duration
+	// answerStarted is set once the answer has started to arrive.
+	answerStarted atomic.Bool
+	// outer is the watchdog of the parent context, or nil.
+	outer *watchdog
 }
 
-// WithTimeout returns a context that ends when the answer to a call hasn't begun within a
-// time after the call was sent, or when nothing more of it comes for another time. The
-// context ends the call's whole time only through ctx. The cancel function must be called.
-func WithTimeout(ctx context.Context, clock damsonwinch.Clock, first, next time.Duration) (context.Context, context.CancelCauseFunc) {
+// WithTimeout returns a context for one call. It is cancelled with ErrTimeout if the answer doesn't
+// start to arrive within startTimeout after the last part of the call was sent, or if no further
+// part of the answer arrives for gapTimeout. The time of the whole call is limited only by ctx. The
+// caller must call the cancel function.
+func WithTimeout(ctx context.Context, clock damsonwinch.Clock, startTimeout, gapTimeout time.Duration) (context.Context, context.CancelCauseFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
-	outer, _ := ctx.Value(watchKey{}).(*watch)
-	w := &watch{first: first, next: next, outer: outer}
-	w.timer = clock.AfterFunc(first, func() { cancel(ErrTimeout) })
+	outer, _ := ctx.Value(watchdogKey{}).(*watchdog)
+	w := &watchdog{startTimeout: startTimeout, gapTimeout: gapTimeout, outer: outer}
+	w.timer = clock.AfterFunc(startTimeout, func() { cancel(ErrTimeout) })
 	stop := func(cause error) {
 		w.timer.Stop()
 		cancel(cause)
 	}
-	return context.WithValue(limited, watchKey{}, w), stop
+	return context.WithValue(limited, watchdogKey{}, w), stop
 }
 
-// Sent tells the context of a call that a part of the call has been sent.
+// Sent reports to the context of a call, and to the contexts from which it is derived, that a part of
+// the call has been sent.
 func Sent(ctx context.Context) {
-	for w := watchOf(ctx); w != nil; w = w.outer {
-		w.timer.Reset(w.first)
+	for w := watchdogOf(ctx); w != nil; w = w.outer {
+		w.timer.Reset(w.startTimeout)
 	}
 }
 
-// Received tells the context of a call that a part of the answer has come.
+// Received reports to the context of a call, and to the contexts from which it is derived, that a
+// part of the answer has arrived.
 func Received(ctx context.Context) {
-	for w := watchOf(ctx); w != nil; w = w.outer {
-		w.answering.Store(true)
-		w.timer.Reset(w.next)
+	for w := watchdogOf(ctx); w != nil; w = w.outer {
+		w.answerStarted.Store(true)
+		w.timer.Reset(w.gapTimeout)
 	}
 }
 
-// AnswerStarted says whether the answer to a call has begun to come.
+// AnswerStarted reports whether the answer to a call has started to arrive.
 func AnswerStarted(ctx context.Context) bool {
-	w := watchOf(ctx)
-	return w != nil && w.answering.Load()
+	w := watchdogOf(ctx)
+	return w != nil && w.answerStarted.Load()
 }
 
-func watchOf(ctx context.Context) *watch {
-	w, _ := ctx.Value(watchKey{}).(*watch)
+func watchdogOf(ctx context.Context) *watchdog {
+	w, _ := ctx.Value(watchdogKey{}).(*watchdog)
 	return w
 }
--- a/pkg/idle/idle_test.go
+++ b/pkg/idle/idle_test.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	first = 3 * time.Second
-	next  = time.Second
-	step  = 900 * time.Millisecond
+	startTimeout = 3 * time.Second
+	gapTimeout   = time.Second
+	// step is shorter than both.
+	step = 900 * time.Millisecond
 )
 
-// ended waits for a context's end, which a fake clock brings about in another goroutine.
-func ended(ctx context.Context) bool {
+// cancelled waits until ctx is cancelled, which a fake clock does in another goroutine, and reports
+// whether that happened within a second.
+func cancelled(ctx context.Context) bool {
 	limit := time.NewTimer(time.Second)
 	defer limit.Stop()
 	select {
@@ -28,22 +30,22 @@
 	}
 }
 
-func TestACallWithoutAnAnswerEnds(t *testing.T) {
+func TestCallIsCancelledWithoutAnAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	ctx, cancel := WithTimeout(t.Context(), clock, first, next)
+	ctx, cancel := WithTimeout(t.Context(), clock, startTimeout, gapTimeout)
 	defer cancel(nil)
-	clock.Advance(first)
-	assert.Assert(t, ended(ctx))
+	clock.Advance(startTimeout)
+	assert.Assert(t, cancelled(ctx))
 	assert.Assert(t, errors.Is(context.Cause(ctx), context.DeadlineExceeded))
 	assert.Assert(t, !AnswerStarted(ctx))
 }
 
-func TestACallGoesOnWhileItMakesProgress(t *testing.T) {
+func TestCallContinuesWhileItMakesProgress(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	ctx, cancel := WithTimeout(t.Context(), clock, first, next)
+	ctx, cancel := WithTimeout(t.Context(), clock, startTimeout, gapTimeout)
 	defer cancel(nil)
 	for range 10 {
-		clock.Advance(first - step)
+		clock.Advance(startTimeout - step)
 		Sent(ctx)
 	}
 	for range 10 {
@@ -52,30 +54,30 @@
 	}
 	assert.NilError(t, ctx.Err())
 	assert.Assert(t, AnswerStarted(ctx))
-	clock.Advance(next)
-	assert.Assert(t, ended(ctx), "an answer that stops coming ends the call")
+	clock.Advance(gapTimeout)
+	assert.Assert(t, cancelled(ctx), "the call is cancelled when its answer stops arriving")
 }
 
-// TestProgressOfAPartIsProgressOfTheWhole so that a takeover of many pages is not given up
-// while its pages come.
-func TestProgressOfAPartIsProgressOfTheWhole(t *testing.T) {
+// TestProgressOfInnerCallIsProgressOfOuterCall guards against a takeover that reads many pages being
+// cancelled while its pages still arrive.
+func TestProgressOfInnerCallIsProgressOfOuterCall(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	whole, cancel := WithTimeout(t.Context(), clock, next, next)
+	outer, cancel := WithTimeout(t.Context(), clock, gapTimeout, gapTimeout)
 	defer cancel(nil)
 	for range 10 {
-		part, end := WithTimeout(whole, clock, first, next)
-		Sent(part)
+		inner, cancelInner := WithTimeout(outer, clock, startTimeout, gapTimeout)
+		Sent(inner)
 		clock.Advance(step)
-		Received(part)
-		end(nil)
+		Received(inner)
+		cancelInner(nil)
 		clock.Advance(step)
 	}
-	assert.NilError(t, whole.Err())
+	assert.NilError(t, outer.Err())
 }
 
-func TestACancelledCallTellsWhy(t *testing.T) {
-	why := errors.New("why")
-	ctx, cancel := WithTimeout(t.Context(), clockwork.NewFakeClock(), first, next)
-	cancel(why)
-	assert.Assert(t, errors.Is(context.Cause(ctx), why))
+func TestCancelSetsTheCause(t *testing.T) {
+	cause := errors.New("why")
+	ctx, cancel := WithTimeout(t.Context(), clockwork.NewFakeClock(), startTimeout, gapTimeout)
+	cancel(cause)
+	assert.Assert(t, errors.Is(context.Cause(ctx), cause))
 }
--- a/pkg/suspend/suspend.go
+++ b/pkg/suspend/suspend.go
@@ -1,6 +1,6 @@
-// Package suspend tells for how long this machine has been suspended. The steady clock, by
-// which leases, deadlines and silence are measured, doesn't count that time; others have
-// gone on meanwhile.
+// Package suspend measures for how long this machine has been suspended. The monotonic clock, by
+// which leases, deadlines and timeouts are measured, doesn't count that time, but other machines
+// keep running meanwhile.
 package suspend
 
 import (
@@ -13,65 +13,67 @@
 	"damsonwinch"
 )
 
-// BootClock reads a clock that counts the time for which the machine is suspended.
+// BootClock returns the reading of a clock that also runs while the machine is suspended.
 type BootClock func() (time.Duration, error)
 
-// BootTime reads the system's.
+// BootTime is the BootClock of the system. It returns the time since boot.
 func BootTime() (time.Duration, error) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return 0, fmt.Errorf("read the clock since boot: %w", err)
+		return 0, fmt.Errorf("read CLOCK_BOOTTIME: %w", err)
 	}
 	return time.Duration(now.Nano()), nil
 }
 
 const (
-	// apartTime is how far the readings of both clocks may be apart for their difference to
-	// mean anything, and readings how often they are read until they are close enough: a
-	// process may be paused between them.
-	apartTime = 5 * time.Millisecond
-	readings  = 5
+	// maxReadingTime is the longest time between two readings of the monotonic clock for a
+	// reading of the boot clock between them to be comparable, and maxReadings how often the
+	// clocks are read until that is so: the process may be paused between two readings.
+	maxReadingTime = 5 * time.Millisecond
+	maxReadings    = 5
 )
 
-var errApart = errors.New("the clocks can't be read at once")
+var errNotComparable = errors.New("the clocks can't be read close enough to each other")
 
-// Detector compares the two clocks.
+// Detector measures suspensions by comparing the monotonic clock with a BootClock.
 type Detector struct {
 	clock   damsonwinch.Clock
 	boot    BootClock
-	begunAt time.Time
-	began   time.Duration
+	startAt time.Time
+	// startLead is the lead of the boot clock at startAt.
+	startLead time.Duration
 }
 
-// New begins to watch.
+// New returns a detector that measures from now on.
 func New(clock damsonwinch.Clock, boot BootClock) (*Detector, error) {
-	w := &Detector{clock: clock, boot: boot, begunAt: clock.Now()}
-	began, err := w.ahead()
-	w.began = began
-	return w, err
+	d := &Detector{clock: clock, boot: boot, startAt: clock.Now()}
+	startLead, err := d.lead()
+	d.startLead = startLead
+	return d, err
 }
 
-// Suspended returns for how long the machine has been suspended since the watch began. Where the
-// clocks can't be read it is as if it had never been.
-func (w *Detector) Suspended() time.Duration {
-	ahead, err := w.ahead()
+// Suspended returns the total time for which the machine has been suspended since New was called,
+// and 0 if the clocks can't be read.
+func (d *Detector) Suspended() time.Duration {
+	lead, err := d.lead()
 	if err != nil {
 		return 0
 	}
-	return max(0, ahead-w.began)
+	return max(0, lead-d.startLead)
 }
 
-// ahead returns by how much the clock since boot is ahead of the steady one.
-func (w *Detector) ahead() (time.Duration, error) {
-	for range readings {
-		before := w.clock.Since(w.begunAt)
-		boot, err := w.boot()
+// lead returns by how much the boot clock is ahead of the time that the monotonic clock has counted
+// since startAt.
+func (d *Detector) lead() (time.Duration, error) {
+	for range maxReadings {
+		before := d.clock.Since(d.startAt)
+		boot, err := d.boot()
 		if err != nil {
 			return 0, err
 		}
-		if w.clock.Since(w.begunAt)-before <= apartTime {
+		if d.clock.Since(d.startAt)-before <= maxReadingTime {
 			return boot - before, nil
 		}
 	}
-	return 0, errApart
+	return 0, errNotComparable
 }
