--- a/pkg/dial/dial.go
+++ b/pkg/dial/dial.go
@@ -1,4 +1,5 @@
-// Package dial makes connections on networks that lose the first packet of some.
+// Package dial retries connection attempts, for networks that lose the first packet of some
+// connections.
 package dial
 
 import (
@@ -9,32 +10,32 @@
 	"damsonwinch"
 )
 
-// attempts are the times given to one try after the other, from the first on. A peer
-// in the same region answers within some milliseconds, and one whose queue of new
-// connections is full drops the packet; the kernel sends it again only after a second,
-// a new try at once. All together they bound how long a call hangs that was begun
-// during a cut.
-var attempts = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}
+// attemptTimeouts holds the timeout of each attempt, in order. A peer in the same region answers
+// within some milliseconds. A peer whose queue of new connections is full drops the first packet: the
+// kernel retransmits it only after a second, a new attempt sends another one at once. The sum of the timeouts
+// bounds how long a call hangs that starts during a network partition.
+var attemptTimeouts = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}
 
-// WithRetry returns a dial that tries again where a connection isn't made in time. Refusals
-// and other errors are final.
+// WithRetry returns a Dial that tries again with dial if a connection isn't made within the timeout
+// of an attempt. It doesn't retry after a refusal or any other error.
 func WithRetry(dial damsonwinch.Dial) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		var last error
-		for _, limit := range attempts {
-			conn, err, again := try(ctx, dial, limit, network, address)
-			if !again {
+		var lastErr error
+		for _, timeout := range attemptTimeouts {
+			conn, err, retry := try(ctx, dial, timeout, network, address)
+			if !retry {
 				return conn, err
 			}
-			last = err
+			lastErr = err
 		}
-		return nil, last
+		return nil, lastErr
 	}
 }
 
-// try makes one try, and says whether another one may do better.
-func try(ctx context.Context, dial damsonwinch.Dial, limit time.Duration, network, address string) (net.Conn, error, bool) {
-	limited, cancel := context.WithTimeout(ctx, limit)
+// try makes one attempt, and reports whether it failed by its timeout, so that another one may
+// succeed.
+func try(ctx context.Context, dial damsonwinch.Dial, timeout time.Duration, network, address string) (net.Conn, error, bool) {
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := dial(limited, network, address)
 	return conn, err, err != nil && limited.Err() != nil && ctx.Err() == nil
--- a/pkg/dial/dial_test.go
+++ b/pkg/dial/dial_test.go
@@ -10,57 +10,62 @@
 	"gotest.tools/v3/assert"
 )
 
-// lossy is a network that loses the first packet of some connections.
-type lossy struct {
-	lost  int
-	tries int
-	err   error
+// lossyNetwork loses the first packet of the first connections.
+type lossyNetwork struct {
+	// lost is how many attempts get no answer.
+	lost int
+	// attempts counts the attempts so far.
+	attempts int
+	// err is the answer to all further attempts, or nil if they succeed.
+	err error
 }
 
-func (l *lossy) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	l.tries++
-	if l.tries <= l.lost {
+func (n *lossyNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	n.attempts++
+	if n.attempts <= n.lost {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if l.err != nil {
-		return nil, l.err
+	if n.err != nil {
+		return nil, n.err
 	}
-	here, there := net.Pipe()
-	return here, errors.Join(there.Close())
+	local, remote := net.Pipe()
+	return local, errors.Join(remote.Close())
 }
 
-// TestALostPacketIsSentAgain without the kernel's wait of a second.
-func TestALostPacketIsSentAgain(t *testing.T) {
-	network := &lossy{lost: 1}
+// TestLostPacketIsRetriedAtOnce checks that a retry doesn't wait for the kernel's retransmission,
+// which comes after a second.
+func TestLostPacketIsRetriedAtOnce(t *testing.T) {
+	network := &lossyNetwork{lost: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
 	conn, err := WithRetry(network.dial)(ctx, "tcp", "peer")
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
-	assert.Equal(t, network.tries, 2)
+	assert.Equal(t, network.attempts, 2)
 }
 
-// TestARefusalIsFinal since it tells that the process has ended.
-func TestARefusalIsFinal(t *testing.T) {
+// TestRefusalIsNotRetried: a refused connection means that the process has ended.
+func TestRefusalIsNotRetried(t *testing.T) {
 	refusal := errors.New("connection refused")
-	network := &lossy{err: refusal}
+	network := &lossyNetwork{err: refusal}
 	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, refusal))
-	assert.Equal(t, network.tries, 1)
+	assert.Equal(t, network.attempts, 1)
 }
 
-// TestASilentPeerIsGivenUp after all tries, or with the caller's time.
-func TestASilentPeerIsGivenUp(t *testing.T) {
-	network := &lossy{lost: len(attempts)}
+// TestSilentPeerFailsAfterAllAttempts also checks that no further attempt follows once the caller's
+// context has ended.
+func TestSilentPeerFailsAfterAllAttempts(t *testing.T) {
+	network := &lossyNetwork{lost: len(attemptTimeouts)}
 	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
-	assert.Equal(t, network.tries, len(attempts))
+	assert.Equal(t, network.attempts, len(attemptTimeouts))
 
-	network = &lossy{lost: len(attempts)}
+	network = &lossyNetwork{lost: len(attemptTimeouts)}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
 	_, err = WithRetry(network.dial)(ctx, "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
-	assert.Equal(t, network.tries, 1)
+	assert.Equal(t, network.attempts, 1)
 }
--- a/pkg/workers/workers.go
+++ b/pkg/workers/workers.go
@@ -1,6 +1,6 @@
-// Package workers keeps the goroutines of an owner's calls for the next ones. One that is
-// started for a call grows its stack anew for each: a tenth of an owner's processor time
-// with some 600 calls a second.
+// Package workers reuses goroutines for the calls that the owner of a cell makes. A goroutine that is
+// started for a single call has to grow its stack each time, which takes a tenth of an owner's CPU
+// time at some 600 calls per second.
 package workers
 
 import (
@@ -10,24 +10,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// mostIdle bounds the goroutines that wait for work; each keeps some 8 KB. An owner in its
-// pool's turn of demand has some 300 calls under way.
-const mostIdle = 256
+// maxIdle limits the number of goroutines that wait for work. Each of them holds some 8 KB. An owner
+// has some 300 calls in flight while its pool is the one in demand.
+const maxIdle = 256
 
-// Pool runs tasks in goroutines of a group, which end with the group's context.
+// Pool runs tasks in goroutines of an errgroup.Group and reuses the goroutines.
 type Pool struct {
 	group *errgroup.Group
-	ctx   context.Context // Ends the goroutines that wait.
-	tasks chan func()
-	idle  atomic.Int64
+	ctx   context.Context // Its end makes idle goroutines exit.
+	tasks chan func()     // Unbuffered: hands a task to an idle goroutine.
+	idle  atomic.Int64    // Number of idle goroutines.
 }
 
-// New returns a pool without goroutines.
+// New returns a pool that has no goroutines yet. Its idle goroutines exit when ctx ends.
 func New(ctx context.Context, group *errgroup.Group) *Pool {
 	return &Pool{group: group, ctx: ctx, tasks: make(chan func())}
 }
 
-// Go runs a task in a goroutine that waits for one, or in a new one. It doesn't wait.
+// Go runs task in an idle goroutine, or in a new one if none is idle. It returns at once.
 func (p *Pool) Go(task func()) {
 	select {
 	case p.tasks <- task:
@@ -39,22 +39,23 @@
 	}
 }
 
-// work runs a task and then those that come.
+// work runs task and then each task that it gets from wait.
 func (p *Pool) work(task func()) {
 	for {
 		task()
-		next, more := p.wait()
-		if !more {
+		next, ok := p.wait()
+		if !ok {
 			return
 		}
 		task = next
 	}
 }
 
-// wait returns the next task, unless enough others wait for one.
+// wait returns the next task for this goroutine, or false if the goroutine is to exit: maxIdle others
+// are idle, or the pool's context has ended.
 func (p *Pool) wait() (func(), bool) {
 	defer p.idle.Add(-1)
-	if p.idle.Add(1) > mostIdle {
+	if p.idle.Add(1) > maxIdle {
 		return nil, false
 	}
 	select {
--- a/pkg/workers/workers_test.go
+++ b/pkg/workers/workers_test.go
@@ -11,45 +11,45 @@
 	"damsonwinch/pkg/workers"
 )
 
-// TestAllTasksRun although some wait for others that were given later: none may stand in a
-// queue behind one that runs.
-func TestAllTasksRun(t *testing.T) {
+// TestNoTaskWaitsForAnother starts tasks that block until later ones run. They would deadlock if a
+// task were queued behind one that is running.
+func TestNoTaskWaitsForAnother(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
 	pool := workers.New(ctx, &group)
 	for range 3 {
 		const tasks = 600
-		var all sync.WaitGroup
-		all.Add(tasks)
+		var pending sync.WaitGroup
+		pending.Add(tasks)
 		for range tasks {
 			pool.Go(func() {
-				all.Done()
-				all.Wait()
+				pending.Done()
+				pending.Wait()
 			})
 		}
-		all.Wait()
+		pending.Wait()
 	}
 
 	cancel()
 
-	// Returns once no goroutine is left.
+	// Wait returns once all goroutines of the pool have exited.
 	assert.NilError(t, group.Wait())
 }
 
-// BenchmarkDo compares a goroutine that is kept with one for each task, where a task's
-// stack grows as that of a call does.
-func BenchmarkDo(b *testing.B) {
+// BenchmarkGo compares a reused goroutine with a new one for each task, with tasks whose stack grows
+// like that of a call.
+func BenchmarkGo(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var group errgroup.Group
 	pool := workers.New(ctx, &group)
-	for name, do := range map[string]func(task func()){
-		"kept":     pool.Go,
-		"for each": func(task func()) { group.Go(func() error { task(); return nil }) },
+	for name, run := range map[string]func(task func()){
+		"reused": pool.Go,
+		"new":    func(task func()) { group.Go(func() error { task(); return nil }) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			done := make(chan int, 1)
 			for b.Loop() {
-				do(func() { done <- deep(40) })
+				run(func() { done <- recurse(40) })
 				<-done
 			}
 		})
@@ -58,11 +58,11 @@
 	assert.NilError(b, group.Wait())
 }
 
-// deep uses some stack.
-func deep(levels int) int {
-	var room [128]byte
+// recurse grows the stack by some 128 bytes for each level.
+func recurse(levels int) int {
+	var frame [128]byte
 	if levels == 0 {
-		return int(room[0])
+		return int(frame[0])
 	}
-	return deep(levels-1) + int(room[levels%len(room)])
+	return recurse(levels-1) + int(frame[levels%len(frame)])
 }
