--- a/damsonwinch.go
+++ b/damsonwinch.go
@@ -50,7 +50,7 @@
 	Append(ctx context.Context, stream, data string) (int, error)
 	// Read returns at most maximum records, oldest first, starting at offset from.
 	// If there is none yet it waits up to waitMs milliseconds for the first one.
-	// If Page.First is above from, the records in between have expired.
+	// If LogPage.First is above from, the records in between have expired.
 	Read(ctx context.Context, stream string, from, maximum, waitMs int) (wire.LogPage, error)
 }
 
--- a/endpoint.go
+++ b/endpoint.go
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Round, t.Phase, t.Index)
 }
 
-// Run identifies one attempt at a task towards an endpoint.
+// Run identifies one attempt at a task on an endpoint.
 type Run struct {
 	Task TaskID
 	// Attempt numbers the starts of the task, from 1.
@@ -83,7 +83,7 @@
 	// Token is the fencing token of the cell's owner.
 	Token int
 	// LeaseUntilMs is a time on the endpoint's clock, in milliseconds. The endpoint refuses
-	// a request that arrives after it, and a run's lease lasts at least until then.
+	// the request if it arrives later, and otherwise leases the run at least until then.
 	LeaseUntilMs int
 	// Checkpoint is where an earlier attempt stopped, or empty.
 	Checkpoint string
@@ -101,7 +101,7 @@
 type SpeedRequest struct {
 	Run
 	Token int
-	// SpeedPercent is the share of its full speed at which the run works.
+	// SpeedPercent is the speed at which the run is to work, in percent of its full speed.
 	SpeedPercent int
 }
 
@@ -159,7 +159,7 @@
 
 // PollReply is an endpoint's answer to a PollRequest.
 type PollReply struct {
-	// StartedUnixMs is when the life that answers started, as in Life.
+	// StartedUnixMs is the start time of the life that answers, as in Life.StartedUnixMs.
 	StartedUnixMs int
 	// ClockMs is the reading of the endpoint's monotonic clock in milliseconds.
 	ClockMs  int
@@ -211,7 +211,7 @@
 
 // Advisor decides which endpoints may run a phase of a job, for queues with Queue.Advice set.
 type Advisor interface {
-	// Advise returns a permit for each of the given endpoints, which are IDs, that may run the
+	// Advise takes the IDs of endpoints. It returns a permit for each of them that may run the
 	// phase, and how long the permits are valid.
 	Advise(ctx context.Context, job string, round, phase int, endpoints []string) ([]Permit, time.Duration, error)
 }
--- a/pkg/dial/dial.go
+++ b/pkg/dial/dial.go
@@ -12,8 +12,8 @@
 
 // attemptTimeouts holds the timeout of each attempt, in order. A peer in the same region answers
 // within some milliseconds. A peer whose queue of new connections is full drops the first packet: the
-// kernel retransmits it only after a second, a new attempt sends another one at once. The sum of the timeouts
-// bounds how long a call hangs that starts during a network partition.
+// kernel retransmits it only after a second, while a new attempt sends another one at once. The sum
+// of the timeouts bounds how long a call hangs that starts during a network partition.
 var attemptTimeouts = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}
 
 // WithRetry returns a Dial that tries again with dial if a connection isn't made within the timeout
--- a/pkg/suspend/suspend.go
+++ b/pkg/suspend/suspend.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	// maxReadingTime is the longest time between two readings of the monotonic clock for a
-	// reading of the boot clock between them to be comparable, and maxReadings how often the
-	// clocks are read until that is so: the process may be paused between two readings.
+	// maxReadingTime is how long it may take to read both clocks: if the process is paused
+	// between the readings, their difference means nothing. maxReadings is how often the clocks
+	// are read until one pair of readings is fast enough.
 	maxReadingTime = 5 * time.Millisecond
 	maxReadings    = 5
 )
