--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -10,117 +10,120 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Allocator deals the caps of customers to the cells. What it has recorded is at least what each
-// cell may have running, at any moment and for whoever comes after it.
+// Allocator allocates the caps of customers to the cells as allowances. At any moment the limits that it has
+// recorded are at least what each cell may have running, so that a later allocator can go by them.
 type Allocator struct {
-	// version is that of the configuration in force.
-	version   int
-	customers map[string]*account
-	// due are the customers of whom something has changed by which there may be something to deal.
-	due   map[string]bool
+	// configVersion is the version of the configuration in force.
+	configVersion int
+	customers     map[string]*customerState
+	// dirty holds the customers that have changed since the last allocation for them.
+	dirty map[string]bool
 	cells []string
-	// goneAt is since when a cell is none any more.
-	goneAt   map[string]time.Time
-	contacts map[string]*contact
+	// removedAt holds the cells that no longer exist, each with the time at which it was removed.
+	removedAt map[string]time.Time
+	sessions  map[string]*session
 }
 
-// account is what is known of a customer.
-type account struct {
+// customerState holds what the allocator knows of a customer.
+type customerState struct {
 	cap amounts
-	// known says that the customer is in the configuration in force, and counted that its limits
-	// hold all that cells may have running: a customer of whom nothing is recorded may have been
-	// free of any cap until now.
-	known   bool
-	counted bool
-	// limits are the most that each cell may have running, and targets what the cells are told,
-	// which is never more.
+	// configured is set while the customer is in the configuration in force. tracked is set once limits cover
+	// all that cells may have running: a customer without a record may have had no cap until now.
+	configured bool
+	tracked    bool
+	// limits hold the most that each cell may have running, and targets the allowances to send to the cells.
+	// A target is never above its limit.
 	limits  map[string]amounts
 	targets map[string]amounts
-	// reports are what the cells that are pressed have said last.
+	// reports hold the newest reports of the cells that need all of their allowance, or nearly all, or more.
+	// Cells without one need no more than they have.
 	reports map[string]report
-	// large is the task in whose cell room is made, whatever that leaves the others, and turns tells
-	// of the cells that have had one, the greater the later.
-	large largeTask
-	turns map[string]int
-	turn  int
-	// uncounted says that it is to be recorded that nobody keeps count of a kind.
-	uncounted bool
-	// retold holds the cells whose targets have been changed.
-	retold map[string]bool
-	// recording says that raised limits wait for their record; cells aren't told anything of the
-	// customer meanwhile.
-	recording bool
-	// unsettled are the cells that have been heard meanwhile, each with what it has running.
-	unsettled map[string]amounts
+	// reserved is the large task for which capacity is reserved in its cell, whatever that leaves for the
+	// others. lastTurns holds the cells that have had such a reservation; the highest number is the latest.
+	reserved  reservation
+	lastTurns map[string]int
+	turn      int
+	// mustRecordUnknown is set when limits that have become unknown must be recorded before cells are told.
+	mustRecordUnknown bool
+	// changedTargets holds the cells whose targets have changed since they were last queued for sending.
+	changedTargets map[string]bool
+	// recordPending is set while raised limits wait to be recorded. Cells are sent nothing about the customer
+	// meanwhile.
+	recordPending bool
+	// deferredUsed holds the cells that have replied meanwhile, each with what it has running.
+	deferredUsed map[string]amounts
 }
 
+// report is what the owner of a cell has reported on a customer.
 type report struct {
-	used    amounts
-	lasting amounts
-	wanted  amounts
-	largest amounts
+	used        amounts
+	longRunning amounts
+	wanted      amounts
+	largest     amounts
 }
 
-// NewAllocator returns an allotter that has dealt nothing.
+// NewAllocator returns an allocator that has allocated nothing.
 func NewAllocator() *Allocator {
-	return &Allocator{customers: map[string]*account{}, due: map[string]bool{}, goneAt: map[string]time.Time{}, contacts: map[string]*contact{}}
+	return &Allocator{customers: map[string]*customerState{}, dirty: map[string]bool{}, removedAt: map[string]time.Time{}, sessions: map[string]*session{}}
 }
 
-func (a *Allocator) accountOf(customer string) *account {
-	known := a.customers[customer]
-	if known == nil {
-		known = &account{limits: map[string]amounts{}, targets: map[string]amounts{}, reports: map[string]report{}, retold: map[string]bool{}, turns: map[string]int{}, unsettled: map[string]amounts{}}
-		a.customers[customer] = known
+// stateOf returns the state of a customer, which it creates if there is none.
+func (a *Allocator) stateOf(customer string) *customerState {
+	state := a.customers[customer]
+	if state == nil {
+		state = &customerState{limits: map[string]amounts{}, targets: map[string]amounts{}, reports: map[string]report{}, changedTargets: map[string]bool{}, lastTurns: map[string]int{}, deferredUsed: map[string]amounts{}}
+		a.customers[customer] = state
 	}
-	return known
+	return state
 }
 
-// Load takes over what an earlier allotter has recorded of a customer. Cells that it names none
-// for have never been given anything.
+// Load restores the limits of a customer that an earlier allocator has recorded. Cells that are not in the
+// record have never been given an allowance.
 func (a *Allocator) Load(customer string, record wire.AllottedRecord) {
-	known := a.accountOf(customer)
-	known.cap, known.counted = fromWire(record.Cap), true
+	state := a.stateOf(customer)
+	state.cap, state.tracked = fromWire(record.Cap), true
 	for _, row := range record.Limits {
-		known.limits[row.Cell], known.targets[row.Cell] = fromWire(row.Amount), fromWire(row.Amount)
+		state.limits[row.Cell], state.targets[row.Cell] = fromWire(row.Amount), fromWire(row.Amount)
 	}
 }
 
-// Configure takes the customers of the configuration in force.
+// Configure sets the customers of the configuration in force. It ignores versions older than the newest.
 func (a *Allocator) Configure(version int, customers []damsonwinch.Customer) {
-	if version < a.version {
+	if version < a.configVersion {
 		return
 	}
-	a.version = version
+	a.configVersion = version
 	gone := map[string]bool{}
 	for customer := range a.customers {
 		gone[customer] = true
 	}
 	for _, c := range customers {
 		delete(gone, c.Name)
-		known, limit := a.accountOf(c.Name), amountsOf(c.Cap)
+		state, limit := a.stateOf(c.Name), amountsOf(c.Cap)
 		for kind := range limit {
-			if (known.cap[kind] == 0) != (limit[kind] == 0) {
-				known.forget(kind, a.cells)
-				// Cells are told that there is no cap any more once it is recorded that nobody
-				// keeps count.
-				known.uncounted = known.uncounted || limit[kind] == 0
+			if (state.cap[kind] == 0) != (limit[kind] == 0) {
+				state.setUnknown(kind, a.cells)
+				// The unknown limits are recorded before cells are told that there is no cap any more:
+				// from then on nobody tracks what they have running.
+				state.mustRecordUnknown = state.mustRecordUnknown || limit[kind] == 0
 			}
 		}
-		if known.cap != limit || !known.known {
-			known.cap = limit
-			a.changed(c.Name)
+		if state.cap != limit || !state.configured {
+			state.cap = limit
+			a.markChanged(c.Name)
 		}
-		known.known = true
-		known.clamp()
+		state.configured = true
+		state.resetTargetsAtCap()
 	}
 	for customer := range gone {
-		a.customers[customer].known = false
+		a.customers[customer].configured = false
 	}
 }
 
-// clamp takes back what cells are told where that isn't under the cap any more: the whole cap lets
-// a cell start a task that is larger, and must be dealt as such.
-func (c *account) clamp() {
+// resetTargetsAtCap sets targets to 0 that are no longer below the cap. A cell whose allowance is the whole
+// cap may start a task that is larger than the cap, so such an allowance stays only where the whole cap was
+// allocated as such, with an unknown limit.
+func (c *customerState) resetTargetsAtCap() {
 	for cell, target := range c.targets {
 		for kind, limit := range c.cap {
 			if limit > 0 && target[kind] >= limit && (target[kind] > limit || c.limits[cell][kind] != unknown) {
@@ -131,8 +134,8 @@
 	}
 }
 
-// forget notes that nobody knows how much of a kind the cells have running.
-func (c *account) forget(kind int, cells []string) {
+// setUnknown marks it as unknown how much of a kind the cells have running.
+func (c *customerState) setUnknown(kind int, cells []string) {
 	for _, cell := range cells {
 		limit := c.limits[cell]
 		limit[kind] = unknown
@@ -140,132 +143,133 @@
 	}
 }
 
-// SetCells takes the cells that there are. Of one that is new all is known: it has been given
-// nothing. But at first nothing is, of a customer of whom nothing is recorded.
+// SetCells sets the cells that exist. The limit of a cell that is added later is 0, since it has been given
+// nothing. At the first call the limits of a customer without a record are unknown in all cells.
 func (a *Allocator) SetCells(now time.Time, cells []string) {
 	first := len(a.cells) == 0
 	for _, cell := range a.cells {
 		if !slices.Contains(cells, cell) {
-			a.goneAt[cell] = now
+			a.removedAt[cell] = now
 		}
 	}
 	a.cells = slices.Clone(cells)
 	slices.Sort(a.cells)
 	for _, cell := range a.cells {
-		delete(a.goneAt, cell)
+		delete(a.removedAt, cell)
 	}
-	for customer, account := range a.customers {
-		for kind, limit := range account.cap {
-			if first && !account.counted && limit > 0 {
-				account.forget(kind, a.cells)
+	for customer, state := range a.customers {
+		for kind, limit := range state.cap {
+			if first && !state.tracked && limit > 0 {
+				state.setUnknown(kind, a.cells)
 			}
 		}
-		account.counted = account.counted || len(a.cells) > 0
-		a.due[customer] = true
+		state.tracked = state.tracked || len(a.cells) > 0
+		a.dirty[customer] = true
 	}
 }
 
-// forgetCells drops the limits of cells that have been gone for so long that nothing can run there
-// any more.
-func (a *Allocator) forgetCells(now time.Time) {
-	for cell, since := range a.goneAt {
-		if now.Sub(since) < goneTime {
+// dropRemovedCells drops the limits of cells that were removed so long ago that nothing can run there any
+// more.
+func (a *Allocator) dropRemovedCells(now time.Time) {
+	for cell, since := range a.removedAt {
+		if now.Sub(since) < removedCellTime {
 			continue
 		}
-		delete(a.goneAt, cell)
-		for customer, account := range a.customers {
-			delete(account.limits, cell)
-			delete(account.targets, cell)
-			delete(account.reports, cell)
-			delete(account.unsettled, cell)
-			a.due[customer] = true
+		delete(a.removedAt, cell)
+		for customer, state := range a.customers {
+			delete(state.limits, cell)
+			delete(state.targets, cell)
+			delete(state.reports, cell)
+			delete(state.deferredUsed, cell)
+			a.dirty[customer] = true
 		}
 	}
 }
 
-// goneTime is when the last run of a cell that is none any more is over: nobody looks after it,
+// removedCellTime is how long after the removal of a cell its last run may go on. Nobody renews its leases,
 // and the longest lease of the users' endpoints is 10 s.
-const goneTime = 40 * time.Second
+const removedCellTime = 40 * time.Second
 
-// HandleReply takes what the owner of a cell says.
+// HandleReply processes the reply of a cell's owner. token is the allocator's own.
 func (a *Allocator) HandleReply(cell string, token int, reply wire.SyncReply) {
 	if !reply.Known || reply.Token == 0 {
 		return
 	}
-	c := a.contactOf(cell, reply.Token)
-	if reply.Token < c.token || len(reply.Customers) == 0 && len(c.told) == 0 && len(c.pressed) == 0 {
+	s := a.sessionOf(cell, reply.Token)
+	if reply.Token < s.ownerToken || len(reply.Customers) == 0 && len(s.unconfirmed) == 0 && len(s.reported) == 0 {
 		return
 	}
 	confirmed := reply.AllowanceNumber
 	if reply.AllotterToken != token {
-		// It hasn't heard this allotter yet.
+		// The owner has received nothing from this allocator yet.
 		confirmed = 0
 	}
-	if confirmed < c.confirmed {
-		// An earlier reply, which has been overtaken: what has begun since isn't in it.
+	if confirmed < s.confirmedNumber {
+		// A newer reply has overtaken this one, which lacks the runs that have started since.
 		return
 	}
-	c.confirmed = confirmed
+	s.confirmedNumber = confirmed
 	rows := make(map[string]report, len(reply.Customers))
 	for _, row := range reply.Customers {
-		rows[row.Customer] = report{used: fromWire(row.Used), lasting: fromWire(row.Lasting), wanted: fromWire(row.Wanted), largest: fromWire(row.Largest)}
+		rows[row.Customer] = report{used: fromWire(row.Used), longRunning: fromWire(row.Lasting), wanted: fromWire(row.Wanted), largest: fromWire(row.Largest)}
 	}
-	for customer := range c.concerned(rows) {
-		known := a.customers[customer]
-		if known == nil {
+	for customer := range s.affectedCustomers(rows) {
+		state := a.customers[customer]
+		if state == nil {
 			continue
 		}
-		c.confirm(customer, confirmed)
-		row, pressed := rows[customer]
-		if pressed {
-			known.reports[cell] = row
+		s.confirm(customer, confirmed)
+		row, reported := rows[customer]
+		if reported {
+			state.reports[cell] = row
 		} else {
-			delete(known.reports, cell)
+			delete(state.reports, cell)
 		}
-		known.settle(cell, c, customer, row.used)
-		a.due[customer] = true
+		state.updateLimit(cell, s, customer, row.used)
+		a.dirty[customer] = true
 	}
-	clear(c.pressed)
+	clear(s.reported)
 	for customer := range rows {
-		c.pressed[customer] = true
+		s.reported[customer] = true
 	}
 }
 
-// changed notes that there may be something new to tell all cells of a customer.
-func (a *Allocator) changed(customer string) {
-	a.due[customer] = true
-	for _, c := range a.contacts {
-		c.unsaid[customer] = true
+// markChanged notes that there may be something new to send to all cells about a customer.
+func (a *Allocator) markChanged(customer string) {
+	a.dirty[customer] = true
+	for _, s := range a.sessions {
+		s.unsent[customer] = true
 	}
 }
 
-// tellRetold notes that there is something new to tell the cells whose targets have been changed.
-func (a *Allocator) tellRetold(customer string) {
-	known := a.customers[customer]
-	for cell := range known.retold {
-		if c := a.contacts[cell]; c != nil {
-			c.unsaid[customer] = true
+// queueChangedTargets notes that there is something new to send to the cells whose targets have changed.
+func (a *Allocator) queueChangedTargets(customer string) {
+	state := a.customers[customer]
+	for cell := range state.changedTargets {
+		if s := a.sessions[cell]; s != nil {
+			s.unsent[customer] = true
 		}
 	}
-	clear(known.retold)
+	clear(state.changedTargets)
 }
 
-// settle lowers a cell's limit to what its owner goes by: what it has confirmed, what it may have
-// been told since, or what it still runs beyond that.
-func (c *account) settle(cell string, at *contact, customer string, used amounts) {
-	heard, known := at.heard[customer]
-	if c.recording {
-		c.unsettled[cell] = used
+// updateLimit sets a cell's limit to the most that its owner may go by: the allowance that it has confirmed,
+// those that it may have received since, the target, or what still runs there beyond these. A limit is
+// unknown where one of these allowances is the whole cap, since a task larger than the cap may run then.
+func (c *customerState) updateLimit(cell string, s *session, customer string, used amounts) {
+	confirmed, ok := s.confirmed[customer]
+	if c.recordPending {
+		c.deferredUsed[cell] = used
 		return
 	}
-	if !known {
+	if !ok {
 		return
 	}
 	limit := amounts{}
-	for _, goesBy := range append([]word{heard, {amount: c.targets[cell], cap: c.cap}}, at.told[customer]...) {
+	for _, known := range append([]sentAllowance{confirmed, {amount: c.targets[cell], cap: c.cap}}, s.unconfirmed[customer]...) {
 		for kind := range limit {
-			limit[kind] = max(limit[kind], goesBy.amount[kind], used[kind])
-			if goesBy.cap[kind] > 0 && goesBy.amount[kind] >= goesBy.cap[kind] {
+			limit[kind] = max(limit[kind], known.amount[kind], used[kind])
+			if known.cap[kind] > 0 && known.amount[kind] >= known.cap[kind] {
 				limit[kind] = unknown
 			}
 		}
@@ -273,43 +277,43 @@
 	c.limits[cell] = limit
 }
 
-// Record returns the record of a customer's limits.
+// Record returns the record of a customer's limits, to be written to the planner's stream.
 func (a *Allocator) Record(customer string) wire.AllottedRecord {
-	known := a.customers[customer]
-	record := wire.AllottedRecord{Cap: known.cap.wire()}
-	for _, cell := range slices.Sorted(maps.Keys(known.limits)) {
-		record.Limits = append(record.Limits, wire.CellLimit{Cell: cell, Amount: known.limits[cell].wire()})
+	state := a.customers[customer]
+	record := wire.AllottedRecord{Cap: state.cap.wire()}
+	for _, cell := range slices.Sorted(maps.Keys(state.limits)) {
+		record.Limits = append(record.Limits, wire.CellLimit{Cell: cell, Amount: state.limits[cell].wire()})
 	}
 	return record
 }
 
-// MarkRecorded takes note that the raised limits of customers are recorded: cells may be told.
+// MarkRecorded notes that the raised limits of customers are recorded: cells may be sent their allowances.
 func (a *Allocator) MarkRecorded(customers []string) {
 	for _, customer := range customers {
-		known := a.customers[customer]
-		known.recording = false
-		for cell, used := range known.unsettled {
-			known.settle(cell, a.contacts[cell], customer, used)
+		state := a.customers[customer]
+		state.recordPending = false
+		for cell, used := range state.deferredUsed {
+			state.updateLimit(cell, a.sessions[cell], customer, used)
 		}
-		clear(known.unsettled)
-		a.due[customer] = true
+		clear(state.deferredUsed)
+		a.dirty[customer] = true
 	}
 }
 
-// Summary tells of the customers of whom cells want more than they have.
+// Summary returns a line for each customer that needs more than its allowances in some cell.
 func (a *Allocator) Summary() []string {
 	var lines []string
 	for _, customer := range slices.Sorted(maps.Keys(a.customers)) {
-		known := a.customers[customer]
-		if len(known.reports) == 0 {
+		state := a.customers[customer]
+		if len(state.reports) == 0 {
 			continue
 		}
-		line := fmt.Sprintf("%s: cap %s, dealt %s", customer, known.cap, amounts{cpu: known.sum(cpu), memory: known.sum(memory), gpu: known.sum(gpu)})
-		for _, cell := range slices.Sorted(maps.Keys(known.reports)) {
-			row := known.reports[cell]
-			line += fmt.Sprintf("; %s uses %s of %s, wants %s more, %s at once", cell, row.used, known.targets[cell], row.wanted, row.largest)
+		line := fmt.Sprintf("%s: cap %s, allocated %s", customer, state.cap, amounts{cpu: state.totalLimit(cpu), memory: state.totalLimit(memory), gpu: state.totalLimit(gpu)})
+		for _, cell := range slices.Sorted(maps.Keys(state.reports)) {
+			row := state.reports[cell]
+			line += fmt.Sprintf("; %s uses %s of %s, wants %s more, its largest task %s", cell, row.used, state.targets[cell], row.wanted, row.largest)
 		}
-		if known.recording {
+		if state.recordPending {
 			line += "; its record is awaited"
 		}
 		lines = append(lines, line)
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -10,82 +10,84 @@
 	"damsonwinch/pkg/wire"
 )
 
-// pressedShare is the part of an allowance, in percent, from which a cell asks for more: it takes
-// some tenths of a second to come.
-const pressedShare = 75
+// reportThresholdPercent is the part of an allowance from which a cell reports that it needs more. It is below
+// 100 because more takes some tenths of a second to come.
+const reportThresholdPercent = 75
 
-// Allowances are what a cell may have running of each customer, and has.
+// Allowances tracks what one cell may have running of each customer, and what it has running.
 type Allowances struct {
-	// version and caps are those of the configuration in force at the cell, and dealt is the
-	// version by which the allowances were dealt.
-	version int
-	caps    map[string]amounts
-	dealt   int
-	granted map[string]grant
-	used    sums
-	// lasting is what of that runs until it is stopped.
-	lasting sums
-	// fell tells with which version a customer's cap last fell, as far as no word has come that was
-	// dealt by it: what others have running isn't known to fit beside the allowance.
-	fell map[string]int
-	// allotter is the token of the newest allotter that was heard, taken the number of its newest
-	// word, and recorded that of the newest which a later owner of the cell would know of.
-	allotter int
-	taken    int
-	recorded int
+	// configVersion and caps are those of the configuration in force at the cell. allocatedVersion is the
+	// version of the configuration by which the allowances were allocated.
+	configVersion    int
+	caps             map[string]amounts
+	allocatedVersion int
+	allowances       map[string]allowance
+	used             sums
+	// longRunning is the part of used that runs until it is stopped.
+	longRunning sums
+	// loweredVersion holds the customers whose cap was lowered, each with the latest configuration version that
+	// did so, until an update arrives that was allocated by that version. Until then what other cells have
+	// running may not fit under the cap beside the allowance.
+	loweredVersion map[string]int
+	// allocatorToken is the token of the newest allocator that has sent an update, appliedNumber the number of
+	// its newest update, and recordedNumber that of the newest update that a later owner of the cell would know.
+	allocatorToken int
+	appliedNumber  int
+	recordedNumber int
 }
 
-// grant is a customer's allowance, with the cap that it is part of.
-type grant struct {
+// allowance is the allowance of a customer, with the cap that it is part of.
+type allowance struct {
 	amount amounts
 	cap    amounts
 }
 
-// NewAllowances returns a cell's allowances before any was heard of.
+// NewAllowances returns the allowances of a cell that has received none.
 func NewAllowances() *Allowances {
-	return &Allowances{caps: map[string]amounts{}, granted: map[string]grant{}, used: sums{}, lasting: sums{}, fell: map[string]int{}}
+	return &Allowances{caps: map[string]amounts{}, allowances: map[string]allowance{}, used: sums{}, longRunning: sums{}, loweredVersion: map[string]int{}}
 }
 
-// Configure takes the customers of the configuration in force.
+// Configure sets the customers of the configuration in force. It ignores versions older than the newest.
 func (a *Allowances) Configure(version int, customers []damsonwinch.Customer) {
-	if version < a.version {
+	if version < a.configVersion {
 		return
 	}
 	before := a.caps
-	a.version, a.caps = version, make(map[string]amounts, len(customers))
+	a.configVersion, a.caps = version, make(map[string]amounts, len(customers))
 	for _, c := range customers {
 		limit := amountsOf(c.Cap)
 		a.caps[c.Name] = limit
 		earlier, known := before[c.Name]
 		if !known {
-			earlier, known = a.granted[c.Name].cap, a.granted[c.Name] != grant{}
+			earlier, known = a.allowances[c.Name].cap, a.allowances[c.Name] != allowance{}
 		}
-		if known && limit.fellFrom(earlier) && a.dealt < version {
-			a.fell[c.Name] = version
+		if known && limit.isLowerThan(earlier) && a.allocatedVersion < version {
+			a.loweredVersion[c.Name] = version
 		}
 	}
 }
 
-// AddRun counts a run of a customer's, and End takes it back once it is known to be over. One that
-// lasts runs until it is stopped.
-func (a *Allowances) AddRun(customer string, need damsonwinch.Resources, lasts bool) {
+// AddRun counts a run of a customer's task, which needs the given resources. longRunning is set for a run that
+// goes on until it is stopped.
+func (a *Allowances) AddRun(customer string, need damsonwinch.Resources, longRunning bool) {
 	a.used.add(customer, amountsOf(need))
-	if lasts {
-		a.lasting.add(customer, amountsOf(need))
+	if longRunning {
+		a.longRunning.add(customer, amountsOf(need))
 	}
 }
 
-// RemoveRun takes a run back that is over.
-func (a *Allowances) RemoveRun(customer string, need damsonwinch.Resources, lasts bool) {
+// RemoveRun takes back what AddRun has counted, once the run is known to be over.
+func (a *Allowances) RemoveRun(customer string, need damsonwinch.Resources, longRunning bool) {
 	a.used.add(customer, amounts{}.minus(amountsOf(need)))
-	if lasts {
-		a.lasting.add(customer, amounts{}.minus(amountsOf(need)))
+	if longRunning {
+		a.longRunning.add(customer, amounts{}.minus(amountsOf(need)))
 	}
 }
 
-// sums are amounts by customer.
+// sums holds amounts by customer.
 type sums map[string]amounts
 
+// add adds to the amounts of a customer; it ignores work that belongs to no customer.
 func (s sums) add(customer string, more amounts) {
 	if customer == "" {
 		return
@@ -97,39 +99,39 @@
 	}
 }
 
-// capOf returns a customer's cap by the newer of what the cell and its allotter know, and whether
-// there is one. That there is none any more counts only once the allotter has said so: it must
-// know that nobody keeps count then.
+// capOf returns a customer's cap by the newer of the cell's and the allocator's configuration, and whether the
+// customer is known. A cap that was removed applies until the allocator has said that it is gone: by then it
+// has recorded that nobody tracks what the customer has running.
 func (a *Allowances) capOf(customer string) (amounts, bool) {
-	given, granted := a.granted[customer]
+	current, allocated := a.allowances[customer]
 	own, known := a.caps[customer]
-	if granted && (a.dealt >= a.version || !known) {
-		return given.cap, true
+	if allocated && (a.allocatedVersion >= a.configVersion || !known) {
+		return current.cap, true
 	}
 	for kind := range own {
-		if granted && own[kind] == 0 {
-			own[kind] = given.cap[kind]
+		if allocated && own[kind] == 0 {
+			own[kind] = current.cap[kind]
 		}
 	}
 	return own, known
 }
 
-// suspended says whether a customer's cap is known to have fallen since its allowance was dealt.
-func (a *Allowances) suspended(customer string) bool {
-	return a.fell[customer] > a.dealt
+// capLowered reports whether a customer's cap is known to have been lowered since its allowance was allocated.
+func (a *Allowances) capLowered(customer string) bool {
+	return a.loweredVersion[customer] > a.allocatedVersion
 }
 
-// Allows says whether a run of a customer's may begin now. One that needs more than the whole cap
-// may if nothing else of the customer's runs anywhere: then the allowance is the whole cap.
+// Allows reports whether a run of a customer may start now. A run that needs more than the whole cap may start
+// if nothing else of the customer runs anywhere: the allowance is the whole cap then.
 func (a *Allowances) Allows(customer string, need damsonwinch.Resources) bool {
 	if customer == "" {
 		return true
 	}
 	limit, known := a.capOf(customer)
-	if !known || a.suspended(customer) {
-		return known && limit.unlimited()
+	if !known || a.capLowered(customer) {
+		return known && limit.isUnlimited()
 	}
-	wanted, used, amount := amountsOf(need), a.used[customer], a.granted[customer].amount
+	wanted, used, amount := amountsOf(need), a.used[customer], a.allowances[customer].amount
 	for kind := range limit {
 		if limit[kind] > 0 && used[kind]+min(wanted[kind], limit[kind]) > amount[kind] {
 			return false
@@ -138,162 +140,163 @@
 	return true
 }
 
-// CanEverFit says whether a run of a customer's can ever begin beside those that last.
+// CanEverFit reports whether a run of a customer can ever start beside its long-running ones in the cell.
 func (a *Allowances) CanEverFit(customer string, need damsonwinch.Resources) bool {
 	limit, _ := a.capOf(customer)
-	wanted, lasting := amountsOf(need), a.lasting[customer]
+	wanted, longRunning := amountsOf(need), a.longRunning[customer]
 	for kind := range limit {
-		if limit[kind] > 0 && min(wanted[kind], limit[kind])+lasting[kind] > limit[kind] {
+		if limit[kind] > 0 && min(wanted[kind], limit[kind])+longRunning[kind] > limit[kind] {
 			return false
 		}
 	}
 	return true
 }
 
-// RemainingCPU returns how much of a thing that a customer waits for fits into its allowance beside what
-// runs, in thousandths of a core.
+// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs. Both are in
+// thousandths of a core.
 func (a *Allowances) RemainingCPU(customer string, wantedCPU int) int {
 	limit, known := a.capOf(customer)
 	switch {
 	case customer == "", known && limit[cpu] == 0:
 		return wantedCPU
-	case !known, a.suspended(customer):
+	case !known, a.capLowered(customer):
 		return 0
 	}
-	return max(0, min(wantedCPU, a.granted[customer].amount[cpu]-a.used[customer][cpu]))
+	return max(0, min(wantedCPU, a.allowances[customer].amount[cpu]-a.used[customer][cpu]))
 }
 
-// ApplyUpdate takes the allotter's word, and says whether it must be recorded before it is confirmed: a
-// later owner of the cell must not go by a higher allowance, and one that has been replaced and
-// doesn't know it can record nothing, so that it confirms nothing. A word for another owner of the
-// cell, or one that newer ones have overtaken, changes nothing.
+// ApplyUpdate applies an allowance update from the allocator and reports whether it must be recorded before it
+// is confirmed. A later owner of the cell must not go by a higher allowance; and an owner that was replaced
+// without knowing it can record nothing, so that it confirms nothing. An update for another owner of the cell,
+// or one that a newer update has overtaken, changes nothing. token is the owner's.
 func (a *Allowances) ApplyUpdate(token int, args wire.SyncArgs) bool {
-	if args.CellToken != token || args.Token < a.allotter || args.Token == a.allotter && args.AllowanceNumber <= a.taken {
+	if args.CellToken != token || args.Token < a.allocatorToken || args.Token == a.allocatorToken && args.AllowanceNumber <= a.appliedNumber {
 		return false
 	}
-	if args.Token > a.allotter {
-		a.recorded = 0
+	if args.Token > a.allocatorToken {
+		a.recordedNumber = 0
 	}
-	a.allotter, a.taken, a.dealt = args.Token, args.AllowanceNumber, args.ConfigVersion
-	for customer, version := range a.fell {
-		if version <= a.dealt {
-			delete(a.fell, customer)
+	a.allocatorToken, a.appliedNumber, a.allocatedVersion = args.Token, args.AllowanceNumber, args.ConfigVersion
+	for customer, version := range a.loweredVersion {
+		if version <= a.allocatedVersion {
+			delete(a.loweredVersion, customer)
 		}
 	}
 	for _, row := range args.Allowances {
-		given := grant{amount: fromWire(row.Amount), cap: fromWire(row.Cap)}
-		a.granted[row.Customer] = given
-		if own, known := a.caps[row.Customer]; known && a.dealt < a.version && own.fellFrom(given.cap) {
-			// The allotter doesn't know of it yet.
-			a.fell[row.Customer] = a.version
+		current := allowance{amount: fromWire(row.Amount), cap: fromWire(row.Cap)}
+		a.allowances[row.Customer] = current
+		if own, known := a.caps[row.Customer]; known && a.allocatedVersion < a.configVersion && own.isLowerThan(current.cap) {
+			// The allocator has not read the lower cap yet.
+			a.loweredVersion[row.Customer] = a.configVersion
 		}
 	}
 	return len(args.Allowances) > 0
 }
 
-// Record returns what a later owner has to know, and the number under which Recorded confirms it.
+// Record returns the allowances that a later owner has to know, and the number of the newest update in them,
+// to be passed to MarkRecorded.
 func (a *Allowances) Record() (wire.AllowancesRecord, int) {
-	record := wire.AllowancesRecord{ConfigVersion: a.dealt}
-	for _, customer := range slices.Sorted(maps.Keys(a.granted)) {
-		given := a.granted[customer]
-		record.Allowances = append(record.Allowances, wire.AllowanceRow{Customer: customer, Amount: given.amount.wire(), Cap: given.cap.wire()})
+	record := wire.AllowancesRecord{ConfigVersion: a.allocatedVersion}
+	for _, customer := range slices.Sorted(maps.Keys(a.allowances)) {
+		current := a.allowances[customer]
+		record.Allowances = append(record.Allowances, wire.AllowanceRow{Customer: customer, Amount: current.amount.wire(), Cap: current.cap.wire()})
 	}
-	return record, a.taken
+	return record, a.appliedNumber
 }
 
-// MarkRecorded takes note that a record of the allotter's word up to a number is kept.
-func (a *Allowances) MarkRecorded(allotter, number int) {
-	if allotter != a.allotter {
+// MarkRecorded notes that the updates of an allocator up to a number are recorded in the cell's stream.
+func (a *Allowances) MarkRecorded(allocatorToken, number int) {
+	if allocatorToken != a.allocatorToken {
 		return
 	}
-	a.recorded = max(a.recorded, number)
+	a.recordedNumber = max(a.recordedNumber, number)
 }
 
-// AllocatorToken returns the token of the newest allotter that was heard.
+// AllocatorToken returns the token of the newest allocator that has sent an update, 0 before the first.
 func (a *Allowances) AllocatorToken() int {
-	return a.allotter
+	return a.allocatorToken
 }
 
-// Load takes over what an earlier owner has recorded.
+// Load restores the allowances that an earlier owner has recorded.
 func (a *Allowances) Load(record wire.AllowancesRecord) {
-	a.dealt = record.ConfigVersion
+	a.allocatedVersion = record.ConfigVersion
 	for _, row := range record.Allowances {
-		a.granted[row.Customer] = grant{amount: fromWire(row.Amount), cap: fromWire(row.Cap)}
+		a.allowances[row.Customer] = allowance{amount: fromWire(row.Amount), cap: fromWire(row.Cap)}
 	}
 }
 
-// HasAny says whether anything has been heard or taken over of allowances.
+// HasAny reports whether the cell has received or restored any allowance.
 func (a *Allowances) HasAny() bool {
-	return len(a.granted) > 0
+	return len(a.allowances) > 0
 }
 
-// Demand is what waits of a customer's and could start by now.
+// Demand is what a customer's waiting tasks ask for that could start by now.
 type Demand struct {
 	Total damsonwinch.Resources
-	// Largest is the most that a single task asks for, of each kind.
+	// Largest is the most that a single task asks for, for each kind of resource.
 	Largest damsonwinch.Resources
 }
 
-// WithTasks returns what waits with so many tasks of a need more.
-func (w Demand) WithTasks(need damsonwinch.Resources, count int) Demand {
-	w.Total = w.Total.Plus(damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count})
-	w.Largest = damsonwinch.Resources{
-		CPU: max(w.Largest.CPU, need.CPU), MemoryMB: max(w.Largest.MemoryMB, need.MemoryMB), GPU: max(w.Largest.GPU, need.GPU),
+// WithTasks returns the demand with count more tasks, each of which needs the given resources.
+func (d Demand) WithTasks(need damsonwinch.Resources, count int) Demand {
+	d.Total = d.Total.Plus(damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count})
+	d.Largest = damsonwinch.Resources{
+		CPU: max(d.Largest.CPU, need.CPU), MemoryMB: max(d.Largest.MemoryMB, need.MemoryMB), GPU: max(d.Largest.GPU, need.GPU),
 	}
-	return w
+	return d
 }
 
-// Report tells the allotter how the cell gets on with its allowances: which word it has heard for
-// good, and of the customers those that want more than they have or still run more than that.
-func (a *Allowances) Report(token int, wanted map[string]Demand, reply *wire.SyncReply) {
-	reply.Token, reply.AllowanceNumber, reply.AllotterToken = token, a.recorded, a.allotter
+// Report writes into a reply which update the cell has recorded, and for each customer that needs more than it
+// has, what it uses and wants. token is the owner's.
+func (a *Allowances) Report(token int, demands map[string]Demand, reply *wire.SyncReply) {
+	reply.Token, reply.AllowanceNumber, reply.AllotterToken = token, a.recordedNumber, a.allocatorToken
 	customers := map[string]bool{}
 	for customer := range a.used {
 		customers[customer] = true
 	}
-	for customer := range wanted {
+	for customer := range demands {
 		customers[customer] = true
 	}
 	for _, customer := range slices.Sorted(maps.Keys(customers)) {
 		limit, known := a.capOf(customer)
-		used, wants := a.used[customer], amountsOf(wanted[customer].Total)
-		if customer == "" || known && limit.unlimited() || !a.pressed(customer, limit, used, wants) {
+		used, wanted := a.used[customer], amountsOf(demands[customer].Total)
+		if customer == "" || known && limit.isUnlimited() || !a.needsMore(customer, limit, used, wanted) {
 			continue
 		}
 		reply.Customers = append(reply.Customers, wire.CustomerReport{
-			Customer: customer, Used: used.wire(), Lasting: a.lasting[customer].wire(), Wanted: wants.wire(), Largest: amountsOf(wanted[customer].Largest).wire(),
+			Customer: customer, Used: used.wire(), Lasting: a.longRunning[customer].wire(), Wanted: wanted.wire(), Largest: amountsOf(demands[customer].Largest).wire(),
 		})
 	}
 }
 
-// pressed says whether a customer wants more than its allowance holds well, or has more running.
-func (a *Allowances) pressed(customer string, limit, used, wanted amounts) bool {
-	given, granted := a.granted[customer]
-	if !granted {
+// needsMore reports whether what a customer uses and wants is above the threshold part of its allowance.
+func (a *Allowances) needsMore(customer string, limit, used, wanted amounts) bool {
+	current, allocated := a.allowances[customer]
+	if !allocated {
 		return true
 	}
 	for kind := range limit {
-		if limit[kind] > 0 && (used[kind]+wanted[kind])*100 > given.amount[kind]*pressedShare {
+		if limit[kind] > 0 && (used[kind]+wanted[kind])*100 > current.amount[kind]*reportThresholdPercent {
 			return true
 		}
 	}
 	return false
 }
 
-// Explain says how much a customer has running in the cell and may have.
+// Explain returns a text for operators that says how much a customer has running in the cell and may have.
 func (a *Allowances) Explain(customer string) string {
-	given, granted := a.granted[customer]
+	current, allocated := a.allowances[customer]
 	switch {
-	case !granted:
+	case !allocated:
 		return "may have nothing running here until the planner has dealt its cap"
-	case a.suspended(customer):
+	case a.capLowered(customer):
 		return "may begin nothing here until the planner has dealt its lowered cap"
 	}
 	limit, _ := a.capOf(customer)
 	var kinds []string
 	for kind, unit := range [...]string{cpu: "thousandths of a core", memory: "MB", gpu: "GPUs"} {
 		if limit[kind] > 0 {
-			kinds = append(kinds, fmt.Sprintf("%d of %d %s", a.used[customer][kind], given.amount[kind], unit))
+			kinds = append(kinds, fmt.Sprintf("%d of %d %s", a.used[customer][kind], current.amount[kind], unit))
 		}
 	}
 	return "has " + strings.Join(kinds, ", ") + " running here that it may have; its most urgent task needs more than is left"
--- a/pkg/quota/amount.go
+++ b/pkg/quota/amount.go
@@ -1,10 +1,10 @@
-// Package quota keeps what each customer has running under its cap, over cells that share no
-// state. It is pure.
+// Package quota keeps what each customer has running below the customer's cap, over cells that share no state. It
+// does no I/O and reads no clock.
 //
-// One allotter deals each cap to the cells as allowances, and a cell starts nothing beyond its
-// own. What an allowance may be is written down before it is raised, and an allowance is lowered
-// and confirmed at one cell before it is raised at another: so the sum of what cells may have
-// running is at most the cap at any moment, whoever of them is cut off, slow, or replaced.
+// One allocator divides each cap among the cells as allowances, and a cell starts nothing beyond its own. An allowance
+// is recorded before it is raised, and it is lowered and confirmed at one cell before another one's is raised. So the
+// sum of what the cells may have running is at most the cap at any moment, even if an owner of a cell or the allocator
+// is cut off, slow or replaced.
 package quota
 
 import (
@@ -15,7 +15,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Kinds of room that a cap bounds.
+// Kinds of resource that a cap bounds, and their number.
 const (
 	cpu = iota
 	memory
@@ -23,54 +23,55 @@
 	kinds
 )
 
-// amounts is room by its kind.
+// amounts holds an amount of each kind of resource: thousandths of a core, mebibytes and GPUs.
 type amounts [kinds]int
 
-// unknown stands for what a cell may have running of which nobody has kept count.
+// unknown is the limit of a cell if nobody has tracked what it may have running. It is far below math.MaxInt, so
+// that sums with it don't overflow.
 const unknown = math.MaxInt / 1024
 
 func amountsOf(r damsonwinch.Resources) amounts {
 	return amounts{cpu: r.CPU, memory: r.MemoryMB, gpu: r.GPU}
 }
 
-func fromWire(a wire.Amount) amounts {
-	return amounts{cpu: a.Cpu, memory: a.MemoryMb, gpu: a.Gpu}
+func fromWire(amount wire.Amount) amounts {
+	return amounts{cpu: amount.Cpu, memory: amount.MemoryMb, gpu: amount.Gpu}
 }
 
 func (a amounts) wire() wire.Amount {
 	return wire.Amount{Cpu: a[cpu], MemoryMb: a[memory], Gpu: a[gpu]}
 }
 
-func (a amounts) plus(b amounts) amounts {
+func (a amounts) plus(other amounts) amounts {
 	for kind := range a {
-		a[kind] += b[kind]
+		a[kind] += other[kind]
 	}
 	return a
 }
 
-func (a amounts) minus(b amounts) amounts {
+func (a amounts) minus(other amounts) amounts {
 	for kind := range a {
-		a[kind] -= b[kind]
+		a[kind] -= other[kind]
 	}
 	return a
 }
 
-// unlimited says that a cap bounds nothing.
-func (a amounts) unlimited() bool {
+// isUnlimited reports whether a cap bounds no kind of resource.
+func (a amounts) isUnlimited() bool {
 	return a == amounts{}
 }
 
-// fellFrom says whether a cap is lower than another one in some kind; 0 is no limit.
-func (a amounts) fellFrom(before amounts) bool {
+// isLowerThan reports whether a cap is lower than another one in some kind of resource; 0 is no limit.
+func (a amounts) isLowerThan(other amounts) bool {
 	for kind := range a {
-		if a[kind] > 0 && (before[kind] == 0 || a[kind] < before[kind]) {
+		if a[kind] > 0 && (other[kind] == 0 || a[kind] < other[kind]) {
 			return true
 		}
 	}
 	return false
 }
 
-// String returns the amounts as logs show them.
+// String returns the amounts as logs show them, in whole cores.
 func (a amounts) String() string {
 	if a[gpu] > 0 {
 		return fmt.Sprintf("%d cores %d MB %d GPUs", a[cpu]/1000, a[memory], a[gpu])
--- a/pkg/quota/contact.go
+++ b/pkg/quota/contact.go
@@ -7,145 +7,147 @@
 	"damsonwinch/pkg/wire"
 )
 
-// contact is how far an owner of a cell has been told.
-type contact struct {
-	token int
-	// number is that of the newest word, and told the words on each customer that aren't confirmed
-	// yet, in order, each with the number of the first that held it.
-	number int
-	told   map[string][]word
-	// confirmed is the highest number that the owner has confirmed.
-	confirmed int
-	// version is that of the configuration by which all was dealt that it has been told: while a
-	// record is awaited, some customers' words are held back.
-	version int
-	// heard holds what the owner has confirmed, by customer, unsaid the customers of whom there may
-	// be something new to tell, and pressed those of whom it has reported.
-	heard   map[string]word
-	unsaid  map[string]bool
-	pressed map[string]bool
+// session holds what the allocator has sent to one owner of a cell, and what the owner has confirmed.
+type session struct {
+	ownerToken int
+	// lastNumber is the number of the newest update. unconfirmed holds the allowances of each customer that were
+	// sent and aren't confirmed yet, in order, each with the number of the first update that held it.
+	lastNumber  int
+	unconfirmed map[string][]sentAllowance
+	// confirmedNumber is the highest update number that the owner has confirmed.
+	confirmedNumber int
+	// configVersion is the version of the configuration by which all allowances that were sent to the owner
+	// were allocated. It stays behind while the allowances of some customers are held back until a record.
+	configVersion int
+	// confirmed holds the allowance of each customer that the owner has confirmed last, unsent the customers
+	// for which there may be something new to send, and reported those in the owner's newest report.
+	confirmed map[string]sentAllowance
+	unsent    map[string]bool
+	reported  map[string]bool
 }
 
-// word is what a cell is told of one customer.
-type word struct {
+// sentAllowance is the allowance of a customer as it was sent to an owner.
+type sentAllowance struct {
 	number int
 	amount amounts
 	cap    amounts
 }
 
-// same says whether two words say the same.
-func (w word) same(other word) bool {
-	return w.amount == other.amount && w.cap == other.cap
+// equals reports whether two allowances are the same, whatever updates they were sent in.
+func (a sentAllowance) equals(other sentAllowance) bool {
+	return a.amount == other.amount && a.cap == other.cap
 }
 
-// contactOf returns the contact with the owner of a cell; a new owner has heard nothing.
-func (a *Allocator) contactOf(cell string, token int) *contact {
-	c := a.contacts[cell]
-	if c != nil && token <= c.token {
-		return c
+// sessionOf returns the session with the owner of a cell. For a new owner, with a higher token, it starts a new
+// one, since that owner has received nothing.
+func (a *Allocator) sessionOf(cell string, token int) *session {
+	s := a.sessions[cell]
+	if s != nil && token <= s.ownerToken {
+		return s
 	}
-	c = &contact{token: token, told: map[string][]word{}, heard: map[string]word{}, unsaid: map[string]bool{}, pressed: map[string]bool{}}
+	s = &session{ownerToken: token, unconfirmed: map[string][]sentAllowance{}, confirmed: map[string]sentAllowance{}, unsent: map[string]bool{}, reported: map[string]bool{}}
 	for customer := range a.customers {
-		c.unsaid[customer] = true
+		s.unsent[customer] = true
 	}
-	a.contacts[cell] = c
-	return c
+	a.sessions[cell] = s
+	return s
 }
 
-// concerned returns the customers of whom a reply says something new: by its rows, by their
-// absence, or by what it confirms.
-func (c *contact) concerned(rows map[string]report) map[string]bool {
-	found := make(map[string]bool, len(rows)+len(c.told))
+// affectedCustomers returns the customers for which a reply may say something new: by its rows, by their absence,
+// or by what it confirms.
+func (s *session) affectedCustomers(rows map[string]report) map[string]bool {
+	affected := make(map[string]bool, len(rows)+len(s.unconfirmed))
 	for customer := range rows {
-		found[customer] = true
+		affected[customer] = true
 	}
-	for customer := range c.pressed {
-		found[customer] = true
+	for customer := range s.reported {
+		affected[customer] = true
 	}
-	for customer := range c.told {
-		found[customer] = true
+	for customer := range s.unconfirmed {
+		affected[customer] = true
 	}
-	return found
+	return affected
 }
 
-// HasUpdate says whether the owner of a cell is to be told something that needn't wait.
+// HasUpdate reports whether there is something new to send to the owner of a cell that isn't held back.
 func (a *Allocator) HasUpdate(cell string) bool {
-	c := a.contacts[cell]
-	if c == nil {
+	s := a.sessions[cell]
+	if s == nil {
 		return false
 	}
-	for customer := range c.unsaid {
-		if known := a.customers[customer]; known.known && !known.recording && !known.uncounted {
+	for customer := range s.unsent {
+		if state := a.customers[customer]; state.configured && !state.recordPending && !state.mustRecordUnknown {
 			return true
 		}
 	}
 	return false
 }
 
-// confirm takes note that an owner has taken all words up to a number.
-func (c *contact) confirm(customer string, number int) {
-	told := c.told[customer]
-	for len(told) > 0 && told[0].number <= number {
-		c.heard[customer] = told[0]
-		told = told[1:]
+// confirm notes that the owner has confirmed all allowances of a customer that were sent up to a number.
+func (s *session) confirm(customer string, number int) {
+	unconfirmed := s.unconfirmed[customer]
+	for len(unconfirmed) > 0 && unconfirmed[0].number <= number {
+		s.confirmed[customer] = unconfirmed[0]
+		unconfirmed = unconfirmed[1:]
 	}
-	if len(told) == 0 {
-		delete(c.told, customer)
+	if len(unconfirmed) == 0 {
+		delete(s.unconfirmed, customer)
 	} else {
-		c.told[customer] = told
+		s.unconfirmed[customer] = unconfirmed
 	}
 }
 
-// Update is what is said to the owner of a cell.
+// Update is an allowance update for the owner of a cell.
 type Update struct {
-	// OwnerToken is the token by which it owns the cell, Number that of this word among those to it, and
-	// Version that of the configuration by which all that it has been told was dealt.
+	// OwnerToken is the fencing token by which the owner holds the cell, and Number the number of this update
+	// among those to this owner. ConfigVersion is the version of the configuration by which all allowances that
+	// were sent to the owner were allocated.
 	OwnerToken    int
 	Number        int
 	ConfigVersion int
 	Allowances    []wire.AllowanceRow
 }
 
-// NextUpdate returns what is to be said to the owner of a cell next; nothing to one that hasn't been
-// heard of. All that it hasn't confirmed is said again.
+// NextUpdate returns the next update for the owner of a cell, which repeats all that it hasn't confirmed. The
+// update is empty until an owner of the cell has replied.
 func (a *Allocator) NextUpdate(cell string) Update {
-	c := a.contacts[cell]
-	if c == nil {
+	s := a.sessions[cell]
+	if s == nil {
 		return Update{}
 	}
-	c.number++
+	s.lastNumber++
 	heldBack := false
-	for _, customer := range slices.Sorted(maps.Keys(c.unsaid)) {
-		known := a.customers[customer]
-		if known.recording || known.uncounted {
+	for _, customer := range slices.Sorted(maps.Keys(s.unsent)) {
+		state := a.customers[customer]
+		if state.recordPending || state.mustRecordUnknown {
 			heldBack = true
 			continue
 		}
-		delete(c.unsaid, customer)
-		if !known.known {
+		delete(s.unsent, customer)
+		if !state.configured {
 			continue
 		}
-		c.tell(customer, word{number: c.number, amount: known.targets[cell], cap: known.cap})
+		s.addAllowance(customer, sentAllowance{number: s.lastNumber, amount: state.targets[cell], cap: state.cap})
 	}
 	if !heldBack {
-		c.version = a.version
+		s.configVersion = a.configVersion
 	}
-	words := Update{OwnerToken: c.token, Number: c.number, ConfigVersion: c.version}
-	for _, customer := range slices.Sorted(maps.Keys(c.told)) {
-		said := c.told[customer][len(c.told[customer])-1]
-		words.Allowances = append(words.Allowances, wire.AllowanceRow{Customer: customer, Amount: said.amount.wire(), Cap: said.cap.wire()})
+	update := Update{OwnerToken: s.ownerToken, Number: s.lastNumber, ConfigVersion: s.configVersion}
+	for _, customer := range slices.Sorted(maps.Keys(s.unconfirmed)) {
+		sent := s.unconfirmed[customer][len(s.unconfirmed[customer])-1]
+		update.Allowances = append(update.Allowances, wire.AllowanceRow{Customer: customer, Amount: sent.amount.wire(), Cap: sent.cap.wire()})
 	}
-	return words
+	return update
 }
 
-// tell adds a word on a customer unless it is the last one, or there is nothing to say.
-func (c *contact) tell(customer string, next word) {
-	last, said := c.heard[customer]
-	if told := c.told[customer]; len(told) > 0 {
-		last, said = told[len(told)-1], true
+// addAllowance queues an allowance of a customer unless it was the last one sent, or there has never been a cap.
+func (s *session) addAllowance(customer string, next sentAllowance) {
+	last, sent := s.confirmed[customer]
+	if unconfirmed := s.unconfirmed[customer]; len(unconfirmed) > 0 {
+		last, sent = unconfirmed[len(unconfirmed)-1], true
 	}
-	if said && last.same(next) || !said && next.cap.unlimited() {
+	if sent && last.equals(next) || !sent && next.cap.isUnlimited() {
 		return
 	}
-	c.told[customer] = append(c.told[customer], next)
+	s.unconfirmed[customer] = append(s.unconfirmed[customer], next)
 }
--- a/pkg/quota/deal.go
+++ b/pkg/quota/deal.go
@@ -6,75 +6,75 @@
 	"time"
 )
 
-// Rules of dealing.
+// Rules of allocation. The equal part of a cell is the cap divided by the number of cells.
 const (
-	// floorPart of a cell's equal part, one in so many, is left to a cell that isn't pressed: its
-	// next jobs needn't wait until more has come.
-	floorPart = 4
-	// stepPart of the equal part, one in so many, is the least by which a share is changed.
-	stepPart = 20
-	// headroom is what a pressed cell is given beyond what it wants, in percent: it may want more
-	// by the time that it hears of it.
-	headroom = 50
+	// floorDivisor says which part of its equal part, one in so many, is left to a cell without a report while
+	// others need more than there is: the cell's next jobs needn't wait until more has come.
+	floorDivisor = 4
+	// minStepDivisor says which part of the equal part, one in so many, is the least by which a share is raised.
+	minStepDivisor = 20
+	// headroomPercent is what a cell with a report is given beyond what it wants: it may want more by the time
+	// the update reaches it.
+	headroomPercent = 50
 )
 
-// Allocate decides what the cells may have running and returns the customers whose limits are raised
-// by that. They have to be recorded before cells are told.
+// Allocate divides the caps of the customers that have changed among the cells. It returns the customers whose limits
+// have to be recorded, mostly because they are raised, before cells are told; see Record and MarkRecorded.
 func (a *Allocator) Allocate(now time.Time) []string {
-	a.forgetCells(now)
+	a.dropRemovedCells(now)
 	var raised []string
-	for _, customer := range slices.Sorted(maps.Keys(a.due)) {
-		known := a.customers[customer]
-		if known.recording || !known.known || len(a.cells) == 0 {
+	for _, customer := range slices.Sorted(maps.Keys(a.dirty)) {
+		state := a.customers[customer]
+		if state.recordPending || !state.configured || len(a.cells) == 0 {
 			continue
 		}
-		delete(a.due, customer)
-		known.endLarge(now)
-		changed := known.uncounted
-		known.uncounted = false
-		for kind, limit := range known.cap {
+		delete(a.dirty, customer)
+		state.endReservation(now)
+		changed := state.mustRecordUnknown
+		state.mustRecordUnknown = false
+		for kind, limit := range state.cap {
 			if limit > 0 {
-				changed = known.deal(kind, a.cells) || changed
+				changed = state.allocate(kind, a.cells) || changed
 			}
 		}
-		a.tellRetold(customer)
+		a.queueChangedTargets(customer)
 		if changed {
-			known.recording = true
+			state.recordPending = true
 			raised = append(raised, customer)
 		}
 	}
 	return raised
 }
 
-// deal deals one kind of a customer's cap and says whether it has raised a limit.
-func (c *account) deal(kind int, cells []string) bool {
-	free := c.cap[kind] - c.sum(kind)
+// allocate divides one kind of resource of the customer's cap and reports whether it has raised a limit.
+func (c *customerState) allocate(kind int, cells []string) bool {
+	free := c.cap[kind] - c.totalLimit(kind)
 	if free < 0 {
-		if c.wholeWanted(kind, cells) {
+		if c.oneCellHoldsCap(kind, cells) {
 			return false
 		}
-		// The cap has fallen, or it isn't known what runs. Nothing begins anywhere until what
-		// still runs fits under it.
+		// The cap was lowered, or it isn't known what runs. Nothing starts anywhere until what still runs fits
+		// under the cap.
 		for _, cell := range cells {
-			c.lower(kind, cell, 0)
+			c.lowerTarget(kind, cell, 0)
 		}
 		return false
 	}
-	shares := c.shares(kind, cells)
-	shortage := shares.shortage()
-	if shortage == 0 {
-		shares = c.comfort(kind, cells)
-		if shortage = shares.shortage(); shortage == 0 {
+	shares := c.desiredShares(kind, cells)
+	shortfall := shares.shortfall()
+	if shortfall == 0 {
+		shares = c.topUpShares(kind, cells)
+		if shortfall = shares.shortfall(); shortfall == 0 {
 			return false
 		}
-	} else if free < shortage {
-		c.reclaim(kind, shares, shortage-free)
+	} else if free < shortfall {
+		c.reclaim(kind, shares, shortfall-free)
 	}
-	return c.raise(kind, shares, min(free, shortage), shortage)
+	return c.raiseLimits(kind, shares, min(free, shortfall), shortfall)
 }
 
-// sum returns what all cells may have running, also those that there are no more.
-func (c *account) sum(kind int) int {
+// totalLimit returns what all cells together may have running, removed cells included.
+func (c *customerState) totalLimit(kind int) int {
 	sum := 0
 	for _, limit := range c.limits {
 		sum = min(unknown, sum+limit[kind])
@@ -82,263 +82,265 @@
 	return sum
 }
 
-// wholeWanted says whether one cell has the whole cap, the others nothing, and that is as it should
-// be: a larger task than the cap is to run there, or no other cell wants anything.
-func (c *account) wholeWanted(kind int, cells []string) bool {
-	whole, others := "", false
+// oneCellHoldsCap reports whether one cell has the whole cap and the others nothing, for a good reason: a task larger
+// than the cap is to run there, or no other cell wants anything.
+func (c *customerState) oneCellHoldsCap(kind int, cells []string) bool {
+	holder, othersWant := "", false
 	for _, cell := range cells {
 		switch {
 		case c.targets[cell][kind] >= c.cap[kind]:
-			whole = cell
+			holder = cell
 		case c.limits[cell][kind] > 0:
 			return false
 		default:
-			row, pressed := c.reports[cell]
-			others = others || pressed && row.wanted[kind] > 0
+			row, reported := c.reports[cell]
+			othersWant = othersWant || reported && row.wanted[kind] > 0
 		}
 	}
-	return whole != "" && (whole == c.large.cell || !others)
+	return holder != "" && (holder == c.reserved.cell || !othersWant)
 }
 
-// share is how much a cell has of one kind, should have, and keeps at least while others want
-// more than there is.
+// share is the part of one kind of resource that a cell has (limit), that it should have (want), and that it keeps
+// at least while others want more than there is (floor).
 type share struct {
 	cell  string
 	limit int
 	want  int
-	least int
-	// step is the least difference for which it is worth telling the cell.
-	step int
+	floor int
+	// minStep is the least difference for which it is worth sending the cell an update.
+	minStep int
 }
 
-// short returns how much a cell lacks.
-func (s share) short() int {
-	if lacks := s.want - s.limit; lacks > 0 && lacks >= s.step {
-		return lacks
+// shortfall returns how much the cell lacks, 0 if that is less than minStep.
+func (s share) shortfall() int {
+	if lack := s.want - s.limit; lack > 0 && lack >= s.minStep {
+		return lack
 	}
 	return 0
 }
 
+// shares holds the shares of cells in one kind of resource.
 type shares []share
 
-func (s shares) shortage() int {
+// shortfall returns how much all cells together lack.
+func (s shares) shortfall() int {
 	sum := 0
 	for _, one := range s {
-		sum += one.short()
+		sum += one.shortfall()
 	}
 	return sum
 }
 
-// comfort are the shares where no cell wants more than it has: those that have little get their
-// equal part of what is free.
-func (c *account) comfort(kind int, cells []string) shares {
-	part := c.cap[kind] / len(cells)
-	var found shares
+// topUpShares returns the shares for when no cell needs more than it has: cells with less than half of their equal part
+// get up to that from what is free.
+func (c *customerState) topUpShares(kind int, cells []string) shares {
+	equalPart := c.cap[kind] / len(cells)
+	var list shares
 	for _, cell := range cells {
-		if limit := c.limits[cell][kind]; limit < part/2 {
-			found = append(found, share{cell: cell, limit: limit, want: part})
+		if limit := c.limits[cell][kind]; limit < equalPart/2 {
+			list = append(list, share{cell: cell, limit: limit, want: equalPart})
 		}
 	}
-	return found
+	return list
 }
 
-// shares returns what each cell should have: what it wants if it is pressed, and else what it has
-// of its equal part. What cells want together beyond the cap is cut in proportion.
-func (c *account) shares(kind int, cells []string) shares {
-	part := c.cap[kind] / len(cells)
-	floor := part / floorPart
-	if floor < c.largest(kind) {
-		// No task would fit into it.
+// desiredShares returns the share that each cell should have: what it wants if it has reported, else what it has, up to
+// its equal part. If that is more than the cap in all, the shares are cut to the cap.
+func (c *customerState) desiredShares(kind int, cells []string) shares {
+	equalPart := c.cap[kind] / len(cells)
+	floor := equalPart / floorDivisor
+	if floor < c.largestTask(kind) {
+		// No waiting task would fit into it.
 		floor = 0
 	}
-	var found shares
+	var list shares
 	for _, cell := range cells {
 		limit := c.limits[cell][kind]
-		one := share{cell: cell, limit: limit, want: min(part, limit), least: min(floor, limit), step: part / stepPart}
-		found = append(found, one)
+		s := share{cell: cell, limit: limit, want: min(equalPart, limit), floor: min(floor, limit), minStep: equalPart / minStepDivisor}
+		list = append(list, s)
 	}
-	if !c.press(kind, found, part) {
-		c.cut(kind, found, part)
+	if !c.meetDemand(kind, list, equalPart) {
+		c.cutToCap(kind, list, equalPart)
 	}
-	return found
+	return list
 }
 
-// largest returns how much the largest task asks for that waits anywhere.
-func (c *account) largest(kind int) int {
-	most := 0
+// largestTask returns how much the largest waiting task of all cells asks for.
+func (c *customerState) largestTask(kind int) int {
+	largest := 0
 	for _, row := range c.reports {
-		most = max(most, row.largest[kind])
+		largest = max(largest, row.largest[kind])
 	}
-	return most
+	return largest
 }
 
-// press raises the shares of pressed cells to what they want, and more if there is that, and says
+// meetDemand sets the shares of cells with a report to what they want, with headroom if there is enough. It reports
 // whether there is enough for what they want.
-func (c *account) press(kind int, found shares, part int) bool {
+func (c *customerState) meetDemand(kind int, list shares, equalPart int) bool {
 	left, wanted := c.cap[kind], 0
-	for at := range found {
-		one := &found[at]
-		row, pressed := c.reports[one.cell]
-		if !pressed {
-			left -= one.least
+	for i := range list {
+		s := &list[i]
+		row, reported := c.reports[s.cell]
+		if !reported {
+			left -= s.floor
 			continue
 		}
-		one.want = row.used[kind] + row.wanted[kind]
-		one.least = min(one.want, one.limit)
-		left -= one.want
-		wanted += one.want
+		s.want = row.used[kind] + row.wanted[kind]
+		s.floor = min(s.want, s.limit)
+		left -= s.want
+		wanted += s.want
 	}
 	if left < 0 {
 		return false
 	}
-	for at := range found {
-		one := &found[at]
-		if _, pressed := c.reports[one.cell]; pressed && wanted > 0 {
-			one.want += min(one.want*headroom/100, one.want*left/wanted)
+	for i := range list {
+		s := &list[i]
+		if _, reported := c.reports[s.cell]; reported && wanted > 0 {
+			s.want += min(s.want*headroomPercent/100, s.want*left/wanted)
 		}
 	}
 	return true
 }
 
-// cut brings the shares of all cells down to what there is: those that want no more than their
-// equal part get that, and what is left is cut in proportion among the others. Where a cell's part
-// of that doesn't hold the largest task that waits there, one such cell is given room for it first.
-func (c *account) cut(kind int, found shares, part int) {
-	proportional := c.proportional(kind, found, part, largeShare{})
-	c.chooseLarge(kind, proportional)
-	for _, one := range proportional {
-		if one.cell == c.large.cell && c.reports[one.cell].room(kind, c.cap[kind]) > one.want {
-			proportional = c.proportional(kind, found, part, largeShare{cell: one.cell, amount: c.reports[one.cell].room(kind, c.cap[kind])})
+// cutToCap cuts the shares of all cells to the cap. Cells that want no more than their equal part get what they want,
+// and the others get parts of the rest in proportion. If the part of some cell is too small for its largest waiting
+// task, capacity for that task is reserved in one such cell first.
+func (c *customerState) cutToCap(kind int, list shares, equalPart int) {
+	proportional := c.cutProportionally(kind, list, equalPart, reservedShare{})
+	c.chooseReservation(kind, proportional)
+	for _, s := range proportional {
+		if s.cell == c.reserved.cell && c.reports[s.cell].neededForLargest(kind, c.cap[kind]) > s.want {
+			proportional = c.cutProportionally(kind, list, equalPart, reservedShare{cell: s.cell, amount: c.reports[s.cell].neededForLargest(kind, c.cap[kind])})
 			break
 		}
 	}
-	c.wholeTasks(kind, proportional)
-	copy(found, proportional)
+	c.roundToWholeTasks(kind, proportional)
+	copy(list, proportional)
 }
 
-// largeShare is what a cell gets for the largest task that waits there, before others get theirs.
-type largeShare struct {
+// reservedShare is what a cell gets for its largest waiting task before the others get their shares.
+type reservedShare struct {
 	cell   string
 	amount int
 }
 
-// proportional returns the shares cut down to what there is, beside what one cell gets for its
-// largest task.
-func (c *account) proportional(kind int, found shares, part int, large largeShare) shares {
-	cutDown := slices.Clone(found)
-	left, modest, greedy := c.cap[kind], 0, 0
-	for at := range cutDown {
-		one := &cutDown[at]
-		_, pressed := c.reports[one.cell]
+// cutProportionally returns the shares cut to what is left of the cap beside the reserved share.
+func (c *customerState) cutProportionally(kind int, list shares, equalPart int, reserved reservedShare) shares {
+	cut := slices.Clone(list)
+	left, atMostEqual, aboveEqual := c.cap[kind], 0, 0
+	for i := range cut {
+		s := &cut[i]
+		_, reported := c.reports[s.cell]
 		switch {
-		case one.cell == large.cell:
-			one.want, one.least, one.step = large.amount, large.amount, 0
-			left -= one.want
-		case one.want > part:
-			greedy += one.want
-		case pressed:
-			modest += one.want
+		case s.cell == reserved.cell:
+			s.want, s.floor, s.minStep = reserved.amount, reserved.amount, 0
+			left -= s.want
+		case s.want > equalPart:
+			aboveEqual += s.want
+		case reported:
+			atMostEqual += s.want
 		default:
-			one.want = one.least
-			modest += one.want
+			s.want = s.floor
+			atMostEqual += s.want
 		}
 	}
-	for at := range cutDown {
-		one := &cutDown[at]
+	for i := range cut {
+		s := &cut[i]
 		switch {
-		case one.cell == large.cell:
+		case s.cell == reserved.cell:
 			continue
-		case one.want > part:
-			one.want = one.want * max(0, left-modest) / greedy
-		case modest > left:
-			one.want = one.want * left / modest
+		case s.want > equalPart:
+			s.want = s.want * max(0, left-atMostEqual) / aboveEqual
+		case atMostEqual > left:
+			s.want = s.want * left / atMostEqual
 		}
-		one.least = min(one.least, one.want)
+		s.floor = min(s.floor, s.want)
 	}
-	return cutDown
+	return cut
 }
 
-// largeTask is the task for which room is made in a cell, as its owner reported it then.
-type largeTask struct {
-	cell   string
-	kind   int
+// reservation is capacity that is reserved in a cell for its largest waiting task.
+type reservation struct {
+	cell string
+	kind int
+	// report is the cell's report when the reservation was made.
 	report report
-	// fitsSince is since when its cell could have begun it, zero before.
+	// fitsSince is when the cell's target became large enough to start the task, zero before that.
 	fitsSince time.Time
 }
 
-// largeTime is how long a cell keeps room for a task that it could have begun: its boxes may have
-// none. Its word that it has begun takes two or three calls.
-const largeTime = 500 * time.Millisecond
+// reservationTime is how long a reservation is kept after the cell could have started the task, since its boxes may have
+// no capacity for it. The report that the task has started takes two or three calls.
+const reservationTime = 500 * time.Millisecond
 
-// room returns how much of a kind a cell needs to begin the largest task that waits there beside
-// what lasts, which for one larger than the cap is all of that.
-func (r report) room(kind, limit int) int {
-	return min(limit, r.lasting[kind]+r.largest[kind])
+// neededForLargest returns how much of a kind of resource the cell needs to start its largest waiting task beside its
+// long-running tasks, at most the given limit: a task larger than the cap needs the whole cap.
+func (r report) neededForLargest(kind, limit int) int {
+	return min(limit, r.longRunning[kind]+r.largest[kind])
 }
 
-// chooseLarge chooses the cell that is given room for the largest task that waits there, if there
-// is none and its share doesn't hold that. Cells take turns, of those that have had none the one
-// with the largest task.
-func (c *account) chooseLarge(kind int, found shares) {
-	if c.large.cell != "" {
+// chooseReservation reserves capacity in a cell whose share is too small for its largest waiting task, unless there is a
+// reservation. The cell whose last reservation is longest ago comes first, and of those that have had none the one with
+// the largest task.
+func (c *customerState) chooseReservation(kind int, list shares) {
+	if c.reserved.cell != "" {
 		return
 	}
-	for _, one := range found {
-		row, pressed := c.reports[one.cell]
-		if !pressed || row.largest[kind] == 0 || row.room(kind, c.cap[kind]) <= one.want {
+	for _, s := range list {
+		row, reported := c.reports[s.cell]
+		if !reported || row.largest[kind] == 0 || row.neededForLargest(kind, c.cap[kind]) <= s.want {
 			continue
 		}
-		turn, least := c.turns[one.cell], c.turns[c.large.cell]
-		if c.large.cell == "" || turn < least || turn == least && row.largest[kind] > c.large.report.largest[kind] {
-			c.large = largeTask{cell: one.cell, kind: kind, report: row}
+		turn, chosenTurn := c.lastTurns[s.cell], c.lastTurns[c.reserved.cell]
+		if c.reserved.cell == "" || turn < chosenTurn || turn == chosenTurn && row.largest[kind] > c.reserved.report.largest[kind] {
+			c.reserved = reservation{cell: s.cell, kind: kind, report: row}
 		}
 	}
 }
 
-// endLarge ends that once the task has begun, doesn't wait there any more, or could have begun for
-// some time.
-func (c *account) endLarge(now time.Time) {
-	if c.large.cell == "" {
+// endReservation ends the reservation once its task has started, no longer waits there, or could have started for
+// reservationTime.
+func (c *customerState) endReservation(now time.Time) {
+	if c.reserved.cell == "" {
 		return
 	}
-	kind, then := c.large.kind, &c.large.report
-	reported, pressed := c.reports[c.large.cell]
-	// Others that ran have ended meanwhile.
-	then.used[kind] = min(then.used[kind], reported.used[kind])
-	begun := reported.largest[kind] < then.largest[kind] || reported.used[kind] >= then.used[kind]+then.largest[kind]
-	switch fits := c.targets[c.large.cell][kind] >= min(c.cap[kind], reported.used[kind]+then.largest[kind]); {
+	kind, before := c.reserved.kind, &c.reserved.report
+	current, reported := c.reports[c.reserved.cell]
+	// Runs that were counted when the reservation was made may have ended since.
+	before.used[kind] = min(before.used[kind], current.used[kind])
+	started := current.largest[kind] < before.largest[kind] || current.used[kind] >= before.used[kind]+before.largest[kind]
+	switch fits := c.targets[c.reserved.cell][kind] >= min(c.cap[kind], current.used[kind]+before.largest[kind]); {
 	case !fits:
-		c.large.fitsSince = time.Time{}
-	case c.large.fitsSince.IsZero():
-		c.large.fitsSince = now
+		c.reserved.fitsSince = time.Time{}
+	case c.reserved.fitsSince.IsZero():
+		c.reserved.fitsSince = now
 	}
-	spent := !c.large.fitsSince.IsZero() && now.Sub(c.large.fitsSince) >= largeTime
-	if !pressed || begun || spent || c.cap[kind] == 0 {
+	expired := !c.reserved.fitsSince.IsZero() && now.Sub(c.reserved.fitsSince) >= reservationTime
+	if !reported || started || expired || c.cap[kind] == 0 {
 		c.turn++
-		c.turns[c.large.cell] = c.turn
-		c.large = largeTask{}
+		c.lastTurns[c.reserved.cell] = c.turn
+		c.reserved = reservation{}
 	}
 }
 
-// reclaim lowers the targets of cells so that so much becomes free for others: what is beyond
-// that which they should have first, then all but the least.
-func (c *account) reclaim(kind int, found shares, amount int) {
-	for _, keep := range []func(one share) int{
-		func(one share) int { return max(one.want, one.least) },
-		func(one share) int { return one.least },
+// reclaim lowers the targets of cells that get nothing more, so that the given amount becomes free for others. It takes
+// what is beyond the wanted shares first, in proportion, and then all but the floors.
+func (c *customerState) reclaim(kind int, list shares, amount int) {
+	for _, keep := range []func(s share) int{
+		func(s share) int { return max(s.want, s.floor) },
+		func(s share) int { return s.floor },
 	} {
 		surplus := 0
-		for _, one := range found {
-			surplus += c.surplus(kind, one, keep(one))
+		for _, s := range list {
+			surplus += c.surplus(kind, s, keep(s))
 		}
 		if surplus == 0 {
 			continue
 		}
 		part := min(1, float64(amount)/float64(surplus))
-		for _, one := range found {
-			if over := c.surplus(kind, one, keep(one)); over > 0 {
-				c.lower(kind, one.cell, c.targets[one.cell][kind]-int(part*float64(over)+0.5))
+		for _, s := range list {
+			if over := c.surplus(kind, s, keep(s)); over > 0 {
+				c.lowerTarget(kind, s.cell, c.targets[s.cell][kind]-int(part*float64(over)+0.5))
 			}
 		}
 		if part < 1 {
@@ -347,42 +349,41 @@
 	}
 }
 
-// surplus returns by how much a cell's target is above what it keeps. A cell that gets more gives
-// nothing.
-func (c *account) surplus(kind int, one share, keeps int) int {
-	if one.short() > 0 {
+// surplus returns by how much a cell's target is above what the cell keeps, 0 for a cell that gets more.
+func (c *customerState) surplus(kind int, s share, kept int) int {
+	if s.shortfall() > 0 {
 		return 0
 	}
-	return max(0, c.targets[one.cell][kind]-keeps)
+	return max(0, c.targets[s.cell][kind]-kept)
 }
 
-// lower lowers a cell's target.
-func (c *account) lower(kind int, cell string, amount int) {
+// lowerTarget lowers a cell's target to an amount; it never raises it.
+func (c *customerState) lowerTarget(kind int, cell string, amount int) {
 	target := c.targets[cell]
 	if lower := max(0, amount); lower < target[kind] {
 		target[kind] = lower
-		c.targets[cell], c.retold[cell] = target, true
+		c.targets[cell], c.changedTargets[cell] = target, true
 	}
 }
 
-// raise gives what is free to the cells that should have more, and says whether it has.
-func (c *account) raise(kind int, found shares, free, shortage int) bool {
+// raiseLimits gives what is free to the cells in proportion to their shortfalls, and reports whether any got something.
+func (c *customerState) raiseLimits(kind int, list shares, free, shortfall int) bool {
 	raised := false
-	for _, one := range found {
+	for _, s := range list {
 		// Rounded down, so that the parts are no more than the whole.
-		more := one.short() * free / max(1, shortage)
+		more := s.shortfall() * free / max(1, shortfall)
 		if more <= 0 {
 			continue
 		}
-		limit, target := c.limits[one.cell], c.targets[one.cell]
+		limit, target := c.limits[s.cell], c.targets[s.cell]
 		limit[kind] += more
 		target[kind] = limit[kind]
 		if target[kind] >= c.cap[kind] {
-			// A task may start there that is larger than the cap.
+			// A task that is larger than the cap may start there.
 			limit[kind] = unknown
 		}
-		c.limits[one.cell], c.targets[one.cell] = limit, target
-		c.retold[one.cell], raised = true, true
+		c.limits[s.cell], c.targets[s.cell] = limit, target
+		c.changedTargets[s.cell], raised = true, true
 	}
 	return raised
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -145,7 +145,7 @@
 		sync(a, cells, 0, nil)
 	}
 	for at, cell := range cells {
-		assert.Equal(t, cell.granted[simCustomer].amount[cpu], 200, "cell %d", at)
+		assert.Equal(t, cell.allowances[simCustomer].amount[cpu], 200, "cell %d", at)
 	}
 	return a, cells
 }
@@ -193,16 +193,16 @@
 	for range 5 {
 		sync(a, cells, 1000, map[int]bool{1: true})
 	}
-	second := cells[1].granted[simCustomer].amount[cpu]
+	second := cells[1].allowances[simCustomer].amount[cpu]
 	assert.Assert(t, second < 200, "the second cell has been told of less")
-	first := cells[0].granted[simCustomer].amount[cpu]
+	first := cells[0].allowances[simCustomer].amount[cpu]
 	assert.Equal(t, first, 200, "and the first one of no more yet")
 
 	for range 5 {
 		sync(a, cells, 1000, nil)
 	}
-	first = cells[0].granted[simCustomer].amount[cpu]
-	second = cells[1].granted[simCustomer].amount[cpu]
+	first = cells[0].allowances[simCustomer].amount[cpu]
+	second = cells[1].allowances[simCustomer].amount[cpu]
 	assert.Assert(t, first > 300, "%d", first)
 	assert.Assert(t, first+second <= 400, "%d and %d", first, second)
 }
@@ -295,7 +295,7 @@
 	for range 4 {
 		sync(a, cells, 1000, nil)
 	}
-	first := cells[0].granted[simCustomer].amount[cpu]
+	first := cells[0].allowances[simCustomer].amount[cpu]
 	assert.Assert(t, first >= 600, "%d", first)
 }
 
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -321,7 +321,7 @@
 
 func (o *simOwner) allows(need int) bool {
 	if o.cell.world.sabotage.unsuspended {
-		o.allowances.dealt = max(o.allowances.dealt, o.allowances.version)
+		o.allowances.allocatedVersion = max(o.allowances.allocatedVersion, o.allowances.configVersion)
 	}
 	return o.allowances.Allows(simCustomer, damsonwinch.Resources{CPU: need})
 }
--- a/pkg/quota/whole.go
+++ b/pkg/quota/whole.go
@@ -5,53 +5,52 @@
 	"slices"
 )
 
-// fraction is what of a cell's share is too little for one more of the largest tasks that wait
-// there.
-type fraction struct {
+// remainder is the part of a cell's share that is too small for one more of its largest waiting tasks.
+type remainder struct {
 	share   *share
 	amount  int
 	largest int
-	// turn is greater for those that are to be made whole first.
-	turn int
+	// priority is higher for a cell whose remainder is to be filled up to a whole task first.
+	priority int
 }
 
-// wholeTasks moves such fractions to where they make room for one more task. Cells that have had
-// that room go first, so that it doesn't move to and fro.
-func (c *account) wholeTasks(kind int, cut shares) {
-	over := c.cap[kind]
-	var fractions []fraction
-	for at := range cut {
-		one := &cut[at]
-		over -= one.want
-		row, pressed := c.reports[one.cell]
+// roundToWholeTasks moves remainders to where they make room for one more task. Larger remainders are filled up first. A
+// cell that has had room for that task comes before them, so that the room doesn't move back and forth between cells.
+func (c *customerState) roundToWholeTasks(kind int, cut shares) {
+	left := c.cap[kind]
+	var remainders []remainder
+	for i := range cut {
+		s := &cut[i]
+		left -= s.want
+		row, reported := c.reports[s.cell]
 		largest := row.largest[kind]
-		if !pressed || largest == 0 || one.want < row.lasting[kind] || one.cell == c.large.cell {
+		if !reported || largest == 0 || s.want < row.longRunning[kind] || s.cell == c.reserved.cell {
 			continue
 		}
-		part := fraction{share: one, amount: (one.want - row.lasting[kind]) % largest, largest: largest}
-		one.want -= part.amount
-		over += part.amount
-		part.turn = part.amount
-		if one.limit >= one.want+largest {
-			part.turn += largest
+		part := remainder{share: s, amount: (s.want - row.longRunning[kind]) % largest, largest: largest}
+		s.want -= part.amount
+		left += part.amount
+		part.priority = part.amount
+		if s.limit >= s.want+largest {
+			part.priority += largest
 		}
-		if one.want < row.used[kind]+row.wanted[kind] {
-			fractions = append(fractions, part)
+		if s.want < row.used[kind]+row.wanted[kind] {
+			remainders = append(remainders, part)
 		}
 	}
-	slices.SortStableFunc(fractions, func(a, b fraction) int { return cmp.Compare(b.turn, a.turn) })
-	for at := range fractions {
-		if part := &fractions[at]; part.largest <= over {
+	slices.SortStableFunc(remainders, func(a, b remainder) int { return cmp.Compare(b.priority, a.priority) })
+	for i := range remainders {
+		if part := &remainders[i]; part.largest <= left {
 			part.share.want += part.largest
-			over -= part.largest
+			left -= part.largest
 			part.amount = 0
 		}
 	}
-	// The rest may do for smaller ones.
-	for _, part := range fractions {
-		back := min(over, part.amount)
+	// What is left goes back to the cells, where it may do for smaller tasks.
+	for _, part := range remainders {
+		back := min(left, part.amount)
 		part.share.want += back
-		part.share.least = min(part.share.least, part.share.want)
-		over -= back
+		part.share.floor = min(part.share.floor, part.share.want)
+		left -= back
 	}
 }
