--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -10,8 +10,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Allocator allocates the caps of customers to the cells as allowances. At any moment the limits that it has
-// recorded are at least what each cell may have running, so that a later allocator can go by them.
+// Allocator allocates the caps of customers to the cells as allowances. At any moment the limits
+// that it has recorded are at least what each cell may have running, so that a later allocator can
+// go by them.
 type Allocator struct {
 	// configVersion is the version of the configuration in force.
 	configVersion int
@@ -27,28 +28,32 @@
 // customerState holds what the allocator knows of a customer.
 type customerState struct {
 	cap amounts
-	// configured is set while the customer is in the configuration in force. tracked is set once limits cover
-	// all that cells may have running: a customer without a record may have had no cap until now.
+	// configured is set while the customer is in the configuration in force. tracked is set once
+	// limits cover all that cells may have running: a customer without a record may have had no cap
+	// until now.
 	configured bool
 	tracked    bool
-	// limits hold the most that each cell may have running, and targets the allowances to send to the cells.
-	// A target is never above its limit.
+	// limits hold the most that each cell may have running, and targets the allowances to send to
+	// the cells. A target is never above its limit.
 	limits  map[string]amounts
 	targets map[string]amounts
-	// reports hold the newest reports of the cells that need all of their allowance, or nearly all, or more.
-	// Cells without one need no more than they have.
+	// reports hold the newest reports of the cells that need all of their allowance, or nearly all,
+	// or more. Cells without one need no more than they have.
 	reports map[string]report
-	// reserved is the large task for which capacity is reserved in its cell, whatever that leaves for the
-	// others. lastTurns holds the cells that have had such a reservation; the highest number is the latest.
+	// reserved is the large task for which capacity is reserved in its cell, whatever that leaves
+	// for the others. lastTurns holds the cells that have had such a reservation; the highest
+	// number is the latest.
 	reserved  reservation
 	lastTurns map[string]int
 	turn      int
-	// mustRecordUnknown is set when limits that have become unknown must be recorded before cells are told.
+	// mustRecordUnknown is set when limits that have become unknown must be recorded before cells
+	// are told.
 	mustRecordUnknown bool
-	// changedTargets holds the cells whose targets have changed since they were last queued for sending.
+	// changedTargets holds the cells whose targets have changed since they were last queued for
+	// sending.
 	changedTargets map[string]bool
-	// recordPending is set while raised limits wait to be recorded. Cells are sent nothing about the customer
-	// meanwhile.
+	// recordPending is set while raised limits wait to be recorded. Cells are sent nothing about
+	// the customer meanwhile.
 	recordPending bool
 	// deferredUsed holds the cells that have replied meanwhile, each with what it has running.
 	deferredUsed map[string]amounts
@@ -77,8 +82,8 @@
 	return state
 }
 
-// Load restores the limits of a customer that an earlier allocator has recorded. Cells that are not in the
-// record have never been given an allowance.
+// Load restores the limits of a customer that an earlier allocator has recorded. Cells that are not
+// in the record have never been given an allowance.
 func (a *Allocator) Load(customer string, record wire.AllottedRecord) {
 	state := a.stateOf(customer)
 	state.cap, state.tracked = fromWire(record.Cap), true
@@ -87,7 +92,8 @@
 	}
 }
 
-// Configure sets the customers of the configuration in force. It ignores versions older than the newest.
+// Configure sets the customers of the configuration in force. It ignores versions older than the
+// newest.
 func (a *Allocator) Configure(version int, customers []damsonwinch.Customer) {
 	if version < a.configVersion {
 		return
@@ -103,8 +109,8 @@
 		for kind := range limit {
 			if (state.cap[kind] == 0) != (limit[kind] == 0) {
 				state.setUnknown(kind, a.cells)
-				// The unknown limits are recorded before cells are told that there is no cap any more:
-				// from then on nobody tracks what they have running.
+				// The unknown limits are recorded before cells are told that there is no cap any
+				// more: from then on nobody tracks what they have running.
 				state.mustRecordUnknown = state.mustRecordUnknown || limit[kind] == 0
 			}
 		}
@@ -120,9 +126,9 @@
 	}
 }
 
-// resetTargetsAtCap sets targets to 0 that are no longer below the cap. A cell whose allowance is the whole
-// cap may start a task that is larger than the cap, so such an allowance stays only where the whole cap was
-// allocated as such, with an unknown limit.
+// resetTargetsAtCap sets targets to 0 that are no longer below the cap. A cell whose allowance is
+// the whole cap may start a task that is larger than the cap, so such an allowance stays only where
+// the whole cap was allocated as such, with an unknown limit.
 func (c *customerState) resetTargetsAtCap() {
 	for cell, target := range c.targets {
 		for kind, limit := range c.cap {
@@ -143,8 +149,9 @@
 	}
 }
 
-// SetCells sets the cells that exist. The limit of a cell that is added later is 0, since it has been given
-// nothing. At the first call the limits of a customer without a record are unknown in all cells.
+// SetCells sets the cells that exist. The limit of a cell that is added later is 0, since it has
+// been given nothing. At the first call the limits of a customer without a record are unknown in
+// all cells.
 func (a *Allocator) SetCells(now time.Time, cells []string) {
 	first := len(a.cells) == 0
 	for _, cell := range a.cells {
@@ -168,8 +175,8 @@
 	}
 }
 
-// dropRemovedCells drops the limits of cells that were removed so long ago that nothing can run there any
-// more.
+// dropRemovedCells drops the limits of cells that were removed so long ago that nothing can run
+// there any more.
 func (a *Allocator) dropRemovedCells(now time.Time) {
 	for cell, since := range a.removedAt {
 		if now.Sub(since) < removedCellTime {
@@ -186,8 +193,8 @@
 	}
 }
 
-// removedCellTime is how long after the removal of a cell its last run may go on. Nobody renews its leases,
-// and the longest lease of the users' endpoints is 10 s.
+// removedCellTime is how long after the removal of a cell its last run may go on. Nobody renews its
+// leases, and the longest lease of the users' endpoints is 10 s.
 const removedCellTime = 40 * time.Second
 
 // HandleReply processes the reply of a cell's owner. token is the allocator's own.
@@ -242,7 +249,8 @@
 	}
 }
 
-// queueChangedTargets notes that there is something new to send to the cells whose targets have changed.
+// queueChangedTargets notes that there is something new to send to the cells whose targets have
+// changed.
 func (a *Allocator) queueChangedTargets(customer string) {
 	state := a.customers[customer]
 	for cell := range state.changedTargets {
@@ -253,9 +261,10 @@
 	clear(state.changedTargets)
 }
 
-// updateLimit sets a cell's limit to the most that its owner may go by: the allowance that it has confirmed,
-// those that it may have received since, the target, or what still runs there beyond these. A limit is
-// unknown where one of these allowances is the whole cap, since a task larger than the cap may run then.
+// updateLimit sets a cell's limit to the most that its owner may go by: the allowance that it has
+// confirmed, those that it may have received since, the target, or what still runs there beyond
+// these. A limit is unknown where one of these allowances is the whole cap, since a task larger
+// than the cap may run then.
 func (c *customerState) updateLimit(cell string, s *session, customer string, used amounts) {
 	confirmed, ok := s.confirmed[customer]
 	if c.recordPending {
@@ -287,7 +296,8 @@
 	return record
 }
 
-// MarkRecorded notes that the raised limits of customers are recorded: cells may be sent their allowances.
+// MarkRecorded notes that the raised limits of customers are recorded: cells may be sent their
+// allowances.
 func (a *Allocator) MarkRecorded(customers []string) {
 	for _, customer := range customers {
 		state := a.customers[customer]
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -10,14 +10,14 @@
 	"damsonwinch/pkg/wire"
 )
 
-// reportThresholdPercent is the part of an allowance from which a cell reports that it needs more. It is below
-// 100 because more takes some tenths of a second to come.
+// reportThresholdPercent is the part of an allowance from which a cell reports that it needs more.
+// It is below 100 because more takes some tenths of a second to come.
 const reportThresholdPercent = 75
 
 // Allowances tracks what one cell may have running of each customer, and what it has running.
 type Allowances struct {
-	// configVersion and caps are those of the configuration in force at the cell. allocatedVersion is the
-	// version of the configuration by which the allowances were allocated.
+	// configVersion and caps are those of the configuration in force at the cell. allocatedVersion
+	// is the version of the configuration by which the allowances were allocated.
 	configVersion    int
 	caps             map[string]amounts
 	allocatedVersion int
@@ -25,12 +25,13 @@
 	used             sums
 	// longRunning is the part of used that runs until it is stopped.
 	longRunning sums
-	// loweredVersion holds the customers whose cap was lowered, each with the latest configuration version that
-	// did so, until an update arrives that was allocated by that version. Until then what other cells have
-	// running may not fit under the cap beside the allowance.
+	// loweredVersion holds the customers whose cap was lowered, each with the latest configuration
+	// version that did so, until an update arrives that was allocated by that version. Until then
+	// what other cells have running may not fit under the cap beside the allowance.
 	loweredVersion map[string]int
-	// allocatorToken is the token of the newest allocator that has sent an update, appliedNumber the number of
-	// its newest update, and recordedNumber that of the newest update that a later owner of the cell would know.
+	// allocatorToken is the token of the newest allocator that has sent an update, appliedNumber
+	// the number of its newest update, and recordedNumber that of the newest update that a later
+	// owner of the cell would know.
 	allocatorToken int
 	appliedNumber  int
 	recordedNumber int
@@ -47,7 +48,8 @@
 	return &Allowances{caps: map[string]amounts{}, allowances: map[string]allowance{}, used: sums{}, longRunning: sums{}, loweredVersion: map[string]int{}}
 }
 
-// Configure sets the customers of the configuration in force. It ignores versions older than the newest.
+// Configure sets the customers of the configuration in force. It ignores versions older than the
+// newest.
 func (a *Allowances) Configure(version int, customers []damsonwinch.Customer) {
 	if version < a.configVersion {
 		return
@@ -67,8 +69,8 @@
 	}
 }
 
-// AddRun counts a run of a customer's task, which needs the given resources. longRunning is set for a run that
-// goes on until it is stopped.
+// AddRun counts a run of a customer's task, which needs the given resources. longRunning is set for
+// a run that goes on until it is stopped.
 func (a *Allowances) AddRun(customer string, need damsonwinch.Resources, longRunning bool) {
 	a.used.add(customer, amountsOf(need))
 	if longRunning {
@@ -99,9 +101,9 @@
 	}
 }
 
-// capOf returns a customer's cap by the newer of the cell's and the allocator's configuration, and whether the
-// customer is known. A cap that was removed applies until the allocator has said that it is gone: by then it
-// has recorded that nobody tracks what the customer has running.
+// capOf returns a customer's cap by the newer of the cell's and the allocator's configuration, and
+// whether the customer is known. A cap that was removed applies until the allocator has said that
+// it is gone: by then it has recorded that nobody tracks what the customer has running.
 func (a *Allowances) capOf(customer string) (amounts, bool) {
 	current, allocated := a.allowances[customer]
 	own, known := a.caps[customer]
@@ -116,13 +118,14 @@
 	return own, known
 }
 
-// capLowered reports whether a customer's cap is known to have been lowered since its allowance was allocated.
+// capLowered reports whether a customer's cap is known to have been lowered since its allowance was
+// allocated.
 func (a *Allowances) capLowered(customer string) bool {
 	return a.loweredVersion[customer] > a.allocatedVersion
 }
 
-// Allows reports whether a run of a customer may start now. A run that needs more than the whole cap may start
-// if nothing else of the customer runs anywhere: the allowance is the whole cap then.
+// Allows reports whether a run of a customer may start now. A run that needs more than the whole
+// cap may start if nothing else of the customer runs anywhere: the allowance is the whole cap then.
 func (a *Allowances) Allows(customer string, need damsonwinch.Resources) bool {
 	if customer == "" {
 		return true
@@ -140,7 +143,8 @@
 	return true
 }
 
-// CanEverFit reports whether a run of a customer can ever start beside its long-running ones in the cell.
+// CanEverFit reports whether a run of a customer can ever start beside its long-running ones in the
+// cell.
 func (a *Allowances) CanEverFit(customer string, need damsonwinch.Resources) bool {
 	limit, _ := a.capOf(customer)
 	wanted, longRunning := amountsOf(need), a.longRunning[customer]
@@ -152,8 +156,8 @@
 	return true
 }
 
-// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs. Both are in
-// thousandths of a core.
+// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs.
+// Both are in thousandths of a core.
 func (a *Allowances) RemainingCPU(customer string, wantedCPU int) int {
 	limit, known := a.capOf(customer)
 	switch {
@@ -165,10 +169,11 @@
 	return max(0, min(wantedCPU, a.allowances[customer].amount[cpu]-a.used[customer][cpu]))
 }
 
-// ApplyUpdate applies an allowance update from the allocator and reports whether it must be recorded before it
-// is confirmed. A later owner of the cell must not go by a higher allowance; and an owner that was replaced
-// without knowing it can record nothing, so that it confirms nothing. An update for another owner of the cell,
-// or one that a newer update has overtaken, changes nothing. token is the owner's.
+// ApplyUpdate applies an allowance update from the allocator and reports whether it must be
+// recorded before it is confirmed. A later owner of the cell must not go by a higher allowance; and
+// an owner that was replaced without knowing it can record nothing, so that it confirms nothing. An
+// update for another owner of the cell, or one that a newer update has overtaken, changes nothing.
+// token is the owner's.
 func (a *Allowances) ApplyUpdate(token int, args wire.SyncArgs) bool {
 	if args.CellToken != token || args.Token < a.allocatorToken || args.Token == a.allocatorToken && args.AllowanceNumber <= a.appliedNumber {
 		return false
@@ -193,8 +198,8 @@
 	return len(args.Allowances) > 0
 }
 
-// Record returns the allowances that a later owner has to know, and the number of the newest update in them,
-// to be passed to MarkRecorded.
+// Record returns the allowances that a later owner has to know, and the number of the newest update
+// in them, to be passed to MarkRecorded.
 func (a *Allowances) Record() (wire.AllowancesRecord, int) {
 	record := wire.AllowancesRecord{ConfigVersion: a.allocatedVersion}
 	for _, customer := range slices.Sorted(maps.Keys(a.allowances)) {
@@ -204,7 +209,8 @@
 	return record, a.appliedNumber
 }
 
-// MarkRecorded notes that the updates of an allocator up to a number are recorded in the cell's stream.
+// MarkRecorded notes that the updates of an allocator up to a number are recorded in the cell's
+// stream.
 func (a *Allowances) MarkRecorded(allocatorToken, number int) {
 	if allocatorToken != a.allocatorToken {
 		return
@@ -212,7 +218,8 @@
 	a.recordedNumber = max(a.recordedNumber, number)
 }
 
-// AllocatorToken returns the token of the newest allocator that has sent an update, 0 before the first.
+// AllocatorToken returns the token of the newest allocator that has sent an update, 0 before the
+// first.
 func (a *Allowances) AllocatorToken() int {
 	return a.allocatorToken
 }
@@ -246,8 +253,8 @@
 	return d
 }
 
-// Report writes into a reply which update the cell has recorded, and for each customer that needs more than it
-// has, what it uses and wants. token is the owner's.
+// Report writes into a reply which update the cell has recorded, and for each customer that needs
+// more than it has, what it uses and wants. token is the owner's.
 func (a *Allowances) Report(token int, demands map[string]Demand, reply *wire.SyncReply) {
 	reply.Token, reply.AllowanceNumber, reply.AllotterToken = token, a.recordedNumber, a.allocatorToken
 	customers := map[string]bool{}
@@ -269,7 +276,8 @@
 	}
 }
 
-// needsMore reports whether what a customer uses and wants is above the threshold part of its allowance.
+// needsMore reports whether what a customer uses and wants is above the threshold part of its
+// allowance.
 func (a *Allowances) needsMore(customer string, limit, used, wanted amounts) bool {
 	current, allocated := a.allowances[customer]
 	if !allocated {
@@ -283,7 +291,8 @@
 	return false
 }
 
-// Explain returns a text for operators that says how much a customer has running in the cell and may have.
+// Explain returns a text for operators that says how much a customer has running in the cell and
+// may have.
 func (a *Allowances) Explain(customer string) string {
 	current, allocated := a.allowances[customer]
 	switch {
--- a/pkg/quota/amount.go
+++ b/pkg/quota/amount.go
@@ -1,10 +1,10 @@
-// Package quota keeps what each customer has running below the customer's cap, over cells that share no state. It
-// does no I/O and reads no clock.
+// Package quota keeps what each customer has running below the customer's cap, over cells that
+// share no state. It does no I/O and reads no clock.
 //
-// One allocator divides each cap among the cells as allowances, and a cell starts nothing beyond its own. An allowance
-// is recorded before it is raised, and it is lowered and confirmed at one cell before another one's is raised. So the
-// sum of what the cells may have running is at most the cap at any moment, even if an owner of a cell or the allocator
-// is cut off, slow or replaced.
+// One allocator divides each cap among the cells as allowances, and a cell starts nothing beyond
+// its own. An allowance is recorded before it is raised, and it is lowered and confirmed at one
+// cell before another one's is raised. So the sum of what the cells may have running is at most the
+// cap at any moment, even if an owner of a cell or the allocator is cut off, slow or replaced.
 package quota
 
 import (
@@ -26,8 +26,8 @@
 // amounts holds an amount of each kind of resource: thousandths of a core, mebibytes and GPUs.
 type amounts [kinds]int
 
-// unknown is the limit of a cell if nobody has tracked what it may have running. It is far below math.MaxInt, so
-// that sums with it don't overflow.
+// unknown is the limit of a cell if nobody has tracked what it may have running. It is far below
+// math.MaxInt, so that sums with it don't overflow.
 const unknown = math.MaxInt / 1024
 
 func amountsOf(r damsonwinch.Resources) amounts {
@@ -61,7 +61,8 @@
 	return a == amounts{}
 }
 
-// isLowerThan reports whether a cap is lower than another one in some kind of resource; 0 is no limit.
+// isLowerThan reports whether a cap is lower than another one in some kind of resource; 0 is no
+// limit.
 func (a amounts) isLowerThan(other amounts) bool {
 	for kind := range a {
 		if a[kind] > 0 && (other[kind] == 0 || a[kind] < other[kind]) {
--- a/pkg/quota/deal.go
+++ b/pkg/quota/deal.go
@@ -8,18 +8,21 @@
 
 // Rules of allocation. The equal part of a cell is the cap divided by the number of cells.
 const (
-	// floorDivisor says which part of its equal part, one in so many, is left to a cell without a report while
-	// others need more than there is: the cell's next jobs needn't wait until more has come.
+	// floorDivisor says which part of its equal part, one in so many, is left to a cell without a
+	// report while others need more than there is: the cell's next jobs needn't wait until more has
+	// come.
 	floorDivisor = 4
-	// minStepDivisor says which part of the equal part, one in so many, is the least by which a share is raised.
+	// minStepDivisor says which part of the equal part, one in so many, is the least by which a
+	// share is raised.
 	minStepDivisor = 20
-	// headroomPercent is what a cell with a report is given beyond what it wants: it may want more by the time
-	// the update reaches it.
+	// headroomPercent is what a cell with a report is given beyond what it wants: it may want more
+	// by the time the update reaches it.
 	headroomPercent = 50
 )
 
-// Allocate divides the caps of the customers that have changed among the cells. It returns the customers whose limits
-// have to be recorded, mostly because they are raised, before cells are told; see Record and MarkRecorded.
+// Allocate divides the caps of the customers that have changed among the cells. It returns the
+// customers whose limits have to be recorded, mostly because they are raised, before cells are
+// told; see Record and MarkRecorded.
 func (a *Allocator) Allocate(now time.Time) []string {
 	a.dropRemovedCells(now)
 	var raised []string
@@ -46,15 +49,16 @@
 	return raised
 }
 
-// allocate divides one kind of resource of the customer's cap and reports whether it has raised a limit.
+// allocate divides one kind of resource of the customer's cap and reports whether it has raised a
+// limit.
 func (c *customerState) allocate(kind int, cells []string) bool {
 	free := c.cap[kind] - c.totalLimit(kind)
 	if free < 0 {
 		if c.oneCellHoldsCap(kind, cells) {
 			return false
 		}
-		// The cap was lowered, or it isn't known what runs. Nothing starts anywhere until what still runs fits
-		// under the cap.
+		// The cap was lowered, or it isn't known what runs. Nothing starts anywhere until what
+		// still runs fits under the cap.
 		for _, cell := range cells {
 			c.lowerTarget(kind, cell, 0)
 		}
@@ -82,8 +86,8 @@
 	return sum
 }
 
-// oneCellHoldsCap reports whether one cell has the whole cap and the others nothing, for a good reason: a task larger
-// than the cap is to run there, or no other cell wants anything.
+// oneCellHoldsCap reports whether one cell has the whole cap and the others nothing, for a good
+// reason: a task larger than the cap is to run there, or no other cell wants anything.
 func (c *customerState) oneCellHoldsCap(kind int, cells []string) bool {
 	holder, othersWant := "", false
 	for _, cell := range cells {
@@ -100,8 +104,8 @@
 	return holder != "" && (holder == c.reserved.cell || !othersWant)
 }
 
-// share is the part of one kind of resource that a cell has (limit), that it should have (want), and that it keeps
-// at least while others want more than there is (floor).
+// share is the part of one kind of resource that a cell has (limit), that it should have (want),
+// and that it keeps at least while others want more than there is (floor).
 type share struct {
 	cell  string
 	limit int
@@ -131,8 +135,8 @@
 	return sum
 }
 
-// topUpShares returns the shares for when no cell needs more than it has: cells with less than half of their equal part
-// get up to that from what is free.
+// topUpShares returns the shares for when no cell needs more than it has: cells with less than half
+// of their equal part get up to that from what is free.
 func (c *customerState) topUpShares(kind int, cells []string) shares {
 	equalPart := c.cap[kind] / len(cells)
 	var list shares
@@ -144,8 +148,9 @@
 	return list
 }
 
-// desiredShares returns the share that each cell should have: what it wants if it has reported, else what it has, up to
-// its equal part. If that is more than the cap in all, the shares are cut to the cap.
+// desiredShares returns the share that each cell should have: what it wants if it has reported,
+// else what it has, up to its equal part. If that is more than the cap in all, the shares are cut
+// to the cap.
 func (c *customerState) desiredShares(kind int, cells []string) shares {
 	equalPart := c.cap[kind] / len(cells)
 	floor := equalPart / floorDivisor
@@ -174,8 +179,8 @@
 	return largest
 }
 
-// meetDemand sets the shares of cells with a report to what they want, with headroom if there is enough. It reports
-// whether there is enough for what they want.
+// meetDemand sets the shares of cells with a report to what they want, with headroom if there is
+// enough. It reports whether there is enough for what they want.
 func (c *customerState) meetDemand(kind int, list shares, equalPart int) bool {
 	left, wanted := c.cap[kind], 0
 	for i := range list {
@@ -202,9 +207,10 @@
 	return true
 }
 
-// cutToCap cuts the shares of all cells to the cap. Cells that want no more than their equal part get what they want,
-// and the others get parts of the rest in proportion. If the part of some cell is too small for its largest waiting
-// task, capacity for that task is reserved in one such cell first.
+// cutToCap cuts the shares of all cells to the cap. Cells that want no more than their equal part
+// get what they want, and the others get parts of the rest in proportion. If the part of some cell
+// is too small for its largest waiting task, capacity for that task is reserved in one such cell
+// first.
 func (c *customerState) cutToCap(kind int, list shares, equalPart int) {
 	proportional := c.cutProportionally(kind, list, equalPart, reservedShare{})
 	c.chooseReservation(kind, proportional)
@@ -218,7 +224,8 @@
 	copy(list, proportional)
 }
 
-// reservedShare is what a cell gets for its largest waiting task before the others get their shares.
+// reservedShare is what a cell gets for its largest waiting task before the others get their
+// shares.
 type reservedShare struct {
 	cell   string
 	amount int
@@ -269,19 +276,21 @@
 	fitsSince time.Time
 }
 
-// reservationTime is how long a reservation is kept after the cell could have started the task, since its boxes may have
-// no capacity for it. The report that the task has started takes two or three calls.
+// reservationTime is how long a reservation is kept after the cell could have started the task,
+// since its boxes may have no capacity for it. The report that the task has started takes two or
+// three calls.
 const reservationTime = 500 * time.Millisecond
 
-// neededForLargest returns how much of a kind of resource the cell needs to start its largest waiting task beside its
-// long-running tasks, at most the given limit: a task larger than the cap needs the whole cap.
+// neededForLargest returns how much of a kind of resource the cell needs to start its largest
+// waiting task beside its long-running tasks, at most the given limit: a task larger than the cap
+// needs the whole cap.
 func (r report) neededForLargest(kind, limit int) int {
 	return min(limit, r.longRunning[kind]+r.largest[kind])
 }
 
-// chooseReservation reserves capacity in a cell whose share is too small for its largest waiting task, unless there is a
-// reservation. The cell whose last reservation is longest ago comes first, and of those that have had none the one with
-// the largest task.
+// chooseReservation reserves capacity in a cell whose share is too small for its largest waiting
+// task, unless there is a reservation. The cell whose last reservation is longest ago comes first,
+// and of those that have had none the one with the largest task.
 func (c *customerState) chooseReservation(kind int, list shares) {
 	if c.reserved.cell != "" {
 		return
@@ -298,8 +307,8 @@
 	}
 }
 
-// endReservation ends the reservation once its task has started, no longer waits there, or could have started for
-// reservationTime.
+// endReservation ends the reservation once its task has started, no longer waits there, or could
+// have started for reservationTime.
 func (c *customerState) endReservation(now time.Time) {
 	if c.reserved.cell == "" {
 		return
@@ -323,8 +332,9 @@
 	}
 }
 
-// reclaim lowers the targets of cells that get nothing more, so that the given amount becomes free for others. It takes
-// what is beyond the wanted shares first, in proportion, and then all but the floors.
+// reclaim lowers the targets of cells that get nothing more, so that the given amount becomes free
+// for others. It takes what is beyond the wanted shares first, in proportion, and then all but the
+// floors.
 func (c *customerState) reclaim(kind int, list shares, amount int) {
 	for _, keep := range []func(s share) int{
 		func(s share) int { return max(s.want, s.floor) },
@@ -349,7 +359,8 @@
 	}
 }
 
-// surplus returns by how much a cell's target is above what the cell keeps, 0 for a cell that gets more.
+// surplus returns by how much a cell's target is above what the cell keeps, 0 for a cell that gets
+// more.
 func (c *customerState) surplus(kind int, s share, kept int) int {
 	if s.shortfall() > 0 {
 		return 0
@@ -366,7 +377,8 @@
 	}
 }
 
-// raiseLimits gives what is free to the cells in proportion to their shortfalls, and reports whether any got something.
+// raiseLimits gives what is free to the cells in proportion to their shortfalls, and reports
+// whether any got something.
 func (c *customerState) raiseLimits(kind int, list shares, free, shortfall int) bool {
 	raised := false
 	for _, s := range list {
--- a/pkg/quota/whole.go
+++ b/pkg/quota/whole.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// remainder is the part of a cell's share that is too small for one more of its largest waiting tasks.
+// remainder is the part of a cell's share that is too small for one more of its largest waiting
+// tasks.
 type remainder struct {
 	share   *share
 	amount  int
@@ -14,8 +15,9 @@
 	priority int
 }
 
-// roundToWholeTasks moves remainders to where they make room for one more task. Larger remainders are filled up first. A
-// cell that has had room for that task comes before them, so that the room doesn't move back and forth between cells.
+// roundToWholeTasks moves remainders to where they make room for one more task. Larger remainders
+// are filled up first. A cell that has had room for that task comes before them, so that the room
+// doesn't move back and forth between cells.
 func (c *customerState) roundToWholeTasks(kind int, cut shares) {
 	left := c.cap[kind]
 	var remainders []remainder
