--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -25,7 +25,7 @@
 		}
 		f.Add(text)
 	}
-	options := cell.Options{MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second, KeepEnded: time.Minute}
+	options := cell.Options{MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second, EndedJobRetention: time.Minute}
 	queues := []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second}}
 	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{CPU: 8000, MemoryMB: 16000}}}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -35,16 +35,16 @@
 		}
 		now := time.UnixMilli(1_700_000_000_000)
 		c := cell.New(options, 1)
-		c.Configure(now, queues)
+		c.SetQueues(now, queues)
 		c.SetEndpoints(now, listed)
 		c.Submit(now, wire.JobArgs{Id: "job", Queue: "queue", Cell: "pool", Spec: &spec, ReceivedMs: int(now.UnixMilli())}, 1)
 		var records []damsonwinch.Record
 		for range 40 {
 			now = now.Add(100 * time.Millisecond)
 			c.Tick(now)
-			effects := c.Take()
-			for _, look := range effects.Looks {
-				c.Looked(now, look.At.Life, look.Number, damsonwinch.Look{}, nil)
+			effects := c.TakeEffects()
+			for _, look := range effects.Polls {
+				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{}, nil)
 			}
 			if effects.Commit != nil {
 				records = append(records, effects.Commit.Records...)
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -65,7 +65,7 @@
 	since := c.now.Sub(e.looks.lastAt)
 	switch {
 	case e.silent:
-		if e.looks.quick == nil && since >= c.options.RetryLook {
+		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
 	case !e.attached, e.wantLook:
@@ -76,17 +76,17 @@
 	case e.seen > e.recorded:
 		// The endpoint would repeat the ends at once; they are not recorded yet.
 		// While the store is away, leases need prolonging all the same.
-		if e.looks.quick == nil && since >= c.options.RetryLook {
+		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
 	case e.strays > 0:
 		// It takes no work until they have ended.
-		if since >= c.options.RetryLook {
+		if since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
 	case len(e.runs) > 0:
-		c.sendLook(e, c.options.LookWait)
-	case since >= c.options.IdleLook:
+		c.sendLook(e, c.options.PollWait)
+	case since >= c.options.IdlePollInterval:
 		c.sendLook(e, 0)
 	}
 }
@@ -107,11 +107,11 @@
 		order.Seen = 0
 	}
 	if e.attached && !e.silent && c.sure() {
-		order.Until = e.clock(c.now) + int(c.options.MostLease.Milliseconds())
+		order.Until = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
 		c.prolong(e, order.Until)
 	}
-	c.stats.Looks++
-	c.effects.Looks = append(c.effects.Looks, Look{At: e.info, Order: order, Number: sent.number})
+	c.stats.Polls++
+	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
 }
 
 // take removes and returns the look of a number.
@@ -180,7 +180,7 @@
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(e, "another life answers at its address")
 	case errors.Is(err, damsonwinch.ErrOldToken):
-		c.effects.Deposed = true
+		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
 			c.noteEndpoint("endpoint silent", e, err.Error())
@@ -188,7 +188,7 @@
 			e.broke = c.awake() && c.now.Sub(sent.at) < sent.wait
 		}
 		if len(e.runs) > 0 {
-			c.effects.AskBoxes = true
+			c.effects.ListBoxes = true
 			c.copyRuns(e)
 		}
 	}
@@ -270,6 +270,6 @@
 
 // stopStray ends a run that belongs to nothing that should run.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
-	c.effects.Notes = append(c.effects.Notes, Note{What: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
-	c.effects.Stops = append(c.effects.Stops, Stop{At: e.info, Order: damsonwinch.StopOrder{Run: stray, Token: c.token}})
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopOrder{Run: stray, Token: c.token}})
 }
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -26,7 +26,7 @@
 	c.blameLapsed(e)
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
-	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.Blame.MeasuredSuspectAge()) {
+	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
 		c.chance.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
@@ -78,7 +78,7 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.trial; r != nil && r.state != runIntended && c.options.Blame.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.trial; r != nil && r.state != runIntended && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
 		return r
 	}
 	return nil
@@ -95,7 +95,7 @@
 		end.MinAge, end.Certain = end.MaxAge, r.state == runConfirmed || end.Probation
 	}
 	if r.adopted {
-		end.MaxAge = max(end.MaxAge, c.options.Blame.MaxCrashAge)
+		end.MaxAge = max(end.MaxAge, c.options.CrashRules.MaxCrashAge)
 	}
 	return end
 }
@@ -104,7 +104,7 @@
 // that is enough.
 func (c *Cell) endedUnder(r *run, lost lostRun) {
 	t := r.task
-	t.crashes = c.options.Blame.Add(t.crashes, lost.end)
+	t.crashes = c.options.CrashRules.Add(t.crashes, lost.end)
 	c.noteRunLost(r, lost)
 	if t.done || t.phase.job().ended() || c.giveUpConvicted(t, lost) {
 		return
@@ -115,7 +115,7 @@
 // giveUpConvicted ends the job of a task whose trials have shown that it crashes its
 // endpoints. It says whether it is one.
 func (c *Cell) giveUpConvicted(t *task, last lostRun) bool {
-	if !c.options.Blame.IsCrasher(t.crashes) {
+	if !c.options.CrashRules.IsCrasher(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
@@ -125,7 +125,7 @@
 
 // giveUpSpent gives a task up that has been started too often. It says whether it is one.
 func (c *Cell) giveUpSpent(t *task) bool {
-	if !c.options.Blame.StartsExhausted(t.crashes) {
+	if !c.options.CrashRules.StartsExhausted(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("%d endpoints have ended under task %s, and it has come to nothing since in %d more starts", t.crashes.Losses, t.id(), t.crashes.ExtraStarts))
@@ -139,7 +139,7 @@
 		return
 	}
 	t.givenUp = true
-	c.stats.GivenUp++
+	c.stats.JobsGivenUp++
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hopes() {
 		c.end(j, wire.JobStateFailed, why)
 	} else {
@@ -162,7 +162,7 @@
 // countStarts counts a start of a task under which many endpoints have ended, or takes it
 // back where its endpoint has certainly not begun it.
 func (c *Cell) countStarts(t *task, more int) {
-	if c.options.Blame.CountsStarts(t.crashes) {
+	if c.options.CrashRules.CountsStarts(t.crashes) {
 		t.crashes = t.crashes.WithExtraStarts(more)
 	}
 }
@@ -171,7 +171,7 @@
 // there: it may have ended before that, and because of them.
 func (c *Cell) blameLapsed(e *endpoint) {
 	for _, l := range e.lapses {
-		l.task.crashes = c.options.Blame.Add(l.task.crashes, crash.Loss{MinAge: l.outlived, MaxAge: c.options.Blame.MaxCrashAge})
+		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.outlived, MaxAge: c.options.CrashRules.MaxCrashAge})
 		c.suspect(l.task)
 	}
 }
@@ -231,9 +231,9 @@
 // noteRunLost tells of a run that went with its endpoint. The first time it is one of many.
 func (c *Cell) noteRunLost(r *run, lost lostRun) {
 	end := lost.end
-	c.effects.Notes = append(c.effects.Notes, Note{
-		What: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Minor: r.task.crashes.Losses <= 1,
-		Why: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
+	c.effects.LogLines = append(c.effects.LogLines, LogLine{
+		Message: "run lost", Job: r.task.phase.job().id, Task: r.order().Task.String(), Endpoint: lost.with.String(), Debug: r.task.crashes.Losses <= 1,
+		Reason: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
 			end.MinAge.Milliseconds(), end.MaxAge.Milliseconds(), end.Certain, end.Explained, end.Probation, end.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
 }
@@ -263,7 +263,7 @@
 				Losses: row[1], CertainLosses: row[2], SimilarLosses: row[3], MinAge: time.Duration(row[4]) * time.Millisecond, MaxAge: time.Duration(row[5]) * time.Millisecond,
 				Weight: row[6], ExtraStarts: row[7],
 			}
-			t.givenUp = c.options.Blame.IsCrasher(t.crashes)
+			t.givenUp = c.options.CrashRules.IsCrasher(t.crashes)
 			c.suspect(t)
 		}
 	}
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -30,17 +30,17 @@
 
 // carryOut does what the cell has decided. It says whether the cell is lost.
 func (o *Owner) carryOut() bool {
-	effects := o.cell.Take()
-	for _, note := range effects.Notes {
+	effects := o.cell.TakeEffects()
+	for _, note := range effects.LogLines {
 		o.log(note)
 	}
 	for _, reply := range effects.Replies {
-		if call, waits := o.calls[reply.Ticket]; waits {
+		if call, waits := o.calls[reply.CallID]; waits {
 			call <- reply.Reply
-			delete(o.calls, reply.Ticket)
+			delete(o.calls, reply.CallID)
 		}
 	}
-	if effects.Deposed {
+	if effects.OwnershipLost {
 		return true
 	}
 	if effects.Commit != nil {
@@ -55,31 +55,31 @@
 	for _, pace := range effects.Paces {
 		o.pace(pace)
 	}
-	for _, look := range effects.Looks {
+	for _, look := range effects.Polls {
 		o.look(look)
 	}
-	for _, ask := range effects.Asks {
+	for _, ask := range effects.PermitRequests {
 		o.seek(ask)
 	}
-	if effects.AskBoxes {
+	if effects.ListBoxes {
 		o.askBoxes()
 	}
 	return false
 }
 
-func (o *Owner) log(note cell.Note) {
+func (o *Owner) log(note cell.LogLine) {
 	fields := logrus.Fields{}
-	for name, value := range map[string]string{"queue": note.Queue, "customer": note.Customer, "job": note.Job, "task": note.Task, "endpoint": note.Endpoint, "why": note.Why} {
+	for name, value := range map[string]string{"queue": note.Queue, "customer": note.Customer, "job": note.Job, "task": note.Task, "endpoint": note.Endpoint, "why": note.Reason} {
 		if value != "" {
 			fields[name] = value
 		}
 	}
 	line := o.deps.Logger.WithFields(fields)
-	if note.Minor {
-		line.Debug(note.What)
+	if note.Debug {
+		line.Debug(note.Message)
 		return
 	}
-	line.Info(note.What)
+	line.Info(note.Message)
 }
 
 // commit appends to the cell's stream until that is done.
@@ -110,15 +110,15 @@
 
 func (o *Owner) start(start cell.Start) {
 	o.calling.Do(func() {
-		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.At, start.Order)
-		o.send(started{endpoint: start.At.Life, run: start.Order.Run, err: err})
+		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.Endpoint, start.Request)
+		o.send(started{endpoint: start.Endpoint.Life, run: start.Request.Run, err: err})
 	})
 }
 
 func (o *Owner) stop(stop cell.Stop) {
 	o.calling.Do(func() {
-		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.At, stop.Order)
-		o.send(stopped{endpoint: stop.At.Life, run: stop.Order.Run, err: err})
+		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.Endpoint, stop.Request)
+		o.send(stopped{endpoint: stop.Endpoint.Life, run: stop.Request.Run, err: err})
 	})
 }
 
@@ -129,7 +129,7 @@
 	})
 }
 
-func (o *Owner) seek(ask cell.Ask) {
+func (o *Owner) seek(ask cell.PermitRequest) {
 	sentAt := o.deps.Clock.Now()
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, adviceTimeout)
@@ -140,10 +140,10 @@
 	})
 }
 
-func (o *Owner) look(look cell.Look) {
+func (o *Owner) look(look cell.Poll) {
 	o.calling.Do(func() {
-		found, err := o.deps.Endpoints.Look(o.within(look.Order.Wait+lookMargin), look.At, look.Order)
-		o.send(looked{endpoint: look.At.Life, number: look.Number, look: found, err: err})
+		found, err := o.deps.Endpoints.Look(o.within(look.Request.Wait+lookMargin), look.Endpoint, look.Request)
+		o.send(looked{endpoint: look.Endpoint.Life, number: look.Number, look: found, err: err})
 	})
 }
 
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -27,7 +27,7 @@
 	var names []string
 	for _, pool := range p.pools {
 		if !pool.Parking {
-			names = append(names, p.layout.Cells(pool.Name)...)
+			names = append(names, p.layout.CellNames(pool.Name)...)
 		}
 	}
 	return names
@@ -35,7 +35,7 @@
 
 // deal deals the customers' caps to the cells. What is raised is recorded first.
 func (p *Planner) deal() {
-	if !p.layout.Known() {
+	if !p.layout.Decided() {
 		return
 	}
 	for _, customer := range p.allotter.Allocate(p.deps.Clock.Now()) {
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -27,8 +27,8 @@
 // that changes its pool has a new life there, and may go to any shard.
 func TestACellIsLentBoxesOfOtherShards(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	layout := shard.New(lendShards, []string{"held", "short"})
-	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, Hold: time.Second, HolderGap: 3 * time.Second})
+	layout := shard.NewLayout(lendShards, []string{"held", "short"})
+	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, layout)
 	var boxes []damsonwinch.Box
 	add := func(pool string, count int, fits func(name string) bool) {
@@ -47,8 +47,8 @@
 		}
 	}
 	const shortShard = 2
-	add("off", lendParked, func(name string) bool { return layout.OfBox(name) != shortShard })
-	add("held", lendLasting, func(name string) bool { return layout.OfBox(name) == shortShard })
+	add("off", lendParked, func(name string) bool { return layout.BoxShard(name) != shortShard })
+	add("held", lendLasting, func(name string) bool { return layout.BoxShard(name) == shortShard })
 	planner.SetBoxes(now.Add(-time.Minute), boxes)
 	held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: lendLasting}
 	for _, b := range boxes {
@@ -56,9 +56,9 @@
 			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: 1})
 		}
 	}
-	planner.SetReport(now, shard.Cell("held", shortShard), held)
+	planner.SetReport(now, shard.CellName("held", shortShard), held)
 	// Work for 25 boxes in one cell.
-	planner.SetReport(now, shard.Cell("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptCPU})
+	planner.SetReport(now, shard.CellName("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptCPU})
 
 	lent := 0
 	for _, order := range planner.Plan(now) {
@@ -67,5 +67,5 @@
 		}
 	}
 	assert.Assert(t, lent >= 25, "%d of %d parked boxes go to the cell that is short", lent, lendParked)
-	assert.Equal(t, len(planner.Wishes(shard.Cell("held", shortShard)).Hurry), 0, "none is taken from lasting tasks")
+	assert.Equal(t, len(planner.Wishes(shard.CellName("held", shortShard)).Hurry), 0, "none is taken from lasting tasks")
 }
