--- a/pkg/quota/deal.go
+++ b/pkg/quota/deal.go
@@ -8,12 +8,10 @@
 
 // Rules of allocation. The equal part of a cell is the cap divided by the number of cells.
 const (
-	// floorDivisor says which part of its equal part, one in so many, is left to a cell without a
-	// report while others need more than there is: the cell's next jobs needn't wait until more has
-	// come.
+	// floorDivisor divides the equal part: the result is left to a cell without a report while
+	// others need more than there is, so that the cell's next jobs needn't wait until more has come.
 	floorDivisor = 4
-	// minStepDivisor says which part of the equal part, one in so many, is the least by which a
-	// share is raised.
+	// minStepDivisor divides the equal part: the result is the least by which a share is raised.
 	minStepDivisor = 20
 	// headroomPercent is what a cell with a report is given beyond what it wants: it may want more
 	// by the time the update reaches it.
@@ -49,8 +47,7 @@
 	return raised
 }
 
-// allocate divides one kind of resource of the customer's cap and reports whether it has raised a
-// limit.
+// allocate divides one kind of resource of the cap and reports whether it has raised a limit.
 func (c *customerState) allocate(kind int, cells []string) bool {
 	free := c.cap[kind] - c.totalLimit(kind)
 	if free < 0 {
@@ -135,8 +132,8 @@
 	return sum
 }
 
-// topUpShares returns the shares for when no cell needs more than it has: cells with less than half
-// of their equal part get up to that from what is free.
+// topUpShares returns the shares for when no cell needs more than it has: cells that have less than
+// half of their equal part should have all of it, as far as that is free.
 func (c *customerState) topUpShares(kind int, cells []string) shares {
 	equalPart := c.cap[kind] / len(cells)
 	var list shares
@@ -149,8 +146,7 @@
 }
 
 // desiredShares returns the share that each cell should have: what it wants if it has reported,
-// else what it has, up to its equal part. If that is more than the cap in all, the shares are cut
-// to the cap.
+// else what it has, up to its equal part. What the cells want beyond the cap is cut.
 func (c *customerState) desiredShares(kind int, cells []string) shares {
 	equalPart := c.cap[kind] / len(cells)
 	floor := equalPart / floorDivisor
@@ -209,8 +205,7 @@
 
 // cutToCap cuts the shares of all cells to the cap. Cells that want no more than their equal part
 // get what they want, and the others get parts of the rest in proportion. If the part of some cell
-// is too small for its largest waiting task, capacity for that task is reserved in one such cell
-// first.
+// is too small for its largest waiting task, one such cell gets a reservation first.
 func (c *customerState) cutToCap(kind int, list shares, equalPart int) {
 	proportional := c.cutProportionally(kind, list, equalPart, reservedShare{})
 	c.chooseReservation(kind, proportional)
@@ -224,8 +219,7 @@
 	copy(list, proportional)
 }
 
-// reservedShare is what a cell gets for its largest waiting task before the others get their
-// shares.
+// reservedShare is what a cell gets for its largest waiting task before the others get theirs.
 type reservedShare struct {
 	cell   string
 	amount int
@@ -359,8 +353,7 @@
 	}
 }
 
-// surplus returns by how much a cell's target is above what the cell keeps, 0 for a cell that gets
-// more.
+// surplus returns by how much a cell's target is above what it keeps, 0 for a cell that gets more.
 func (c *customerState) surplus(kind int, s share, kept int) int {
 	if s.shortfall() > 0 {
 		return 0
