--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -13,7 +13,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// seeds returns how many seeds a test plays, unless the environment says otherwise.
+// seeds returns how many seeds a test plays: the usual number, unless DAMSONWINCH_SEEDS is set.
 func seeds(usual uint64) uint64 {
 	if count, err := strconv.ParseUint(os.Getenv("DAMSONWINCH_SEEDS"), 10, 64); err == nil {
 		return count
@@ -21,66 +21,70 @@
 	return usual
 }
 
-// TestNothingRunsBeyondTheCap: customers' work in two to four cells whose owners are killed,
-// frozen and replaced, with allotters that are killed or don't know that there is another one,
-// while calls are lost, late and doubled, orders are carried out late, the cap rises, falls and
-// goes, and the work wanders from cell to cell. At each start all that runs fits under the highest
-// cap that may be in force; and once all is calm, nearly the whole cap is used where it is wanted.
-func TestNothingRunsBeyondTheCap(t *testing.T) {
+// TestRunningTasksStayBelowCap runs a customer's tasks in two to four cells. Owners of cells are
+// killed, frozen and replaced. Allocators are killed, or go on without knowing of a newer one.
+// Calls are lost, late and doubled, start requests are carried out late, the cap is raised, lowered
+// and removed, and demand moves between cells. At each start all that runs must fit under the
+// highest cap that may be in force. Once the faults are over, most of the cap must be used by the
+// cell with demand.
+func TestRunningTasksStayBelowCap(t *testing.T) {
 	starts, used := 0, 0
 	count := seeds(300)
 	for seed := uint64(1); seed <= count; seed++ {
-		w := play(seed, sabotage{})
-		if w.broken != "" {
-			t.Fatalf("seed %d: %s", seed, w.story())
+		w := play(seed, mutation{})
+		if w.violation != "" {
+			t.Fatalf("seed %d: %s", seed, w.describe())
 		}
 		if w.peak < 400*7/10 {
-			t.Fatalf("seed %d: of a cap of 400 %d are used at most: %s", seed, w.peak, w.story())
+			t.Fatalf("seed %d: of a cap of 400 only %d are used at the peak: %s", seed, w.peak, w.describe())
 		}
 		starts += w.starts
 		used += w.peak
 	}
-	t.Logf("%d seeds, %d starts, %d of 400 used at most in the mean", count, starts, used/int(count))
+	t.Logf("%d seeds, %d starts, peak use of the cap of 400 is %d on average", count, starts, used/int(count))
 }
 
-// TestEachMechanismIsNeeded: without it some seed is broken.
-func TestEachMechanismIsNeeded(t *testing.T) {
-	for name, missing := range map[string]struct {
-		mechanism sabotage
-		// from is the first seed that is played: some mechanisms are missed by few.
+// TestSimulationFailsWithoutEachMechanism disables one mechanism at a time: some seed must then
+// exceed the cap.
+func TestSimulationFailsWithoutEachMechanism(t *testing.T) {
+	for name, disabled := range map[string]struct {
+		mechanism mutation
+		// from is the first seed to play: few seeds fail without some of the mechanisms.
 		from uint64
 	}{
-		"told before it is recorded":      {sabotage{tellFirst: true}, 1},
-		"words for another owner":         {sabotage{anyOwner: true}, 540},
-		"cells that go on when caps fall": {sabotage{unsuspended: true}, 1},
-		"dealt before it is confirmed":    {sabotage{eager: true}, 1},
-		"owners that begin from nothing":  {sabotage{heirsForget: true}, 1},
-		"nothing runs where no cap was":   {sabotage{unlimitedIs0: true}, 230},
+		"allowances are sent before they are recorded":            {mutation{sendBeforeRecord: true}, 1},
+		"updates for another owner are applied":                   {mutation{acceptForeignUpdates: true}, 540},
+		"cells ignore a lowered cap":                              {mutation{ignoreLoweredCap: true}, 1},
+		"lowered allowances are reused before they are confirmed": {mutation{allocateUnconfirmed: true}, 1},
+		"new owners forget running tasks":                         {mutation{newOwnerForgetsRuns: true}, 1},
+		"cells without a cap are taken to run nothing":            {mutation{unknownCountsAsZero: true}, 230},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := missing.from; seed <= missing.from+4000; seed++ {
-				if w := play(seed, missing.mechanism); w.broken != "" {
-					t.Logf("seed %d: %s", seed, w.broken)
+			for seed := disabled.from; seed <= disabled.from+4000; seed++ {
+				if w := play(seed, disabled.mechanism); w.violation != "" {
+					t.Logf("seed %d: %s", seed, w.violation)
 					return
 				}
 			}
-			t.Fatal("no seed found that the mechanism is missing")
+			t.Fatal("no seed fails without the mechanism")
 		})
 	}
 }
 
-// Turns of demand: of four cells each wants five times its mean in its turn, and a twentieth else.
+// Demand in turns: one of four pools at a time wants five times its mean, the others a twentieth of
+// it.
 const (
-	turnCells = 4
+	turnPools = 4
 	turnTime  = 5 * time.Second
-	turnMean  = 10 // Tasks, of some five cores each.
+	turnMean  = 10 // Tasks, which need five units of CPU each on average.
 )
 
-// playTurns plays turns of demand of four pools, each cut into so many cells, under a cap of nearly
-// twice what all want in the mean, and returns which part of what was wanted ran.
+// playTurns plays demand in turns of four pools, each of them a number of cells (shards), under a
+// cap of nearly twice what all pools want on average. It returns the part of the wanted tasks that
+// ran.
 func playTurns(seed uint64, shards int) float64 {
-	w := newWorld(seed, turnCells*shards, sabotage{})
-	w.trouble = false
+	w := newWorld(seed, turnPools*shards, mutation{})
+	w.injectFaults = false
 	w.publish(380)
 	wanted, ran := 0, 0
 	var sample func()
@@ -93,44 +97,44 @@
 		w.after(50*time.Millisecond, sample)
 	}
 	w.after(2*time.Second, sample)
-	for turn := range 2 * turnCells {
+	for turn := range 2 * turnPools {
 		w.after(time.Second+time.Duration(turn)*turnTime, func() {
-			for at, c := range w.cells {
+			for i, c := range w.cells {
 				c.demand = 0
-				if at%shards == 0 {
+				if i%shards == 0 {
 					c.demand = turnMean / 20
 				}
-				if at/shards == turn%turnCells {
+				if i/shards == turn%turnPools {
 					c.demand = 5 * turnMean / shards
 				}
 			}
 		})
 	}
-	w.run(w.now.Add(time.Second + 2*turnCells*turnTime))
+	w.run(w.now.Add(time.Second + 2*turnPools*turnTime))
 	return float64(ran) / float64(wanted)
 }
 
-// TestTurnsOfDemandFindTheirAllowance: where a customer's work goes from cell to cell each few
-// seconds, its cap, which holds all of it, keeps hardly any of it waiting. With a fixed part of the
-// cap for each cell most of it would wait at any time. So it is where each pool is cut into many
-// cells, and an equal part of the cap holds two tasks.
-func TestTurnsOfDemandFindTheirAllowance(t *testing.T) {
+// TestAllowancesFollowDemandBetweenCells: where a customer's demand moves between cells every few
+// seconds, and the cap is enough for all of it, hardly any of it may wait. With a fixed part of the
+// cap for each cell most of it would wait at any time. The same must hold where each pool is
+// divided into many cells, and an equal part of the cap is enough for two tasks only.
+func TestAllowancesFollowDemandBetweenCells(t *testing.T) {
 	for _, shards := range []int{1, 3, 8} {
 		t.Run(fmt.Sprintf("shards=%d", shards), func(t *testing.T) {
-			dealt := 0.0
+			ran := 0.0
 			const played = 10
 			for seed := uint64(1); seed <= played; seed++ {
-				dealt += playTurns(seed, shards) / played
+				ran += playTurns(seed, shards) / played
 			}
-			t.Logf("of what is wanted %.3f runs", dealt)
-			assert.Assert(t, dealt >= 0.9, "%.3f", dealt)
+			t.Logf("%.3f of the wanted tasks ran", ran)
+			assert.Assert(t, ran >= 0.9, "%.3f", ran)
 		})
 	}
 }
 
-// dealt returns an allotter that has dealt a cap of 400 to two cells, which have confirmed it, and
-// their allowances.
-func dealt(t *testing.T) (*Allocator, []*Allowances) {
+// allocatedCells returns an allocator that has allocated a cap of 400 to two cells, and the
+// allowances of the cells, which have confirmed them.
+func allocatedCells(t *testing.T) (*Allocator, []*Allowances) {
 	t.Helper()
 	a := NewAllocator()
 	a.Configure(1, customers(400))
@@ -142,64 +146,65 @@
 		cells = append(cells, cell)
 	}
 	for range 5 {
-		sync(a, cells, 0, nil)
+		syncAll(a, cells, 0, nil)
 	}
-	for at, cell := range cells {
-		assert.Equal(t, cell.allowances[simCustomer].amount[cpu], 200, "cell %d", at)
+	for i, cell := range cells {
+		assert.Equal(t, cell.allowances[simCustomer].amount[cpu], 200, "cell %d", i)
 	}
 	return a, cells
 }
 
 var cellNames = []string{"first", "second"}
 
-// Tokens of the allotter and of the owners of cells in these tests.
+// Tokens of the allocator and of the owners of cells in these tests.
 const (
-	allotterToken = 100
-	ownerToken    = 7
+	allocatorToken = 100
+	ownerToken     = 7
 )
 
-// sync has the allotter talk to the cells once, the first of which has so many tasks waiting, and
-// all be recorded at once but for what some cells hear.
-func sync(a *Allocator, cells []*Allowances, waiting int, unrecorded map[int]bool) {
+// syncAll lets the allocator call both cells once. The first cell has a number of waiting tasks.
+// All is recorded at once, except the updates of the cells in unrecorded.
+func syncAll(a *Allocator, cells []*Allowances, waiting int, unrecorded map[int]bool) {
 	a.MarkRecorded(a.Allocate(time.Time{}))
-	for at, cell := range cells {
-		reply := tell(a, at, cell, waiting)
-		a.HandleReply(cellNames[at], allotterToken, reply)
-		if !unrecorded[at] {
+	for i, cell := range cells {
+		reply := syncCell(a, i, cell, waiting)
+		a.HandleReply(cellNames[i], allocatorToken, reply)
+		if !unrecorded[i] {
 			_, number := cell.Record()
-			cell.MarkRecorded(allotterToken, number)
+			cell.MarkRecorded(allocatorToken, number)
 		}
 	}
 }
 
-func tell(a *Allocator, at int, cell *Allowances, waiting int) wire.SyncReply {
-	words := a.NextUpdate(cellNames[at])
+// syncCell sends the next update to a cell, given by its index, and returns the cell's reply.
+func syncCell(a *Allocator, i int, cell *Allowances, waiting int) wire.SyncReply {
+	update := a.NextUpdate(cellNames[i])
 	cell.ApplyUpdate(ownerToken, wire.SyncArgs{
-		Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
+		Token: allocatorToken, CellToken: update.OwnerToken, AllowanceNumber: update.Number, ConfigVersion: update.ConfigVersion, Allowances: update.Allowances,
 	})
 	reply := wire.SyncReply{Known: true}
-	var wanted map[string]Demand
-	if at == 0 && waiting > 0 {
-		wanted = map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: 1}, waiting)}
+	var demands map[string]Demand
+	if i == 0 && waiting > 0 {
+		demands = map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: 1}, waiting)}
 	}
-	cell.Report(ownerToken, wanted, &reply)
+	cell.Report(ownerToken, demands, &reply)
 	return reply
 }
 
-// TestAnAllowanceIsLoweredOnceThatIsRecorded: until then an owner that comes next would go by the
-// higher one.
-func TestAnAllowanceIsLoweredOnceThatIsRecorded(t *testing.T) {
-	a, cells := dealt(t)
+// TestLoweredAllowanceIsReusedOnceRecorded: until the lower allowance is recorded, the cell's next
+// owner would go by the higher one.
+func TestLoweredAllowanceIsReusedOnceRecorded(t *testing.T) {
+	a, cells := allocatedCells(t)
 	for range 5 {
-		sync(a, cells, 1000, map[int]bool{1: true})
+		syncAll(a, cells, 1000, map[int]bool{1: true})
 	}
 	second := cells[1].allowances[simCustomer].amount[cpu]
-	assert.Assert(t, second < 200, "the second cell has been told of less")
+	assert.Assert(t, second < 200, "the second cell has a lower allowance")
 	first := cells[0].allowances[simCustomer].amount[cpu]
-	assert.Equal(t, first, 200, "and the first one of no more yet")
+	assert.Equal(t, first, 200, "the first cell has no higher allowance yet")
 
 	for range 5 {
-		sync(a, cells, 1000, nil)
+		syncAll(a, cells, 1000, nil)
 	}
 	first = cells[0].allowances[simCustomer].amount[cpu]
 	second = cells[1].allowances[simCustomer].amount[cpu]
@@ -207,56 +212,57 @@
 	assert.Assert(t, first+second <= 400, "%d and %d", first, second)
 }
 
-// TestNothingBeginsWhileTooMuchRuns: a cap that falls stops nothing that runs; beside that nothing
-// begins anywhere, also not in a cell that runs nothing, until what runs fits.
-func TestNothingBeginsWhileTooMuchRuns(t *testing.T) {
-	a, cells := dealt(t)
+// TestNothingStartsWhileLoweredCapIsExceeded: a lowered cap stops no running task. Until the
+// running tasks fit under it, nothing starts anywhere, not even in a cell that runs nothing.
+func TestNothingStartsWhileLoweredCapIsExceeded(t *testing.T) {
+	a, cells := allocatedCells(t)
 	running := damsonwinch.Resources{CPU: 200}
 	cells[0].AddRun(simCustomer, running, false)
 	a.Configure(2, customers(100))
 	small := damsonwinch.Resources{CPU: 1}
 	for range 5 {
-		sync(a, cells, 1000, nil)
+		syncAll(a, cells, 1000, nil)
 		assert.Assert(t, !cells[0].Allows(simCustomer, small))
 		assert.Assert(t, !cells[1].Allows(simCustomer, small))
 	}
 	cells[0].RemoveRun(simCustomer, running, false)
 	for range 5 {
-		sync(a, cells, 1000, nil)
+		syncAll(a, cells, 1000, nil)
 	}
 	assert.Assert(t, cells[0].Allows(simCustomer, small))
 }
 
-// TestWholeTasksUseTheCap: where two cells have as much work waiting, each would get room for one
-// task and a half, and one in three tasks that fit under the cap wouldn't run.
-func TestWholeTasksUseTheCap(t *testing.T) {
+// TestAllowancesAreRoundedToWholeTasks: two cells with equal demand would each get an allowance for
+// one and a half tasks, say, so that one of the three tasks that fit under the cap wouldn't run.
+func TestAllowancesAreRoundedToWholeTasks(t *testing.T) {
 	for _, task := range []int{133, 100, 57, 90, 130} {
-		a, cells := dealt(t)
+		a, cells := allocatedCells(t)
 		need := damsonwinch.Resources{CPU: task}
 		running := 0
 		for range 12 {
 			a.MarkRecorded(a.Allocate(time.Time{}))
-			for at, cell := range cells {
+			for i, cell := range cells {
 				for cell.Allows(simCustomer, need) {
 					cell.AddRun(simCustomer, need, false)
 					running++
 				}
-				words := a.NextUpdate(cellNames[at])
-				cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
+				update := a.NextUpdate(cellNames[i])
+				cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allocatorToken, CellToken: update.OwnerToken, AllowanceNumber: update.Number, ConfigVersion: update.ConfigVersion, Allowances: update.Allowances})
 				reply := wire.SyncReply{Known: true}
 				_, number := cell.Record()
-				cell.MarkRecorded(allotterToken, number)
+				cell.MarkRecorded(allocatorToken, number)
 				cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(need, 50)}, &reply)
-				a.HandleReply(cellNames[at], allotterToken, reply)
+				a.HandleReply(cellNames[i], allocatorToken, reply)
 			}
 		}
 		assert.Equal(t, running, 400/task, "tasks of %d under a cap of 400", task)
 	}
 }
 
-// TestATaskWithoutABoxHoldsNobodyUp: cells in which large tasks wait that have no box to run on are
-// given room for them, and don't use it. A cell whose share doesn't hold its task gets its turn.
-func TestATaskWithoutABoxHoldsNobodyUp(t *testing.T) {
+// TestReservationForTaskWithoutBoxExpires: capacity is reserved for large tasks that have no box to
+// run on, so that it stays unused. A cell whose share is too small for its task must still get its
+// turn.
+func TestReservationForTaskWithoutBoxExpires(t *testing.T) {
 	a := NewAllocator()
 	a.Configure(1, customers(400))
 	names := []string{"a", "b", "c", "d"}
@@ -270,59 +276,60 @@
 	needs := []int{300, 290, 280, 120}
 	for now := (time.Time{}); now.Before(time.Time{}.Add(6 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		a.MarkRecorded(a.Allocate(now))
-		for at, cell := range cells {
-			words := a.NextUpdate(names[at])
+		for i, cell := range cells {
+			update := a.NextUpdate(names[i])
 			cell.ApplyUpdate(ownerToken, wire.SyncArgs{
-				Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
+				Token: allocatorToken, CellToken: update.OwnerToken, AllowanceNumber: update.Number, ConfigVersion: update.ConfigVersion, Allowances: update.Allowances,
 			})
 			_, number := cell.Record()
-			cell.MarkRecorded(allotterToken, number)
+			cell.MarkRecorded(allocatorToken, number)
 			reply := wire.SyncReply{Known: true}
-			cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
-			a.HandleReply(names[at], allotterToken, reply)
+			cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: needs[i]}, 3)}, &reply)
+			a.HandleReply(names[i], allocatorToken, reply)
 		}
 		if cells[3].Allows(simCustomer, damsonwinch.Resources{CPU: needs[3]}) {
 			return
 		}
 	}
-	t.Fatal("a task that could run waits for those that can't")
+	t.Fatal("a task that could run waits for tasks that can't")
 }
 
-// TestACapThatRisesIsUsed as soon as the cells have been told, in a few rounds.
-func TestACapThatRisesIsUsed(t *testing.T) {
-	a, cells := dealt(t)
+// TestRaisedCapIsUsed: the cells have their higher allowances after a few calls.
+func TestRaisedCapIsUsed(t *testing.T) {
+	a, cells := allocatedCells(t)
 	a.Configure(2, customers(800))
 	for range 4 {
-		sync(a, cells, 1000, nil)
+		syncAll(a, cells, 1000, nil)
 	}
 	first := cells[0].allowances[simCustomer].amount[cpu]
 	assert.Assert(t, first >= 600, "%d", first)
 }
 
-// TestAReplacedOwnerConfirmsNothing: it can record nothing. An allotter that had just come heard
-// such a one first and took its word that nothing ran, while eight ran under the next owner.
-func TestAReplacedOwnerConfirmsNothing(t *testing.T) {
-	_, cells := dealt(t)
+// TestReplacedOwnerConfirmsNothing: an owner that was replaced can record nothing, so it may
+// confirm nothing. A new allocator that heard from such an owner first would take it that nothing
+// runs in the cell, while eight tasks run under the next owner.
+func TestReplacedOwnerConfirmsNothing(t *testing.T) {
+	_, cells := allocatedCells(t)
 	next := NewAllocator()
 	next.Configure(1, customers(400))
 	next.SetCells(time.Time{}, cellNames)
 	for range 5 {
 		next.MarkRecorded(next.Allocate(time.Time{}))
-		for at, cell := range cells {
-			words := next.NextUpdate(cellNames[at])
-			cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
+		for i, cell := range cells {
+			update := next.NextUpdate(cellNames[i])
+			cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allocatorToken + 1, CellToken: update.OwnerToken, AllowanceNumber: update.Number, ConfigVersion: update.ConfigVersion, Allowances: update.Allowances})
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, nil, &reply)
-			next.HandleReply(cellNames[at], allotterToken+1, reply)
+			next.HandleReply(cellNames[i], allocatorToken+1, reply)
 		}
 	}
 	for _, cell := range cellNames {
-		assert.Equal(t, next.customers[simCustomer].limits[cell][cpu], unknown, "of %s nothing is known", cell)
+		assert.Equal(t, next.customers[simCustomer].limits[cell][cpu], unknown, "the limit of cell %s is unknown", cell)
 	}
 }
 
-// BenchmarkRound is one round of an allotter at two years' size: 200 customers, 225 cells, of which
-// in each round ten are pressed by a customer each.
+// BenchmarkRound measures one round of allocation and calls at the size that is expected in two
+// years: 200 customers and 225 cells. In each round ten cells report one customer each.
 func BenchmarkRound(b *testing.B) {
 	var all []damsonwinch.Customer
 	for number := range 200 {
@@ -338,14 +345,14 @@
 	numbers := map[string]int{}
 	round := func(number int) {
 		a.MarkRecorded(a.Allocate(time.Time{}))
-		for at, name := range names {
-			reply := wire.SyncReply{Known: true, Token: ownerToken, AllotterToken: allotterToken, AllowanceNumber: numbers[name]}
-			if at < 10 {
+		for i, name := range names {
+			reply := wire.SyncReply{Known: true, Token: ownerToken, AllotterToken: allocatorToken, AllowanceNumber: numbers[name]}
+			if i < 10 {
 				reply.Customers = []wire.CustomerReport{{
-					Customer: fmt.Sprintf("customer-%d", at), Used: wire.Amount{Cpu: 5000 + number%5000}, Wanted: wire.Amount{Cpu: 100}, Largest: wire.Amount{Cpu: 100},
+					Customer: fmt.Sprintf("customer-%d", i), Used: wire.Amount{Cpu: 5000 + number%5000}, Wanted: wire.Amount{Cpu: 100}, Largest: wire.Amount{Cpu: 100},
 				}}
 			}
-			a.HandleReply(name, allotterToken, reply)
+			a.HandleReply(name, allocatorToken, reply)
 			numbers[name] = a.NextUpdate(name).Number
 		}
 	}
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -14,115 +14,116 @@
 
 // Times of the simulation.
 const (
-	simTrouble = 10 * time.Second
-	simCalm    = 16 * time.Second
-	simRound   = 100 * time.Millisecond
-	// simOver is when all that was begun while there was no cap is over. A cell that the word on
-	// that hasn't reached goes by its allowance beside it meanwhile.
-	simOver = 4 * time.Second
-	// simApply is how long an earlier configuration may be in force beside a newer one.
-	simApply = 3 * time.Second
-	// simLearn is the most that an owner takes to learn of a configuration: one that can't read the
-	// store can't record a start there either. With the time by which an order may be late it is
-	// less than simApply. An allotter may take longer.
-	simLearn  = 450 * time.Millisecond
-	slowLearn = 2 * time.Second
-	simLease  = 4 * time.Second
+	simFaultTime    = 10 * time.Second
+	simCalmTime     = 16 * time.Second
+	simSyncInterval = 100 * time.Millisecond
+	// simUncappedRunTime is how long runs that were started while there was no cap may go on. A
+	// cell that the new cap hasn't reached starts more by its allowance beside them meanwhile.
+	simUncappedRunTime = 4 * time.Second
+	// simConfigOverlap is how long an earlier configuration may be in force beside a newer one.
+	simConfigOverlap = 3 * time.Second
+	// maxOwnerConfigDelay is the longest time until an owner receives a configuration: an owner
+	// that can't read the store can't record a start there either. Together with the delay of a
+	// start request it is less than simConfigOverlap. An allocator may take longer.
+	maxOwnerConfigDelay     = 450 * time.Millisecond
+	maxAllocatorConfigDelay = 2 * time.Second
+	simLease                = 4 * time.Second
 )
 
 const simCustomer = "customer"
 
-// sabotage takes out a mechanism, to show that the rule sees it missing.
-type sabotage struct {
-	tellFirst    bool // Cells are told of raised limits before these are recorded.
-	anyOwner     bool // A cell's owner takes words that were for another.
-	unsuspended  bool // A cell goes on by its allowance though the cap has fallen.
-	eager        bool // A lowered limit is dealt to others before it is confirmed.
-	heirsForget  bool // A new owner doesn't count what an earlier one has started.
-	unlimitedIs0 bool // Where no cap was, it is taken that nothing runs.
+// mutation disables a mechanism, to show that the simulation fails without it.
+type mutation struct {
+	sendBeforeRecord     bool // Cells are sent raised allowances before the limits are recorded.
+	acceptForeignUpdates bool // An owner of a cell applies updates for another owner.
+	ignoreLoweredCap     bool // A cell goes on by its allowance though the cap was lowered.
+	allocateUnconfirmed  bool // A lowered limit is allocated to others before it is confirmed.
+	newOwnerForgetsRuns  bool // A new owner doesn't count the runs that an earlier owner has started.
+	unknownCountsAsZero  bool // Cells without a cap until now are taken to run nothing.
 }
 
-// world is cells, their owners, endpoints and allotters on a fake clock and a fake network.
+// world simulates cells, their owners, endpoints and allocators on a fake clock and a fake network.
 type world struct {
-	random   *rand.Rand
-	now      time.Time
-	agenda   agenda.Agenda
-	sabotage sabotage
-	trouble  bool
-	// giants is the part of tasks that need more than any cap.
-	giants float64
-	cells  []*simCell
-	// allotters are those that there have been, the newest last, and ledger what they recorded.
-	allotters []*simAllotter
-	ledger    map[string]wire.AllottedRecord
-	epoch     int
-	versions  []simVersion
-	// running is what really runs, on all endpoints.
-	running int
-	real    map[*simRun]struct {
+	random       *rand.Rand
+	now          time.Time
+	agenda       agenda.Agenda
+	mutation     mutation
+	injectFaults bool
+	// oversizedPart is the part of tasks that need more than any cap.
+	oversizedPart float64
+	cells         []*simCell
+	// allocators holds all allocators so far, the newest last, and records what they have recorded.
+	allocators []*simAllocator
+	records    map[string]wire.AllottedRecord
+	lastToken  int
+	versions   []simVersion
+	// running is the amount that really runs on all endpoints.
+	running    int
+	actualRuns map[*simRun]struct {
 		cell *simCell
 		need int
 	}
-	peak   int
-	starts int
-	broken string
-	log    []string
+	peak      int
+	starts    int
+	violation string
+	trace     []string
 }
 
-// simVersion is a configuration and when it was published.
+// simVersion is a configuration and the time at which it was published.
 type simVersion struct {
 	number int
 	cap    int
 	at     time.Time
 }
 
-// simCell is a cell with its stream and its owners.
+// simCell is a cell with what is in its stream and its owners.
 type simCell struct {
 	name   string
 	world  *world
 	token  int
 	record *wire.AllowancesRecord
-	runs   []*simRun // Those that are recorded and not recorded as ended.
+	runs   []*simRun // Those whose start is recorded and whose end isn't.
 	owners []*simOwner
-	// demand is how many tasks its clients would have running, and next what the one needs that is
-	// to start next.
-	demand int
-	next   int
+	// demand is how many tasks its clients want to have running, and nextNeed the need of the task
+	// that is to start next.
+	demand   int
+	nextNeed int
 }
 
+// simRun is a run of a task, with the token of the owner that started it.
 type simRun struct {
 	need  int
 	token int
 	ended bool
 }
 
-// simOwner is an owner of a cell.
+// simOwner is an owner of a cell. A dead or frozen owner handles nothing.
 type simOwner struct {
-	cell       *simCell
-	token      int
-	allowances *Allowances
-	runs       []*simRun
-	dead       bool
-	frozenTill time.Time
-	version    int
-	learning   learning
-}
-
-// simAllotter is an allotter, with the planner around it.
-type simAllotter struct {
+	cell        *simCell
+	token       int
+	allowances  *Allowances
+	runs        []*simRun
+	dead        bool
+	frozenUntil time.Time
+	version     int
+	delivery    delivery
+}
+
+// simAllocator is an allocator with the planner around it.
+type simAllocator struct {
 	world     *world
 	token     int
-	allotter  *Allocator
+	allocator *Allocator
 	dead      bool
-	appending bool
+	recording bool
 	syncing   map[string]bool
 	version   int
-	learning  learning
-	cut       map[string]bool
+	delivery  delivery
+	cutOff    map[string]bool
 }
 
-func newWorld(seed uint64, cells int, broken sabotage) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), now: time.UnixMilli(1_700_000_000_000), sabotage: broken, trouble: true, ledger: map[string]wire.AllottedRecord{}}
+func newWorld(seed uint64, cells int, m mutation) *world {
+	w := &world{random: rand.New(rand.NewPCG(seed, 7)), now: time.UnixMilli(1_700_000_000_000), mutation: m, injectFaults: true, records: map[string]wire.AllottedRecord{}}
 	for number := range cells {
 		c := &simCell{name: fmt.Sprintf("cell-%d", number), world: w}
 		w.cells = append(w.cells, c)
@@ -131,28 +132,31 @@
 	for _, c := range w.cells {
 		c.newOwner()
 	}
-	w.newAllotter()
+	w.newAllocator()
 	return w
 }
 
+// after runs a function when some time has passed.
 func (w *world) after(length time.Duration, do func()) {
 	w.agenda.At(w.now.Add(length), do)
 }
 
+// between returns a random time between two bounds.
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-func (w *world) chance(part float64) bool {
-	return w.trouble && w.random.Float64() < part
+// chance returns true with a probability, but only while faults are injected.
+func (w *world) chance(probability float64) bool {
+	return w.injectFaults && w.random.Float64() < probability
 }
 
 func (w *world) logf(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%7.3f ", w.now.Sub(time.UnixMilli(1_700_000_000_000)).Seconds())+fmt.Sprintf(format, args...))
+	w.trace = append(w.trace, fmt.Sprintf("%7.3f ", w.now.Sub(time.UnixMilli(1_700_000_000_000)).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (w *world) run(until time.Time) {
-	for w.broken == "" {
+	for w.violation == "" {
 		at, do, found := w.agenda.Next(until)
 		if !found {
 			break
@@ -163,27 +167,27 @@
 	w.now = until
 }
 
-// publish puts a configuration with a cap in force, 0 for none; nodes learn of it by and by.
+// publish publishes a configuration with a cap, 0 for none. Nodes receive it after some time.
 func (w *world) publish(limit int) {
 	version := simVersion{number: len(w.versions) + 1, cap: limit, at: w.now}
 	w.versions = append(w.versions, version)
 	w.logf("version %d: cap %d", version.number, limit)
 	for _, c := range w.cells {
 		for _, o := range c.owners {
-			w.after(o.learning.next(w, simLearn), func() { o.learn(version) })
+			w.after(o.delivery.next(w, maxOwnerConfigDelay), func() { o.applyConfig(version) })
 		}
 	}
-	for _, a := range w.allotters {
-		w.after(a.learning.next(w, slowLearn), func() { a.learn(version) })
+	for _, a := range w.allocators {
+		w.after(a.delivery.next(w, maxAllocatorConfigDelay), func() { a.applyConfig(version) })
 	}
 }
 
-// learning is until when a node learns of the versions published so far: it reads them in order.
-type learning struct{ until time.Time }
+// delivery says until when a node receives the versions published so far: it reads them in order.
+type delivery struct{ until time.Time }
 
-// next returns after which time it learns of one more.
-func (l *learning) next(w *world, most time.Duration) time.Duration {
-	at := w.now.Add(w.between(0, most))
+// next returns how long it takes until the node receives one more version.
+func (l *delivery) next(w *world, maxDelay time.Duration) time.Duration {
+	at := w.now.Add(w.between(0, maxDelay))
 	if at.Before(l.until) {
 		at = l.until
 	}
@@ -191,13 +195,14 @@
 	return at.Sub(w.now)
 }
 
-// most is the highest cap of the configurations that may be in force.
-func (w *world) most() int {
-	most := 0
+// maxCap returns the highest cap of the configurations that may be in force, unknown if there may
+// be none.
+func (w *world) maxCap() int {
+	maxCap := 0
 	for at, version := range w.versions {
-		applies := simApply
+		applies := simConfigOverlap
 		if version.cap == 0 {
-			applies += simOver
+			applies += simUncappedRunTime
 		}
 		if at+1 < len(w.versions) && w.now.Sub(w.versions[at+1].at) > applies {
 			continue
@@ -205,43 +210,44 @@
 		if version.cap == 0 {
 			return unknown
 		}
-		most = max(most, version.cap)
+		maxCap = max(maxCap, version.cap)
 	}
-	return most
+	return maxCap
 }
 
-// begun judges a start.
-func (w *world) begun(c *simCell, r *simRun) {
+// runStarted starts a run on its endpoint, and notes a violation if it doesn't fit under the cap.
+func (w *world) runStarted(c *simCell, r *simRun) {
 	w.starts++
-	most := w.most()
-	if w.running+min(r.need, most) > most && w.broken == "" {
-		w.broken = fmt.Sprintf("QUOTA: %s starts %d beside %d under a cap of %d", c.name, r.need, w.running, most)
-		w.logf("BROKEN %s", w.broken)
+	maxCap := w.maxCap()
+	if w.running+min(r.need, maxCap) > maxCap && w.violation == "" {
+		w.violation = fmt.Sprintf("QUOTA: %s starts %d beside %d under a cap of %d", c.name, r.need, w.running, maxCap)
+		w.logf("BROKEN %s", w.violation)
 	}
 	w.running += r.need
-	if w.real == nil {
-		w.real = map[*simRun]struct {
+	if w.actualRuns == nil {
+		w.actualRuns = map[*simRun]struct {
 			cell *simCell
 			need int
 		}{}
 	}
-	w.real[r] = struct {
+	w.actualRuns[r] = struct {
 		cell *simCell
 		need int
 	}{c, r.need}
 	w.peak = max(w.peak, w.running)
-	w.after(w.between(20*time.Millisecond, 1500*time.Millisecond), func() { w.over(c, r) })
+	w.after(w.between(20*time.Millisecond, 1500*time.Millisecond), func() { w.runEnded(c, r) })
 }
 
-// over ends a run; the owner hears of it a little later.
-func (w *world) over(c *simCell, r *simRun) {
+// runEnded ends a run on its endpoint. Its owner learns of it a little later.
+func (w *world) runEnded(c *simCell, r *simRun) {
 	w.running -= r.need
-	w.after(w.between(2*time.Millisecond, 60*time.Millisecond), func() { c.noteEnd(r) })
+	w.after(w.between(2*time.Millisecond, 60*time.Millisecond), func() { c.reportEnd(r) })
 }
 
+// newOwner gives the cell a new owner, which restores what is in the cell's stream.
 func (c *simCell) newOwner() {
 	w := c.world
-	c.token = w.nextEpoch()
+	c.token = w.nextToken()
 	o := &simOwner{cell: c, token: c.token, allowances: NewAllowances()}
 	c.owners = append(c.owners, o)
 	w.logf("%s is owned by %d", c.name, o.token)
@@ -250,26 +256,26 @@
 	}
 	for _, r := range c.runs {
 		o.runs = append(o.runs, r)
-		if !w.sabotage.heirsForget {
+		if !w.mutation.newOwnerForgetsRuns {
 			o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
 		}
 		if r.ended {
-			// Its endpoint tells that it isn't there.
-			w.after(w.between(5*time.Millisecond, 200*time.Millisecond), func() { o.whenAwake(func() { o.drop(r) }) })
+			// Its endpoint reports that it doesn't have the run.
+			w.after(w.between(5*time.Millisecond, 200*time.Millisecond), func() { o.whenAwake(func() { o.removeRun(r) }) })
 		}
 	}
 	newest := w.versions[len(w.versions)-1]
-	w.after(o.learning.next(w, simLearn), func() { o.learn(newest) })
+	w.after(o.delivery.next(w, maxOwnerConfigDelay), func() { o.applyConfig(newest) })
 	w.after(0, o.tick)
 }
 
-func (w *world) nextEpoch() int {
-	w.epoch++
-	return w.epoch
+func (w *world) nextToken() int {
+	w.lastToken++
+	return w.lastToken
 }
 
-// learn takes a configuration.
-func (o *simOwner) learn(version simVersion) {
+// applyConfig applies a configuration unless the owner has a newer one.
+func (o *simOwner) applyConfig(version simVersion) {
 	o.whenAwake(func() {
 		if version.number <= o.version {
 			return
@@ -283,89 +289,92 @@
 	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{CPU: limit}}}
 }
 
-// whenAwake runs something now, or once a freeze is over.
+// whenAwake runs a function now, or once the owner is no longer frozen.
 func (o *simOwner) whenAwake(do func()) {
 	w := o.cell.world
 	if o.dead {
 		return
 	}
-	if w.now.Before(o.frozenTill) {
-		w.after(o.frozenTill.Sub(w.now), func() { o.whenAwake(do) })
+	if w.now.Before(o.frozenUntil) {
+		w.after(o.frozenUntil.Sub(w.now), func() { o.whenAwake(do) })
 		return
 	}
 	do()
 }
 
-// tick starts what may start.
+// tick starts the tasks that may start, again and again.
 func (o *simOwner) tick() {
 	o.whenAwake(func() {
 		w := o.cell.world
 		if o.version > 0 {
 			for waiting := o.cell.demand - len(o.runs); waiting > 0; waiting-- {
-				if o.cell.next == 0 {
-					o.cell.next = 1 + w.random.IntN(9)
-					if w.random.Float64() < w.giants {
-						o.cell.next = 600 // More than any cap.
+				if o.cell.nextNeed == 0 {
+					o.cell.nextNeed = 1 + w.random.IntN(9)
+					if w.random.Float64() < w.oversizedPart {
+						o.cell.nextNeed = 600 // More than any cap.
 					}
 				}
-				if !o.allows(o.cell.next) {
+				if !o.allows(o.cell.nextNeed) {
 					break
 				}
-				o.intend(o.cell.next)
-				o.cell.next = 0
+				o.startRun(o.cell.nextNeed)
+				o.cell.nextNeed = 0
 			}
 		}
 		w.after(30*time.Millisecond, o.tick)
 	})
 }
 
+// allows reports whether a task may start.
 func (o *simOwner) allows(need int) bool {
-	if o.cell.world.sabotage.unsuspended {
+	if o.cell.world.mutation.ignoreLoweredCap {
 		o.allowances.allocatedVersion = max(o.allowances.allocatedVersion, o.allowances.configVersion)
 	}
 	return o.allowances.Allows(simCustomer, damsonwinch.Resources{CPU: need})
 }
 
-// intend counts a run, records it and orders it; its endpoint may carry the order out late.
-func (o *simOwner) intend(need int) {
+// startRun counts a run, records it and requests its start. The endpoint may carry the request out
+// late.
+func (o *simOwner) startRun(need int) {
 	w := o.cell.world
 	r := &simRun{need: need, token: o.token}
 	o.runs = append(o.runs, r)
 	o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: need}, false)
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		if o.token != o.cell.token {
-			return // Fenced: it is never ordered.
+			return // The owner is fenced: the start is never requested.
 		}
 		o.cell.runs = append(o.cell.runs, r)
-		if o.dead || w.now.Before(o.frozenTill) && w.random.Float64() < 0.5 {
-			// Recorded and never ordered: a later owner finds that out.
-			w.after(simLease, func() { o.cell.noteEnd(r) })
+		if o.dead || w.now.Before(o.frozenUntil) && w.random.Float64() < 0.5 {
+			// The start is recorded and never requested: a later owner finds that out.
+			w.after(simLease, func() { o.cell.reportEnd(r) })
 			return
 		}
 		delay := w.between(time.Millisecond, 10*time.Millisecond)
 		if w.chance(0.03) {
 			delay = w.between(500*time.Millisecond, 2400*time.Millisecond)
 		}
-		w.after(delay, func() { w.begun(o.cell, r) })
+		w.after(delay, func() { w.runStarted(o.cell, r) })
 	})
 }
 
-// drop takes a run back that is over.
-func (o *simOwner) drop(r *simRun) {
+// removeRun takes back a run that has ended.
+func (o *simOwner) removeRun(r *simRun) {
 	if at := slices.Index(o.runs, r); at >= 0 {
 		o.runs = slices.Delete(o.runs, at, at+1)
 		o.allowances.RemoveRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
 	}
 }
 
-// noteEnd tells the present owner that a run is over; the record of that comes a little later.
-func (c *simCell) noteEnd(r *simRun) {
+// reportEnd reports to the cell's owners that a run has ended. The record of that comes a little
+// later.
+func (c *simCell) reportEnd(r *simRun) {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	for _, o := range c.owners {
-		o.whenAwake(func() { o.drop(r) })
+		o.whenAwake(func() { o.removeRun(r) })
 	}
 	c.world.after(c.world.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		if at := slices.Index(c.runs, r); at >= 0 {
@@ -374,108 +383,111 @@
 	})
 }
 
-// take takes an allotter's call and gives the reply, once its word is recorded or for not much
-// longer.
-func (o *simOwner) take(args wire.SyncArgs, give func(wire.SyncReply)) {
+// handleSync handles a call of an allocator. It sends the reply once the update is recorded, or
+// after a short while.
+func (o *simOwner) handleSync(args wire.SyncArgs, send func(wire.SyncReply)) {
 	w := o.cell.world
-	if w.sabotage.anyOwner {
+	if w.mutation.acceptForeignUpdates {
 		args.CellToken = o.token
 	}
 	if o.allowances.ApplyUpdate(o.token, args) {
 		record, number := o.allowances.Record()
-		allotter := o.allowances.AllocatorToken()
+		token := o.allowances.AllocatorToken()
 		w.after(w.between(5*time.Millisecond, 60*time.Millisecond), func() {
 			if o.token != o.cell.token {
 				return
 			}
 			o.cell.record = &record
 			o.whenAwake(func() {
-				o.allowances.MarkRecorded(allotter, number)
-				give(o.report())
+				o.allowances.MarkRecorded(token, number)
+				send(o.report())
 			})
 		})
-		w.after(w.between(30*time.Millisecond, 80*time.Millisecond), func() { give(o.report()) })
+		w.after(w.between(30*time.Millisecond, 80*time.Millisecond), func() { send(o.report()) })
 		if w.chance(0.03) {
 			w.after(time.Millisecond, func() {
-				w.logf("owner %d of %s is killed as it is told of less", o.token, o.cell.name)
+				w.logf("owner %d of %s is killed as it receives an update", o.token, o.cell.name)
 				o.dead = true
 				o.cell.newOwner()
-				w.turnTo(o.cell)
-				w.cut(o.cell)
+				w.concentrateDemand(o.cell)
+				w.cutOff(o.cell)
 			})
 		}
 		return
 	}
-	give(o.report())
+	send(o.report())
 }
 
-// report tells how the cell gets on.
+// report returns the owner's reply to an allocator.
 func (o *simOwner) report() wire.SyncReply {
 	reply := wire.SyncReply{Known: true}
-	wanted := map[string]Demand{}
+	demands := map[string]Demand{}
 	if waiting := o.cell.demand - len(o.runs); waiting > 0 {
-		wanted[simCustomer] = Demand{}.WithTasks(damsonwinch.Resources{CPU: 5}, waiting).WithTasks(damsonwinch.Resources{CPU: o.cell.next}, 1)
+		demands[simCustomer] = Demand{}.WithTasks(damsonwinch.Resources{CPU: 5}, waiting).WithTasks(damsonwinch.Resources{CPU: o.cell.nextNeed}, 1)
 	}
-	o.allowances.Report(o.token, wanted, &reply)
+	o.allowances.Report(o.token, demands, &reply)
 	return reply
 }
 
-func (w *world) newAllotter() {
-	for _, a := range w.allotters {
-		// Its appends are fenced from now on.
+// newAllocator starts a new allocator, which restores what the earlier ones have recorded.
+func (w *world) newAllocator() {
+	for _, a := range w.allocators {
+		// From now on the earlier allocator's appends are fenced.
 		a.token = -max(a.token, -a.token)
 	}
-	a := &simAllotter{world: w, token: w.nextEpoch(), allotter: NewAllocator(), syncing: map[string]bool{}, cut: map[string]bool{}}
-	w.allotters = append(w.allotters, a)
-	w.logf("allotter %d", a.token)
-	for customer, record := range w.ledger {
-		a.allotter.Load(customer, record)
+	a := &simAllocator{world: w, token: w.nextToken(), allocator: NewAllocator(), syncing: map[string]bool{}, cutOff: map[string]bool{}}
+	w.allocators = append(w.allocators, a)
+	w.logf("allocator %d", a.token)
+	for customer, record := range w.records {
+		a.allocator.Load(customer, record)
 	}
 	token := a.token
 	newest := w.versions[len(w.versions)-1]
-	w.after(a.learning.next(w, slowLearn), func() { a.learn(newest) })
+	w.after(a.delivery.next(w, maxAllocatorConfigDelay), func() { a.applyConfig(newest) })
 	w.after(0, func() { a.tick(token) })
 }
 
-func (a *simAllotter) learn(version simVersion) {
+// applyConfig applies a configuration unless the allocator has a newer one.
+func (a *simAllocator) applyConfig(version simVersion) {
 	if version.number <= a.version || a.dead {
 		return
 	}
 	a.version = version.number
-	a.allotter.Configure(version.number, customers(version.cap))
-	if len(a.allotter.cells) == 0 {
+	a.allocator.Configure(version.number, customers(version.cap))
+	if len(a.allocator.cells) == 0 {
 		var cells []string
 		for _, c := range a.world.cells {
 			cells = append(cells, c.name)
 		}
-		a.allotter.SetCells(a.world.now, cells)
+		a.allocator.SetCells(a.world.now, cells)
 	}
-	if a.world.sabotage.unlimitedIs0 {
-		for _, known := range a.allotter.customers {
-			for cell, limit := range known.limits {
+	if a.world.mutation.unknownCountsAsZero {
+		for _, state := range a.allocator.customers {
+			for cell, limit := range state.limits {
 				if limit[cpu] == unknown {
-					known.limits[cell] = amounts{}
+					state.limits[cell] = amounts{}
 				}
 			}
 		}
 	}
 }
 
-// fenced says whether a newer allotter has come.
-func (a *simAllotter) fenced() bool {
+// fenced reports whether there is a newer allocator.
+func (a *simAllocator) fenced() bool {
 	return a.token < 0
 }
 
-func (a *simAllotter) tick(token int) {
+// tick allocates and calls the owners of all cells, again and again.
+func (a *simAllocator) tick(token int) {
 	w := a.world
 	if a.dead {
 		return
 	}
-	w.after(simRound, func() { a.tick(token) })
+	w.after(simSyncInterval, func() { a.tick(token) })
 	if a.version == 0 {
 		return
 	}
-	a.deal(token)
+	a.allocate(token)
 	for _, c := range w.cells {
 		if !a.syncing[c.name] {
 			a.syncing[c.name] = true
@@ -484,60 +496,61 @@
 	}
 }
 
-func (a *simAllotter) deal(token int) {
+// allocate allocates the cap and records raised limits.
+func (a *simAllocator) allocate(token int) {
 	w := a.world
-	if a.appending {
+	if a.recording {
 		return
 	}
-	raised := a.allotter.Allocate(w.now)
-	if w.sabotage.eager {
-		for _, known := range a.allotter.customers {
-			for cell, target := range known.targets {
-				known.limits[cell] = target
+	raised := a.allocator.Allocate(w.now)
+	if w.mutation.allocateUnconfirmed {
+		for _, state := range a.allocator.customers {
+			for cell, target := range state.targets {
+				state.limits[cell] = target
 			}
 		}
 	}
 	if len(raised) == 0 {
 		return
 	}
-	record := a.allotter.Record(simCustomer)
-	a.appending = true
-	if w.sabotage.tellFirst {
-		a.allotter.MarkRecorded(raised)
+	record := a.allocator.Record(simCustomer)
+	a.recording = true
+	if w.mutation.sendBeforeRecord {
+		a.allocator.MarkRecorded(raised)
 	}
 	delay := w.between(5*time.Millisecond, 30*time.Millisecond)
 	if w.chance(0.1) {
-		delay = w.between(100*time.Millisecond, 3*time.Second) // The store is away.
+		delay = w.between(100*time.Millisecond, 3*time.Second) // The store is unavailable.
 	}
 	w.after(delay, func() {
 		if a.fenced() || a.dead && w.random.Float64() < 0.5 {
 			a.dead = true
 			return
 		}
-		w.ledger[simCustomer] = record
-		a.appending = false
-		a.allotter.MarkRecorded(raised)
-		a.tellNews(token)
+		w.records[simCustomer] = record
+		a.recording = false
+		a.allocator.MarkRecorded(raised)
+		a.syncUpdated(token)
 	})
 }
 
-// tellNews calls the owners that have something to hear.
-func (a *simAllotter) tellNews(token int) {
+// syncUpdated calls the owners of cells for which there is an update.
+func (a *simAllocator) syncUpdated(token int) {
 	for _, c := range a.world.cells {
-		if !a.syncing[c.name] && a.allotter.HasUpdate(c.name) {
+		if !a.syncing[c.name] && a.allocator.HasUpdate(c.name) {
 			a.syncing[c.name] = true
 			a.sync(c, token)
 		}
 	}
 }
 
-// sync calls an owner of a cell, mostly the present one. Calls and answers may be lost, late, or
-// come twice.
-func (a *simAllotter) sync(c *simCell, token int) {
+// sync calls an owner of a cell, mostly the present one. Calls and replies may be lost, late, or
+// delivered twice.
+func (a *simAllocator) sync(c *simCell, token int) {
 	w := a.world
-	words := a.allotter.NextUpdate(c.name)
+	update := a.allocator.NextUpdate(c.name)
 	args := wire.SyncArgs{
-		Cell: c.name, Token: token, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: slices.Clone(words.Allowances),
+		Cell: c.name, Token: token, CellToken: update.OwnerToken, AllowanceNumber: update.Number, ConfigVersion: update.ConfigVersion, Allowances: slices.Clone(update.Allowances),
 	}
 	o := c.owners[len(c.owners)-1]
 	if len(c.owners) > 1 && w.chance(0.2) {
@@ -551,24 +564,24 @@
 		done = true
 		a.syncing[c.name] = false
 		if ok {
-			a.allotter.HandleReply(c.name, token, reply)
-			a.deal(token)
-			a.tellNews(token)
+			a.allocator.HandleReply(c.name, token, reply)
+			a.allocate(token)
+			a.syncUpdated(token)
 		}
 	}
 	w.after(800*time.Millisecond, func() { answer(wire.SyncReply{}, false) })
 	deliver := func() {
 		o.whenAwake(func() {
-			given := false
-			o.take(args, func(reply wire.SyncReply) {
-				if !given && !w.chance(0.05) {
+			sent := false
+			o.handleSync(args, func(reply wire.SyncReply) {
+				if !sent && !w.chance(0.05) {
 					w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { answer(reply, true) })
 				}
-				given = true
+				sent = true
 			})
 		})
 	}
-	if a.cut[c.name] && w.trouble || w.chance(0.05) {
+	if a.cutOff[c.name] && w.injectFaults || w.chance(0.05) {
 		return
 	}
 	delay := w.between(time.Millisecond, 20*time.Millisecond)
@@ -581,8 +594,8 @@
 	}
 }
 
-// mishap is one thing that goes wrong, or changes.
-func (w *world) mishap() {
+// injectFault causes a random fault, publishes another cap or moves the demand.
+func (w *world) injectFault() {
 	c := w.cells[w.random.IntN(len(w.cells))]
 	o := c.owners[len(c.owners)-1]
 	switch w.random.IntN(9) {
@@ -592,17 +605,17 @@
 		w.after(w.between(50*time.Millisecond, 500*time.Millisecond), c.newOwner)
 	case 1:
 		w.logf("owner %d of %s freezes", o.token, c.name)
-		o.frozenTill = w.now.Add(w.between(200*time.Millisecond, 4*time.Second))
+		o.frozenUntil = w.now.Add(w.between(200*time.Millisecond, 4*time.Second))
 		w.after(w.between(50*time.Millisecond, time.Second), c.newOwner)
 	case 2:
-		w.logf("a claim of %s for no reason", c.name)
+		w.logf("%s gets a new owner for no reason", c.name)
 		c.newOwner()
 	case 3:
-		w.allotters[len(w.allotters)-1].dead = true
-		w.after(w.between(100*time.Millisecond, time.Second), w.newAllotter)
+		w.allocators[len(w.allocators)-1].dead = true
+		w.after(w.between(100*time.Millisecond, time.Second), w.newAllocator)
 	case 4:
-		// The earlier one doesn't know, for a while.
-		w.newAllotter()
+		// The earlier allocator doesn't know of the new one for a while.
+		w.newAllocator()
 	case 5, 6:
 		limit := 50 + w.random.IntN(500)
 		if w.random.Float64() < 0.15 {
@@ -610,52 +623,54 @@
 		}
 		w.publish(limit)
 	case 7:
-		w.cut(c)
+		w.cutOff(c)
 	case 8:
-		w.turnTo(c)
+		w.concentrateDemand(c)
 	}
 }
 
-// cut cuts a cell off from the newest allotter for a while.
-func (w *world) cut(c *simCell) {
-	a := w.allotters[len(w.allotters)-1]
-	a.cut[c.name] = true
-	w.after(w.between(500*time.Millisecond, 4*time.Second), func() { delete(a.cut, c.name) })
+// cutOff cuts a cell off from the newest allocator for a while.
+func (w *world) cutOff(c *simCell) {
+	a := w.allocators[len(w.allocators)-1]
+	a.cutOff[c.name] = true
+	w.after(w.between(500*time.Millisecond, 4*time.Second), func() { delete(a.cutOff, c.name) })
 }
 
-// turnTo has the clients of one cell want much.
-func (w *world) turnTo(c *simCell) {
+// concentrateDemand lets nearly all demand come from one cell.
+func (w *world) concentrateDemand(c *simCell) {
 	for _, other := range w.cells {
 		other.demand = 10
 	}
 	c.demand = 400
 }
 
-// play plays one run of a seed.
-func play(seed uint64, broken sabotage) *world {
-	w := newWorld(seed, 2+int(seed%3), broken)
-	w.giants = 0.002
+// play runs the simulation for a seed: a time with faults, then a calm one, over whose end it
+// measures the peak.
+func play(seed uint64, m mutation) *world {
+	w := newWorld(seed, 2+int(seed%3), m)
+	w.oversizedPart = 0.002
 	begin := w.now
-	w.after(500*time.Millisecond, func() { w.turnTo(w.cells[w.random.IntN(len(w.cells))]) })
+	w.after(500*time.Millisecond, func() { w.concentrateDemand(w.cells[w.random.IntN(len(w.cells))]) })
 	for range 12 {
-		w.after(w.between(0, simTrouble), w.mishap)
+		w.after(w.between(0, simFaultTime), w.injectFault)
 	}
-	w.run(begin.Add(simTrouble))
-	w.trouble, w.giants = false, 0
+	w.run(begin.Add(simFaultTime))
+	w.injectFaults, w.oversizedPart = false, 0
 	w.after(0, func() {
-		w.newAllotter()
+		w.newAllocator()
 		w.publish(400)
-		w.turnTo(w.cells[w.random.IntN(len(w.cells))])
+		w.concentrateDemand(w.cells[w.random.IntN(len(w.cells))])
 		for _, c := range w.cells {
 			c.newOwner()
 		}
 	})
-	w.run(begin.Add(simTrouble + simCalm - 3*time.Second))
+	w.run(begin.Add(simFaultTime + simCalmTime - 3*time.Second))
 	w.peak = 0
-	w.run(begin.Add(simTrouble + simCalm))
+	w.run(begin.Add(simFaultTime + simCalmTime))
 	return w
 }
 
-func (w *world) story() string {
-	return w.broken + "\n" + strings.Join(w.log, "\n")
+// describe returns the violation and the trace of the run.
+func (w *world) describe() string {
+	return w.violation + "\n" + strings.Join(w.trace, "\n")
 }
