--- a/pkg/crash/crash.go
+++ b/pkg/crash/crash.go
@@ -1,14 +1,14 @@
-// Package crash tells tasks that crash the endpoints they start on from those that only
-// lose their places there. It is pure; who asks keeps the records.
+// Package crash tells tasks that crash the endpoints they start on from tasks that only lose their
+// attempts there. It does no I/O and reads no clock; the caller keeps the state.
 //
-// The pattern: an endpoint runs some twenty tasks, and ends. One of them may have ended it,
-// mostly some milliseconds after its start, and will end the next one that starts it; the
-// others did nothing and must be done elsewhere. Counting ends under a task doesn't tell
-// them apart: beside two tasks that crash their endpoints, a sound one loses its place seven
-// times. What does tell is a trial: a suspect is started where nothing else has begun just
-// now and nothing else may begin until it is seen to have outlived the age at which it was
-// under way when an endpoint ended. If that endpoint ends as well, the suspect is to blame,
-// unless endpoints end so often that it may be chance.
+// The problem: an endpoint runs some twenty tasks, and exits. One of them may have crashed it,
+// mostly some milliseconds after its start, and will crash the next endpoint that starts it. The
+// others did nothing wrong and must be run elsewhere. Counting the losses under a task doesn't tell
+// them apart: beside two tasks that crash their endpoints, a sound task loses its attempt seven
+// times. Probation does: a suspect is started on an endpoint where nothing else has started just
+// before, and nothing else may start there until the suspect is seen to have outlived the age that
+// it had when an endpoint was lost. If that endpoint is lost as well, the suspect is to blame,
+// unless endpoints are lost so often that it may be chance.
 package crash
 
 import (
@@ -16,48 +16,50 @@
 	"time"
 )
 
-// Rules are the figures by which blame is laid.
+// Rules are the thresholds by which tasks are suspected and blamed. The age of a task is the time
+// since its start on an endpoint.
 type Rules struct {
-	// SuspectAge is the age up to which a task is a suspect the first time that an endpoint ends
-	// under it. Older ones become suspects when another does at a like age.
+	// SuspectAge is the age up to which a task is a suspect the first time that an endpoint is lost
+	// under it. Older tasks become suspects when another endpoint is lost at a similar age.
 	SuspectAge time.Duration
-	// MaxCrashAge is the age from which a task has nothing to do with the end of its endpoint, and
-	// has outlived what was held against it.
+	// MaxCrashAge is the age from which a task has nothing to do with the loss of its endpoint. A
+	// task that gets that old is no longer held responsible for earlier losses.
 	MaxCrashAge time.Duration
-	// MinProbation and MostWatch bound how long a trial lasts, usually for as long as the task had
-	// been under way at most.
+	// MinProbation and MaxProbation bound the time of probation, which is usually the highest age
+	// that the task may have had at its losses.
 	MinProbation time.Duration
 	MaxProbation time.Duration
-	// Jitter is by how much longer than measured a task may have been under way, and Lag by how
-	// much shorter: a busy owner hears of ends late. Beside that two ages may differ by LikePart
-	// of them to be alike.
+	// A task may be older than measured by Jitter, and younger by DetectionLag, since a busy owner
+	// learns late of a loss. In addition similar ages may differ by the fraction AgeTolerance.
 	Jitter       time.Duration
 	DetectionLag time.Duration
 	AgeTolerance float64
-	// MinLossRate is how often an endpoint ends by itself, a second, where fewer do.
+	// MinLossRate is the rate, per second, at which an endpoint is taken to be lost by itself where
+	// the observed rate is lower.
 	MinLossRate float64
 	// ProofWeight is the weight of evidence with which a task is given up.
 	ProofWeight int
-	// MaxLosses is the number of endpoints that may end under a task, after which it may be started
-	// MoreStarts times more, whatever comes of that. Then it is given up.
+	// MaxLosses is the number of endpoints that may be lost under a task. After that the task may be
+	// started MaxExtraStarts times more, whatever causes the losses. Then it is given up.
 	MaxLosses      int
 	MaxExtraStarts int
 }
 
 // DefaultRules returns the rules that are used.
 //
-// A task may be given up once two endpoints have crashed under it, and must not be started
-// a third time more once three have: hence Most and MoreStarts. Tasks that crash their
-// endpoints have been seen to do so 10 ms after their start. Prompt is ten times that, and
-// holds about a tenth of what runs on a busy endpoint (20 starts a second, 0.8 s each).
-// Settled is eighty times that: what runs longer isn't told from what is sound, while a
-// lasting task would be there for the end of many an endpoint.
+// A task may be given up once two endpoints have crashed under it, and must not be started a third
+// time more once three have: hence MaxLosses and MaxExtraStarts. Tasks that crash their endpoints
+// have been seen to do so 10 ms after their start. SuspectAge is ten times that, and covers about a
+// tenth of what runs on a busy endpoint (20 starts per second, 0.8 s each). MaxCrashAge is eighty
+// times that: tasks that crash later can't be told from sound ones, while long-running tasks are
+// there when many an endpoint is lost.
 //
-// Where a seventh of the endpoints crash twice in 40 s, each does at a rate of 0.0075 a
-// second. A task whose ages at two ends are 10 ms apart is met by that in a trial once in
-// 3,000 times; Enough asks for once in 500. With two suspects for each end and two ends in
-// a day, one sound task in 700 days is lost. Where endpoints end thirty times as often, each
-// 4 s, a second trial must end badly, and one sound task in 3,000 suspects is lost.
+// Where a seventh of the endpoints crash twice in 40 s, each crashes at a rate of 0.0075 per second.
+// For a sound task whose ages at two losses are 10 ms apart, that causes a loss in its probation once
+// in 3,000 times; ProofWeight asks for once in 500. With two suspects for each loss and two losses a
+// day, one sound task in 700 days is given up. Where endpoints are lost thirty times as often, each
+// one every 4 s, a second probation must end with a loss, and one sound task in 3,000 suspects is
+// given up.
 func DefaultRules() Rules {
 	return Rules{
 		SuspectAge: 100 * time.Millisecond, MaxCrashAge: 800 * time.Millisecond, MinProbation: 60 * time.Millisecond, MaxProbation: time.Second,
@@ -65,80 +67,81 @@
 	}
 }
 
-// weightPerTen is the weight of what has a chance of one in ten.
+// weightPerTen is the weight of evidence that has a probability of one in ten by chance.
 const weightPerTen = 1000
 
-// Weight returns the weight of what has such a chance to happen by itself.
-func Weight(chance float64) int {
-	return int(math.Round(-weightPerTen * math.Log10(min(1, chance))))
+// Weight returns the weight of evidence for an event that has a given probability by chance. Weights
+// of independent events add up.
+func Weight(probability float64) int {
+	return int(math.Round(-weightPerTen * math.Log10(min(1, probability))))
 }
 
-// History is what is known of a task.
+// History is what is known of the endpoints that were lost under a task.
 type History struct {
-	// Losses is the number of endpoints that have ended under it.
+	// Losses is the number of endpoints that were lost under the task.
 	Losses int
-	// CertainLosses is the number of those where it certainly ran: the order to start it may have been
-	// lost, or the answer that it had ended.
+	// CertainLosses is the number of those where the task certainly ran. Elsewhere the request to
+	// start it may have been lost, or the report that it had ended.
 	CertainLosses int
-	// SimilarLosses is the number of the last ones in a row at which it may have been under way for
-	// the same time, which is between Low and High then.
+	// SimilarLosses is the number of the last losses in a row at which the task may have had the same
+	// age, which is between MinAge and MaxAge then.
 	SimilarLosses int
 	MinAge        time.Duration
 	MaxAge        time.Duration
-	// Weight is that of the evidence of its trials.
+	// Weight is the weight of the evidence of the task's probations.
 	Weight int
-	// ExtraStarts counts how often it was started since Most endpoints have ended under it.
+	// ExtraStarts counts the starts of the task since MaxLosses endpoints were lost under it.
 	ExtraStarts int
 }
 
-// WithExtraStarts returns the record with so many starts more.
-func (r History) WithExtraStarts(more int) History {
-	r.ExtraStarts += more
-	return r
+// WithExtraStarts returns the history with more extra starts, or fewer if the number is negative.
+func (h History) WithExtraStarts(more int) History {
+	h.ExtraStarts += more
+	return h
 }
 
-// Loss is the end of an endpoint under a task.
+// Loss describes the loss of an endpoint under a task.
 type Loss struct {
-	// MaxAge is how long the task had been under way there, at most, and Least at least: where no
-	// connection broke, the endpoint has ended at some time since it was last heard of.
+	// MaxAge is the highest age that the task may have had, and MinAge the lowest: unless a
+	// connection broke, the endpoint exited at some time since its last reply.
 	MaxAge time.Duration
 	MinAge time.Duration
-	// Certain says that the task certainly ran.
+	// Certain is set if the task certainly ran.
 	Certain bool
-	// Explained says that something else has probably ended it: others ended with it, a rack
-	// or a zone, say, or another task was on trial there.
+	// Explained is set if something else has probably caused the loss: other endpoints were lost at
+	// the same time, a rack or a zone, say, or another task was on probation there.
 	Explained bool
-	// Probation says that the task was on trial there, and not seen to have outlived it.
+	// Probation is set if the task was on probation there, and not seen to have outlived it.
 	Probation bool
-	// LossRate is how often an endpoint ends by itself, a second, as seen of late.
+	// LossRate is the recent rate, per second, at which an endpoint is lost by itself.
 	LossRate float64
 }
 
-// Add returns a task's record with one more end.
-func (r Rules) Add(known History, end Loss) History {
-	if r.low(end.MinAge) >= r.MaxCrashAge {
+// Add returns a task's history with one more loss.
+func (r Rules) Add(history History, loss Loss) History {
+	if r.low(loss.MinAge) >= r.MaxCrashAge {
 		return History{}
 	}
-	known.Weight += r.weigh(known, end)
-	known.Losses++
-	if end.Certain {
-		known.CertainLosses++
+	history.Weight += r.weigh(history, loss)
+	history.Losses++
+	if loss.Certain {
+		history.CertainLosses++
 	}
-	low, high := r.low(end.MinAge), r.high(end.MaxAge)
+	low, high := r.low(loss.MinAge), r.high(loss.MaxAge)
 	switch {
-	case known.SimilarLosses > 0 && high < known.MinAge:
-		// It has ended before it could tell.
-	case known.SimilarLosses > 0 && low <= known.MaxAge:
-		known.SimilarLosses, known.MinAge, known.MaxAge = known.SimilarLosses+1, max(known.MinAge, low), min(known.MaxAge, high)
-	case !end.Explained:
-		// No task becomes a suspect for an end that is explained: when a rack goes dark,
-		// hundreds would wait for their trials.
-		known.SimilarLosses, known.MinAge, known.MaxAge = 1, low, high
+	case history.SimilarLosses > 0 && high < history.MinAge:
+		// The endpoint was lost before the task reached the age of the earlier losses.
+	case history.SimilarLosses > 0 && low <= history.MaxAge:
+		history.SimilarLosses, history.MinAge, history.MaxAge = history.SimilarLosses+1, max(history.MinAge, low), min(history.MaxAge, high)
+	case !loss.Explained:
+		// No task becomes a suspect for a loss that is explained: when a rack loses power,
+		// hundreds of tasks would wait for probation.
+		history.SimilarLosses, history.MinAge, history.MaxAge = 1, low, high
 	}
-	return known
+	return history
 }
 
-// low and high return between what the ages are that are like one as measured.
+// low and high return the bounds of the ages that are similar to a measured age.
 func (r Rules) low(age time.Duration) time.Duration {
 	return max(0, age-time.Duration(r.AgeTolerance*float64(age))-r.DetectionLag)
 }
@@ -147,51 +150,53 @@
 	return age + time.Duration(r.AgeTolerance*float64(age)) + r.Jitter
 }
 
-// weigh returns the weight of an end as evidence against a task: how unlikely it is that an
-// endpoint ends by itself in the task's trial, and there at the same age as before.
-func (r Rules) weigh(known History, end Loss) int {
-	watch := r.ProbationTime(known)
-	if !r.IsSuspect(known) || !end.Probation || !end.Certain || end.Explained || end.MaxAge > watch {
+// weigh returns the weight of a loss as evidence against a task: how unlikely it is that an endpoint
+// is lost by itself during the task's probation, and at the same age as before if it was.
+func (r Rules) weigh(history History, loss Loss) int {
+	probation := r.ProbationTime(history)
+	if !r.IsSuspect(history) || !loss.Probation || !loss.Certain || loss.Explained || loss.MaxAge > probation {
 		return 0
 	}
-	like := min(watch, known.MaxAge) - known.MinAge
-	if end.MaxAge < known.MinAge || end.MaxAge > known.MaxAge {
-		like = watch
+	window := min(probation, history.MaxAge) - history.MinAge
+	if loss.MaxAge < history.MinAge || loss.MaxAge > history.MaxAge {
+		window = probation
 	}
-	return Weight(max(end.LossRate, r.MinLossRate) * like.Seconds())
+	return Weight(max(loss.LossRate, r.MinLossRate) * window.Seconds())
 }
 
-// Blames says whether the end of an endpoint is a task's doing, by what was known before.
-func (r Rules) Blames(before History, end Loss) bool {
-	return r.weigh(before, end) >= r.ProofWeight
+// Blames reports whether a task with the given history before the loss is to blame for the loss.
+func (r Rules) Blames(before History, loss Loss) bool {
+	return r.weigh(before, loss) >= r.ProofWeight
 }
 
-// IsSuspect says whether a task must be started on trial.
-func (r Rules) IsSuspect(known History) bool {
-	return known.SimilarLosses > 1 || known.SimilarLosses == 1 && known.MaxAge <= r.MeasuredSuspectAge()
+// IsSuspect reports whether a task must be started on probation.
+func (r Rules) IsSuspect(history History) bool {
+	return history.SimilarLosses > 1 || history.SimilarLosses == 1 && history.MaxAge <= r.MeasuredSuspectAge()
 }
 
-// MeasuredSuspectAge returns the age up to which a task may be a suspect the first time, as measured.
+// MeasuredSuspectAge returns the measured age up to which a task may be a suspect the first time:
+// SuspectAge with the tolerances added.
 func (r Rules) MeasuredSuspectAge() time.Duration {
 	return r.high(r.SuspectAge)
 }
 
-// ProbationTime returns how long a task on trial must be under way until it has outlived that.
-func (r Rules) ProbationTime(known History) time.Duration {
-	return min(max(known.MaxAge, r.MinProbation), r.MaxProbation)
+// ProbationTime returns the age from which a task on probation has outlived it.
+func (r Rules) ProbationTime(history History) time.Duration {
+	return min(max(history.MaxAge, r.MinProbation), r.MaxProbation)
 }
 
-// CountsStarts says whether the starts of a task are counted.
-func (r Rules) CountsStarts(known History) bool {
-	return known.Losses >= r.MaxLosses
+// CountsStarts reports whether the starts of a task are counted as extra starts.
+func (r Rules) CountsStarts(history History) bool {
+	return history.Losses >= r.MaxLosses
 }
 
-// StartsExhausted says whether a task must not be started any more, whatever ended its endpoints.
-func (r Rules) StartsExhausted(known History) bool {
-	return r.CountsStarts(known) && known.ExtraStarts >= r.MaxExtraStarts
+// StartsExhausted reports whether a task must not be started any more, whatever caused its losses.
+func (r Rules) StartsExhausted(history History) bool {
+	return r.CountsStarts(history) && history.ExtraStarts >= r.MaxExtraStarts
 }
 
-// IsCrasher says whether its trials are evidence enough against a task.
-func (r Rules) IsCrasher(known History) bool {
-	return known.CertainLosses > 1 && known.Weight >= r.ProofWeight
+// IsCrasher reports whether the losses in its probations are evidence enough that a task crashes its
+// endpoints.
+func (r Rules) IsCrasher(history History) bool {
+	return history.CertainLosses > 1 && history.Weight >= r.ProofWeight
 }
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -10,51 +10,59 @@
 	"damsonwinch/pkg/crash"
 )
 
-// TestBlame leads a task through ends of endpoints under it.
-func TestBlame(t *testing.T) {
+// TestTasksThatCrashEndpointsAreBlamed plays the data files, each a series of losses under tasks.
+// Commands:
+//
+//	fresh: goes on with a task that has no history
+//	end age=MS [least=MS] [sure] [explained] [trial] [rate=R]: an endpoint is lost under the task;
+//	least and age are the bounds of its age, sure stands for Certain and trial for Probation
+//	start: the task is started
+//
+// Each command prints the task's history, and how the task is started next.
+func TestTasksThatCrashEndpointsAreBlamed(t *testing.T) {
 	rules := crash.DefaultRules()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var known crash.History
+		var history crash.History
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			verdict := ""
+			blamed := ""
 			switch d.Cmd {
 			case "fresh":
-				known = crash.History{}
+				history = crash.History{}
 			case "end":
-				end := crash.Loss{Certain: d.HasArg("sure"), Explained: d.HasArg("explained"), Probation: d.HasArg("trial")}
+				loss := crash.Loss{Certain: d.HasArg("sure"), Explained: d.HasArg("explained"), Probation: d.HasArg("trial")}
 				var ms int
 				d.ScanArgs(t, "age", &ms)
-				end.MaxAge = time.Duration(ms) * time.Millisecond
-				end.MinAge = end.MaxAge
+				loss.MaxAge = time.Duration(ms) * time.Millisecond
+				loss.MinAge = loss.MaxAge
 				if d.HasArg("least") {
 					d.ScanArgs(t, "least", &ms)
-					end.MinAge = time.Duration(ms) * time.Millisecond
+					loss.MinAge = time.Duration(ms) * time.Millisecond
 				}
-				d.MaybeScanArgs(t, "rate", &end.LossRate)
-				if rules.Blames(known, end) {
-					verdict = "; it is to blame"
+				d.MaybeScanArgs(t, "rate", &loss.LossRate)
+				if rules.Blames(history, loss) {
+					blamed = "; it is to blame"
 				}
-				known = rules.Add(known, end)
+				history = rules.Add(history, loss)
 			case "start":
-				if rules.CountsStarts(known) {
-					known = known.WithExtraStarts(1)
+				if rules.CountsStarts(history) {
+					history = history.WithExtraStarts(1)
 				}
 			default:
 				d.Fatalf(t, "unknown command")
 			}
 			return fmt.Sprintf("%d ended, %d surely under it, %d alike at %v to %v, weight %d; %s%s\n",
-				known.Losses, known.CertainLosses, known.SimilarLosses, known.MinAge, known.MaxAge, known.Weight, next(rules, known), verdict)
+				history.Losses, history.CertainLosses, history.SimilarLosses, history.MinAge, history.MaxAge, history.Weight, next(rules, history), blamed)
 		})
 	})
 }
 
-// next says how a task is started next.
-func next(rules crash.Rules, known crash.History) string {
+// next returns how a task is started next.
+func next(rules crash.Rules, history crash.History) string {
 	switch {
-	case rules.IsCrasher(known), rules.StartsExhausted(known):
+	case rules.IsCrasher(history), rules.StartsExhausted(history):
 		return "never again"
-	case rules.IsSuspect(known):
-		return fmt.Sprintf("on trial for %v", rules.ProbationTime(known))
+	case rules.IsSuspect(history):
+		return fmt.Sprintf("on trial for %v", rules.ProbationTime(history))
 	}
 	return "as any other"
 }
