--- a/pkg/triage/heap.go
+++ b/pkg/triage/heap.go
@@ -2,40 +2,41 @@
 
 import "container/heap"
 
-// byWorth is a heap of items' places, that of the least worth for what it takes on top.
-type byWorth struct {
+// valueHeap is a heap of indexes of items. The item with the least value per remaining work is on
+// top.
+type valueHeap struct {
 	items []Item
 	order []int
 }
 
-var _ heap.Interface = (*byWorth)(nil)
+var _ heap.Interface = (*valueHeap)(nil)
 
 // Len implements heap.Interface.
-func (b *byWorth) Len() int { return len(b.order) }
+func (h *valueHeap) Len() int { return len(h.order) }
 
-// Less implements heap.Interface. Of equal ones the later goes first, so that choices
-// don't change from one time to the next.
-func (b *byWorth) Less(i, j int) bool {
-	one, other := b.items[b.order[i]], b.items[b.order[j]]
-	if left, right := one.Value*other.RemainingWork, other.Value*one.RemainingWork; left != right {
+// Less implements heap.Interface. Of equal items the later one is less, so that the choice between
+// them is always the same.
+func (h *valueHeap) Less(i, j int) bool {
+	a, b := h.items[h.order[i]], h.items[h.order[j]]
+	if left, right := a.Value*b.RemainingWork, b.Value*a.RemainingWork; left != right {
 		return left < right
 	}
-	return b.order[i] > b.order[j]
+	return h.order[i] > h.order[j]
 }
 
 // Swap implements heap.Interface.
-func (b *byWorth) Swap(i, j int) { b.order[i], b.order[j] = b.order[j], b.order[i] }
+func (h *valueHeap) Swap(i, j int) { h.order[i], h.order[j] = h.order[j], h.order[i] }
 
-// Push implements heap.Interface. All that is pushed are places.
-func (b *byWorth) Push(place any) {
-	at, _ := place.(int)
-	b.order = append(b.order, at)
+// Push implements heap.Interface. Only indexes of items are pushed.
+func (h *valueHeap) Push(index any) {
+	i, _ := index.(int)
+	h.order = append(h.order, i)
 }
 
 // Pop implements heap.Interface.
-func (b *byWorth) Pop() any {
-	last := len(b.order) - 1
-	place := b.order[last]
-	b.order = b.order[:last]
-	return place
+func (h *valueHeap) Pop() any {
+	last := len(h.order) - 1
+	index := h.order[last]
+	h.order = h.order[:last]
+	return index
 }
