--- a/pkg/eject/eject.go
+++ b/pkg/eject/eject.go
@@ -1,170 +1,176 @@
-// Package eject tells bad boxes from bad jobs by what fails where. It is pure;
-// the time is passed in.
+// Package eject tells bad boxes from bad requests by what fails where, and ejects bad boxes for
+// some time. It does no I/O and reads no clock; the time is passed in.
 package eject
 
 import "time"
 
-// Rules of ejection.
 const (
-	// strikesToEject is the number of different requests that must have failed
-	// on a box and count against it.
-	strikesToEject = 3
-	// boxesToBlame is the number of different boxes on which a request must have
-	// failed before the request is to blame.
-	boxesToBlame = 3
-	// runToEject is the number of failures in a row, of requests that were not
-	// tried elsewhere, that eject a box while others answer.
-	runToEject    = 5
+	// failedRequestsToEject is the number of different requests that must have failed on a box and
+	// succeeded on another one before the box should be ejected.
+	failedRequestsToEject = 3
+	// boxesToBlameRequest is the number of different boxes on which a request must have failed
+	// before the request itself is to blame.
+	boxesToBlameRequest = 3
+	// failuresInRowToEject is the number of failures in a row after which a box should be ejected.
+	// These count even if the requests were not tried on other boxes.
+	failuresInRowToEject = 5
+	// firstEjection is the time of the first ejection. Each further one in a row takes twice as
+	// long, up to maxEjection.
 	firstEjection = 2 * time.Second
-	mostEjection  = 60 * time.Second
-	// forgetAfter is how long a request's failures are remembered.
-	forgetAfter = 2 * time.Minute
+	maxEjection   = 60 * time.Second
+	// failureRetention is how long a request's failures are remembered.
+	failureRetention = 2 * time.Minute
 )
 
-// Tracker remembers failures of boxes and of requests.
+// Tracker tracks the failures of requests on boxes, and the boxes that are ejected.
 type Tracker struct {
-	boxes    map[string]*record
-	requests map[string]*trial
+	boxes    map[string]*boxState
+	requests map[string]*requestFailures
 }
 
-// record is what counts for and against one box.
-type record struct {
-	strikes  map[string]bool
-	run      int // Failures in a row.
-	ejected  bool
-	until    time.Time
-	times    int // Ejections in a row.
-	answered int // Successes since its return.
+// boxState holds what speaks for and against one box.
+type boxState struct {
+	// failedRequests are the requests that failed on the box and succeeded on another one.
+	failedRequests map[string]bool
+	failuresInRow  int
+	ejected        bool
+	// ejectedUntil is when an ejected box may be probed.
+	ejectedUntil    time.Time
+	ejectionsInRow  int
+	recentSuccesses int // Since the box was reinstated or last blamed for a failure.
 }
 
-// trial is where one request has failed.
-type trial struct {
-	failed []string
-	at     time.Time
+// requestFailures holds where one request has failed, and when it failed last.
+type requestFailures struct {
+	boxes []string
+	at    time.Time
 }
 
-// New returns an empty book.
+// New returns a tracker without failures.
 func New() *Tracker {
-	return &Tracker{boxes: map[string]*record{}, requests: map[string]*trial{}}
+	return &Tracker{boxes: map[string]*boxState{}, requests: map[string]*requestFailures{}}
 }
 
-func (b *Tracker) box(name string) *record {
-	if b.boxes[name] == nil {
-		b.boxes[name] = &record{strikes: map[string]bool{}}
+// box returns the state of a box, which it creates if there is none.
+func (t *Tracker) box(name string) *boxState {
+	if t.boxes[name] == nil {
+		t.boxes[name] = &boxState{failedRequests: map[string]bool{}}
 	}
-	return b.boxes[name]
+	return t.boxes[name]
 }
 
 // AddFailure notes that a request failed on a box.
-func (b *Tracker) AddFailure(request, box string, now time.Time) {
-	known := b.requests[request]
-	if known == nil {
-		known = &trial{}
-		b.requests[request] = known
+func (t *Tracker) AddFailure(request, box string, now time.Time) {
+	failures := t.requests[request]
+	if failures == nil {
+		failures = &requestFailures{}
+		t.requests[request] = failures
 	}
-	known.failed = append(known.failed, box)
-	known.at = now
-	b.box(box).run++
-	if b.FailsEverywhere(request) {
-		b.excuse(request, known)
+	failures.boxes = append(failures.boxes, box)
+	failures.at = now
+	t.box(box).failuresInRow++
+	if t.FailsEverywhere(request) {
+		t.excuseBoxes(request, failures)
 	}
 }
 
-// excuse takes a request's failures off the boxes: it fails everywhere.
-func (b *Tracker) excuse(request string, known *trial) {
-	for _, name := range known.failed {
-		box := b.box(name)
-		delete(box.strikes, request)
-		box.run = max(0, box.run-1)
+// excuseBoxes stops counting the failures of a request that fails everywhere against the boxes.
+func (t *Tracker) excuseBoxes(request string, failures *requestFailures) {
+	for _, name := range failures.boxes {
+		box := t.box(name)
+		delete(box.failedRequests, request)
+		box.failuresInRow = max(0, box.failuresInRow-1)
 	}
 }
 
-// AddSuccess notes that a request was answered by a box. Where it failed before,
-// the box was to blame.
-func (b *Tracker) AddSuccess(request, box string) {
-	passed := b.box(box)
-	passed.run = 0
-	passed.answered++
-	if passed.answered >= strikesToEject {
-		passed.times = 0
-		passed.strikes = map[string]bool{}
+// AddSuccess notes that a request succeeded on a box. The other boxes where it failed before are to
+// blame for that.
+func (t *Tracker) AddSuccess(request, box string) {
+	succeeded := t.box(box)
+	succeeded.failuresInRow = 0
+	succeeded.recentSuccesses++
+	if succeeded.recentSuccesses >= failedRequestsToEject {
+		succeeded.ejectionsInRow = 0
+		succeeded.failedRequests = map[string]bool{}
 	}
-	known := b.requests[request]
-	if known == nil {
+	failures := t.requests[request]
+	if failures == nil {
 		return
 	}
-	for _, name := range known.failed {
+	for _, name := range failures.boxes {
 		if name != box {
-			b.box(name).strikes[request] = true
-			b.box(name).answered = 0
+			t.box(name).failedRequests[request] = true
+			t.box(name).recentSuccesses = 0
 		}
 	}
-	delete(b.requests, request)
+	delete(t.requests, request)
 }
 
-// FailsEverywhere says whether a request has failed on so many boxes that it is to
-// blame itself.
-func (b *Tracker) FailsEverywhere(request string) bool {
-	known := b.requests[request]
-	if known == nil {
+// FailsEverywhere reports whether a request has failed on so many boxes that the request itself is
+// to blame. Boxes that are ejected don't count.
+func (t *Tracker) FailsEverywhere(request string) bool {
+	failures := t.requests[request]
+	if failures == nil {
 		return false
 	}
 	different := map[string]bool{}
-	for _, box := range known.failed {
-		if !b.IsEjected(box) {
+	for _, box := range failures.boxes {
+		if !t.IsEjected(box) {
 			different[box] = true
 		}
 	}
-	return len(different) >= boxesToBlame
+	return len(different) >= boxesToBlameRequest
 }
 
-// ForgetRequest forgets a request that is tried no more.
-func (b *Tracker) ForgetRequest(request string) {
-	delete(b.requests, request)
+// ForgetRequest drops the failures of a request that is not tried again.
+func (t *Tracker) ForgetRequest(request string) {
+	delete(t.requests, request)
 }
 
-// ShouldEject says whether a box has failed often enough to be ejected.
-func (b *Tracker) ShouldEject(name string) bool {
-	box := b.boxes[name]
+// ShouldEject reports whether a box has failed often enough to be ejected.
+func (t *Tracker) ShouldEject(name string) bool {
+	box := t.boxes[name]
 	if box == nil || box.ejected {
 		return false
 	}
-	return len(box.strikes) >= strikesToEject || box.run >= runToEject
+	return len(box.failedRequests) >= failedRequestsToEject || box.failuresInRow >= failuresInRowToEject
 }
 
-// Eject takes a box out for a time that doubles with each ejection in a row.
-func (b *Tracker) Eject(name string, now time.Time) {
-	box := b.box(name)
-	pause := min(mostEjection, firstEjection<<min(box.times, 10))
-	box.ejected, box.until = true, now.Add(pause)
-	box.times++
-	box.run, box.answered = 0, 0
-	box.strikes = map[string]bool{}
+// Eject ejects a box, for a time that doubles with each ejection in a row.
+func (t *Tracker) Eject(name string, now time.Time) {
+	box := t.box(name)
+	pause := min(maxEjection, firstEjection<<min(box.ejectionsInRow, 10))
+	box.ejected, box.ejectedUntil = true, now.Add(pause)
+	box.ejectionsInRow++
+	box.failuresInRow, box.recentSuccesses = 0, 0
+	box.failedRequests = map[string]bool{}
 }
 
-// IsEjected says whether a box is out, waiting or on trial.
-func (b *Tracker) IsEjected(name string) bool {
-	box := b.boxes[name]
+// IsEjected reports whether a box is ejected. It stays so until Reinstate, also while it may be
+// probed.
+func (t *Tracker) IsEjected(name string) bool {
+	box := t.boxes[name]
 	return box != nil && box.ejected
 }
 
-// MayProbe says whether an ejected box may be tried with one repeatable request.
-func (b *Tracker) MayProbe(name string, now time.Time) bool {
-	box := b.boxes[name]
-	return box != nil && box.ejected && !now.Before(box.until)
+// MayProbe reports whether the time of an ejected box is over, so that it may be probed with one
+// repeatable request.
+func (t *Tracker) MayProbe(name string, now time.Time) bool {
+	box := t.boxes[name]
+	return box != nil && box.ejected && !now.Before(box.ejectedUntil)
 }
 
-// Reinstate takes an ejected box back after it has answered.
-func (b *Tracker) Reinstate(name string) {
-	box := b.box(name)
-	box.ejected, box.run, box.answered = false, 0, 0
+// Reinstate ends the ejection of a box that has answered a probe.
+func (t *Tracker) Reinstate(name string) {
+	box := t.box(name)
+	box.ejected, box.failuresInRow, box.recentSuccesses = false, 0, 0
 }
 
-// ForgetOldFailures drops old failures of requests.
-func (b *Tracker) ForgetOldFailures(now time.Time) {
-	for request, known := range b.requests {
-		if now.Sub(known.at) > forgetAfter {
-			delete(b.requests, request)
+// ForgetOldFailures drops the failures of requests that failed last more than failureRetention ago.
+func (t *Tracker) ForgetOldFailures(now time.Time) {
+	for request, failures := range t.requests {
+		if now.Sub(failures.at) > failureRetention {
+			delete(t.requests, request)
 		}
 	}
 }
--- a/pkg/eject/eject_test.go
+++ b/pkg/eject/eject_test.go
@@ -10,62 +10,62 @@
 
 var start = time.Unix(1000, 0)
 
-func TestABoxIsSuspectWhenItsFailuresPassElsewhere(t *testing.T) {
-	book := New()
-	for number := range strikesToEject {
+func TestBoxIsEjectedWhenItsFailuresSucceedElsewhere(t *testing.T) {
+	tracker := New()
+	for number := range failedRequestsToEject {
 		request := fmt.Sprint(number)
-		assert.Assert(t, !book.ShouldEject("bad"))
-		book.AddFailure(request, "bad", start)
-		book.AddSuccess(request, "good")
+		assert.Assert(t, !tracker.ShouldEject("bad"))
+		tracker.AddFailure(request, "bad", start)
+		tracker.AddSuccess(request, "good")
 	}
-	assert.Assert(t, book.ShouldEject("bad"))
-	assert.Assert(t, !book.ShouldEject("good"))
+	assert.Assert(t, tracker.ShouldEject("bad"))
+	assert.Assert(t, !tracker.ShouldEject("good"))
 }
 
-func TestARequestThatFailsEverywhereBlamesNoBox(t *testing.T) {
-	book := New()
+func TestNoBoxIsEjectedForRequestThatFailsEverywhere(t *testing.T) {
+	tracker := New()
 	for number := range 20 {
 		request := fmt.Sprint(number)
 		for _, box := range []string{"a", "b", "c"} {
-			book.AddFailure(request, box, start)
+			tracker.AddFailure(request, box, start)
 		}
-		assert.Assert(t, book.FailsEverywhere(request))
-		book.ForgetRequest(request)
+		assert.Assert(t, tracker.FailsEverywhere(request))
+		tracker.ForgetRequest(request)
 	}
 	for _, box := range []string{"a", "b", "c"} {
-		assert.Assert(t, !book.ShouldEject(box), box)
+		assert.Assert(t, !tracker.ShouldEject(box), box)
 	}
 }
 
-func TestFailuresInARowEjectWithoutRetries(t *testing.T) {
-	book := New()
-	for number := range runToEject {
-		book.AddFailure(fmt.Sprint(number), "bad", start)
-		book.AddSuccess(fmt.Sprint("other", number), "good")
+func TestFailuresInRowEjectWithoutRetries(t *testing.T) {
+	tracker := New()
+	for number := range failuresInRowToEject {
+		tracker.AddFailure(fmt.Sprint(number), "bad", start)
+		tracker.AddSuccess(fmt.Sprint("other", number), "good")
 	}
-	assert.Assert(t, book.ShouldEject("bad"))
+	assert.Assert(t, tracker.ShouldEject("bad"))
 }
 
-func TestEjectionsGrowLongerAndEnd(t *testing.T) {
-	book := New()
-	book.Eject("bad", start)
-	assert.Assert(t, !book.MayProbe("bad", start.Add(firstEjection-1)))
-	assert.Assert(t, book.MayProbe("bad", start.Add(firstEjection)))
-	book.Eject("bad", start)
-	assert.Assert(t, !book.MayProbe("bad", start.Add(firstEjection)))
-	book.Reinstate("bad")
-	assert.Assert(t, !book.IsEjected("bad"))
-	for number := range strikesToEject {
-		book.AddSuccess(fmt.Sprint(number), "bad")
+func TestEjectionTimeDoublesUntilBoxSucceeds(t *testing.T) {
+	tracker := New()
+	tracker.Eject("bad", start)
+	assert.Assert(t, !tracker.MayProbe("bad", start.Add(firstEjection-1)))
+	assert.Assert(t, tracker.MayProbe("bad", start.Add(firstEjection)))
+	tracker.Eject("bad", start)
+	assert.Assert(t, !tracker.MayProbe("bad", start.Add(firstEjection)))
+	tracker.Reinstate("bad")
+	assert.Assert(t, !tracker.IsEjected("bad"))
+	for number := range failedRequestsToEject {
+		tracker.AddSuccess(fmt.Sprint(number), "bad")
 	}
-	book.Eject("bad", start)
-	assert.Assert(t, book.MayProbe("bad", start.Add(firstEjection)))
+	tracker.Eject("bad", start)
+	assert.Assert(t, tracker.MayProbe("bad", start.Add(firstEjection)))
 }
 
 func TestOldFailuresAreForgotten(t *testing.T) {
-	book := New()
-	book.AddFailure("r", "bad", start)
-	book.ForgetOldFailures(start.Add(forgetAfter + 1))
-	book.AddSuccess("r", "good")
-	assert.Equal(t, len(book.box("bad").strikes), 0)
+	tracker := New()
+	tracker.AddFailure("r", "bad", start)
+	tracker.ForgetOldFailures(start.Add(failureRetention + 1))
+	tracker.AddSuccess("r", "good")
+	assert.Equal(t, len(tracker.box("bad").failedRequests), 0)
 }
