--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,12 +1,13 @@
-// Package limit divides a limit of the table among the processes that enforce
-// it. Each computes the same shares from the same state, so that the sum keeps
-// the limit without messages.
+// Package limit divides a limit of the configured table (package table) among the processes that
+// enforce it. Each process computes the same shares from the same state, so that the sum of the
+// shares keeps the limit without messages between them.
 package limit
 
 import "slices"
 
-// Apportion divides a total by weights: each gets its whole part, and what is
-// left goes to the largest remainders, the earlier one among equals.
+// Apportion divides a total in proportion to weights, by the largest remainder method: each share
+// is rounded down, and the units that are left go to the largest remainders, the earlier one of
+// equal ones first. The shares are 0 if the weights are, or if the total isn't positive.
 func Apportion(total int, weights []int) []int {
 	sum := 0
 	for _, weight := range weights {
@@ -17,22 +18,23 @@
 		return shares
 	}
 	left := total
-	order := make([]int, len(weights))
+	byRemainder := make([]int, len(weights))
 	for i, weight := range weights {
 		shares[i] = total * weight / sum
 		left -= shares[i]
-		order[i] = i
+		byRemainder[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int {
+	slices.SortStableFunc(byRemainder, func(a, b int) int {
 		return total*weights[b]%sum - total*weights[a]%sum
 	})
-	for _, i := range order[:left] {
+	for _, i := range byRemainder[:left] {
 		shares[i]++
 	}
 	return shares
 }
 
-// Share returns one process's part of a total.
+// Share returns the share of the process with the given index in weights, 0 for an index out of
+// range.
 func Share(total int, weights []int, index int) int {
 	if index < 0 || index >= len(weights) {
 		return 0
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSharesKeepTheTotal(t *testing.T) {
+func TestSharesAddUpToTotal(t *testing.T) {
 	const seed, rounds = 7, 2000
 	random := rand.New(rand.NewPCG(seed, seed))
 	for round := range rounds {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestSharesFollowTheWeights(t *testing.T) {
+func TestSharesAreProportionalToWeights(t *testing.T) {
 	assert.DeepEqual(t, Apportion(10, []int{1, 1, 1}), []int{4, 3, 3})
 	assert.DeepEqual(t, Apportion(7, []int{8, 0, 8}), []int{4, 0, 3})
 	assert.Equal(t, Share(10, []int{1, 1}, 2), 0)
