--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -94,7 +94,7 @@
 	started := planner.New(planner.Deps{
 		Store: n.deps.Platform.Store, Fleet: n.deps.Platform.Fleet, Clock: n.deps.Clock, Logger: n.deps.Logger.WithField("cell", claim.Cell),
 		Metrics: n.deps.Metrics, Sync: n.router.Sync, WaveReport: n.deps.Platform.WaveReport,
-		SuspendedTime:       n.deps.Slept,
+		SuspendedTime:  n.deps.Slept,
 		OnFirstBoxList: func(count int) { n.send(boxesCounted{boxes: count}) },
 	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
 	started.Configure(n.state.configuration, n.state.layout)
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -25,16 +25,16 @@
 
 // Times of the planner.
 const (
-	// round is the time between two plans: a queue in time for 1.2 s is waiting for half of that already.
-	round = 100 * time.Millisecond
-	// boxesEvery is the time between two readings of the list of boxes.
-	boxesEvery = 400 * time.Millisecond
+	// planInterval is the time between two plans: a queue in time for 1.2 s is waiting for half of that already.
+	planInterval = 100 * time.Millisecond
+	// boxListInterval is the time between two readings of the list of boxes.
+	boxListInterval = 400 * time.Millisecond
 	// callTimeout bounds a call to a cell's owner or the control of boxes. The list of
 	// boxes may be silent for so long; it is as large as the fleet, 1.7 MB with 5,800.
 	callTimeout = 800 * time.Millisecond
-	// poolsLogged is the time between two log lines on the pools.
-	poolsLogged = time.Second
-	inboxSize   = 64
+	// poolLogInterval is the time between two log lines on the pools.
+	poolLogInterval = time.Second
+	inboxSize       = 64
 )
 
 // Deps are what a planner works with.
@@ -65,35 +65,35 @@
 
 // Planner is the running task.
 type Planner struct {
-	deps     Deps
-	options  Options
-	supply   *supply.Planner
-	allotter *quota.Allotter
-	inbox    chan any
-	group    *errgroup.Group
-	ctx      context.Context // Ends with the task.
-	cancel   context.CancelFunc
-	done     chan struct{}
-	writer   *stream.Writer
-	pools    []damsonwinch.Pool
-	layout   shard.Layout
-	syncing  map[string]bool
+	deps         Deps
+	options      Options
+	supply       *supply.Planner
+	allotter     *quota.Allotter
+	inbox        chan any
+	group        *errgroup.Group
+	ctx          context.Context // Ends with the task.
+	cancel       context.CancelFunc
+	done         chan struct{}
+	writer       *stream.Writer
+	pools        []damsonwinch.Pool
+	layout       shard.Layout
+	syncInFlight map[string]bool
 	// syncedAt is when each cell's owner was last called, and dealtAt when caps were last dealt.
-	syncedAt map[string]time.Time
-	dealtAt  time.Time
-	boxesAt  time.Time
-	boxesOut bool
-	boxesIn  bool
-	// pending are records that wait for the append on its way.
-	pending   []damsonwinch.Record
-	afterward []supply.Order
-	// raised are the customers of whom cells may be told more once that is recorded.
-	raised    []string
-	appending bool
-	telling   map[int]bool
-	loggedAt  time.Time
-	// sleptBefore is for how long the machine had been suspended when this planner began.
-	sleptBefore time.Duration
+	syncedAt         map[string]time.Time
+	allocatedAt      time.Time
+	boxesRequestedAt time.Time
+	boxListInFlight  bool
+	boxListReceived  bool
+	// pendingRecords are records that wait for the append on its way.
+	pendingRecords []damsonwinch.Record
+	pendingOrders  []supply.Order
+	// pendingCustomers are the customers of whom cells may be told more once that is recorded.
+	pendingCustomers []string
+	appendInFlight   bool
+	reportInFlight   map[int]bool
+	poolsLoggedAt    time.Time
+	// suspendedBefore is for how long the machine had been suspended when this planner began.
+	suspendedBefore time.Duration
 }
 
 // Messages to the task.
@@ -102,8 +102,8 @@
 		configuration damsonwinch.Configuration
 		layout        shard.Layout
 	}
-	waveWanted struct{ wave damsonwinch.Wave }
-	synced     struct {
+	waveRequested struct{ wave damsonwinch.Wave }
+	synced        struct {
 		cell  string
 		reply wire.SyncReply
 		err   error
@@ -118,11 +118,11 @@
 		raised []string
 		err    error
 	}
-	ordered struct {
+	orderAnswered struct {
 		order supply.Order
 		err   error
 	}
-	told struct {
+	waveReported struct {
 		wave      int
 		completed bool
 		err       error
@@ -136,8 +136,8 @@
 	p := &Planner{
 		deps: deps, options: options, supply: supply.New(options.Supply), allotter: quota.NewAllotter(), inbox: make(chan any, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
-		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncing: map[string]bool{}, syncedAt: map[string]time.Time{}, telling: map[int]bool{},
-		sleptBefore: deps.SuspendedTime.Total(),
+		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncInFlight: map[string]bool{}, syncedAt: map[string]time.Time{}, reportInFlight: map[int]bool{},
+		suspendedBefore: deps.SuspendedTime.Total(),
 	}
 	group.Go(p.run)
 	return p
@@ -170,7 +170,7 @@
 
 // SetWave tells the planner of a wave.
 func (p *Planner) SetWave(wave damsonwinch.Wave) {
-	p.send(waveWanted{wave: wave})
+	p.send(waveRequested{wave: wave})
 }
 
 func (p *Planner) send(m any) {
@@ -187,7 +187,7 @@
 		p.deps.Logger.WithError(err).Warn("planning not taken over")
 		return err
 	}
-	ticker := p.deps.Clock.NewTicker(round)
+	ticker := p.deps.Clock.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		var due func() error
@@ -195,11 +195,11 @@
 		case <-p.ctx.Done():
 			return p.ctx.Err()
 		case m := <-p.inbox:
-			due = func() error { return p.take(m) }
+			due = func() error { return p.handle(m) }
 		case <-ticker.Chan():
 			due = func() error { p.plan(); return nil }
 		}
-		if err := p.awake(); err != nil {
+		if err := p.checkSuspension(); err != nil {
 			return err
 		}
 		if err := due(); err != nil {
@@ -209,17 +209,17 @@
 	}
 }
 
-var errSlept = errors.New("the machine was suspended")
+var errSuspended = errors.New("the machine was suspended")
 
-// awake returns an error once the machine has been suspended: another node may plan by then,
+// checkSuspension returns an error once the machine has been suspended: another node may plan by then,
 // and what this one knows of boxes is old. It gives no order any more.
-func (p *Planner) awake() error {
-	slept := p.deps.SuspendedTime.Total() - p.sleptBefore
+func (p *Planner) checkSuspension() error {
+	slept := p.deps.SuspendedTime.Total() - p.suspendedBefore
 	if slept < damsonwinch.NegligibleSleep {
 		return nil
 	}
 	p.deps.Logger.WithField("slept_ms", slept.Milliseconds()).Warn("planning given up: the machine was suspended")
-	return errSlept
+	return errSuspended
 }
 
 // takeOver loads what earlier planners recorded, after they are kept out of the stream.
@@ -229,7 +229,7 @@
 		return err
 	}
 	for _, record := range records {
-		if err := p.recall(record); err != nil {
+		if err := p.loadRecord(record); err != nil {
 			return err
 		}
 	}
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (p *Planner) take(m any) error {
+func (p *Planner) handle(m any) error {
 	now := p.deps.Clock.Now()
 	switch m := m.(type) {
 	case configured:
@@ -245,48 +245,48 @@
 		p.supply.SetPools(p.pools, p.layout)
 		p.allotter.Configure(m.configuration.Version, m.configuration.Customers)
 		if p.layout.Decided() {
-			p.allotter.SetCells(now, p.cells())
+			p.allotter.SetCells(now, p.cellNames())
 		}
-		p.deal()
-	case waveWanted:
+		p.allocate()
+	case waveRequested:
 		p.supply.SetWave(now, m.wave)
 	case synced:
-		delete(p.syncing, m.cell)
+		delete(p.syncInFlight, m.cell)
 		if m.err == nil {
 			p.supply.SetReport(now, m.cell, m.reply)
 			p.allotter.Heard(m.cell, p.options.Token, m.reply)
-			p.dealPaced(now)
+			p.allocateThrottled(now)
 		}
 	case boxesListed:
-		p.boxesOut = false
+		p.boxListInFlight = false
 		if m.err != nil {
 			p.deps.Logger.WithError(m.err).Warn("list of boxes not read")
 			return nil
 		}
-		if !p.boxesIn {
-			p.boxesIn = true
+		if !p.boxListReceived {
+			p.boxListReceived = true
 			p.deps.OnFirstBoxList(len(m.boxes))
 		}
 		p.supply.SetBoxes(m.askedAt, m.boxes)
 	case appended:
-		return p.recorded(m)
-	case ordered:
-		p.takeOrdered(now, m)
-	case told:
-		delete(p.telling, m.wave)
+		return p.handleAppended(m)
+	case orderAnswered:
+		p.handleOrderAnswer(now, m)
+	case waveReported:
+		delete(p.reportInFlight, m.wave)
 		if m.err == nil {
-			p.supply.Told(m.wave, m.completed)
+			p.supply.WaveReported(m.wave, m.completed)
 		}
 	}
 	return nil
 }
 
-func (p *Planner) takeOrdered(now time.Time, m ordered) {
+func (p *Planner) handleOrderAnswer(now time.Time, m orderAnswered) {
 	fields := logrus.Fields{"box": m.order.Box, "pool": m.order.Pool, "wave": m.order.Wave}
 	if m.err != nil {
 		p.deps.Logger.WithError(m.err).WithFields(fields).Warn("order on box not carried out")
 	}
-	p.supply.Ordered(now, m.order, m.err)
+	p.supply.HandleOrderResult(now, m.order, m.err)
 	if errors.Is(m.err, damsonwinch.ErrOldToken) {
 		p.deps.Logger.Warn("planning lost: a newer planner has ordered")
 		p.cancel()
@@ -296,40 +296,40 @@
 // plan makes the calls that are due and decides.
 func (p *Planner) plan() {
 	now := p.deps.Clock.Now()
-	if !p.boxesOut && now.Sub(p.boxesAt) >= boxesEvery {
-		p.boxesOut, p.boxesAt = true, now
-		p.readBoxes(now)
+	if !p.boxListInFlight && now.Sub(p.boxesRequestedAt) >= boxListInterval {
+		p.boxListInFlight, p.boxesRequestedAt = true, now
+		p.requestBoxList(now)
 	}
 	if !p.layout.Decided() {
 		return
 	}
-	if p.boxesIn {
+	if p.boxListReceived {
 		for _, order := range p.supply.Plan(now) {
-			p.record(order, now)
+			p.queueOrder(order, now)
 		}
 		p.flush()
-		p.tell()
+		p.reportWaves()
 		p.logPools(now)
 	}
-	p.dealPaced(now)
-	for _, cell := range p.cells() {
-		p.syncOnce(cell)
+	p.allocateThrottled(now)
+	for _, cell := range p.cellNames() {
+		p.syncUnlessInFlight(cell)
 	}
 }
 
 // logPools writes what the planner believes of the pools.
 func (p *Planner) logPools(now time.Time) {
-	if now.Sub(p.loggedAt) < poolsLogged {
+	if now.Sub(p.poolsLoggedAt) < poolLogInterval {
 		return
 	}
-	p.loggedAt = now
+	p.poolsLoggedAt = now
 	p.deps.Logger.WithField("pools", p.supply.Summary()).Info("pools")
 	if pressed := p.allotter.Summary(); len(pressed) > 0 {
 		p.deps.Logger.WithField("customers", pressed).Info("customers that want more than their allowances")
 	}
 }
 
-func (p *Planner) readBoxes(now time.Time) {
+func (p *Planner) requestBoxList(now time.Time) {
 	p.group.Go(func() error {
 		ctx, cancel := idle.WithTimeout(p.ctx, p.deps.Clock, callTimeout, callTimeout)
 		defer cancel(nil)
@@ -339,8 +339,8 @@
 	})
 }
 
-// order gives a recorded order.
-func (p *Planner) order(order supply.Order) {
+// sendOrder gives a recorded sendOrder.
+func (p *Planner) sendOrder(order supply.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
 	holder := damsonwinch.Holder{Node: p.options.Node, Token: p.options.Token}
 	p.group.Go(func() error {
@@ -352,24 +352,24 @@
 		} else {
 			err = p.deps.Fleet.Move(ctx, holder, order.Box, order.Pool)
 		}
-		p.send(ordered{order: order, err: err})
+		p.send(orderAnswered{order: order, err: err})
 		return nil
 	})
 }
 
-// tell tells the operator how far the waves are.
-func (p *Planner) tell() {
-	for _, report := range p.supply.Reports() {
-		if p.telling[report.Wave] {
+// reportWaves tells the operator how far the waves are.
+func (p *Planner) reportWaves() {
+	for _, report := range p.supply.PendingWaveReports() {
+		if p.reportInFlight[report.Wave] {
 			continue
 		}
-		p.telling[report.Wave] = true
+		p.reportInFlight[report.Wave] = true
 		p.group.Go(func() error {
 			stream, record := p.deps.WaveReport(report.Wave, report.Completed)
 			ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 			defer cancel()
 			_, err := p.deps.Store.Append(ctx, stream, []damsonwinch.Record{record}, damsonwinch.Fence{})
-			p.send(told{wave: report.Wave, completed: report.Completed, err: err})
+			p.send(waveReported{wave: report.Wave, completed: report.Completed, err: err})
 			return nil
 		})
 	}
@@ -381,14 +381,14 @@
 	wavePrefix  = "wave/"
 )
 
-func (p *Planner) recall(record damsonwinch.Record) error {
+func (p *Planner) loadRecord(record damsonwinch.Record) error {
 	switch {
 	case strings.HasPrefix(record.Key, orderPrefix):
-		return p.recallOrder(record)
+		return p.loadOrder(record)
 	case strings.HasPrefix(record.Key, wavePrefix):
-		return p.recallWave(record)
-	case strings.HasPrefix(record.Key, allottedPrefix):
-		return p.recallAllotted(record)
+		return p.loadWave(record)
+	case strings.HasPrefix(record.Key, allocationPrefix):
+		return p.loadAllocation(record)
 	}
 	return fmt.Errorf("record %s of the planner's stream is unknown", record.Key)
 }
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -13,12 +13,12 @@
 	"damsonwinch/pkg/wire"
 )
 
-func (p *Planner) recallOrder(record damsonwinch.Record) error {
+func (p *Planner) loadOrder(record damsonwinch.Record) error {
 	var order wire.OrderRecord
 	if err := json.Unmarshal(record.Value, &order); err != nil {
 		return fmt.Errorf("read %s: %w", record.Key, err)
 	}
-	p.supply.Recall(order)
+	p.supply.LoadOrder(order)
 	return nil
 }
 
@@ -33,48 +33,48 @@
 	if err := json.Unmarshal(record.Value, &order); err != nil {
 		return "", nil, fmt.Errorf("read %s: %w", record.Key, err)
 	}
-	return order.Box, supply.PlacementOf(order), nil
+	return order.Box, supply.PlacementFromRecord(order), nil
 }
 
-func (p *Planner) recallWave(record damsonwinch.Record) error {
+func (p *Planner) loadWave(record damsonwinch.Record) error {
 	var wave wire.WaveRecord
 	if err := json.Unmarshal(record.Value, &wave); err != nil {
 		return fmt.Errorf("read %s: %w", record.Key, err)
 	}
-	p.supply.RecallWave(p.deps.Clock.Now(), wave)
+	p.supply.LoadWave(p.deps.Clock.Now(), wave)
 	return nil
 }
 
-// record puts an order, and the progress of its wave, among the records to be
+// queueOrder puts an order, and the progress of its wave, among the records to be
 // appended before it is given.
-func (p *Planner) record(order supply.Order, now time.Time) {
-	p.add(orderPrefix+order.Box, wire.OrderRecord{
-		Box: order.Box, Pool: order.Pool, Wave: order.Wave, AtMs: int(now.UnixMilli()), Endpoint: order.Endpoint.String(), Cause: order.Cause,
-		Placement: &wire.PlacementRecord{Shard: order.Shard, Before: order.Before},
+func (p *Planner) queueOrder(order supply.Order, now time.Time) {
+	p.queueRecord(orderPrefix+order.Box, wire.OrderRecord{
+		Box: order.Box, Pool: order.Pool, Wave: order.Wave, AtMs: int(now.UnixMilli()), Endpoint: order.Life.String(), Cause: order.Cause,
+		Placement: &wire.PlacementRecord{Shard: order.Shard, Before: order.PreviousShard},
 	})
 	if order.Wave > 0 {
-		p.add(wavePrefix+strconv.Itoa(order.Wave), p.supply.WaveRecord(order.Wave))
+		p.queueRecord(wavePrefix+strconv.Itoa(order.Wave), p.supply.WaveRecord(order.Wave))
 	}
-	p.afterward = append(p.afterward, order)
+	p.pendingOrders = append(p.pendingOrders, order)
 }
 
-func (p *Planner) add(key string, value any) {
+func (p *Planner) queueRecord(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		p.deps.Logger.WithError(err).WithField("key", key).Error("record not encoded")
 		return
 	}
-	p.pending = append(p.pending, damsonwinch.Record{Key: key, Value: text})
+	p.pendingRecords = append(p.pendingRecords, damsonwinch.Record{Key: key, Value: text})
 }
 
 // flush begins the next append, unless one is on its way.
 func (p *Planner) flush() {
-	if p.appending || len(p.pending) == 0 {
+	if p.appendInFlight || len(p.pendingRecords) == 0 {
 		return
 	}
-	p.appending = true
-	records, done, fence := p.pending, appended{orders: p.afterward, raised: p.raised}, p.writer.Next()
-	p.pending, p.afterward, p.raised = nil, nil, nil
+	p.appendInFlight = true
+	records, done, fence := p.pendingRecords, appended{orders: p.pendingOrders, raised: p.pendingCustomers}, p.writer.Next()
+	p.pendingRecords, p.pendingOrders, p.pendingCustomers = nil, nil, nil
 	p.group.Go(func() error {
 		done.err = p.writer.Append(p.ctx, records, fence)
 		p.send(done)
@@ -82,16 +82,16 @@
 	})
 }
 
-// recorded gives the orders whose records are in the stream.
-func (p *Planner) recorded(m appended) error {
-	p.appending = false
+// handleAppended gives the orders whose records are in the stream.
+func (p *Planner) handleAppended(m appended) error {
+	p.appendInFlight = false
 	if m.err != nil {
 		return m.err
 	}
 	p.allotter.Recorded(m.raised)
-	p.tellNews()
+	p.sendAllowances()
 	for _, order := range m.orders {
-		p.order(order)
+		p.sendOrder(order)
 	}
 	p.flush()
 	return nil
--- a/pkg/planner/sync.go
+++ b/pkg/planner/sync.go
@@ -6,20 +6,20 @@
 	"damsonwinch/pkg/wire"
 )
 
-// syncOnce calls the owner of a cell, unless a call is on its way.
-func (p *Planner) syncOnce(cell string) {
-	if !p.syncing[cell] {
-		p.syncing[cell], p.syncedAt[cell] = true, p.deps.Clock.Now()
+// syncUnlessInFlight calls the owner of a cell, unless a call is on its way.
+func (p *Planner) syncUnlessInFlight(cell string) {
+	if !p.syncInFlight[cell] {
+		p.syncInFlight[cell], p.syncedAt[cell] = true, p.deps.Clock.Now()
 		p.sync(cell)
 	}
 }
 
 // sync tells the owner of a cell what the planner wishes, and asks it how the cell is.
 func (p *Planner) sync(cell string) {
-	wishes := p.supply.Wishes(cell)
+	wishes := p.supply.Directives(cell)
 	words := p.allotter.Words(cell)
 	args := wire.SyncArgs{
-		Cell: cell, Token: p.options.Token, Withdraw: wishes.Withdraw, Hurry: wishes.Hurry, Restore: wishes.Restore, Gone: wishes.Gone, Due: wishes.Due,
+		Cell: cell, Token: p.options.Token, Withdraw: wishes.Withdraw, Hurry: wishes.WithdrawUrgently, Restore: wishes.Restore, Gone: wishes.Exited, Due: wishes.DueForMaintenance,
 		CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
 	}
 	p.group.Go(func() error {
--- a/pkg/shard/count.go
+++ b/pkg/shard/count.go
@@ -9,11 +9,11 @@
 	// its owner 0.25 ms. More than half of the core is left for takeovers, clients' calls
 	// and a machine that is slower than it should be.
 	boxesPerCore = 400
-	// busyShare is the part of a fleet's boxes, in percent, that a single pool may have
+	// busyPercent is the part of a fleet's boxes, in percent, that a single pool may have
 	// when demand turns to it.
-	busyShare = 80
-	// wholeCore is a core in the unit of weights.
-	wholeCore = 1000
+	busyPercent = 80
+	// milliPerCore is a core in the unit of weights.
+	milliPerCore = 1000
 )
 
 // ChooseCount returns into how many shards a fleet is best cut: as few as the nodes that would
@@ -41,6 +41,6 @@
 // load returns how many times as much as it can a node of a weight carries that owns a cell
 // of a fleet in so many shards.
 func load(boxes, count, weight int) float64 {
-	busy := float64(boxes) * busyShare / 100 / float64(count)
-	return busy / (float64(max(1, weight)) * boxesPerCore / wholeCore)
+	busy := float64(boxes) * busyPercent / 100 / float64(count)
+	return busy / (float64(max(1, weight)) * boxesPerCore / milliPerCore)
 }
--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -47,12 +47,12 @@
 
 // BoxShard returns the shard of a box on which there has been no order.
 func (l Layout) BoxShard(box string) int {
-	return l.hashed(box)
+	return l.hashShard(box)
 }
 
 // JobShard returns the shard of a job of short tasks.
 func (l Layout) JobShard(id string) int {
-	return l.hashed(id)
+	return l.hashShard(id)
 }
 
 // LongRunningJobShard returns the shard of a pool's lasting jobs. Their tasks mostly must not share a
@@ -62,10 +62,10 @@
 	if at, known := slices.BinarySearch(l.Pools, pool); known {
 		return at % max(1, l.Shards)
 	}
-	return l.hashed(pool)
+	return l.hashShard(pool)
 }
 
-func (l Layout) hashed(name string) int {
+func (l Layout) hashShard(name string) int {
 	if l.Shards <= 1 {
 		return 0
 	}
--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -10,7 +10,7 @@
 	// Life is the life that the order ends, empty for none.
 	Life damsonwinch.Life
 	// Shard is the box's shard after that, and Before its shard until then.
-	Shard  int
+	Shard         int
 	PreviousShard int
 }
 
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -13,11 +13,11 @@
 
 // Times of orders on boxes.
 const (
-	// orderRetry is the time between two tries of an order.
-	orderRetry = 300 * time.Millisecond
-	// arrival is how long a box that the platform lists as up may take to be
+	// orderRetryDelay is the time between two tries of an order.
+	orderRetryDelay = 300 * time.Millisecond
+	// joinTimeout is how long a box that the platform lists as up may take to be
 	// usable in its pool.
-	arrival = 3 * time.Second
+	joinTimeout = 3 * time.Second
 )
 
 // box is a box as the planner knows it.
@@ -27,49 +27,49 @@
 	// tell.
 	life damsonwinch.Life
 	// shard is the one to which its present life belongs, by placed, the newest order on it.
-	shard  int
-	placed *shard.Placement
-	report *wire.EndpointReport
-	// purpose is why it is being emptied.
-	purpose *purpose
-	// ordered is the order that has been given and not seen done yet.
-	ordered *given
-	// foreignAt is when an earlier holder last decided an order.
-	foreignAt time.Time
-	// upAt is when it was first seen up as it is now.
-	upAt time.Time
-	// refuses are pools that take other boxes.
-	refuses map[string]bool
+	shard     int
+	placement *shard.Placement
+	report    *wire.EndpointReport
+	// planned is why it is being emptied.
+	planned *plannedOrder
+	// issued is the order that has been given and not seen done yet.
+	issued *issuedOrder
+	// inheritedAt is when an earlier holder last decided an order.
+	inheritedAt time.Time
+	// upSince is when it was first seen up as it is now.
+	upSince time.Time
+	// refusedPools are pools that take other boxes.
+	refusedPools map[string]bool
 }
 
-// purpose is why a box is being emptied.
-type purpose struct {
+// plannedOrder is why a box is being emptied.
+type plannedOrder struct {
 	// pool and shard are where it goes; an empty pool is for maintenance where it is.
-	pool  string
-	shard int
-	wave  int
-	since time.Time
-	hurry bool
-	cause string
+	pool   string
+	shard  int
+	wave   int
+	since  time.Time
+	urgent bool
+	cause  string
 }
 
-// given is an order that has been recorded and given.
-type given struct {
+// issuedOrder is an order that has been recorded and issuedOrder.
+type issuedOrder struct {
 	Order
-	at       time.Time
-	answered bool
-	// recalled says that an earlier holder recorded it.
-	recalled bool
-	onTheWay bool
-	triedAt  time.Time
-	// left says that its box has been seen without the life that the order ends: another one may
+	updatedAt time.Time
+	answered  bool
+	// inherited says that an earlier holder recorded it.
+	inherited bool
+	inFlight  bool
+	sentAt    time.Time
+	// lifeEnded says that its box has been seen without the life that the order ends: another one may
 	// come under the same ID.
-	left bool
+	lifeEnded bool
 }
 
 // SetBoxes takes the platform's list, as it was at some moment after askedAt.
 func (p *Planner) SetBoxes(askedAt time.Time, listed []damsonwinch.Box) {
-	p.boxesAt = askedAt
+	p.boxesRequestedAt = askedAt
 	present := map[string]bool{}
 	for _, info := range listed {
 		present[info.Name] = true
@@ -78,51 +78,51 @@
 			b = p.addBox(info.Name)
 		}
 		if b.info.Endpoint != info.Endpoint || b.info.State != info.State || b.info.Pool != info.Pool {
-			b.upAt = askedAt
+			b.upSince = askedAt
 		}
 		if b.info.Endpoint != info.Endpoint || info.State != damsonwinch.BoxUp {
-			b.dropPurpose()
+			b.dropPlannedOrder()
 		}
 		b.info = info
 		if b.life.ID != info.Endpoint {
 			b.life = damsonwinch.Life{ID: info.Endpoint}
 		}
-		if b.ordered != nil && info.State != damsonwinch.BoxUp {
-			b.ordered.left = true
+		if b.issued != nil && info.State != damsonwinch.BoxUp {
+			b.issued.lifeEnded = true
 		}
-		p.place(b)
-		p.settle(b, askedAt)
+		p.updateShard(b)
+		p.clearCompletedOrder(b, askedAt)
 	}
-	p.order = slices.DeleteFunc(p.order, func(b *box) bool {
+	p.boxesByName = slices.DeleteFunc(p.boxesByName, func(b *box) bool {
 		if present[b.info.Name] {
 			return false
 		}
 		delete(p.boxes, b.info.Name)
 		return true
 	})
-	slices.SortFunc(p.order, func(a, b *box) int { return cmp.Compare(a.info.Name, b.info.Name) })
-	p.groupBoxes()
+	slices.SortFunc(p.boxesByName, func(a, b *box) int { return cmp.Compare(a.info.Name, b.info.Name) })
+	p.groupBoxesByCell()
 }
 
 // addBox makes a box known.
 func (p *Planner) addBox(name string) *box {
-	b := &box{info: damsonwinch.Box{Name: name}, refuses: map[string]bool{}}
-	p.place(b)
+	b := &box{info: damsonwinch.Box{Name: name}, refusedPools: map[string]bool{}}
+	p.updateShard(b)
 	p.boxes[name] = b
-	p.order = append(p.order, b)
+	p.boxesByName = append(p.boxesByName, b)
 	return b
 }
 
-// place notes the shard of a box's present life.
-func (p *Planner) place(b *box) {
-	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placed)
+// updateShard notes the shard of a box's present life.
+func (p *Planner) updateShard(b *box) {
+	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placement)
 }
 
-// groupBoxes sorts the boxes by their cells.
-func (p *Planner) groupBoxes() {
-	p.byCell = make(map[string][]*box, len(p.names))
-	for _, b := range p.order {
-		p.byCell[b.cell()] = append(p.byCell[b.cell()], b)
+// groupBoxesByCell sorts the boxes by their cells.
+func (p *Planner) groupBoxesByCell() {
+	p.boxesByCell = make(map[string][]*box, len(p.cellNames))
+	for _, b := range p.boxesByName {
+		p.boxesByCell[b.cell()] = append(p.boxesByCell[b.cell()], b)
 	}
 }
 
@@ -131,93 +131,93 @@
 	return shard.CellName(b.info.Pool, b.shard)
 }
 
-// dropPurpose gives up the emptying of a box whose endpoint has ended.
-func (b *box) dropPurpose() {
-	b.purpose = nil
+// dropPlannedOrder gives up the emptying of a box whose endpoint has ended.
+func (b *box) dropPlannedOrder() {
+	b.planned = nil
 }
 
-// settle takes note of an order that the list shows as done.
-func (p *Planner) settle(b *box, askedAt time.Time) {
-	g := b.ordered
-	if g == nil || askedAt.Before(g.at) || b.info.State != damsonwinch.BoxUp {
+// clearCompletedOrder takes note of an order that the list shows as done.
+func (p *Planner) clearCompletedOrder(b *box, askedAt time.Time) {
+	g := b.issued
+	if g == nil || askedAt.Before(g.updatedAt) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	left := g.left || !b.life.MayBe(g.Endpoint)
-	if g.recalled && (left || b.info.Pool == g.Pool) {
-		b.ordered = nil
+	left := g.lifeEnded || !b.life.MayBe(g.Life)
+	if g.inherited && (left || b.info.Pool == g.Pool) {
+		b.issued = nil
 		return
 	}
 	if !g.answered {
 		return
 	}
 	moved := g.Pool != "" && b.info.Pool == g.Pool
-	maintained := g.Pool == "" && askedAt.Sub(g.at) >= p.options.MaintainTime && (left || b.info.Endpoint == "")
+	maintained := g.Pool == "" && askedAt.Sub(g.updatedAt) >= p.options.MaintainTime && (left || b.info.Endpoint == "")
 	if moved || maintained {
-		b.ordered = nil
+		b.issued = nil
 	}
 }
 
-// free says whether the planner may decide something new about a box.
-func (p *Planner) free(b *box) bool {
-	return b.info.State == damsonwinch.BoxUp && b.ordered == nil && b.purpose == nil &&
-		p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay
+// isAvailable says whether the planner may decide something new about a box.
+func (p *Planner) isAvailable(b *box) bool {
+	return b.info.State == damsonwinch.BoxUp && b.issued == nil && b.planned == nil &&
+		p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay
 }
 
-// take begins to empty a box.
-func (p *Planner) take(b *box, why purpose) {
+// startWithdrawal begins to empty a box.
+func (p *Planner) startWithdrawal(b *box, why plannedOrder) {
 	why.since = p.now
-	p.change(b, func() { b.purpose = &why })
+	p.updateBox(b, func() { b.planned = &why })
 }
 
-// orderNow gives an order on a box in which nothing runs.
-func (p *Planner) orderNow(b *box, why purpose) {
-	order := Order{Box: b.info.Name, Pool: why.pool, Shard: why.shard, Before: b.shard, Wave: why.wave, Endpoint: b.life, Cause: why.cause}
-	p.change(b, func() {
-		b.ordered = &given{Order: order, at: p.now, onTheWay: true, triedAt: p.now}
-		b.placed = order.placement()
-		b.purpose = nil
+// issueOrder gives an order on a box in which nothing runs.
+func (p *Planner) issueOrder(b *box, why plannedOrder) {
+	order := Order{Box: b.info.Name, Pool: why.pool, Shard: why.shard, PreviousShard: b.shard, Wave: why.wave, Life: b.life, Cause: why.cause}
+	p.updateBox(b, func() {
+		b.issued = &issuedOrder{Order: order, updatedAt: p.now, inFlight: true, sentAt: p.now}
+		b.placement = order.placement()
+		b.planned = nil
 	})
 	wave := why.wave
 	if w := p.waves[wave]; w != nil {
-		w.done[b.info.Name] = true
+		w.ordered[b.info.Name] = true
 	}
 	p.orders = append(p.orders, order)
 }
 
-// orderWithdrawn gives the orders whose boxes are empty, and repeats those that
+// issueDueOrders gives the orders whose boxes are empty, and repeats those that
 // were not answered.
-func (p *Planner) orderWithdrawn() {
-	for _, b := range p.order {
+func (p *Planner) issueDueOrders() {
+	for _, b := range p.boxesByName {
 		switch {
-		case b.purpose != nil && b.report != nil && b.report.Withdrawn:
-			p.orderNow(b, *b.purpose)
-		case b.ordered != nil && !b.ordered.answered && !b.ordered.onTheWay && p.now.Sub(b.ordered.triedAt) >= orderRetry &&
-			p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay:
-			b.ordered.onTheWay, b.ordered.triedAt = true, p.now
-			p.orders = append(p.orders, b.ordered.Order)
+		case b.planned != nil && b.report != nil && b.report.Withdrawn:
+			p.issueOrder(b, *b.planned)
+		case b.issued != nil && !b.issued.answered && !b.issued.inFlight && p.now.Sub(b.issued.sentAt) >= orderRetryDelay &&
+			p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay:
+			b.issued.inFlight, b.issued.sentAt = true, p.now
+			p.orders = append(p.orders, b.issued.Order)
 		}
 	}
 }
 
-// Ordered takes the answer to an order.
-func (p *Planner) Ordered(now time.Time, order Order, err error) {
+// HandleOrderResult takes the answer to an order.
+func (p *Planner) HandleOrderResult(now time.Time, order Order, err error) {
 	b := p.boxes[order.Box]
-	if b == nil || b.ordered == nil || b.ordered.Order != order {
+	if b == nil || b.issued == nil || b.issued.Order != order {
 		return
 	}
-	g := b.ordered
-	g.onTheWay = false
+	g := b.issued
+	g.inFlight = false
 	switch {
 	case err == nil:
-		g.answered, g.at = true, now
+		g.answered, g.updatedAt = true, now
 	case errors.Is(err, damsonwinch.ErrInvalid):
-		b.refuses[order.Pool] = true
-		p.takeBack(b, order)
+		b.refusedPools[order.Pool] = true
+		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrNotInWave):
 		// The wave has changed; what was noted of it stays so.
-		b.ordered = nil
+		b.issued = nil
 	case errors.Is(err, damsonwinch.ErrBoxBusy):
-		p.takeBack(b, order)
+		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrOldToken):
 		// Nothing was done; it is tried again.
 	default:
@@ -226,43 +226,43 @@
 	}
 }
 
-// takeBack forgets an order that had no effect.
-func (p *Planner) takeBack(b *box, order Order) {
-	b.ordered = nil
+// revertOrder forgets an order that had no effect.
+func (p *Planner) revertOrder(b *box, order Order) {
+	b.issued = nil
 	if w := p.waves[order.Wave]; w != nil {
-		delete(w.done, order.Box)
+		delete(w.ordered, order.Box)
 	}
 }
 
 // placement returns to which shard an order takes its box.
 func (o Order) placement() *shard.Placement {
-	return &shard.Placement{Pool: o.Pool, Life: o.Endpoint, Shard: o.Shard, PreviousShard: o.Before}
+	return &shard.Placement{Pool: o.Pool, Life: o.Life, Shard: o.Shard, PreviousShard: o.PreviousShard}
 }
 
-// PlacementOf returns to which shard a recorded order takes its box, nil if it tells none.
-func PlacementOf(record wire.OrderRecord) *shard.Placement {
+// PlacementFromRecord returns to which shard a recorded order takes its box, nil if it tells none.
+func PlacementFromRecord(record wire.OrderRecord) *shard.Placement {
 	if record.Placement == nil {
 		return nil
 	}
 	return &shard.Placement{Pool: record.Pool, Life: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, PreviousShard: record.Placement.Before}
 }
 
-// Recall takes over an order that an earlier holder recorded.
-func (p *Planner) Recall(record wire.OrderRecord) {
+// LoadOrder takes over an order that an earlier holder recorded.
+func (p *Planner) LoadOrder(record wire.OrderRecord) {
 	b := p.boxes[record.Box]
 	if b == nil {
 		b = p.addBox(record.Box)
 	}
-	b.placed = PlacementOf(record)
-	p.place(b)
-	order := Order{Box: record.Box, Pool: record.Pool, Wave: record.Wave, Endpoint: damsonwinch.ParseLife(record.Endpoint), Cause: record.Cause, Shard: b.shard, Before: b.shard}
-	if b.placed != nil {
-		order.Shard, order.Before = b.placed.Shard, b.placed.PreviousShard
+	b.placement = PlacementFromRecord(record)
+	p.updateShard(b)
+	order := Order{Box: record.Box, Pool: record.Pool, Wave: record.Wave, Life: damsonwinch.ParseLife(record.Endpoint), Cause: record.Cause, Shard: b.shard, PreviousShard: b.shard}
+	if b.placement != nil {
+		order.Shard, order.PreviousShard = b.placement.Shard, b.placement.PreviousShard
 	}
-	b.foreignAt = time.UnixMilli(int64(record.AtMs))
+	b.inheritedAt = time.UnixMilli(int64(record.AtMs))
 	// Whether it was carried out is not known; unless the list of boxes shows it, it
 	// is repeated.
-	b.ordered = &given{
-		Order: order, at: b.foreignAt, recalled: true,
+	b.issued = &issuedOrder{
+		Order: order, updatedAt: b.inheritedAt, inherited: true,
 	}
 }
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -79,7 +79,7 @@
 			for _, order := range f.planner.Plan(f.now) {
 				moved = shard.CellName(order.Pool, order.Shard)
 			}
-			hurried := func() int { return len(f.planner.Wishes(shard.CellName("short", 0)).Hurry) }
+			hurried := func() int { return len(f.planner.Directives(shard.CellName("short", 0)).WithdrawUrgently) }
 			assert.Equal(t, hurried(), 0, "a box that is maintained comes back soon")
 			if parked > 0 {
 				assert.Equal(t, moved, shard.CellName("held", 2))
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -67,5 +67,5 @@
 		}
 	}
 	assert.Assert(t, lent >= 25, "%d of %d parked boxes go to the cell that is short", lent, lendParked)
-	assert.Equal(t, len(planner.Wishes(shard.CellName("held", shortShard)).Hurry), 0, "none is taken from lasting tasks")
+	assert.Equal(t, len(planner.Directives(shard.CellName("held", shortShard)).WithdrawUrgently), 0, "none is taken from lasting tasks")
 }
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -56,13 +56,13 @@
 	var orders []supply.Order
 	for range 30 {
 		f.list(damsonwinch.BoxUp)
-		f.report(born, len(f.planner.Wishes("held").Withdraw) > 0)
+		f.report(born, len(f.planner.Directives("held").Withdraw) > 0)
 		if orders = f.plan(300 * time.Millisecond); len(orders) > 0 {
 			break
 		}
 	}
 	assert.Equal(t, len(orders), 1, "wave %d", wave)
-	f.planner.Ordered(f.now, orders[0], nil)
+	f.planner.HandleOrderResult(f.now, orders[0], nil)
 	return orders[0]
 }
 
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newLivesFleet()
 			order := f.maintain(t, 1, 1)
-			assert.Equal(t, order.Endpoint, damsonwinch.Life{ID: "at-" + f.box.Name, Born: 1})
+			assert.Equal(t, order.Life, damsonwinch.Life{ID: "at-" + f.box.Name, Born: 1})
 			f.now = f.now.Add(3 * time.Second)
 			back(f)
 			f.list(damsonwinch.BoxUp)
@@ -105,5 +105,5 @@
 	f.report(2, false)
 	orders := f.plan(300 * time.Millisecond)
 	assert.Equal(t, len(orders), 0, "%v", orders)
-	assert.DeepEqual(t, f.planner.Wishes("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, Born: 2}.String()})
+	assert.DeepEqual(t, f.planner.Directives("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, Born: 2}.String()})
 }
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -49,7 +49,7 @@
 	}
 	orders := f.planner.Plan(f.now)
 	for _, order := range orders {
-		f.planner.Ordered(f.now, order, nil)
+		f.planner.HandleOrderResult(f.now, order, nil)
 		f.move(order)
 	}
 	f.planner.SetBoxes(f.now.Add(time.Millisecond), f.boxes)
@@ -68,8 +68,8 @@
 func (f *fleetOf) report(pool string, share int) wire.SyncReply {
 	reply := wire.SyncReply{Known: true, TaskMs: 800, SlackMs: 1200}
 	withdrawn := map[string]bool{}
-	wishes := f.planner.Wishes(pool)
-	for _, id := range append(wishes.Withdraw, wishes.Hurry...) {
+	wishes := f.planner.Directives(pool)
+	for _, id := range append(wishes.Withdraw, wishes.WithdrawUrgently...) {
 		withdrawn[id] = true
 	}
 	for _, b := range f.boxes {
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -164,11 +164,11 @@
 		lines = append(lines, fmt.Sprintf("move %s to %s", order.Box, shard.CellName(order.Pool, order.Shard)))
 	}
 	for _, cell := range s.cells() {
-		wishes := s.planner.Wishes(cell)
+		wishes := s.planner.Directives(cell)
 		for _, id := range wishes.Withdraw {
 			lines = append(lines, "empty "+strings.TrimPrefix(id, "at-"))
 		}
-		for _, id := range wishes.Hurry {
+		for _, id := range wishes.WithdrawUrgently {
 			lines = append(lines, "empty "+strings.TrimPrefix(id, "at-")+" in a hurry")
 		}
 	}
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -32,24 +32,24 @@
 	// Pool is where it moves to; empty for maintenance.
 	Pool string
 	// Shard is the one to which it belongs after that, and Before the one until then.
-	Shard  int
-	Before int
+	Shard         int
+	PreviousShard int
 	// Wave is what it is maintained for.
 	Wave int
-	// Endpoint is the life that runs on the box, empty for none.
-	Endpoint damsonwinch.Life
-	Cause    string
+	// Life is the life that runs on the box, empty for none.
+	Life  damsonwinch.Life
+	Cause string
 }
 
-// Wishes are what the planner wants of one cell's endpoints.
-type Wishes struct {
-	Withdraw []string
-	Hurry    []string
-	Restore  []string
-	// Gone are endpoints that have ended for certain.
-	Gone []string
-	// Due are those whose boxes are still to be maintained.
-	Due []string
+// Directives are what the planner wants of one cell's endpoints.
+type Directives struct {
+	Withdraw         []string
+	WithdrawUrgently []string
+	Restore          []string
+	// Exited are endpoints that have ended for certain.
+	Exited []string
+	// DueForMaintenance are those whose boxes are still to be maintained.
+	DueForMaintenance []string
 }
 
 // Planner keeps what it has decided until that is done.
@@ -58,44 +58,44 @@
 	now     time.Time
 	layout  shard.Layout
 	// cells are the pools' parts, by their names, which stand in order in names.
-	cells map[string]*cell
-	names []string
-	boxes map[string]*box
-	order []*box
-	// byCell holds the boxes of each cell in order of their names.
-	byCell map[string][]*box
-	census census
-	// cutZones are the zones whose boxes the cells can't reach.
-	cutZones map[string]bool
-	waves    map[int]*wave
-	// boxesAt is when the list of boxes was asked for.
-	boxesAt time.Time
-	orders  []Order
-	waits   map[string]string
+	cells       map[string]*cell
+	cellNames   []string
+	boxes       map[string]*box
+	boxesByName []*box
+	// boxesByCell holds the boxes of each cell in order of their names.
+	boxesByCell map[string][]*box
+	boxCounts   boxCounts
+	// cutOffZones are the zones whose boxes the cells can't reach.
+	cutOffZones map[string]bool
+	waves       map[int]*wave
+	// boxesRequestedAt is when the list of boxes was asked for.
+	boxesRequestedAt time.Time
+	orders           []Order
+	shortages        map[string]string
 }
 
 // New returns a planner that knows nothing yet.
 func New(options Options) *Planner {
-	return &Planner{options: options, cells: map[string]*cell{}, boxes: map[string]*box{}, waves: map[int]*wave{}, waits: map[string]string{}}
+	return &Planner{options: options, cells: map[string]*cell{}, boxes: map[string]*box{}, waves: map[int]*wave{}, shortages: map[string]string{}}
 }
 
 // SetPools takes the pools of the configuration in force and the layout of their cells.
 func (p *Planner) SetPools(pools []damsonwinch.Pool, layout shard.Layout) {
 	p.setLayout(layout)
 	known := map[string]*cell{}
-	p.names = p.names[:0]
+	p.cellNames = p.cellNames[:0]
 	for _, listed := range pools {
 		for number, name := range layout.CellNames(listed.Name) {
 			kept := p.cells[name]
 			if kept == nil {
 				kept = &cell{name: name, pool: listed.Name, shard: number}
 			}
-			kept.parking, kept.shards = listed.Parking, layout.Shards
+			kept.poweredOff, kept.shards = listed.Parking, layout.Shards
 			known[name] = kept
-			p.names = append(p.names, name)
+			p.cellNames = append(p.cellNames, name)
 		}
 	}
-	slices.Sort(p.names)
+	slices.Sort(p.cellNames)
 	p.cells = known
 }
 
@@ -105,16 +105,16 @@
 		return
 	}
 	p.layout = layout
-	for _, b := range p.order {
-		p.place(b)
+	for _, b := range p.boxesByName {
+		p.updateShard(b)
 	}
-	p.groupBoxes()
+	p.groupBoxesByCell()
 }
 
 // SetReport takes how a cell is. A cell that can't be asked has no report.
 func (p *Planner) SetReport(now time.Time, name string, report wire.SyncReply) {
 	if known := p.cells[name]; known != nil {
-		known.report, known.reportedAt, known.unread = report, now, true
+		known.report, known.reportedAt, known.reportIsNew = report, now, true
 	}
 }
 
@@ -122,46 +122,46 @@
 func (p *Planner) Plan(now time.Time) []Order {
 	p.now = now
 	p.orders = nil
-	p.readReports()
-	p.findCutZones()
+	p.attachReports()
+	p.findCutOffZones()
 	p.countBoxes()
-	p.learnNeeds()
-	p.maintain()
+	p.updateDemands()
+	p.planWaves()
 	p.fillCells()
-	p.releaseSurplus()
-	p.orderWithdrawn()
+	p.powerOffSurplus()
+	p.issueDueOrders()
 	return p.orders
 }
 
-// Wishes returns what is wanted of a cell's endpoints.
-func (p *Planner) Wishes(name string) Wishes {
-	var wishes Wishes
-	for _, b := range p.byCell[name] {
+// Directives returns what is wanted of a cell's endpoints.
+func (p *Planner) Directives(name string) Directives {
+	var wishes Directives
+	for _, b := range p.boxesByCell[name] {
 		if b.info.Endpoint == "" {
 			continue
 		}
 		if p.dueWave(b) != nil {
-			wishes.Due = append(wishes.Due, b.life.String())
+			wishes.DueForMaintenance = append(wishes.DueForMaintenance, b.life.String())
 		}
 		switch {
-		case b.purpose != nil && b.purpose.hurry:
-			wishes.Hurry = append(wishes.Hurry, b.life.String())
-		case b.purpose != nil:
+		case b.planned != nil && b.planned.urgent:
+			wishes.WithdrawUrgently = append(wishes.WithdrawUrgently, b.life.String())
+		case b.planned != nil:
 			wishes.Withdraw = append(wishes.Withdraw, b.life.String())
-		case b.report != nil && b.report.Withdrawn && b.ordered == nil:
+		case b.report != nil && b.report.Withdrawn && b.issued == nil:
 			wishes.Restore = append(wishes.Restore, b.life.String())
 		}
 	}
 	if known := p.cells[name]; known != nil {
-		wishes.Gone = p.gone(known)
+		wishes.Exited = p.exitedEndpoints(known)
 	}
 	return wishes
 }
 
-// gone returns the endpoints that a cell has reported and that a list of
+// exitedEndpoints returns the endpoints that a cell has reported and that a list of
 // boxes asked for later doesn't show any more.
-func (p *Planner) gone(known *cell) []string {
-	if !known.fresh(p.now) || !p.boxesAt.After(known.reportedAt) {
+func (p *Planner) exitedEndpoints(known *cell) []string {
+	if !known.hasFreshReport(p.now) || !p.boxesRequestedAt.After(known.reportedAt) {
 		return nil
 	}
 	var found []string
@@ -174,36 +174,36 @@
 	return found
 }
 
-// Waits says what is wanted and can't be done now, for operators.
-func (p *Planner) Waits() map[string]string {
-	return p.waits
+// Shortages says what is wanted and can't be done now, for operators.
+func (p *Planner) Shortages() map[string]string {
+	return p.shortages
 }
 
-// learnLife takes note of a life that is reported on a box. It says whether the box is in
+// updateLife takes note of a life that is reported on a box. It says whether the box is in
 // another cell by that.
-func (p *Planner) learnLife(b *box, life damsonwinch.Life) bool {
+func (p *Planner) updateLife(b *box, life damsonwinch.Life) bool {
 	if life == b.life {
 		return false
 	}
 	if !life.MayBe(b.life) {
 		// The list of boxes may not have shown that one ended and another came.
-		b.dropPurpose()
+		b.dropPlannedOrder()
 	}
 	b.life = life
 	before := b.shard
-	p.place(b)
+	p.updateShard(b)
 	return b.shard != before
 }
 
-// readReports ties the cells' reports to the boxes.
-func (p *Planner) readReports() {
+// attachReports ties the cells' reports to the boxes.
+func (p *Planner) attachReports() {
 	moved := false
-	for _, b := range p.order {
+	for _, b := range p.boxesByName {
 		b.report = nil
 	}
-	for _, name := range p.names {
+	for _, name := range p.cellNames {
 		known := p.cells[name]
-		if !known.fresh(p.now) {
+		if !known.hasFreshReport(p.now) {
 			continue
 		}
 		for at := range known.report.Endpoints {
@@ -211,35 +211,35 @@
 			life := damsonwinch.ParseLife(entry.Endpoint)
 			if b := p.boxes[entry.Box]; b != nil && b.info.Endpoint == life.ID {
 				b.report = entry
-				moved = p.learnLife(b, life) || moved
+				moved = p.updateLife(b, life) || moved
 			}
 		}
 	}
 	if moved {
-		p.groupBoxes()
+		p.groupBoxesByCell()
 	}
 }
 
-// parkingPool returns the pool whose boxes are off, if there is one.
-func (p *Planner) parkingPool() (string, bool) {
-	for _, name := range p.names {
-		if p.cells[name].parking {
+// poweredOffPool returns the pool whose boxes are off, if there is one.
+func (p *Planner) poweredOffPool() (string, bool) {
+	for _, name := range p.cellNames {
+		if p.cells[name].poweredOff {
 			return p.cells[name].pool, true
 		}
 	}
 	return "", false
 }
 
-// wholeBoxCPU returns the processor room of a cell's usual box.
-func (p *Planner) wholeBoxCPU(name string) int {
+// maxBoxCPU returns the processor room of a cell's usual box.
+func (p *Planner) maxBoxCPU(name string) int {
 	most := 0
-	for _, b := range p.byCell[name] {
+	for _, b := range p.boxesByCell[name] {
 		most = max(most, b.info.Capacity.CPU)
 	}
 	if most > 0 {
 		return most
 	}
-	for _, b := range p.order {
+	for _, b := range p.boxesByName {
 		most = max(most, b.info.Capacity.CPU)
 	}
 	return most
--- a/pkg/supply/waves.go
+++ b/pkg/supply/waves.go
@@ -12,30 +12,30 @@
 
 // Rules of waves.
 const (
-	// waveShare is the part of a wave's time in which it is planned to be done, in
+	// plannedPercent is the part of a wave's time in which it is planned to be done, in
 	// percent; the rest is for what goes wrong.
-	waveShare = 75
-	// hurryShare is the part after which tasks are stopped to empty a box, in
+	plannedPercent = 75
+	// urgentPercent is the part after which tasks are stopped to empty a box, in
 	// percent.
-	hurryShare = 45
-	// leastParked is how many parked boxes are left out of maintenance for pools
+	urgentPercent = 45
+	// poweredOffReserve is how many parked boxes are left out of maintenance for pools
 	// that may need them, while there is time.
-	leastParked = 6
-	// emptyingTime is what the emptying of a box takes, about: tasks last up to a
+	poweredOffReserve = 6
+	// typicalEmptyTime is what the emptying of a box takes, about: tasks last up to a
 	// few seconds.
-	emptyingTime = 2500 * time.Millisecond
+	typicalEmptyTime = 2500 * time.Millisecond
 )
 
 // wave is an operator's request as the planner carries it out.
 type wave struct {
 	damsonwinch.Wave
-	begunAt time.Time
+	startedAt time.Time
 	// members are the boxes of the wave.
 	members map[string]bool
-	// done holds the boxes whose maintenance has been ordered.
-	done map[string]bool
-	// told is what the operator has been told: whether it is completed.
-	told      bool
+	// ordered holds the boxes whose maintenance has been ordered.
+	ordered map[string]bool
+	// reported is what the operator has been reported: whether it is completed.
+	reported  bool
 	completed bool
 }
 
@@ -45,7 +45,7 @@
 		known.set(request)
 		return
 	}
-	w := &wave{begunAt: now, done: map[string]bool{}}
+	w := &wave{startedAt: now, ordered: map[string]bool{}}
 	w.set(request)
 	p.waves[request.Number] = w
 }
@@ -58,20 +58,20 @@
 	}
 }
 
-// RecallWave takes over what an earlier holder recorded of a wave.
-func (p *Planner) RecallWave(now time.Time, record wire.WaveRecord) {
+// LoadWave takes over what an earlier holder recorded of a wave.
+func (p *Planner) LoadWave(now time.Time, record wire.WaveRecord) {
 	w := p.waves[record.Wave]
 	if w == nil {
-		w = &wave{Wave: damsonwinch.Wave{Number: record.Wave}, begunAt: now, done: map[string]bool{}}
+		w = &wave{Wave: damsonwinch.Wave{Number: record.Wave}, startedAt: now, ordered: map[string]bool{}}
 		p.waves[record.Wave] = w
 	}
 	if record.BegunMs > 0 {
-		w.begunAt = time.UnixMilli(int64(record.BegunMs))
+		w.startedAt = time.UnixMilli(int64(record.BegunMs))
 	}
 	for _, name := range record.Done {
-		w.done[name] = true
+		w.ordered[name] = true
 	}
-	w.completed, w.told = record.Completed, record.Completed
+	w.completed, w.reported = record.Completed, record.Completed
 }
 
 // WaveRecord returns the progress of a wave, for the planner's stream.
@@ -81,92 +81,92 @@
 		return wire.WaveRecord{Wave: number}
 	}
 	return wire.WaveRecord{
-		Wave: number, BegunMs: int(w.begunAt.UnixMilli()), Done: slices.Sorted(maps.Keys(w.done)), Completed: w.completed,
+		Wave: number, BegunMs: int(w.startedAt.UnixMilli()), Done: slices.Sorted(maps.Keys(w.ordered)), Completed: w.completed,
 	}
 }
 
-// Reports returns the waves of which the operator has not been told how far they
+// PendingWaveReports returns the waves of which the operator has not been told how far they
 // are.
-func (p *Planner) Reports() []wire.WaveRecord {
+func (p *Planner) PendingWaveReports() []wire.WaveRecord {
 	var reports []wire.WaveRecord
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
-		if w := p.waves[number]; len(w.Boxes) > 0 && (!w.told || w.completed) && !(w.told && w.completed) {
+		if w := p.waves[number]; len(w.Boxes) > 0 && (!w.reported || w.completed) && !(w.reported && w.completed) {
 			reports = append(reports, p.WaveRecord(number))
 		}
 	}
 	return reports
 }
 
-// Told takes note that the operator has been told of a wave.
-func (p *Planner) Told(number int, completed bool) {
+// WaveReported takes note that the operator has been told of a wave.
+func (p *Planner) WaveReported(number int, completed bool) {
 	if w := p.waves[number]; w != nil {
-		w.told = !w.completed || completed
+		w.reported = !w.completed || completed
 	}
 }
 
-// maintain goes on with all waves.
-func (p *Planner) maintain() {
+// planWaves goes on with all waves.
+func (p *Planner) planWaves() {
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
 		if w := p.waves[number]; !w.completed {
-			p.maintainWave(w)
+			p.planWave(w)
 		}
 	}
 }
 
-func (p *Planner) maintainWave(w *wave) {
-	due, down, emptying := p.wavePart(w)
+func (p *Planner) planWave(w *wave) {
+	due, down, emptying := p.waveProgress(w)
 	if len(due) == 0 && down == 0 && emptying == 0 {
-		if p.missing(w) == 0 && len(p.boxes) > 0 {
-			w.completed, w.told = true, false
+		if p.unorderedBoxes(w) == 0 && len(p.boxes) > 0 {
+			w.completed, w.reported = true, false
 		}
 		return
 	}
 	budget := w.MostDown - down - emptying
-	atOnce := p.pace(w, len(due)+emptying+down) - down - emptying
-	budget -= p.maintainParked(w, due, min(budget, max(atOnce, p.parkedFree()-leastParked)))
-	p.emptyForWave(w, due, min(budget, atOnce))
-	p.hurryWave(w)
+	atOnce := p.targetConcurrency(w, len(due)+emptying+down) - down - emptying
+	budget -= p.maintainPoweredOff(w, due, min(budget, max(atOnce, p.availablePoweredOff()-poweredOffReserve)))
+	p.withdrawForWave(w, due, min(budget, atOnce))
+	p.makeUrgent(w)
 }
 
-// maintainParked maintains boxes that are parked, and says how many.
-func (p *Planner) maintainParked(w *wave, due []*box, count int) int {
+// maintainPoweredOff maintains boxes that are parked, and says how many.
+func (p *Planner) maintainPoweredOff(w *wave, due []*box, count int) int {
 	begun := 0
 	for _, b := range due {
 		if begun >= count {
 			break
 		}
-		if p.isParking(b.info.Pool) && p.free(b) {
-			p.orderNow(b, purpose{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: the box is parked", w.Number)})
+		if p.isPoweredOff(b.info.Pool) && p.isAvailable(b) {
+			p.issueOrder(b, plannedOrder{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: the box is parked", w.Number)})
 			begun++
 		}
 	}
 	return begun
 }
 
-// parkedFree counts the parked boxes that a pool could have at once.
-func (p *Planner) parkedFree() int {
+// availablePoweredOff counts the parked boxes that a pool could have at once.
+func (p *Planner) availablePoweredOff() int {
 	count := 0
-	for _, b := range p.order {
-		if p.isParking(b.info.Pool) && p.free(b) {
+	for _, b := range p.boxesByName {
+		if p.isPoweredOff(b.info.Pool) && p.isAvailable(b) {
 			count++
 		}
 	}
 	return count
 }
 
-// wavePart returns the boxes still due, and counts those that are down and those
+// waveProgress returns the boxes still due, and counts those that are down and those
 // that are being emptied.
-func (p *Planner) wavePart(w *wave) (due []*box, down, emptying int) {
+func (p *Planner) waveProgress(w *wave) (due []*box, down, emptying int) {
 	for _, name := range w.Boxes {
 		b := p.boxes[name]
 		if b == nil {
 			continue
 		}
 		switch {
-		case b.ordered != nil && b.ordered.Wave == w.Number, w.done[name] && b.info.State == damsonwinch.BoxMaintenance:
+		case b.issued != nil && b.issued.Wave == w.Number, w.ordered[name] && b.info.State == damsonwinch.BoxMaintenance:
 			down++
-		case w.done[name]:
-		case b.purpose != nil && b.purpose.wave == w.Number:
+		case w.ordered[name]:
+		case b.planned != nil && b.planned.wave == w.Number:
 			emptying++
 		default:
 			due = append(due, b)
@@ -175,77 +175,77 @@
 	return due, down, emptying
 }
 
-// missing counts boxes of a wave that are still listed and not done.
-func (p *Planner) missing(w *wave) int {
+// unorderedBoxes counts boxes of a wave that are still listed and not done.
+func (p *Planner) unorderedBoxes(w *wave) int {
 	count := 0
 	for _, name := range w.Boxes {
-		if p.boxes[name] != nil && !w.done[name] {
+		if p.boxes[name] != nil && !w.ordered[name] {
 			count++
 		}
 	}
 	return count
 }
 
-// pace returns how many boxes should be in hand at once for the wave to be done in
+// targetConcurrency returns how many boxes should be in hand at once for the wave to be done in
 // time.
-func (p *Planner) pace(w *wave, left int) int {
-	cycle := emptyingTime + p.options.MaintainTime
-	remaining := w.Duration*waveShare/100 - p.now.Sub(w.begunAt)
+func (p *Planner) targetConcurrency(w *wave, left int) int {
+	cycle := typicalEmptyTime + p.options.MaintainTime
+	remaining := w.Duration*plannedPercent/100 - p.now.Sub(w.startedAt)
 	if remaining <= cycle {
 		return w.MostDown
 	}
 	return min(w.MostDown, 1+int(time.Duration(left)*cycle/remaining))
 }
 
-// emptyForWave begins to empty boxes for a wave: in each pool one with lasting tasks,
+// withdrawForWave begins to empty boxes for a wave: in each pool one with lasting tasks,
 // and else the emptiest first. Lasting tasks leave one after the other, some 1.5 s each,
 // so that boxes with several would be too late if they came last.
-func (p *Planner) emptyForWave(w *wave, due []*box, count int) {
+func (p *Planner) withdrawForWave(w *wave, due []*box, count int) {
 	var found []*box
 	for _, b := range due {
-		if !p.isParking(b.info.Pool) && p.free(b) && b.report != nil && !b.report.Silent {
+		if !p.isPoweredOff(b.info.Pool) && p.isAvailable(b) && b.report != nil && !b.report.Silent {
 			found = append(found, b)
 		}
 	}
-	moving := p.lastingMoving(w)
-	sortBoxes(found, p.emptying)
+	moving := p.longRunningWithdrawals(w)
+	sortBoxes(found, p.estimateEmptyMs)
 	for _, b := range found {
 		if count > 0 && b.report.Lasting > 0 && !moving[b.info.Pool] {
 			moving[b.info.Pool] = true
-			p.takeForWave(w, b, len(due))
+			p.startWaveWithdrawal(w, b, len(due))
 			count--
 		}
 	}
 	for _, b := range found {
-		if count > 0 && b.purpose == nil {
-			p.takeForWave(w, b, len(due))
+		if count > 0 && b.planned == nil {
+			p.startWaveWithdrawal(w, b, len(due))
 			count--
 		}
 	}
 }
 
-func (p *Planner) takeForWave(w *wave, b *box, due int) {
-	p.take(b, purpose{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: %d boxes are due", w.Number, due)})
+func (p *Planner) startWaveWithdrawal(w *wave, b *box, due int) {
+	p.startWithdrawal(b, plannedOrder{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: %d boxes are due", w.Number, due)})
 }
 
-// lastingMoving returns the pools in which a box with lasting tasks is being emptied for
+// longRunningWithdrawals returns the pools in which a box with lasting tasks is being emptied for
 // a wave.
-func (p *Planner) lastingMoving(w *wave) map[string]bool {
+func (p *Planner) longRunningWithdrawals(w *wave) map[string]bool {
 	moving := map[string]bool{}
-	for _, b := range p.order {
-		if b.purpose != nil && b.purpose.wave == w.Number && b.report != nil && b.report.Lasting > 0 {
+	for _, b := range p.boxesByName {
+		if b.planned != nil && b.planned.wave == w.Number && b.report != nil && b.report.Lasting > 0 {
 			moving[b.info.Pool] = true
 		}
 	}
 	return moving
 }
 
-// hurryWave has tasks stopped where a wave runs late or a box takes too long.
-func (p *Planner) hurryWave(w *wave) {
-	late := p.now.Sub(w.begunAt) > w.Duration*hurryShare/100
-	for _, b := range p.order {
-		if b.purpose != nil && b.purpose.wave == w.Number && (late || p.now.Sub(b.purpose.since) > emptyingTime) {
-			b.purpose.hurry = true
+// makeUrgent has tasks stopped where a wave runs late or a box takes too long.
+func (p *Planner) makeUrgent(w *wave) {
+	late := p.now.Sub(w.startedAt) > w.Duration*urgentPercent/100
+	for _, b := range p.boxesByName {
+		if b.planned != nil && b.planned.wave == w.Number && (late || p.now.Sub(b.planned.since) > typicalEmptyTime) {
+			b.planned.urgent = true
 		}
 	}
 }
@@ -253,7 +253,7 @@
 // dueWave returns the wave for which a box is still due, or nil.
 func (p *Planner) dueWave(b *box) *wave {
 	for _, w := range p.waves {
-		if !w.completed && !w.done[b.info.Name] && w.members[b.info.Name] {
+		if !w.completed && !w.ordered[b.info.Name] && w.members[b.info.Name] {
 			return w
 		}
 	}
