--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -11,65 +11,76 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of orders on boxes.
 const (
-	// orderRetryDelay is the time between two tries of an order.
+	// orderRetryDelay is the time between two attempts to give the same order.
 	orderRetryDelay = 300 * time.Millisecond
-	// joinTimeout is how long a box that the platform lists as up may take to be
-	// usable in its pool.
+	// joinTimeout is how long a box that the platform lists as up may take until it is usable in
+	// its pool.
 	joinTimeout = 3 * time.Second
 )
 
-// box is a box as the planner knows it.
+// box is what the planner knows of a box.
 type box struct {
+	// info is the box in the newest list of the platform.
 	info damsonwinch.Box
-	// life is the life that runs on it, as far as the list of boxes and the owner of its cell
-	// tell.
+	// life is the endpoint's life on the box. The list of boxes gives its ID, the owner of the
+	// cell also its start time.
 	life damsonwinch.Life
-	// shard is the one to which its present life belongs, by placed, the newest order on it.
+	// shard is the shard of the present life. It follows from placement, which is where the newest
+	// order on the box takes it; nil before the first order.
 	shard     int
 	placement *shard.Placement
-	report    *wire.EndpointReport
-	// planned is why it is being emptied.
+	// report is what the newest fresh report of the cell says of the endpoint; nil for nothing.
+	report *wire.EndpointReport
+	// planned is the order for which the endpoint is being withdrawn; nil for none.
 	planned *plannedOrder
-	// issued is the order that has been given and not seen done yet.
+	// issued is the order that has been given and whose effect has not been seen yet; nil for none.
 	issued *issuedOrder
-	// inheritedAt is when an earlier holder last decided an order.
+	// inheritedAt is when an earlier planner recorded its newest order on the box.
 	inheritedAt time.Time
-	// upSince is when it was first seen up as it is now.
+	// upSince is the request time of the first list that shows the box with its present state,
+	// pool and endpoint.
 	upSince time.Time
-	// refusedPools are pools that take other boxes.
+	// refusedPools are the pools to which the platform refuses to move the box.
 	refusedPools map[string]bool
 }
 
-// plannedOrder is why a box is being emptied.
+// plannedOrder is an order that is given once nothing runs on its box.
 type plannedOrder struct {
-	// pool and shard are where it goes; an empty pool is for maintenance where it is.
-	pool   string
-	shard  int
-	wave   int
-	since  time.Time
+	// pool and shard are where the box goes. An empty pool stands for maintenance in its present
+	// pool.
+	pool  string
+	shard int
+	// wave is the wave of the maintenance; 0 for a move.
+	wave  int
+	since time.Time
+	// urgent has the running tasks stopped instead of waited for.
 	urgent bool
 	cause  string
 }
 
-// issuedOrder is an order that has been recorded and issuedOrder.
+// issuedOrder is an order that has been decided and whose effect has not been seen yet.
 type issuedOrder struct {
 	Order
+	// updatedAt is when the order was decided, and later when the platform accepted it. Only a
+	// list of boxes that was requested after it can show the effect.
 	updatedAt time.Time
-	answered  bool
-	// inherited says that an earlier holder recorded it.
+	// answered says that the platform has accepted the order.
+	answered bool
+	// inherited says that an earlier planner recorded the order.
 	inherited bool
-	inFlight  bool
-	sentAt    time.Time
-	// lifeEnded says that its box has been seen without the life that the order ends: another one may
-	// come under the same ID.
+	// inFlight says that a call to the platform is in progress; sentAt is when the newest began.
+	inFlight bool
+	sentAt   time.Time
+	// lifeEnded says that a list has shown the box not up, so that the life which the order ends
+	// is over. A later life may have the same ID.
 	lifeEnded bool
 }
 
-// SetBoxes takes the platform's list, as it was at some moment after askedAt.
-func (p *Planner) SetBoxes(askedAt time.Time, listed []damsonwinch.Box) {
-	p.boxesRequestedAt = askedAt
+// SetBoxes sets the boxes to those of the platform's list, which was requested at requestedAt and
+// shows some moment after that.
+func (p *Planner) SetBoxes(requestedAt time.Time, listed []damsonwinch.Box) {
+	p.boxesRequestedAt = requestedAt
 	present := map[string]bool{}
 	for _, info := range listed {
 		present[info.Name] = true
@@ -78,7 +89,7 @@
 			b = p.addBox(info.Name)
 		}
 		if b.info.Endpoint != info.Endpoint || b.info.State != info.State || b.info.Pool != info.Pool {
-			b.upSince = askedAt
+			b.upSince = requestedAt
 		}
 		if b.info.Endpoint != info.Endpoint || info.State != damsonwinch.BoxUp {
 			b.dropPlannedOrder()
@@ -91,7 +102,7 @@
 			b.issued.lifeEnded = true
 		}
 		p.updateShard(b)
-		p.clearCompletedOrder(b, askedAt)
+		p.clearCompletedOrder(b, requestedAt)
 	}
 	p.boxesByName = slices.DeleteFunc(p.boxesByName, func(b *box) bool {
 		if present[b.info.Name] {
@@ -104,7 +115,7 @@
 	p.groupBoxesByCell()
 }
 
-// addBox makes a box known.
+// addBox adds a box of which only the name is known and returns it.
 func (p *Planner) addBox(name string) *box {
 	b := &box{info: damsonwinch.Box{Name: name}, refusedPools: map[string]bool{}}
 	p.updateShard(b)
@@ -113,79 +124,80 @@
 	return b
 }
 
-// updateShard notes the shard of a box's present life.
+// updateShard recomputes the shard of a box's present life.
 func (p *Planner) updateShard(b *box) {
 	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placement)
 }
 
-// groupBoxesByCell sorts the boxes by their cells.
+// groupBoxesByCell rebuilds boxesByCell.
 func (p *Planner) groupBoxesByCell() {
 	p.boxesByCell = make(map[string][]*box, len(p.cellNames))
 	for _, b := range p.boxesByName {
-		p.boxesByCell[b.cell()] = append(p.boxesByCell[b.cell()], b)
+		p.boxesByCell[b.cellName()] = append(p.boxesByCell[b.cellName()], b)
 	}
 }
 
-// cell returns the cell in which a box is.
-func (b *box) cell() string {
+// cellName returns the name of the cellName that has the box now.
+func (b *box) cellName() string {
 	return shard.CellName(b.info.Pool, b.shard)
 }
 
-// dropPlannedOrder gives up the emptying of a box whose endpoint has ended.
+// dropPlannedOrder gives up the planned order of a box whose endpoint has exited.
 func (b *box) dropPlannedOrder() {
 	b.planned = nil
 }
 
-// clearCompletedOrder takes note of an order that the list shows as done.
-func (p *Planner) clearCompletedOrder(b *box, askedAt time.Time) {
-	g := b.issued
-	if g == nil || askedAt.Before(g.updatedAt) || b.info.State != damsonwinch.BoxUp {
+// clearCompletedOrder clears the issued order of a box if a list of boxes, requested at
+// requestedAt, shows that it has been carried out.
+func (p *Planner) clearCompletedOrder(b *box, requestedAt time.Time) {
+	o := b.issued
+	if o == nil || requestedAt.Before(o.updatedAt) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	left := g.lifeEnded || !b.life.MayBe(g.Life)
-	if g.inherited && (left || b.info.Pool == g.Pool) {
+	lifeEnded := o.lifeEnded || !b.life.MayBe(o.Life)
+	if o.inherited && (lifeEnded || b.info.Pool == o.Pool) {
 		b.issued = nil
 		return
 	}
-	if !g.answered {
+	if !o.answered {
 		return
 	}
-	moved := g.Pool != "" && b.info.Pool == g.Pool
-	maintained := g.Pool == "" && askedAt.Sub(g.updatedAt) >= p.options.MaintainTime && (left || b.info.Endpoint == "")
+	moved := o.Pool != "" && b.info.Pool == o.Pool
+	maintained := o.Pool == "" && requestedAt.Sub(o.updatedAt) >= p.options.MaintainTime && (lifeEnded || b.info.Endpoint == "")
 	if moved || maintained {
 		b.issued = nil
 	}
 }
 
-// isAvailable says whether the planner may decide something new about a box.
+// isAvailable says whether the planner may plan or issue a new order on a box.
 func (p *Planner) isAvailable(b *box) bool {
 	return b.info.State == damsonwinch.BoxUp && b.issued == nil && b.planned == nil &&
 		p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay
 }
 
-// startWithdrawal begins to empty a box.
-func (p *Planner) startWithdrawal(b *box, why plannedOrder) {
-	why.since = p.now
-	p.updateBox(b, func() { b.planned = &why })
+// startWithdrawal has the endpoint of a box withdrawn, so that the planned order can be given.
+func (p *Planner) startWithdrawal(b *box, planned plannedOrder) {
+	planned.since = p.now
+	p.updateBox(b, func() { b.planned = &planned })
 }
 
-// issueOrder gives an order on a box in which nothing runs.
-func (p *Planner) issueOrder(b *box, why plannedOrder) {
-	order := Order{Box: b.info.Name, Pool: why.pool, Shard: why.shard, PreviousShard: b.shard, Wave: why.wave, Life: b.life, Cause: why.cause}
+// issueOrder issues a planned order on a box on which nothing runs.
+func (p *Planner) issueOrder(b *box, planned plannedOrder) {
+	order := Order{Box: b.info.Name, Pool: planned.pool, Shard: planned.shard, PreviousShard: b.shard, Wave: planned.wave, Life: b.life, Cause: planned.cause}
 	p.updateBox(b, func() {
 		b.issued = &issuedOrder{Order: order, updatedAt: p.now, inFlight: true, sentAt: p.now}
 		b.placement = order.placement()
 		b.planned = nil
 	})
-	wave := why.wave
+	wave := planned.wave
 	if w := p.waves[wave]; w != nil {
 		w.ordered[b.info.Name] = true
 	}
 	p.orders = append(p.orders, order)
 }
 
-// issueDueOrders gives the orders whose boxes are empty, and repeats those that
-// were not answered.
+// issueDueOrders issues the planned orders of boxes whose endpoints have been withdrawn, and
+// issues again the orders that the platform has not accepted.
 func (p *Planner) issueDueOrders() {
 	for _, b := range p.boxesByName {
 		switch {
@@ -199,30 +211,31 @@
 	}
 }
 
-// HandleOrderResult takes the answer to an order.
+// HandleOrderResult takes the platform's answer to an order, received at now. A nil err says that
+// the platform has accepted the order.
 func (p *Planner) HandleOrderResult(now time.Time, order Order, err error) {
 	b := p.boxes[order.Box]
 	if b == nil || b.issued == nil || b.issued.Order != order {
 		return
 	}
-	g := b.issued
-	g.inFlight = false
+	o := b.issued
+	o.inFlight = false
 	switch {
 	case err == nil:
-		g.answered, g.updatedAt = true, now
+		o.answered, o.updatedAt = true, now
 	case errors.Is(err, damsonwinch.ErrInvalid):
 		b.refusedPools[order.Pool] = true
 		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrNotInWave):
-		// The wave has changed; what was noted of it stays so.
+		// The operator has changed the wave. The box stays marked as ordered in it.
 		b.issued = nil
 	case errors.Is(err, damsonwinch.ErrBoxBusy):
 		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrOldToken):
-		// Nothing was done; it is tried again.
+		// The platform has done nothing; issueDueOrders issues the order again.
 	default:
-		// It may have been done, or be done later. It is repeated until it is
-		// answered: done twice is done once.
+		// The platform may have carried out the order, now or later. It is issued again
+		// until it is answered, since orders are idempotent.
 	}
 }
 
@@ -234,12 +247,13 @@
 	}
 }
 
-// placement returns to which shard an order takes its box.
+// placement returns the placement that the order gives its box.
 func (o Order) placement() *shard.Placement {
 	return &shard.Placement{Pool: o.Pool, Life: o.Life, Shard: o.Shard, PreviousShard: o.PreviousShard}
 }
 
-// PlacementFromRecord returns to which shard a recorded order takes its box, nil if it tells none.
+// PlacementFromRecord returns the placement that a recorded order gives its box; nil if the record
+// has none.
 func PlacementFromRecord(record wire.OrderRecord) *shard.Placement {
 	if record.Placement == nil {
 		return nil
@@ -247,7 +261,7 @@
 	return &shard.Placement{Pool: record.Pool, Life: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, PreviousShard: record.Placement.Before}
 }
 
-// LoadOrder takes over an order that an earlier holder recorded.
+// LoadOrder takes over an order that an earlier planner recorded.
 func (p *Planner) LoadOrder(record wire.OrderRecord) {
 	b := p.boxes[record.Box]
 	if b == nil {
@@ -260,8 +274,8 @@
 		order.Shard, order.PreviousShard = b.placement.Shard, b.placement.PreviousShard
 	}
 	b.inheritedAt = time.UnixMilli(int64(record.AtMs))
-	// Whether it was carried out is not known; unless the list of boxes shows it, it
-	// is repeated.
+	// The record doesn't say whether the order was carried out. It is given again unless a list
+	// of boxes shows that it was.
 	b.issued = &issuedOrder{
 		Order: order, updatedAt: b.inheritedAt, inherited: true,
 	}
--- a/pkg/supply/census.go
+++ b/pkg/supply/census.go
@@ -82,7 +82,7 @@
 	if b.info.State == damsonwinch.BoxDown {
 		return ""
 	}
-	known := p.cells[b.cell()]
+	known := p.cells[b.cellName()]
 	arriving := p.now.Sub(b.upSince) < joinTimeout
 	if arriving || known == nil || (b.report != nil && b.report.Usable) || (b.report == nil && !known.hasFreshReport(p.now)) {
 		return b.info.Pool
--- a/pkg/supply/summary.go
+++ b/pkg/supply/summary.go
@@ -57,7 +57,7 @@
 			if p.servedCell(b) == name {
 				c.coming++
 			}
-		case b.cell() != name:
+		case b.cellName() != name:
 		case b.issued != nil || b.info.State == damsonwinch.BoxMaintenance:
 			c.maintained++
 		case b.info.State == damsonwinch.BoxDown:
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -1,7 +1,8 @@
-// Package supply decides which pool has which boxes and when each is maintained.
-// It is pure: what the cells report, the platform's list of boxes and the waves go
-// in; orders on boxes and wishes to the cells come out. A box is taken only after
-// the owner of its cell has recorded that nothing runs there and nothing will.
+// Package supply decides which pool has which boxes and when each box is maintained.
+// It does no I/O and reads no clock: its inputs are the cells' reports, the platform's list of
+// boxes and the maintenance waves, its outputs are orders on boxes and directives to the owners
+// of the cells. It issues an order on a box only after the owner of the box's cell has recorded
+// that nothing runs there and that nothing more will be started.
 package supply
 
 import (
@@ -14,92 +15,107 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Options are what the planner weighs and how long things take.
+// Options are the durations by which a Planner decides.
 type Options struct {
-	// MoveTime and MaintainTime are what the platform takes.
+	// MoveTime and MaintainTime are how long the platform takes to move and to maintain a box.
 	MoveTime     time.Duration
 	MaintainTime time.Duration
-	// ScaleDownDelay is how long a pool keeps boxes after it has needed them last: moves
-	// to and fro cost more than the boxes' time.
+	// ScaleDownDelay is how long a pool keeps boxes after it last needed them. Moving a box away
+	// and back costs more than keeping it.
 	ScaleDownDelay time.Duration
-	// TakeoverDelay is the time between the orders of two holders for one box.
+	// TakeoverDelay is the minimum time between an order of one planner on a box and an order of
+	// its successor on the same box.
 	TakeoverDelay time.Duration
 }
 
-// Order is an order on a box.
+// Order moves a box to a pool or has it maintained.
 type Order struct {
 	Box string
-	// Pool is where it moves to; empty for maintenance.
+	// Pool is the pool to which the box moves; empty for maintenance.
 	Pool string
-	// Shard is the one to which it belongs after that, and Before the one until then.
+	// Shard is the shard of the box after the order has been carried out, PreviousShard its shard
+	// until then.
 	Shard         int
 	PreviousShard int
-	// Wave is what it is maintained for.
+	// Wave is the number of the wave for which the box is maintained; 0 for a move.
 	Wave int
-	// Life is the life that runs on the box, empty for none.
-	Life  damsonwinch.Life
+	// Life is the endpoint's life on the box, which the order ends; empty if none runs there.
+	Life damsonwinch.Life
+	// Cause says for operators why the order is given.
 	Cause string
 }
 
-// Directives are what the planner wants of one cell's endpoints.
+// Directives are what the planner asks the owner of one cell to do with its endpoints, and what
+// it tells the owner about them. Each list holds lives in the form of damsonwinch.Life.String.
 type Directives struct {
-	Withdraw         []string
+	// Withdraw are endpoints that are to start nothing more and become empty.
+	Withdraw []string
+	// WithdrawUrgently are the same, but their tasks are to be stopped and run elsewhere instead
+	// of being waited for.
 	WithdrawUrgently []string
-	Restore          []string
-	// Exited are endpoints that have ended for certain.
+	// Restore are withdrawn endpoints that may be used again.
+	Restore []string
+	// Exited are endpoints that have certainly exited.
 	Exited []string
-	// DueForMaintenance are those whose boxes are still to be maintained.
+	// DueForMaintenance are endpoints whose boxes are still to be maintained in a wave.
 	DueForMaintenance []string
 }
 
-// Planner keeps what it has decided until that is done.
+// Planner decides what to do with the boxes. It remembers each decision until it has been
+// carried out.
 type Planner struct {
 	options Options
-	now     time.Time
-	layout  shard.Layout
-	// cells are the pools' parts, by their names, which stand in order in names.
-	cells       map[string]*cell
-	cellNames   []string
+	// now is the time of the newest call of Plan.
+	now    time.Time
+	layout shard.Layout
+	// cells are all pools' cells by name; cellNames are their names in order.
+	cells     map[string]*cell
+	cellNames []string
+	// boxes are all boxes by name; boxesByName are the same boxes in order of their names.
 	boxes       map[string]*box
 	boxesByName []*box
 	// boxesByCell holds the boxes of each cell in order of their names.
 	boxesByCell map[string][]*box
 	boxCounts   boxCounts
-	// cutOffZones are the zones whose boxes the cells can't reach.
+	// cutOffZones are the zones whose boxes the owners of the cells can't reach.
 	cutOffZones map[string]bool
-	waves       map[int]*wave
-	// boxesRequestedAt is when the list of boxes was asked for.
+	// waves are the maintenance waves by number.
+	waves map[int]*wave
+	// boxesRequestedAt is when the newest list of boxes was requested.
 	boxesRequestedAt time.Time
-	orders           []Order
-	shortages        map[string]string
+	// orders are the orders issued by the call of Plan in progress.
+	orders []Order
+	// shortages say, by cell, which boxes are needed that no other cell can give.
+	shortages map[string]string
 }
 
-// New returns a planner that knows nothing yet.
+// New returns a Planner without pools, boxes and waves.
 func New(options Options) *Planner {
 	return &Planner{options: options, cells: map[string]*cell{}, boxes: map[string]*box{}, waves: map[int]*wave{}, shortages: map[string]string{}}
 }
 
-// SetPools takes the pools of the configuration in force and the layout of their cells.
+// SetPools sets the pools of the configuration in force and the layout of their cells. Cells
+// that existed before keep their state.
 func (p *Planner) SetPools(pools []damsonwinch.Pool, layout shard.Layout) {
 	p.setLayout(layout)
-	known := map[string]*cell{}
+	cells := map[string]*cell{}
 	p.cellNames = p.cellNames[:0]
-	for _, listed := range pools {
-		for number, name := range layout.CellNames(listed.Name) {
-			kept := p.cells[name]
-			if kept == nil {
-				kept = &cell{name: name, pool: listed.Name, shard: number}
+	for _, pool := range pools {
+		for number, name := range layout.CellNames(pool.Name) {
+			c := p.cells[name]
+			if c == nil {
+				c = &cell{name: name, pool: pool.Name, shard: number}
 			}
-			kept.poweredOff, kept.shards = listed.Parking, layout.Shards
-			known[name] = kept
+			c.poweredOff, c.shards = pool.Parking, layout.Shards
+			cells[name] = c
 			p.cellNames = append(p.cellNames, name)
 		}
 	}
 	slices.Sort(p.cellNames)
-	p.cells = known
+	p.cells = cells
 }
 
-// setLayout puts the boxes into their shards.
+// setLayout recomputes the shards of all boxes if the layout has changed.
 func (p *Planner) setLayout(layout shard.Layout) {
 	if p.layout.Equal(layout) {
 		return
@@ -111,14 +127,16 @@
 	p.groupBoxesByCell()
 }
 
-// SetReport takes how a cell is. A cell that can't be asked has no report.
-func (p *Planner) SetReport(now time.Time, name string, report wire.SyncReply) {
-	if known := p.cells[name]; known != nil {
-		known.report, known.reportedAt, known.reportIsNew = report, now, true
+// SetReport stores the report of a cell's owner, received at now. A report of a cell that doesn't
+// exist is ignored.
+func (p *Planner) SetReport(now time.Time, cellName string, report wire.SyncReply) {
+	if c := p.cells[cellName]; c != nil {
+		c.report, c.reportedAt, c.reportIsNew = report, now, true
 	}
 }
 
-// Plan decides what is to be done now.
+// Plan makes the decisions that are due at now and returns the orders to be given: new ones, and
+// those that have to be sent again because they were not answered.
 func (p *Planner) Plan(now time.Time) []Order {
 	p.now = now
 	p.orders = nil
@@ -133,60 +151,61 @@
 	return p.orders
 }
 
-// Directives returns what is wanted of a cell's endpoints.
-func (p *Planner) Directives(name string) Directives {
-	var wishes Directives
-	for _, b := range p.boxesByCell[name] {
+// Directives returns the directives to the owner of a cell.
+func (p *Planner) Directives(cellName string) Directives {
+	var directives Directives
+	for _, b := range p.boxesByCell[cellName] {
 		if b.info.Endpoint == "" {
 			continue
 		}
 		if p.dueWave(b) != nil {
-			wishes.DueForMaintenance = append(wishes.DueForMaintenance, b.life.String())
+			directives.DueForMaintenance = append(directives.DueForMaintenance, b.life.String())
 		}
 		switch {
 		case b.planned != nil && b.planned.urgent:
-			wishes.WithdrawUrgently = append(wishes.WithdrawUrgently, b.life.String())
+			directives.WithdrawUrgently = append(directives.WithdrawUrgently, b.life.String())
 		case b.planned != nil:
-			wishes.Withdraw = append(wishes.Withdraw, b.life.String())
+			directives.Withdraw = append(directives.Withdraw, b.life.String())
 		case b.report != nil && b.report.Withdrawn && b.issued == nil:
-			wishes.Restore = append(wishes.Restore, b.life.String())
+			directives.Restore = append(directives.Restore, b.life.String())
 		}
 	}
-	if known := p.cells[name]; known != nil {
-		wishes.Exited = p.exitedEndpoints(known)
+	if c := p.cells[cellName]; c != nil {
+		directives.Exited = p.exitedEndpoints(c)
 	}
-	return wishes
+	return directives
 }
 
-// exitedEndpoints returns the endpoints that a cell has reported and that a list of
-// boxes asked for later doesn't show any more.
-func (p *Planner) exitedEndpoints(known *cell) []string {
-	if !known.hasFreshReport(p.now) || !p.boxesRequestedAt.After(known.reportedAt) {
+// exitedEndpoints returns the endpoints that a cell has reported although a list of boxes which was
+// requested after the report shows their boxes with another endpoint or not up.
+func (p *Planner) exitedEndpoints(c *cell) []string {
+	if !c.hasFreshReport(p.now) || !p.boxesRequestedAt.After(c.reportedAt) {
 		return nil
 	}
-	var found []string
-	for _, entry := range known.report.Endpoints {
-		b := p.boxes[entry.Box]
-		if b != nil && (b.info.Endpoint != damsonwinch.ParseLife(entry.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
-			found = append(found, entry.Endpoint)
+	var exited []string
+	for _, reported := range c.report.Endpoints {
+		b := p.boxes[reported.Box]
+		if b != nil && (b.info.Endpoint != damsonwinch.ParseLife(reported.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
+			exited = append(exited, reported.Endpoint)
 		}
 	}
-	return found
+	return exited
 }
 
-// Shortages says what is wanted and can't be done now, for operators.
+// Shortages returns, by cell name, a text for operators on boxes that the cell needs and that no
+// other cell can give. The map changes with the next call of Plan.
 func (p *Planner) Shortages() map[string]string {
 	return p.shortages
 }
 
-// updateLife takes note of a life that is reported on a box. It says whether the box is in
-// another cell by that.
+// updateLife sets the life on a box to the one that its cell has reported. It returns whether the
+// box has changed its shard by that.
 func (p *Planner) updateLife(b *box, life damsonwinch.Life) bool {
 	if life == b.life {
 		return false
 	}
 	if !life.MayBe(b.life) {
-		// The list of boxes may not have shown that one ended and another came.
+		// The earlier life has exited. The list of boxes need not have shown that.
 		b.dropPlannedOrder()
 	}
 	b.life = life
@@ -195,22 +214,22 @@
 	return b.shard != before
 }
 
-// attachReports ties the cells' reports to the boxes.
+// attachReports attaches to each box what a fresh report of a cell says of the box's endpoint.
 func (p *Planner) attachReports() {
 	moved := false
 	for _, b := range p.boxesByName {
 		b.report = nil
 	}
 	for _, name := range p.cellNames {
-		known := p.cells[name]
-		if !known.hasFreshReport(p.now) {
+		c := p.cells[name]
+		if !c.hasFreshReport(p.now) {
 			continue
 		}
-		for at := range known.report.Endpoints {
-			entry := &known.report.Endpoints[at]
-			life := damsonwinch.ParseLife(entry.Endpoint)
-			if b := p.boxes[entry.Box]; b != nil && b.info.Endpoint == life.ID {
-				b.report = entry
+		for i := range c.report.Endpoints {
+			reported := &c.report.Endpoints[i]
+			life := damsonwinch.ParseLife(reported.Endpoint)
+			if b := p.boxes[reported.Box]; b != nil && b.info.Endpoint == life.ID {
+				b.report = reported
 				moved = p.updateLife(b, life) || moved
 			}
 		}
@@ -220,7 +239,7 @@
 	}
 }
 
-// poweredOffPool returns the pool whose boxes are off, if there is one.
+// poweredOffPool returns the pool whose boxes are powered off, and whether there is one.
 func (p *Planner) poweredOffPool() (string, bool) {
 	for _, name := range p.cellNames {
 		if p.cells[name].poweredOff {
@@ -230,22 +249,23 @@
 	return "", false
 }
 
-// maxBoxCPU returns the processor room of a cell's usual box.
-func (p *Planner) maxBoxCPU(name string) int {
-	most := 0
-	for _, b := range p.boxesByCell[name] {
-		most = max(most, b.info.Capacity.CPU)
+// maxBoxCPU returns the CPU capacity, in thousandths of a core, of a cell's largest box. For a cell
+// without boxes it returns that of the largest box of all.
+func (p *Planner) maxBoxCPU(cellName string) int {
+	largest := 0
+	for _, b := range p.boxesByCell[cellName] {
+		largest = max(largest, b.info.Capacity.CPU)
 	}
-	if most > 0 {
-		return most
+	if largest > 0 {
+		return largest
 	}
 	for _, b := range p.boxesByName {
-		most = max(most, b.info.Capacity.CPU)
+		largest = max(largest, b.info.Capacity.CPU)
 	}
-	return most
+	return largest
 }
 
-// sortBoxes returns boxes in order of a cost, equal ones by their names.
+// sortBoxes sorts boxes in place by a cost, boxes of equal cost by name, and returns them.
 func sortBoxes(boxes []*box, cost func(b *box) int) []*box {
 	slices.SortStableFunc(boxes, func(a, b *box) int {
 		return cmp.Or(cmp.Compare(cost(a), cost(b)), cmp.Compare(a.info.Name, b.info.Name))
