--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -15,7 +15,7 @@
 type benchmark struct {
 	cell  *cell.Cell
 	now   time.Time
-	looks map[string]cell.Look
+	looks map[string]cell.Poll
 	runs  map[string][]damsonwinch.Run
 	ends  map[string]int
 	ids   []string
@@ -33,12 +33,12 @@
 )
 
 func newBenchmark(endpoints int) *benchmark {
-	m := &benchmark{now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Look{}, runs: map[string][]damsonwinch.Run{}, ends: map[string]int{}}
+	m := &benchmark{now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, runs: map[string][]damsonwinch.Run{}, ends: map[string]int{}}
 	m.cell = cell.New(cell.Options{
-		MostLease: 10 * time.Second, TokenGrace: 5 * time.Second, StopTime: 400 * time.Millisecond, StartLate: 2 * time.Second,
-		LookWait: 500 * time.Millisecond, IdleLook: 2 * time.Second, RetryLook: 300 * time.Millisecond, KeepEnded: time.Minute,
+		MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
+		PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond, EndedJobRetention: time.Minute,
 	}, 1)
-	m.cell.Configure(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
+	m.cell.SetQueues(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 20, Target: time.Minute}})
 	var listed []damsonwinch.Endpoint
 	for at := range endpoints {
 		id := fmt.Sprintf("endpoint-%04d", at)
@@ -71,16 +71,16 @@
 // serve carries out the cell's effects at once, but for looks, which wait.
 func (m *benchmark) serve() {
 	for {
-		effects := m.cell.Take()
-		if effects.Commit == nil && len(effects.Starts) == 0 && len(effects.Looks) == 0 {
+		effects := m.cell.TakeEffects()
+		if effects.Commit == nil && len(effects.Starts) == 0 && len(effects.Polls) == 0 {
 			return
 		}
-		for _, look := range effects.Looks {
-			m.looks[look.At.Life.ID] = look
+		for _, look := range effects.Polls {
+			m.looks[look.Endpoint.Life.ID] = look
 		}
 		for _, start := range effects.Starts {
-			m.runs[start.At.Life.ID] = append(m.runs[start.At.Life.ID], start.Order.Run)
-			m.cell.Started(m.now, start.At.Life, start.Order.Run, nil)
+			m.runs[start.Endpoint.Life.ID] = append(m.runs[start.Endpoint.Life.ID], start.Request.Run)
+			m.cell.Started(m.now, start.Endpoint.Life, start.Request.Run, nil)
 		}
 		if effects.Commit != nil {
 			for _, record := range effects.Commit.Records {
@@ -106,7 +106,7 @@
 	for _, run := range m.runs[id] {
 		found.Running = append(found.Running, damsonwinch.Running{Run: run, Percent: 100})
 	}
-	m.cell.Looked(m.now, look.At.Life, look.Number, found, nil)
+	m.cell.Looked(m.now, look.Endpoint.Life, look.Number, found, nil)
 	m.serve()
 }
 
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -52,7 +52,7 @@
 	if p.heldSince.IsZero() {
 		p.heldSince = c.now
 	}
-	c.inLine[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.Fits(customer, times(p.share(), count))
+	c.inLine[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.CanEverFit(customer, times(p.share(), count))
 	return false
 }
 
@@ -62,7 +62,7 @@
 
 // takeAllowances takes the word of the planner on what the cell may have running.
 func (c *Cell) takeAllowances(args wire.SyncArgs) {
-	if c.quota.Take(c.token, args) {
+	if c.quota.ApplyUpdate(c.token, args) {
 		c.commits.allowances = true
 	}
 	if len(args.Allowances) > 0 {
@@ -79,7 +79,7 @@
 // confirms them.
 func (c *Cell) allowancesRecord(sent *sentCommit) damsonwinch.Record {
 	record, number := c.quota.Record()
-	sent.allotter, sent.allowances = c.quota.Allotter(), number
+	sent.allotter, sent.allowances = c.quota.AllocatorToken(), number
 	return damsonwinch.Record{Key: allowancesKey, Value: encode(record)}
 }
 
@@ -94,7 +94,7 @@
 
 // reportCustomers tells the planner which customers want more than they may have running.
 func (c *Cell) reportCustomers(report *wire.SyncReply) {
-	wanted := map[string]quota.Wanted{}
+	wanted := map[string]quota.Demand{}
 	for _, p := range c.open {
 		customer := p.job().customer
 		if customer == "" || len(p.ready) == 0 {
@@ -102,10 +102,10 @@
 		}
 		need := p.share()
 		if p.spec.Gang {
-			wanted[customer] = wanted[customer].With(times(need, len(p.ready)), 1)
+			wanted[customer] = wanted[customer].WithTasks(times(need, len(p.ready)), 1)
 			continue
 		}
-		wanted[customer] = wanted[customer].With(need, len(p.ready))
+		wanted[customer] = wanted[customer].WithTasks(need, len(p.ready))
 	}
 	c.quota.Report(c.token, wanted, report)
 }
@@ -128,7 +128,7 @@
 		return cpu
 	}
 	if _, known := a.left[customer]; !known {
-		a.left[customer] = a.quota.Left(customer, math.MaxInt)
+		a.left[customer] = a.quota.RemainingCPU(customer, math.MaxInt)
 	}
 	may := min(cpu, a.left[customer])
 	a.left[customer] -= may
@@ -141,7 +141,7 @@
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuota)) {
 		if c.heldSince[customer].IsZero() {
 			c.heldSince[customer] = c.now
-			c.stats.Held++
+			c.stats.QuotaWaits++
 			c.noteCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
 		}
 	}
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -18,7 +18,7 @@
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read %s: %w", record.Key, err)
 	}
-	p.allotter.Recall(strings.TrimPrefix(record.Key, allocationPrefix), saved)
+	p.allotter.Load(strings.TrimPrefix(record.Key, allocationPrefix), saved)
 	return nil
 }
 
@@ -38,7 +38,7 @@
 	if !p.layout.Decided() {
 		return
 	}
-	for _, customer := range p.allotter.Deal(p.deps.Clock.Now()) {
+	for _, customer := range p.allotter.Allocate(p.deps.Clock.Now()) {
 		p.queueRecord(allocationPrefix+customer, p.allotter.Record(customer))
 		p.pendingCustomers = append(p.pendingCustomers, customer)
 	}
@@ -72,7 +72,7 @@
 	cells := p.cellNames()
 	now, gap := p.deps.Clock.Now(), time.Duration(len(cells))*sendGapPerCell
 	for _, cell := range cells {
-		if p.allotter.HasNews(cell) && now.Sub(p.syncedAt[cell]) >= gap {
+		if p.allotter.HasUpdate(cell) && now.Sub(p.syncedAt[cell]) >= gap {
 			p.syncUnlessInFlight(cell)
 		}
 	}
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -88,7 +88,7 @@
 	if m.err != nil {
 		return m.err
 	}
-	p.allotter.Recorded(m.raised)
+	p.allotter.MarkRecorded(m.raised)
 	p.sendAllowances()
 	for _, order := range m.orders {
 		p.sendOrder(order)
--- a/pkg/quota/contact.go
+++ b/pkg/quota/contact.go
@@ -39,7 +39,7 @@
 }
 
 // contactOf returns the contact with the owner of a cell; a new owner has heard nothing.
-func (a *Allotter) contactOf(cell string, token int) *contact {
+func (a *Allocator) contactOf(cell string, token int) *contact {
 	c := a.contacts[cell]
 	if c != nil && token <= c.token {
 		return c
@@ -68,8 +68,8 @@
 	return found
 }
 
-// HasNews says whether the owner of a cell is to be told something that needn't wait.
-func (a *Allotter) HasNews(cell string) bool {
+// HasUpdate says whether the owner of a cell is to be told something that needn't wait.
+func (a *Allocator) HasUpdate(cell string) bool {
 	c := a.contacts[cell]
 	if c == nil {
 		return false
@@ -96,22 +96,22 @@
 	}
 }
 
-// Words is what is said to the owner of a cell.
-type Words struct {
-	// Cell is the token by which it owns the cell, Number that of this word among those to it, and
+// Update is what is said to the owner of a cell.
+type Update struct {
+	// OwnerToken is the token by which it owns the cell, Number that of this word among those to it, and
 	// Version that of the configuration by which all that it has been told was dealt.
-	Cell    int
-	Number  int
-	Version int
-	Rows    []wire.AllowanceRow
+	OwnerToken    int
+	Number        int
+	ConfigVersion int
+	Allowances    []wire.AllowanceRow
 }
 
-// Words returns what is to be said to the owner of a cell next; nothing to one that hasn't been
+// NextUpdate returns what is to be said to the owner of a cell next; nothing to one that hasn't been
 // heard of. All that it hasn't confirmed is said again.
-func (a *Allotter) Words(cell string) Words {
+func (a *Allocator) NextUpdate(cell string) Update {
 	c := a.contacts[cell]
 	if c == nil {
-		return Words{}
+		return Update{}
 	}
 	c.number++
 	heldBack := false
@@ -130,10 +130,10 @@
 	if !heldBack {
 		c.version = a.version
 	}
-	words := Words{Cell: c.token, Number: c.number, Version: c.version}
+	words := Update{OwnerToken: c.token, Number: c.number, ConfigVersion: c.version}
 	for _, customer := range slices.Sorted(maps.Keys(c.told)) {
 		said := c.told[customer][len(c.told[customer])-1]
-		words.Rows = append(words.Rows, wire.AllowanceRow{Customer: customer, Amount: said.amount.wire(), Cap: said.cap.wire()})
+		words.Allowances = append(words.Allowances, wire.AllowanceRow{Customer: customer, Amount: said.amount.wire(), Cap: said.cap.wire()})
 	}
 	return words
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -130,9 +130,9 @@
 
 // dealt returns an allotter that has dealt a cap of 400 to two cells, which have confirmed it, and
 // their allowances.
-func dealt(t *testing.T) (*Allotter, []*Allowances) {
+func dealt(t *testing.T) (*Allocator, []*Allowances) {
 	t.Helper()
-	a := NewAllotter()
+	a := NewAllocator()
 	a.Configure(1, customers(400))
 	a.SetCells(time.Time{}, cellNames)
 	var cells []*Allowances
@@ -160,27 +160,27 @@
 
 // sync has the allotter talk to the cells once, the first of which has so many tasks waiting, and
 // all be recorded at once but for what some cells hear.
-func sync(a *Allotter, cells []*Allowances, waiting int, unrecorded map[int]bool) {
-	a.Recorded(a.Deal(time.Time{}))
+func sync(a *Allocator, cells []*Allowances, waiting int, unrecorded map[int]bool) {
+	a.MarkRecorded(a.Allocate(time.Time{}))
 	for at, cell := range cells {
 		reply := tell(a, at, cell, waiting)
-		a.Heard(cellNames[at], allotterToken, reply)
+		a.HandleReply(cellNames[at], allotterToken, reply)
 		if !unrecorded[at] {
 			_, number := cell.Record()
-			cell.Recorded(allotterToken, number)
+			cell.MarkRecorded(allotterToken, number)
 		}
 	}
 }
 
-func tell(a *Allotter, at int, cell *Allowances, waiting int) wire.SyncReply {
-	words := a.Words(cellNames[at])
-	cell.Take(ownerToken, wire.SyncArgs{
-		Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
+func tell(a *Allocator, at int, cell *Allowances, waiting int) wire.SyncReply {
+	words := a.NextUpdate(cellNames[at])
+	cell.ApplyUpdate(ownerToken, wire.SyncArgs{
+		Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 	})
 	reply := wire.SyncReply{Known: true}
-	var wanted map[string]Wanted
+	var wanted map[string]Demand
 	if at == 0 && waiting > 0 {
-		wanted = map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: 1}, waiting)}
+		wanted = map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: 1}, waiting)}
 	}
 	cell.Report(ownerToken, wanted, &reply)
 	return reply
@@ -212,7 +212,7 @@
 func TestNothingBeginsWhileTooMuchRuns(t *testing.T) {
 	a, cells := dealt(t)
 	running := damsonwinch.Resources{CPU: 200}
-	cells[0].Begin(simCustomer, running, false)
+	cells[0].AddRun(simCustomer, running, false)
 	a.Configure(2, customers(100))
 	small := damsonwinch.Resources{CPU: 1}
 	for range 5 {
@@ -220,7 +220,7 @@
 		assert.Assert(t, !cells[0].Allows(simCustomer, small))
 		assert.Assert(t, !cells[1].Allows(simCustomer, small))
 	}
-	cells[0].End(simCustomer, running, false)
+	cells[0].RemoveRun(simCustomer, running, false)
 	for range 5 {
 		sync(a, cells, 1000, nil)
 	}
@@ -235,19 +235,19 @@
 		need := damsonwinch.Resources{CPU: task}
 		running := 0
 		for range 12 {
-			a.Recorded(a.Deal(time.Time{}))
+			a.MarkRecorded(a.Allocate(time.Time{}))
 			for at, cell := range cells {
 				for cell.Allows(simCustomer, need) {
-					cell.Begin(simCustomer, need, false)
+					cell.AddRun(simCustomer, need, false)
 					running++
 				}
-				words := a.Words(cellNames[at])
-				cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows})
+				words := a.NextUpdate(cellNames[at])
+				cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
 				reply := wire.SyncReply{Known: true}
 				_, number := cell.Record()
-				cell.Recorded(allotterToken, number)
-				cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(need, 50)}, &reply)
-				a.Heard(cellNames[at], allotterToken, reply)
+				cell.MarkRecorded(allotterToken, number)
+				cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(need, 50)}, &reply)
+				a.HandleReply(cellNames[at], allotterToken, reply)
 			}
 		}
 		assert.Equal(t, running, 400/task, "tasks of %d under a cap of 400", task)
@@ -257,7 +257,7 @@
 // TestATaskWithoutABoxHoldsNobodyUp: cells in which large tasks wait that have no box to run on are
 // given room for them, and don't use it. A cell whose share doesn't hold its task gets its turn.
 func TestATaskWithoutABoxHoldsNobodyUp(t *testing.T) {
-	a := NewAllotter()
+	a := NewAllocator()
 	a.Configure(1, customers(400))
 	names := []string{"a", "b", "c", "d"}
 	a.SetCells(time.Time{}, names)
@@ -269,17 +269,17 @@
 	}
 	needs := []int{300, 290, 280, 120}
 	for now := (time.Time{}); now.Before(time.Time{}.Add(6 * time.Second)); now = now.Add(100 * time.Millisecond) {
-		a.Recorded(a.Deal(now))
+		a.MarkRecorded(a.Allocate(now))
 		for at, cell := range cells {
-			words := a.Words(names[at])
-			cell.Take(ownerToken, wire.SyncArgs{
-				Token: allotterToken, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows,
+			words := a.NextUpdate(names[at])
+			cell.ApplyUpdate(ownerToken, wire.SyncArgs{
+				Token: allotterToken, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
 			})
 			_, number := cell.Record()
-			cell.Recorded(allotterToken, number)
+			cell.MarkRecorded(allotterToken, number)
 			reply := wire.SyncReply{Known: true}
-			cell.Report(ownerToken, map[string]Wanted{simCustomer: Wanted{}.With(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
-			a.Heard(names[at], allotterToken, reply)
+			cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: needs[at]}, 3)}, &reply)
+			a.HandleReply(names[at], allotterToken, reply)
 		}
 		if cells[3].Allows(simCustomer, damsonwinch.Resources{CPU: needs[3]}) {
 			return
@@ -303,17 +303,17 @@
 // such a one first and took its word that nothing ran, while eight ran under the next owner.
 func TestAReplacedOwnerConfirmsNothing(t *testing.T) {
 	_, cells := dealt(t)
-	next := NewAllotter()
+	next := NewAllocator()
 	next.Configure(1, customers(400))
 	next.SetCells(time.Time{}, cellNames)
 	for range 5 {
-		next.Recorded(next.Deal(time.Time{}))
+		next.MarkRecorded(next.Allocate(time.Time{}))
 		for at, cell := range cells {
-			words := next.Words(cellNames[at])
-			cell.Take(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.Cell, AllowanceNumber: words.Number, ConfigVersion: words.Version, Allowances: words.Rows})
+			words := next.NextUpdate(cellNames[at])
+			cell.ApplyUpdate(ownerToken, wire.SyncArgs{Token: allotterToken + 1, CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances})
 			reply := wire.SyncReply{Known: true}
 			cell.Report(ownerToken, nil, &reply)
-			next.Heard(cellNames[at], allotterToken+1, reply)
+			next.HandleReply(cellNames[at], allotterToken+1, reply)
 		}
 	}
 	for _, cell := range cellNames {
@@ -328,7 +328,7 @@
 	for number := range 200 {
 		all = append(all, damsonwinch.Customer{Name: fmt.Sprintf("customer-%d", number), Cap: damsonwinch.Resources{CPU: 1_000_000, MemoryMB: 2_000_000}})
 	}
-	a := NewAllotter()
+	a := NewAllocator()
 	a.Configure(1, all)
 	var names []string
 	for number := range 225 {
@@ -337,7 +337,7 @@
 	a.SetCells(time.Time{}, names)
 	numbers := map[string]int{}
 	round := func(number int) {
-		a.Recorded(a.Deal(time.Time{}))
+		a.MarkRecorded(a.Allocate(time.Time{}))
 		for at, name := range names {
 			reply := wire.SyncReply{Known: true, Token: ownerToken, AllotterToken: allotterToken, AllowanceNumber: numbers[name]}
 			if at < 10 {
@@ -345,8 +345,8 @@
 					Customer: fmt.Sprintf("customer-%d", at), Used: wire.Amount{Cpu: 5000 + number%5000}, Wanted: wire.Amount{Cpu: 100}, Largest: wire.Amount{Cpu: 100},
 				}}
 			}
-			a.Heard(name, allotterToken, reply)
-			numbers[name] = a.Words(name).Number
+			a.HandleReply(name, allotterToken, reply)
+			numbers[name] = a.NextUpdate(name).Number
 		}
 	}
 	for number := range 5 {
