--- a/pkg/supply/census.go
+++ b/pkg/supply/census.go
@@ -5,25 +5,26 @@
 	"damsonwinch/pkg/shard"
 )
 
-// boxCounts counts the boxes that serve the cells, or will without another decision.
-// It is made anew for each plan and kept true while the plan is made, so that a
-// plan's cost grows with the boxes and not with their square.
+// boxCounts counts the boxes that serve each cell, or will serve it without another decision.
+// Plan counts them once at its start and updateBox corrects the counts with each decision, so that
+// the cost of Plan grows linearly with the number of boxes and not with its square.
 type boxCounts struct {
 	byCell map[string]int
 	byZone map[cellZone]int
 }
 
-// cellZone is a cell's part in an availability zone.
+// cellZone is the part of a cell that is in one availability zone.
 type cellZone struct {
 	cell, zone string
 }
 
+// add adds count boxes, which may be negative, to a cell and its part in a zone.
 func (c *boxCounts) add(cell, zone string, count int) {
 	c.byCell[cell] += count
 	c.byZone[cellZone{cell: cell, zone: zone}] += count
 }
 
-// countBoxes makes the census.
+// countBoxes counts all boxes anew.
 func (p *Planner) countBoxes() {
 	p.boxCounts = boxCounts{byCell: make(map[string]int, len(p.cellNames)), byZone: map[cellZone]int{}}
 	for _, b := range p.boxesByName {
@@ -31,26 +32,27 @@
 	}
 }
 
-// updateBox decides something new about a box.
+// updateBox calls decide, which changes the planned or issued order of a box, and corrects the
+// counts by the cell that the box serves after that.
 func (p *Planner) updateBox(b *box, decide func()) {
 	p.boxCounts.add(p.servedCell(b), b.info.Zone, -1)
 	decide()
 	p.boxCounts.add(p.servedCell(b), b.info.Zone, 1)
 }
 
-// boxCount counts the boxes that serve a cell or will soon.
-func (p *Planner) boxCount(name string) int {
-	return p.boxCounts.byCell[name]
+// boxCount returns the number of boxes that serve a cell or will serve it without another decision.
+func (p *Planner) boxCount(cellName string) int {
+	return p.boxCounts.byCell[cellName]
 }
 
-// zoneBoxCount counts a cell's boxes in a zone, so that new ones go where it has
-// least and the loss of a zone costs no cell too much.
-func (p *Planner) zoneBoxCount(name, zone string) int {
-	return p.boxCounts.byZone[cellZone{cell: name, zone: zone}]
+// zoneBoxCount returns how many of the boxes of boxCount are in a zone. Boxes are added to a cell in
+// the zones where it has fewest, so that the loss of a zone takes only its share of the cell's boxes.
+func (p *Planner) zoneBoxCount(cellName, zone string) int {
+	return p.boxCounts.byZone[cellZone{cell: cellName, zone: zone}]
 }
 
-// servedCell returns the cell that a box serves, or will without another decision;
-// empty for none.
+// servedCell returns the cell that a box serves, or will serve without another decision; empty for
+// none.
 func (p *Planner) servedCell(b *box) string {
 	pool := p.servedPool(b)
 	if pool == "" {
@@ -66,8 +68,8 @@
 	return shard.CellName(pool, number)
 }
 
-// servedPool returns the pool that a box serves, or will without another decision;
-// empty for none.
+// servedPool returns the pool that a box serves, or will serve without another decision; empty for
+// none.
 func (p *Planner) servedPool(b *box) string {
 	if b.issued != nil {
 		if b.issued.Pool != "" {
@@ -76,15 +78,16 @@
 		return b.info.Pool
 	}
 	if b.planned != nil {
-		// A box that is emptied for maintenance takes no work until it is back.
+		// The pool is empty for maintenance: a box that is withdrawn for it takes no work until
+		// it is back.
 		return b.planned.pool
 	}
 	if b.info.State == damsonwinch.BoxDown {
 		return ""
 	}
-	known := p.cells[b.cellName()]
-	arriving := p.now.Sub(b.upSince) < joinTimeout
-	if arriving || known == nil || (b.report != nil && b.report.Usable) || (b.report == nil && !known.hasFreshReport(p.now)) {
+	c := p.cells[b.cellName()]
+	joining := p.now.Sub(b.upSince) < joinTimeout
+	if joining || c == nil || (b.report != nil && b.report.Usable) || (b.report == nil && !c.hasFreshReport(p.now)) {
 		return b.info.Pool
 	}
 	return ""
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -7,224 +7,232 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Rules of a pool's need.
 const (
-	// reportLifetime is how long a cell's report counts.
+	// reportLifetime is how long a cell's report is used.
 	reportLifetime = 2 * time.Second
-	// milliPerBox is a box in thousandths.
+	// milliPerBox is one box in thousandths of a box.
 	milliPerBox = 1000
-	// minSlack and usualSlack bound the time that jobs are taken to be able to
-	// wait: the quickest of the users' jobs can wait about a second.
+	// minSlack is the least slack that a cell is taken to have, whatever it reports; see
+	// cell.slack. defaultSlack is that of a cell that reports none. The most urgent of the users'
+	// jobs have a slack of about a second.
 	minSlack     = 500 * time.Millisecond
 	defaultSlack = 1200 * time.Millisecond
-	// cpuHeadroomPercent is what a pool has above the work that comes in, in percent,: work
-	// comes unevenly, and boxes can't be packed to the last core.
+	// cpuHeadroomPercent is what a pool gets beyond the CPU that arriving work needs: work arrives
+	// unevenly, and tasks can't be packed onto boxes without unused cores.
 	cpuHeadroomPercent = 45
-	// donorSlackFactor is how many times as long as those of another pool a pool's jobs
-	// must be able to wait for it to give what it doesn't use now.
+	// donorSlackFactor is how many times the slack of another pool a pool must have to give that
+	// pool the boxes that it doesn't use at the moment.
 	donorSlackFactor = 2
-	// memoryFactorPercent is the same for memory.
+	// memoryFactorPercent is the memory that a pool gets for each 100 % that its tasks need, for
+	// the same reasons as cpuHeadroomPercent.
 	memoryFactorPercent = 120
-	// lateWorkPercent is the part of the work of late jobs, in percent, that a pool gets boxes
-	// for: they are worth little, but must be done.
+	// lateWorkPercent is the part of the work of late jobs for which a pool gets boxes: late jobs
+	// are worth little, but must be done.
 	lateWorkPercent = 20
-	// defaultTaskMs is the time of a task while none has ended yet.
+	// defaultTaskMs is the duration that a task is taken to have while none has ended yet.
 	defaultTaskMs = 1000
-	// FirstTaskDelay is added to a move's own time until a box has work.
+	// FirstTaskDelay is the time from the end of a box's move until the box has work.
 	FirstTaskDelay = 500 * time.Millisecond
-	// reserveMilliBoxes is room that every pool keeps free for jobs to come, in thousandths
-	// of a box. That of each cell of a pool in several shards is less by the root of
-	// their number, as what comes by chance is.
+	// reserveMilliBoxes is the capacity that a pool keeps free for jobs to come. In a pool of
+	// several shards each cell keeps this divided by the square root of their number, since random
+	// variation of the load grows only with the square root of the load.
 	reserveMilliBoxes = 1700
-	// averagingTime is the time over which a pool's need is averaged where it is asked for
-	// boxes: what waits comes and goes within 0.1 s, and a box that is given and taken
-	// back has served nobody for some five seconds.
+	// averagingTime is the time constant of the running means that decide which boxes a pool gives
+	// away. The number of waiting tasks changes within 0.1 s, and a box that is given away and
+	// taken back serves nobody for about five seconds.
 	averagingTime = 600 * time.Millisecond
-	// minBoxesPerPool keeps a pool through the loss of a box or a zone.
+	// minBoxesPerPool is the number of boxes with which a pool survives the loss of a box or a
+	// zone.
 	minBoxesPerPool = 2
-	// busyPercent is the part of a pool's room, in percent, from which late jobs of which
-	// nothing runs have to wait for those that do. Below, each gets room for a task: the
-	// pool's other cells can't help, and users see a job that stands still beside idle
-	// boxes.
+	// busyPercent is the CPU utilization of a pool from which late jobs without a running task
+	// wait for those that have one. Below it, each of them gets capacity for a task: the pool's
+	// other cells can't help, and users would see a job that makes no progress beside idle boxes.
 	busyPercent = 50
 )
 
-// cell is a pool's boxes of one shard as the planner knows them.
+// cell is what the planner knows of a cell: the boxes of a pool that belong to one shard.
 type cell struct {
 	name string
-	// pool and shard are those of which it is.
-	pool       string
-	shard      int
+	// pool and shard are the ones that the cell belongs to.
+	pool  string
+	shard int
+	// poweredOff says that the pool's boxes are powered off.
 	poweredOff bool
 	// shards is the number of the pool's cells.
 	shards int
-	// poolIdle says that most of the pool's room isn't used.
+	// poolIdle says that the CPU utilization of the pool is below busyPercent.
 	poolIdle   bool
 	report     wire.SyncReply
 	reportedAt time.Time
-	// reportIsNew says that the report is newer than the need.
+	// reportIsNew says that the demand hasn't been computed from the report yet.
 	reportIsNew bool
-	// required is how many boxes the pool should have now, and peaks the highest steady
-	// needs of late, which it keeps boxes for.
+	// required is how many boxes the cell should have now.
 	required int
-	peaks    []peak
-	// requiredOnTime is how many boxes the work that is there and can be in time takes. What is late
-	// doesn't count: after a burst a pool kept 39 of 49 boxes for 10 s in which it had late
-	// work only, and 120 of the next pool's 139 jobs were not in time. Worth 0.034 of a
-	// day's 1.0 with a burst of five times the traffic for 10 s, by eight paired plays.
+	// peaks are the highest steady demands in the recent past, for which the cell keeps boxes.
+	peaks []peak
+	// requiredOnTime is how many boxes the present work takes that can still be done on time. Late
+	// work doesn't count: when it did, a pool kept 39 of 49 boxes for 10 s after a burst for late
+	// work only, and 120 of the next pool's 139 jobs were late. With a burst of five times the
+	// traffic for 10 s, this rule raises a simulated day's score by 0.034 of 1.0 (eight paired
+	// runs).
 	requiredOnTime int
-	// requiredLongRunning is how many boxes the requiredLongRunning tasks take by themselves.
+	// requiredLongRunning is how many boxes the long-running tasks alone take.
 	requiredLongRunning int
-	// shortSince is since when the cell has had fewer, zero if it hasn't.
+	// shortSince is since when the cell has had fewer boxes than requiredLongRunning; zero if it
+	// has enough.
 	shortSince time.Time
-	// meanRequired and usualFirm are running means of both, by which the pool gives boxes.
+	// meanRequired and meanRequiredOnTime are running means of required and requiredOnTime, updated
+	// at averagedAt. They decide which boxes the cell gives to other pools.
 	meanRequired       float64
 	meanRequiredOnTime float64
 	averagedAt         time.Time
 }
 
-// peak is a need at a moment.
+// peak is the demand of a cell, in boxes, at a time.
 type peak struct {
 	at    time.Time
 	boxes int
 }
 
-// hasFreshReport says whether the cell's report can be gone by.
-func (l *cell) hasFreshReport(now time.Time) bool {
-	return l.report.Known && now.Sub(l.reportedAt) <= reportLifetime
+// hasFreshReport says whether the owner of the cell has sent a report that is still in use.
+func (c *cell) hasFreshReport(now time.Time) bool {
+	return c.report.Known && now.Sub(c.reportedAt) <= reportLifetime
 }
 
-// updateDemands works out the needs of the cells that have reported.
+// updateDemands computes the demand of the cells that have a new report.
 func (p *Planner) updateDemands() {
 	idle := p.idlePools()
 	for _, name := range p.cellNames {
-		if l := p.cells[name]; l.reportIsNew {
-			l.reportIsNew = false
-			l.poolIdle = idle[l.pool]
-			p.updateDemand(l, p.now)
+		if c := p.cells[name]; c.reportIsNew {
+			c.reportIsNew = false
+			c.poolIdle = idle[c.pool]
+			p.updateDemand(c, p.now)
 		}
 	}
 }
 
-// idlePools returns the pools most of whose room isn't used, over all shards.
+// idlePools returns, by pool, whether its CPU utilization over all shards is below busyPercent.
 func (p *Planner) idlePools() map[string]bool {
-	used, room := map[string]int{}, map[string]int{}
+	used, capacity := map[string]int{}, map[string]int{}
 	for _, b := range p.boxesByName {
 		if b.report != nil && b.report.Usable {
 			used[b.info.Pool] += b.report.UsedCpu
-			room[b.info.Pool] += b.info.Capacity.CPU
+			capacity[b.info.Pool] += b.info.Capacity.CPU
 		}
 	}
-	idle := make(map[string]bool, len(room))
-	for pool, cpu := range room {
+	idle := make(map[string]bool, len(capacity))
+	for pool, cpu := range capacity {
 		idle[pool] = used[pool]*100 < cpu*busyPercent
 	}
 	return idle
 }
 
-// updateDemand works out how many boxes the pool should have: for the work that
-// comes, for what waits, and for what will have piled up by the time that new
-// boxes come.
-func (p *Planner) updateDemand(l *cell, now time.Time) {
-	boxCPU := p.maxBoxCPU(l.name)
-	if boxCPU == 0 || !l.report.Known {
+// updateDemand computes how many boxes a cell should have: for the work that arrives, for the work
+// that waits, and for the work that will have accumulated when new boxes are ready.
+func (p *Planner) updateDemand(c *cell, now time.Time) {
+	boxCPU := p.maxBoxCPU(c.name)
+	if boxCPU == 0 || !c.report.Known {
 		return
 	}
-	inTime := l.report.RunningCpu + l.report.WaitingCpu
-	reactive := inTime + l.lateCPU()
-	if l.poolIdle {
-		reactive = max(reactive, inTime+l.report.RunningLateCpu+l.report.StalledCpu)
+	onTime := c.report.RunningCpu + c.report.WaitingCpu
+	reactive := onTime + c.lateCPU()
+	if c.poolIdle {
+		reactive = max(reactive, onTime+c.report.RunningLateCpu+c.report.StalledCpu)
 	}
-	cpu := max(reactive, p.predictedCPU(l, boxCPU))
-	l.required = max(l.boxesFor(l.report.LastingCpu+cpu, boxCPU), l.dedicatedBoxes(l.lateDedicatedMilliBoxes()))
-	l.requiredOnTime = max(l.boxesFor(l.report.LastingCpu+inTime, boxCPU), l.dedicatedBoxes(0))
-	l.requiredLongRunning = max(l.report.Spread, (l.report.LastingCpu+boxCPU-1)/boxCPU)
-	l.updateMeans(now)
-	steady := max(reactive, l.report.SteadyCpu*(100+cpuHeadroomPercent)/100)
-	hold := time.Duration(int64(p.options.ScaleDownDelay) * int64(l.slack()) / int64(defaultSlack))
-	l.recordPeak(now, hold, max(l.boxesFor(l.report.LastingCpu+steady, boxCPU), l.dedicatedBoxes(l.lateDedicatedMilliBoxes())))
-}
-
-// predictedCPU returns the processor room, in thousandths of a core, for the work that
-// comes and for what will have piled up by the time that new boxes have come.
-func (p *Planner) predictedCPU(l *cell, boxCPU int) int {
-	taskMs := l.report.TaskMs
+	cpu := max(reactive, p.predictedCPU(c, boxCPU))
+	c.required = max(c.boxesFor(c.report.LastingCpu+cpu, boxCPU), c.dedicatedBoxes(c.lateDedicatedMilliBoxes()))
+	c.requiredOnTime = max(c.boxesFor(c.report.LastingCpu+onTime, boxCPU), c.dedicatedBoxes(0))
+	c.requiredLongRunning = max(c.report.Spread, (c.report.LastingCpu+boxCPU-1)/boxCPU)
+	c.updateMeans(now)
+	steady := max(reactive, c.report.SteadyCpu*(100+cpuHeadroomPercent)/100)
+	window := time.Duration(int64(p.options.ScaleDownDelay) * int64(c.slack()) / int64(defaultSlack))
+	c.recordPeak(now, window, max(c.boxesFor(c.report.LastingCpu+steady, boxCPU), c.dedicatedBoxes(c.lateDedicatedMilliBoxes())))
+}
+
+// predictedCPU returns the CPU, in thousandths of a core, for the work that arrives and for the
+// backlog that there will be when new boxes are ready.
+func (p *Planner) predictedCPU(c *cell, boxCPU int) int {
+	taskMs := c.report.TaskMs
 	if taskMs == 0 {
 		taskMs = defaultTaskMs
 	}
-	short := max(0, l.report.OfferedCpu+l.report.LastingCpu-p.boxCount(l.name)*boxCPU)
-	lead := p.options.MoveTime + FirstTaskDelay
-	behind := (l.report.WaitingCpu+l.lateCPU())*taskMs + short*int(lead.Milliseconds())
-	// Half of the slack is left for what else comes.
-	return max(l.report.OfferedCpu*(100+cpuHeadroomPercent)/100, l.report.RunningCpu) + 2*behind/int(l.slack().Milliseconds())
+	missing := max(0, c.report.OfferedCpu+c.report.LastingCpu-p.boxCount(c.name)*boxCPU)
+	leadTime := p.options.MoveTime + FirstTaskDelay
+	backlog := (c.report.WaitingCpu+c.lateCPU())*taskMs + missing*int(leadTime.Milliseconds())
+	// The backlog is to be done in half of the slack; the other half is left for later work.
+	return max(c.report.OfferedCpu*(100+cpuHeadroomPercent)/100, c.report.RunningCpu) + 2*backlog/int(c.slack().Milliseconds())
 }
 
-// lateCPU returns the processor room that the cell gets for late jobs' work.
-func (l *cell) lateCPU() int {
-	return (l.report.RunningLateCpu + l.report.LateCpu) * lateWorkPercent / 100
+// lateCPU returns the CPU, in thousandths of a core, that the cell gets for the work of late jobs.
+func (c *cell) lateCPU() int {
+	return (c.report.RunningLateCpu + c.report.LateCpu) * lateWorkPercent / 100
 }
 
-// dedicatedBoxes returns the number of boxes for lasting tasks and for the tasks that don't fit
-// beside them, those of late jobs as far as told, in thousandths of a box.
-func (l *cell) dedicatedBoxes(late int) int {
-	return l.report.LastingBoxes + (l.report.WholeBoxes+late+milliPerBox-1)/milliPerBox
+// dedicatedBoxes returns the number of boxes for long-running tasks and for the tasks that are too
+// large to fit beside them. Of those tasks the ones of late jobs count as lateMilliBoxes, in
+// thousandths of a box.
+func (c *cell) dedicatedBoxes(lateMilliBoxes int) int {
+	return c.report.LastingBoxes + (c.report.WholeBoxes+lateMilliBoxes+milliPerBox-1)/milliPerBox
 }
 
-// lateDedicatedMilliBoxes returns what such tasks of late jobs get, in thousandths of a box: some of it
-// goes on in any case.
-func (l *cell) lateDedicatedMilliBoxes() int {
-	if l.report.WholeLateBoxes == 0 {
+// lateDedicatedMilliBoxes returns what the cell gets, in thousandths of a box, for the tasks of late
+// jobs that don't fit beside long-running tasks. It is at least one box if there are such tasks, so
+// that some of them always make progress.
+func (c *cell) lateDedicatedMilliBoxes() int {
+	if c.report.WholeLateBoxes == 0 {
 		return 0
 	}
-	return max(milliPerBox, l.report.WholeLateBoxes*lateWorkPercent/100)
+	return max(milliPerBox, c.report.WholeLateBoxes*lateWorkPercent/100)
 }
 
-// boxesFor returns the number of boxes for a need of processor.
-func (l *cell) boxesFor(cpu, boxCPU int) int {
-	share := max(cpu*milliPerBox/boxCPU, l.report.MemoryShare*memoryFactorPercent/100) + int(reserveMilliBoxes/math.Sqrt(float64(l.shards)))
-	return max(l.minBoxes(), l.report.Spread, (share+milliPerBox-1)/milliPerBox)
+// boxesFor returns the number of boxes that the cell should have for tasks which need cpu, given
+// the CPU capacity of a box, both in thousandths of a core. It includes memory and the reserve.
+func (c *cell) boxesFor(cpu, boxCPU int) int {
+	milliBoxes := max(cpu*milliPerBox/boxCPU, c.report.MemoryShare*memoryFactorPercent/100) + int(reserveMilliBoxes/math.Sqrt(float64(c.shards)))
+	return max(c.minBoxes(), c.report.Spread, (milliBoxes+milliPerBox-1)/milliPerBox)
 }
 
-// minBoxes is how many boxes the cell keeps in any case.
-func (l *cell) minBoxes() int {
-	return (minBoxesPerPool + l.shards - 1) / l.shards
+// minBoxes returns how many boxes the cell keeps even without work.
+func (c *cell) minBoxes() int {
+	return (minBoxesPerPool + c.shards - 1) / c.shards
 }
 
-// updateMeans brings the running means up to date.
-func (l *cell) updateMeans(now time.Time) {
+// updateMeans updates the running means with the present demand.
+func (c *cell) updateMeans(now time.Time) {
 	weight := 1.0
-	if !l.averagedAt.IsZero() {
-		weight = 1 - math.Exp(-float64(now.Sub(l.averagedAt))/float64(averagingTime))
+	if !c.averagedAt.IsZero() {
+		weight = 1 - math.Exp(-float64(now.Sub(c.averagedAt))/float64(averagingTime))
 	}
-	l.averagedAt = now
-	l.meanRequired += weight * (float64(l.required) - l.meanRequired)
-	l.meanRequiredOnTime += weight * (float64(l.requiredOnTime) - l.meanRequiredOnTime)
-}
-
-// recordPeak keeps the highest steady needs of the holding time.
-func (l *cell) recordPeak(now time.Time, hold time.Duration, need int) {
-	keep := l.peaks[:0]
-	for _, old := range l.peaks {
-		if now.Sub(old.at) < hold && old.boxes > need {
-			keep = append(keep, old)
+	c.averagedAt = now
+	c.meanRequired += weight * (float64(c.required) - c.meanRequired)
+	c.meanRequiredOnTime += weight * (float64(c.requiredOnTime) - c.meanRequiredOnTime)
+}
+
+// recordPeak adds the present steady demand, in boxes, to the peaks and drops those that are older
+// than the window or not higher.
+func (c *cell) recordPeak(now time.Time, window time.Duration, boxes int) {
+	kept := c.peaks[:0]
+	for _, earlier := range c.peaks {
+		if now.Sub(earlier.at) < window && earlier.boxes > boxes {
+			kept = append(kept, earlier)
 		}
 	}
-	l.peaks = append(keep, peak{at: now, boxes: need})
+	c.peaks = append(kept, peak{at: now, boxes: boxes})
 }
 
-// slack returns how long the pool's jobs can wait.
-func (l *cell) slack() time.Duration {
-	if l.report.SlackMs <= 0 {
+// slack returns how long the cell's jobs can usually wait and still be done on time.
+func (c *cell) slack() time.Duration {
+	if c.report.SlackMs <= 0 {
 		return defaultSlack
 	}
-	return max(minSlack, time.Duration(l.report.SlackMs)*time.Millisecond)
+	return max(minSlack, time.Duration(c.report.SlackMs)*time.Millisecond)
 }
 
-// retained is how many boxes the pool keeps.
-func (l *cell) retained() int {
-	most := l.required
-	for _, old := range l.peaks {
-		most = max(most, old.boxes)
+// retained returns how many boxes the cell keeps: the highest of its present demand and its peaks.
+func (c *cell) retained() int {
+	highest := c.required
+	for _, earlier := range c.peaks {
+		highest = max(highest, earlier.boxes)
 	}
-	return most
+	return highest
 }
--- a/pkg/supply/zone.go
+++ b/pkg/supply/zone.go
@@ -1,14 +1,13 @@
 package supply
 
-// cutOffPercent is the part of a zone's reported boxes that must be silent for the zone to
-// count as cut off, in percent, and cutOffMinBoxes the least number of them: a rack that
-// fails is less than that of a zone.
+// A zone counts as cut off if at least cutOffPercent percent of its reported boxes, and at least
+// cutOffMinBoxes of them, are silent. A rack that fails is a smaller part of its zone.
 const (
 	cutOffPercent  = 60
 	cutOffMinBoxes = 2
 )
 
-// findCutOffZones notes the zones whose boxes the owners of the cells can't reach.
+// findCutOffZones finds the zones whose boxes the owners of the cells can't reach.
 func (p *Planner) findCutOffZones() {
 	silent, reported := map[string]int{}, map[string]int{}
 	for _, b := range p.boxesByName {
