--- a/pkg/supply/moves.go
+++ b/pkg/supply/moves.go
@@ -8,8 +8,8 @@
 	"damsonwinch"
 )
 
-// fillCells brings boxes to cells that need more: parked ones first, then what
-// other pools can spare, of the same shard.
+// fillCells gives boxes to cells that need more: first powered-off ones, then those that cells of
+// other pools can spare.
 func (p *Planner) fillCells() {
 	clear(p.shortages)
 	p.updateShortSince()
@@ -26,21 +26,22 @@
 	}
 }
 
-// neediestCell returns the cell that lacks most, for its size. Those whose lasting tasks have
-// too few boxes come first: such a job lacks one box of 14 where a heap of work lacks 290 of
-// 320, and until it gets it, a task that is to last stands still.
+// neediestCell returns the cell that lacks the largest share of its boxes, weighted by its urgency,
+// and how many it lacks; an empty name if none lacks any. Cells that lack boxes for long-running
+// tasks come first: such a cell lacks one box of 14 where a cell with a large backlog lacks 290 of
+// 320, and until it gets the box, a long-running task can't run.
 func (p *Planner) neediestCell() (string, int) {
 	worst, worstMissing, worstShare := "", 0, 0
 	for _, name := range p.cellNames {
-		pool := p.cells[name]
-		if pool.poweredOff || !pool.hasFreshReport(p.now) || p.shortages[name] != "" {
+		c := p.cells[name]
+		if c.poweredOff || !c.hasFreshReport(p.now) || p.shortages[name] != "" {
 			continue
 		}
-		missing := pool.required - p.boxCount(name)
-		// What can't wait comes first.
-		share := missing * milliPerBox / max(1, pool.required) * int(defaultSlack) / int(pool.slack())
-		if lacking := p.longRunningShortage(pool); lacking > 0 {
-			missing, share = max(missing, lacking), share+lacking*longRunningPriority
+		missing := c.required - p.boxCount(name)
+		// The less slack the cell's jobs have, the more its missing boxes count.
+		share := missing * milliPerBox / max(1, c.required) * int(defaultSlack) / int(c.slack())
+		if shortage := p.longRunningShortage(c); shortage > 0 {
+			missing, share = max(missing, shortage), share+shortage*longRunningPriority
 		}
 		if missing > 0 && share > worstShare {
 			worst, worstMissing, worstShare = name, missing, share
@@ -49,50 +50,52 @@
 	return worst, worstMissing
 }
 
-// longRunningPriority puts a lasting task's box before all other wants, whose shares are below it.
+// longRunningPriority puts a box for a long-running task before all other shares, which are lower.
 const longRunningPriority = 1_000_000
 
-// longRunningWait is how long a cell lacks boxes for its lasting tasks before others give up
-// theirs: one that is maintained comes back in that time.
+// longRunningWait is how long a cell lacks boxes for its long-running tasks before cells of all
+// shards give up boxes for them. A box that is being maintained is back in that time.
 const longRunningWait = 4 * time.Second
 
-// updateShortSince notes which cells have begun to lack boxes for their lasting tasks.
+// updateShortSince updates since when cells have lacked boxes for their long-running tasks.
 func (p *Planner) updateShortSince() {
 	for _, name := range p.cellNames {
-		switch l := p.cells[name]; {
-		case p.longRunningShortage(l) <= 0:
-			l.shortSince = time.Time{}
-		case l.shortSince.IsZero():
-			l.shortSince = p.now
+		switch c := p.cells[name]; {
+		case p.longRunningShortage(c) <= 0:
+			c.shortSince = time.Time{}
+		case c.shortSince.IsZero():
+			c.shortSince = p.now
 		}
 	}
 }
 
-// longRunningShortage returns how many boxes a cell has too few for its lasting tasks.
-func (p *Planner) longRunningShortage(l *cell) int {
-	return l.requiredLongRunning - p.boxCount(l.name)
+// longRunningShortage returns how many boxes a cell lacks for its long-running tasks; it isn't
+// positive if the cell has enough.
+func (p *Planner) longRunningShortage(c *cell) int {
+	return c.requiredLongRunning - p.boxCount(c.name)
 }
 
-// addBoxTo begins to addBoxTo one box to a cell.
-func (p *Planner) addBoxTo(name, cause string) bool {
-	pool := p.cells[name].pool
-	if p.cancelPowerOff(name) {
+// addBoxTo starts to give a box to a cell and returns whether one was found.
+func (p *Planner) addBoxTo(cellName, cause string) bool {
+	pool := p.cells[cellName].pool
+	if p.cancelPowerOff(cellName) {
 		return true
 	}
-	if b := p.bestPoweredOffBox(name); b != nil {
-		p.issueOrder(b, plannedOrder{pool: pool, shard: p.cells[name].shard, cause: cause})
+	if b := p.bestPoweredOffBox(cellName); b != nil {
+		p.issueOrder(b, plannedOrder{pool: pool, shard: p.cells[cellName].shard, cause: cause})
 		return true
 	}
-	if b := p.bestSpareBox(name); b != nil {
-		p.startWithdrawal(b, plannedOrder{pool: pool, shard: p.cells[name].shard, cause: cause, urgent: true})
+	if b := p.bestSpareBox(cellName); b != nil {
+		p.startWithdrawal(b, plannedOrder{pool: pool, shard: p.cells[cellName].shard, cause: cause, urgent: true})
 		return true
 	}
 	return false
 }
 
-// cancelPowerOff gives up the parking of a box that its cell needs after all.
-func (p *Planner) cancelPowerOff(name string) bool {
-	for _, b := range p.boxesByCell[name] {
+// cancelPowerOff keeps a box of a cell that is being withdrawn to be powered off, and returns
+// whether there was one.
+func (p *Planner) cancelPowerOff(cellName string) bool {
+	for _, b := range p.boxesByCell[cellName] {
 		if b.planned != nil && p.isPoweredOff(b.planned.pool) {
 			p.updateBox(b, func() { b.planned = nil })
 			return true
@@ -101,51 +104,54 @@
 	return false
 }
 
-// bestPoweredOffBox returns the bestPoweredOffBox box that suits a cell best, of whatever shard.
-func (p *Planner) bestPoweredOffBox(name string) *box {
-	parking, exists := p.poweredOffPool()
+// bestPoweredOffBox returns the powered-off box, of any shard, that suits a cell best; nil if there
+// is none.
+func (p *Planner) bestPoweredOffBox(cellName string) *box {
+	poweredOff, exists := p.poweredOffPool()
 	if !exists {
 		return nil
 	}
-	receiver := p.cells[name]
+	receiver := p.cells[cellName]
 	var choice cheapest
-	for _, from := range p.layout.CellNames(parking) {
+	for _, from := range p.layout.CellNames(poweredOff) {
 		for _, b := range p.boxesByCell[from] {
 			if p.isAvailable(b) && !b.refusedPools[receiver.pool] {
-				// A box that is due for maintenance is better left where it costs nothing,
-				// and one in a zone that is cut off would be of no use.
-				choice.offer(b, p.zoneBoxCount(name, b.info.Zone)*2+boolInt(p.dueWave(b) != nil)+boolInt(p.cutOffZones[b.info.Zone])*cutOffZoneCost)
+				// A box that is due for maintenance is better maintained while it is powered off,
+				// where that costs nothing. A box in a zone that is cut off would be of no use.
+				choice.offer(b, p.zoneBoxCount(cellName, b.info.Zone)*2+boolInt(p.dueWave(b) != nil)+boolInt(p.cutOffZones[b.info.Zone])*cutOffZoneCost)
 			}
 		}
 	}
 	return choice.box
 }
 
-// bestSpareBox returns a box that another pool can do without in the cell's shard, or one of any
-// shard that is already being emptied to be parked. Who keeps how much is weighed between two
-// cells: where those of all shards took from one, each left it its share of the two.
-func (p *Planner) bestSpareBox(name string) *box {
+// bestSpareBox returns the best box for a cell among those of other pools: boxes that cells of the
+// same shard can spare, and boxes of any shard that are being withdrawn to be powered off. It
+// returns nil if there is none. How much a cell gives up is computed for it and one receiver alone.
+// When the cells of all shards took boxes from one cell, each of them left it only its share
+// between those two.
+func (p *Planner) bestSpareBox(cellName string) *box {
 	var choice cheapest
-	receiver := p.cells[name]
+	receiver := p.cells[cellName]
 	for _, other := range p.cellNames {
 		donor := p.cells[other]
 		if donor.pool == receiver.pool || donor.poweredOff {
 			continue
 		}
-		mayDonate := donor.hasFreshReport(p.now) && p.gives(donor, receiver)
+		mayDonate := donor.hasFreshReport(p.now) && p.mayDonate(donor, receiver)
 		for _, b := range p.boxesByCell[other] {
 			if !b.refusedPools[receiver.pool] && (p.isBeingPoweredOff(b) || mayDonate && p.canEmptySoon(b)) {
-				choice.offer(b, p.estimateEmptyMs(b)+p.zoneBoxCount(name, b.info.Zone)*zoneCostMs)
+				choice.offer(b, p.estimateEmptyMs(b)+p.zoneBoxCount(cellName, b.info.Zone)*zoneCostMs)
 			}
 		}
 	}
 	return choice.box
 }
 
-// gives says whether a cell gives a box to another one. For lasting tasks that have been short
-// of boxes for a while, the cells of all shards give what their own lasting tasks and the loss
-// of a box leave them.
-func (p *Planner) gives(donor, receiver *cell) bool {
+// mayDonate says whether a cell gives a box to another one. If the receiver has lacked boxes for its
+// long-running tasks for longRunningWait, cells of all shards give what they need neither for their
+// own long-running tasks nor to survive the loss of a box.
+func (p *Planner) mayDonate(donor, receiver *cell) bool {
 	if p.longRunningShortage(receiver) > 0 && p.now.Sub(receiver.shortSince) >= longRunningWait && p.boxCount(donor.name) > max(donor.requiredLongRunning, donor.minBoxes()) {
 		return true
 	}
@@ -155,53 +161,55 @@
 // cutOffZoneCost puts the boxes of a zone that is cut off behind all others.
 const cutOffZoneCost = 1_000_000
 
-// isBeingPoweredOff says whether a box that is up is being emptied to be parked.
+// isBeingPoweredOff says whether a box that is up is being withdrawn to be powered off.
 func (p *Planner) isBeingPoweredOff(b *box) bool {
 	return b.planned != nil && b.planned.wave == 0 && p.isPoweredOff(b.planned.pool) && b.info.State == damsonwinch.BoxUp
 }
 
-// canEmptySoon says whether a box is at work in its pool and has no lasting tasks, so that
-// it can soon be empty.
+// canEmptySoon says whether a box is in use and has no long-running tasks, so that it can soon be
+// empty.
 func (p *Planner) canEmptySoon(b *box) bool {
 	return p.isAvailable(b) && b.report != nil && b.report.Usable && b.report.Lasting == 0
 }
 
-// minRetained returns how many boxes a cell keeps when another one asks: what it uses now
-// if the other has work that waits, or can wait much less, and else what it needs. What it
-// has needed of late counts less than that: when demand turned to another pool, that one
-// waited for seconds beside idle boxes. Worth some 0.016 of a day's 1.0, by paired plays
-// of nine days with one trouble each.
+// minRetained returns how many boxes a cell keeps when another one asks for boxes. If the receiver
+// lacks boxes for on-time work, or its jobs have much less slack, the donor keeps what it needs for
+// on-time work or, if less, its fair share; otherwise it keeps what it needs for all its work. Its
+// peaks don't count: when they did and demand turned to another pool, that pool's jobs waited for
+// seconds beside idle boxes. This rule raises a simulated day's score by some 0.016 of 1.0 (paired
+// runs of nine days with one fault each).
 func (p *Planner) minRetained(donor, receiver *cell) int {
-	need := max(donor.required, int(math.Round(donor.meanRequired)))
+	required := max(donor.required, int(math.Round(donor.meanRequired)))
 	if receiver.requiredOnTime > p.boxCount(receiver.name) || donor.slack() >= donorSlackFactor*receiver.slack() {
-		return min(need, max(donor.requiredOnTime, int(math.Round(donor.meanRequiredOnTime))), p.fairShare(donor, receiver))
+		return min(required, max(donor.requiredOnTime, int(math.Round(donor.meanRequiredOnTime))), p.fairShare(donor, receiver))
 	}
-	return need
+	return required
 }
 
-// fairShare returns how many boxes a pool keeps beside another one where both have more
-// work than boxes. Without it the pool whose burst came first kept all until its own work
-// in time was done. Worth 0.02 of a day's 1.0 with a burst of five times the traffic for
-// 10 s, by eight paired plays; nothing on days without one.
+// fairShare returns how many boxes a cell keeps beside another one if both have more on-time work
+// than their boxes can do. Without this rule the pool whose burst came first kept all boxes until
+// its on-time work was done. With a burst of five times the traffic for 10 s, the rule raises a
+// simulated day's score by 0.02 of 1.0 (eight paired runs); on days without a burst it changes
+// nothing.
 func (p *Planner) fairShare(donor, receiver *cell) int {
-	wanted := min(float64(receiver.requiredOnTime), receiver.meanRequiredOnTime)
+	receives := min(float64(receiver.requiredOnTime), receiver.meanRequiredOnTime)
 	keeps := max(float64(donor.requiredOnTime), donor.meanRequiredOnTime)
 	both := float64(p.boxCount(donor.name) + p.boxCount(receiver.name))
-	return int(math.Ceil(both * keeps / (keeps + wanted) * fairShareMargin))
+	return int(math.Ceil(both * keeps / (keeps + receives) * fairShareMargin))
 }
 
-// fairShareMargin is how much more than its share of two short pools' boxes a pool keeps: two
+// fairShareMargin multiplies the share that a cell keeps of its own and the receiver's boxes: two
 // moves cost about six seconds of a box.
 const fairShareMargin = 1.25
 
-// isPoweredOff says whether a pool's boxes are off.
+// isPoweredOff says whether a pool's boxes are powered off.
 func (p *Planner) isPoweredOff(pool string) bool {
-	known := p.cells[pool]
-	return known != nil && known.poweredOff
+	c := p.cells[pool]
+	return c != nil && c.poweredOff
 }
 
-// zoneCostMs is what one box more in a zone counts when boxes are chosen, beside the
-// milliseconds in which they will be empty.
+// zoneCostMs is the cost of each box that a cell already has in a zone, in the same unit as the
+// milliseconds until a box is empty.
 const zoneCostMs = 30
 
 // estimateEmptyMs estimates in how many milliseconds a box can be empty.
@@ -209,56 +217,58 @@
 	if b.report == nil {
 		return 0
 	}
-	// A lasting task has to be started elsewhere before the next one can go.
-	const lastingMs = 2000
-	return b.report.EmptyMs + b.report.Lasting*lastingMs
+	// A long-running task must be running elsewhere before the next one can be stopped.
+	const longRunningMs = 2000
+	return b.report.EmptyMs + b.report.Lasting*longRunningMs
 }
 
-// powerOffSurplus parks boxes that a cell has not needed for a while.
+// powerOffSurplus has boxes powered off that a cell has not needed for a while.
 func (p *Planner) powerOffSurplus() {
-	parking, exists := p.poweredOffPool()
+	poweredOff, exists := p.poweredOffPool()
 	if !exists {
 		return
 	}
 	for _, name := range p.cellNames {
-		pool := p.cells[name]
-		if pool.poweredOff || !pool.hasFreshReport(p.now) {
+		c := p.cells[name]
+		if c.poweredOff || !c.hasFreshReport(p.now) {
 			continue
 		}
-		for p.boxCount(name) > pool.retained() {
-			b := p.easiestToEmpty(name, parking)
+		for p.boxCount(name) > c.retained() {
+			b := p.easiestToEmpty(name, poweredOff)
 			if b == nil {
 				break
 			}
-			p.startWithdrawal(b, plannedOrder{pool: parking, shard: b.shard, cause: fmt.Sprintf("cell %s has needed no more than %d boxes", name, pool.retained())})
+			p.startWithdrawal(b, plannedOrder{pool: poweredOff, shard: b.shard, cause: fmt.Sprintf("cell %s has needed no more than %d boxes", name, c.retained())})
 		}
 	}
 }
 
-// easiestToEmpty returns the box of a cell that is emptied most easily.
-func (p *Planner) easiestToEmpty(name, parking string) *box {
+// easiestToEmpty returns the box of a cell that can be empty soonest, where a box in a zone with many
+// boxes of the cell is preferred; nil if no box can be emptied.
+func (p *Planner) easiestToEmpty(cellName, poweredOffPool string) *box {
 	var choice cheapest
-	for _, b := range p.boxesByCell[name] {
-		if p.canEmptySoon(b) && !b.refusedPools[parking] {
-			choice.offer(b, p.estimateEmptyMs(b)-p.zoneBoxCount(name, b.info.Zone)*zoneCostMs)
+	for _, b := range p.boxesByCell[cellName] {
+		if p.canEmptySoon(b) && !b.refusedPools[poweredOffPool] {
+			choice.offer(b, p.estimateEmptyMs(b)-p.zoneBoxCount(cellName, b.info.Zone)*zoneCostMs)
 		}
 	}
 	return choice.box
 }
 
-// cheapest is the box with the lowest cost of those that it was offered; of equal
-// ones the first.
+// cheapest holds the box with the lowest cost among those that were offered; the first of equals.
 type cheapest struct {
 	box  *box
 	cost int
 }
 
+// offer takes the box if it is the first one or its cost is lower.
 func (c *cheapest) offer(b *box, cost int) {
 	if c.box == nil || cost < c.cost {
 		c.box, c.cost = b, cost
 	}
 }
 
+// boolInt returns 1 for true and 0 for false.
 func boolInt(value bool) int {
 	if value {
 		return 1
--- a/pkg/supply/summary.go
+++ b/pkg/supply/summary.go
@@ -8,28 +8,29 @@
 	"damsonwinch"
 )
 
-// Summary says in words how each cell stands, for the log and for operators.
+// Summary returns lines of text on the boxes and demand of each cell and on the progress of each
+// wave, for the log and for operators.
 func (p *Planner) Summary() []string {
 	lines := make([]string, 0, len(p.cellNames))
 	for _, name := range p.cellNames {
-		pool := p.cells[name]
-		if wait := p.shortages[name]; wait != "" {
-			lines = append(lines, wait)
+		c := p.cells[name]
+		if shortage := p.shortages[name]; shortage != "" {
+			lines = append(lines, shortage)
 		}
-		c := p.countByState(name)
-		boxes := fmt.Sprintf("%s: %d boxes at work, %d coming, %d being emptied, %d in maintenance, %d down, %d out of reach", name, c.working, c.coming, c.emptying, c.maintained, c.down, c.silent)
-		if pool.poweredOff {
+		n := p.countByState(name)
+		boxes := fmt.Sprintf("%s: %d boxes at work, %d coming, %d being emptied, %d in maintenance, %d down, %d out of reach", name, n.working, n.coming, n.emptying, n.maintained, n.down, n.silent)
+		if c.poweredOff {
 			lines = append(lines, boxes)
 			continue
 		}
-		r := pool.report
-		lines = append(lines, fmt.Sprintf("%s; needs %d, lately %d; cores: lasting %d, running %d and %d late, waiting %d and %d late, arriving %d a second; %d ms a task, %d ms to wait",
-			boxes, pool.required, pool.retained(), r.LastingCpu/1000, r.RunningCpu/1000, r.RunningLateCpu/1000, r.WaitingCpu/1000, r.LateCpu/1000, r.OfferedCpu/1000, r.TaskMs, r.SlackMs))
+		r := c.report
+		lines = append(lines, fmt.Sprintf("%s; needs %d, keeps %d; cores: long-running %d, running %d and %d late, waiting %d and %d late, arriving %d a second; %d ms a task, %d ms of slack",
+			boxes, c.required, c.retained(), r.LastingCpu/1000, r.RunningCpu/1000, r.RunningLateCpu/1000, r.WaitingCpu/1000, r.LateCpu/1000, r.OfferedCpu/1000, r.TaskMs, r.SlackMs))
 	}
 	return append(lines, p.summarizeWaves()...)
 }
 
-// summarizeWaves says how far each wave is.
+// summarizeWaves returns a line on the progress of each wave that isn't completed.
 func (p *Planner) summarizeWaves() []string {
 	var lines []string
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
@@ -44,31 +45,32 @@
 	return lines
 }
 
-// counts are a cell's boxes by what they are doing.
-type counts struct {
+// stateCounts counts a cell's boxes by what they are doing.
+type stateCounts struct {
 	working, coming, emptying, maintained, down, silent int
 }
 
-func (p *Planner) countByState(name string) counts {
-	var c counts
+// countByState counts the boxes of a cell, and those on their way to it, by what they are doing.
+func (p *Planner) countByState(cellName string) stateCounts {
+	var n stateCounts
 	for _, b := range p.boxesByName {
 		switch {
 		case b.issued != nil && b.issued.Pool != "":
-			if p.servedCell(b) == name {
-				c.coming++
+			if p.servedCell(b) == cellName {
+				n.coming++
 			}
-		case b.cellName() != name:
+		case b.cellName() != cellName:
 		case b.issued != nil || b.info.State == damsonwinch.BoxMaintenance:
-			c.maintained++
+			n.maintained++
 		case b.info.State == damsonwinch.BoxDown:
-			c.down++
+			n.down++
 		case b.report != nil && b.report.Silent:
-			c.silent++
+			n.silent++
 		case b.planned != nil:
-			c.emptying++
+			n.emptying++
 		default:
-			c.working++
+			n.working++
 		}
 	}
-	return c
+	return n
 }
