--- a/pkg/supply/waves.go
+++ b/pkg/supply/waves.go
@@ -10,39 +10,38 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Rules of waves.
 const (
-	// plannedPercent is the part of a wave's time in which it is planned to be done, in
-	// percent; the rest is for what goes wrong.
+	// plannedPercent is the part of a wave's duration in which it is planned to be completed. The
+	// rest is for faults and delays.
 	plannedPercent = 75
-	// urgentPercent is the part after which tasks are stopped to empty a box, in
-	// percent.
+	// urgentPercent is the part of a wave's duration after which tasks are stopped to empty boxes.
 	urgentPercent = 45
-	// poweredOffReserve is how many parked boxes are left out of maintenance for pools
-	// that may need them, while there is time.
+	// poweredOffReserve is how many available powered-off boxes are left out of maintenance, while
+	// the wave is on schedule, for pools that may need them.
 	poweredOffReserve = 6
-	// typicalEmptyTime is what the emptying of a box takes, about: tasks last up to a
-	// few seconds.
+	// typicalEmptyTime is about how long it takes until a withdrawn box is empty: tasks last up to
+	// a few seconds.
 	typicalEmptyTime = 2500 * time.Millisecond
 )
 
-// wave is an operator's request as the planner carries it out.
+// wave is an operator's request for maintenance and its progress.
 type wave struct {
 	damsonwinch.Wave
 	startedAt time.Time
-	// members are the boxes of the wave.
+	// members holds the names of the wave's boxes.
 	members map[string]bool
-	// ordered holds the boxes whose maintenance has been ordered.
+	// ordered holds the names of the boxes whose maintenance has been ordered.
 	ordered map[string]bool
-	// reported is what the operator has been reported: whether it is completed.
+	// reported says that the operator has been told the present state of the wave: that it has
+	// started or, if completed is set, that it is completed.
 	reported  bool
 	completed bool
 }
 
-// SetWave takes a wave. One that is known already keeps its progress.
+// SetWave adds or changes a wave. A wave that exists keeps its progress.
 func (p *Planner) SetWave(now time.Time, request damsonwinch.Wave) {
-	if known := p.waves[request.Number]; known != nil {
-		known.set(request)
+	if existing := p.waves[request.Number]; existing != nil {
+		existing.set(request)
 		return
 	}
 	w := &wave{startedAt: now, ordered: map[string]bool{}}
@@ -50,6 +49,7 @@
 	p.waves[request.Number] = w
 }
 
+// set replaces the operator's request.
 func (w *wave) set(request damsonwinch.Wave) {
 	w.Wave = request
 	w.members = make(map[string]bool, len(request.Boxes))
@@ -58,7 +58,8 @@
 	}
 }
 
-// LoadWave takes over what an earlier holder recorded of a wave.
+// LoadWave takes over the progress of a wave that an earlier planner recorded. A record without a
+// start time leaves the start at now.
 func (p *Planner) LoadWave(now time.Time, record wire.WaveRecord) {
 	w := p.waves[record.Wave]
 	if w == nil {
@@ -74,7 +75,7 @@
 	w.completed, w.reported = record.Completed, record.Completed
 }
 
-// WaveRecord returns the progress of a wave, for the planner's stream.
+// WaveRecord returns the progress of a wave as it is recorded in the planner's stream.
 func (p *Planner) WaveRecord(number int) wire.WaveRecord {
 	w := p.waves[number]
 	if w == nil {
@@ -85,8 +86,8 @@
 	}
 }
 
-// PendingWaveReports returns the waves of which the operator has not been told how far they
-// are.
+// PendingWaveReports returns the progress of the waves whose present state the operator has not
+// been told yet.
 func (p *Planner) PendingWaveReports() []wire.WaveRecord {
 	var reports []wire.WaveRecord
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
@@ -97,14 +98,14 @@
 	return reports
 }
 
-// WaveReported takes note that the operator has been told of a wave.
+// WaveReported notes that the operator has been told whether a wave is completed.
 func (p *Planner) WaveReported(number int, completed bool) {
 	if w := p.waves[number]; w != nil {
 		w.reported = !w.completed || completed
 	}
 }
 
-// planWaves goes on with all waves.
+// planWaves makes the decisions that are due for all waves in progress.
 func (p *Planner) planWaves() {
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
 		if w := p.waves[number]; !w.completed {
@@ -113,10 +114,12 @@
 	}
 }
 
+// planWave marks a wave as completed, or orders as much of its maintenance as its limit and its
+// schedule allow.
 func (p *Planner) planWave(w *wave) {
 	due, down, emptying := p.waveProgress(w)
 	if len(due) == 0 && down == 0 && emptying == 0 {
-		if p.unorderedBoxes(w) == 0 && len(p.boxes) > 0 {
+		if p.countUnordered(w) == 0 && len(p.boxes) > 0 {
 			w.completed, w.reported = true, false
 		}
 		return
@@ -128,7 +131,8 @@
 	p.makeUrgent(w)
 }
 
-// maintainPoweredOff maintains boxes that are parked, and says how many.
+// maintainPoweredOff orders the maintenance of up to count due boxes that are powered off, and returns
+// of how many.
 func (p *Planner) maintainPoweredOff(w *wave, due []*box, count int) int {
 	begun := 0
 	for _, b := range due {
@@ -136,14 +140,14 @@
 			break
 		}
 		if p.isPoweredOff(b.info.Pool) && p.isAvailable(b) {
-			p.issueOrder(b, plannedOrder{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: the box is parked", w.Number)})
+			p.issueOrder(b, plannedOrder{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: the box is powered off", w.Number)})
 			begun++
 		}
 	}
 	return begun
 }
 
-// availablePoweredOff counts the parked boxes that a pool could have at once.
+// availablePoweredOff returns how many powered-off boxes could be moved to a pool at once.
 func (p *Planner) availablePoweredOff() int {
 	count := 0
 	for _, b := range p.boxesByName {
@@ -154,8 +158,8 @@
 	return count
 }
 
-// waveProgress returns the boxes still due, and counts those that are down and those
-// that are being emptied.
+// waveProgress returns the listed boxes of a wave that are still due, the number of those that are
+// down for the wave, and the number of those that are being withdrawn for it.
 func (p *Planner) waveProgress(w *wave) (due []*box, down, emptying int) {
 	for _, name := range w.Boxes {
 		b := p.boxes[name]
@@ -175,8 +179,8 @@
 	return due, down, emptying
 }
 
-// unorderedBoxes counts boxes of a wave that are still listed and not done.
-func (p *Planner) unorderedBoxes(w *wave) int {
+// countUnordered returns how many listed boxes of a wave have no order for maintenance yet.
+func (p *Planner) countUnordered(w *wave) int {
 	count := 0
 	for _, name := range w.Boxes {
 		if p.boxes[name] != nil && !w.ordered[name] {
@@ -186,8 +190,8 @@
 	return count
 }
 
-// targetConcurrency returns how many boxes should be in hand at once for the wave to be done in
-// time.
+// targetConcurrency returns how many boxes should be withdrawn or down at once for the wave to be
+// completed on schedule, given the number of boxes that have not been maintained yet.
 func (p *Planner) targetConcurrency(w *wave, left int) int {
 	cycle := typicalEmptyTime + p.options.MaintainTime
 	remaining := w.Duration*plannedPercent/100 - p.now.Sub(w.startedAt)
@@ -197,26 +201,27 @@
 	return min(w.MostDown, 1+int(time.Duration(left)*cycle/remaining))
 }
 
-// withdrawForWave begins to empty boxes for a wave: in each pool one with lasting tasks,
-// and else the emptiest first. Lasting tasks leave one after the other, some 1.5 s each,
-// so that boxes with several would be too late if they came last.
+// withdrawForWave starts to withdraw up to count due boxes. In each pool it first takes one box with
+// long-running tasks unless one is being withdrawn already, then boxes in order of the time until
+// they are empty. Long-running tasks are moved one after the other, some 1.5 s each, so that boxes
+// with several of them would be late if they came last.
 func (p *Planner) withdrawForWave(w *wave, due []*box, count int) {
-	var found []*box
+	var candidates []*box
 	for _, b := range due {
 		if !p.isPoweredOff(b.info.Pool) && p.isAvailable(b) && b.report != nil && !b.report.Silent {
-			found = append(found, b)
+			candidates = append(candidates, b)
 		}
 	}
-	moving := p.longRunningWithdrawals(w)
-	sortBoxes(found, p.estimateEmptyMs)
-	for _, b := range found {
-		if count > 0 && b.report.Lasting > 0 && !moving[b.info.Pool] {
-			moving[b.info.Pool] = true
+	withdrawing := p.longRunningWithdrawals(w)
+	sortBoxes(candidates, p.estimateEmptyMs)
+	for _, b := range candidates {
+		if count > 0 && b.report.Lasting > 0 && !withdrawing[b.info.Pool] {
+			withdrawing[b.info.Pool] = true
 			p.startWaveWithdrawal(w, b, len(due))
 			count--
 		}
 	}
-	for _, b := range found {
+	for _, b := range candidates {
 		if count > 0 && b.planned == nil {
 			p.startWaveWithdrawal(w, b, len(due))
 			count--
@@ -224,23 +229,25 @@
 	}
 }
 
+// startWaveWithdrawal starts to withdraw a box for a wave of which due boxes are still due.
 func (p *Planner) startWaveWithdrawal(w *wave, b *box, due int) {
 	p.startWithdrawal(b, plannedOrder{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: %d boxes are due", w.Number, due)})
 }
 
-// longRunningWithdrawals returns the pools in which a box with lasting tasks is being emptied for
-// a wave.
+// longRunningWithdrawals returns the pools in which a box with long-running tasks is being withdrawn
+// for a wave.
 func (p *Planner) longRunningWithdrawals(w *wave) map[string]bool {
-	moving := map[string]bool{}
+	withdrawing := map[string]bool{}
 	for _, b := range p.boxesByName {
 		if b.planned != nil && b.planned.wave == w.Number && b.report != nil && b.report.Lasting > 0 {
-			moving[b.info.Pool] = true
+			withdrawing[b.info.Pool] = true
 		}
 	}
-	return moving
+	return withdrawing
 }
 
-// makeUrgent has tasks stopped where a wave runs late or a box takes too long.
+// makeUrgent makes the withdrawals for a wave urgent: all of them once urgentPercent of the wave's
+// duration has passed, else those that take longer than typicalEmptyTime.
 func (p *Planner) makeUrgent(w *wave) {
 	late := p.now.Sub(w.startedAt) > w.Duration*urgentPercent/100
 	for _, b := range p.boxesByName {
@@ -250,7 +257,8 @@
 	}
 }
 
-// dueWave returns the wave for which a box is still due, or nil.
+// dueWave returns a wave in progress for which the maintenance of a box has not been ordered yet, or
+// nil.
 func (p *Planner) dueWave(b *box) *wave {
 	for _, w := range p.waves {
 		if !w.completed && !w.ordered[b.info.Name] && w.members[b.info.Name] {
