--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -13,26 +13,26 @@
 	"damsonwinch/pkg/wire"
 )
 
-// lendFleet is a fleet in several shards, with a pool of parked boxes and two that work.
-type lendFleet struct {
+// shardedFleet is a fleet in several shards, with one pool of powered-off boxes and two other pools.
+type shardedFleet struct {
 	now     time.Time
 	layout  shard.Layout
 	planner *supply.Planner
 	boxes   []damsonwinch.Box
 }
 
-func newLendFleet() *lendFleet {
-	f := &lendFleet{now: time.Unix(1_000_000, 0), layout: shard.NewLayout(lendShards, []string{"held", "short"})}
+func newShardedFleet() *shardedFleet {
+	f := &shardedFleet{now: time.Unix(1_000_000, 0), layout: shard.NewLayout(fleetShards, []string{"held", "short"})}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, f.layout)
 	return f
 }
 
-// add adds boxes of one shard to a pool.
-func (f *lendFleet) add(pool string, count, in int) {
+// add adds count boxes of one shard to a pool.
+func (f *shardedFleet) add(pool string, count, shardNumber int) {
 	for number := 0; count > 0; number++ {
 		name := fmt.Sprintf("%s-%03d", pool, number)
-		if f.layout.BoxShard(name) != in {
+		if f.layout.BoxShard(name) != shardNumber {
 			continue
 		}
 		count--
@@ -46,51 +46,53 @@
 	}
 }
 
-// reports returns what a pool's cell tells of its boxes, with so many lasting tasks on each.
-func (f *lendFleet) reports(pool string, lasting int) []wire.EndpointReport {
-	var found []wire.EndpointReport
+// reports returns the endpoint reports for a pool's boxes, each with the given number of long-running
+// tasks.
+func (f *shardedFleet) reports(pool string, longRunning int) []wire.EndpointReport {
+	var reported []wire.EndpointReport
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			found = append(found, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: lasting})
+			reported = append(reported, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: longRunning})
 		}
 	}
-	return found
+	return reported
 }
 
-// TestLastingTasksComeBeforeHeapsOfWork. A cell lacked one box of the 14 that its lasting tasks
-// need, beside cells that had 29 of 320: theirs counted as the greater want, and the task that
-// was without a box stood still for 13 s. Each box that came free went to the heap.
-func TestLastingTasksComeBeforeHeapsOfWork(t *testing.T) {
-	for name, parked := range map[string]int{"of a parked box": 1, "of a box that the heap has": 0} {
+// TestLongRunningTasksGetBoxesBeforeBacklog guards against a cell's large backlog taking the box that
+// a long-running task of another cell needs. A cell lacked one of the 14 boxes for its long-running
+// tasks while other cells had 29 of the 320 for their backlog. Those counted as shorter of boxes and
+// got each box that became free, and the long-running task didn't run for 13 s.
+func TestLongRunningTasksGetBoxesBeforeBacklog(t *testing.T) {
+	for name, poweredOff := range map[string]int{"with a powered-off box": 1, "with a box of the backlog's cell": 0} {
 		t.Run(name, func(t *testing.T) {
-			f := newLendFleet()
-			f.add("off", parked, 1)
-			f.add("held", lendLasting, 2)
+			f := newShardedFleet()
+			f.add("off", poweredOff, 1)
+			f.add("held", longRunningTasks, 2)
 			f.add("short", 3, 0)
 			f.planner.SetBoxes(f.now.Add(-time.Minute), f.boxes)
-			held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: lendLasting + 1}
+			held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: longRunningTasks + 1}
 			held.Endpoints = f.reports("held", 1)
 			f.planner.SetReport(f.now, shard.CellName("held", 2), held)
-			heap := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 300 * scriptCPU}
-			heap.Endpoints = f.reports("short", 0)
-			f.planner.SetReport(f.now, shard.CellName("short", 0), heap)
+			backlog := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 300 * scriptCPU}
+			backlog.Endpoints = f.reports("short", 0)
+			f.planner.SetReport(f.now, shard.CellName("short", 0), backlog)
 
-			moved := ""
+			movedTo := ""
 			for _, order := range f.planner.Plan(f.now) {
-				moved = shard.CellName(order.Pool, order.Shard)
+				movedTo = shard.CellName(order.Pool, order.Shard)
 			}
-			hurried := func() int { return len(f.planner.Directives(shard.CellName("short", 0)).WithdrawUrgently) }
-			assert.Equal(t, hurried(), 0, "a box that is maintained comes back soon")
-			if parked > 0 {
-				assert.Equal(t, moved, shard.CellName("held", 2))
+			urgent := func() int { return len(f.planner.Directives(shard.CellName("short", 0)).WithdrawUrgently) }
+			assert.Equal(t, urgent(), 0, "a box that is being maintained comes back soon")
+			if poweredOff > 0 {
+				assert.Equal(t, movedTo, shard.CellName("held", 2))
 				return
 			}
 			f.now = f.now.Add(5 * time.Second)
 			f.planner.SetBoxes(f.now, f.boxes)
 			f.planner.SetReport(f.now, shard.CellName("held", 2), held)
-			f.planner.SetReport(f.now, shard.CellName("short", 0), heap)
+			f.planner.SetReport(f.now, shard.CellName("short", 0), backlog)
 			f.planner.Plan(f.now)
-			assert.Equal(t, hurried(), 1, "one box of the heap's is emptied")
+			assert.Equal(t, urgent(), 1, "one box of the cell with the backlog is withdrawn")
 		})
 	}
 }
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -13,21 +13,22 @@
 	"damsonwinch/pkg/wire"
 )
 
-// A fleet in which one cell of a pool is short: so many shards, parked boxes, and boxes of a
-// pool whose lasting tasks hold them.
+// Sizes of a fleet in which one cell of a pool is short of boxes: the number of shards, of powered-off
+// boxes, and of long-running tasks of another pool, each of which takes a box.
 const (
-	lendShards  = 4
-	lendParked  = 40
-	lendLasting = 20
+	fleetShards      = 4
+	poweredOffBoxes  = 40
+	longRunningTasks = 20
 )
 
-// TestACellIsLentBoxesOfOtherShards. Lasting tasks held 20 of the 33 boxes of one shard of
-// four, on links of 2 Mbit/s: another pool's cell there had 3,200 cores of work waiting and one
-// box to the end of the day, beside 18 parked boxes of other shards, and 7 jobs never ran. A box
-// that changes its pool has a new life there, and may go to any shard.
-func TestACellIsLentBoxesOfOtherShards(t *testing.T) {
+// TestShortCellGetsPoweredOffBoxesOfOtherShards guards against a cell getting powered-off boxes of its
+// own shard only. On links of 2 Mbit/s, long-running tasks held 20 of the 33 boxes of one of four
+// shards. Another pool's cell in that shard had 3,200 cores of work waiting and one box to the end of
+// the day, beside 18 powered-off boxes of other shards, and 7 jobs never ran. A box that changes its
+// pool starts a new life there, so that it may go to any shard.
+func TestShortCellGetsPoweredOffBoxesOfOtherShards(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	layout := shard.NewLayout(lendShards, []string{"held", "short"})
+	layout := shard.NewLayout(fleetShards, []string{"held", "short"})
 	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, layout)
 	var boxes []damsonwinch.Box
@@ -47,10 +48,10 @@
 		}
 	}
 	const shortShard = 2
-	add("off", lendParked, func(name string) bool { return layout.BoxShard(name) != shortShard })
-	add("held", lendLasting, func(name string) bool { return layout.BoxShard(name) == shortShard })
+	add("off", poweredOffBoxes, func(name string) bool { return layout.BoxShard(name) != shortShard })
+	add("held", longRunningTasks, func(name string) bool { return layout.BoxShard(name) == shortShard })
 	planner.SetBoxes(now.Add(-time.Minute), boxes)
-	held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: lendLasting}
+	held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: longRunningTasks}
 	for _, b := range boxes {
 		if b.Pool == "held" {
 			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: 1})
@@ -60,12 +61,12 @@
 	// Work for 25 boxes in one cell.
 	planner.SetReport(now, shard.CellName("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptCPU})
 
-	lent := 0
+	received := 0
 	for _, order := range planner.Plan(now) {
 		if order.Pool == "short" {
-			lent++
+			received++
 		}
 	}
-	assert.Assert(t, lent >= 25, "%d of %d parked boxes go to the cell that is short", lent, lendParked)
-	assert.Equal(t, len(planner.Directives(shard.CellName("held", shortShard)).WithdrawUrgently), 0, "none is taken from lasting tasks")
+	assert.Assert(t, received >= 25, "%d of %d powered-off boxes go to the cell that is short", received, poweredOffBoxes)
+	assert.Equal(t, len(planner.Directives(shard.CellName("held", shortShard)).WithdrawUrgently), 0, "no box is taken from long-running tasks")
 }
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -11,22 +11,22 @@
 	"damsonwinch/pkg/wire"
 )
 
-// livesFleet is one box, whose endpoints start again under the ID that they had.
-type livesFleet struct {
-	lendFleet
+// oneBoxFleet has one box, whose endpoint has the same ID in each of its lives.
+type oneBoxFleet struct {
+	shardedFleet
 	box damsonwinch.Box
 }
 
-func newLivesFleet() *livesFleet {
-	f := &livesFleet{lendFleet: *newLendFleet()}
+func newOneBoxFleet() *oneBoxFleet {
+	f := &oneBoxFleet{shardedFleet: *newShardedFleet()}
 	f.add("held", 1, 0)
 	f.box = f.boxes[0]
 	f.planner.SetBoxes(f.now.Add(-time.Minute), f.boxes)
 	return f
 }
 
-// list shows the box in a state.
-func (f *livesFleet) list(state damsonwinch.BoxState) {
+// list gives the planner a list of boxes that shows the box in a state.
+func (f *oneBoxFleet) list(state damsonwinch.BoxState) {
 	f.box.State = state
 	f.box.Endpoint = ""
 	if state == damsonwinch.BoxUp {
@@ -35,28 +35,30 @@
 	f.planner.SetBoxes(f.now, []damsonwinch.Box{f.box})
 }
 
-// report has the owner of the box's cell tell of the life there.
-func (f *livesFleet) report(born int, withdrawn bool) {
-	life := damsonwinch.Life{ID: "at-" + f.box.Name, Born: born}
+// report gives the planner a report of the cell's owner on the life that started at the given time.
+func (f *oneBoxFleet) report(startedUnixMs int, withdrawn bool) {
+	life := damsonwinch.Life{ID: "at-" + f.box.Name, Born: startedUnixMs}
 	f.planner.SetReport(f.now, "held", wire.SyncReply{Known: true, TaskMs: 1000, Endpoints: []wire.EndpointReport{{
 		Endpoint: life.String(), Box: f.box.Name, Usable: !withdrawn, Withdrawn: withdrawn,
 	}}})
 }
 
-func (f *livesFleet) plan(after time.Duration) []supply.Order {
+// plan lets time pass and returns the orders that are due then.
+func (f *oneBoxFleet) plan(after time.Duration) []supply.Order {
 	f.now = f.now.Add(after)
 	return f.planner.Plan(f.now)
 }
 
-// maintain has the box maintained for a wave, and returns the order.
-func (f *livesFleet) maintain(t *testing.T, wave, born int) supply.Order {
+// maintain adds a wave for the box, plans until the maintenance is ordered, has the order accepted and
+// returns it.
+func (f *oneBoxFleet) maintain(t *testing.T, wave, startedUnixMs int) supply.Order {
 	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.list(damsonwinch.BoxUp)
-	f.report(born, false)
+	f.report(startedUnixMs, false)
 	var orders []supply.Order
 	for range 30 {
 		f.list(damsonwinch.BoxUp)
-		f.report(born, len(f.planner.Directives("held").Withdraw) > 0)
+		f.report(startedUnixMs, len(f.planner.Directives("held").Withdraw) > 0)
 		if orders = f.plan(300 * time.Millisecond); len(orders) > 0 {
 			break
 		}
@@ -66,36 +68,37 @@
 	return orders[0]
 }
 
-// TestABoxIsBackUnderTheSameID after its maintenance: it is taken for done once the list of boxes
-// has shown it away, or the owner of its cell tells that another life is there.
-func TestABoxIsBackUnderTheSameID(t *testing.T) {
-	for name, back := range map[string]func(f *livesFleet){
-		"seen away": func(f *livesFleet) {
+// TestMaintenanceIsCompletedWhenBoxReturnsWithSameEndpointID: the order counts as carried out once the
+// list of boxes has shown the box in maintenance, or the owner of its cell has reported another life.
+func TestMaintenanceIsCompletedWhenBoxReturnsWithSameEndpointID(t *testing.T) {
+	for name, comeBack := range map[string]func(f *oneBoxFleet){
+		"listed in maintenance": func(f *oneBoxFleet) {
 			f.list(damsonwinch.BoxMaintenance)
 			f.plan(time.Second)
 		},
-		"not seen away": func(f *livesFleet) {
+		"never listed in maintenance": func(f *oneBoxFleet) {
 			f.list(damsonwinch.BoxUp)
 			f.report(2, false)
 			f.plan(100 * time.Millisecond)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newLivesFleet()
+			f := newOneBoxFleet()
 			order := f.maintain(t, 1, 1)
 			assert.Equal(t, order.Life, damsonwinch.Life{ID: "at-" + f.box.Name, Born: 1})
 			f.now = f.now.Add(3 * time.Second)
-			back(f)
+			comeBack(f)
 			f.list(damsonwinch.BoxUp)
 			f.plan(100 * time.Millisecond)
-			assert.Equal(t, f.maintain(t, 2, 2).Wave, 2, "it can be ordered away again")
+			assert.Equal(t, f.maintain(t, 2, 2).Wave, 2, "it can be maintained again")
 		})
 	}
 }
 
-// TestAWithdrawalIsOfOneLife: a life that was withdrawn says nothing of the one that came after it.
-func TestAWithdrawalIsOfOneLife(t *testing.T) {
-	f := newLivesFleet()
+// TestWithdrawalOfOneLifeDoesNotCountForTheNext: the next life under the same ID must be withdrawn
+// itself before the box is maintained.
+func TestWithdrawalOfOneLifeDoesNotCountForTheNext(t *testing.T) {
+	f := newOneBoxFleet()
 	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.report(1, false)
 	f.plan(0)
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -11,17 +11,17 @@
 	"damsonwinch/pkg/wire"
 )
 
-// fleetOf builds a planner with boxes spread over pools, one of them for parked
-// boxes, and reports that ask each second for other numbers of boxes.
-type fleetOf struct {
+// benchFleet is a planner with boxes spread over pools, one of which is powered off. The demand of each
+// pool changes each second.
+type benchFleet struct {
 	planner *supply.Planner
 	pools   []damsonwinch.Pool
 	boxes   []damsonwinch.Box
 	now     time.Time
 }
 
-func newFleet(boxes, pools int) *fleetOf {
-	f := &fleetOf{now: time.Unix(1_000_000, 0)}
+func newBenchFleet(boxes, pools int) *benchFleet {
+	f := &benchFleet{now: time.Unix(1_000_000, 0)}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at := range pools {
 		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), Parking: at == 0})
@@ -38,9 +38,8 @@
 	return f
 }
 
-// round reports, plans and carries out what is ordered, as a platform without
-// faults would.
-func (f *fleetOf) round(number int) int {
+// round reports the cells, plans, and carries out all orders at once. It returns the number of orders.
+func (f *benchFleet) round(number int) int {
 	f.now = f.now.Add(100 * time.Millisecond)
 	for at, pool := range f.pools {
 		if !pool.Parking {
@@ -56,7 +55,8 @@
 	return len(orders)
 }
 
-func (f *fleetOf) move(order supply.Order) {
+// move carries out an order.
+func (f *benchFleet) move(order supply.Order) {
 	for at := range f.boxes {
 		if f.boxes[at].Name == order.Box && order.Pool != "" {
 			f.boxes[at].Pool = order.Pool
@@ -65,11 +65,13 @@
 	}
 }
 
-func (f *fleetOf) report(pool string, share int) wire.SyncReply {
+// report returns the report of a pool's cell, whose running tasks use 2*share/len(f.pools) times the
+// capacity of a pool of average size.
+func (f *benchFleet) report(pool string, share int) wire.SyncReply {
 	reply := wire.SyncReply{Known: true, TaskMs: 800, SlackMs: 1200}
 	withdrawn := map[string]bool{}
-	wishes := f.planner.Directives(pool)
-	for _, id := range append(wishes.Withdraw, wishes.WithdrawUrgently...) {
+	directives := f.planner.Directives(pool)
+	for _, id := range append(directives.Withdraw, directives.WithdrawUrgently...) {
 		withdrawn[id] = true
 	}
 	for _, b := range f.boxes {
@@ -81,11 +83,11 @@
 	return reply
 }
 
-// BenchmarkPlan plans for fleets whose demand turns each second.
+// BenchmarkPlan measures a round in fleets whose demand moves from pool to pool each second.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ boxes, pools int }{{50, 5}, {350, 5}, {5800, 45}} {
 		b.Run(fmt.Sprintf("boxes=%d", size.boxes), func(b *testing.B) {
-			f := newFleet(size.boxes, size.pools)
+			f := newBenchFleet(size.boxes, size.pools)
 			orders := 0
 			for number := 0; b.Loop(); number++ {
 				orders += f.round(number)
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -17,42 +17,45 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Rooms of a box in scripts.
+// Capacity of a box in scripts, in thousandths of a core and in mebibytes.
 const (
 	scriptCPU    = 16_000
 	scriptMemory = 32_768
 )
 
-// script is a planner with the boxes and reports that a data file gives it.
+// script runs a planner with the boxes and reports of a data file.
 type script struct {
 	t       *testing.T
 	planner *supply.Planner
 	layout  shard.Layout
 	pools   []damsonwinch.Pool
 	boxes   []damsonwinch.Box
-	// busy holds the milliseconds in which a box is empty, and lasting its lasting
-	// tasks, by its name.
-	busy    map[string]int
-	lasting map[string]int
-	now     time.Time
+	// emptyMs holds the milliseconds until a box is empty, and longRunning the number of its
+	// long-running tasks, by the name of the box.
+	emptyMs     map[string]int
+	longRunning map[string]int
+	now         time.Time
 }
 
-// TestScripts plays the planner's data files. Commands:
+// TestScripts runs the data files of testdata and compares the output of their plan commands. Commands:
 //
-//	fleet shards=N: lines "pool boxes", the first one's boxes are off
-//	report pool=P shard=N lasting=C running=C waiting=C late=C steady=C offered=C slack=MS stalled=C: cores,
-//	  spread=N lasting-boxes=N: boxes, whole=N whole-late=N: thousandths of a box
-//	busy pool=P boxes=N ms=MS: the first N boxes of a pool have work for so long
-//	lasting box=B tasks=N: a box has lasting tasks
-//	wave number=N down=N s=S pools=(P, ...): all boxes of some pools are due
-//	plan at=MS: what is wanted of each pool, and the orders
+//	fleet shards=N: lines "pool boxes"; the first pool's boxes are powered off
+//	report pool=P shard=N: the report of a cell's owner, with
+//	  lasting=C running=C running-late=C waiting=C late=C steady=C offered=C stalled=C in cores, slack=MS,
+//	  spread=N lasting-boxes=N in boxes, whole=N whole-late=N in thousandths of a box
+//	busy pool=P boxes=N ms=MS: the first N boxes of a pool are empty after MS milliseconds
+//	lasting box=B tasks=N: a box has N long-running tasks
+//	wave number=N down=N s=S pools=(P, ...): a wave for all boxes of some pools, of which at most N may
+//	  be down at once, to be completed within S seconds
+//	plan at=MS: prints the orders and the withdrawals that the planner decides at that time
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &script{t: t, busy: map[string]int{}, lasting: map[string]int{}, now: time.Unix(1_000_000, 0)}
+		s := &script{t: t, emptyMs: map[string]int{}, longRunning: map[string]int{}, now: time.Unix(1_000_000, 0)}
 		datadriven.RunTest(t, path, s.run)
 	})
 }
 
+// run executes a command and returns its output.
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "fleet":
@@ -64,7 +67,7 @@
 	case "lasting":
 		var box string
 		d.ScanArgs(t, "box", &box)
-		s.lasting[box] = number(t, d, "tasks")
+		s.longRunning[box] = number(t, d, "tasks")
 	case "wave":
 		s.wave(d)
 	case "plan":
@@ -76,6 +79,7 @@
 	return ""
 }
 
+// number returns an argument of a command, 0 if it is missing.
 func number(t *testing.T, d *datadriven.TestData, key string) int {
 	if !d.HasArg(key) {
 		return 0
@@ -85,18 +89,19 @@
 	return value
 }
 
+// fleet creates the pools, the boxes and the planner.
 func (s *script) fleet(shards int, input string) {
 	s.layout = shard.NewLayout(shards, nil)
 	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at, line := range strings.Split(input, "\n") {
-		words := strings.Fields(line)
-		count, err := strconv.Atoi(words[1])
+		fields := strings.Fields(line)
+		count, err := strconv.Atoi(fields[1])
 		assert.NilError(s.t, err)
-		s.pools = append(s.pools, damsonwinch.Pool{Name: words[0], Parking: at == 0})
+		s.pools = append(s.pools, damsonwinch.Pool{Name: fields[0], Parking: at == 0})
 		for box := range count {
-			name := fmt.Sprintf("%s-%02d", words[0], box)
+			name := fmt.Sprintf("%s-%02d", fields[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
-				Name: name, Pool: words[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), Endpoint: "at-" + name,
+				Name: name, Pool: fields[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), Endpoint: "at-" + name,
 				Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 		}
@@ -105,18 +110,20 @@
 	s.planner.SetBoxes(s.now.Add(-time.Minute), s.boxes)
 }
 
+// setBusy sets the time until the first boxes of a pool are empty.
 func (s *script) setBusy(d *datadriven.TestData) {
 	var pool string
 	d.ScanArgs(s.t, "pool", &pool)
 	left := number(s.t, d, "boxes")
 	for _, b := range s.boxes {
 		if b.Pool == pool && left > 0 {
-			s.busy[b.Name] = number(s.t, d, "ms")
+			s.emptyMs[b.Name] = number(s.t, d, "ms")
 			left--
 		}
 	}
 }
 
+// report gives the planner the report of a cell's owner.
 func (s *script) report(d *datadriven.TestData) {
 	var pool string
 	d.ScanArgs(s.t, "pool", &pool)
@@ -127,20 +134,21 @@
 		WholeBoxes: number(s.t, d, "whole"), WholeLateBoxes: number(s.t, d, "whole-late"),
 		WaitingCpu: cores("waiting"), LateCpu: cores("late"), SteadyCpu: cores("steady"), OfferedCpu: max(cores("steady"), cores("offered")),
 	}
-	in := number(s.t, d, "shard")
+	shardNumber := number(s.t, d, "shard")
 	for _, b := range s.boxes {
-		if b.Pool == pool && s.layout.BoxShard(b.Name) == in {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
+		if b.Pool == pool && s.layout.BoxShard(b.Name) == shardNumber {
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.emptyMs[b.Name], Lasting: s.longRunning[b.Name]})
 		}
 	}
-	s.planner.SetReport(s.now, shard.CellName(pool, in), reply)
+	s.planner.SetReport(s.now, shard.CellName(pool, shardNumber), reply)
 }
 
+// wave gives the planner a wave.
 func (s *script) wave(d *datadriven.TestData) {
 	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MostDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
-	for _, given := range d.CmdArgs {
+	for _, arg := range d.CmdArgs {
 		for _, b := range s.boxes {
-			if given.Key == "pools" && slices.Contains(given.Vals, b.Pool) {
+			if arg.Key == "pools" && slices.Contains(arg.Vals, b.Pool) {
 				wave.Boxes = append(wave.Boxes, b.Name)
 			}
 		}
@@ -157,18 +165,18 @@
 	return names
 }
 
-// plan says in words what the planner wants.
+// plan returns the orders and withdrawals that the planner decides, one per line, sorted.
 func (s *script) plan() string {
 	var lines []string
 	for _, order := range s.planner.Plan(s.now) {
 		lines = append(lines, fmt.Sprintf("move %s to %s", order.Box, shard.CellName(order.Pool, order.Shard)))
 	}
 	for _, cell := range s.cells() {
-		wishes := s.planner.Directives(cell)
-		for _, id := range wishes.Withdraw {
+		directives := s.planner.Directives(cell)
+		for _, id := range directives.Withdraw {
 			lines = append(lines, "empty "+strings.TrimPrefix(id, "at-"))
 		}
-		for _, id := range wishes.WithdrawUrgently {
+		for _, id := range directives.WithdrawUrgently {
 			lines = append(lines, "empty "+strings.TrimPrefix(id, "at-")+" in a hurry")
 		}
 	}
