--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -10,19 +10,21 @@
 	"damsonwinch/pkg/wire"
 )
 
-// allocationPrefix starts the keys of records of what cells may have running of a customer.
+// allocationPrefix, followed by a customer's name, is the key of the record of the allowances that each
+// cell may have of the customer's cap.
 const allocationPrefix = "allotted/"
 
+// loadAllocation takes over the allowances of a customer that an earlier planner recorded.
 func (p *Planner) loadAllocation(record damsonwinch.Record) error {
 	var saved wire.AllottedRecord
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
-		return fmt.Errorf("read %s: %w", record.Key, err)
+		return fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
-	p.allotter.Load(strings.TrimPrefix(record.Key, allocationPrefix), saved)
+	p.allocator.Load(strings.TrimPrefix(record.Key, allocationPrefix), saved)
 	return nil
 }
 
-// cellNames returns the names of the cellNames that run jobs.
+// cellNames returns the names of the cells that run jobs: those of all pools but the powered-off one.
 func (p *Planner) cellNames() []string {
 	var names []string
 	for _, pool := range p.pools {
@@ -33,30 +35,33 @@
 	return names
 }
 
-// allocate deals the customers' caps to the cells. What is raised is recorded first.
+// allocate divides the customers' caps among the cells. Raised allowances are recorded before the cells
+// are told of them.
 func (p *Planner) allocate() {
 	if !p.layout.Decided() {
 		return
 	}
-	for _, customer := range p.allotter.Allocate(p.deps.Clock.Now()) {
-		p.queueRecord(allocationPrefix+customer, p.allotter.Record(customer))
+	for _, customer := range p.allocator.Allocate(p.deps.Clock.Now()) {
+		p.queueRecord(allocationPrefix+customer, p.allocator.Record(customer))
 		p.pendingCustomers = append(p.pendingCustomers, customer)
 	}
 	p.flush()
 }
 
-// Pace of dealing: a round costs as much as there are cells, and if each reply brought one there
-// would be as many rounds. The planner may be on a weak node.
+// The cost of an allocation round is proportional to the number of cells. With a round for each reply
+// of a cell the total cost would grow with the square of that number, and the planner may run on a weak
+// node. Both gaps are multiplied by the number of cells.
 const (
-	// allocationGapPerCell is the least time between two rounds of dealing, for each cell.
+	// allocationGapPerCell is the minimum time between two allocation rounds.
 	allocationGapPerCell = 2 * time.Millisecond
-	// sendGapPerCell is the least time between two calls of one owner because of news, for each cell: the
-	// owner records what it is told, and its reply tells of all its endpoints.
+	// sendGapPerCell is the minimum time between two calls to the same owner to send allowances.
+	// Calls are costly: the owner records what it is told and replies with reports on all its
+	// endpoints.
 	sendGapPerCell = 5 * time.Millisecond
 )
 
-// allocateThrottled deals the customers' caps and has the news told, unless that was done just now: the
-// next reply or plan has it done.
+// allocateThrottled runs an allocation round and sends the allowances that it has changed, unless the
+// last round is too recent. Then the next reply or plan leads to a round.
 func (p *Planner) allocateThrottled(now time.Time) {
 	if now.Sub(p.allocatedAt) < time.Duration(len(p.cellNames()))*allocationGapPerCell {
 		return
@@ -66,13 +71,14 @@
 	p.sendAllowances()
 }
 
-// sendAllowances calls the owners of cells that may have more or less running from now on: a customer's
-// work goes from pool to pool within a second, and waits until its allowance has followed.
+// sendAllowances calls the owners of the cells that have allowances to be told of, without waiting for
+// the next plan: a customer's work moves from pool to pool within a second, and waits in the new pool
+// until its allowance has moved too.
 func (p *Planner) sendAllowances() {
 	cells := p.cellNames()
 	now, gap := p.deps.Clock.Now(), time.Duration(len(cells))*sendGapPerCell
 	for _, cell := range cells {
-		if p.allotter.HasUpdate(cell) && now.Sub(p.syncedAt[cell]) >= gap {
+		if p.allocator.HasUpdate(cell) && now.Sub(p.syncedAt[cell]) >= gap {
 			p.syncUnlessInFlight(cell)
 		}
 	}
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner runs the fleet planner: the task of the one node that owns the
-// fleet's cell. It asks the owners of all cells how they are, lets pkg/supply
-// decide, records each order and gives it.
+// Package planner runs the fleet planner, on the one node that owns the fleet's cell. The planner gets
+// reports from the owners of all cells, has pkg/supply decide on the boxes, records each order and then
+// gives it to the platform. It also divides the customers' caps among the cells.
 package planner
 
 import (
@@ -23,118 +23,116 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of the planner.
 const (
-	// planInterval is the time between two plans: a queue in time for 1.2 s is waiting for half of that already.
-	planInterval = 100 * time.Millisecond
-	// boxListInterval is the time between two readings of the list of boxes.
+	// planInterval is the time between two plans. It is short because jobs that can wait for 1.2 s and
+	// still be on time have already spent half of that waiting.
+	planInterval    = 100 * time.Millisecond
 	boxListInterval = 400 * time.Millisecond
-	// callTimeout bounds a call to a cell's owner or the control of boxes. The list of
-	// boxes may be silent for so long; it is as large as the fleet, 1.7 MB with 5,800.
-	callTimeout = 800 * time.Millisecond
-	// poolLogInterval is the time between two log lines on the pools.
+	// callTimeout bounds a call. A request for the list of boxes may take longer if no gap between two
+	// parts of the answer does: the list grows with the fleet and has 1.7 MB for 5,800 boxes.
+	callTimeout     = 800 * time.Millisecond
 	poolLogInterval = time.Second
 	inboxSize       = 64
 )
 
-// Deps are what a planner works with.
+// Deps are the dependencies of a Planner.
 type Deps struct {
 	Store   damsonwinch.Store
 	Fleet   damsonwinch.Fleet
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// SuspendedTime tells of suspensions of the machine.
+	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.Slept
-	// Sync asks the owner of a cell.
+	// Sync calls the owner of a cell.
 	Sync func(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error)
-	// OnFirstBoxList is told how many boxes the first list that was read has.
+	// OnFirstBoxList is called with the number of boxes in the first list that has been received.
 	OnFirstBoxList func(count int)
-	// WaveReport returns the record that tells the operator of a wave.
+	// WaveReport returns a report to the operator on a wave, and the stream to append it to.
 	WaveReport func(wave int, completed bool) (damsonwinch.Stream, damsonwinch.Record)
 }
 
-// Options say who plans.
+// Options identify a Planner.
 type Options struct {
-	Node   string
-	Cell   string
-	Stream damsonwinch.Stream
-	Token  int
+	Node   string             // The name of this node.
+	Cell   string             // The name of the fleet's cell.
+	Stream damsonwinch.Stream // The planner's stream: orders, progress of waves, allowances.
+	Token  int                // The epoch by which this node owns the fleet's cell.
 	Supply supply.Options
 }
 
-// Planner is the running task.
+// Planner is a running fleet planner. One goroutine handles messages and plans, calls run in others.
 type Planner struct {
-	deps         Deps
-	options      Options
-	supply       *supply.Planner
-	allotter     *quota.Allocator
-	inbox        chan any
-	group        *errgroup.Group
-	ctx          context.Context // Ends with the task.
-	cancel       context.CancelFunc
-	done         chan struct{}
-	writer       *stream.Writer
-	pools        []damsonwinch.Pool
-	layout       shard.Layout
-	syncInFlight map[string]bool
-	// syncedAt is when each cell's owner was last called, and dealtAt when caps were last dealt.
+	deps      Deps
+	options   Options
+	supply    *supply.Planner
+	allocator *quota.Allocator
+	inbox     chan any
+	group     *errgroup.Group
+	ctx       context.Context // Ends with the planner.
+	cancel    context.CancelFunc
+	done      chan struct{}
+	writer    *stream.Writer
+	pools     []damsonwinch.Pool
+	layout    shard.Layout
+	// syncInFlight holds the cells whose owners are being called; syncedAt is when each was called last.
+	syncInFlight     map[string]bool
 	syncedAt         map[string]time.Time
-	allocatedAt      time.Time
+	allocatedAt      time.Time // The last allocation round of allocateThrottled.
 	boxesRequestedAt time.Time
 	boxListInFlight  bool
-	boxListReceived  bool
-	// pendingRecords are records that wait for the append on its way.
-	pendingRecords []damsonwinch.Record
-	pendingOrders  []supply.Order
-	// pendingCustomers are the customers of whom cells may be told more once that is recorded.
+	boxListReceived  bool // At least one has been received.
+	// pendingRecords are the records for the next append. After it pendingOrders are given, and the
+	// raised allowances of pendingCustomers may be sent.
+	pendingRecords   []damsonwinch.Record
+	pendingOrders    []supply.Order
 	pendingCustomers []string
 	appendInFlight   bool
-	reportInFlight   map[int]bool
+	reportInFlight   map[int]bool // By wave.
 	poolsLoggedAt    time.Time
-	// suspendedBefore is for how long the machine had been suspended when this planner began.
+	// suspendedBefore is for how long the machine had been suspended when this planner started.
 	suspendedBefore time.Duration
 }
 
-// Messages to the task.
+// Messages to the planner's goroutine.
 type (
 	configured struct {
 		configuration damsonwinch.Configuration
 		layout        shard.Layout
 	}
 	waveRequested struct{ wave damsonwinch.Wave }
-	synced        struct {
+	synced        struct { // The result of a call to the owner of a cell.
 		cell  string
 		reply wire.SyncReply
 		err   error
 	}
-	boxesListed struct {
-		boxes   []damsonwinch.Box
-		askedAt time.Time
-		err     error
+	boxesListed struct { // The result of a request for the list of boxes.
+		boxes       []damsonwinch.Box
+		requestedAt time.Time
+		err         error
 	}
-	appended struct {
-		orders []supply.Order
-		raised []string
-		err    error
+	appended struct { // The result of an append, with what may be sent after it.
+		orders    []supply.Order
+		customers []string
+		err       error
 	}
-	orderAnswered struct {
+	orderAnswered struct { // The platform's answer to an order.
 		order supply.Order
 		err   error
 	}
-	waveReported struct {
+	waveReported struct { // The result of a report to the operator.
 		wave      int
 		completed bool
 		err       error
 	}
 )
 
-// New starts to plan.
+// New starts a planner, which runs until Close, a suspension of the machine, or another planner's takeover.
 func New(deps Deps, options Options) *Planner {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	p := &Planner{
-		deps: deps, options: options, supply: supply.New(options.Supply), allotter: quota.NewAllocator(), inbox: make(chan any, inboxSize),
+		deps: deps, options: options, supply: supply.New(options.Supply), allocator: quota.NewAllocator(), inbox: make(chan any, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncInFlight: map[string]bool{}, syncedAt: map[string]time.Time{}, reportInFlight: map[int]bool{},
 		suspendedBefore: deps.SuspendedTime.Total(),
@@ -143,17 +141,17 @@
 	return p
 }
 
-// Done is closed once the planner has ended, by itself or not.
+// Done returns a channel that is closed once the planner has stopped, by itself or by Close.
 func (p *Planner) Done() <-chan struct{} {
 	return p.done
 }
 
-// Token returns the epoch by which the fleet's cell is owned.
+// Token returns the epoch by which this node owns the fleet's cell.
 func (p *Planner) Token() int {
 	return p.options.Token
 }
 
-// Close ends the planner and waits for its calls.
+// Close stops the planner, waits for its calls, and returns the error that stopped it before, if any.
 func (p *Planner) Close() error {
 	p.cancel()
 	if err := p.group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
@@ -162,17 +160,17 @@
 	return nil
 }
 
-// Configure tells the planner the configuration in force and into how many cells each pool is
-// cut.
+// Configure sets the configuration in force and the layout of the cells.
 func (p *Planner) Configure(configuration damsonwinch.Configuration, layout shard.Layout) {
 	p.send(configured{configuration: configuration, layout: layout})
 }
 
-// SetWave tells the planner of a wave.
+// SetWave adds or changes a maintenance wave.
 func (p *Planner) SetWave(wave damsonwinch.Wave) {
 	p.send(waveRequested{wave: wave})
 }
 
+// send queues a message, which is dropped if the planner is stopped. It blocks while the inbox is full.
 func (p *Planner) send(m any) {
 	select {
 	case p.inbox <- m:
@@ -180,6 +178,7 @@
 	}
 }
 
+// run takes over from earlier planners, then handles messages and plans until the planner is stopped.
 func (p *Planner) run() error {
 	defer close(p.done)
 	defer p.cancel()
@@ -190,19 +189,19 @@
 	ticker := p.deps.Clock.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
-		var due func() error
+		var step func() error
 		select {
 		case <-p.ctx.Done():
 			return p.ctx.Err()
 		case m := <-p.inbox:
-			due = func() error { return p.handle(m) }
+			step = func() error { return p.handle(m) }
 		case <-ticker.Chan():
-			due = func() error { p.plan(); return nil }
+			step = func() error { p.plan(); return nil }
 		}
 		if err := p.checkSuspension(); err != nil {
 			return err
 		}
-		if err := due(); err != nil {
+		if err := step(); err != nil {
 			p.deps.Logger.WithError(err).Warn("planning lost")
 			return err
 		}
@@ -211,18 +210,18 @@
 
 var errSuspended = errors.New("the machine was suspended")
 
-// checkSuspension returns an error once the machine has been suspended: another node may plan by then,
-// and what this one knows of boxes is old. It gives no order any more.
+// checkSuspension returns an error once the machine has been suspended: another node may be planning by
+// then, and what this one knows of the boxes is outdated. It must give no more orders.
 func (p *Planner) checkSuspension() error {
-	slept := p.deps.SuspendedTime.Total() - p.suspendedBefore
-	if slept < damsonwinch.NegligibleSleep {
+	suspended := p.deps.SuspendedTime.Total() - p.suspendedBefore
+	if suspended < damsonwinch.NegligibleSleep {
 		return nil
 	}
-	p.deps.Logger.WithField("slept_ms", slept.Milliseconds()).Warn("planning given up: the machine was suspended")
+	p.deps.Logger.WithField("slept_ms", suspended.Milliseconds()).Warn("planning given up: the machine was suspended")
 	return errSuspended
 }
 
-// takeOver loads what earlier planners recorded, after they are kept out of the stream.
+// takeOver keeps earlier planners from writing to the stream and then loads what they recorded.
 func (p *Planner) takeOver() error {
 	records, err := p.writer.TakeOver(p.ctx)
 	if err != nil {
@@ -237,15 +236,16 @@
 	return nil
 }
 
+// handle handles a message. The planner stops if it returns an error.
 func (p *Planner) handle(m any) error {
 	now := p.deps.Clock.Now()
 	switch m := m.(type) {
 	case configured:
 		p.pools, p.layout = m.configuration.Pools, m.layout
 		p.supply.SetPools(p.pools, p.layout)
-		p.allotter.Configure(m.configuration.Version, m.configuration.Customers)
+		p.allocator.Configure(m.configuration.Version, m.configuration.Customers)
 		if p.layout.Decided() {
-			p.allotter.SetCells(now, p.cellNames())
+			p.allocator.SetCells(now, p.cellNames())
 		}
 		p.allocate()
 	case waveRequested:
@@ -254,7 +254,7 @@
 		delete(p.syncInFlight, m.cell)
 		if m.err == nil {
 			p.supply.SetReport(now, m.cell, m.reply)
-			p.allotter.HandleReply(m.cell, p.options.Token, m.reply)
+			p.allocator.HandleReply(m.cell, p.options.Token, m.reply)
 			p.allocateThrottled(now)
 		}
 	case boxesListed:
@@ -267,7 +267,7 @@
 			p.boxListReceived = true
 			p.deps.OnFirstBoxList(len(m.boxes))
 		}
-		p.supply.SetBoxes(m.askedAt, m.boxes)
+		p.supply.SetBoxes(m.requestedAt, m.boxes)
 	case appended:
 		return p.handleAppended(m)
 	case orderAnswered:
@@ -281,6 +281,7 @@
 	return nil
 }
 
+// handleOrderAnswer takes the platform's answer to an order. A stale token stops the planner.
 func (p *Planner) handleOrderAnswer(now time.Time, m orderAnswered) {
 	fields := logrus.Fields{"box": m.order.Box, "pool": m.order.Pool, "wave": m.order.Wave}
 	if m.err != nil {
@@ -293,7 +294,7 @@
 	}
 }
 
-// plan makes the calls that are due and decides.
+// plan requests the list of boxes and allocates caps if that is due, decides, and calls all cells' owners.
 func (p *Planner) plan() {
 	now := p.deps.Clock.Now()
 	if !p.boxListInFlight && now.Sub(p.boxesRequestedAt) >= boxListInterval {
@@ -317,47 +318,48 @@
 	}
 }
 
-// logPools writes what the planner believes of the pools.
+// logPools logs the pools, and the customers that need more than their allowances, each poolLogInterval.
 func (p *Planner) logPools(now time.Time) {
 	if now.Sub(p.poolsLoggedAt) < poolLogInterval {
 		return
 	}
 	p.poolsLoggedAt = now
 	p.deps.Logger.WithField("pools", p.supply.Summary()).Info("pools")
-	if pressed := p.allotter.Summary(); len(pressed) > 0 {
-		p.deps.Logger.WithField("customers", pressed).Info("customers that want more than their allowances")
+	if lines := p.allocator.Summary(); len(lines) > 0 {
+		p.deps.Logger.WithField("customers", lines).Info("customers that want more than their allowances")
 	}
 }
 
+// requestBoxList starts a request for the list of boxes.
 func (p *Planner) requestBoxList(now time.Time) {
 	p.group.Go(func() error {
 		ctx, cancel := idle.WithTimeout(p.ctx, p.deps.Clock, callTimeout, callTimeout)
 		defer cancel(nil)
 		boxes, err := p.deps.Fleet.Boxes(ctx)
-		p.send(boxesListed{boxes: boxes, askedAt: now, err: err})
+		p.send(boxesListed{boxes: boxes, requestedAt: now, err: err})
 		return nil
 	})
 }
 
-// sendOrder gives a recorded sendOrder.
+// sendOrder gives the platform an order that has been recorded.
 func (p *Planner) sendOrder(order supply.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
-	holder := damsonwinch.Holder{Node: p.options.Node, Token: p.options.Token}
+	issuer := damsonwinch.Holder{Node: p.options.Node, Token: p.options.Token}
 	p.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 		defer cancel()
 		var err error
 		if order.Pool == "" {
-			err = p.deps.Fleet.Maintain(ctx, holder, order.Box, order.Wave)
+			err = p.deps.Fleet.Maintain(ctx, issuer, order.Box, order.Wave)
 		} else {
-			err = p.deps.Fleet.Move(ctx, holder, order.Box, order.Pool)
+			err = p.deps.Fleet.Move(ctx, issuer, order.Box, order.Pool)
 		}
 		p.send(orderAnswered{order: order, err: err})
 		return nil
 	})
 }
 
-// reportWaves tells the operator how far the waves are.
+// reportWaves reports to the operator the waves that have started or been completed.
 func (p *Planner) reportWaves() {
 	for _, report := range p.supply.PendingWaveReports() {
 		if p.reportInFlight[report.Wave] {
@@ -375,12 +377,13 @@
 	}
 }
 
-// Keys of the planner's stream.
+// Prefixes of keys in the planner's stream. A box's name follows orderPrefix, a wave's number wavePrefix.
 const (
 	orderPrefix = "order/"
 	wavePrefix  = "wave/"
 )
 
+// loadRecord takes over a record of an earlier planner.
 func (p *Planner) loadRecord(record damsonwinch.Record) error {
 	switch {
 	case strings.HasPrefix(record.Key, orderPrefix):
@@ -390,5 +393,5 @@
 	case strings.HasPrefix(record.Key, allocationPrefix):
 		return p.loadAllocation(record)
 	}
-	return fmt.Errorf("record %s of the planner's stream is unknown", record.Key)
+	return fmt.Errorf("unknown record key %s in the planner's stream", record.Key)
 }
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -13,40 +13,41 @@
 	"damsonwinch/pkg/wire"
 )
 
+// loadOrder takes over an order that an earlier planner recorded.
 func (p *Planner) loadOrder(record damsonwinch.Record) error {
 	var order wire.OrderRecord
 	if err := json.Unmarshal(record.Value, &order); err != nil {
-		return fmt.Errorf("read %s: %w", record.Key, err)
+		return fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
 	p.supply.LoadOrder(order)
 	return nil
 }
 
-// ParsePlacement reads from a record of a planner's stream to which shard an order takes its box;
-// the box is empty for a record that is of no order, and the placement nil for an order that
-// tells none.
+// ParsePlacement returns the box and the placement of an order that is recorded in a planner's stream.
+// For a record of another kind the box is empty; for an order without a placement the placement is nil.
 func ParsePlacement(record damsonwinch.Record) (box string, placement *shard.Placement, err error) {
 	if !strings.HasPrefix(record.Key, orderPrefix) {
 		return "", nil, nil
 	}
 	var order wire.OrderRecord
 	if err := json.Unmarshal(record.Value, &order); err != nil {
-		return "", nil, fmt.Errorf("read %s: %w", record.Key, err)
+		return "", nil, fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
 	return order.Box, supply.PlacementFromRecord(order), nil
 }
 
+// loadWave takes over the progress of a wave that an earlier planner recorded.
 func (p *Planner) loadWave(record damsonwinch.Record) error {
 	var wave wire.WaveRecord
 	if err := json.Unmarshal(record.Value, &wave); err != nil {
-		return fmt.Errorf("read %s: %w", record.Key, err)
+		return fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
 	p.supply.LoadWave(p.deps.Clock.Now(), wave)
 	return nil
 }
 
-// queueOrder puts an order, and the progress of its wave, among the records to be
-// appended before it is given.
+// queueOrder queues the records of an order and of the progress of its wave for the next append. The
+// order is given once they have been appended.
 func (p *Planner) queueOrder(order supply.Order, now time.Time) {
 	p.queueRecord(orderPrefix+order.Box, wire.OrderRecord{
 		Box: order.Box, Pool: order.Pool, Wave: order.Wave, AtMs: int(now.UnixMilli()), Endpoint: order.Life.String(), Cause: order.Cause,
@@ -58,37 +59,39 @@
 	p.pendingOrders = append(p.pendingOrders, order)
 }
 
+// queueRecord queues a record, whose value is encoded as JSON, for the next append.
 func (p *Planner) queueRecord(key string, value any) {
-	text, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		p.deps.Logger.WithError(err).WithField("key", key).Error("record not encoded")
 		return
 	}
-	p.pendingRecords = append(p.pendingRecords, damsonwinch.Record{Key: key, Value: text})
+	p.pendingRecords = append(p.pendingRecords, damsonwinch.Record{Key: key, Value: encoded})
 }
 
-// flush begins the next append, unless one is on its way.
+// flush appends the queued records, unless an append is in progress: its end calls flush again.
 func (p *Planner) flush() {
 	if p.appendInFlight || len(p.pendingRecords) == 0 {
 		return
 	}
 	p.appendInFlight = true
-	records, done, fence := p.pendingRecords, appended{orders: p.pendingOrders, raised: p.pendingCustomers}, p.writer.Next()
+	records, message, fence := p.pendingRecords, appended{orders: p.pendingOrders, customers: p.pendingCustomers}, p.writer.Next()
 	p.pendingRecords, p.pendingOrders, p.pendingCustomers = nil, nil, nil
 	p.group.Go(func() error {
-		done.err = p.writer.Append(p.ctx, records, fence)
-		p.send(done)
+		message.err = p.writer.Append(p.ctx, records, fence)
+		p.send(message)
 		return nil
 	})
 }
 
-// handleAppended gives the orders whose records are in the stream.
+// handleAppended takes the result of an append: the orders whose records have been appended are given,
+// and raised allowances sent. It returns the error with which the append failed.
 func (p *Planner) handleAppended(m appended) error {
 	p.appendInFlight = false
 	if m.err != nil {
 		return m.err
 	}
-	p.allotter.MarkRecorded(m.raised)
+	p.allocator.MarkRecorded(m.customers)
 	p.sendAllowances()
 	for _, order := range m.orders {
 		p.sendOrder(order)
--- a/pkg/planner/sync.go
+++ b/pkg/planner/sync.go
@@ -6,7 +6,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// syncUnlessInFlight calls the owner of a cell, unless a call is on its way.
+// syncUnlessInFlight calls the owner of a cell, unless a call to it is in progress.
 func (p *Planner) syncUnlessInFlight(cell string) {
 	if !p.syncInFlight[cell] {
 		p.syncInFlight[cell], p.syncedAt[cell] = true, p.deps.Clock.Now()
@@ -14,13 +14,14 @@
 	}
 }
 
-// sync tells the owner of a cell what the planner wishes, and asks it how the cell is.
+// sync sends the owner of a cell the directives for its endpoints and the allowances that are new to it.
+// The reply is a report on the cell.
 func (p *Planner) sync(cell string) {
-	wishes := p.supply.Directives(cell)
-	words := p.allotter.NextUpdate(cell)
+	directives := p.supply.Directives(cell)
+	update := p.allocator.NextUpdate(cell)
 	args := wire.SyncArgs{
-		Cell: cell, Token: p.options.Token, Withdraw: wishes.Withdraw, Hurry: wishes.WithdrawUrgently, Restore: wishes.Restore, Gone: wishes.Exited, Due: wishes.DueForMaintenance,
-		CellToken: words.OwnerToken, AllowanceNumber: words.Number, ConfigVersion: words.ConfigVersion, Allowances: words.Allowances,
+		Cell: cell, Token: p.options.Token, Withdraw: directives.Withdraw, Hurry: directives.WithdrawUrgently, Restore: directives.Restore, Gone: directives.Exited, Due: directives.DueForMaintenance,
+		CellToken: update.OwnerToken, AllowanceNumber: update.Number, ConfigVersion: update.ConfigVersion, Allowances: update.Allowances,
 	}
 	p.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
