--- a/pkg/shard/count.go
+++ b/pkg/shard/count.go
@@ -2,23 +2,22 @@
 
 import "slices"
 
-// Grounds of the number of shards.
 const (
-	// boxesPerCore is the number of busy boxes whose work a whole core can see to: one of
-	// 32 cores ends some 4.5 tasks a second when demand is at its highest, and a task takes
-	// its owner 0.25 ms. More than half of the core is left for takeovers, clients' calls
-	// and a machine that is slower than it should be.
+	// boxesPerCore is the number of busy boxes whose work one core can handle: at the highest
+	// demand a box of 32 cores finishes some 4.5 tasks a second, and a task takes its owner 0.25 ms.
+	// That leaves more than half of the core for takeovers, clients' calls and a machine that is
+	// slower than it should be.
 	boxesPerCore = 400
-	// busyPercent is the part of a fleet's boxes, in percent, that a single pool may have
-	// when demand turns to it.
+	// busyPercent is the part of a fleet's boxes that a single pool may have when demand moves to it.
 	busyPercent = 80
-	// milliPerCore is a core in the unit of weights.
+	// milliPerCore is one core in the unit of weights.
 	milliPerCore = 1000
 )
 
-// ChooseCount returns into how many shards a fleet is best cut: as few as the nodes that would
-// own the cells can carry, each one cell, or as leave them the least to carry. The weights
-// are what the nodes can carry, in thousandths of a core.
+// ChooseCount returns the number of shards for a fleet with so many boxes and pools. It is the
+// smallest number with which the nodes can carry their load if each owns one cell, or else the number
+// that gives them the smallest load. The weights are the capacities of the nodes in thousandths of a
+// core.
 func ChooseCount(boxes, pools int, weights []int) int {
 	if pools == 0 || len(weights) == 0 {
 		return 1
@@ -38,9 +37,9 @@
 	return best
 }
 
-// load returns how many times as much as it can a node of a weight carries that owns a cell
-// of a fleet in so many shards.
-func load(boxes, count, weight int) float64 {
-	busy := float64(boxes) * busyPercent / 100 / float64(count)
+// load returns the load of a node that owns one cell of a fleet with so many shards, as a multiple of
+// what a node of its weight can carry.
+func load(boxes, shards, weight int) float64 {
+	busy := float64(boxes) * busyPercent / 100 / float64(shards)
 	return busy / (float64(max(1, weight)) * boxesPerCore / milliPerCore)
 }
--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -1,12 +1,12 @@
-// Package shard cuts each pool into cells, so that no single node has to carry all of a
-// pool's jobs: an owner on 0.8 core sees some 2,000 tasks a second to their end, and a
-// pool of 900 busy boxes asks for 4,000.
+// Package shard divides each pool into cells, one per shard, so that no single node has to handle all
+// of a pool's jobs: an owner on 0.8 of a core handles some 2,000 tasks a second, and a pool of 900 busy
+// boxes has 4,000.
 //
-// All pools of a fleet have the same number of shards. A box belongs to one shard by a hash
-// of its name, until the planner takes it to another one with a move to another pool; a job
-// belongs to one for good, by a hash of its ID. Cells share nothing: an endpoint has one owner
-// for its life and a job is in one stream, so that the rules which hold within a cell need not
-// know of the others.
+// All pools of a fleet have the same number of shards. A box belongs to a shard by a hash of its name,
+// until the planner moves it to another pool and with that to another shard. A job belongs to one shard
+// for good, by a hash of its ID; long-running jobs belong to one by their pool. Cells share nothing: an
+// endpoint has one owner throughout its life, and a job is in one stream, so that a cell needs to know
+// nothing of the others.
 package shard
 
 import (
@@ -17,15 +17,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Layout says into how many shards a fleet is cut. It is decided once, since jobs are
-// found by it; the zero value is that of a fleet for which it hasn't been decided.
+// Layout is the division of a fleet into shards. It is decided once and never changed, because jobs are
+// found by it. The zero value stands for a layout that hasn't been decided.
 type Layout struct {
+	// Shards is the number of shards.
 	Shards int
-	// Pools are those that were known then, in order of their names.
+	// Pools are the names of the pools that existed when the layout was decided, in order.
 	Pools []string
 }
 
-// NewLayout returns the layout of pools that are cut into so many shards.
+// NewLayout returns the layout that divides pools into a number of shards.
 func NewLayout(shards int, pools []string) Layout {
 	return Layout{Shards: shards, Pools: slices.Sorted(slices.Values(pools))}
 }
@@ -35,36 +36,38 @@
 	return l.Shards > 0
 }
 
-// Sharded says whether the fleet is in more shards than one.
+// Sharded says whether the layout has more than one shard.
 func (l Layout) Sharded() bool {
 	return l.Shards > 1
 }
 
-// Equal says whether two layouts are the same.
+// Equal says whether two layouts have the same number of shards and the same pools.
 func (l Layout) Equal(other Layout) bool {
 	return l.Shards == other.Shards && slices.Equal(l.Pools, other.Pools)
 }
 
-// BoxShard returns the shard of a box on which there has been no order.
+// BoxShard returns the shard of a box on which there has been no order of the planner.
 func (l Layout) BoxShard(box string) int {
 	return l.hashShard(box)
 }
 
-// JobShard returns the shard of a job of short tasks.
+// JobShard returns the shard of a job that isn't long-running.
 func (l Layout) JobShard(id string) int {
 	return l.hashShard(id)
 }
 
-// LongRunningJobShard returns the shard of a pool's lasting jobs. Their tasks mostly must not share a
-// box, so that a cell with one such job holds some 24 to 38 boxes for good, hardly a third
-// of them in use: they are all in one cell of the pool, and each pool's in another shard.
+// LongRunningJobShard returns the shard of a pool's long-running jobs. Most of their tasks must not
+// share a box, so that a cell with one such job keeps some 24 to 38 boxes for good, of which hardly a
+// third is in use. Therefore all of them are in one cell of the pool, and those of each pool are in
+// another shard as far as there are enough shards.
 func (l Layout) LongRunningJobShard(pool string) int {
-	if at, known := slices.BinarySearch(l.Pools, pool); known {
-		return at % max(1, l.Shards)
+	if index, found := slices.BinarySearch(l.Pools, pool); found {
+		return index % max(1, l.Shards)
 	}
 	return l.hashShard(pool)
 }
 
+// hashShard returns the shard of a name by its hash.
 func (l Layout) hashShard(name string) int {
 	if l.Shards <= 1 {
 		return 0
@@ -72,7 +75,7 @@
 	return int(xxhash.Sum64String(name) % uint64(l.Shards))
 }
 
-// CellNames returns the names of a pool's cells.
+// CellNames returns the names of a pool's cells, in order of their shards.
 func (l Layout) CellNames(pool string) []string {
 	names := make([]string, l.Shards)
 	for number := range names {
@@ -81,11 +84,11 @@
 	return names
 }
 
-// separator stands between a pool's name and a shard's number. The operator's names don't
-// have it.
+// separator stands between a pool's name and a shard's number in the name of a cell. The operator's
+// names of pools don't contain it.
 const separator = "@"
 
-// CellName returns the name of a pool's cell. The first one has the pool's own name.
+// CellName returns the name of a pool's cell in a shard. In shard 0 it is the pool's own name.
 func CellName(pool string, number int) string {
 	if number == 0 {
 		return pool
@@ -93,15 +96,16 @@
 	return pool + separator + strconv.Itoa(number)
 }
 
-// ParseCellName returns the pool and the shard of a cell.
+// ParseCellName returns the pool and the shard of a cell. A name that CellName doesn't return is taken
+// for a pool's own name.
 func ParseCellName(cell string) (pool string, number int) {
-	at := strings.LastIndex(cell, separator)
-	if at <= 0 {
+	index := strings.LastIndex(cell, separator)
+	if index <= 0 {
 		return cell, 0
 	}
-	number, err := strconv.Atoi(cell[at+len(separator):])
+	number, err := strconv.Atoi(cell[index+len(separator):])
 	if err != nil {
 		return cell, 0
 	}
-	return cell[:at], number
+	return cell[:index], number
 }
--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -2,27 +2,28 @@
 
 import "damsonwinch"
 
-// Placement is to which shard an order of the planner takes a box. It counts from the box's
-// next life on: the one that the order ends has an owner, who may still have work there.
+// Placement is the shard to which an order of the planner takes a box. It applies from the box's next
+// life on: the life that the order ends has an owner, who may still have work there.
 type Placement struct {
-	// Pool is where the box goes; empty if it stays where it is.
+	// Pool is the pool to which the box moves; empty if it stays where it is.
 	Pool string
-	// Life is the life that the order ends, empty for none.
+	// Life is the life that the order ends; empty for none.
 	Life damsonwinch.Life
-	// Shard is the box's shard after that, and Before its shard until then.
+	// Shard is the box's shard after the order, PreviousShard its shard while Life goes on.
 	Shard         int
 	PreviousShard int
 }
 
-// LifeShard returns the shard of a box's life in a pool, by the newest order on the box, if
-// there is one. It stays the same for as long as that life does.
-func (l Layout) LifeShard(box, pool string, life damsonwinch.Life, placed *Placement) int {
-	if placed == nil {
+// LifeShard returns the shard of a box's life in a pool. The placement is that of the newest order on
+// the box, nil if there has been none. The result stays the same for as long as the life goes on,
+// whatever orders follow.
+func (l Layout) LifeShard(box, pool string, life damsonwinch.Life, placement *Placement) int {
+	if placement == nil {
 		return l.BoxShard(box)
 	}
-	number := placed.PreviousShard
-	if !life.MayBe(placed.Life) && (placed.Pool == "" || placed.Pool == pool) {
-		number = placed.Shard
+	number := placement.PreviousShard
+	if !life.MayBe(placement.Life) && (placement.Pool == "" || placement.Pool == pool) {
+		number = placement.Shard
 	}
 	if number < 0 || number >= max(1, l.Shards) {
 		return l.BoxShard(box)
