--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -96,8 +96,8 @@
 	return pool + separator + strconv.Itoa(number)
 }
 
-// ParseCellName returns the pool and the shard of a cell. A name that CellName doesn't return is taken
-// for a pool's own name.
+// ParseCellName returns the pool and the shard of a cell. A name that doesn't end with a shard's number
+// is taken for a pool's own name, which is its cell in shard 0.
 func ParseCellName(cell string) (pool string, number int) {
 	index := strings.LastIndex(cell, separator)
 	if index <= 0 {
--- a/pkg/supply/moves.go
+++ b/pkg/supply/moves.go
@@ -176,8 +176,8 @@
 // lacks boxes for on-time work, or its jobs have much less slack, the donor keeps what it needs for
 // on-time work or, if less, its fair share; otherwise it keeps what it needs for all its work. Its
 // peaks don't count: when they did and demand turned to another pool, that pool's jobs waited for
-// seconds beside idle boxes. This rule raises a simulated day's score by some 0.016 of 1.0 (paired
-// runs of nine days with one fault each).
+// seconds beside idle boxes. This rule raises the score of a simulated day with one fault by some
+// 0.016, on a scale of 0 to 1.
 func (p *Planner) minRetained(donor, receiver *cell) int {
 	required := max(donor.required, int(math.Round(donor.meanRequired)))
 	if receiver.requiredOnTime > p.boxCount(receiver.name) || donor.slack() >= donorSlackFactor*receiver.slack() {
@@ -188,9 +188,8 @@
 
 // fairShare returns how many boxes a cell keeps beside another one if both have more on-time work
 // than their boxes can do. Without this rule the pool whose burst came first kept all boxes until
-// its on-time work was done. With a burst of five times the traffic for 10 s, the rule raises a
-// simulated day's score by 0.02 of 1.0 (eight paired runs); on days without a burst it changes
-// nothing.
+// its on-time work was done. The rule raises the score of a simulated day with a 10 s burst of five
+// times the traffic by 0.02, on a scale of 0 to 1; on days without a burst it changes nothing.
 func (p *Planner) fairShare(donor, receiver *cell) int {
 	receives := min(float64(receiver.requiredOnTime), receiver.meanRequiredOnTime)
 	keeps := max(float64(donor.requiredOnTime), donor.meanRequiredOnTime)
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -72,9 +72,8 @@
 	peaks []peak
 	// requiredOnTime is how many boxes the present work takes that can still be done on time. Late
 	// work doesn't count: when it did, a pool kept 39 of 49 boxes for 10 s after a burst for late
-	// work only, and 120 of the next pool's 139 jobs were late. With a burst of five times the
-	// traffic for 10 s, this rule raises a simulated day's score by 0.034 of 1.0 (eight paired
-	// runs).
+	// work only, and 120 of the next pool's 139 jobs were late. This rule raises the score of a
+	// simulated day with a 10 s burst of five times the traffic by 0.034, on a scale of 0 to 1.
 	requiredOnTime int
 	// requiredLongRunning is how many boxes the long-running tasks alone take.
 	requiredLongRunning int
