--- a/damsonwinch.go
+++ b/damsonwinch.go
@@ -16,21 +16,21 @@
 // Clock is the source of time for everything that decides by it.
 type Clock = clockwork.Clock
 
-// Slept returns for how long the machine has been suspended since the process began, which a
+// SuspendedTime returns for how long the machine has been suspended since the process began, which a
 // Clock doesn't count. A nil one says that it never was.
-type Slept func() time.Duration
+type SuspendedTime func() time.Duration
 
 // Total is the same, also for nil.
-func (s Slept) Total() time.Duration {
+func (s SuspendedTime) Total() time.Duration {
 	if s == nil {
 		return 0
 	}
 	return s()
 }
 
-// NegligibleSleep is for how long a machine may be suspended without any consequence: the
+// NegligibleSuspension is for how long a machine may be suspended without any consequence: the
 // margins of leases and proofs are longer.
-const NegligibleSleep = 100 * time.Millisecond
+const NegligibleSuspension = 100 * time.Millisecond
 
 // Names of the log streams that the system keeps.
 const (
@@ -53,8 +53,8 @@
 	Read(ctx context.Context, stream string, from, maximum, waitMs int) (wire.LogPage, error)
 }
 
-// List is the platform's lagging list of boxes.
-type List interface {
+// BoxLister is the platform's lagging list of boxes.
+type BoxLister interface {
 	// Boxes returns every box that the list shows of a hall.
 	Boxes(ctx context.Context, hall string) ([]wire.ListedBox, error)
 }
@@ -68,8 +68,8 @@
 // Dial opens a connection to an address, an IP number and a port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Source gives a follower the records of the fleet stream.
-type Source interface {
+// RecordSource gives a follower the records of the fleet stream.
+type RecordSource interface {
 	// Name says who the source is, for errors and counters.
 	Name() string
 	// Read returns records from offset from on, or a snapshot when those have
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -26,8 +26,8 @@
 		f.Add(text)
 	}
 	options := cell.Options{MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second, EndedJobRetention: time.Minute}
-	queues := []damsonwinch.Queue{{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second}}
-	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{CPU: 8000, MemoryMB: 16000}}}
+	queues := []damsonwinch.Queue{{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 2, TargetLatency: time.Second}}
+	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{MilliCPU: 8000, MemoryMB: 16000}}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var spec wire.JobSpec
 		if json.Unmarshal(text, &spec) != nil || rounds(spec) > 1000 {
@@ -44,7 +44,7 @@
 			c.Tick(now)
 			effects := c.TakeEffects()
 			for _, look := range effects.Polls {
-				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.Look{}, nil)
+				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{}, nil)
 			}
 			if effects.Commit != nil {
 				records = append(records, effects.Commit.Records...)
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -81,7 +81,7 @@
 
 // usable says whether new work may be ordered there.
 func (e *endpoint) usable() bool {
-	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdraw.wanted && !e.silent && !e.info.Draining
+	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdraw.requested && !e.silent && !e.info.Draining
 }
 
 // free returns the room that is left.
@@ -115,12 +115,12 @@
 	e.leaseBound = c.now.Add(c.options.RenewalGrace + slack(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.settleIn(e)
-	c.ranked = slices.Insert(c.ranked, c.rankOf(life), e)
+	c.sortedEndpoints = slices.Insert(c.sortedEndpoints, c.rankOf(life), e)
 	return e
 }
 
 func slack(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * clockSlack)
+	return time.Duration(float64(lease) * clockDriftFactor)
 }
 
 // leaseMargin is added to every bound of a lease, for rounding and scheduling.
@@ -138,26 +138,26 @@
 
 // SetEndpoints takes the cell's endpoints as the registry has them now.
 func (c *Cell) SetEndpoints(now time.Time, listed []damsonwinch.Endpoint) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
 	present := make(map[damsonwinch.Life]bool, len(listed))
 	for _, info := range listed {
 		present[info.Life] = true
 		e := c.endpointOf(info.Life)
 		if info.Draining && !e.info.Draining {
-			c.noteEndpoint("endpoint drains", e, "")
+			c.logEndpoint("endpoint drains", e, "")
 		}
 		if !e.listed && !e.gone {
-			c.noteEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
+			c.logEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
 		}
 		e.info, e.listed = info, true
 		c.settleIn(e)
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.listed && !present[e.info.Life] {
 			e.listed = false
-			c.noteEndpoint("endpoint unlisted", e, "")
+			c.logEndpoint("endpoint unlisted", e, "")
 		}
 	}
 	c.sweepEndpoints()
@@ -169,14 +169,14 @@
 
 // sweepEndpoints forgets endpoints that are neither listed nor hold a run.
 func (c *Cell) sweepEndpoints() {
-	c.ranked = slices.DeleteFunc(c.ranked, func(e *endpoint) bool {
+	c.sortedEndpoints = slices.DeleteFunc(c.sortedEndpoints, func(e *endpoint) bool {
 		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.gone && c.now.Before(e.leaseBound.Add(lapseTime)) {
 			return false
 		}
 		c.forgetLapses(e)
 		delete(c.endpoints, e.info.Life)
 		e.zone.rooms.drop(e)
-		c.dropEndpoint(e)
+		c.deleteEndpointRecord(e)
 		return true
 	})
 }
@@ -184,16 +184,16 @@
 // SetBoxes takes the platform's list of boxes, which tells lives that have ended
 // from those that are only out of reach.
 func (c *Cell) SetBoxes(now time.Time, boxes []damsonwinch.Box) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
 	alive := make(map[string]bool, len(boxes))
 	for _, box := range boxes {
 		if box.State == damsonwinch.BoxUp {
-			alive[box.Endpoint] = true
+			alive[box.EndpointID] = true
 		}
 	}
-	for _, e := range slices.Clone(c.ranked) {
+	for _, e := range slices.Clone(c.sortedEndpoints) {
 		// An endpoint that was listed only after the boxes were asked for is not
 		// missing: it must have been silent before.
 		if !alive[e.info.Life.ID] && !e.gone && (e.silent || !e.attached) && len(e.runs) > 0 {
@@ -206,7 +206,7 @@
 // seekMissing asks for the platform's list of boxes while tasks may run on endpoints that
 // can't be asked: the registry has dropped their entries, perhaps because they ended.
 func (c *Cell) seekMissing() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && !e.gone && !e.attached && e.info.Address == "" {
 			c.effects.ListBoxes = true
 			return
@@ -217,7 +217,7 @@
 // expireLeases takes back runs on endpoints out of reach once their leases must
 // have run out.
 func (c *Cell) expireLeases() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) == 0 || !e.gone && e.attached && !e.silent || !c.now.After(e.leaseBound) {
 			continue
 		}
@@ -225,7 +225,7 @@
 			c.freeKept(e)
 			continue
 		}
-		c.noteEndpoint("leases lapsed", e, "out of reach")
+		c.logEndpoint("leases lapsed", e, "out of reach")
 		for _, r := range e.sortedRuns() {
 			if r.state != runIntended {
 				c.lapsed(r)
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -27,11 +27,11 @@
 	c.forgetLapses(e)
 	blamed := c.blamed(e)
 	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
-		c.chance.ends.add(c.now)
+		c.baselineExits.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
 	if e.trial != nil {
-		c.trialEnds.add(c.now)
+		c.probationExits.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
 		if r.state == runIntended {
@@ -67,7 +67,7 @@
 
 // notThere takes away a run that its endpoint doesn't have.
 func (c *Cell) notThere(r *run) {
-	c.note("run is not there", r, "")
+	c.logRun("run is not there", r, "")
 	if r.lost != nil {
 		c.loseRun(r, *r.lost)
 		return
@@ -87,7 +87,7 @@
 // endOf describes the end of a run's endpoint.
 func (c *Cell) endOf(r *run) crash.Loss {
 	endedAt := r.at.endedAt(c.now)
-	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Probation: r.at.trial == r, LossRate: c.chance.rate(c.now)}
+	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.at.heardAt), Explained: c.endShared(r.at, endedAt), Probation: r.at.trial == r, LossRate: c.baselineExits.rate(c.now)}
 	if r.at.silent && r.at.broke {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
@@ -140,10 +140,10 @@
 	}
 	t.givenUp = true
 	c.stats.JobsGivenUp++
-	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hopes() {
-		c.end(j, wire.JobStateFailed, why)
+	if j := t.phase.job(); !t.phase.spec.Lasting || j.runCount == 0 && !j.hopes() {
+		c.endJob(j, wire.JobStateFailed, why)
 	} else {
-		c.noteJob("task given up", j, why)
+		c.logJob("task given up", j, why)
 	}
 }
 
@@ -194,7 +194,7 @@
 // its zone. Where many endpoints end, two do at one moment by chance as well.
 func (c *Cell) endShared(e *endpoint, endedAt time.Time) bool {
 	zone, ended := 0, 0
-	for _, other := range c.ranked {
+	for _, other := range c.sortedEndpoints {
 		if other == e || other.zone != e.zone {
 			continue
 		}
@@ -218,13 +218,13 @@
 // noteLost tells what a lost endpoint takes with it.
 func (c *Cell) noteLost(e *endpoint, why string) {
 	if len(e.runs) == 0 {
-		c.noteEndpoint("endpoint lost", e, why)
+		c.logEndpoint("endpoint lost", e, why)
 		return
 	}
 	c.stats.EndpointsLost++
 	endedAt := e.endedAt(c.now)
 	youngest := e.ordered[len(e.ordered)-1].age(endedAt)
-	c.noteEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
+	c.logEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
 		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
 
@@ -258,7 +258,7 @@
 		if len(row) != crashColumns || row[0] < 0 || row[0] >= len(record.Tasks) {
 			return fmt.Errorf("job %s has a crashed task %v", j.id, row)
 		}
-		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
+		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			t.crashes = crash.History{
 				Losses: row[1], CertainLosses: row[2], SimilarLosses: row[3], MinAge: time.Duration(row[4]) * time.Millisecond, MaxAge: time.Duration(row[5]) * time.Millisecond,
 				Weight: row[6], ExtraStarts: row[7],
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -10,20 +10,20 @@
 // that can still be done in time first, and there the most urgent; then those that are
 // put off for them.
 func (c *Cell) place() {
-	if len(c.open) == 0 || !c.unplaced {
+	if len(c.openPhases) == 0 || !c.placementDue {
 		return
 	}
-	c.unplaced = false
+	c.placementDue = false
 	c.seeProne()
 	clear(c.overQuota)
-	clear(c.inLine)
+	clear(c.quotaBlocked)
 	c.placeSuspects()
-	inTime := make([]*phase, 0, len(c.open))
+	inTime := make([]*phase, 0, len(c.openPhases))
 	var deferred, late []*phase
 	nowMs := int(c.now.UnixMilli())
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		switch {
-		case p.late(nowMs):
+		case p.isLate(nowMs):
 			late = append(late, p)
 		case p.deferred:
 			deferred = append(deferred, p)
@@ -48,7 +48,7 @@
 		} else if !c.placeTasks(p) && c.unconstrained(p) {
 			full = append(full, p.need())
 		}
-		c.seekAdvice(p)
+		c.requestPermits(p)
 		if len(p.ready) == 0 && p.open {
 			c.closePhase(p)
 		}
@@ -61,7 +61,7 @@
 func exceedsAny(p *phase, full []damsonwinch.Resources) bool {
 	need := p.need()
 	for _, missed := range full {
-		if need.CPU >= missed.CPU && need.MemoryMB >= missed.MemoryMB && need.GPU >= missed.GPU {
+		if need.MilliCPU >= missed.MilliCPU && need.MemoryMB >= missed.MemoryMB && need.GPUs >= missed.GPUs {
 			return true
 		}
 	}
@@ -100,7 +100,7 @@
 
 // allowed says whether a task may be started at an endpoint now.
 func (c *Cell) allowed(t *task, e *endpoint) bool {
-	return !c.held(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.permitted(t.phase, e)
+	return !c.held(t) && c.couldTake(t, e) && c.undisturbed(t, e) && c.hasPermit(t.phase, e)
 }
 
 // couldTake says whether an endpoint has room for a task and may run it, as far as
@@ -117,7 +117,7 @@
 // onEndpoint counts a phase's runs at an endpoint, with the places that are held
 // there while a gang is placed.
 func onEndpoint(p *phase, e *endpoint) int {
-	count := p.held[e]
+	count := p.gangReserved[e]
 	for _, t := range p.tasks {
 		for _, r := range t.runs {
 			if r.at == e {
@@ -141,7 +141,7 @@
 )
 
 func (c *Cell) score(t *task, e *endpoint) int {
-	return c.leaning(t, e) - e.free().CPU
+	return c.leaning(t, e) - e.free().MilliCPU
 }
 
 // leaning is what speaks for an endpoint beside its room.
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -39,7 +39,7 @@
 	datadriven.Walk(t, "testdata/script", func(t *testing.T, path string) {
 		s := &script{
 			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, stream: map[string]damsonwinch.Record{},
-			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 2, Target: time.Second},
+			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 2, TargetLatency: time.Second},
 			options: cell.Options{
 				MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
 				MinCommitInterval: 10 * time.Millisecond, PollWait: 500 * time.Millisecond, IdlePollInterval: 2 * time.Second, PollRetryInterval: 300 * time.Millisecond,
@@ -74,9 +74,9 @@
 	case "unlist":
 		s.unlist(d)
 	case "queue":
-		s.queue.MostAttempts = number(s.t, d, "attempts", s.queue.MostAttempts)
+		s.queue.MaxAttempts = number(s.t, d, "attempts", s.queue.MaxAttempts)
 		if d.HasArg("advice") {
-			s.queue.Advice = &damsonwinch.Advice{Valid: 2 * time.Second}
+			s.queue.Advice = &damsonwinch.AdviceTimes{PermitTTL: 2 * time.Second}
 		}
 		s.cell.SetQueues(s.now, []damsonwinch.Queue{s.queue})
 	case "submit":
@@ -95,7 +95,7 @@
 	case "stopped":
 		s.cell.Stopped(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "acknowledged":
-		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Request.Seen)
+		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Request.AckedSequence)
 	case "advised":
 		s.advised(d)
 	case "paced":
@@ -143,8 +143,8 @@
 func (s *script) endpoint(d *datadriven.TestData) {
 	id := arg(s.t, d, "id")
 	info := damsonwinch.Endpoint{
-		Life: damsonwinch.Life{ID: id, Born: number(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
-			CPU: number(s.t, d, "cpu", 8000), MemoryMB: number(s.t, d, "memory", 8000), GPU: number(s.t, d, "gpu", 0),
+		Life: damsonwinch.Life{ID: id, StartedUnixMs: number(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
+			MilliCPU: number(s.t, d, "cpu", 8000), MemoryMB: number(s.t, d, "memory", 8000), GPUs: number(s.t, d, "gpu", 0),
 		},
 		Draining: d.HasArg("draining"), Labels: list(s.t, d, "labels"), Rack: option(s.t, d, "rack"),
 	}
@@ -276,17 +276,17 @@
 		return "no look is on its way to " + at + "\n"
 	}
 	delete(s.looks, at)
-	found := damsonwinch.Look{Born: number(s.t, d, "born", sent.Endpoint.Life.Born), Clock: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	found := damsonwinch.PollReply{StartedUnixMs: number(s.t, d, "born", sent.Endpoint.Life.StartedUnixMs), ClockMs: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
 	for _, text := range list(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
 		load, _ := strconv.Atoi(parts[2])
-		found.Running = append(found.Running, damsonwinch.Running{Run: runOf(parts[0]), Percent: percent, Load: load})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: runOf(parts[0]), DonePercent: percent, Load: load})
 	}
 	for _, text := range list(s.t, d, "ended") {
 		parts := strings.Split(text, ":")
 		count, _ := strconv.Atoi(parts[0])
-		found.Finished = append(found.Finished, damsonwinch.Finished{Number: count, Run: runOf(parts[1]), How: damsonwinch.Ending(parts[2])})
+		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: count, Run: runOf(parts[1]), Ending: damsonwinch.Ending(parts[2])})
 	}
 	s.cell.Looked(s.now, sent.Endpoint.Life, sent.Number, found, errorOf(d, s.t))
 	return s.effects()
@@ -296,27 +296,27 @@
 func (s *script) advised(d *datadriven.TestData) {
 	var permits []damsonwinch.Permit
 	for _, id := range list(s.t, d, "good") {
-		permits = append(permits, damsonwinch.Permit{Endpoint: id, Ticket: "ticket-" + id})
+		permits = append(permits, damsonwinch.Permit{EndpointID: id, Ticket: "ticket-" + id})
 	}
-	s.cell.Advised(s.now, s.now, s.ask, permits, s.queue.Advice.Valid, errorOf(d, s.t))
+	s.cell.Advised(s.now, s.now, s.ask, permits, s.queue.Advice.PermitTTL, errorOf(d, s.t))
 }
 
 // allow has the planner say what the cell may have running of a customer.
 func (s *script) allow(d *datadriven.TestData) {
 	s.allowed++
-	whole := damsonwinch.Resources{CPU: number(s.t, d, "cap", 8000)}
+	whole := damsonwinch.Resources{MilliCPU: number(s.t, d, "cap", 8000)}
 	customer := arg(s.t, d, "customer")
 	s.cell.SetCustomers(s.now, s.allowed, []damsonwinch.Customer{{Name: customer, Cap: whole}})
 	s.cell.ApplySync(s.now, wire.SyncArgs{
 		Token: 1, CellToken: s.token, AllowanceNumber: s.allowed, ConfigVersion: s.allowed,
-		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.CPU}}},
+		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.MilliCPU}}},
 	})
 }
 
 func (s *script) boxes(d *datadriven.TestData) {
 	var boxes []damsonwinch.Box
 	for _, id := range list(s.t, d, "up") {
-		boxes = append(boxes, damsonwinch.Box{Name: "box-" + id, State: damsonwinch.BoxUp, Endpoint: id})
+		boxes = append(boxes, damsonwinch.Box{Name: "box-" + id, State: damsonwinch.BoxUp, EndpointID: id})
 	}
 	s.cell.SetBoxes(s.now, boxes)
 }
@@ -346,7 +346,7 @@
 		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Request.Task, stop.Request.Attempt, stop.Endpoint.Life))
 	}
 	for _, pace := range effects.Paces {
-		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.At.Life, pace.Order.Percent))
+		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.At.Life, pace.Order.SpeedPercent))
 	}
 	for _, ask := range effects.PermitRequests {
 		s.ask = ask
@@ -425,11 +425,11 @@
 	case "":
 		return nil
 	case "room":
-		return damsonwinch.ErrNoRoom
+		return damsonwinch.ErrNoCapacity
 	case "ticket":
-		return damsonwinch.ErrNoTicket
+		return damsonwinch.ErrInvalidTicket
 	case "old-token":
-		return damsonwinch.ErrOldToken
+		return damsonwinch.ErrStaleToken
 	case "other-life":
 		return damsonwinch.ErrOtherLife
 	default:
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -28,7 +28,7 @@
 // Pace is an order to an endpoint.
 type Pace struct {
 	At    damsonwinch.Endpoint
-	Order damsonwinch.PaceOrder
+	Order damsonwinch.SpeedRequest
 }
 
 // share holds back what fills an endpoint as long as what serves there needs it.
@@ -38,17 +38,17 @@
 	case worst >= nearTarget:
 		e.calmSince = time.Time{}
 		c.setPaces(e, func(percent int) int {
-			if percent*paceDown/wholePercent < leastPace {
+			if percent*paceDown/fullPercent < leastPace {
 				return 0
 			}
-			return percent * paceDown / wholePercent
+			return percent * paceDown / fullPercent
 		})
 	case worst < farFromTarget:
 		if e.calmSince.IsZero() {
 			e.calmSince = c.now
 		}
 		if c.now.Sub(e.calmSince) >= calmTime {
-			c.setPaces(e, func(percent int) int { return min(wholePercent, percent+paceUp) })
+			c.setPaces(e, func(percent int) int { return min(fullPercent, percent+paceUp) })
 		}
 	default:
 		e.calmSince = time.Time{}
@@ -61,7 +61,7 @@
 	worst := 0
 	for _, r := range e.runs {
 		if target := r.task.phase.spec.TargetMs; target > 0 && !r.stopping {
-			worst = max(worst, r.load*wholePercent/target)
+			worst = max(worst, r.load*fullPercent/target)
 		}
 	}
 	return worst
@@ -80,7 +80,7 @@
 		if next := change(r.speed); next != r.speed {
 			r.speed = next
 			e.pacedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.PaceOrder{Run: r.order(), Token: c.token, Percent: next}})
+			c.effects.Paces = append(c.effects.Paces, Pace{At: e.info, Order: damsonwinch.SpeedRequest{Run: r.order(), Token: c.token, SpeedPercent: next}})
 		}
 	}
 }
@@ -88,15 +88,15 @@
 // Paced takes the answer to an order on a run's speed. One that was not answered
 // may not have been done: the next look tells.
 func (c *Cell) Paced(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := c.findRun(at, which)
 	if r == nil || err == nil {
 		return
 	}
-	c.note("pace not set", r, err.Error())
+	c.logRun("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
 	r.at.pacedAt = time.Time{}
-	r.speed = wholePercent
+	r.speed = fullPercent
 }
 
 // besides says whether an endpoint runs tasks that a phase's should not stand
--- a/pkg/cell/sim_rules_test.go
+++ b/pkg/cell/sim_rules_test.go
@@ -72,7 +72,7 @@
 }
 
 // started judges a start.
-func (r *rules) started(e *simEndpoint, order damsonwinch.StartOrder) {
+func (r *rules) started(e *simEndpoint, order damsonwinch.StartRequest) {
 	r.starts++
 	r.world.logf("start %s attempt %d on %s by %d", order.Task, order.Attempt, e.info.Life, order.Token)
 	c := r.client(order.Task.Job)
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	if !phase.Lasting && r.failed[order.Task] >= simQueues[0].MostAttempts {
+	if !phase.Lasting && r.failed[order.Task] >= simQueues[0].MaxAttempts {
 		r.fail("BUDGET: %s starts after %d failures", order.Task, r.failed[order.Task])
 	}
 	if r.crashedUnder[order.Task] >= mostCrashed && !r.world.late {
@@ -111,10 +111,10 @@
 }
 
 // fills judges the room that a start takes at an endpoint that starts whatever it is told.
-func (r *rules) fills(e *simEndpoint, order damsonwinch.StartOrder, need damsonwinch.Resources) {
-	used, lately := e.used().CPU, e.roomLately()
-	if !r.world.late && used+need.CPU > lately {
-		r.fail("LIMIT: %s brings %s to %d of %d", order.Task, e.info.Life, used+need.CPU, lately)
+func (r *rules) fills(e *simEndpoint, order damsonwinch.StartRequest, need damsonwinch.Resources) {
+	used, lately := e.used().MilliCPU, e.roomLately()
+	if !r.world.late && used+need.MilliCPU > lately {
+		r.fail("LIMIT: %s brings %s to %d of %d", order.Task, e.info.Life, used+need.MilliCPU, lately)
 	}
 }
 
@@ -131,8 +131,8 @@
 }
 
 // noted is told when an endpoint forgets an end.
-func (r *rules) noted(_ *simEndpoint, end damsonwinch.Finished) {
-	switch end.How {
+func (r *rules) noted(_ *simEndpoint, end damsonwinch.RunResult) {
+	switch end.Ending {
 	case damsonwinch.EndedDone:
 		if _, before := r.noting[end.Task]; !before {
 			r.noting[end.Task] = r.world.now
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -12,11 +12,11 @@
 // Submit takes a job. The reply comes as an effect with the ticket, once the
 // stream holds the job.
 func (c *Cell) Submit(now time.Time, args wire.JobArgs, ticket int) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	if known, exists := c.jobs[args.Id]; exists {
 		if !known.visibleTo(args) {
-			c.noteJob("job refused", known, "another customer has a job of this ID")
+			c.logJob("job refused", known, "another customer has a job of this ID")
 			c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(comeBack.Milliseconds())})
 			return
 		}
@@ -32,15 +32,15 @@
 	j := c.newJob(args)
 	j.waitFor(now, args.WaitMs)
 	c.jobs[j.id] = j
-	c.order = append(c.order, j)
+	c.activeJobs = append(c.activeJobs, j)
 	c.stats.JobsAccepted++
-	if !jobs.Lasting(j.spec) {
-		chain := slices.Max(j.chains)
+	if !jobs.IsLongRunning(j.spec) {
+		chain := slices.Max(j.criticalPathMs)
 		c.statsOf(j.queue).arrive(now, j.work, j.dueMs-j.acceptedMs-chain, chain)
 	}
-	c.touch(j)
-	c.noteJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
-		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.chains), j.dueMs-j.acceptedMs))
+	c.markDirty(j)
+	c.logJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
+		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
 	c.openRounds()
 	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
@@ -48,20 +48,20 @@
 func (c *Cell) newJob(args wire.JobArgs) *job {
 	j := &job{
 		id: args.Id, queue: args.Queue, customer: args.Customer, spec: *args.Spec, acceptedMs: args.ReceivedMs,
-		state: wire.JobStateQueued, shown: wire.JobStateQueued,
+		state: wire.JobStateQueued, recordedState: wire.JobStateQueued,
 	}
 	queue := c.queues[args.Queue]
-	j.priority, j.mostAttempts = queue.Priority, queue.MostAttempts
+	j.priority, j.maxAttempts = queue.Priority, queue.MaxAttempts
 	c.setDue(j)
 	return j
 }
 
-// attemptsOf returns how many failures of a task fail the job.
-func (c *Cell) attemptsOf(j *job) int {
-	if queue, known := c.queues[j.queue]; known && queue.MostAttempts > 0 {
-		return queue.MostAttempts
+// maxAttempts returns how many failures of a task fail the job.
+func (c *Cell) maxAttempts(j *job) int {
+	if queue, known := c.queues[j.queue]; known && queue.MaxAttempts > 0 {
+		return queue.MaxAttempts
 	}
-	return max(1, j.mostAttempts)
+	return max(1, j.maxAttempts)
 }
 
 // visibleTo says whether a job may be shown to a caller, and changed by it: to its own customer,
@@ -74,8 +74,8 @@
 // Cancel ends a job for good. The reply comes as an effect, once the stream holds
 // the end.
 func (c *Cell) Cancel(now time.Time, args wire.JobArgs, ticket int) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	j, known := c.jobs[args.Id]
 	if !known || !j.visibleTo(args) {
 		c.reply(ticket, wire.JobReply{Outcome: wire.JobOutcomeNoSuchJob})
@@ -83,13 +83,13 @@
 	}
 	if !j.ended() {
 		c.stats.JobsCancelled++
-		c.end(j, wire.JobStateCancelled, "a client cancelled it")
+		c.endJob(j, wire.JobStateCancelled, "a client cancelled it")
 	}
 	c.replyRecorded(j, ticket, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
-// end decides a job's end and stops what still runs of it.
-func (c *Cell) end(j *job, state wire.JobState, why string) {
+// endJob decides a job's endJob and stops what still runs of it.
+func (c *Cell) endJob(j *job, state wire.JobState, why string) {
 	j.state = state
 	j.endedMs = int(c.now.UnixMilli())
 	for _, r := range j.rounds {
@@ -102,25 +102,25 @@
 			}
 		}
 	}
-	c.noteJob("job "+string(state), j, why)
-	c.touch(j)
+	c.logJob("job "+string(state), j, why)
+	c.markDirty(j)
 }
 
 // forgetJobs drops ended jobs that nobody will ask for any more.
 func (c *Cell) forgetJobs() {
-	keep := c.order[:0]
-	for _, j := range c.order {
-		if !j.ended() || j.runs > 0 || j.shown != j.state {
+	keep := c.activeJobs[:0]
+	for _, j := range c.activeJobs {
+		if !j.ended() || j.runCount > 0 || j.recordedState != j.state {
 			keep = append(keep, j)
 		}
 	}
-	clear(c.order[len(keep):])
-	c.order = keep
+	clear(c.activeJobs[len(keep):])
+	c.activeJobs = keep
 	limit := int(c.now.Add(-c.options.EndedJobRetention).UnixMilli())
 	for id, j := range c.jobs {
-		if j.ended() && j.runs == 0 && j.shown == j.state && j.endedMs < limit {
+		if j.ended() && j.runCount == 0 && j.recordedState == j.state && j.endedMs < limit {
 			delete(c.jobs, id)
-			c.drop(j)
+			c.deleteRecord(j)
 		}
 	}
 }
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -26,7 +26,7 @@
 // suspect puts a task among the suspects if the ends of endpoints under it call for that.
 func (c *Cell) suspect(t *task) {
 	if !t.suspected && !t.done && c.options.CrashRules.IsSuspect(t.crashes) {
-		t.suspected, t.triedFrom = true, c.now
+		t.suspected, t.probationWaitSince = true, c.now
 		c.suspects = append(c.suspects, t)
 	}
 }
@@ -46,7 +46,7 @@
 			continue
 		}
 		if e := c.trialPlace(t); e != nil {
-			t.phase.unready(t)
+			t.phase.removeReady(t)
 			c.intend(t, e)
 		} else if !c.triedInVain(t) {
 			c.promise(t)
@@ -56,13 +56,13 @@
 
 // triedInVain says whether a suspect has waited for a trial for too long.
 func (c *Cell) triedInVain(t *task) bool {
-	return c.now.Sub(t.triedFrom) >= c.trialWait(t)
+	return c.now.Sub(t.probationWaitSince) >= c.trialWait(t)
 }
 
 // trialWait returns how long a suspect waits for a trial. Then it starts as any other does: a
 // crowd of suspects, most of them sound, must not stand still.
 func (c *Cell) trialWait(t *task) time.Duration {
-	if c.prone[t.phase.job().queue] {
+	if c.crashProne[t.phase.job().queue] {
 		return proneWait
 	}
 	return usualWait
@@ -76,7 +76,7 @@
 		}
 		return !t.suspected
 	})
-	c.trials = slices.DeleteFunc(c.trials, func(e *endpoint) bool {
+	c.probationEndpoints = slices.DeleteFunc(c.probationEndpoints, func(e *endpoint) bool {
 		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.triedInVain(t)) {
 			e.promised = nil
 		}
@@ -84,7 +84,7 @@
 	})
 	nowMs := int(c.now.UnixMilli())
 	slices.SortStableFunc(c.suspects, func(a, b *task) int {
-		if late := a.phase.late(nowMs); late != b.phase.late(nowMs) {
+		if late := a.phase.isLate(nowMs); late != b.phase.isLate(nowMs) {
 			if late {
 				return 1
 			}
@@ -97,7 +97,7 @@
 // trialPlace returns the endpoint for a trial where the least is lost if that ends it.
 func (c *Cell) trialPlace(t *task) *endpoint {
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if c.quiet(e) && c.allowed(t, e) {
 			choice.offer(e, -e.atStake())
 		}
@@ -132,10 +132,10 @@
 		return true
 	}
 	share := trialShare
-	if len(c.prone) > 0 {
+	if len(c.crashProne) > 0 {
 		share = proneShare
 	}
-	return len(c.trials)+c.trialEnds.within(c.now, backTime) < max(1, len(c.ranked)*share/wholePercent)
+	return len(c.probationEndpoints)+c.probationExits.within(c.now, backTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
 }
 
 // quiet says whether nothing has begun at an endpoint of late that may end it yet.
@@ -151,7 +151,7 @@
 // exposed counts the endpoints that run something and would end by themselves if they did now.
 func (c *Cell) exposed() int {
 	count := 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.CrashRules.MeasuredSuspectAge()) {
 			count++
 		}
@@ -161,43 +161,43 @@
 
 // promise keeps an endpoint for a task until nothing young runs there and there is room.
 func (c *Cell) promise(t *task) {
-	if slices.ContainsFunc(c.trials, func(e *endpoint) bool { return e.promised == t }) {
+	if slices.ContainsFunc(c.probationEndpoints, func(e *endpoint) bool { return e.promised == t }) {
 		return
 	}
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.trial == nil && e.promised == nil && c.mayTry(e) && c.couldHold(t, e) {
 			choice.offer(e, -e.atStake())
 		}
 	}
 	if choice.best != nil {
 		choice.best.promised = t
-		c.trials = append(c.trials, choice.best)
+		c.probationEndpoints = append(c.probationEndpoints, choice.best)
 	}
 }
 
 // couldHold says whether a task could run at an endpoint once the short tasks there have ended.
 func (c *Cell) couldHold(t *task, e *endpoint) bool {
 	p := t.phase
-	if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
+	if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) || !e.hasLabel(p.spec.Label) || !c.hasPermit(p, e) {
 		return false
 	}
-	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
+	return e.info.Capacity.Minus(e.longRunningNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
 }
 
 // beginTrial notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
 func (c *Cell) beginTrial(r *run) {
 	r.at.trial, r.at.promised = r, nil
-	if !slices.Contains(c.trials, r.at) {
-		c.trials = append(c.trials, r.at)
+	if !slices.Contains(c.probationEndpoints, r.at) {
+		c.probationEndpoints = append(c.probationEndpoints, r.at)
 	}
 }
 
 // watchTrials looks at endpoints where a trial should be over, and clears lasting tasks that
 // have been at work for long.
 func (c *Cell) watchTrials() {
-	for _, e := range c.trials {
+	for _, e := range c.probationEndpoints {
 		if e.trial != nil && e.trial.state == runConfirmed && !c.now.Before(c.outlivesAt(e.trial)) {
 			c.wantLook(e)
 		}
@@ -206,9 +206,9 @@
 		if !t.phase.spec.Lasting || len(t.runs) == 0 {
 			continue
 		}
-		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.since) >= outlivedTime {
+		if r := t.runs[0]; r.percent >= fullPercent && c.now.Sub(r.since) >= outlivedTime {
 			t.crashes, t.suspected = crash.History{}, false
-			c.touch(t.phase.job())
+			c.markDirty(t.phase.job())
 		}
 	}
 }
@@ -223,6 +223,6 @@
 func (c *Cell) outlive(e *endpoint, sentAt time.Time) {
 	if e.trial != nil && e.trial.state == runConfirmed && !sentAt.Before(c.outlivesAt(e.trial)) {
 		e.trial = nil
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -28,7 +28,7 @@
 func (p *Planner) cellNames() []string {
 	var names []string
 	for _, pool := range p.pools {
-		if !pool.Parking {
+		if !pool.PoweredOff {
 			names = append(names, p.layout.CellNames(pool.Name)...)
 		}
 	}
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -43,7 +43,7 @@
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
 	// SuspendedTime returns for how long the machine has been suspended.
-	SuspendedTime damsonwinch.Slept
+	SuspendedTime damsonwinch.SuspendedTime
 	// Sync calls the owner of a cell.
 	Sync func(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error)
 	// OnFirstBoxList is called with the number of boxes in the first list that has been received.
@@ -214,7 +214,7 @@
 // then, and what this one knows of the boxes is outdated. It must give no more orders.
 func (p *Planner) checkSuspension() error {
 	suspended := p.deps.SuspendedTime.Total() - p.suspendedBefore
-	if suspended < damsonwinch.NegligibleSleep {
+	if suspended < damsonwinch.NegligibleSuspension {
 		return nil
 	}
 	p.deps.Logger.WithField("slept_ms", suspended.Milliseconds()).Warn("planning given up: the machine was suspended")
@@ -288,7 +288,7 @@
 		p.deps.Logger.WithError(m.err).WithFields(fields).Warn("order on box not carried out")
 	}
 	p.supply.HandleOrderResult(now, m.order, m.err)
-	if errors.Is(m.err, damsonwinch.ErrOldToken) {
+	if errors.Is(m.err, damsonwinch.ErrStaleToken) {
 		p.deps.Logger.Warn("planning lost: a newer planner has ordered")
 		p.cancel()
 	}
@@ -344,7 +344,7 @@
 // sendOrder gives the platform an order that has been recorded.
 func (p *Planner) sendOrder(order supply.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
-	issuer := damsonwinch.Holder{Node: p.options.Node, Token: p.options.Token}
+	issuer := damsonwinch.Issuer{Node: p.options.Node, Token: p.options.Token}
 	p.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 		defer cancel()
--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -22,7 +22,7 @@
 		return l.BoxShard(box)
 	}
 	number := placement.PreviousShard
-	if !life.MayBe(placement.Life) && (placement.Pool == "" || placement.Pool == pool) {
+	if !life.MayBeSame(placement.Life) && (placement.Pool == "" || placement.Pool == pool) {
 		number = placement.Shard
 	}
 	if number < 0 || number >= max(1, l.Shards) {
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -88,15 +88,15 @@
 		if b == nil {
 			b = p.addBox(info.Name)
 		}
-		if b.info.Endpoint != info.Endpoint || b.info.State != info.State || b.info.Pool != info.Pool {
+		if b.info.EndpointID != info.EndpointID || b.info.State != info.State || b.info.Pool != info.Pool {
 			b.upSince = requestedAt
 		}
-		if b.info.Endpoint != info.Endpoint || info.State != damsonwinch.BoxUp {
+		if b.info.EndpointID != info.EndpointID || info.State != damsonwinch.BoxUp {
 			b.dropPlannedOrder()
 		}
 		b.info = info
-		if b.life.ID != info.Endpoint {
-			b.life = damsonwinch.Life{ID: info.Endpoint}
+		if b.life.ID != info.EndpointID {
+			b.life = damsonwinch.Life{ID: info.EndpointID}
 		}
 		if b.issued != nil && info.State != damsonwinch.BoxUp {
 			b.issued.lifeEnded = true
@@ -154,7 +154,7 @@
 	if o == nil || requestedAt.Before(o.updatedAt) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	lifeEnded := o.lifeEnded || !b.life.MayBe(o.Life)
+	lifeEnded := o.lifeEnded || !b.life.MayBeSame(o.Life)
 	if o.inherited && (lifeEnded || b.info.Pool == o.Pool) {
 		b.issued = nil
 		return
@@ -163,7 +163,7 @@
 		return
 	}
 	moved := o.Pool != "" && b.info.Pool == o.Pool
-	maintained := o.Pool == "" && requestedAt.Sub(o.updatedAt) >= p.options.MaintainTime && (lifeEnded || b.info.Endpoint == "")
+	maintained := o.Pool == "" && requestedAt.Sub(o.updatedAt) >= p.options.MaintainTime && (lifeEnded || b.info.EndpointID == "")
 	if moved || maintained {
 		b.issued = nil
 	}
@@ -229,9 +229,9 @@
 	case errors.Is(err, damsonwinch.ErrNotInWave):
 		// The operator has changed the wave. The box stays marked as ordered in it.
 		b.issued = nil
-	case errors.Is(err, damsonwinch.ErrBoxBusy):
+	case errors.Is(err, damsonwinch.ErrBoxNotUp):
 		p.revertOrder(b, order)
-	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrStaleToken):
 		// The platform has done nothing; issueDueOrders issues the order again.
 	default:
 		// The platform may have carried out the order, now or later. It is issued again
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -24,7 +24,7 @@
 func newShardedFleet() *shardedFleet {
 	f := &shardedFleet{now: time.Unix(1_000_000, 0), layout: shard.NewLayout(fleetShards, []string{"held", "short"})}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
-	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, f.layout)
+	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, f.layout)
 	return f
 }
 
@@ -37,10 +37,10 @@
 		}
 		count--
 		box := damsonwinch.Box{
-			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 		}
 		if pool != "off" {
-			box.Endpoint = "at-" + name
+			box.EndpointID = "at-" + name
 		}
 		f.boxes = append(f.boxes, box)
 	}
@@ -52,7 +52,7 @@
 	var reported []wire.EndpointReport
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			reported = append(reported, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: longRunning})
+			reported = append(reported, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, Lasting: longRunning})
 		}
 	}
 	return reported
--- a/pkg/supply/lend_test.go
+++ b/pkg/supply/lend_test.go
@@ -30,7 +30,7 @@
 	now := time.Unix(1_000_000, 0)
 	layout := shard.NewLayout(fleetShards, []string{"held", "short"})
 	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
-	planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, layout)
+	planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, layout)
 	var boxes []damsonwinch.Box
 	add := func(pool string, count int, fits func(name string) bool) {
 		for number := 0; count > 0; number++ {
@@ -40,10 +40,10 @@
 			}
 			count--
 			boxes = append(boxes, damsonwinch.Box{
-				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 			if pool != "off" {
-				boxes[len(boxes)-1].Endpoint = "at-" + name
+				boxes[len(boxes)-1].EndpointID = "at-" + name
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 	held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: longRunningTasks}
 	for _, b := range boxes {
 		if b.Pool == "held" {
-			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: 1})
+			held.Endpoints = append(held.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, Lasting: 1})
 		}
 	}
 	planner.SetReport(now, shard.CellName("held", shortShard), held)
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -28,16 +28,16 @@
 // list gives the planner a list of boxes that shows the box in a state.
 func (f *oneBoxFleet) list(state damsonwinch.BoxState) {
 	f.box.State = state
-	f.box.Endpoint = ""
+	f.box.EndpointID = ""
 	if state == damsonwinch.BoxUp {
-		f.box.Endpoint = "at-" + f.box.Name
+		f.box.EndpointID = "at-" + f.box.Name
 	}
 	f.planner.SetBoxes(f.now, []damsonwinch.Box{f.box})
 }
 
 // report gives the planner a report of the cell's owner on the life that started at the given time.
 func (f *oneBoxFleet) report(startedUnixMs int, withdrawn bool) {
-	life := damsonwinch.Life{ID: "at-" + f.box.Name, Born: startedUnixMs}
+	life := damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: startedUnixMs}
 	f.planner.SetReport(f.now, "held", wire.SyncReply{Known: true, TaskMs: 1000, Endpoints: []wire.EndpointReport{{
 		Endpoint: life.String(), Box: f.box.Name, Usable: !withdrawn, Withdrawn: withdrawn,
 	}}})
@@ -52,7 +52,7 @@
 // maintain adds a wave for the box, plans until the maintenance is ordered, has the order accepted and
 // returns it.
 func (f *oneBoxFleet) maintain(t *testing.T, wave, startedUnixMs int) supply.Order {
-	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
+	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.list(damsonwinch.BoxUp)
 	f.report(startedUnixMs, false)
 	var orders []supply.Order
@@ -85,7 +85,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newOneBoxFleet()
 			order := f.maintain(t, 1, 1)
-			assert.Equal(t, order.Life, damsonwinch.Life{ID: "at-" + f.box.Name, Born: 1})
+			assert.Equal(t, order.Life, damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: 1})
 			f.now = f.now.Add(3 * time.Second)
 			comeBack(f)
 			f.list(damsonwinch.BoxUp)
@@ -99,7 +99,7 @@
 // itself before the box is maintained.
 func TestWithdrawalOfOneLifeDoesNotCountForTheNext(t *testing.T) {
 	f := newOneBoxFleet()
-	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MostDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
+	f.planner.SetWave(f.now, damsonwinch.Wave{Number: 1, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.report(1, false)
 	f.plan(0)
 	f.list(damsonwinch.BoxUp)
@@ -108,5 +108,5 @@
 	f.report(2, false)
 	orders := f.plan(300 * time.Millisecond)
 	assert.Equal(t, len(orders), 0, "%v", orders)
-	assert.DeepEqual(t, f.planner.Directives("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, Born: 2}.String()})
+	assert.DeepEqual(t, f.planner.Directives("held").Withdraw, []string{damsonwinch.Life{ID: "at-" + f.box.Name, StartedUnixMs: 2}.String()})
 }
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -116,7 +116,7 @@
 	for _, b := range p.boxesByName {
 		if b.report != nil && b.report.Usable {
 			used[b.info.Pool] += b.report.UsedCpu
-			capacity[b.info.Pool] += b.info.Capacity.CPU
+			capacity[b.info.Pool] += b.info.Capacity.MilliCPU
 		}
 	}
 	idle := make(map[string]bool, len(capacity))
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -97,12 +97,12 @@
 		fields := strings.Fields(line)
 		count, err := strconv.Atoi(fields[1])
 		assert.NilError(s.t, err)
-		s.pools = append(s.pools, damsonwinch.Pool{Name: fields[0], Parking: at == 0})
+		s.pools = append(s.pools, damsonwinch.Pool{Name: fields[0], PoweredOff: at == 0})
 		for box := range count {
 			name := fmt.Sprintf("%s-%02d", fields[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
-				Name: name, Pool: fields[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), Endpoint: "at-" + name,
-				Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+				Name: name, Pool: fields[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), EndpointID: "at-" + name,
+				Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 		}
 	}
@@ -137,7 +137,7 @@
 	shardNumber := number(s.t, d, "shard")
 	for _, b := range s.boxes {
 		if b.Pool == pool && s.layout.BoxShard(b.Name) == shardNumber {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.emptyMs[b.Name], Lasting: s.longRunning[b.Name]})
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, EmptyMs: s.emptyMs[b.Name], Lasting: s.longRunning[b.Name]})
 		}
 	}
 	s.planner.SetReport(s.now, shard.CellName(pool, shardNumber), reply)
@@ -145,7 +145,7 @@
 
 // wave gives the planner a wave.
 func (s *script) wave(d *datadriven.TestData) {
-	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MostDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
+	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MaxDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
 	for _, arg := range d.CmdArgs {
 		for _, b := range s.boxes {
 			if arg.Key == "pools" && slices.Contains(arg.Vals, b.Pool) {
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -106,7 +106,7 @@
 			if c == nil {
 				c = &cell{name: name, pool: pool.Name, shard: number}
 			}
-			c.poweredOff, c.shards = pool.Parking, layout.Shards
+			c.poweredOff, c.shards = pool.PoweredOff, layout.Shards
 			cells[name] = c
 			p.cellNames = append(p.cellNames, name)
 		}
@@ -155,7 +155,7 @@
 func (p *Planner) Directives(cellName string) Directives {
 	var directives Directives
 	for _, b := range p.boxesByCell[cellName] {
-		if b.info.Endpoint == "" {
+		if b.info.EndpointID == "" {
 			continue
 		}
 		if p.dueWave(b) != nil {
@@ -185,7 +185,7 @@
 	var exited []string
 	for _, reported := range c.report.Endpoints {
 		b := p.boxes[reported.Box]
-		if b != nil && (b.info.Endpoint != damsonwinch.ParseLife(reported.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
+		if b != nil && (b.info.EndpointID != damsonwinch.ParseLife(reported.Endpoint).ID || b.info.State != damsonwinch.BoxUp) {
 			exited = append(exited, reported.Endpoint)
 		}
 	}
@@ -204,7 +204,7 @@
 	if life == b.life {
 		return false
 	}
-	if !life.MayBe(b.life) {
+	if !life.MayBeSame(b.life) {
 		// The earlier life has exited. The list of boxes need not have shown that.
 		b.dropPlannedOrder()
 	}
@@ -228,7 +228,7 @@
 		for i := range c.report.Endpoints {
 			reported := &c.report.Endpoints[i]
 			life := damsonwinch.ParseLife(reported.Endpoint)
-			if b := p.boxes[reported.Box]; b != nil && b.info.Endpoint == life.ID {
+			if b := p.boxes[reported.Box]; b != nil && b.info.EndpointID == life.ID {
 				b.report = reported
 				moved = p.updateLife(b, life) || moved
 			}
@@ -254,13 +254,13 @@
 func (p *Planner) maxBoxCPU(cellName string) int {
 	largest := 0
 	for _, b := range p.boxesByCell[cellName] {
-		largest = max(largest, b.info.Capacity.CPU)
+		largest = max(largest, b.info.Capacity.MilliCPU)
 	}
 	if largest > 0 {
 		return largest
 	}
 	for _, b := range p.boxesByName {
-		largest = max(largest, b.info.Capacity.CPU)
+		largest = max(largest, b.info.Capacity.MilliCPU)
 	}
 	return largest
 }
--- a/pkg/supply/waves.go
+++ b/pkg/supply/waves.go
@@ -124,7 +124,7 @@
 		}
 		return
 	}
-	budget := w.MostDown - down - emptying
+	budget := w.MaxDown - down - emptying
 	atOnce := p.targetConcurrency(w, len(due)+emptying+down) - down - emptying
 	budget -= p.maintainPoweredOff(w, due, min(budget, max(atOnce, p.availablePoweredOff()-poweredOffReserve)))
 	p.withdrawForWave(w, due, min(budget, atOnce))
@@ -196,9 +196,9 @@
 	cycle := typicalEmptyTime + p.options.MaintainTime
 	remaining := w.Duration*plannedPercent/100 - p.now.Sub(w.startedAt)
 	if remaining <= cycle {
-		return w.MostDown
+		return w.MaxDown
 	}
-	return min(w.MostDown, 1+int(time.Duration(left)*cycle/remaining))
+	return min(w.MaxDown, 1+int(time.Duration(left)*cycle/remaining))
 }
 
 // withdrawForWave starts to withdraw up to count due boxes. In each pool it first takes one box with
