--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -11,65 +11,76 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of orders on boxes.
 const (
-	// orderRetry is the time between two tries of an order.
-	orderRetry = 300 * time.Millisecond
-	// arrival is how long a box that the platform lists as up may take to be
-	// usable in its pool.
-	arrival = 3 * time.Second
+	// orderRetryDelay is the time between two attempts to give the same order.
+	orderRetryDelay = 300 * time.Millisecond
+	// joinTimeout is how long a box that the platform lists as up may take until it is usable in
+	// its pool.
+	joinTimeout = 3 * time.Second
 )
 
-// box is a box as the planner knows it.
+// box is what the planner knows of a box.
 type box struct {
+	// info is the box in the newest list of the platform.
 	info damsonwinch.Box
-	// life is the life that runs on it, as far as the list of boxes and the owner of its cell
-	// tell.
+	// life is the endpoint's life on the box. The list of boxes gives its ID, the owner of the
+	// cell also its start time.
 	life damsonwinch.Life
-	// shard is the one to which its present life belongs, by placed, the newest order on it.
-	shard  int
-	placed *shard.Placement
+	// shard is the shard of the present life. It follows from placement, which is where the newest
+	// order on the box takes it; nil before the first order.
+	shard     int
+	placement *shard.Placement
+	// report is what the newest fresh report of the cell says of the endpoint; nil for nothing.
 	report *wire.EndpointReport
-	// purpose is why it is being emptied.
-	purpose *purpose
-	// ordered is the order that has been given and not seen done yet.
-	ordered *given
-	// foreignAt is when an earlier holder last decided an order.
-	foreignAt time.Time
-	// upAt is when it was first seen up as it is now.
-	upAt time.Time
-	// refuses are pools that take other boxes.
-	refuses map[string]bool
+	// planned is the order for which the endpoint is being withdrawn; nil for none.
+	planned *plannedOrder
+	// issued is the order that has been given and whose effect has not been seen yet; nil for none.
+	issued *issuedOrder
+	// inheritedAt is when an earlier planner recorded its newest order on the box.
+	inheritedAt time.Time
+	// upSince is the request time of the first list that shows the box with its present state,
+	// pool and endpoint.
+	upSince time.Time
+	// refusedPools are the pools to which the platform refuses to move the box.
+	refusedPools map[string]bool
 }
 
-// purpose is why a box is being emptied.
-type purpose struct {
-	// pool and shard are where it goes; an empty pool is for maintenance where it is.
+// plannedOrder is an order that is given once nothing runs on its box.
+type plannedOrder struct {
+	// pool and shard are where the box goes. An empty pool stands for maintenance in its present
+	// pool.
 	pool  string
 	shard int
+	// wave is the wave of the maintenance; 0 for a move.
 	wave  int
 	since time.Time
-	hurry bool
-	cause string
+	// urgent has the running tasks stopped instead of waited for.
+	urgent bool
+	cause  string
 }
 
-// given is an order that has been recorded and given.
-type given struct {
+// issuedOrder is an order that has been decided and whose effect has not been seen yet.
+type issuedOrder struct {
 	Order
-	at       time.Time
+	// updatedAt is when the order was decided, and later when the platform accepted it. Only a
+	// list of boxes that was requested after it can show the effect.
+	updatedAt time.Time
+	// answered says that the platform has accepted the order.
 	answered bool
-	// recalled says that an earlier holder recorded it.
-	recalled bool
-	onTheWay bool
-	triedAt  time.Time
-	// left says that its box has been seen without the life that the order ends: another one may
-	// come under the same ID.
-	left bool
+	// inherited says that an earlier planner recorded the order.
+	inherited bool
+	// inFlight says that a call to the platform is in progress; sentAt is when the newest began.
+	inFlight bool
+	sentAt   time.Time
+	// lifeEnded says that a list has shown the box not up, so that the life which the order ends
+	// is over. A later life may have the same ID.
+	lifeEnded bool
 }
 
-// SetBoxes takes the platform's list, as it was at some moment after askedAt.
-func (p *Planner) SetBoxes(askedAt time.Time, listed []damsonwinch.Box) {
-	p.boxesAt = askedAt
+// SetBoxes sets the boxes to those of the platform's list, which was requested at requestedAt and
+// shows some moment after that.
+func (p *Planner) SetBoxes(requestedAt time.Time, listed []damsonwinch.Box) {
+	p.boxesRequestedAt = requestedAt
 	present := map[string]bool{}
 	for _, info := range listed {
 		present[info.Name] = true
@@ -78,191 +89,194 @@
 			b = p.addBox(info.Name)
 		}
 		if b.info.EndpointID != info.EndpointID || b.info.State != info.State || b.info.Pool != info.Pool {
-			b.upAt = askedAt
+			b.upSince = requestedAt
 		}
 		if b.info.EndpointID != info.EndpointID || info.State != damsonwinch.BoxUp {
-			b.dropPurpose()
+			b.dropPlannedOrder()
 		}
 		b.info = info
 		if b.life.ID != info.EndpointID {
 			b.life = damsonwinch.Life{ID: info.EndpointID}
 		}
-		if b.ordered != nil && info.State != damsonwinch.BoxUp {
-			b.ordered.left = true
+		if b.issued != nil && info.State != damsonwinch.BoxUp {
+			b.issued.lifeEnded = true
 		}
-		p.place(b)
-		p.settle(b, askedAt)
+		p.updateShard(b)
+		p.clearCompletedOrder(b, requestedAt)
 	}
-	p.order = slices.DeleteFunc(p.order, func(b *box) bool {
+	p.boxesByName = slices.DeleteFunc(p.boxesByName, func(b *box) bool {
 		if present[b.info.Name] {
 			return false
 		}
 		delete(p.boxes, b.info.Name)
 		return true
 	})
-	slices.SortFunc(p.order, func(a, b *box) int { return cmp.Compare(a.info.Name, b.info.Name) })
-	p.groupBoxes()
+	slices.SortFunc(p.boxesByName, func(a, b *box) int { return cmp.Compare(a.info.Name, b.info.Name) })
+	p.groupBoxesByCell()
 }
 
-// addBox makes a box known.
+// addBox adds a box of which only the name is known and returns it.
 func (p *Planner) addBox(name string) *box {
-	b := &box{info: damsonwinch.Box{Name: name}, refuses: map[string]bool{}}
-	p.place(b)
+	b := &box{info: damsonwinch.Box{Name: name}, refusedPools: map[string]bool{}}
+	p.updateShard(b)
 	p.boxes[name] = b
-	p.order = append(p.order, b)
+	p.boxesByName = append(p.boxesByName, b)
 	return b
 }
 
-// place notes the shard of a box's present life.
-func (p *Planner) place(b *box) {
-	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placed)
+// updateShard recomputes the shard of a box's present life.
+func (p *Planner) updateShard(b *box) {
+	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placement)
 }
 
-// groupBoxes sorts the boxes by their cells.
-func (p *Planner) groupBoxes() {
-	p.byCell = make(map[string][]*box, len(p.names))
-	for _, b := range p.order {
-		p.byCell[b.cell()] = append(p.byCell[b.cell()], b)
+// groupBoxesByCell rebuilds boxesByCell.
+func (p *Planner) groupBoxesByCell() {
+	p.boxesByCell = make(map[string][]*box, len(p.cellNames))
+	for _, b := range p.boxesByName {
+		p.boxesByCell[b.cellName()] = append(p.boxesByCell[b.cellName()], b)
 	}
 }
 
-// cell returns the cell in which a box is.
-func (b *box) cell() string {
+// cellName returns the name of the cellName that has the box now.
+func (b *box) cellName() string {
 	return shard.CellName(b.info.Pool, b.shard)
 }
 
-// dropPurpose gives up the emptying of a box whose endpoint has ended.
-func (b *box) dropPurpose() {
-	b.purpose = nil
+// dropPlannedOrder gives up the planned order of a box whose endpoint has exited.
+func (b *box) dropPlannedOrder() {
+	b.planned = nil
 }
 
-// settle takes note of an order that the list shows as done.
-func (p *Planner) settle(b *box, askedAt time.Time) {
-	g := b.ordered
-	if g == nil || askedAt.Before(g.at) || b.info.State != damsonwinch.BoxUp {
+// clearCompletedOrder clears the issued order of a box if a list of boxes, requested at
+// requestedAt, shows that it has been carried out.
+func (p *Planner) clearCompletedOrder(b *box, requestedAt time.Time) {
+	o := b.issued
+	if o == nil || requestedAt.Before(o.updatedAt) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	left := g.left || !b.life.MayBeSame(g.Endpoint)
-	if g.recalled && (left || b.info.Pool == g.Pool) {
-		b.ordered = nil
+	lifeEnded := o.lifeEnded || !b.life.MayBeSame(o.Life)
+	if o.inherited && (lifeEnded || b.info.Pool == o.Pool) {
+		b.issued = nil
 		return
 	}
-	if !g.answered {
+	if !o.answered {
 		return
 	}
-	moved := g.Pool != "" && b.info.Pool == g.Pool
-	maintained := g.Pool == "" && askedAt.Sub(g.at) >= p.options.MaintainTime && (left || b.info.EndpointID == "")
+	moved := o.Pool != "" && b.info.Pool == o.Pool
+	maintained := o.Pool == "" && requestedAt.Sub(o.updatedAt) >= p.options.MaintainTime && (lifeEnded || b.info.EndpointID == "")
 	if moved || maintained {
-		b.ordered = nil
+		b.issued = nil
 	}
 }
 
-// free says whether the planner may decide something new about a box.
-func (p *Planner) free(b *box) bool {
-	return b.info.State == damsonwinch.BoxUp && b.ordered == nil && b.purpose == nil &&
-		p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay
+// isAvailable says whether the planner may plan or issue a new order on a box.
+func (p *Planner) isAvailable(b *box) bool {
+	return b.info.State == damsonwinch.BoxUp && b.issued == nil && b.planned == nil &&
+		p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay
 }
 
-// take begins to empty a box.
-func (p *Planner) take(b *box, why purpose) {
-	why.since = p.now
-	p.change(b, func() { b.purpose = &why })
+// startWithdrawal has the endpoint of a box withdrawn, so that the planned order can be given.
+func (p *Planner) startWithdrawal(b *box, planned plannedOrder) {
+	planned.since = p.now
+	p.updateBox(b, func() { b.planned = &planned })
 }
 
-// orderNow gives an order on a box in which nothing runs.
-func (p *Planner) orderNow(b *box, why purpose) {
-	order := Order{Box: b.info.Name, Pool: why.pool, Shard: why.shard, Before: b.shard, Wave: why.wave, Endpoint: b.life, Cause: why.cause}
-	p.change(b, func() {
-		b.ordered = &given{Order: order, at: p.now, onTheWay: true, triedAt: p.now}
-		b.placed = order.placement()
-		b.purpose = nil
+// issueOrder issues a planned order on a box on which nothing runs.
+func (p *Planner) issueOrder(b *box, planned plannedOrder) {
+	order := Order{Box: b.info.Name, Pool: planned.pool, Shard: planned.shard, PreviousShard: b.shard, Wave: planned.wave, Life: b.life, Cause: planned.cause}
+	p.updateBox(b, func() {
+		b.issued = &issuedOrder{Order: order, updatedAt: p.now, inFlight: true, sentAt: p.now}
+		b.placement = order.placement()
+		b.planned = nil
 	})
-	wave := why.wave
+	wave := planned.wave
 	if w := p.waves[wave]; w != nil {
-		w.done[b.info.Name] = true
+		w.ordered[b.info.Name] = true
 	}
 	p.orders = append(p.orders, order)
 }
 
-// orderWithdrawn gives the orders whose boxes are empty, and repeats those that
-// were not answered.
-func (p *Planner) orderWithdrawn() {
-	for _, b := range p.order {
+// issueDueOrders issues the planned orders of boxes whose endpoints have been withdrawn, and
+// issues again the orders that the platform has not accepted.
+func (p *Planner) issueDueOrders() {
+	for _, b := range p.boxesByName {
 		switch {
-		case b.purpose != nil && b.report != nil && b.report.Withdrawn:
-			p.orderNow(b, *b.purpose)
-		case b.ordered != nil && !b.ordered.answered && !b.ordered.onTheWay && p.now.Sub(b.ordered.triedAt) >= orderRetry &&
-			p.now.Sub(b.foreignAt) >= p.options.TakeoverDelay:
-			b.ordered.onTheWay, b.ordered.triedAt = true, p.now
-			p.orders = append(p.orders, b.ordered.Order)
+		case b.planned != nil && b.report != nil && b.report.Withdrawn:
+			p.issueOrder(b, *b.planned)
+		case b.issued != nil && !b.issued.answered && !b.issued.inFlight && p.now.Sub(b.issued.sentAt) >= orderRetryDelay &&
+			p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay:
+			b.issued.inFlight, b.issued.sentAt = true, p.now
+			p.orders = append(p.orders, b.issued.Order)
 		}
 	}
 }
 
-// Ordered takes the answer to an order.
-func (p *Planner) Ordered(now time.Time, order Order, err error) {
+// HandleOrderResult takes the platform's answer to an order, received at now. A nil err says that
+// the platform has accepted the order.
+func (p *Planner) HandleOrderResult(now time.Time, order Order, err error) {
 	b := p.boxes[order.Box]
-	if b == nil || b.ordered == nil || b.ordered.Order != order {
+	if b == nil || b.issued == nil || b.issued.Order != order {
 		return
 	}
-	g := b.ordered
-	g.onTheWay = false
+	o := b.issued
+	o.inFlight = false
 	switch {
 	case err == nil:
-		g.answered, g.at = true, now
+		o.answered, o.updatedAt = true, now
 	case errors.Is(err, damsonwinch.ErrInvalid):
-		b.refuses[order.Pool] = true
-		p.takeBack(b, order)
+		b.refusedPools[order.Pool] = true
+		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrNotInWave):
-		// The wave has changed; what was noted of it stays so.
-		b.ordered = nil
+		// The operator has changed the wave. The box stays marked as ordered in it.
+		b.issued = nil
 	case errors.Is(err, damsonwinch.ErrBoxNotUp):
-		p.takeBack(b, order)
+		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrStaleToken):
-		// Nothing was done; it is tried again.
+		// The platform has done nothing; issueDueOrders issues the order again.
 	default:
-		// It may have been done, or be done later. It is repeated until it is
-		// answered: done twice is done once.
+		// The platform may have carried out the order, now or later. It is issued again
+		// until it is answered, since orders are idempotent.
 	}
 }
 
-// takeBack forgets an order that had no effect.
-func (p *Planner) takeBack(b *box, order Order) {
-	b.ordered = nil
+// revertOrder forgets an order that had no effect.
+func (p *Planner) revertOrder(b *box, order Order) {
+	b.issued = nil
 	if w := p.waves[order.Wave]; w != nil {
-		delete(w.done, order.Box)
+		delete(w.ordered, order.Box)
 	}
 }
 
-// placement returns to which shard an order takes its box.
+// placement returns the placement that the order gives its box.
 func (o Order) placement() *shard.Placement {
-	return &shard.Placement{Pool: o.Pool, Life: o.Endpoint, Shard: o.Shard, PreviousShard: o.Before}
+	return &shard.Placement{Pool: o.Pool, Life: o.Life, Shard: o.Shard, PreviousShard: o.PreviousShard}
 }
 
-// PlacementOf returns to which shard a recorded order takes its box, nil if it tells none.
-func PlacementOf(record wire.OrderRecord) *shard.Placement {
+// PlacementFromRecord returns the placement that a recorded order gives its box; nil if the record
+// has none.
+func PlacementFromRecord(record wire.OrderRecord) *shard.Placement {
 	if record.Placement == nil {
 		return nil
 	}
 	return &shard.Placement{Pool: record.Pool, Life: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, PreviousShard: record.Placement.Before}
 }
 
-// Recall takes over an order that an earlier holder recorded.
-func (p *Planner) Recall(record wire.OrderRecord) {
+// LoadOrder takes over an order that an earlier planner recorded.
+func (p *Planner) LoadOrder(record wire.OrderRecord) {
 	b := p.boxes[record.Box]
 	if b == nil {
 		b = p.addBox(record.Box)
 	}
-	b.placed = PlacementOf(record)
-	p.place(b)
-	order := Order{Box: record.Box, Pool: record.Pool, Wave: record.Wave, Endpoint: damsonwinch.ParseLife(record.Endpoint), Cause: record.Cause, Shard: b.shard, Before: b.shard}
-	if b.placed != nil {
-		order.Shard, order.Before = b.placed.Shard, b.placed.PreviousShard
+	b.placement = PlacementFromRecord(record)
+	p.updateShard(b)
+	order := Order{Box: record.Box, Pool: record.Pool, Wave: record.Wave, Life: damsonwinch.ParseLife(record.Endpoint), Cause: record.Cause, Shard: b.shard, PreviousShard: b.shard}
+	if b.placement != nil {
+		order.Shard, order.PreviousShard = b.placement.Shard, b.placement.PreviousShard
 	}
-	b.foreignAt = time.UnixMilli(int64(record.AtMs))
-	// Whether it was carried out is not known; unless the list of boxes shows it, it
-	// is repeated.
-	b.ordered = &given{
-		Order: order, at: b.foreignAt, recalled: true,
+	b.inheritedAt = time.UnixMilli(int64(record.AtMs))
+	// The record doesn't say whether the order was carried out. It is given again unless a list
+	// of boxes shows that it was.
+	b.issued = &issuedOrder{
+		Order: order, updatedAt: b.inheritedAt, inherited: true,
 	}
 }
--- a/pkg/supply/summary.go
+++ b/pkg/supply/summary.go
@@ -8,67 +8,69 @@
 	"damsonwinch"
 )
 
-// Summary says in words how each cell stands, for the log and for operators.
+// Summary returns lines of text on the boxes and demand of each cell and on the progress of each
+// wave, for the log and for operators.
 func (p *Planner) Summary() []string {
-	lines := make([]string, 0, len(p.names))
-	for _, name := range p.names {
-		pool := p.cells[name]
-		if wait := p.waits[name]; wait != "" {
-			lines = append(lines, wait)
+	lines := make([]string, 0, len(p.cellNames))
+	for _, name := range p.cellNames {
+		c := p.cells[name]
+		if shortage := p.shortages[name]; shortage != "" {
+			lines = append(lines, shortage)
 		}
-		c := p.count(name)
-		boxes := fmt.Sprintf("%s: %d boxes at work, %d coming, %d being emptied, %d in maintenance, %d down, %d out of reach", name, c.working, c.coming, c.emptying, c.maintained, c.down, c.silent)
-		if pool.parking {
+		n := p.countByState(name)
+		boxes := fmt.Sprintf("%s: %d boxes at work, %d coming, %d being emptied, %d in maintenance, %d down, %d out of reach", name, n.working, n.coming, n.emptying, n.maintained, n.down, n.silent)
+		if c.poweredOff {
 			lines = append(lines, boxes)
 			continue
 		}
-		r := pool.report
-		lines = append(lines, fmt.Sprintf("%s; needs %d, lately %d; cores: lasting %d, running %d and %d late, waiting %d and %d late, arriving %d a second; %d ms a task, %d ms to wait",
-			boxes, pool.need, pool.held(), r.LastingCpu/1000, r.RunningCpu/1000, r.RunningLateCpu/1000, r.WaitingCpu/1000, r.LateCpu/1000, r.OfferedCpu/1000, r.TaskMs, r.SlackMs))
+		r := c.report
+		lines = append(lines, fmt.Sprintf("%s; needs %d, keeps %d; cores: long-running %d, running %d and %d late, waiting %d and %d late, arriving %d a second; %d ms a task, %d ms of slack",
+			boxes, c.required, c.retained(), r.LastingCpu/1000, r.RunningCpu/1000, r.RunningLateCpu/1000, r.WaitingCpu/1000, r.LateCpu/1000, r.OfferedCpu/1000, r.TaskMs, r.SlackMs))
 	}
-	return append(lines, p.waveSummary()...)
+	return append(lines, p.summarizeWaves()...)
 }
 
-// waveSummary says how far each wave is.
-func (p *Planner) waveSummary() []string {
+// summarizeWaves returns a line on the progress of each wave that isn't completed.
+func (p *Planner) summarizeWaves() []string {
 	var lines []string
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
 		w := p.waves[number]
 		if w.completed {
 			continue
 		}
-		due, down, emptying := p.wavePart(w)
+		due, down, emptying := p.waveProgress(w)
 		lines = append(lines, fmt.Sprintf("wave %d: %d boxes due, %d being emptied, %d in maintenance, %d ordered, after %d of %d s",
-			number, len(due), emptying, down, len(w.done), int(p.now.Sub(w.begunAt).Seconds()), int(w.Duration.Seconds())))
+			number, len(due), emptying, down, len(w.ordered), int(p.now.Sub(w.startedAt).Seconds()), int(w.Duration.Seconds())))
 	}
 	return lines
 }
 
-// counts are a cell's boxes by what they are doing.
-type counts struct {
+// stateCounts counts a cell's boxes by what they are doing.
+type stateCounts struct {
 	working, coming, emptying, maintained, down, silent int
 }
 
-func (p *Planner) count(name string) counts {
-	var c counts
-	for _, b := range p.order {
+// countByState counts the boxes of a cell, and those on their way to it, by what they are doing.
+func (p *Planner) countByState(cellName string) stateCounts {
+	var n stateCounts
+	for _, b := range p.boxesByName {
 		switch {
-		case b.ordered != nil && b.ordered.Pool != "":
-			if p.servedCell(b) == name {
-				c.coming++
+		case b.issued != nil && b.issued.Pool != "":
+			if p.servedCell(b) == cellName {
+				n.coming++
 			}
-		case b.cell() != name:
-		case b.ordered != nil || b.info.State == damsonwinch.BoxMaintenance:
-			c.maintained++
+		case b.cellName() != cellName:
+		case b.issued != nil || b.info.State == damsonwinch.BoxMaintenance:
+			n.maintained++
 		case b.info.State == damsonwinch.BoxDown:
-			c.down++
+			n.down++
 		case b.report != nil && b.report.Silent:
-			c.silent++
-		case b.purpose != nil:
-			c.emptying++
+			n.silent++
+		case b.planned != nil:
+			n.emptying++
 		default:
-			c.working++
+			n.working++
 		}
 	}
-	return c
+	return n
 }
