--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -43,7 +43,7 @@
 	probationEndpoints []*endpoint
 	// baselineExits tells how often endpoints end by themselves, and trialEnds how often they do in
 	// trials.
-	baselineExits baselineExitRate
+	baselineExits  baselineExitRate
 	probationExits exits
 	// queueExits tells, by queue, of the endpoints that have ended just after something of it had
 	// begun there, and prone holds the queues with many of these.
