--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -70,7 +70,7 @@
 	var candidates []*endpoint
 	for _, e := range c.sortedEndpoints {
 		permitted, decided := a.decisions[e.info.Life.ID]
-		if (!decided || permitted) && c.couldTake(t, e) && !c.hasPermit(p, e) {
+		if (!decided || permitted) && c.canHost(t, e) && !c.hasPermit(p, e) {
 			candidates = append(candidates, e)
 		}
 	}
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -46,11 +46,11 @@
 	probationEndpoints []*endpoint
 	// baselineExits estimates how often endpoints exit for reasons other than their tasks.
 	// probationExits holds the recent exits of endpoints where a task was on probation.
-	baselineExits  chance
-	probationExits ends
+	baselineExits  baselineExitRate
+	probationExits exits
 	// queueExits holds, by queue, the recent exits of endpoints shortly after a task of that queue
 	// started there. crashProne holds the queues with many of these.
-	queueExits map[string]*ends
+	queueExits map[string]*exits
 	crashProne map[string]bool
 	// batching is set while Batch applies events: finishEvent does nothing until the last of them.
 	batching bool
@@ -111,7 +111,7 @@
 		endpoints:      map[damsonwinch.Life]*endpoint{},
 		commits:        newCommits(),
 		statsByQueue:   map[string]*queueStats{},
-		queueExits:     map[string]*ends{},
+		queueExits:     map[string]*exits{},
 		crashProne:     map[string]bool{},
 		quota:          quota.NewAllowances(),
 		overQuota:      map[string]bool{},
@@ -190,11 +190,11 @@
 	c.endpointsChanged()
 	c.startDueRounds()
 	c.expireLeases()
-	c.retryOrders()
-	c.seeOverdue()
-	c.seekMissing()
-	c.watchTrials()
-	c.baselineExits.see(now, c.exposed())
+	c.resendStops()
+	c.updateOverdue()
+	c.requestBoxList()
+	c.checkProbations()
+	c.baselineExits.observe(now, c.countExposed())
 	c.refuseUnrecordedJobs()
 	c.deferPhases()
 	for _, e := range c.sortedEndpoints {
@@ -221,7 +221,7 @@
 		return
 	}
 	c.place()
-	c.lookAround()
+	c.sendDuePolls()
 	c.flush()
 }
 
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -182,10 +182,10 @@
 	}
 	for _, ack := range sent.acks {
 		ack.endpoint.recorded = max(ack.endpoint.recorded, ack.number)
-		c.lookSoon(ack.endpoint)
+		c.schedulePoll(ack.endpoint)
 	}
 	for _, e := range sent.withdrawals {
-		e.withdraw.recorded = true
+		e.withdrawal.recorded = true
 	}
 	c.quota.MarkRecorded(sent.allocatorToken, sent.allowanceNumber)
 	for _, r := range sent.starts {
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -44,7 +44,7 @@
 			c.Tick(now)
 			effects := c.TakeEffects()
 			for _, look := range effects.Polls {
-				c.Looked(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{}, nil)
+				c.Polled(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{}, nil)
 			}
 			if effects.Commit != nil {
 				records = append(records, effects.Commit.Records...)
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -15,14 +15,14 @@
 	report.SteadyCpu, report.OfferedCpu = c.offeredCPU(now)
 	memoryMB, boxMemoryMB := 0, 0
 	for _, e := range c.sortedEndpoints {
-		if c.followed(e) {
+		if c.superseded(e) {
 			// The planner tracks one life per box.
 			continue
 		}
 		boxMemoryMB = max(boxMemoryMB, e.info.Capacity.MemoryMB)
 		row := wire.EndpointReport{
-			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCut(now), Withdrawn: e.withdrawn && e.withdraw.recorded,
-			Silent: e.silent || e.zone.isCut(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
+			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCutOff(now), Withdrawn: e.withdrawn && e.withdrawal.recorded,
+			Silent: e.silent || e.zone.isCutOff(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
 		}
 		if len(e.runs) == 0 {
 			row.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
@@ -38,13 +38,13 @@
 			switch {
 			case row.Silent:
 				// Runs on unreachable endpoints take no capacity of the remaining boxes.
-			case r.late:
+			case r.jobLate:
 				report.RunningLateCpu += need.MilliCPU
 			default:
 				memoryMB += need.MemoryMB
 				report.RunningCpu += need.MilliCPU
 			}
-			row.EmptyMs = max(row.EmptyMs, c.leftMs(r))
+			row.EmptyMs = max(row.EmptyMs, c.remainingMs(r))
 		}
 		report.Endpoints = append(report.Endpoints, row)
 	}
@@ -89,8 +89,8 @@
 		add(p, len(p.ready), p.isLate(nowMs))
 	}
 	for _, e := range c.sortedEndpoints {
-		for _, r := range e.ordered {
-			add(r.task.phase, 1, r.late)
+		for _, r := range e.runsByStart {
+			add(r.task.phase, 1, r.jobLate)
 		}
 	}
 }
@@ -161,13 +161,13 @@
 	c.endpointsChanged()
 	defer c.finishEvent()
 	for _, e := range c.sortedEndpoints {
-		e.withdraw.requested, e.withdraw.urgent, e.due = false, false, false
+		e.withdrawal.requested, e.withdrawal.urgent, e.maintenanceDue = false, false, false
 	}
 	c.applyAllowances(args)
-	c.forEachLife(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
-	c.forEachLife(args.Withdraw, func(e *endpoint) { e.withdraw.requested = true })
-	c.forEachLife(args.Hurry, func(e *endpoint) { e.withdraw.requested, e.withdraw.urgent = true, true })
-	c.forEachLife(args.Due, func(e *endpoint) { e.due = true })
+	c.forEachLife(args.Gone, func(e *endpoint) { c.markLostByReport(e, "the fleet planner has seen its box without it") })
+	c.forEachLife(args.Withdraw, func(e *endpoint) { e.withdrawal.requested = true })
+	c.forEachLife(args.Hurry, func(e *endpoint) { e.withdrawal.requested, e.withdrawal.urgent = true, true })
+	c.forEachLife(args.Due, func(e *endpoint) { e.maintenanceDue = true })
 	c.forEachLife(args.Restore, func(e *endpoint) { c.restoreEndpoint(e) })
 	for _, e := range c.sortedEndpoints {
 		c.continueWithdrawal(e)
@@ -179,7 +179,7 @@
 func (c *Cell) forEachLife(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
-		for _, e := range c.livesUnder(life.ID) {
+		for _, e := range c.livesWithID(life.ID) {
 			if life.MayBeSame(e.info.Life) {
 				do(e)
 			}
@@ -202,7 +202,7 @@
 // its endpoint answers, and it is not being stopped.
 func (c *Cell) isAvailable(t *task) bool {
 	for _, r := range t.runs {
-		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
+		if r.state == runConfirmed && !r.stopping && !r.endpoint.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
 			return true
 		}
 	}
@@ -212,7 +212,7 @@
 // mayBeStopping reports whether an earlier owner may have stopped a run that the endpoint still
 // lists. It could do so until the endpoint had seen this owner's token.
 func (c *Cell) mayBeStopping(r *run) bool {
-	return r.adopted && c.now.Sub(r.at.attachedAt) < c.options.MaxStopTime+maxStopTransit
+	return r.inherited && c.now.Sub(r.endpoint.attachedAt) < c.options.MaxStopTime+maxStopTransit
 }
 
 // maxStopTransit is how long a stop of an earlier owner may have been in transit when it reached
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -16,7 +16,7 @@
 	// Started, Stopped, SpeedSet or Polled.
 	Starts       []Start
 	Stops        []Stop
-	SpeedChanges []Pace
+	SpeedChanges []SpeedChange
 	// PermitRequests are calls to the advice service. The owner calls Advised with each reply.
 	PermitRequests []PermitRequest
 	Polls          []Poll
@@ -115,16 +115,16 @@
 // logRun logs a message about a run, with the reason for what happened to it.
 func (c *Cell) logRun(message string, r *run, reason string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: message, Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Reason: reason,
+		Message: message, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Reason: reason,
 	})
 }
 
 // logStart logs that an attempt is being started and what was known when its endpoint was chosen.
 func (c *Cell) logStart(r *run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: "start", Job: r.task.phase.round.job.id, Task: r.order().Task.String(), Endpoint: r.at.info.Life.String(), Debug: true,
+		Message: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Debug: true,
 		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d of %d thousandths of a core in use there", r.attempt,
-			c.now.Sub(r.since).Milliseconds(), r.at.used.MilliCPU, r.at.info.Capacity.MilliCPU),
+			c.now.Sub(r.startedAt).Milliseconds(), r.endpoint.used.MilliCPU, r.endpoint.info.Capacity.MilliCPU),
 	})
 }
 
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -25,22 +25,22 @@
 	attached bool
 	// attachedAt is when it first did so.
 	attachedAt time.Time
-	// gone says that this life has ended for certain.
-	gone bool
+	// exited says that this life has ended for certain.
+	exited bool
 	// withdrawn says that it gets no more work, since its box is to be moved or
 	// maintained.
-	withdrawn bool
-	withdraw  withdrawal
-	// due says that its box is still to be maintained.
-	due  bool
-	runs map[damsonwinch.Run]*run
-	// ordered holds the same runs in the order in which they were started.
-	ordered []*run
-	used    damsonwinch.Resources
-	// strays is the number of runs there, by the last look, that belong to nothing that should
+	withdrawn  bool
+	withdrawal withdrawal
+	// maintenanceDue says that its box is still to be maintained.
+	maintenanceDue bool
+	runs           map[damsonwinch.Run]*run
+	// runsByStart holds the same runs in the order in which they were started.
+	runsByStart []*run
+	used        damsonwinch.Resources
+	// strayRuns is the number of runs there, by the last look, that belong to nothing that should
 	// run: the room that they take until they have ended isn't known.
-	strays   int
-	lastBusy time.Time
+	strayRuns int
+	lastBusy  time.Time
 	// clockSample is its clock, in milliseconds, in an answer that came at clockAt.
 	clockSample int
 	clockAt     time.Time
@@ -70,9 +70,9 @@
 	trial    *run
 	promised *task
 	// overdue says that it has left a call unanswered for longer than usual.
-	overdue    bool
-	pauseUntil time.Time
-	health     health
+	overdue      bool
+	backoffUntil time.Time
+	health       health
 	// pacedAt is when the speed of a task there was last changed, and calmSince
 	// since when what serves there is far from its target.
 	pacedAt   time.Time
@@ -81,7 +81,7 @@
 
 // usable says whether new work may be ordered there.
 func (e *endpoint) usable() bool {
-	return e.listed && e.attached && !e.gone && !e.withdrawn && !e.withdraw.requested && !e.silent && !e.info.Draining
+	return e.listed && e.attached && !e.exited && !e.withdrawn && !e.withdrawal.requested && !e.silent && !e.info.Draining
 }
 
 // free returns the room that is left.
@@ -102,11 +102,11 @@
 // sortedRuns returns the runs in an order that doesn't depend on the map's. The
 // slice stays as it is when runs come and go.
 func (e *endpoint) sortedRuns() []*run {
-	return slices.Clone(e.ordered)
+	return slices.Clone(e.runsByStart)
 }
 
-// endpointOf returns the endpoint of a life, made known if need be.
-func (c *Cell) endpointOf(life damsonwinch.Life) *endpoint {
+// ensureEndpoint returns the endpoint of a life, made known if need be.
+func (c *Cell) ensureEndpoint(life damsonwinch.Life) *endpoint {
 	if known := c.endpoints[life]; known != nil {
 		return known
 	}
@@ -144,11 +144,11 @@
 	present := make(map[damsonwinch.Life]bool, len(listed))
 	for _, info := range listed {
 		present[info.Life] = true
-		e := c.endpointOf(info.Life)
+		e := c.ensureEndpoint(info.Life)
 		if info.Draining && !e.info.Draining {
 			c.logEndpoint("endpoint drains", e, "")
 		}
-		if !e.listed && !e.gone {
+		if !e.listed && !e.exited {
 			c.logEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
 		}
 		e.info, e.listed = info, true
@@ -170,7 +170,7 @@
 // sweepEndpoints forgets endpoints that are neither listed nor hold a run.
 func (c *Cell) sweepEndpoints() {
 	c.sortedEndpoints = slices.DeleteFunc(c.sortedEndpoints, func(e *endpoint) bool {
-		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.gone && c.now.Before(e.leaseBound.Add(lapseTime)) {
+		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.exited && c.now.Before(e.leaseBound.Add(lapseTime)) {
 			return false
 		}
 		c.forgetLapses(e)
@@ -196,18 +196,18 @@
 	for _, e := range slices.Clone(c.sortedEndpoints) {
 		// An endpoint that was listed only after the boxes were asked for is not
 		// missing: it must have been silent before.
-		if !alive[e.info.Life.ID] && !e.gone && (e.silent || !e.attached) && len(e.runs) > 0 {
-			c.loseUnheard(e, "the platform's list of boxes does not have it")
+		if !alive[e.info.Life.ID] && !e.exited && (e.silent || !e.attached) && len(e.runs) > 0 {
+			c.markLostByReport(e, "the platform's list of boxes does not have it")
 		}
 	}
 	c.sweepEndpoints()
 }
 
-// seekMissing asks for the platform's list of boxes while tasks may run on endpoints that
+// requestBoxList asks for the platform's list of boxes while tasks may run on endpoints that
 // can't be asked: the registry has dropped their entries, perhaps because they ended.
-func (c *Cell) seekMissing() {
+func (c *Cell) requestBoxList() {
 	for _, e := range c.sortedEndpoints {
-		if len(e.runs) > 0 && !e.gone && !e.attached && e.info.Address == "" {
+		if len(e.runs) > 0 && !e.exited && !e.attached && e.info.Address == "" {
 			c.effects.ListBoxes = true
 			return
 		}
@@ -218,16 +218,16 @@
 // have run out.
 func (c *Cell) expireLeases() {
 	for _, e := range c.sortedEndpoints {
-		if len(e.runs) == 0 || !e.gone && e.attached && !e.silent || !c.now.After(e.leaseBound) {
+		if len(e.runs) == 0 || !e.exited && e.attached && !e.silent || !c.now.After(e.leaseBound) {
 			continue
 		}
-		if e.gone {
+		if e.exited {
 			c.freeKept(e)
 			continue
 		}
 		c.logEndpoint("leases lapsed", e, "out of reach")
 		for _, r := range e.sortedRuns() {
-			if r.state != runIntended {
+			if r.state != runPending {
 				c.lapsed(r)
 			}
 		}
--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -12,17 +12,17 @@
 	burstTime = 2 * time.Second
 )
 
-// ends are the moments at which endpoints have ended of late under tasks.
-type ends struct {
+// exits are the moments at which endpoints have ended of late under tasks.
+type exits struct {
 	at []time.Time
 }
 
-func (e *ends) add(at time.Time) {
+func (e *exits) add(at time.Time) {
 	e.at = append(e.at, at)
 }
 
-// within returns how many have ended of late.
-func (e *ends) within(now time.Time, length time.Duration) int {
+// countWithin returns how many have ended of late.
+func (e *exits) countWithin(now time.Time, length time.Duration) int {
 	e.at = slices.DeleteFunc(e.at, func(at time.Time) bool { return now.Sub(at) > rateTime })
 	count := 0
 	for _, at := range e.at {
@@ -33,12 +33,12 @@
 	return count
 }
 
-// chance tells how often endpoints end by themselves, by those that do while nothing has begun
+// baselineExitRate tells how often endpoints end by themselves, by those that do while nothing has begun
 // there just before. Any other end may be the doing of what has begun: where a queue sends many
-// tasks that crash their endpoints, nearly all are, and counted as chance they would speak for
+// tasks that crash their endpoints, nearly all are, and counted as baselineExitRate they would speak for
 // each of those tasks.
-type chance struct {
-	ends ends
+type baselineExitRate struct {
+	ends exits
 	// exposed tells for how long endpoints have run something without an end while nothing
 	// had begun there.
 	exposed []exposure
@@ -60,8 +60,8 @@
 	burstEnds = 2
 )
 
-// see takes note of how many endpoints are exposed since the last time.
-func (h *chance) see(now time.Time, endpoints int) {
+// observe takes note of how many endpoints are exposed since the last time.
+func (h *baselineExitRate) observe(now time.Time, endpoints int) {
 	if passed := now.Sub(h.seenAt); !h.seenAt.IsZero() && passed <= time.Second {
 		h.exposed = append(h.exposed, exposure{until: now, seconds: float64(endpoints) * passed.Seconds()})
 	}
@@ -70,16 +70,16 @@
 }
 
 // rate returns how often one endpoint ends by itself, a second.
-func (h *chance) rate(now time.Time) float64 {
-	rate := (float64(h.ends.within(now, rateTime)) + priorEnds) / (h.seconds(now, rateTime) + priorTime.Seconds())
-	if lately := h.ends.within(now, burstTime); lately >= burstEnds {
+func (h *baselineExitRate) rate(now time.Time) float64 {
+	rate := (float64(h.ends.countWithin(now, rateTime)) + priorEnds) / (h.seconds(now, rateTime) + priorTime.Seconds())
+	if lately := h.ends.countWithin(now, burstTime); lately >= burstEnds {
 		rate = max(rate, float64(lately)/(h.seconds(now, burstTime)+burstTime.Seconds()))
 	}
 	return rate
 }
 
 // seconds returns for how long endpoints were exposed of late.
-func (h *chance) seconds(now time.Time, length time.Duration) float64 {
+func (h *baselineExitRate) seconds(now time.Time, length time.Duration) float64 {
 	sum := 0.0
 	for _, e := range h.exposed {
 		if now.Sub(e.until) <= length {
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -29,12 +29,12 @@
 	if end.Checkpoint != "" {
 		t.checkpoint = end.Checkpoint
 	}
-	c.resolve(r)
+	c.removeRun(r)
 	c.learn(r, end.Ending)
 	switch {
 	case end.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
-		if !r.adopted && !r.resumed {
-			c.statsOf(t.phase.job().queue).times.addRun(c.now.Sub(r.since), t.phase.spec.EstimateMs)
+		if !r.inherited && !r.resumed {
+			c.statsOf(t.phase.job().queue).times.addRun(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
 			c.queueStatsDirty = true
 		}
 		c.complete(t)
@@ -48,7 +48,7 @@
 
 // fail takes note of a failed attempt.
 func (c *Cell) fail(t *task, r *run) {
-	t.avoid = r.at.info.Life
+	t.avoid = r.endpoint.info.Life
 	c.countFailure(t)
 	if len(t.runs) == 0 {
 		c.makeReady(t)
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -8,11 +8,11 @@
 
 // runStateNames are the names of the run states in explanations.
 var runStateNames = map[runState]string{
-	runIntended:  "about to be ordered",
-	runOrdered:   "ordered, not answered yet",
-	runConfirmed: "running",
-	runUncertain: "ordered, the answer was lost",
-	runSuspect:   "recorded by an earlier owner, not looked at yet",
+	runPending:    "about to be ordered",
+	runRequested:  "ordered, not answered yet",
+	runConfirmed:  "running",
+	runUncertain:  "ordered, the answer was lost",
+	runUnverified: "recorded by an earlier owner, not looked at yet",
 }
 
 // Explain describes in sentences the state of a job and what its tasks wait for.
@@ -57,7 +57,7 @@
 			t.crashes.Losses, t.crashes.SimilarLosses, t.crashes.MinAge.Milliseconds(), t.crashes.MaxAge.Milliseconds())
 	}
 	for _, r := range t.runs {
-		line += fmt.Sprintf("; attempt %d on %s is %s", r.attempt, r.at.info.Life, runStateNames[r.state])
+		line += fmt.Sprintf("; attempt %d on %s is %s", r.attempt, r.endpoint.info.Life, runStateNames[r.state])
 		if r.stopping {
 			line += " and to be stopped"
 		}
@@ -73,12 +73,12 @@
 	if c.now.Before(t.notBefore) {
 		return fmt.Sprintf("endpoints have refused it %d times in a row; it is tried again in %d ms", t.refusals, t.notBefore.Sub(c.now).Milliseconds())
 	}
-	if c.held(t) {
+	if c.mustWait(t) {
 		return fmt.Sprintf("%d attempts at endpoints out of reach may have failed", t.lapsedAttempts)
 	}
-	if t.suspected && !t.phase.spec.Gang && !c.triedInVain(t) {
+	if t.suspected && !t.phase.spec.Gang && !c.probationWaitExpired(t) {
 		return fmt.Sprintf("for %d ms it is only started where nothing else begins; %d endpoints are in use for that, and %d have ended so of late",
-			t.probationWaitSince.Add(c.trialWait(t)).Sub(c.now).Milliseconds(), len(c.probationEndpoints), c.probationExits.within(c.now, backTime))
+			t.probationWaitSince.Add(c.maxProbationWait(t)).Sub(c.now).Milliseconds(), len(c.probationEndpoints), c.probationExits.countWithin(c.now, restartTime))
 	}
 	if !c.quota.Allows(t.phase.job().customer, t.phase.quotaNeed()) || c.overQuota[t.phase.job().customer] {
 		return c.explainQuota(t)
@@ -103,21 +103,21 @@
 func (c *Cell) obstacle(t *task, e *endpoint) string {
 	p := t.phase
 	switch {
-	case !e.listed, e.gone:
+	case !e.listed, e.exited:
 		return "have ended"
 	case !e.attached:
 		return "have not answered yet"
 	case e.silent:
 		return "do not answer"
-	case e.withdrawn, e.withdraw.requested:
+	case e.withdrawn, e.withdrawal.requested:
 		return "are being withdrawn"
 	case e.info.Draining:
 		return "drain"
-	case !c.roomKnown(e):
+	case !c.capacityKnown(e):
 		return "have not said for too long how much room they have"
-	case e.strays > 0:
+	case e.strayRuns > 0:
 		return "have runs that should not be there"
-	case !c.fit(e), c.now.Before(e.pauseUntil):
+	case !c.healthAllows(e), c.now.Before(e.backoffUntil):
 		return "are unhealthy"
 	case !e.hasLabel(p.spec.Label):
 		return "lack the label " + p.spec.Label
@@ -125,9 +125,9 @@
 		return "are full"
 	case !c.hasPermit(p, e):
 		return "have no permit"
-	case !c.undisturbed(t, e):
+	case !c.probationAllows(t, e):
 		return "have just started something that may crash them, or are reserved for it"
-	case !c.allowed(t, e):
+	case !c.canStart(t, e):
 		return "have enough tasks of this phase"
 	}
 	return "could take it"
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -204,7 +204,7 @@
 // puts the phase into openPhases.
 func (c *Cell) makeReady(t *task) {
 	p := t.phase
-	if t.ready || t.done || p.unfinishedDeps > 0 || p.job().ended() || t.givenUp || c.giveUpSpent(t) {
+	if t.ready || t.done || p.unfinishedDeps > 0 || p.job().ended() || t.givenUp || c.giveUpIfStartsExhausted(t) {
 		return
 	}
 	t.ready, t.probationWaitSince = true, c.now
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -13,8 +13,8 @@
 	return at
 }
 
-// livesUnder returns the lives that are known under an ID.
-func (c *Cell) livesUnder(id string) []*endpoint {
+// livesWithID returns the lives that are known under an ID.
+func (c *Cell) livesWithID(id string) []*endpoint {
 	from := c.rankOf(damsonwinch.Life{ID: id, StartedUnixMs: math.MinInt})
 	to := from
 	for to < len(c.sortedEndpoints) && c.sortedEndpoints[to].info.Life.ID == id {
@@ -23,9 +23,9 @@
 	return c.sortedEndpoints[from:to]
 }
 
-// followed says that a life has ended and another one under its ID is known.
-func (c *Cell) followed(e *endpoint) bool {
-	return e.gone && len(c.livesUnder(e.info.Life.ID)) > 1
+// superseded says that a life has ended and another one under its ID is known.
+func (c *Cell) superseded(e *endpoint) bool {
+	return e.exited && len(c.livesWithID(e.info.Life.ID)) > 1
 }
 
 // answeredUnder returns the step at which the newest look was sent that a life under an ID has
@@ -33,7 +33,7 @@
 // may have been set back in between.
 func (c *Cell) answeredUnder(id string) int {
 	newest := 0
-	for _, e := range c.livesUnder(id) {
+	for _, e := range c.livesWithID(id) {
 		newest = max(newest, e.looks.answered)
 	}
 	return newest
@@ -49,12 +49,12 @@
 	there, known := c.endpoints[life]
 	if !known {
 		// Its entry is yet to come; until then it gets no work.
-		there = c.endpointOf(life)
+		there = c.ensureEndpoint(life)
 		there.info = e.info
 		there.info.Life = life
 		c.settleIn(there)
 	}
-	if there.gone {
+	if there.exited {
 		c.lookFailed(e, sent, errEndedLife)
 		return nil
 	}
@@ -64,7 +64,7 @@
 // followLives ends the other lives under the ID of one that has answered a look, which was sent
 // at a step.
 func (c *Cell) followLives(there *endpoint, look damsonwinch.PollReply, sentAt int) {
-	for _, earlier := range c.livesUnder(there.info.Life.ID) {
+	for _, earlier := range c.livesWithID(there.info.Life.ID) {
 		if earlier == there {
 			continue
 		}
@@ -72,7 +72,7 @@
 		c.loseAllBut(earlier, "another life answers under its ID", moved)
 		for _, r := range earlier.sortedRuns() {
 			switch {
-			case r.state == runIntended:
+			case r.state == runPending:
 				// The commit takes it back.
 			case moved(r):
 				c.handOn(r, there)
@@ -87,17 +87,17 @@
 // that has answered a look: it has been, or the order may still be on its way.
 func (c *Cell) mayHaveMoved(r *run, look damsonwinch.PollReply, sentAt int) bool {
 	switch r.state {
-	case runIntended:
+	case runPending:
 		return false
-	case runOrdered, runUncertain:
+	case runRequested, runUncertain:
 		return true
 	case runConfirmed:
 		if r.knownAt > sentAt {
 			return true
 		}
 	}
-	return slices.ContainsFunc(look.Running, func(row damsonwinch.RunProgress) bool { return row.Run == r.order() }) ||
-		slices.ContainsFunc(look.Finished, func(end damsonwinch.RunResult) bool { return end.Run == r.order() })
+	return slices.ContainsFunc(look.Running, func(row damsonwinch.RunProgress) bool { return row.Run == r.id() }) ||
+		slices.ContainsFunc(look.Finished, func(end damsonwinch.RunResult) bool { return end.Run == r.id() })
 }
 
 // handOn has a run be at a later life under the ID of its own, as one of which it must be found
@@ -105,16 +105,16 @@
 func (c *Cell) handOn(r *run, there *endpoint) {
 	c.logRun("run may be at a later life", r, "born "+there.info.Life.String())
 	c.leave(r)
-	r.at = there
+	r.endpoint = there
 	c.enter(r)
 	// What the earlier life has been told doesn't bind this one.
 	r.stopped = false
 	c.markDirty(r.task.phase.job())
 }
 
-// loseUnheard takes note that a life has ended, by somebody else's word. Orders to it may still
+// markLostByReport takes note that a life has ended, by somebody else's word. Orders to it may still
 // be on the way: where lives share an ID, a later one may carry them out.
-func (c *Cell) loseUnheard(e *endpoint, why string) {
+func (c *Cell) markLostByReport(e *endpoint, why string) {
 	c.loseAllBut(e, why, func(r *run) bool {
 		return e.info.Life.StartedUnixMs != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
 	})
@@ -123,7 +123,7 @@
 // freeKept gives up the runs that are still kept for a life that has ended.
 func (c *Cell) freeKept(e *endpoint) {
 	for _, r := range e.sortedRuns() {
-		if r.state != runIntended {
+		if r.state != runPending {
 			c.notThere(r)
 		}
 	}
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -30,16 +30,16 @@
 // mostEnds is the most ends that an endpoint lists at once; others may follow.
 const mostEnds = 500
 
-// lookAround sends the looks that are due: at the endpoints that something has
+// sendDuePolls sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
-func (c *Cell) lookAround() {
+func (c *Cell) sendDuePolls() {
 	due := c.pollDue
 	if c.pollAll {
 		due = c.sortedEndpoints
 	}
 	for _, e := range due {
 		e.lookDue = false
-		if e.gone || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdraw.recorded)) {
+		if e.exited || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdrawal.recorded)) {
 			continue
 		}
 		c.lookAt(e)
@@ -47,8 +47,8 @@
 	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
-// lookSoon notes that a look at an endpoint may be due.
-func (c *Cell) lookSoon(e *endpoint) {
+// schedulePoll notes that a look at an endpoint may be due.
+func (c *Cell) schedulePoll(e *endpoint) {
 	if !e.lookDue {
 		e.lookDue = true
 		c.pollDue = append(c.pollDue, e)
@@ -58,7 +58,7 @@
 // wantLook asks for a look that doesn't wait.
 func (c *Cell) wantLook(e *endpoint) {
 	e.wantLook = true
-	c.lookSoon(e)
+	c.schedulePoll(e)
 }
 
 func (c *Cell) lookAt(e *endpoint) {
@@ -79,7 +79,7 @@
 		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
 		}
-	case e.strays > 0:
+	case e.strayRuns > 0:
 		// It takes no work until they have ended.
 		if since >= c.options.PollRetryInterval {
 			c.sendLook(e, 0)
@@ -128,8 +128,8 @@
 // errEndedLife says that a life has answered that is known to have ended.
 var errEndedLife = errors.New("a life answers that has ended")
 
-// Looked takes the answer to a look.
-func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
+// Polled takes the answer to a look.
+func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
 	c.beginEvent(now)
 	defer c.finishEvent()
 	e := c.endpoints[asked]
@@ -137,9 +137,9 @@
 		return
 	}
 	c.placementDue = true
-	c.lookSoon(e)
+	c.schedulePoll(e)
 	sent := e.looks.take(number)
-	if sent == nil || e.gone {
+	if sent == nil || e.exited {
 		return
 	}
 	if err != nil {
@@ -209,11 +209,11 @@
 
 // takeRunning compares what runs with what should.
 func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
-	e.strays = 0
+	e.strayRuns = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
 		if r == nil {
-			e.strays++
+			e.strayRuns++
 			c.stopStray(e, row.Run)
 			continue
 		}
@@ -236,7 +236,7 @@
 // exists.
 func (c *Cell) mustBeListed(r *run, sentAt int) bool {
 	switch r.state {
-	case runSuspect:
+	case runUnverified:
 		// This owner's token has kept out later orders of earlier owners.
 		return true
 	case runConfirmed:
@@ -256,7 +256,7 @@
 	if row.Checkpoint != "" {
 		r.task.checkpoint = row.Checkpoint
 	}
-	if r.state == runIntended || r.state == runConfirmed {
+	if r.state == runPending || r.state == runConfirmed {
 		return
 	}
 	uncertain := r.state == runUncertain
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -51,7 +51,7 @@
 func (c *Cell) capacity() triage.Capacity {
 	free, turnover := 0, 0
 	for _, e := range c.sortedEndpoints {
-		if !e.usable() || e.overdue || e.zone.inDoubt() || !c.fit(e) {
+		if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) {
 			continue
 		}
 		free += max(0, e.free().MilliCPU)
@@ -70,7 +70,7 @@
 // longRunningNeed returns the resources that long-running tasks use on the endpoint.
 func (e *endpoint) longRunningNeed() damsonwinch.Resources {
 	var sum damsonwinch.Resources
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		if r.task.phase.spec.Lasting {
 			sum = sum.Plus(r.task.phase.need())
 		}
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -32,13 +32,13 @@
 		return
 	}
 	counted := map[string]bool{}
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		queue := r.task.phase.job().queue
-		young := r.state != runIntended && endedAt.Sub(r.since) < c.options.CrashRules.MeasuredSuspectAge()
+		young := r.state != runPending && endedAt.Sub(r.startedAt) < c.options.CrashRules.MeasuredSuspectAge()
 		if young && !counted[queue] {
 			counted[queue] = true
 			if c.queueExits[queue] == nil {
-				c.queueExits[queue] = &ends{}
+				c.queueExits[queue] = &exits{}
 			}
 			c.queueExits[queue].add(c.now)
 		}
@@ -48,7 +48,7 @@
 // seeProne finds the queues whose tasks crash endpoints of late.
 func (c *Cell) seeProne() {
 	for _, queue := range slices.Sorted(maps.Keys(c.queueExits)) {
-		count := c.queueExits[queue].within(c.now, proneTime)
+		count := c.queueExits[queue].countWithin(c.now, proneTime)
 		switch {
 		case count >= proneEnds && !c.crashProne[queue]:
 			c.crashProne[queue] = true
@@ -71,8 +71,8 @@
 		return true
 	}
 	j := t.phase.job()
-	for _, r := range e.ordered {
-		if other := r.task.phase.job(); other != j && (c.crashProne[j.queue] || c.crashProne[other.queue]) && c.now.Sub(r.since) < c.options.CrashRules.SuspectAge {
+	for _, r := range e.runsByStart {
+		if other := r.task.phase.job(); other != j && (c.crashProne[j.queue] || c.crashProne[other.queue]) && c.now.Sub(r.startedAt) < c.options.CrashRules.SuspectAge {
 			return false
 		}
 	}
@@ -84,7 +84,7 @@
 func (c *Cell) chooseLeast(t *task, label string) *endpoint {
 	var choice choice
 	for _, e := range c.sortedEndpoints {
-		if e.hasLabel(label) && c.allowed(t, e) {
+		if e.hasLabel(label) && c.canStart(t, e) {
 			choice.offer(e, c.leaning(t, e)-c.stake(e, t.phase.job())/milliCore)
 		}
 	}
@@ -95,13 +95,13 @@
 // core times milliseconds.
 func (c *Cell) stake(e *endpoint, but *job) int {
 	sum := 0
-	for _, r := range e.ordered {
+	for _, r := range e.runsByStart {
 		switch {
 		case r.task.phase.job() == but:
 		case r.task.phase.spec.Lasting:
 			sum += lastingStake
 		default:
-			sum += r.task.phase.need().MilliCPU * int(c.now.Sub(r.since).Milliseconds())
+			sum += r.task.phase.need().MilliCPU * int(c.now.Sub(r.startedAt).Milliseconds())
 		}
 	}
 	return sum
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -89,7 +89,7 @@
 		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.checkpoint})
 	}
 	for _, r := range t.runs {
-		row = append(row, r.attempt, endpointIndex(r.at, record))
+		row = append(row, r.attempt, endpointIndex(r.endpoint, record))
 	}
 	writeCrashes(t, record)
 	record.Tasks = append(record.Tasks, row)
@@ -161,7 +161,7 @@
 		if index < 0 || index >= len(record.Endpoints) {
 			return fmt.Errorf("reference to missing endpoint %d of %d", index, len(record.Endpoints))
 		}
-		c.attach(&run{task: t, attempt: attempt, at: c.endpointOf(damsonwinch.ParseLife(record.Endpoints[index])), state: runSuspect, since: c.now, adopted: true, speed: leastPace})
+		c.addRun(&run{task: t, attempt: attempt, endpoint: c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[index])), state: runUnverified, startedAt: c.now, inherited: true, speedPercent: minSpeedPercent})
 	}
 	if row[columnDone] != 0 && !t.done {
 		t.done = true
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -12,25 +12,25 @@
 type runState int
 
 const (
-	// runIntended waits for its record before it is ordered.
-	runIntended runState = iota
-	// runOrdered has been ordered and not been answered yet.
-	runOrdered
+	// runPending waits for its record before it is ordered.
+	runPending runState = iota
+	// runRequested has been ordered and not been answered yet.
+	runRequested
 	// runConfirmed is known to have been on its endpoint.
 	runConfirmed
 	// runUncertain has been ordered, and the answer was lost.
 	runUncertain
-	// runSuspect was recorded by an earlier owner; its endpoint has not been
+	// runUnverified was recorded by an earlier owner; its endpoint has not been
 	// asked yet.
-	runSuspect
+	runUnverified
 )
 
 // run is one attempt at a task that may exist.
 type run struct {
-	task    *task
-	attempt int
-	at      *endpoint
-	state   runState
+	task     *task
+	attempt  int
+	endpoint *endpoint
+	state    runState
 	// knownAt is the step after which the endpoint must list the run: a look sent
 	// later that doesn't list it shows that it isn't there.
 	knownAt int
@@ -40,38 +40,38 @@
 	stopping bool
 	// stopSent is when the stop was last ordered, and stopped that the endpoint
 	// has taken it: the attempt can't begin any more.
-	stopSent time.Time
-	stopped  bool
-	percent  int
-	since    time.Time
+	stopSent  time.Time
+	stopped   bool
+	percent   int
+	startedAt time.Time
 	// resumed says that it goes on from a checkpoint, and adopted that an earlier
 	// owner started it: its time tells nothing of its task's.
-	resumed bool
-	adopted bool
+	resumed   bool
+	inherited bool
 	// lost is how it went with its endpoint, where a later life under the same ID may have it; nil
 	// otherwise.
 	lost *lostRun
-	// late says that its job could hardly be in time any more when it was started.
-	late bool
-	pace pace
+	// jobLate says that its job could hardly be in time any more when it was started.
+	jobLate bool
+	pace    pace
 	// judged says that its pace has been taken for a sign of its endpoint's health.
 	judged bool
 	// load is its newest figure of load: a serving task's tail in milliseconds.
 	load int
-	// speed is the share of its speed at which it was told to work, in percent.
-	speed int
+	// speedPercent is the share of its speedPercent at which it was told to work, in percent.
+	speedPercent int
 }
 
-func (r *run) order() damsonwinch.Run {
+func (r *run) id() damsonwinch.Run {
 	return damsonwinch.Run{Task: r.task.id(), Attempt: r.attempt}
 }
 
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.lastAttempt++
-	r := &run{task: t, attempt: t.lastAttempt, at: at, since: c.now, resumed: t.checkpoint != "", speed: fullPercent, late: t.phase.isLate(int(c.now.UnixMilli()))}
+	r := &run{task: t, attempt: t.lastAttempt, endpoint: at, startedAt: c.now, resumed: t.checkpoint != "", speedPercent: fullPercent, jobLate: t.phase.isLate(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
-	c.attach(r)
+	c.addRun(r)
 	if trial {
 		c.beginTrial(r)
 	}
@@ -84,8 +84,8 @@
 	c.commits.starts = append(c.commits.starts, r)
 }
 
-// attach ties a run to its task and endpoint.
-func (c *Cell) attach(r *run) {
+// addRun ties a run to its task and endpoint.
+func (c *Cell) addRun(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
 	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
@@ -94,25 +94,25 @@
 
 // enter ties a run to its endpoint, and leave takes it from there.
 func (c *Cell) enter(r *run) {
-	r.at.runs[r.order()] = r
-	r.at.ordered = append(r.at.ordered, r)
-	c.occupy(r.at, r.task.phase.need())
-	c.lookSoon(r.at)
+	r.endpoint.runs[r.id()] = r
+	r.endpoint.runsByStart = append(r.endpoint.runsByStart, r)
+	c.occupy(r.endpoint, r.task.phase.need())
+	c.schedulePoll(r.endpoint)
 }
 
 func (c *Cell) leave(r *run) {
-	delete(r.at.runs, r.order())
-	r.at.ordered = slices.DeleteFunc(r.at.ordered, func(other *run) bool { return other == r })
-	c.release(r.at, r.task.phase.need())
-	r.at.lastBusy = c.now
-	if r.at.trial == r {
-		r.at.trial = nil
+	delete(r.endpoint.runs, r.id())
+	r.endpoint.runsByStart = slices.DeleteFunc(r.endpoint.runsByStart, func(other *run) bool { return other == r })
+	c.release(r.endpoint, r.task.phase.need())
+	r.endpoint.lastBusy = c.now
+	if r.endpoint.trial == r {
+		r.endpoint.trial = nil
 	}
-	c.lookSoon(r.at)
+	c.schedulePoll(r.endpoint)
 }
 
-// resolve takes away a run that is known not to exist any more.
-func (c *Cell) resolve(r *run) {
+// removeRun takes away a run that is known not to exist any more.
+func (c *Cell) removeRun(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
 	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
@@ -123,7 +123,7 @@
 
 // again resolves a run that came to nothing and makes its task ready.
 func (c *Cell) again(r *run) {
-	c.resolve(r)
+	c.removeRun(r)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
 	}
@@ -131,21 +131,21 @@
 
 // sendStart orders a recorded run.
 func (c *Cell) sendStart(r *run) {
-	if r.task.phase.job().ended() || r.stopping || !r.at.usable() || r.at.zone.inDoubt() || !c.stillFits(r) {
+	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.mayBeCutOff() || !c.stillFits(r) {
 		c.countStarts(r.task, -1)
 		c.again(r)
 		c.abandonGang(r.task.phase, "a member of its gang can't be started")
 		return
 	}
-	r.state = runOrdered
+	r.state = runRequested
 	c.logStart(r)
-	r.since = c.now
-	until := r.at.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
-	c.prolong(r.at, until)
+	r.startedAt = c.now
+	until := r.endpoint.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
+	c.prolong(r.endpoint, until)
 	c.stats.Starts++
-	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartRequest{
-		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.checkpoint,
-		Ticket: c.permitTicket(r.task.phase, r.at),
+	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.endpoint.info, Request: damsonwinch.StartRequest{
+		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.checkpoint,
+		Ticket: c.permitTicket(r.task.phase, r.endpoint),
 	}})
 }
 
@@ -154,14 +154,14 @@
 	c.beginEvent(now)
 	defer c.finishEvent()
 	r := c.findRun(at, which)
-	if r == nil || r.state != runOrdered {
+	if r == nil || r.state != runRequested {
 		return
 	}
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.answered(r.at)
+		c.answered(r.endpoint)
 	case err == nil, refusedStart(err):
-		c.heard(r.at)
+		c.heard(r.endpoint)
 	}
 	switch {
 	case errors.Is(err, damsonwinch.ErrNotSent):
@@ -178,7 +178,7 @@
 	default:
 		r.state = runUncertain
 		c.logRun("start unanswered", r, err.Error())
-		c.wantLook(r.at)
+		c.wantLook(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
 			r.knownAt = c.step
@@ -210,18 +210,18 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.again(r)
-		c.lose(r.at, "another life answers at its address")
+		c.lose(r.endpoint, "another life answers at its address")
 		return
 	case errors.Is(err, damsonwinch.ErrNoCapacity), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
-		r.at.pauseUntil = c.now.Add(refusalPause)
+		r.endpoint.backoffUntil = c.now.Add(refusalPause)
 	}
 	if errors.Is(err, damsonwinch.ErrInvalidTicket) {
-		r.task.phase.dropPermit(r.at)
+		r.task.phase.dropPermit(r.endpoint)
 		c.again(r)
 		return
 	}
-	r.task.avoid = r.at.info.Life
+	r.task.avoid = r.endpoint.info.Life
 	c.putBack(r.task)
 	c.again(r)
 }
@@ -244,8 +244,8 @@
 func (c *Cell) notSent(r *run, err error) {
 	c.logRun("start not sent", r, err.Error())
 	c.countStarts(r.task, -1)
-	c.wantLook(r.at)
-	r.at.pauseUntil = c.now.Add(refusalPause)
+	c.wantLook(r.endpoint)
+	r.endpoint.backoffUntil = c.now.Add(refusalPause)
 	c.again(r)
 	c.abandonGang(r.task.phase, "a member of its gang could not be started")
 }
@@ -256,7 +256,7 @@
 
 // stop asks for the end of a run.
 func (c *Cell) stop(r *run, why string) {
-	if r.state == runIntended {
+	if r.state == runPending {
 		// It has not been ordered; sendStart or the commit takes it back.
 		r.stopping = true
 		return
@@ -268,7 +268,7 @@
 		c.logRun("stop", r, why)
 	}
 	r.stopping = true
-	if r.state == runOrdered {
+	if r.state == runRequested {
 		// The answer to the start is on its way; a stop that overtakes it would
 		// still hold, but the answer tells more.
 		return
@@ -278,7 +278,7 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSent = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.at.info, Request: damsonwinch.StopRequest{Run: r.order(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.endpoint.info, Request: damsonwinch.StopRequest{Run: r.id(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
@@ -291,22 +291,22 @@
 	}
 	switch {
 	case err == nil:
-		c.heard(r.at)
+		c.heard(r.endpoint)
 		r.stopped, r.knownAt = true, c.step
-		c.wantLook(r.at)
+		c.wantLook(r.endpoint)
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.lose(r.at, "another life answers at its address")
+		c.lose(r.endpoint, "another life answers at its address")
 	}
 }
 
 // retryStop is the time after which an unanswered stop is sent again.
 const retryStop = 400 * time.Millisecond
 
-// retryOrders sends stops again that nobody has answered.
-func (c *Cell) retryOrders() {
+// resendStops sends stops again that nobody has answered.
+func (c *Cell) resendStops() {
 	for _, e := range c.sortedEndpoints {
-		for _, r := range e.ordered {
-			if r.stopping && !r.stopped && r.state != runIntended && r.state != runOrdered && r.state != runSuspect &&
+		for _, r := range e.runsByStart {
+			if r.stopping && !r.stopped && r.state != runPending && r.state != runRequested && r.state != runUnverified &&
 				c.now.Sub(r.stopSent) >= retryStop {
 				c.sendStop(r)
 			}
@@ -319,7 +319,7 @@
 	if e := c.endpoints[at]; e != nil && e.runs[which] != nil {
 		return e.runs[which]
 	}
-	for _, e := range c.livesUnder(at.ID) {
+	for _, e := range c.livesWithID(at.ID) {
 		if r := e.runs[which]; r != nil {
 			return r
 		}
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -99,7 +99,7 @@
 	case "advised":
 		s.advised(d)
 	case "paced":
-		s.cell.Paced(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
+		s.cell.SpeedSet(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
 	case "sync":
 		s.cell.ApplySync(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
 	case "boxes":
@@ -288,7 +288,7 @@
 		count, _ := strconv.Atoi(parts[0])
 		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: count, Run: runOf(parts[1]), Ending: damsonwinch.Ending(parts[2])})
 	}
-	s.cell.Looked(s.now, sent.Endpoint.Life, sent.Number, found, errorOf(d, s.t))
+	s.cell.Polled(s.now, sent.Endpoint.Life, sent.Number, found, errorOf(d, s.t))
 	return s.effects()
 }
 
@@ -346,7 +346,7 @@
 		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Request.Task, stop.Request.Attempt, stop.Endpoint.Life))
 	}
 	for _, pace := range effects.SpeedChanges {
-		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Order.Task, pace.Order.Attempt, pace.At.Life, pace.Order.SpeedPercent))
+		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Request.Task, pace.Request.Attempt, pace.Endpoint.Life, pace.Request.SpeedPercent))
 	}
 	for _, ask := range effects.PermitRequests {
 		s.ask = ask
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -22,7 +22,7 @@
 // would say more of long tasks than of short ones, which have ended by then.
 func (c *Cell) signal(r *run) {
 	total := r.pace.totalMs()
-	if total == 0 || r.judged || r.adopted || r.resumed || r.task.phase.spec.Lasting {
+	if total == 0 || r.judged || r.inherited || r.resumed || r.task.phase.spec.Lasting {
 		return
 	}
 	r.judged = true
@@ -30,7 +30,7 @@
 	if times.logTime.count < minLearnedRuns {
 		return
 	}
-	h := &r.at.health
+	h := &r.endpoint.health
 	h.signs = slices.DeleteFunc(h.signs, func(s sign) bool { return c.now.Sub(s.at) > signTime })
 	off := math.Log(total / max(1, float64(times.estimate(r.task.phase.spec.EstimateMs))))
 	for i := range h.signs {
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -28,7 +28,7 @@
 // continueWithdrawal goes on with the withdrawal of an endpoint. It evacuates the endpoint, and
 // withdraws it permanently once nothing runs there.
 func (c *Cell) continueWithdrawal(e *endpoint) {
-	if !e.withdraw.requested || e.withdrawn || e.gone {
+	if !e.withdrawal.requested || e.withdrawn || e.exited {
 		return
 	}
 	if len(e.runs) > 0 {
@@ -55,10 +55,10 @@
 			// In an urgent withdrawal the task is stopped even if no other endpoint has capacity
 			// now: it is placed as soon as a short task ends somewhere. In a full cell it would
 			// keep its box forever.
-			if c.countUnavailable(r.task.phase) < spec.AwayAtMost && (e.withdraw.urgent || c.canStartElsewhere(r)) {
+			if c.countUnavailable(r.task.phase) < spec.AwayAtMost && (e.withdrawal.urgent || c.canStartElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
-		case e.withdraw.urgent && spec.Checkpoints && !spec.Gang && (c.canWaitForCapacity(r) || c.canStartElsewhere(r)):
+		case e.withdrawal.urgent && spec.Checkpoints && !spec.Gang && (c.canWaitForCapacity(r) || c.canStartElsewhere(r)):
 			c.stop(r, "its box is wanted")
 		}
 	}
@@ -78,7 +78,7 @@
 // canStartElsewhere reports whether the task of a run could start on another endpoint now.
 func (c *Cell) canStartElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
-		if e != r.at && !e.withdraw.requested && c.allowed(r.task, e) {
+		if e != r.endpoint && !e.withdrawal.requested && c.canStart(r.task, e) {
 			return true
 		}
 	}
@@ -90,7 +90,7 @@
 	if !e.withdrawn {
 		return
 	}
-	e.withdrawn, e.withdraw = false, withdrawal{}
+	e.withdrawn, e.withdrawal = false, withdrawal{}
 	c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String()})
 	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
@@ -107,8 +107,8 @@
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
-	e := c.endpointOf(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, endpointKeyPrefix)))
-	e.withdrawn, e.withdraw.recorded = saved.Withdrawn, saved.Withdrawn
+	e := c.ensureEndpoint(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, endpointKeyPrefix)))
+	e.withdrawn, e.withdrawal.recorded = saved.Withdrawn, saved.Withdrawn
 	return nil
 }
 
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -21,7 +21,7 @@
 func (m configured) apply(o *Owner, now time.Time) {
 	o.cell.SetQueues(now, m.configuration.Queues)
 	o.cell.SetCustomers(now, m.configuration.Version, m.configuration.Customers)
-	o.cell.SetGuarded(now, m.guarded)
+	o.cell.SetRejectsOverload(now, m.guarded)
 }
 
 type confirmed struct{ at time.Time }
@@ -79,7 +79,7 @@
 	err      error
 }
 
-func (m paced) apply(o *Owner, now time.Time) { o.cell.Paced(now, m.endpoint, m.run, m.err) }
+func (m paced) apply(o *Owner, now time.Time) { o.cell.SpeedSet(now, m.endpoint, m.run, m.err) }
 
 type advised struct {
 	ask     cell.PermitRequest
@@ -101,7 +101,7 @@
 }
 
 func (m looked) apply(o *Owner, now time.Time) {
-	o.cell.Looked(now, m.endpoint, m.number, m.look, m.err)
+	o.cell.Polled(now, m.endpoint, m.number, m.look, m.err)
 }
 
 // clientCall is a client's call that changes a job.
