--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -61,8 +61,8 @@
 	// checked.
 	pollDue []*endpoint
 	pollAll bool
-	// noCapacityCheck is set when the endpoints start tasks that exceed their capacity.
-	noCapacityCheck bool
+	// acceptsOverload is set when the endpoints start tasks that exceed their free capacity.
+	acceptsOverload bool
 	// step is a logical clock that counts events. Replies on different connections may arrive out
 	// of order; comparing steps shows whether a request was sent before something became known.
 	step int
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -10,15 +10,15 @@
 // SetRejectsOverload says whether the cell's endpoints refuse what doesn't fit. Where they don't, what
 // is known of their room must be new: a task too many harms all that run there.
 func (c *Cell) SetRejectsOverload(now time.Time, guarded bool) {
-	if c.noCapacityCheck != !guarded {
+	if c.acceptsOverload != !guarded {
 		c.beginEvent(now)
-		c.noCapacityCheck = !guarded
+		c.acceptsOverload = !guarded
 	}
 }
 
 // capacityKnown says whether what is known of an endpoint's room is new enough for starts there.
 func (c *Cell) capacityKnown(e *endpoint) bool {
-	return !c.noCapacityCheck || c.now.Sub(e.info.SeenAt) <= entryTime
+	return !c.acceptsOverload || c.now.Sub(e.info.SeenAt) <= entryTime
 }
 
 // stillFits says whether a run that was given room some time ago may be ordered now.
