--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -216,7 +216,7 @@
 }
 
 // maxStopTransit is how long a stop of an earlier owner may have been in transit when it reached
-// the endpoint before this owner's first poll. The task then takes MaxStopTime to end.
+// the endpoint before this owner's first poll. After that the task takes up to MaxStopTime to end.
 const maxStopTransit = 300 * time.Millisecond
 
 // fullPercent is full progress of a run, full speed, or a whole, in percent.
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -12,8 +12,8 @@
 	// Commit is the next append to the cell's stream, or nil. The owner calls Committed once the
 	// records are there; if the append fails for good, the owner ends.
 	Commit *Commit
-	// Starts, Stops, SpeedChanges and Polls are requests to endpoints. The owner passes each reply to
-	// Started, Stopped, SpeedSet or Polled.
+	// Starts, Stops, SpeedChanges and Polls are requests to endpoints. The owner passes each reply
+	// to Started, Stopped, SpeedSet or Polled.
 	Starts       []Start
 	Stops        []Stop
 	SpeedChanges []SpeedChange
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -19,7 +19,8 @@
 	spec     wire.JobSpec
 	// acceptedMs is when the submission arrived, in Unix milliseconds.
 	acceptedMs int
-	// clientWaitsUntil is when the client stops waiting for the reply to its submission, less a margin.
+	// clientWaitsUntil is when the client stops waiting for the reply to its submission, less a
+	// margin.
 	clientWaitsUntil time.Time
 	// dueMs is the deadline and endedMs when the job ended, both in Unix milliseconds.
 	dueMs    int
@@ -83,8 +84,9 @@
 	unfinishedTasks int
 	// ready holds the tasks that can start now, in order.
 	ready []*task
-	// gangReadySince is when a gang could first be placed as a whole. gangReserved counts, by
-	// endpoint, the members for which capacity is reserved while the gang is being placed.
+	// gangReadySince is when all members of a gang were first ready to be placed. gangReserved
+	// counts, by endpoint, the members for which capacity is reserved while the gang is being
+	// placed.
 	gangReadySince time.Time
 	gangReserved   map[*endpoint]int
 	advice         advice
@@ -126,8 +128,8 @@
 	// checkpoint is the newest known checkpoint, or empty.
 	checkpoint string
 	runs       []*run
-	// crashes sums up the exits of endpoints while the task was running there. suspected is set
-	// while the task is in the cell's suspects.
+	// crashes is the history of the losses of endpoints where the task was running. suspected is
+	// set while the task is in the cell's suspects.
 	crashes   crash.History
 	suspected bool
 	// probationWaitSince is when the task became ready, or a suspect if that was later. A suspect
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -36,7 +36,8 @@
 const maxOvertakeTime = 200 * time.Millisecond
 
 // withinQuota reports whether count tasks of a phase may start now under the customer's allowance.
-// If not, it notes that the customer waits.
+// If not, it notes that the customer waits, and after maxOvertakeTime it blocks the customer's
+// other starts.
 func (c *Cell) withinQuota(p *phase, count int) bool {
 	customer := p.job().customer
 	switch {
@@ -116,7 +117,8 @@
 // waiting tasks. Tasks that may not start must not cause requests for boxes.
 type allowedCPU struct {
 	quota *quota.Allowances
-	// left holds, by customer, the CPU that is left in thousandths of a core, once it was asked for.
+	// left holds, by customer, the CPU that is left, in thousandths of a core. It is filled on
+	// demand.
 	left map[string]int
 }
 
