--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -51,8 +51,8 @@
 	return c.queues[p.job().queue].Advice != nil
 }
 
-// permitted says whether a phase may start at an endpoint now.
-func (c *Cell) permitted(p *phase, e *endpoint) bool {
+// hasPermit says whether a phase may start at an endpoint now.
+func (c *Cell) hasPermit(p *phase, e *endpoint) bool {
 	if !c.needsPermit(p) {
 		return true
 	}
@@ -60,18 +60,18 @@
 	return has && c.now.Add(permitMargin).Before(held.until)
 }
 
-// seekAdvice asks where a phase may run, for endpoints that would otherwise take
+// requestPermits asks where a phase may run, for endpoints that would otherwise take
 // its tasks.
-func (c *Cell) seekAdvice(p *phase) {
+func (c *Cell) requestPermits(p *phase) {
 	a := &p.advice
-	if !c.needsPermit(p) || a.asking || c.asking >= mostAsking || len(p.ready) == 0 || c.now.Sub(a.askedAt) < askAgain {
+	if !c.needsPermit(p) || a.asking || c.permitCalls >= mostAsking || len(p.ready) == 0 || c.now.Sub(a.askedAt) < askAgain {
 		return
 	}
 	t := p.ready[0]
 	var wanted []*endpoint
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		good, asked := a.verdicts[e.info.Life.ID]
-		if (!asked || good) && c.couldTake(t, e) && !c.permitted(p, e) {
+		if (!asked || good) && c.couldTake(t, e) && !c.hasPermit(p, e) {
 			wanted = append(wanted, e)
 		}
 	}
@@ -84,17 +84,17 @@
 		ask.Endpoints = append(ask.Endpoints, e.info.Life.ID)
 	}
 	a.asking, a.askedAt = true, c.now
-	c.asking++
+	c.permitCalls++
 	c.effects.PermitRequests = append(c.effects.PermitRequests, ask)
 }
 
 // Advised takes the answer to a call for permits, which was sent at some moment and
 // whose permits hold for a time from then on at least.
 func (c *Cell) Advised(now, sentAt time.Time, ask PermitRequest, permits []damsonwinch.Permit, valid time.Duration, err error) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
-	c.asking--
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
+	c.permitCalls--
 	t := c.findTask(damsonwinch.TaskID{Job: ask.Job, Round: ask.Round, Phase: ask.Phase})
 	if t == nil {
 		return
@@ -102,7 +102,7 @@
 	a := &t.phase.advice
 	a.asking = false
 	if err != nil {
-		c.noteJob("no advice", t.phase.job(), err.Error())
+		c.logJob("no advice", t.phase.job(), err.Error())
 		return
 	}
 	// Another call may follow at once, about other endpoints.
@@ -119,8 +119,8 @@
 	}
 }
 
-// ticket returns what a start at an endpoint has to bring.
-func (c *Cell) ticket(p *phase, e *endpoint) string {
+// permitTicket returns what a start at an endpoint has to bring.
+func (c *Cell) permitTicket(p *phase, e *endpoint) string {
 	return p.advice.permits[e.info.Life.ID].ticket
 }
 
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -13,7 +13,7 @@
 	c.now = now
 	report.SteadyCpu, report.OfferedCpu = c.offered(now)
 	memory, boxMemory := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if c.followed(e) {
 			// The planner has one life for each box.
 			continue
@@ -62,9 +62,9 @@
 // half of whose room was free in sum.
 func (c *Cell) reportWhole(report *wire.SyncReply) {
 	var box, beside damsonwinch.Resources
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		box = most(box, e.info.Capacity)
-		if lasting := e.lastingNeed(); lasting != (damsonwinch.Resources{}) {
+		if lasting := e.longRunningNeed(); lasting != (damsonwinch.Resources{}) {
 			report.LastingBoxes++
 			beside = most(beside, e.info.Capacity.Minus(lasting))
 		}
@@ -84,10 +84,10 @@
 		}
 		report.WholeBoxes += count * wholeBox / perBox(box, need)
 	}
-	for _, p := range c.open {
-		add(p, len(p.ready), p.late(nowMs))
+	for _, p := range c.openPhases {
+		add(p, len(p.ready), p.isLate(nowMs))
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, r := range e.ordered {
 			add(r.task.phase, 1, r.late)
 		}
@@ -112,7 +112,7 @@
 	memory := 0
 	nowMs := int(c.now.UnixMilli())
 	allowed := c.newAllowedCPU()
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		need := p.need()
 		if p.spec.Lasting {
 			report.LastingCpu += len(p.ready) * need.MilliCPU
@@ -120,9 +120,9 @@
 		}
 		wanted := len(p.ready) * need.MilliCPU
 		may := allowed.take(p, wanted)
-		if p.late(nowMs) {
+		if p.isLate(nowMs) {
 			report.LateCpu += may
-			if p.job().runs == 0 && may >= need.MilliCPU {
+			if p.job().runCount == 0 && may >= need.MilliCPU {
 				report.StalledCpu += need.MilliCPU
 			}
 			continue
@@ -137,7 +137,7 @@
 // more tasks of one than allowed.
 func (c *Cell) spread() int {
 	most := 0
-	for _, j := range c.order {
+	for _, j := range c.activeJobs {
 		if j.ended() {
 			continue
 		}
@@ -154,19 +154,19 @@
 
 // ApplySync takes what the fleet planner wants of the endpoints.
 func (c *Cell) ApplySync(now time.Time, args wire.SyncArgs) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
-	for _, e := range c.ranked {
-		e.withdraw.wanted, e.withdraw.hurry, e.due = false, false, false
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
+	for _, e := range c.sortedEndpoints {
+		e.withdraw.requested, e.withdraw.urgent, e.due = false, false, false
 	}
 	c.takeAllowances(args)
 	c.want(args.Gone, func(e *endpoint) { c.loseUnheard(e, "the fleet planner has seen its box without it") })
-	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.wanted = true })
-	c.want(args.Hurry, func(e *endpoint) { e.withdraw.wanted, e.withdraw.hurry = true, true })
+	c.want(args.Withdraw, func(e *endpoint) { e.withdraw.requested = true })
+	c.want(args.Hurry, func(e *endpoint) { e.withdraw.requested, e.withdraw.urgent = true, true })
 	c.want(args.Due, func(e *endpoint) { e.due = true })
 	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		c.empty(e)
 	}
 }
@@ -198,7 +198,7 @@
 // atWork says whether a lasting task has started and is not being stopped.
 func (c *Cell) atWork(t *task) bool {
 	for _, r := range t.runs {
-		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= wholePercent && !c.mayBeStopping(r) {
+		if r.state == runConfirmed && !r.stopping && !r.at.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
 			return true
 		}
 	}
@@ -216,12 +216,12 @@
 // the task then takes to end.
 const stopOnWay = 300 * time.Millisecond
 
-const wholePercent = 100
+const fullPercent = 100
 
 // Endpoints returns what is known of the endpoints, for tests and status.
 func (c *Cell) Endpoints() []damsonwinch.Endpoint {
-	found := make([]damsonwinch.Endpoint, 0, len(c.ranked))
-	for _, e := range c.ranked {
+	found := make([]damsonwinch.Endpoint, 0, len(c.sortedEndpoints))
+	for _, e := range c.sortedEndpoints {
 		found = append(found, e.info)
 	}
 	return found
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -31,23 +31,23 @@
 // jobRecords returns the records by which the stream holds a job as it is now.
 func (c *Cell) jobRecords(j *job) []damsonwinch.Record {
 	var records []damsonwinch.Record
-	if !j.specSaved && (!j.ended() || j.runs > 0) {
+	if !j.specRecorded && (!j.ended() || j.runCount > 0) {
 		// Who takes over a job that has ended must know what of it still runs.
-		j.specSaved = true
+		j.specRecorded = true
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix, Value: encode(wire.AcceptedJob{
-			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.mostAttempts, DueMs: j.dueMs, Spec: j.spec,
+			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.maxAttempts, DueMs: j.dueMs, Spec: j.spec,
 		})})
 	}
-	if j.ended() && j.specSaved && j.runs == 0 {
+	if j.ended() && j.specRecorded && j.runCount == 0 {
 		// Nothing of it can run any more.
-		j.specSaved = false
+		j.specRecorded = false
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix})
 	}
 	record := wire.JobRecord{State: j.state, EndedMs: j.endedMs}
-	if !j.specSaved {
+	if !j.specRecorded {
 		record.Customer = j.customer
 	}
-	if !j.ended() || j.runs > 0 {
+	if !j.ended() || j.runCount > 0 {
 		c.writeLapses(j, writeTasks(j, &record), &record)
 	}
 	return append(records, damsonwinch.Record{Key: j.id, Value: encode(record)})
@@ -60,10 +60,10 @@
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
 			for _, t := range p.tasks {
-				if t.attempt == 0 && !t.done {
+				if t.lastAttempt == 0 && !t.done {
 					continue
 				}
-				if t.lapses > 0 {
+				if t.lapsedAttempts > 0 {
 					if rows == nil {
 						rows = map[*task]int{}
 					}
@@ -79,21 +79,21 @@
 func writeTask(t *task, record *wire.JobRecord) {
 	row := make([]int, columnRuns, columnRuns+runColumns*len(t.runs))
 	row[columnRound], row[columnPhase], row[columnIndex] = t.phase.round.number, t.phase.number, t.index
-	row[columnAttempt], row[columnFailed] = t.attempt, t.failed
+	row[columnAttempt], row[columnFailed] = t.lastAttempt, t.failedAttempts
 	if t.done {
 		row[columnDone] = 1
-	} else if t.saved != "" {
-		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.saved})
+	} else if t.checkpoint != "" {
+		record.Saved = append(record.Saved, wire.SavedTask{Row: len(record.Tasks), Checkpoint: t.checkpoint})
 	}
 	for _, r := range t.runs {
-		row = append(row, r.attempt, placeOf(r.at, record))
+		row = append(row, r.attempt, endpointIndex(r.at, record))
 	}
 	writeCrashes(t, record)
 	record.Tasks = append(record.Tasks, row)
 }
 
-// placeOf returns the place of an endpoint among those of a job's record.
-func placeOf(e *endpoint, record *wire.JobRecord) int {
+// endpointIndex returns the place of an endpoint among those of a job's record.
+func endpointIndex(e *endpoint, record *wire.JobRecord) int {
 	life := e.info.Life.String()
 	if at := slices.Index(record.Endpoints, life); at >= 0 {
 		return at
@@ -123,8 +123,8 @@
 		if saved.Row < 0 || saved.Row >= len(record.Tasks) {
 			return fmt.Errorf("job %s has a checkpoint for row %d of %d", j.id, saved.Row, len(record.Tasks))
 		}
-		if t := c.findTask(idOf(j, record.Tasks[saved.Row])); t != nil {
-			t.saved = saved.Checkpoint
+		if t := c.findTask(rowTaskID(j, record.Tasks[saved.Row])); t != nil {
+			t.checkpoint = saved.Checkpoint
 		}
 	}
 	if err := c.readCrashes(j, record); err != nil {
@@ -137,19 +137,19 @@
 	if len(row) < columnRuns || (len(row)-columnRuns)%runColumns != 0 {
 		return fmt.Errorf("%d columns", len(row))
 	}
-	if row[columnRound] >= j.roundsInAll() {
-		return fmt.Errorf("round %d of %d", row[columnRound], j.roundsInAll())
+	if row[columnRound] >= j.totalRounds() {
+		return fmt.Errorf("round %d of %d", row[columnRound], j.totalRounds())
 	}
 	for len(j.rounds) <= row[columnRound] {
 		j.rounds = append(j.rounds, newRound(j, len(j.rounds)))
 	}
-	t := c.findTask(idOf(j, row))
+	t := c.findTask(rowTaskID(j, row))
 	if t == nil {
 		return fmt.Errorf("no task %v", row[:columnAttempt])
 	}
 	j.placed = true
 	j.begun = j.begun || row[columnDone] != 0 || row[columnFailed] > 0
-	t.attempt, t.failed = row[columnAttempt], row[columnFailed]
+	t.lastAttempt, t.failedAttempts = row[columnAttempt], row[columnFailed]
 	for runs := row[columnRuns:]; len(runs) > 0; runs = runs[runColumns:] {
 		attempt, at := runs[0], runs[1]
 		if at < 0 || at >= len(record.Endpoints) {
@@ -159,11 +159,11 @@
 	}
 	if row[columnDone] != 0 && !t.done {
 		t.done = true
-		t.phase.left--
+		t.phase.unfinishedTasks--
 	}
 	return nil
 }
 
-func idOf(j *job, row []int) damsonwinch.TaskID {
+func rowTaskID(j *job, row []int) damsonwinch.TaskID {
 	return damsonwinch.TaskID{Job: j.id, Round: row[columnRound], Phase: row[columnPhase], Index: row[columnIndex]}
 }
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -15,7 +15,7 @@
 // key, after the stream's epoch was raised, so that no earlier owner can add to
 // it. Every recorded run may still be running where its record says.
 func (c *Cell) Load(now time.Time, records []damsonwinch.Record) error {
-	c.begin(now)
+	c.beginEvent(now)
 	c.ConfirmOwnership(now)
 	specs := map[string]wire.AcceptedJob{}
 	for _, record := range records {
@@ -32,8 +32,8 @@
 			return err
 		}
 	}
-	slices.SortFunc(c.order, func(a, b *job) int { return a.acceptedMs - b.acceptedMs })
-	for _, j := range c.order {
+	slices.SortFunc(c.activeJobs, func(a, b *job) int { return a.acceptedMs - b.acceptedMs })
+	for _, j := range c.activeJobs {
 		c.reopen(j)
 	}
 	return nil
@@ -59,7 +59,7 @@
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
 		return fmt.Errorf("read record of job %s: %w", record.Key, err)
 	}
-	j := &job{id: record.Key, customer: saved.Customer, endedMs: saved.EndedMs, state: saved.State, shown: saved.State, recorded: true}
+	j := &job{id: record.Key, customer: saved.Customer, endedMs: saved.EndedMs, state: saved.State, recordedState: saved.State, recorded: true}
 	c.jobs[j.id] = j
 	accepted, hasSpec := specs[record.Key]
 	if !hasSpec {
@@ -70,13 +70,13 @@
 	}
 	j.customer = accepted.Customer
 	j.queue, j.spec, j.acceptedMs, j.dueMs = accepted.Queue, accepted.Spec, accepted.AcceptedMs, accepted.DueMs
-	j.priority, j.mostAttempts, j.specSaved = accepted.Priority, accepted.MostAttempts, true
+	j.priority, j.maxAttempts, j.specRecorded = accepted.Priority, accepted.MostAttempts, true
 	c.expect(j)
 	if err := c.readTasks(j, saved); err != nil {
 		return err
 	}
-	if !j.ended() || j.runs > 0 {
-		c.order = append(c.order, j)
+	if !j.ended() || j.runCount > 0 {
+		c.activeJobs = append(c.activeJobs, j)
 	}
 	return nil
 }
@@ -84,20 +84,20 @@
 // reopen opens the phases of a loaded job whose turn has come.
 func (c *Cell) reopen(j *job) {
 	for _, r := range j.rounds {
-		r.left = 0
+		r.unfinishedPhases = 0
 		for _, p := range r.phases {
-			p.waitsFor = 0
+			p.unfinishedDeps = 0
 			for _, earlier := range p.spec.After {
-				if r.phases[earlier].left > 0 {
-					p.waitsFor++
+				if r.phases[earlier].unfinishedTasks > 0 {
+					p.unfinishedDeps++
 				}
 			}
-			if p.left > 0 {
-				r.left++
+			if p.unfinishedTasks > 0 {
+				r.unfinishedPhases++
 			}
 		}
 		for _, p := range r.phases {
-			if p.waitsFor == 0 && p.left > 0 {
+			if p.unfinishedDeps == 0 && p.unfinishedTasks > 0 {
 				c.openPhase(p)
 			}
 		}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -68,8 +68,8 @@
 
 // intend reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) intend(t *task, at *endpoint) {
-	t.attempt++
-	r := &run{task: t, attempt: t.attempt, at: at, since: c.now, resumed: t.saved != "", speed: wholePercent, late: t.phase.late(int(c.now.UnixMilli()))}
+	t.lastAttempt++
+	r := &run{task: t, attempt: t.lastAttempt, at: at, since: c.now, resumed: t.checkpoint != "", speed: fullPercent, late: t.phase.isLate(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.quiet(at)
 	c.attach(r)
 	if trial {
@@ -77,10 +77,10 @@
 	}
 	c.countStarts(t, 1)
 	t.phase.job().placed = true
-	if t.attempt > 1 {
+	if t.lastAttempt > 1 {
 		c.stats.Reruns++
 	}
-	c.touch(t.phase.job())
+	c.markDirty(t.phase.job())
 	c.commits.starts = append(c.commits.starts, r)
 }
 
@@ -88,8 +88,8 @@
 func (c *Cell) attach(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.enter(r)
-	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
-	r.task.phase.job().runs++
+	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
+	r.task.phase.job().runCount++
 }
 
 // enter ties a run to its endpoint, and leave takes it from there.
@@ -115,10 +115,10 @@
 func (c *Cell) resolve(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.leave(r)
-	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
-	r.task.phase.job().runs--
-	c.unplaced = true
-	c.touch(r.task.phase.job())
+	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
+	r.task.phase.job().runCount--
+	c.placementDue = true
+	c.markDirty(r.task.phase.job())
 }
 
 // again resolves a run that came to nothing and makes its task ready.
@@ -138,21 +138,21 @@
 		return
 	}
 	r.state = runOrdered
-	c.noteStart(r)
+	c.logStart(r)
 	r.since = c.now
 	until := r.at.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
 	c.prolong(r.at, until)
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.at.info, Request: damsonwinch.StartRequest{
-		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.saved,
-		Ticket: c.ticket(r.task.phase, r.at),
+		Run: r.order(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.checkpoint,
+		Ticket: c.permitTicket(r.task.phase, r.at),
 	}})
 }
 
 // Started takes the answer to a start.
 func (c *Cell) Started(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	r := c.findRun(at, which)
 	if r == nil || r.state != runOrdered {
 		return
@@ -177,7 +177,7 @@
 		c.refused(r, err)
 	default:
 		r.state = runUncertain
-		c.note("start unanswered", r, err.Error())
+		c.logRun("start unanswered", r, err.Error())
 		c.wantLook(r.at)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
@@ -205,7 +205,7 @@
 func (c *Cell) refused(r *run, err error) {
 	c.stats.StartsRefused++
 	c.countStarts(r.task, -1)
-	c.note("start refused", r, err.Error())
+	c.logRun("start refused", r, err.Error())
 	defer c.abandonGang(r.task.phase, "a member of its gang was refused")
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
@@ -242,7 +242,7 @@
 
 // notSent takes back a run whose order has certainly not come to its endpoint.
 func (c *Cell) notSent(r *run, err error) {
-	c.note("start not sent", r, err.Error())
+	c.logRun("start not sent", r, err.Error())
 	c.countStarts(r.task, -1)
 	c.wantLook(r.at)
 	r.at.pauseUntil = c.now.Add(refusalPause)
@@ -265,7 +265,7 @@
 		return
 	}
 	if !r.stopping {
-		c.note("stop", r, why)
+		c.logRun("stop", r, why)
 	}
 	r.stopping = true
 	if r.state == runOrdered {
@@ -283,8 +283,8 @@
 
 // Stopped takes the answer to a stop.
 func (c *Cell) Stopped(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	r := c.findRun(at, which)
 	if r == nil {
 		return
@@ -304,7 +304,7 @@
 
 // retryOrders sends stops again that nobody has answered.
 func (c *Cell) retryOrders() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, r := range e.ordered {
 			if r.stopping && !r.stopped && r.state != runIntended && r.state != runOrdered && r.state != runSuspect &&
 				c.now.Sub(r.stopSent) >= retryStop {
