--- a/pkg/liveness/evidence.go
+++ b/pkg/liveness/evidence.go
@@ -1,116 +1,120 @@
-// Package liveness judges by what a node has seen of another's life whether that life goes
-// on. It is pure: what was asked, answered and read goes in with its time, a verdict comes
-// out.
+// Package liveness decides from what a node has seen of another node whether that node is still
+// alive. It does no I/O and reads no clock: requests, replies and stream reads go in with their
+// times, a decision comes out.
 //
-// A node that leaves questions unanswered may have ended, or may be out of something: its
-// link is full, or others take its processor. Taking the cells of the second kind makes
-// more work where there was too much already; the new owner reads all records through a
-// link that is then full as well, and is taken for dead in its turn. So silence alone
-// counts only where the store shows no work of the silent node either: two readings of its
-// streams tell (phi-accrual and Lifeguard weigh evidence of one kind by its usual delay;
-// here a second kind is to be had for two calls).
+// A node that leaves requests unanswered may be gone, or may be overloaded: its link is full, or
+// other processes take its CPU. Taking over the cells of an overloaded node makes more work where
+// there was too much already. The new owner reads all records through a link that is then full as
+// well, and is taken for lost in its turn. So missing replies alone don't count: the store must
+// show no work of the node either, which two reads of its streams tell. Phi-accrual failure
+// detectors and Lifeguard weigh evidence of one kind by its usual delay; here a second kind is
+// available for two calls.
 package liveness
 
 import "time"
 
-// Times of the judgement.
+// Times and numbers that decide when a node is lost.
 const (
-	// patience is how long all questions must have been unanswered. Each 0.1 s more costs
-	// all jobs of a lost owner's cells so much; a packet that is lost comes again after 0.2 s.
-	patience = 350 * time.Millisecond
-	// youngPatience is the same for an owner whose claim is younger than youngTime: it is
-	// busy with reading the cell. 396 records took 1.2 s through a link of 2 Mbit/s.
-	youngPatience = 1500 * time.Millisecond
-	youngTime     = 3 * time.Second
-	// questions is how many unanswered questions that takes at least, and mostGap the longest
-	// time between two of them: a node that stood still itself knows nothing of others.
-	questions = 3
-	mostGap   = 250 * time.Millisecond
-	// readAfter is the silence after which the streams are read for the first time, and
-	// readGap the least time until the second reading: an owner with work appends each 30
-	// to 50 ms, and needs some more for each answer of a slow store. readTimes is how many
-	// times as long as a reading takes must lie between two.
-	readAfter = 150 * time.Millisecond
-	readGap   = 150 * time.Millisecond
-	readTimes = 4
+	// replyTimeout is how long all requests must have been unanswered. Each 0.1 s more delays all
+	// jobs of a lost owner's cells by as much; a lost packet is sent again after 0.2 s.
+	replyTimeout = 350 * time.Millisecond
+	// newOwnerReplyTimeout is the same for an owner whose claim is younger than newOwnerAge: it is
+	// busy reading the cell. 396 records took 1.2 s through a link of 2 Mbit/s.
+	newOwnerReplyTimeout = 1500 * time.Millisecond
+	newOwnerAge          = 3 * time.Second
+	// minRequests is the least number of unanswered requests, and maxRequestGap the longest time
+	// between two of them: a node that was suspended itself knows nothing of others.
+	minRequests   = 3
+	maxRequestGap = 250 * time.Millisecond
+	// firstReadAfter is the time without replies after which the streams are read for the first
+	// time, and minReadGap the least time until the second read: an owner with work appends every
+	// 30 to 50 ms, and takes longer where the store is slow to reply. readGapFactor is how many
+	// times as long as the first read took there must be between the two.
+	firstReadAfter = 150 * time.Millisecond
+	minReadGap     = 150 * time.Millisecond
+	readGapFactor  = 4
 )
 
-// Evidence is what is known of one life of a node.
+// Evidence is what is known of one incarnation of a node.
 type Evidence struct {
-	askedAt time.Time
-	// unanswered counts the questions since the newest that was answered, and
-	// unansweredSince is when the first of them was asked.
+	lastRequestAt time.Time
+	// unanswered counts the requests since the newest one that was answered, and unansweredSince is
+	// the time of the first of them.
 	unanswered      int
 	unansweredSince time.Time
-	// readAt is when the streams were first read in this silence, and ends their ends then.
-	// A reading as much as gap later that shows the same ends makes them still.
-	readAt time.Time
-	ends   int
-	gap    time.Duration
-	still  bool
+	// firstReadAt is when the streams were first read in this time without replies, and firstEnds
+	// the sum of their ends then. A read at least readGap later that shows the same sum sets
+	// noProgress.
+	firstReadAt time.Time
+	firstEnds   int
+	readGap     time.Duration
+	noProgress  bool
 }
 
-// LastRequestAt returns when the newest question was asked.
+// LastRequestAt returns the time of the newest request.
 func (e Evidence) LastRequestAt() time.Time {
-	return e.askedAt
+	return e.lastRequestAt
 }
 
-// WithRequest returns the evidence after a question.
+// WithRequest returns the evidence after a request.
 func (e Evidence) WithRequest(now time.Time) Evidence {
-	if now.Sub(e.askedAt) > mostGap {
-		// It has not been watched of late, or this node stood still itself.
+	if now.Sub(e.lastRequestAt) > maxRequestGap {
+		// The node was not watched for a time, or the watching node itself was suspended.
 		e = Evidence{}
 	}
 	if e.unanswered == 0 {
 		e = Evidence{unansweredSince: now}
 	}
-	e.askedAt = now
+	e.lastRequestAt = now
 	e.unanswered++
 	return e
 }
 
-// WithReply returns the evidence after the answer to a question.
-func (e Evidence) WithReply(askedAt time.Time) Evidence {
-	if e.unansweredSince.After(askedAt) {
+// WithReply returns the evidence after the reply to a request that was sent at a time. It changes
+// nothing if the request is older than those that count as unanswered.
+func (e Evidence) WithReply(requestAt time.Time) Evidence {
+	if e.unansweredSince.After(requestAt) {
 		return e
 	}
-	return Evidence{askedAt: e.askedAt}
+	return Evidence{lastRequestAt: e.lastRequestAt}
 }
 
-// StreamReadDue says whether the node's streams are to be read now.
+// StreamReadDue reports whether the node's streams should be read now.
 func (e Evidence) StreamReadDue(now time.Time) bool {
-	if e.unanswered == 0 || now.Sub(e.unansweredSince) < readAfter || e.still {
+	if e.unanswered == 0 || now.Sub(e.unansweredSince) < firstReadAfter || e.noProgress {
 		return false
 	}
-	return e.readAt.IsZero() || now.Sub(e.readAt) >= e.gap
+	return e.firstReadAt.IsZero() || now.Sub(e.firstReadAt) >= e.readGap
 }
 
-// WithStreamRead returns the evidence after a reading of the node's streams, which was asked
-// for at a time, took a while and showed the sum of their ends. Where they have grown, the
-// node is slow and not gone, and its silence counts anew.
-func (e Evidence) WithStreamRead(askedAt time.Time, took time.Duration, ends int) Evidence {
+// WithStreamRead returns the evidence after a read of the node's streams that was started at a
+// time, took a while and showed the sum of the streams' ends. If the streams have grown, the node
+// is slow but not gone, and its time without replies starts anew.
+func (e Evidence) WithStreamRead(startedAt time.Time, took time.Duration, ends int) Evidence {
 	switch {
-	case e.unanswered == 0 || askedAt.Before(e.unansweredSince):
-	case e.readAt.IsZero():
-		e.readAt, e.ends, e.gap = askedAt, ends, max(readGap, readTimes*took)
-	case ends != e.ends:
-		return Evidence{askedAt: e.askedAt, unanswered: 1, unansweredSince: askedAt}
-	case askedAt.Sub(e.readAt) >= e.gap:
-		e.still = true
+	case e.unanswered == 0 || startedAt.Before(e.unansweredSince):
+	case e.firstReadAt.IsZero():
+		e.firstReadAt, e.firstEnds, e.readGap = startedAt, ends, max(minReadGap, readGapFactor*took)
+	case ends != e.firstEnds:
+		return Evidence{lastRequestAt: e.lastRequestAt, unanswered: 1, unansweredSince: startedAt}
+	case startedAt.Sub(e.firstReadAt) >= e.readGap:
+		e.noProgress = true
 	}
 	return e
 }
 
-// ShowsProgressSince says whether the newest reading has shown work that the evidence before it didn't.
+// ShowsProgressSince reports whether the newest read has shown work that the evidence before the
+// read didn't.
 func (e Evidence) ShowsProgressSince(before Evidence) bool {
-	return before.unanswered > 0 && !before.readAt.IsZero() && e.readAt.IsZero()
+	return before.unanswered > 0 && !before.firstReadAt.IsZero() && e.firstReadAt.IsZero()
 }
 
-// IsLost says whether the node is to be taken for lost, with a claim of an age.
+// IsLost reports whether the node is taken for lost. claimAge is the age of its newest claim of a
+// cell.
 func (e Evidence) IsLost(now time.Time, claimAge time.Duration) bool {
-	wait := patience
-	if claimAge < youngTime {
-		wait = youngPatience
+	timeout := replyTimeout
+	if claimAge < newOwnerAge {
+		timeout = newOwnerReplyTimeout
 	}
-	return e.unanswered >= questions && now.Sub(e.unansweredSince) >= wait && e.still
+	return e.unanswered >= minRequests && now.Sub(e.unansweredSince) >= timeout && e.noProgress
 }
--- a/pkg/liveness/evidence_test.go
+++ b/pkg/liveness/evidence_test.go
@@ -10,48 +10,49 @@
 	"damsonwinch/pkg/liveness"
 )
 
-// script plays a watched owner in steps of 10 ms: what it answers and appends, and how long
-// the store takes, are the pattern of a data file.
+// script simulates a watched owner in steps of 10 ms. A data file says how it replies and appends,
+// and how long the store takes.
 type script struct {
 	now      time.Time
 	evidence liveness.Evidence
-	// answers is how long an answer takes, 0 for none, and appends the time between two
+	// replyTime is how long a reply takes, 0 for no replies, and appendEvery the time between two
 	// appends, 0 for none.
-	answers time.Duration
-	appends time.Duration
-	// store is how long a reading takes.
-	store time.Duration
-	// still says that the watching node stands still.
-	still   bool
-	ends    int
-	reading bool
-	due     []event
+	replyTime   time.Duration
+	appendEvery time.Duration
+	// readTime is how long a read of the streams takes.
+	readTime time.Duration
+	// watcherSuspended is set while the watching node is suspended.
+	watcherSuspended bool
+	ends             int
+	reading          bool
+	due              []event
 }
 
-// event is something that comes at a time.
+// event is a function to run at a time.
 type event struct {
 	at time.Time
 	do func()
 }
 
 const (
-	step       = 10 * time.Millisecond
-	askEvery   = 100 * time.Millisecond
-	usualStore = 5 * time.Millisecond
+	stepTime      = 10 * time.Millisecond
+	requestEvery  = 100 * time.Millisecond
+	usualReadTime = 5 * time.Millisecond
 )
 
-// TestPatterns plays the data files. Commands:
+// TestOnlyOwnersThatStoppedWorkingAreLost plays the data files. Commands:
 //
-//	owner answers=MS appends=MS store=MS watcher-still: how things go from now on
-//	watch ms=MS claim-age=MS: lets time pass and tells when the owner is taken for lost
-func TestPatterns(t *testing.T) {
+//	owner answers=MS appends=MS store=MS watcher-still: how the owner, the store and the watching
+//	node behave from now on
+//	watch ms=MS claim-age=MS: lets time pass and returns when the owner is taken for lost
+func TestOnlyOwnersThatStoppedWorkingAreLost(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &script{now: time.Unix(1_000_000, 0), store: usualStore}
+		s := &script{now: time.Unix(1_000_000, 0), readTime: usualReadTime}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "owner":
-				s.answers, s.appends, s.store = milliseconds(t, d, "answers", 0), milliseconds(t, d, "appends", 0), milliseconds(t, d, "store", usualStore)
-				s.still = d.HasArg("watcher-still")
+				s.replyTime, s.appendEvery, s.readTime = milliseconds(t, d, "answers", 0), milliseconds(t, d, "appends", 0), milliseconds(t, d, "store", usualReadTime)
+				s.watcherSuspended = d.HasArg("watcher-still")
 				return ""
 			case "watch":
 				return s.watch(milliseconds(t, d, "ms", 0), milliseconds(t, d, "claim-age", time.Minute))
@@ -62,6 +63,8 @@
 	})
 }
 
+// milliseconds returns the value of a command's argument in milliseconds, or the usual value
+// without it.
 func milliseconds(t *testing.T, d *datadriven.TestData, name string, usual time.Duration) time.Duration {
 	if !d.HasArg(name) {
 		return usual
@@ -71,63 +74,66 @@
 	return time.Duration(value) * time.Millisecond
 }
 
+// watch lets time pass, and returns when the owner is taken for lost.
 func (s *script) watch(length, claimAge time.Duration) string {
-	for passed := time.Duration(0); passed < length; passed += step {
-		s.pass(passed)
-		if !s.still && s.evidence.IsLost(s.now, claimAge+passed) {
+	for passed := time.Duration(0); passed < length; passed += stepTime {
+		s.step(passed)
+		if !s.watcherSuspended && s.evidence.IsLost(s.now, claimAge+passed) {
 			return fmt.Sprintf("lost after %d ms\n", passed.Milliseconds())
 		}
-		s.now = s.now.Add(step)
+		s.now = s.now.Add(stepTime)
 	}
 	return "lives\n"
 }
 
-// pass does what is due at a moment.
-func (s *script) pass(passed time.Duration) {
+// step runs what is due now, in the simulation and in the watching node.
+func (s *script) step(passed time.Duration) {
 	for len(s.due) > 0 && !s.due[0].at.After(s.now) {
 		s.due[0].do()
 		s.due = s.due[1:]
 	}
-	if s.appends > 0 && passed%s.appends == 0 {
+	if s.appendEvery > 0 && passed%s.appendEvery == 0 {
 		s.ends++
 	}
-	if s.still {
+	if s.watcherSuspended {
 		return
 	}
-	if s.now.Sub(s.evidence.LastRequestAt()) >= askEvery {
-		s.ask()
+	if s.now.Sub(s.evidence.LastRequestAt()) >= requestEvery {
+		s.request()
 	}
 	if !s.reading && s.evidence.StreamReadDue(s.now) {
 		s.read()
 	}
 }
 
-func (s *script) ask() {
+// request sends a request to the owner.
+func (s *script) request() {
 	s.evidence = s.evidence.WithRequest(s.now)
-	asked := s.now
-	if s.answers > 0 {
-		s.after(s.answers, func() { s.evidence = s.evidence.WithReply(asked) })
+	sentAt := s.now
+	if s.replyTime > 0 {
+		s.after(s.replyTime, func() { s.evidence = s.evidence.WithReply(sentAt) })
 	}
 }
 
+// read reads the end of the owner's stream at the store.
 func (s *script) read() {
 	s.reading = true
-	asked := s.now
-	s.after(s.store/2, func() {
+	startedAt := s.now
+	s.after(s.readTime/2, func() {
 		ends := s.ends
-		s.after(s.store/2, func() {
+		s.after(s.readTime/2, func() {
 			s.reading = false
-			s.evidence = s.evidence.WithStreamRead(asked, s.now.Sub(asked), ends)
+			s.evidence = s.evidence.WithStreamRead(startedAt, s.now.Sub(startedAt), ends)
 		})
 	})
 }
 
-// after does something later; events stand in order of their times.
+// after runs a function later. Events are kept in the order of their times.
 func (s *script) after(length time.Duration, do func()) {
 	at := s.now.Add(length)
-	place := len(s.due)
-	for place > 0 && s.due[place-1].at.After(at) {
-		place--
+	index := len(s.due)
+	for index > 0 && s.due[index-1].at.After(at) {
+		index--
 	}
-	s.due = append(s.due[:place], append([]event{{at: at, do: do}}, s.due[place:]...)...)
+	s.due = append(s.due[:index], append([]event{{at: at, do: do}}, s.due[index:]...)...)
 }
