--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -37,8 +37,8 @@
 	// the cells. A target is never above its limit.
 	limits  map[string]amounts
 	targets map[string]amounts
-	// reports hold the newest reports of the cells that need all of their allowance, or nearly all,
-	// or more. Cells without one need no more than they have.
+	// reports hold the newest reports of the cells that need all or nearly all of their allowance,
+	// or more. A cell without a report needs no more than it has.
 	reports map[string]report
 	// reserved is the large task for which capacity is reserved in its cell, whatever that leaves
 	// for the others. lastTurns holds the cells that have had such a reservation; the highest
@@ -46,8 +46,8 @@
 	reserved  reservation
 	lastTurns map[string]int
 	turn      int
-	// mustRecordUnknown is set when limits that have become unknown must be recorded before cells
-	// are told.
+	// mustRecordUnknown is set when a kind of the cap was removed: that its limits are unknown must
+	// be recorded before cells learn of it.
 	mustRecordUnknown bool
 	// changedTargets holds the cells whose targets have changed since they were last queued for
 	// sending.
@@ -55,7 +55,8 @@
 	// recordPending is set while raised limits wait to be recorded. Cells are sent nothing about
 	// the customer meanwhile.
 	recordPending bool
-	// deferredUsed holds the cells that have replied meanwhile, each with what it has running.
+	// deferredUsed holds the cells that have replied while a record was pending, each with what it
+	// has running. Their limits are updated once the record is there.
 	deferredUsed map[string]amounts
 }
 
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// needsMore reports whether what a customer uses and wants is above the threshold part of its
-// allowance.
+// needsMore reports whether what a customer uses and wants is above reportThresholdPercent of its
+// allowance, or it has no allowance yet.
 func (a *Allowances) needsMore(customer string, limit, used, wanted amounts) bool {
 	current, allocated := a.allowances[customer]
 	if !allocated {
--- a/pkg/quota/deal.go
+++ b/pkg/quota/deal.go
@@ -9,7 +9,8 @@
 // Rules of allocation. The equal part of a cell is the cap divided by the number of cells.
 const (
 	// floorDivisor divides the equal part: the result is left to a cell without a report while
-	// others need more than there is, so that the cell's next jobs needn't wait until more has come.
+	// others need more than there is, so that the cell's next jobs needn't wait until more has
+	// come.
 	floorDivisor = 4
 	// minStepDivisor divides the equal part: the result is the least by which a share is raised.
 	minStepDivisor = 20
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -122,6 +122,7 @@
 	cutOff    map[string]bool
 }
 
+// newWorld returns a world with a number of cells, their owners and an allocator.
 func newWorld(seed uint64, cells int, m mutation) *world {
 	w := &world{random: rand.New(rand.NewPCG(seed, 7)), now: time.UnixMilli(1_700_000_000_000), mutation: m, injectFaults: true, records: map[string]wire.AllottedRecord{}}
 	for number := range cells {
@@ -151,10 +152,12 @@
 	return w.injectFaults && w.random.Float64() < probability
 }
 
+// logf adds a line with the simulated time to the trace.
 func (w *world) logf(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%7.3f ", w.now.Sub(time.UnixMilli(1_700_000_000_000)).Seconds())+fmt.Sprintf(format, args...))
 }
 
+// run runs the simulation until a time, or until the first violation.
 func (w *world) run(until time.Time) {
 	for w.violation == "" {
 		at, do, found := w.agenda.Next(until)
@@ -285,6 +288,7 @@
 	})
 }
 
+// customers returns the customers of a configuration with a cap, 0 for none.
 func customers(limit int) []damsonwinch.Customer {
 	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{CPU: limit}}}
 }
