--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -33,9 +33,9 @@
 // lookAround sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
 func (c *Cell) lookAround() {
-	due := c.lookDue
-	if c.lookAtAll {
-		due = c.ranked
+	due := c.pollDue
+	if c.pollAll {
+		due = c.sortedEndpoints
 	}
 	for _, e := range due {
 		e.lookDue = false
@@ -44,14 +44,14 @@
 		}
 		c.lookAt(e)
 	}
-	c.lookDue, c.lookAtAll = c.lookDue[:0], false
+	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
 // lookSoon notes that a look at an endpoint may be due.
 func (c *Cell) lookSoon(e *endpoint) {
 	if !e.lookDue {
 		e.lookDue = true
-		c.lookDue = append(c.lookDue, e)
+		c.pollDue = append(c.pollDue, e)
 	}
 }
 
@@ -101,14 +101,14 @@
 		e.looks.quick = sent
 		e.wantLook = false
 	}
-	order := damsonwinch.LookOrder{Token: c.token, Seen: e.recorded, Wait: wait}
+	order := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recorded, MaxWait: wait}
 	if e.silent {
 		// If another life answers under its ID, that is not to forget its own first ends.
-		order.Seen = 0
+		order.AckedSequence = 0
 	}
-	if e.attached && !e.silent && c.sure() {
-		order.Until = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
-		c.prolong(e, order.Until)
+	if e.attached && !e.silent && c.mayRenewLeases() {
+		order.LeaseUntilMs = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
+		c.prolong(e, order.LeaseUntilMs)
 	}
 	c.stats.Polls++
 	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
@@ -129,14 +129,14 @@
 var errEndedLife = errors.New("a life answers that has ended")
 
 // Looked takes the answer to a look.
-func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
-	c.begin(now)
-	defer c.settle()
+func (c *Cell) Looked(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
+	c.beginEvent(now)
+	defer c.finishEvent()
 	e := c.endpoints[asked]
 	if e == nil {
 		return
 	}
-	c.unplaced = true
+	c.placementDue = true
 	c.lookSoon(e)
 	sent := e.looks.take(number)
 	if sent == nil || e.gone {
@@ -150,17 +150,17 @@
 		// A later look has been answered; this one is out of date.
 		return
 	}
-	if e = c.answering(e, sent, look.Born); e == nil {
+	if e = c.answering(e, sent, look.StartedUnixMs); e == nil {
 		return
 	}
 	c.heard(e)
 	e.looks.answered = sent.step
 	c.followLives(e, look, sent.step)
 	if e.silent {
-		c.noteEndpoint("endpoint answers again", e, "")
+		c.logEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSample, e.clockAt = look.Clock, c.now
+	e.clockSample, e.clockAt = look.ClockMs, c.now
 	c.outlive(e, sent.at)
 	c.takeEnds(e, look.Finished)
 	if len(look.Finished) < mostEnds {
@@ -171,7 +171,7 @@
 	c.share(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
-		c.noteEndpoint("endpoint attached", e, "box "+e.info.Box)
+		c.logEndpoint("endpoint attached", e, "box "+e.info.Box)
 	}
 }
 
@@ -179,13 +179,13 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(e, "another life answers at its address")
-	case errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrStaleToken):
 		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
-			c.noteEndpoint("endpoint silent", e, err.Error())
+			c.logEndpoint("endpoint silent", e, err.Error())
 			e.silent, e.silentAt, e.silentStep = true, c.now, c.step
-			e.broke = c.awake() && c.now.Sub(sent.at) < sent.wait
+			e.broke = c.caughtUp() && c.now.Sub(sent.at) < sent.wait
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
@@ -195,20 +195,20 @@
 }
 
 // takeEnds takes the ends that are new into the state, in order.
-func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.Finished) {
-	slices.SortFunc(ends, func(a, b damsonwinch.Finished) int { return a.Number - b.Number })
+func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.RunResult) {
+	slices.SortFunc(ends, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
 	for _, end := range ends {
-		if end.Number <= e.seen {
+		if end.Sequence <= e.seen {
 			continue
 		}
-		e.seen = end.Number
-		c.commits.ends = append(c.commits.ends, e)
+		e.seen = end.Sequence
+		c.commits.ackEndpoints = append(c.commits.ackEndpoints, e)
 		c.finished(e, end)
 	}
 }
 
 // takeRunning compares what runs with what should.
-func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.Running, sentAt int) {
+func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
 	e.strays = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
@@ -248,13 +248,13 @@
 	return false
 }
 
-func (c *Cell) seenRunning(r *run, row damsonwinch.Running) {
+func (c *Cell) seenRunning(r *run, row damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
-	r.pace.see(c.now, row.Percent)
+	r.pace.see(c.now, row.DonePercent)
 	c.signal(r)
-	r.percent, r.load, r.lost = row.Percent, row.Load, nil
+	r.percent, r.load, r.lost = row.DonePercent, row.Load, nil
 	if row.Checkpoint != "" {
-		r.task.saved = row.Checkpoint
+		r.task.checkpoint = row.Checkpoint
 	}
 	if r.state == runIntended || r.state == runConfirmed {
 		return
@@ -271,5 +271,5 @@
 // stopStray ends a run that belongs to nothing that should run.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
-	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopOrder{Run: stray, Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopRequest{Run: stray, Token: c.token}})
 }
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -29,7 +29,7 @@
 	if sent == nil || c.now.Sub(sent.at) < awayTime {
 		return
 	}
-	for _, j := range slices.Clone(c.order) {
+	for _, j := range slices.Clone(c.activeJobs) {
 		if _, given := sent.shown[j]; !j.recorded && !given && !j.ended() && !c.now.Before(c.holdUntil(j)) {
 			c.refuseJob(j, fmt.Sprintf("the store has not answered for %d ms", c.now.Sub(sent.at).Milliseconds()))
 		}
@@ -38,10 +38,10 @@
 
 // holdUntil returns until when a job that isn't kept yet is worth holding.
 func (c *Cell) holdUntil(j *job) time.Time {
-	until := j.waitedForUntil
+	until := j.clientWaitsUntil
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
-			if late := time.UnixMilli(int64(p.lateMs)); p.lateMs > 0 && late.Before(until) {
+			if late := time.UnixMilli(int64(p.lateAtMs)); p.lateAtMs > 0 && late.Before(until) {
 				until = late
 			}
 		}
@@ -55,14 +55,14 @@
 	if waitMs > 0 {
 		until = now.Add(time.Duration(waitMs)*time.Millisecond - answerTime)
 	}
-	if until.After(j.waitedForUntil) {
-		j.waitedForUntil = until
+	if until.After(j.clientWaitsUntil) {
+		j.clientWaitsUntil = until
 	}
 }
 
 // refuseJob takes back all that a job that was never recorded has led to.
 func (c *Cell) refuseJob(j *job, why string) {
-	c.noteJob("job refused", j, why)
+	c.logJob("job refused", j, why)
 	c.stats.JobsRefused++
 	var runs []*run
 	for _, r := range j.rounds {
@@ -86,5 +86,5 @@
 	})
 	delete(c.commits.dirty, j.id)
 	delete(c.jobs, j.id)
-	c.order = slices.DeleteFunc(c.order, func(other *job) bool { return other == j })
+	c.activeJobs = slices.DeleteFunc(c.activeJobs, func(other *job) bool { return other == j })
 }
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -54,7 +54,7 @@
 type world struct {
 	random   *rand.Rand
 	now      time.Time
-	agenda   agenda.Agenda
+	agenda   agenda.Queue
 	sabotage sabotage
 	rules    *rules
 	// streams are those that the cell has had, the newest last, and out says of which the
@@ -123,7 +123,7 @@
 }
 
 func (w *world) at(at time.Time, do func()) {
-	w.agenda.At(at, do)
+	w.agenda.Schedule(at, do)
 }
 
 func (w *world) after(length time.Duration, do func()) {
@@ -149,7 +149,7 @@
 // run lets events happen until a moment or until a rule is broken.
 func (w *world) run(until time.Time) {
 	for w.rules.broken == "" {
-		at, do, found := w.agenda.Next(until)
+		at, do, found := w.agenda.PopUntil(until)
 		if !found {
 			break
 		}
@@ -166,7 +166,7 @@
 	address := fmt.Sprintf("addr-%d", w.lives)
 	if w.reborn {
 		// Boxes' clocks are set back as well as forth.
-		life, address = damsonwinch.Life{ID: "on-" + box, Born: 1 + w.random.IntN(math.MaxInt32)}, "addr-"+box
+		life, address = damsonwinch.Life{ID: "on-" + box, StartedUnixMs: 1 + w.random.IntN(math.MaxInt32)}, "addr-"+box
 	}
 	lag := time.Duration(0)
 	if w.reborn && w.now.After(w.beganAt) {
@@ -176,7 +176,7 @@
 		world: w, entryLag: lag, drift: 0.98 + 0.04*w.random.Float64(), bornAt: w.now, runs: map[damsonwinch.Run]*simRun{}, highest: map[damsonwinch.TaskID]int{},
 		info: damsonwinch.Endpoint{
 			Life: life, Box: box, Address: address, Pool: "pool",
-			Capacity: damsonwinch.Resources{CPU: w.boxCPU, MemoryMB: 8000},
+			Capacity: damsonwinch.Resources{MilliCPU: w.boxCPU, MemoryMB: 8000},
 		},
 	})
 	if w.room != nil {
@@ -216,7 +216,7 @@
 	var found []damsonwinch.Box
 	for _, e := range w.endpoints {
 		if !e.dead {
-			found = append(found, damsonwinch.Box{Name: e.info.Box, State: damsonwinch.BoxUp, Endpoint: e.info.Life.ID})
+			found = append(found, damsonwinch.Box{Name: e.info.Box, State: damsonwinch.BoxUp, EndpointID: e.info.Life.ID})
 		}
 	}
 	return found
@@ -243,7 +243,7 @@
 	case sequence <= s.last:
 		return nil
 	case sequence != s.last+1:
-		return damsonwinch.ErrSequence
+		return damsonwinch.ErrOutOfSequence
 	default:
 		s.last = sequence
 	}
@@ -284,8 +284,8 @@
 }
 
 var simQueues = []damsonwinch.Queue{
-	{Name: "queue", Pool: "pool", MostAttempts: 3, Extension: 1.6, Target: 600 * time.Millisecond},
-	{Name: "second", Pool: "pool", MostAttempts: 3, Extension: 1.6, Target: 600 * time.Millisecond},
+	{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 1.6, TargetLatency: 600 * time.Millisecond},
+	{Name: "second", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 1.6, TargetLatency: 600 * time.Millisecond},
 }
 
 func simSpec(phases ...wire.Phase) wire.JobSpec {
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -25,7 +25,7 @@
 // is refused must not run.
 func (c *Cell) Snapshot() []damsonwinch.Record {
 	var records []damsonwinch.Record
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.withdrawn {
 			records = append(records, e.markRecord(c.now))
 		}
@@ -33,12 +33,12 @@
 	if c.quota.HasAny() {
 		records = append(records, c.allowancesRecord(&sentCommit{}))
 	}
-	c.learnedAt = time.Time{}
+	c.queueStatsRecordedAt = time.Time{}
 	records = append(records, c.learnedRecords()...)
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if j := c.jobs[id]; c.given(j) {
 			// The text isn't in the new stream.
-			j.specSaved = false
+			j.specRecorded = false
 			records = append(records, c.jobRecords(j)...)
 		}
 	}
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -109,22 +109,22 @@
 }
 
 func (o *Owner) start(start cell.Start) {
-	o.calling.Do(func() {
+	o.calling.Go(func() {
 		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.Endpoint, start.Request)
 		o.send(started{endpoint: start.Endpoint.Life, run: start.Request.Run, err: err})
 	})
 }
 
 func (o *Owner) stop(stop cell.Stop) {
-	o.calling.Do(func() {
+	o.calling.Go(func() {
 		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.Endpoint, stop.Request)
 		o.send(stopped{endpoint: stop.Endpoint.Life, run: stop.Request.Run, err: err})
 	})
 }
 
 func (o *Owner) pace(pace cell.Pace) {
-	o.calling.Do(func() {
-		err := o.deps.Endpoints.Pace(o.within(orderTimeout), pace.At, pace.Order)
+	o.calling.Go(func() {
+		err := o.deps.Endpoints.SetSpeed(o.within(orderTimeout), pace.At, pace.Order)
 		o.send(paced{endpoint: pace.At.Life, run: pace.Order.Run, err: err})
 	})
 }
@@ -141,8 +141,8 @@
 }
 
 func (o *Owner) look(look cell.Poll) {
-	o.calling.Do(func() {
-		found, err := o.deps.Endpoints.Look(o.within(look.Request.Wait+lookMargin), look.Endpoint, look.Request)
+	o.calling.Go(func() {
+		found, err := o.deps.Endpoints.Poll(o.within(look.Request.MaxWait+lookMargin), look.Endpoint, look.Request)
 		o.send(looked{endpoint: look.Endpoint.Life, number: look.Number, look: found, err: err})
 	})
 }
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -45,7 +45,7 @@
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
 	// SuspendedTime tells of suspensions of the machine.
-	SuspendedTime damsonwinch.Slept
+	SuspendedTime damsonwinch.SuspendedTime
 	// Sync asks the owner of a cell.
 	Sync func(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error)
 	// OnFirstBoxList is told how many boxes the first list that was read has.
@@ -215,7 +215,7 @@
 // and what this one knows of boxes is old. It gives no order any more.
 func (p *Planner) awake() error {
 	slept := p.deps.SuspendedTime.Total() - p.sleptBefore
-	if slept < damsonwinch.NegligibleSleep {
+	if slept < damsonwinch.NegligibleSuspension {
 		return nil
 	}
 	p.deps.Logger.WithField("slept_ms", slept.Milliseconds()).Warn("planning given up: the machine was suspended")
@@ -287,7 +287,7 @@
 		p.deps.Logger.WithError(m.err).WithFields(fields).Warn("order on box not carried out")
 	}
 	p.supply.Ordered(now, m.order, m.err)
-	if errors.Is(m.err, damsonwinch.ErrOldToken) {
+	if errors.Is(m.err, damsonwinch.ErrStaleToken) {
 		p.deps.Logger.Warn("planning lost: a newer planner has ordered")
 		p.cancel()
 	}
@@ -342,7 +342,7 @@
 // order gives a recorded order.
 func (p *Planner) order(order supply.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
-	holder := damsonwinch.Holder{Node: p.options.Node, Token: p.options.Token}
+	holder := damsonwinch.Issuer{Node: p.options.Node, Token: p.options.Token}
 	p.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, callTimeout)
 		defer cancel()
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -246,9 +246,9 @@
 
 // WithTasks returns the demand with count more tasks, each of which needs the given resources.
 func (d Demand) WithTasks(need damsonwinch.Resources, count int) Demand {
-	d.Total = d.Total.Plus(damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count})
+	d.Total = d.Total.Plus(damsonwinch.Resources{MilliCPU: need.MilliCPU * count, MemoryMB: need.MemoryMB * count, GPUs: need.GPUs * count})
 	d.Largest = damsonwinch.Resources{
-		CPU: max(d.Largest.CPU, need.CPU), MemoryMB: max(d.Largest.MemoryMB, need.MemoryMB), GPU: max(d.Largest.GPU, need.GPU),
+		MilliCPU: max(d.Largest.MilliCPU, need.MilliCPU), MemoryMB: max(d.Largest.MemoryMB, need.MemoryMB), GPUs: max(d.Largest.GPUs, need.GPUs),
 	}
 	return d
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -185,7 +185,7 @@
 	reply := wire.SyncReply{Known: true}
 	var demands map[string]Demand
 	if i == 0 && waiting > 0 {
-		demands = map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: 1}, waiting)}
+		demands = map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{MilliCPU: 1}, waiting)}
 	}
 	cell.Report(ownerToken, demands, &reply)
 	return reply
@@ -216,10 +216,10 @@
 // running tasks fit under it, nothing starts anywhere, not even in a cell that runs nothing.
 func TestNothingStartsWhileLoweredCapIsExceeded(t *testing.T) {
 	a, cells := allocatedCells(t)
-	running := damsonwinch.Resources{CPU: 200}
+	running := damsonwinch.Resources{MilliCPU: 200}
 	cells[0].AddRun(simCustomer, running, false)
 	a.Configure(2, customers(100))
-	small := damsonwinch.Resources{CPU: 1}
+	small := damsonwinch.Resources{MilliCPU: 1}
 	for range 5 {
 		syncAll(a, cells, 1000, nil)
 		assert.Assert(t, !cells[0].Allows(simCustomer, small))
@@ -237,7 +237,7 @@
 func TestAllowancesAreRoundedToWholeTasks(t *testing.T) {
 	for _, task := range []int{133, 100, 57, 90, 130} {
 		a, cells := allocatedCells(t)
-		need := damsonwinch.Resources{CPU: task}
+		need := damsonwinch.Resources{MilliCPU: task}
 		running := 0
 		for range 12 {
 			a.MarkRecorded(a.Allocate(time.Time{}))
@@ -284,10 +284,10 @@
 			_, number := cell.Record()
 			cell.MarkRecorded(allocatorToken, number)
 			reply := wire.SyncReply{Known: true}
-			cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{CPU: needs[i]}, 3)}, &reply)
+			cell.Report(ownerToken, map[string]Demand{simCustomer: Demand{}.WithTasks(damsonwinch.Resources{MilliCPU: needs[i]}, 3)}, &reply)
 			a.HandleReply(names[i], allocatorToken, reply)
 		}
-		if cells[3].Allows(simCustomer, damsonwinch.Resources{CPU: needs[3]}) {
+		if cells[3].Allows(simCustomer, damsonwinch.Resources{MilliCPU: needs[3]}) {
 			return
 		}
 	}
@@ -333,7 +333,7 @@
 func BenchmarkRound(b *testing.B) {
 	var all []damsonwinch.Customer
 	for number := range 200 {
-		all = append(all, damsonwinch.Customer{Name: fmt.Sprintf("customer-%d", number), Cap: damsonwinch.Resources{CPU: 1_000_000, MemoryMB: 2_000_000}})
+		all = append(all, damsonwinch.Customer{Name: fmt.Sprintf("customer-%d", number), Cap: damsonwinch.Resources{MilliCPU: 1_000_000, MemoryMB: 2_000_000}})
 	}
 	a := NewAllocator()
 	a.Configure(1, all)
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -46,7 +46,7 @@
 type world struct {
 	random       *rand.Rand
 	now          time.Time
-	agenda       agenda.Agenda
+	agenda       agenda.Queue
 	mutation     mutation
 	injectFaults bool
 	// oversizedPart is the part of tasks that need more than any cap.
@@ -139,7 +139,7 @@
 
 // after runs a function when some time has passed.
 func (w *world) after(length time.Duration, do func()) {
-	w.agenda.At(w.now.Add(length), do)
+	w.agenda.Schedule(w.now.Add(length), do)
 }
 
 // between returns a random time between two bounds.
@@ -160,7 +160,7 @@
 // run runs the simulation until a time, or until the first violation.
 func (w *world) run(until time.Time) {
 	for w.violation == "" {
-		at, do, found := w.agenda.Next(until)
+		at, do, found := w.agenda.PopUntil(until)
 		if !found {
 			break
 		}
@@ -260,7 +260,7 @@
 	for _, r := range c.runs {
 		o.runs = append(o.runs, r)
 		if !w.mutation.newOwnerForgetsRuns {
-			o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+			o.allowances.AddRun(simCustomer, damsonwinch.Resources{MilliCPU: r.need}, false)
 		}
 		if r.ended {
 			// Its endpoint reports that it doesn't have the run.
@@ -290,7 +290,7 @@
 
 // customers returns the customers of a configuration with a cap, 0 for none.
 func customers(limit int) []damsonwinch.Customer {
-	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{CPU: limit}}}
+	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{MilliCPU: limit}}}
 }
 
 // whenAwake runs a function now, or once the owner is no longer frozen.
@@ -334,7 +334,7 @@
 	if o.cell.world.mutation.ignoreLoweredCap {
 		o.allowances.allocatedVersion = max(o.allowances.allocatedVersion, o.allowances.configVersion)
 	}
-	return o.allowances.Allows(simCustomer, damsonwinch.Resources{CPU: need})
+	return o.allowances.Allows(simCustomer, damsonwinch.Resources{MilliCPU: need})
 }
 
 // startRun counts a run, records it and requests its start. The endpoint may carry the request out
@@ -343,7 +343,7 @@
 	w := o.cell.world
 	r := &simRun{need: need, token: o.token}
 	o.runs = append(o.runs, r)
-	o.allowances.AddRun(simCustomer, damsonwinch.Resources{CPU: need}, false)
+	o.allowances.AddRun(simCustomer, damsonwinch.Resources{MilliCPU: need}, false)
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		if o.token != o.cell.token {
 			return // The owner is fenced: the start is never requested.
@@ -366,7 +366,7 @@
 func (o *simOwner) removeRun(r *simRun) {
 	if at := slices.Index(o.runs, r); at >= 0 {
 		o.runs = slices.Delete(o.runs, at, at+1)
-		o.allowances.RemoveRun(simCustomer, damsonwinch.Resources{CPU: r.need}, false)
+		o.allowances.RemoveRun(simCustomer, damsonwinch.Resources{MilliCPU: r.need}, false)
 	}
 }
 
@@ -427,7 +427,7 @@
 	reply := wire.SyncReply{Known: true}
 	demands := map[string]Demand{}
 	if waiting := o.cell.demand - len(o.runs); waiting > 0 {
-		demands[simCustomer] = Demand{}.WithTasks(damsonwinch.Resources{CPU: 5}, waiting).WithTasks(damsonwinch.Resources{CPU: o.cell.nextNeed}, 1)
+		demands[simCustomer] = Demand{}.WithTasks(damsonwinch.Resources{MilliCPU: 5}, waiting).WithTasks(damsonwinch.Resources{MilliCPU: o.cell.nextNeed}, 1)
 	}
 	o.allowances.Report(o.token, demands, &reply)
 	return reply
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -77,15 +77,15 @@
 		if b == nil {
 			b = p.addBox(info.Name)
 		}
-		if b.info.Endpoint != info.Endpoint || b.info.State != info.State || b.info.Pool != info.Pool {
+		if b.info.EndpointID != info.EndpointID || b.info.State != info.State || b.info.Pool != info.Pool {
 			b.upAt = askedAt
 		}
-		if b.info.Endpoint != info.Endpoint || info.State != damsonwinch.BoxUp {
+		if b.info.EndpointID != info.EndpointID || info.State != damsonwinch.BoxUp {
 			b.dropPurpose()
 		}
 		b.info = info
-		if b.life.ID != info.Endpoint {
-			b.life = damsonwinch.Life{ID: info.Endpoint}
+		if b.life.ID != info.EndpointID {
+			b.life = damsonwinch.Life{ID: info.EndpointID}
 		}
 		if b.ordered != nil && info.State != damsonwinch.BoxUp {
 			b.ordered.left = true
@@ -142,7 +142,7 @@
 	if g == nil || askedAt.Before(g.at) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	left := g.left || !b.life.MayBe(g.Endpoint)
+	left := g.left || !b.life.MayBeSame(g.Endpoint)
 	if g.recalled && (left || b.info.Pool == g.Pool) {
 		b.ordered = nil
 		return
@@ -151,7 +151,7 @@
 		return
 	}
 	moved := g.Pool != "" && b.info.Pool == g.Pool
-	maintained := g.Pool == "" && askedAt.Sub(g.at) >= p.options.MaintainTime && (left || b.info.Endpoint == "")
+	maintained := g.Pool == "" && askedAt.Sub(g.at) >= p.options.MaintainTime && (left || b.info.EndpointID == "")
 	if moved || maintained {
 		b.ordered = nil
 	}
@@ -216,9 +216,9 @@
 	case errors.Is(err, damsonwinch.ErrNotInWave):
 		// The wave has changed; what was noted of it stays so.
 		b.ordered = nil
-	case errors.Is(err, damsonwinch.ErrBoxBusy):
+	case errors.Is(err, damsonwinch.ErrBoxNotUp):
 		p.takeBack(b, order)
-	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrStaleToken):
 		// Nothing was done; it is tried again.
 	default:
 		// It may have been done, or be done later. It is repeated until it is
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -24,7 +24,7 @@
 func newLendFleet() *lendFleet {
 	f := &lendFleet{now: time.Unix(1_000_000, 0), layout: shard.NewLayout(lendShards, []string{"held", "short"})}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
-	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", Parking: true}, {Name: "held"}, {Name: "short"}}, f.layout)
+	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, f.layout)
 	return f
 }
 
@@ -37,10 +37,10 @@
 		}
 		count--
 		box := damsonwinch.Box{
-			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 		}
 		if pool != "off" {
-			box.Endpoint = "at-" + name
+			box.EndpointID = "at-" + name
 		}
 		f.boxes = append(f.boxes, box)
 	}
@@ -51,7 +51,7 @@
 	var found []wire.EndpointReport
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			found = append(found, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, Lasting: lasting})
+			found = append(found, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, Lasting: lasting})
 		}
 	}
 	return found
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -92,12 +92,12 @@
 		words := strings.Fields(line)
 		count, err := strconv.Atoi(words[1])
 		assert.NilError(s.t, err)
-		s.pools = append(s.pools, damsonwinch.Pool{Name: words[0], Parking: at == 0})
+		s.pools = append(s.pools, damsonwinch.Pool{Name: words[0], PoweredOff: at == 0})
 		for box := range count {
 			name := fmt.Sprintf("%s-%02d", words[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
-				Name: name, Pool: words[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), Endpoint: "at-" + name,
-				Capacity: damsonwinch.Resources{CPU: scriptCPU, MemoryMB: scriptMemory},
+				Name: name, Pool: words[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), EndpointID: "at-" + name,
+				Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
 			})
 		}
 	}
@@ -130,14 +130,14 @@
 	in := number(s.t, d, "shard")
 	for _, b := range s.boxes {
 		if b.Pool == pool && s.layout.BoxShard(b.Name) == in {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: true, EmptyMs: s.busy[b.Name], Lasting: s.lasting[b.Name]})
 		}
 	}
 	s.planner.SetReport(s.now, shard.CellName(pool, in), reply)
 }
 
 func (s *script) wave(d *datadriven.TestData) {
-	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MostDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
+	wave := damsonwinch.Wave{Number: number(s.t, d, "number"), MaxDown: number(s.t, d, "down"), Duration: time.Duration(number(s.t, d, "s")) * time.Second}
 	for _, given := range d.CmdArgs {
 		for _, b := range s.boxes {
 			if given.Key == "pools" && slices.Contains(given.Vals, b.Pool) {
--- a/store.go
+++ b/store.go
@@ -56,8 +56,8 @@
 	End int
 }
 
-// Partition is one dealt partition of a group.
-type Partition struct {
+// Assignment is one dealt partition of a group.
+type Assignment struct {
 	Stream Stream
 	Member string
 }
@@ -65,8 +65,8 @@
 // Membership is what a member of a group knows after it has joined.
 type Membership struct {
 	Generation int
-	// Mine are the streams that the group has dealt to this member.
-	Mine []Stream
+	// Assigned are the streams that the group has dealt to this member.
+	Assigned []Stream
 }
 
 // JoinRequest asks to join a group or to stay in it.
@@ -85,10 +85,10 @@
 var (
 	// ErrFenced says that a newer epoch has written to the stream.
 	ErrFenced = errors.New("a newer epoch has written")
-	// ErrSequence says that the append doesn't follow the last one of its epoch.
-	ErrSequence = errors.New("out of sequence")
-	// ErrMoved says that somebody else has appended meanwhile.
-	ErrMoved = errors.New("the stream has moved on")
+	// ErrOutOfSequence says that the append doesn't follow the last one of its epoch.
+	ErrOutOfSequence = errors.New("out of sequence")
+	// ErrConflict says that somebody else has appended meanwhile.
+	ErrConflict = errors.New("the stream has moved on")
 	// ErrExpired says that the records asked for are no longer kept.
 	ErrExpired = errors.New("records have expired")
 	// ErrRefused says that the store did nothing and may do so on another try.
@@ -132,6 +132,6 @@
 	Join(ctx context.Context, request JoinRequest) (Membership, error)
 	// Leave leaves a group at once.
 	Leave(ctx context.Context, group, member string) error
-	// Owners returns all dealt partitions of a group.
-	Owners(ctx context.Context, group string) ([]Partition, error)
+	// Assignments returns all dealt partitions of a group.
+	Assignments(ctx context.Context, group string) ([]Assignment, error)
 }
