--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// resetTargetsAtCap sets targets to 0 that are no longer below the cap. A cell whose allowance is
-// the whole cap may start a task that is larger than the cap, so such an allowance stays only where
-// the whole cap was allocated as such, with an unknown limit.
+// resetTargetsAtCap sets to 0 the targets that are not below the cap any more. A cell whose
+// allowance is the whole cap may start a task that is larger than the cap, so such a target stays
+// only where the whole cap was allocated on purpose, with an unknown limit.
 func (c *customerState) resetTargetsAtCap() {
 	for cell, target := range c.targets {
 		for kind, limit := range c.cap {
@@ -198,7 +198,8 @@
 // leases, and the longest lease of the users' endpoints is 10 s.
 const removedCellTime = 40 * time.Second
 
-// HandleReply processes the reply of a cell's owner. token is the allocator's own.
+// HandleReply processes the reply of a cell's owner. token is the allocator's own. Replies of
+// earlier owners are ignored, and so are those that a newer reply has overtaken.
 func (a *Allocator) HandleReply(cell string, token int, reply wire.SyncReply) {
 	if !reply.Known || reply.Token == 0 {
 		return
@@ -311,7 +312,9 @@
 	}
 }
 
-// Summary returns a line for each customer that needs more than its allowances in some cell.
+// Summary returns a line for each customer that some cell has reported. It shows the cap, the sum
+// of the limits, and for each of these cells what it uses, its target, what it wants in addition,
+// and what its largest waiting task needs.
 func (a *Allocator) Summary() []string {
 	var lines []string
 	for _, customer := range slices.Sorted(maps.Keys(a.customers)) {
@@ -319,10 +322,10 @@
 		if len(state.reports) == 0 {
 			continue
 		}
-		line := fmt.Sprintf("%s: cap %s, allocated %s", customer, state.cap, amounts{cpu: state.totalLimit(cpu), memory: state.totalLimit(memory), gpu: state.totalLimit(gpu)})
+		line := fmt.Sprintf("%s: cap %s, dealt %s", customer, state.cap, amounts{cpu: state.totalLimit(cpu), memory: state.totalLimit(memory), gpu: state.totalLimit(gpu)})
 		for _, cell := range slices.Sorted(maps.Keys(state.reports)) {
 			row := state.reports[cell]
-			line += fmt.Sprintf("; %s uses %s of %s, wants %s more, its largest task %s", cell, row.used, state.targets[cell], row.wanted, row.largest)
+			line += fmt.Sprintf("; %s uses %s of %s, wants %s more, %s at once", cell, row.used, state.targets[cell], row.wanted, row.largest)
 		}
 		if state.recordPending {
 			line += "; its record is awaited"
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -324,7 +324,7 @@
 		}
 	}
 	for _, cell := range cellNames {
-		assert.Equal(t, next.customers[simCustomer].limits[cell][cpu], unknown, "the limit of cell %s is unknown", cell)
+		assert.Equal(t, next.customers[simCustomer].limits[cell][cpu], unknown, "the limit of cell %s must be unknown", cell)
 	}
 }
 
