--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -294,7 +294,7 @@
 	}
 }
 
-// plan requests the list of boxes and allocates caps if that is due, decides, and calls all cells' owners.
+// plan requests the list of boxes and allocates caps if due, decides on orders, and calls all cells' owners.
 func (p *Planner) plan() {
 	now := p.deps.Clock.Now()
 	if !p.boxListInFlight && now.Sub(p.boxesRequestedAt) >= boxListInterval {
--- a/pkg/shard/count.go
+++ b/pkg/shard/count.go
@@ -14,10 +14,10 @@
 	milliPerCore = 1000
 )
 
-// ChooseCount returns the number of shards for a fleet with so many boxes and pools. It is the
-// smallest number with which the nodes can carry their load if each owns one cell, or else the number
-// that gives them the smallest load. The weights are the capacities of the nodes in thousandths of a
-// core.
+// ChooseCount returns the number of shards for a fleet, given its numbers of boxes and pools and the
+// capacities of the nodes in thousandths of a core. It is the smallest number with which the strongest
+// nodes, each of which owns one cell, can carry their load. If there is none, it is the number with the
+// smallest load.
 func ChooseCount(boxes, pools int, weights []int) int {
 	if pools == 0 || len(weights) == 0 {
 		return 1
@@ -37,8 +37,8 @@
 	return best
 }
 
-// load returns the load of a node that owns one cell of a fleet with so many shards, as a multiple of
-// what a node of its weight can carry.
+// load returns the load of a node that owns one cell of a fleet with the given number of shards, as a
+// multiple of what a node of the given weight can carry.
 func load(boxes, shards, weight int) float64 {
 	busy := float64(boxes) * busyPercent / 100 / float64(shards)
 	return busy / (float64(max(1, weight)) * boxesPerCore / milliPerCore)
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -34,7 +34,7 @@
 	report *wire.EndpointReport
 	// planned is the order for which the endpoint is being withdrawn; nil for none.
 	planned *plannedOrder
-	// issued is the order that has been given and whose effect has not been seen yet; nil for none.
+	// issued is the order that has been decided and whose effect has not been seen yet; nil for none.
 	issued *issuedOrder
 	// inheritedAt is when an earlier planner recorded its newest order on the box.
 	inheritedAt time.Time
@@ -52,7 +52,8 @@
 	pool  string
 	shard int
 	// wave is the wave of the maintenance; 0 for a move.
-	wave  int
+	wave int
+	// since is when the withdrawal of the endpoint started.
 	since time.Time
 	// urgent has the running tasks stopped instead of waited for.
 	urgent bool
@@ -65,7 +66,7 @@
 	// updatedAt is when the order was decided, and later when the platform accepted it. Only a
 	// list of boxes that was requested after it can show the effect.
 	updatedAt time.Time
-	// answered says that the platform has accepted the order.
+	// answered says that the platform has accepted the order. Until then it is sent again.
 	answered bool
 	// inherited says that an earlier planner recorded the order.
 	inherited bool
@@ -137,7 +138,7 @@
 	}
 }
 
-// cellName returns the name of the cellName that has the box now.
+// cellName returns the name of the cell to which the box belongs now.
 func (b *box) cellName() string {
 	return shard.CellName(b.info.Pool, b.shard)
 }
--- a/pkg/supply/moves.go
+++ b/pkg/supply/moves.go
@@ -50,7 +50,8 @@
 	return worst, worstMissing
 }
 
-// longRunningPriority puts a box for a long-running task before all other shares, which are lower.
+// longRunningPriority is added to the share that a cell lacks for each box that its long-running tasks
+// lack. All shares without it are lower.
 const longRunningPriority = 1_000_000
 
 // longRunningWait is how long a cell lacks boxes for its long-running tasks before cells of all
@@ -127,9 +128,9 @@
 
 // bestSpareBox returns the best box for a cell among those of other pools: boxes that cells of the
 // same shard can spare, and boxes of any shard that are being withdrawn to be powered off. It
-// returns nil if there is none. How much a cell gives up is computed for it and one receiver alone.
-// When the cells of all shards took boxes from one cell, each of them left it only its share
-// between those two.
+// returns nil if there is none. Boxes of other shards aren't taken because the number that the donor
+// keeps is computed for it and one receiver alone: when the cells of all shards took boxes from one
+// donor, each of them left it only the donor's share of those two cells' boxes.
 func (p *Planner) bestSpareBox(cellName string) *box {
 	var choice cheapest
 	receiver := p.cells[cellName]
@@ -149,8 +150,8 @@
 }
 
 // mayDonate says whether a cell gives a box to another one. If the receiver has lacked boxes for its
-// long-running tasks for longRunningWait, cells of all shards give what they need neither for their
-// own long-running tasks nor to survive the loss of a box.
+// long-running tasks for longRunningWait, cells of all shards keep only what their own long-running
+// tasks need and what they need to survive the loss of a box.
 func (p *Planner) mayDonate(donor, receiver *cell) bool {
 	if p.longRunningShortage(receiver) > 0 && p.now.Sub(receiver.shortSince) >= longRunningWait && p.boxCount(donor.name) > max(donor.requiredLongRunning, donor.minBoxes()) {
 		return true
@@ -172,12 +173,12 @@
 	return p.isAvailable(b) && b.report != nil && b.report.Usable && b.report.Lasting == 0
 }
 
-// minRetained returns how many boxes a cell keeps when another one asks for boxes. If the receiver
-// lacks boxes for on-time work, or its jobs have much less slack, the donor keeps what it needs for
-// on-time work or, if less, its fair share; otherwise it keeps what it needs for all its work. Its
-// peaks don't count: when they did and demand turned to another pool, that pool's jobs waited for
-// seconds beside idle boxes. This rule raises the score of a simulated day with one fault by some
-// 0.016, on a scale of 0 to 1.
+// minRetained returns how many boxes a cell keeps when another one needs boxes. If the receiver lacks
+// boxes for on-time work, or its slack is smaller by donorSlackFactor, the donor keeps what it needs for
+// on-time work or, if less, its fair share; otherwise it keeps what it needs for all its work. Its peaks
+// don't count: when they did and demand moved to another pool, that pool's jobs waited for seconds
+// beside idle boxes. This rule raises the score of a simulated day with one fault by some 0.016, on a
+// scale of 0 to 1.
 func (p *Planner) minRetained(donor, receiver *cell) int {
 	required := max(donor.required, int(math.Round(donor.meanRequired)))
 	if receiver.requiredOnTime > p.boxCount(receiver.name) || donor.slack() >= donorSlackFactor*receiver.slack() {
@@ -197,8 +198,8 @@
 	return int(math.Ceil(both * keeps / (keeps + receives) * fairShareMargin))
 }
 
-// fairShareMargin multiplies the share that a cell keeps of its own and the receiver's boxes: two
-// moves cost about six seconds of a box.
+// fairShareMargin is the factor by which a cell keeps more than its share of its own and the receiver's
+// boxes, since two moves cost about six seconds of a box's time.
 const fairShareMargin = 1.25
 
 // isPoweredOff says whether a pool's boxes are powered off.
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -20,8 +20,8 @@
 	// cpuHeadroomPercent is what a pool gets beyond the CPU that arriving work needs: work arrives
 	// unevenly, and tasks can't be packed onto boxes without unused cores.
 	cpuHeadroomPercent = 45
-	// donorSlackFactor is how many times the slack of another pool a pool must have to give that
-	// pool the boxes that it doesn't use at the moment.
+	// donorSlackFactor is the ratio of a pool's slack to another pool's from which the first pool
+	// gives the other one boxes that it doesn't use at the moment.
 	donorSlackFactor = 2
 	// memoryFactorPercent is the memory that a pool gets for each 100 % that its tasks need, for
 	// the same reasons as cpuHeadroomPercent.
@@ -41,8 +41,8 @@
 	// away. The number of waiting tasks changes within 0.1 s, and a box that is given away and
 	// taken back serves nobody for about five seconds.
 	averagingTime = 600 * time.Millisecond
-	// minBoxesPerPool is the number of boxes with which a pool survives the loss of a box or a
-	// zone.
+	// minBoxesPerPool is the number of boxes that a pool keeps even without work, so that it survives
+	// the loss of a box or a zone.
 	minBoxesPerPool = 2
 	// busyPercent is the CPU utilization of a pool from which late jobs without a running task
 	// wait for those that have one. Below it, each of them gets capacity for a task: the pool's
@@ -68,7 +68,8 @@
 	reportIsNew bool
 	// required is how many boxes the cell should have now.
 	required int
-	// peaks are the highest steady demands in the recent past, for which the cell keeps boxes.
+	// peaks are the highest steady demands in the recent past, for which the cell keeps boxes. Steady
+	// demand leaves out the expected further rise of the load.
 	peaks []peak
 	// requiredOnTime is how many boxes the present work takes that can still be done on time. Late
 	// work doesn't count: when it did, a pool kept 39 of 49 boxes for 10 s after a burst for late
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -57,7 +57,8 @@
 	Restore []string
 	// Exited are endpoints that have certainly exited.
 	Exited []string
-	// DueForMaintenance are endpoints whose boxes are still to be maintained in a wave.
+	// DueForMaintenance are endpoints whose boxes are still to be maintained in a wave: a long-running
+	// task that starts there will have to move again.
 	DueForMaintenance []string
 }
 
@@ -85,7 +86,7 @@
 	boxesRequestedAt time.Time
 	// orders are the orders issued by the call of Plan in progress.
 	orders []Order
-	// shortages say, by cell, which boxes are needed that no other cell can give.
+	// shortages say, by cell name, how many boxes a cell lacks that no other cell can give.
 	shortages map[string]string
 }
 
@@ -192,14 +193,14 @@
 	return exited
 }
 
-// Shortages returns, by cell name, a text for operators on boxes that the cell needs and that no
-// other cell can give. The map changes with the next call of Plan.
+// Shortages returns, by cell name, a text for operators on the boxes that the cell lacks and that no
+// other cell can give. The next call of Plan changes the map.
 func (p *Planner) Shortages() map[string]string {
 	return p.shortages
 }
 
-// updateLife sets the life on a box to the one that its cell has reported. It returns whether the
-// box has changed its shard by that.
+// updateLife sets the life on a box to the one that its cell has reported. It returns whether that
+// changes the shard of the box.
 func (p *Planner) updateLife(b *box, life damsonwinch.Life) bool {
 	if life == b.life {
 		return false
