--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -60,7 +60,7 @@
 
 // TestLongRunningTasksGetBoxesBeforeBacklog guards against a cell's large backlog taking the box that
 // a long-running task of another cell needs. A cell lacked one of the 14 boxes for its long-running
-// tasks while other cells had 29 of the 320 for their backlog. Those counted as shorter of boxes and
+// tasks while other cells had 29 of the 320 boxes for their backlog. Those counted as shorter and
 // got each box that became free, and the long-running task didn't run for 13 s.
 func TestLongRunningTasksGetBoxesBeforeBacklog(t *testing.T) {
 	for name, poweredOff := range map[string]int{"with a powered-off box": 1, "with a box of the backlog's cell": 0} {
