--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -103,7 +103,7 @@
 	sent := &sentCommit{number: w.number, at: c.now, starts: w.starts, replies: w.replies, withdrawn: w.withdrawn, shown: map[*job]wire.JobState{}}
 	records := c.compose(sent)
 	for _, e := range w.ends {
-		sent.seen = append(sent.seen, seenEnds{at: e, number: e.seen})
+		sent.seen = append(sent.seen, seenEnds{at: e, number: e.appliedSequence})
 	}
 	clear(w.dirty)
 	w.dropped, w.marks, w.ends, w.starts, w.replies, w.withdrawn, w.allowances = nil, nil, nil, nil, nil, nil, false
@@ -172,7 +172,7 @@
 		j.recorded, j.shown = true, state
 	}
 	for _, seen := range sent.seen {
-		seen.at.recorded = max(seen.at.recorded, seen.number)
+		seen.at.recordedSequence = max(seen.at.recordedSequence, seen.number)
 		c.schedulePoll(seen.at)
 	}
 	for _, e := range sent.withdrawn {
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -13,13 +13,13 @@
 	zone *zone
 	// listed says that the registry has its entry now.
 	listed bool
-	// lookDue says that the cell is to see whether a look is due.
-	lookDue bool
+	// pollDue says that the cell is to see whether a look is due.
+	pollDue bool
 	// room is the number of whole free cores by which it stands in the cell's rooms,
-	// at the index roomAt, if roomed.
-	roomed bool
-	room   int
-	roomAt int
+	// at the index roomAt, if indexed.
+	indexed   bool
+	bucket    int
+	bucketPos int
 	// attached says that it has answered a look under this owner's token: older
 	// owners can't order there any more, and all its runs are known.
 	attached bool
@@ -41,42 +41,42 @@
 	// run: the room that they take until they have ended isn't known.
 	strayRuns int
 	lastBusy  time.Time
-	// clockSample is its clock, in milliseconds, in an answer that came at clockAt.
-	clockSample int
-	clockAt     time.Time
-	// leaseBound is when all that runs there has lapsed for certain, unless the
+	// clockSampleMs is its clock, in milliseconds, in an answer that came at clockAt.
+	clockSampleMs  int
+	clockSampledAt time.Time
+	// leasesExpireBy is when all that runs there has lapsed for certain, unless the
 	// endpoint is heard of before.
-	leaseBound time.Time
-	looks      looks
-	// lapses are attempts there of which it isn't known how they ended.
-	lapses []lapse
-	// wantLook asks for a look that doesn't wait.
-	wantLook bool
-	// seen is the highest end that has been taken into the state, and recorded the
+	leasesExpireBy time.Time
+	polls          polls
+	// lapsedAttempts are attempts there of which it isn't known how they ended.
+	lapsedAttempts []lapse
+	// pollWanted asks for a look that doesn't wait.
+	pollWanted bool
+	// appliedSequence is the highest end that has been taken into the state, and recorded the
 	// highest one in the stream.
-	seen     int
-	recorded int
+	appliedSequence  int
+	recordedSequence int
 	// silent says that the last look was not answered, since silentAt, and broke that it broke
 	// off while it waited: whatever ended the endpoint, it was then.
-	silent   bool
-	silentAt time.Time
-	broke    bool
+	silent      bool
+	silentSince time.Time
+	pollBroken  bool
 	// silentStep is the step at silentAt.
 	silentStep int
-	// heardAt is when it last answered a call.
-	heardAt time.Time
-	// trial is the run that is on trial there, and promised the task that is to be started on
-	// trial there next: no other starts meanwhile.
-	trial    *run
-	promised *task
+	// lastAnsweredAt is when it last answered a call.
+	lastAnsweredAt time.Time
+	// probation is the run that is on probation there, and promised the task that is to be started on
+	// probation there next: no other starts meanwhile.
+	probation   *run
+	reservedFor *task
 	// overdue says that it has left a call unanswered for longer than usual.
 	overdue      bool
 	backoffUntil time.Time
 	health       health
-	// pacedAt is when the speed of a task there was last changed, and calmSince
+	// speedChangedAt is when the speed of a task there was last changed, and calmSince
 	// since when what serves there is far from its target.
-	pacedAt   time.Time
-	calmSince time.Time
+	speedChangedAt time.Time
+	lowTailSince   time.Time
 }
 
 // usable says whether new work may be ordered there.
@@ -89,9 +89,9 @@
 	return e.info.Capacity.Minus(e.used)
 }
 
-// clock returns the endpoint's clock as it should be now, in milliseconds.
-func (e *endpoint) clock(now time.Time) int {
-	return e.clockSample + int(now.Sub(e.clockAt).Milliseconds())
+// estimateClock returns the endpoint's estimateClock as it should be now, in milliseconds.
+func (e *endpoint) estimateClock(now time.Time) int {
+	return e.clockSampleMs + int(now.Sub(e.clockSampledAt).Milliseconds())
 }
 
 // hasLabel says whether a task that asks for a label may run there.
@@ -112,27 +112,27 @@
 	}
 	e := &endpoint{info: damsonwinch.Endpoint{Life: life}, runs: map[damsonwinch.Run]*run{}, lastBusy: c.now}
 	// An older owner may have prolonged leases until it noticed that it was one.
-	e.leaseBound = c.now.Add(c.options.RenewalGrace + slack(c.options.MaxLease))
+	e.leasesExpireBy = c.now.Add(c.options.RenewalGrace + withClockSlack(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.settleIn(e)
-	c.ranked = slices.Insert(c.ranked, c.rankOf(life), e)
+	c.ranked = slices.Insert(c.ranked, c.indexOfLife(life), e)
 	return e
 }
 
-func slack(lease time.Duration) time.Duration {
+func withClockSlack(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * clockSlack)
 }
 
 // leaseMargin is added to every bound of a lease, for rounding and scheduling.
 const leaseMargin = 200 * time.Millisecond
 
-// prolong notes that an order may keep runs alive until a moment of the
+// extendLeaseBound notes that an order may keep runs alive until a moment of the
 // endpoint's clock.
-func (c *Cell) prolong(e *endpoint, until int) {
-	left := time.Duration(until-e.clockSample) * time.Millisecond
-	bound := e.clockAt.Add(slack(left) + leaseMargin)
-	if bound.After(e.leaseBound) {
-		e.leaseBound = bound
+func (c *Cell) extendLeaseBound(e *endpoint, until int) {
+	left := time.Duration(until-e.clockSampleMs) * time.Millisecond
+	bound := e.clockSampledAt.Add(withClockSlack(left) + leaseMargin)
+	if bound.After(e.leasesExpireBy) {
+		e.leasesExpireBy = bound
 	}
 }
 
@@ -163,14 +163,14 @@
 	c.sweepEndpoints()
 }
 
-// lapseTime is how long an endpoint whose entry has gone may come back and tell how attempts
+// lapsedResultWait is how long an endpoint whose entry has gone may come back and tell how attempts
 // there have ended, once their leases have run out. The users' cuts last up to 14 s.
-const lapseTime = 15 * time.Second
+const lapsedResultWait = 15 * time.Second
 
 // sweepEndpoints forgets endpoints that are neither listed nor hold a run.
 func (c *Cell) sweepEndpoints() {
 	c.ranked = slices.DeleteFunc(c.ranked, func(e *endpoint) bool {
-		if e.listed || len(e.runs) > 0 || len(e.lapses) > 0 && !e.exited && c.now.Before(e.leaseBound.Add(lapseTime)) {
+		if e.listed || len(e.runs) > 0 || len(e.lapsedAttempts) > 0 && !e.exited && c.now.Before(e.leasesExpireBy.Add(lapsedResultWait)) {
 			return false
 		}
 		c.forgetLapses(e)
@@ -218,11 +218,11 @@
 // have run out.
 func (c *Cell) expireLeases() {
 	for _, e := range c.ranked {
-		if len(e.runs) == 0 || !e.exited && e.attached && !e.silent || !c.now.After(e.leaseBound) {
+		if len(e.runs) == 0 || !e.exited && e.attached && !e.silent || !c.now.After(e.leasesExpireBy) {
 			continue
 		}
 		if e.exited {
-			c.freeKept(e)
+			c.dropKeptRuns(e)
 			continue
 		}
 		c.noteEndpoint("leases lapsed", e, "out of reach")
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -30,7 +30,7 @@
 		t.saved = end.Checkpoint
 	}
 	c.removeRun(r)
-	c.learn(r, end.How)
+	c.recordResult(r, end.How)
 	switch {
 	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.inherited && !r.resumed {
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -12,54 +12,54 @@
 	// healthy endpoints fail two in a thousand, and tasks that fail everywhere are
 	// not counted.
 	failuresToEject = 2
-	// firstEjection is how long an endpoint gets no new work at first; each time in
+	// minEjection is how long an endpoint gets no new work at first; each time in
 	// a row doubles it, up to mostEjection. The troubles that the users name last
 	// five to seven seconds.
-	firstEjection = 2 * time.Second
-	mostEjection  = 8 * time.Second
-	// ejectedShare is the most that may be ejected of a cell's endpoints, in
+	minEjection = 2 * time.Second
+	maxEjection = 8 * time.Second
+	// maxEjectedPercent is the most that may be ejected of a cell's endpoints, in
 	// percent: when more seem unwell, something else is the cause.
-	ejectedShare = 34
-	// fewEndpoints is the number of endpoints from which that share is taken when
+	maxEjectedPercent = 34
+	// minEjectionBase is the number of endpoints from which that share is taken when
 	// there are fewer: one may be ejected then, as long as another is left.
-	fewEndpoints = 3
-	// stillTime is how long no task of an endpoint may have got on for it to count
+	minEjectionBase = 3
+	// stallTime is how long no task of an endpoint may have got on for it to count
 	// as standing still.
-	stillTime = 1200 * time.Millisecond
-	// slowTimes is how many times as long as expected the tasks of an endpoint must
+	stallTime = 1200 * time.Millisecond
+	// slowFactor is how many times as long as expected the tasks of an endpoint must
 	// take for it to count as slow, and slowEvidence how far that must be beyond
 	// chance: the square of the number of standard deviations.
-	slowTimes    = 2.5
-	slowEvidence = 16
-	// signTime is how long a sign of a task's pace counts.
-	signTime = 3 * time.Second
+	slowFactor            = 2.5
+	slowSquaredDeviations = 16
+	// progressSampleTime is how long a sign of a task's pace counts.
+	progressSampleTime = 3 * time.Second
 )
 
 // health is what is known of how an endpoint does its work.
 type health struct {
-	// failures counts failed tasks since the last one that was done.
-	failures int
-	// ejections counts ejections in a row.
-	ejections int
-	until     time.Time
-	// onTrial says that an ejected endpoint is given one task at a time until one
+	// consecutiveFailures counts failed tasks since the last one that was done.
+	consecutiveFailures int
+	// consecutiveEjections counts consecutiveEjections in a row.
+	consecutiveEjections int
+	ejectedUntil         time.Time
+	// probing says that an ejected endpoint is given one task at a time until one
 	// is done.
-	onTrial bool
-	// signs tell how fast its tasks get on.
-	signs []sign
+	probing bool
+	// progressSamples tell how fast its tasks get on.
+	progressSamples []sign
 }
 
 // healthAllows says whether an endpoint may be given new work, as far as its health goes.
 func (c *Cell) healthAllows(e *endpoint) bool {
 	h := &e.health
-	if c.now.Before(h.until) {
+	if c.now.Before(h.ejectedUntil) {
 		return false
 	}
-	return !h.onTrial || e.shortRuns() == 0
+	return !h.probing || e.countShortRuns() == 0
 }
 
-// shortRuns counts the runs that end by themselves.
-func (e *endpoint) shortRuns() int {
+// countShortRuns counts the runs that end by themselves.
+func (e *endpoint) countShortRuns() int {
 	count := 0
 	for _, r := range e.runs {
 		if !r.task.phase.spec.Lasting {
@@ -69,15 +69,15 @@
 	return count
 }
 
-// learn takes what the end of a run tells of its endpoint.
-func (c *Cell) learn(r *run, how damsonwinch.Ending) {
+// recordResult takes what the end of a run tells of its endpoint.
+func (c *Cell) recordResult(r *run, how damsonwinch.Ending) {
 	h := &r.endpoint.health
 	switch how {
 	case damsonwinch.EndedDone:
-		if h.onTrial {
+		if h.probing {
 			c.noteEndpoint("endpoint well again", r.endpoint, "")
 		}
-		h.failures, h.ejections, h.onTrial = 0, 0, false
+		h.consecutiveFailures, h.consecutiveEjections, h.probing = 0, 0, false
 	case damsonwinch.EndedFailed:
 		if r.task.phase.spec.Lasting {
 			return
@@ -86,8 +86,8 @@
 			// It failed elsewhere, too: the task is to blame.
 			return
 		}
-		h.failures++
-		if h.failures >= failuresToEject {
+		h.consecutiveFailures++
+		if h.consecutiveFailures >= failuresToEject {
 			c.eject(r.endpoint, "tasks fail there")
 		}
 	}
@@ -97,71 +97,71 @@
 // without it.
 func (c *Cell) eject(e *endpoint, why string) bool {
 	h := &e.health
-	if c.now.Before(h.until) || !c.mayEject() {
+	if c.now.Before(h.ejectedUntil) || !c.canEject() {
 		return false
 	}
-	h.until = c.now.Add(min(mostEjection, firstEjection<<min(h.ejections, 4)))
-	h.ejections++
-	h.onTrial = true
-	h.failures, h.signs = 0, nil
+	h.ejectedUntil = c.now.Add(min(maxEjection, minEjection<<min(h.consecutiveEjections, 4)))
+	h.consecutiveEjections++
+	h.probing = true
+	h.consecutiveFailures, h.progressSamples = 0, nil
 	c.stats.Ejections++
 	c.noteEndpoint("endpoint ejected", e, why)
 	return true
 }
 
-// mayEject says whether the cell can do without one more endpoint.
-func (c *Cell) mayEject() bool {
+// canEject says whether the cell can do without one more endpoint.
+func (c *Cell) canEject() bool {
 	out, all := 0, 0
 	for _, e := range c.ranked {
 		if !e.usable() {
 			continue
 		}
 		all++
-		if c.now.Before(e.health.until) {
+		if c.now.Before(e.health.ejectedUntil) {
 			out++
 		}
 	}
-	return out+1 < all && (out+1)*100 <= max(all, fewEndpoints)*ejectedShare
+	return out+1 < all && (out+1)*100 <= max(all, minEjectionBase)*maxEjectedPercent
 }
 
-// judge draws conclusions from how far the tasks of an endpoint get.
-func (c *Cell) judge(e *endpoint) {
-	if c.standsStill(e) {
+// checkProgress draws conclusions from how far the tasks of an endpoint get.
+func (c *Cell) checkProgress(e *endpoint) {
+	if c.isStalled(e) {
 		if c.eject(e, "its tasks stand still") {
-			c.rescue(e, 0)
+			c.moveRunsAway(e, 0)
 		}
 		return
 	}
-	if times := e.health.slowness(c.now); times >= slowTimes && c.eject(e, "its tasks are slow") {
-		c.rescue(e, times)
+	if times := e.health.slowness(c.now); times >= slowFactor && c.eject(e, "its tasks are slow") {
+		c.moveRunsAway(e, times)
 	}
 }
 
-// standsStill says whether an endpoint has tasks and none has got on for a while.
-func (c *Cell) standsStill(e *endpoint) bool {
+// isStalled says whether an endpoint has tasks and none has got on for a while.
+func (c *Cell) isStalled(e *endpoint) bool {
 	tasks := 0
 	for _, r := range e.runs {
 		if r.task.phase.spec.Lasting || r.state != runConfirmed || r.stopping || r.percent >= wholePercent {
 			continue
 		}
 		tasks++
-		if c.now.Sub(r.pace.movedAt) < stillTime+c.options.RestoreTime {
+		if c.now.Sub(r.pace.movedAt) < stallTime+c.options.RestoreTime {
 			return false
 		}
 	}
 	return tasks > 0 && !e.silent
 }
 
-// rescue runs the tasks of an unwell endpoint elsewhere, where that is sooner. It
+// moveRunsAway runs the tasks of an unwell endpoint elsewhere, where that is sooner. It
 // takes so many times as long there, or for ever when times is 0.
-func (c *Cell) rescue(e *endpoint, times float64) {
+func (c *Cell) moveRunsAway(e *endpoint, times float64) {
 	c.copyRuns(e)
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed || r.task.phase.spec.Lasting || r.task.phase.spec.Copies || !c.fitsElsewhere(r) {
 			continue
 		}
 		here := r.remainingMs()
-		if times > 0 && here > 0 && here < c.elsewhereMs(r, here/times) {
+		if times > 0 && here > 0 && here < c.restartElsewhereMs(r, here/times) {
 			continue
 		}
 		c.stop(r, "its endpoint is unwell")
@@ -173,16 +173,16 @@
 // are, and come to nothing if they are stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
 	for _, e := range c.ranked {
-		if e != r.endpoint && e.usable() && !c.now.Before(e.health.until) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
+		if e != r.endpoint && e.usable() && !c.now.Before(e.health.ejectedUntil) && e.info.Capacity.Minus(e.lastingNeed()).Holds(r.task.phase.need()) {
 			return true
 		}
 	}
 	return false
 }
 
-// elsewhereMs estimates how long a run would take on another endpoint, where what
+// restartElsewhereMs estimates how long a run would take on another endpoint, where what
 // is left of it here takes leftMs.
-func (c *Cell) elsewhereMs(r *run, leftMs float64) float64 {
+func (c *Cell) restartElsewhereMs(r *run, leftMs float64) float64 {
 	stop := float64(c.options.MaxStopTime.Milliseconds())
 	if r.task.phase.spec.Checkpoints {
 		return stop + float64(c.options.RestoreTime.Milliseconds()) + leftMs
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -23,7 +23,7 @@
 // failed.
 func (c *Cell) lapsed(r *run) {
 	c.stats.RunsLapsed++
-	r.endpoint.lapses = append(r.endpoint.lapses, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.endpoint.heardAt)})
+	r.endpoint.lapsedAttempts = append(r.endpoint.lapsedAttempts, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.endpoint.lastAnsweredAt)})
 	r.task.lapses++
 	c.again(r)
 }
@@ -31,22 +31,22 @@
 // takeLapse takes note of the end of an attempt that was taken to have lapsed, and says
 // whether it was one.
 func (c *Cell) takeLapse(e *endpoint, end damsonwinch.Finished) bool {
-	at := slices.IndexFunc(e.lapses, func(l lapse) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
+	at := slices.IndexFunc(e.lapsedAttempts, func(l lapse) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
 	if at < 0 {
 		return false
 	}
-	c.dropLapse(e.lapses[at])
-	e.lapses = slices.Delete(e.lapses, at, at+1)
+	c.dropLapse(e.lapsedAttempts[at])
+	e.lapsedAttempts = slices.Delete(e.lapsedAttempts, at, at+1)
 	return true
 }
 
 // forgetLapses drops the attempts whose ends an endpoint has not listed, or never will: they
 // are known not to have failed, or not to count.
 func (c *Cell) forgetLapses(e *endpoint) {
-	for _, l := range e.lapses {
+	for _, l := range e.lapsedAttempts {
 		c.dropLapse(l)
 	}
-	e.lapses = nil
+	e.lapsedAttempts = nil
 }
 
 func (c *Cell) dropLapse(l lapse) {
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, e := range c.ranked {
-		for _, l := range e.lapses {
+		for _, l := range e.lapsedAttempts {
 			if row, known := rows[l.task]; known && l.task.phase.job() == j {
 				record.Lapsed = append(record.Lapsed, []int{row, l.attempt, placeOf(e, record)})
 			}
@@ -88,7 +88,7 @@
 		}
 		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
 			e := c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[row[2]]))
-			e.lapses = append(e.lapses, lapse{task: t, attempt: row[1]})
+			e.lapsedAttempts = append(e.lapsedAttempts, lapse{task: t, attempt: row[1]})
 			t.lapses++
 		}
 	}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -7,15 +7,15 @@
 	"damsonwinch"
 )
 
-// rankOf returns the place of a life among those known, which are in the order of their names.
-func (c *Cell) rankOf(life damsonwinch.Life) int {
+// indexOfLife returns the place of a life among those known, which are in the order of their names.
+func (c *Cell) indexOfLife(life damsonwinch.Life) int {
 	at, _ := slices.BinarySearchFunc(c.ranked, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
 	return at
 }
 
 // livesWithID returns the lives that are known under an ID.
 func (c *Cell) livesWithID(id string) []*endpoint {
-	from := c.rankOf(damsonwinch.Life{ID: id, Born: math.MinInt})
+	from := c.indexOfLife(damsonwinch.Life{ID: id, Born: math.MinInt})
 	to := from
 	for to < len(c.ranked) && c.ranked[to].info.Life.ID == id {
 		to++
@@ -28,20 +28,20 @@
 	return e.exited && len(c.livesWithID(e.info.Life.ID)) > 1
 }
 
-// answeredUnder returns the step at which the newest look was sent that a life under an ID has
+// lastAnsweredStep returns the step at which the newest look was sent that a life under an ID has
 // answered. Which life is there now is told by that, not by when they were born: a box's clock
 // may have been set back in between.
-func (c *Cell) answeredUnder(id string) int {
+func (c *Cell) lastAnsweredStep(id string) int {
 	newest := 0
 	for _, e := range c.livesWithID(id) {
-		newest = max(newest, e.looks.answered)
+		newest = max(newest, e.polls.answeredStep)
 	}
 	return newest
 }
 
-// answering returns the life that has answered a look at e, nil if that one is known to have
+// answeringLife returns the life that has answered a look at e, nil if that one is known to have
 // ended.
-func (c *Cell) answering(e *endpoint, sent *sentLook, born int) *endpoint {
+func (c *Cell) answeringLife(e *endpoint, sent *sentPoll, born int) *endpoint {
 	life := e.info.Life.WithBorn(born)
 	if life.MayBe(e.info.Life) {
 		return e
@@ -55,15 +55,15 @@
 		c.settleIn(there)
 	}
 	if there.exited {
-		c.lookFailed(e, sent, errEndedLife)
+		c.pollFailed(e, sent, errExitedLife)
 		return nil
 	}
 	return there
 }
 
-// followLives ends the other lives under the ID of one that has answered a look, which was sent
+// supersedeOtherLives ends the other lives under the ID of one that has answered a look, which was sent
 // at a step.
-func (c *Cell) followLives(there *endpoint, look damsonwinch.Look, sentAt int) {
+func (c *Cell) supersedeOtherLives(there *endpoint, look damsonwinch.Look, sentAt int) {
 	for _, earlier := range c.livesWithID(there.info.Life.ID) {
 		if earlier == there {
 			continue
@@ -75,7 +75,7 @@
 			case r.state == runPending:
 				// The commit takes it back.
 			case moved(r):
-				c.handOn(r, there)
+				c.moveRunTo(r, there)
 			default:
 				c.notThere(r)
 			}
@@ -100,9 +100,9 @@
 		slices.ContainsFunc(look.Finished, func(end damsonwinch.Finished) bool { return end.Run == r.id() })
 }
 
-// handOn has a run be at a later life under the ID of its own, as one of which it must be found
+// moveRunTo has a run be at a later life under the ID of its own, as one of which it must be found
 // out whether it is there.
-func (c *Cell) handOn(r *run, there *endpoint) {
+func (c *Cell) moveRunTo(r *run, there *endpoint) {
 	c.note("run may be at a later life", r, "born "+there.info.Life.String())
 	c.leave(r)
 	r.endpoint = there
@@ -120,8 +120,8 @@
 	})
 }
 
-// freeKept gives up the runs that are still kept for a life that has ended.
-func (c *Cell) freeKept(e *endpoint) {
+// dropKeptRuns gives up the runs that are still kept for a life that has ended.
+func (c *Cell) dropKeptRuns(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.state != runPending {
 			c.notThere(r)
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -8,27 +8,27 @@
 	"damsonwinch"
 )
 
-// looks are the questions to an endpoint that are on their way: at most one that
+// polls are the questions to an endpoint that are on their way: at most one that
 // waits for an end, and one that doesn't.
-type looks struct {
-	next    int
-	waiting *sentLook
-	quick   *sentLook
-	// answered is the step at which the newest answered look was sent.
-	answered int
-	lastAt   time.Time
+type polls struct {
+	lastNumber int
+	waiting    *sentPoll
+	immediate  *sentPoll
+	// answeredStep is the step at which the newest answeredStep look was sent.
+	answeredStep int
+	lastSentAt   time.Time
 }
 
-type sentLook struct {
+type sentPoll struct {
 	number int
 	step   int
-	at     time.Time
-	// wait is how long it may wait for an end.
-	wait time.Duration
+	sentAt time.Time
+	// maxWait is how long it may maxWait for an end.
+	maxWait time.Duration
 }
 
-// mostEnds is the most ends that an endpoint lists at once; others may follow.
-const mostEnds = 500
+// maxResults is the most ends that an endpoint lists at once; others may follow.
+const maxResults = 500
 
 // sendDuePolls sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
@@ -38,85 +38,85 @@
 		due = c.ranked
 	}
 	for _, e := range due {
-		e.lookDue = false
+		e.pollDue = false
 		if e.exited || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdrawal.recorded)) {
 			continue
 		}
-		c.lookAt(e)
+		c.pollIfDue(e)
 	}
 	c.lookDue, c.lookAtAll = c.lookDue[:0], false
 }
 
 // schedulePoll notes that a look at an endpoint may be due.
 func (c *Cell) schedulePoll(e *endpoint) {
-	if !e.lookDue {
-		e.lookDue = true
+	if !e.pollDue {
+		e.pollDue = true
 		c.lookDue = append(c.lookDue, e)
 	}
 }
 
-// wantLook asks for a look that doesn't wait.
-func (c *Cell) wantLook(e *endpoint) {
-	e.wantLook = true
+// requestPoll asks for a look that doesn't wait.
+func (c *Cell) requestPoll(e *endpoint) {
+	e.pollWanted = true
 	c.schedulePoll(e)
 }
 
-func (c *Cell) lookAt(e *endpoint) {
-	since := c.now.Sub(e.looks.lastAt)
+func (c *Cell) pollIfDue(e *endpoint) {
+	since := c.now.Sub(e.polls.lastSentAt)
 	switch {
 	case e.silent:
-		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
-			c.sendLook(e, 0)
+		if e.polls.immediate == nil && since >= c.options.PollRetryInterval {
+			c.sendPoll(e, 0)
 		}
-	case !e.attached, e.wantLook:
-		if e.looks.quick == nil {
-			c.sendLook(e, 0)
+	case !e.attached, e.pollWanted:
+		if e.polls.immediate == nil {
+			c.sendPoll(e, 0)
 		}
-	case e.looks.waiting != nil:
-	case e.seen > e.recorded:
+	case e.polls.waiting != nil:
+	case e.appliedSequence > e.recordedSequence:
 		// The endpoint would repeat the ends at once; they are not recorded yet.
 		// While the store is away, leases need prolonging all the same.
-		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
-			c.sendLook(e, 0)
+		if e.polls.immediate == nil && since >= c.options.PollRetryInterval {
+			c.sendPoll(e, 0)
 		}
 	case e.strayRuns > 0:
 		// It takes no work until they have ended.
 		if since >= c.options.PollRetryInterval {
-			c.sendLook(e, 0)
+			c.sendPoll(e, 0)
 		}
 	case len(e.runs) > 0:
-		c.sendLook(e, c.options.PollWait)
+		c.sendPoll(e, c.options.PollWait)
 	case since >= c.options.IdlePollInterval:
-		c.sendLook(e, 0)
+		c.sendPoll(e, 0)
 	}
 }
 
-func (c *Cell) sendLook(e *endpoint, wait time.Duration) {
-	e.looks.next++
-	e.looks.lastAt = c.now
-	sent := &sentLook{number: e.looks.next, step: c.step, at: c.now, wait: wait}
+func (c *Cell) sendPoll(e *endpoint, wait time.Duration) {
+	e.polls.lastNumber++
+	e.polls.lastSentAt = c.now
+	sent := &sentPoll{number: e.polls.lastNumber, step: c.step, sentAt: c.now, maxWait: wait}
 	if wait > 0 {
-		e.looks.waiting = sent
+		e.polls.waiting = sent
 	} else {
-		e.looks.quick = sent
-		e.wantLook = false
+		e.polls.immediate = sent
+		e.pollWanted = false
 	}
-	order := damsonwinch.LookOrder{Token: c.token, Seen: e.recorded, Wait: wait}
+	order := damsonwinch.LookOrder{Token: c.token, Seen: e.recordedSequence, Wait: wait}
 	if e.silent {
 		// If another life answers under its ID, that is not to forget its own first ends.
 		order.Seen = 0
 	}
 	if e.attached && !e.silent && c.sure() {
-		order.Until = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
-		c.prolong(e, order.Until)
+		order.Until = e.estimateClock(c.now) + int(c.options.MaxLease.Milliseconds())
+		c.extendLeaseBound(e, order.Until)
 	}
 	c.stats.Polls++
 	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
 }
 
 // take removes and returns the look of a number.
-func (l *looks) take(number int) *sentLook {
-	for _, place := range []**sentLook{&l.waiting, &l.quick} {
+func (l *polls) take(number int) *sentPoll {
+	for _, place := range []**sentPoll{&l.waiting, &l.immediate} {
 		if sent := *place; sent != nil && sent.number == number {
 			*place = nil
 			return sent
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// errEndedLife says that a life has answered that is known to have ended.
-var errEndedLife = errors.New("a life answers that has ended")
+// errExitedLife says that a life has answered that is known to have ended.
+var errExitedLife = errors.New("a life answers that has ended")
 
 // Polled takes the answer to a look.
 func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
@@ -138,36 +138,36 @@
 	}
 	c.unplaced = true
 	c.schedulePoll(e)
-	sent := e.looks.take(number)
+	sent := e.polls.take(number)
 	if sent == nil || e.exited {
 		return
 	}
 	if err != nil {
-		c.lookFailed(e, sent, err)
+		c.pollFailed(e, sent, err)
 		return
 	}
-	if sent.step < c.answeredUnder(asked.ID) {
+	if sent.step < c.lastAnsweredStep(asked.ID) {
 		// A later look has been answered; this one is out of date.
 		return
 	}
-	if e = c.answering(e, sent, look.Born); e == nil {
+	if e = c.answeringLife(e, sent, look.Born); e == nil {
 		return
 	}
 	c.heard(e)
-	e.looks.answered = sent.step
-	c.followLives(e, look, sent.step)
+	e.polls.answeredStep = sent.step
+	c.supersedeOtherLives(e, look, sent.step)
 	if e.silent {
 		c.noteEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSample, e.clockAt = look.Clock, c.now
-	c.outlive(e, sent.at)
-	c.takeEnds(e, look.Finished)
-	if len(look.Finished) < mostEnds {
+	e.clockSampleMs, e.clockSampledAt = look.Clock, c.now
+	c.outlive(e, sent.sentAt)
+	c.applyResults(e, look.Finished)
+	if len(look.Finished) < maxResults {
 		c.forgetLapses(e)
 	}
-	c.takeRunning(e, look.Running, sent.step)
-	c.judge(e)
+	c.reconcileRuns(e, look.Running, sent.step)
+	c.checkProgress(e)
 	c.share(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *Cell) lookFailed(e *endpoint, sent *sentLook, err error) {
+func (c *Cell) pollFailed(e *endpoint, sent *sentPoll, err error) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(e, "another life answers at its address")
@@ -184,8 +184,8 @@
 	default:
 		if !e.silent {
 			c.noteEndpoint("endpoint silent", e, err.Error())
-			e.silent, e.silentAt, e.silentStep = true, c.now, c.step
-			e.broke = c.awake() && c.now.Sub(sent.at) < sent.wait
+			e.silent, e.silentSince, e.silentStep = true, c.now, c.step
+			e.pollBroken = c.awake() && c.now.Sub(sent.sentAt) < sent.maxWait
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
@@ -194,21 +194,21 @@
 	}
 }
 
-// takeEnds takes the ends that are new into the state, in order.
-func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.Finished) {
+// applyResults takes the ends that are new into the state, in order.
+func (c *Cell) applyResults(e *endpoint, ends []damsonwinch.Finished) {
 	slices.SortFunc(ends, func(a, b damsonwinch.Finished) int { return a.Number - b.Number })
 	for _, end := range ends {
-		if end.Number <= e.seen {
+		if end.Number <= e.appliedSequence {
 			continue
 		}
-		e.seen = end.Number
+		e.appliedSequence = end.Number
 		c.commits.ends = append(c.commits.ends, e)
 		c.finished(e, end)
 	}
 }
 
-// takeRunning compares what runs with what should.
-func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.Running, sentAt int) {
+// reconcileRuns compares what runs with what should.
+func (c *Cell) reconcileRuns(e *endpoint, rows []damsonwinch.Running, sentAt int) {
 	e.strayRuns = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
@@ -218,7 +218,7 @@
 			continue
 		}
 		r.listedAt = c.step
-		c.seenRunning(r, row)
+		c.applyProgress(r, row)
 	}
 	for _, r := range e.sortedRuns() {
 		switch {
@@ -248,7 +248,7 @@
 	return false
 }
 
-func (c *Cell) seenRunning(r *run, row damsonwinch.Running) {
+func (c *Cell) applyProgress(r *run, row damsonwinch.Running) {
 	r.task.phase.job().begun = true
 	r.pace.see(c.now, row.Percent)
 	c.signal(r)
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -30,7 +30,7 @@
 		c.chance.ends.add(c.now)
 	}
 	c.noteProne(e, blamed)
-	if e.trial != nil {
+	if e.probation != nil {
 		c.trialEnds.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
@@ -78,7 +78,7 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.trial; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.probation; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
 		return r
 	}
 	return nil
@@ -87,8 +87,8 @@
 // endOf describes the end of a run's endpoint.
 func (c *Cell) endOf(r *run) crash.Loss {
 	endedAt := r.endpoint.endedAt(c.now)
-	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.endpoint.heardAt), Explained: c.endShared(r.endpoint, endedAt), Probation: r.endpoint.trial == r, LossRate: c.chance.rate(c.now)}
-	if r.endpoint.silent && r.endpoint.broke {
+	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.endShared(r.endpoint, endedAt), Probation: r.endpoint.probation == r, LossRate: c.chance.rate(c.now)}
+	if r.endpoint.silent && r.endpoint.pollBroken {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
 		// nothing else had begun, the weight of the end says how surely.
@@ -170,7 +170,7 @@
 // blameLapsed counts the end of an endpoint against the tasks that were taken to have lapsed
 // there: it may have ended before that, and because of them.
 func (c *Cell) blameLapsed(e *endpoint) {
-	for _, l := range e.lapses {
+	for _, l := range e.lapsedAttempts {
 		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.outlived, MaxAge: c.options.CrashRules.MaxCrashAge})
 		c.suspect(l.task)
 	}
@@ -180,7 +180,7 @@
 // waits there nearly always, and breaks off at once.
 func (e *endpoint) endedAt(now time.Time) time.Time {
 	if e.silent {
-		return e.silentAt
+		return e.silentSince
 	}
 	return now
 }
@@ -199,7 +199,7 @@
 			continue
 		}
 		zone++
-		if other.trial != nil || !other.silent || other.silentAt.Sub(endedAt).Abs() > sharedTime {
+		if other.probation != nil || !other.silent || other.silentSince.Sub(endedAt).Abs() > sharedTime {
 			continue
 		}
 		ended++
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -153,7 +153,7 @@
 	if t.avoid == e.info.Life {
 		score += scoreAvoid
 	}
-	if e.health.failures > 0 {
+	if e.health.consecutiveFailures > 0 {
 		score += scoreDoubt
 	}
 	if c.besides(t.phase, e) {
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -40,28 +40,28 @@
 // put takes an endpoint in, or moves it to where it belongs now.
 func (r *rooms) put(e *endpoint) {
 	bucket := bucketOf(e.free().CPU)
-	if e.roomed {
-		if e.room == bucket {
+	if e.indexed {
+		if e.bucket == bucket {
 			return
 		}
 		r.drop(e)
 	}
-	e.roomed, e.room, e.roomAt = true, bucket, len(r.byCores[bucket])
+	e.indexed, e.bucket, e.bucketPos = true, bucket, len(r.byCores[bucket])
 	r.byCores[bucket] = append(r.byCores[bucket], e)
 	r.most = max(r.most, bucket)
 }
 
 // drop takes an endpoint out.
 func (r *rooms) drop(e *endpoint) {
-	if !e.roomed {
+	if !e.indexed {
 		return
 	}
-	list := r.byCores[e.room]
+	list := r.byCores[e.bucket]
 	last := list[len(list)-1]
-	list[e.roomAt], last.roomAt = last, e.roomAt
+	list[e.bucketPos], last.bucketPos = last, e.bucketPos
 	list[len(list)-1] = nil
-	r.byCores[e.room] = list[:len(list)-1]
-	e.roomed = false
+	r.byCores[e.bucket] = list[:len(list)-1]
+	e.indexed = false
 }
 
 // occupy takes room at an endpoint; release gives it back.
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -105,8 +105,8 @@
 	r.endpoint.runsByStart = slices.DeleteFunc(r.endpoint.runsByStart, func(other *run) bool { return other == r })
 	c.release(r.endpoint, r.task.phase.need())
 	r.endpoint.lastBusy = c.now
-	if r.endpoint.trial == r {
-		r.endpoint.trial = nil
+	if r.endpoint.probation == r {
+		r.endpoint.probation = nil
 	}
 	c.schedulePoll(r.endpoint)
 }
@@ -140,8 +140,8 @@
 	r.state = runRequested
 	c.noteStart(r)
 	r.startedAt = c.now
-	until := r.endpoint.clock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
-	c.prolong(r.endpoint, until)
+	until := r.endpoint.estimateClock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
+	c.extendLeaseBound(r.endpoint, until)
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.endpoint.info, Request: damsonwinch.StartOrder{
 		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
@@ -178,7 +178,7 @@
 	default:
 		r.state = runUncertain
 		c.note("start unanswered", r, err.Error())
-		c.wantLook(r.endpoint)
+		c.requestPoll(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
 			r.knownAt = c.step
@@ -244,7 +244,7 @@
 func (c *Cell) notSent(r *run, err error) {
 	c.note("start not sent", r, err.Error())
 	c.countStarts(r.task, -1)
-	c.wantLook(r.endpoint)
+	c.requestPoll(r.endpoint)
 	r.endpoint.backoffUntil = c.now.Add(refusalPause)
 	c.again(r)
 	c.abandonGang(r.task.phase, "a member of its gang could not be started")
@@ -293,7 +293,7 @@
 	case err == nil:
 		c.heard(r.endpoint)
 		r.stopped, r.knownAt = true, c.step
-		c.wantLook(r.endpoint)
+		c.requestPoll(r.endpoint)
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.lose(r.endpoint, "another life answers at its address")
 	}
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -36,7 +36,7 @@
 	worst := c.worstTail(e)
 	switch {
 	case worst >= nearTarget:
-		e.calmSince = time.Time{}
+		e.lowTailSince = time.Time{}
 		c.setPaces(e, func(percent int) int {
 			if percent*paceDown/wholePercent < minSpeedPercent {
 				return 0
@@ -44,14 +44,14 @@
 			return percent * paceDown / wholePercent
 		})
 	case worst < farFromTarget:
-		if e.calmSince.IsZero() {
-			e.calmSince = c.now
+		if e.lowTailSince.IsZero() {
+			e.lowTailSince = c.now
 		}
-		if c.now.Sub(e.calmSince) >= calmTime {
+		if c.now.Sub(e.lowTailSince) >= calmTime {
 			c.setPaces(e, func(percent int) int { return min(wholePercent, percent+paceUp) })
 		}
 	default:
-		e.calmSince = time.Time{}
+		e.lowTailSince = time.Time{}
 	}
 }
 
@@ -70,7 +70,7 @@
 // setPaces changes the speed of the filling tasks at an endpoint, unless the last
 // change can't have shown yet.
 func (c *Cell) setPaces(e *endpoint, change func(percent int) int) {
-	if c.now.Sub(e.pacedAt) < paceGap {
+	if c.now.Sub(e.speedChangedAt) < paceGap {
 		return
 	}
 	for _, r := range e.sortedRuns() {
@@ -79,7 +79,7 @@
 		}
 		if next := change(r.speedPercent); next != r.speedPercent {
 			r.speedPercent = next
-			e.pacedAt = c.now
+			e.speedChangedAt = c.now
 			c.effects.Paces = append(c.effects.Paces, SpeedChange{Endpoint: e.info, Request: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
 		}
 	}
@@ -95,7 +95,7 @@
 	}
 	c.note("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
-	r.endpoint.pacedAt = time.Time{}
+	r.endpoint.speedChangedAt = time.Time{}
 	r.speedPercent = wholePercent
 }
 
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -31,31 +31,31 @@
 		return
 	}
 	h := &r.endpoint.health
-	h.signs = slices.DeleteFunc(h.signs, func(s sign) bool { return c.now.Sub(s.at) > signTime })
+	h.progressSamples = slices.DeleteFunc(h.progressSamples, func(s sign) bool { return c.now.Sub(s.at) > progressSampleTime })
 	off := math.Log(total / max(1, float64(times.estimate(r.task.phase.spec.EstimateMs))))
-	for i := range h.signs {
-		if h.signs[i].phase == r.task.phase {
-			h.signs[i].sum += off
-			h.signs[i].count++
+	for i := range h.progressSamples {
+		if h.progressSamples[i].phase == r.task.phase {
+			h.progressSamples[i].sum += off
+			h.progressSamples[i].count++
 			return
 		}
 	}
-	h.signs = append(h.signs, sign{phase: r.task.phase, at: c.now, sum: off, count: 1, variance: times.uncertainty()})
+	h.progressSamples = append(h.progressSamples, sign{phase: r.task.phase, at: c.now, sum: off, count: 1, variance: times.uncertainty()})
 }
 
 // slowness returns how many times as long as expected the tasks of an endpoint
 // take, or 0 while that may be chance.
 func (h *health) slowness(now time.Time) float64 {
 	sum, variance, count := 0.0, leastVariance, 0.0
-	for _, s := range h.signs {
-		if now.Sub(s.at) > signTime {
+	for _, s := range h.progressSamples {
+		if now.Sub(s.at) > progressSampleTime {
 			continue
 		}
 		sum += s.sum / s.count
 		variance += s.variance
 		count++
 	}
-	if count == 0 || sum <= 0 || sum*sum < slowEvidence*variance {
+	if count == 0 || sum <= 0 || sum*sum < slowSquaredDeviations*variance {
 		return 0
 	}
 	return math.Exp(sum / count)
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -77,10 +77,10 @@
 		return !t.suspected
 	})
 	c.trials = slices.DeleteFunc(c.trials, func(e *endpoint) bool {
-		if t := e.promised; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probationWaitExpired(t)) {
-			e.promised = nil
+		if t := e.reservedFor; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probationWaitExpired(t)) {
+			e.reservedFor = nil
 		}
-		return e.trial == nil && e.promised == nil
+		return e.probation == nil && e.reservedFor == nil
 	})
 	nowMs := int(c.now.UnixMilli())
 	slices.SortStableFunc(c.suspects, func(a, b *task) int {
@@ -120,7 +120,7 @@
 
 // probationAllows says whether a task may start at an endpoint as far as trials go.
 func (c *Cell) probationAllows(t *task, e *endpoint) bool {
-	if e.trial != nil || e.promised != nil && e.promised != t || !c.apart(t, e) {
+	if e.probation != nil || e.reservedFor != nil && e.reservedFor != t || !c.apart(t, e) {
 		return false
 	}
 	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayTry(e) && c.quiet(e)
@@ -128,7 +128,7 @@
 
 // mayTry says whether one more endpoint may be used for a trial.
 func (c *Cell) mayTry(e *endpoint) bool {
-	if e.promised != nil {
+	if e.reservedFor != nil {
 		return true
 	}
 	share := trialShare
@@ -161,17 +161,17 @@
 
 // promise keeps an endpoint for a task until nothing young runs there and there is room.
 func (c *Cell) promise(t *task) {
-	if slices.ContainsFunc(c.trials, func(e *endpoint) bool { return e.promised == t }) {
+	if slices.ContainsFunc(c.trials, func(e *endpoint) bool { return e.reservedFor == t }) {
 		return
 	}
 	var choice choice
 	for _, e := range c.ranked {
-		if e.trial == nil && e.promised == nil && c.mayTry(e) && c.couldHold(t, e) {
+		if e.probation == nil && e.reservedFor == nil && c.mayTry(e) && c.couldHold(t, e) {
 			choice.offer(e, -e.atStake())
 		}
 	}
 	if choice.best != nil {
-		choice.best.promised = t
+		choice.best.reservedFor = t
 		c.trials = append(c.trials, choice.best)
 	}
 }
@@ -188,7 +188,7 @@
 // beginTrial notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
 func (c *Cell) beginTrial(r *run) {
-	r.endpoint.trial, r.endpoint.promised = r, nil
+	r.endpoint.probation, r.endpoint.reservedFor = r, nil
 	if !slices.Contains(c.trials, r.endpoint) {
 		c.trials = append(c.trials, r.endpoint)
 	}
@@ -198,8 +198,8 @@
 // have been at work for long.
 func (c *Cell) checkProbations() {
 	for _, e := range c.trials {
-		if e.trial != nil && e.trial.state == runConfirmed && !c.now.Before(c.outlivesAt(e.trial)) {
-			c.wantLook(e)
+		if e.probation != nil && e.probation.state == runConfirmed && !c.now.Before(c.outlivesAt(e.probation)) {
+			c.requestPoll(e)
 		}
 	}
 	for _, t := range c.suspects {
@@ -221,8 +221,8 @@
 // outlive ends the trial at an endpoint that has answered a look which was sent after it
 // should be over.
 func (c *Cell) outlive(e *endpoint, sentAt time.Time) {
-	if e.trial != nil && e.trial.state == runConfirmed && !sentAt.Before(c.outlivesAt(e.trial)) {
-		e.trial = nil
+	if e.probation != nil && e.probation.state == runConfirmed && !sentAt.Before(c.outlivesAt(e.probation)) {
+		e.probation = nil
 		c.unplaced = true
 	}
 }
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -81,7 +81,7 @@
 func (c *Cell) heard(e *endpoint) {
 	c.answered(e)
 	if c.awake() {
-		e.heardAt = c.now
+		e.lastAnsweredAt = c.now
 	}
 }
 
@@ -112,11 +112,11 @@
 // answered by now.
 func (e *endpoint) overdueSince(now time.Time, lookWait time.Duration) (time.Time, bool) {
 	oldest := now
-	if sent := e.looks.quick; sent != nil && sent.at.Before(oldest) {
-		oldest = sent.at
+	if sent := e.polls.immediate; sent != nil && sent.sentAt.Before(oldest) {
+		oldest = sent.sentAt
 	}
-	if sent := e.looks.waiting; sent != nil {
-		if at := sent.at.Add(lookWait); at.Before(oldest) {
+	if sent := e.polls.waiting; sent != nil {
+		if at := sent.sentAt.Add(lookWait); at.Before(oldest) {
 			oldest = at
 		}
 	}
