--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -49,7 +49,7 @@
 	leasesExpireBy time.Time
 	polls          polls
 	// lapsedAttempts are attempts there of which it isn't known how they ended.
-	lapsedAttempts []lapse
+	lapsedAttempts []lapsedAttempt
 	// pollWanted asks for a look that doesn't wait.
 	pollWanted bool
 	// appliedSequence is the highest end that has been taken into the state, and recorded the
@@ -173,7 +173,7 @@
 		if e.listed || len(e.runs) > 0 || len(e.lapsedAttempts) > 0 && !e.exited && c.now.Before(e.leasesExpireBy.Add(lapsedResultWait)) {
 			return false
 		}
-		c.forgetLapses(e)
+		c.forgetLapsed(e)
 		delete(c.endpoints, e.info.Life)
 		e.zone.rooms.drop(e)
 		c.dropEndpoint(e)
@@ -228,7 +228,7 @@
 		c.noteEndpoint("leases lapsed", e, "out of reach")
 		for _, r := range e.sortedRuns() {
 			if r.state != runPending {
-				c.lapsed(r)
+				c.markLapsed(r)
 			}
 		}
 	}
--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// rateTime is the time over which the ends of endpoints are counted, and burstTime a shorter
+// rateWindow is the time over which the ends of endpoints are counted, and burstWindow a shorter
 // one: the users' troubles take some seconds, and begin suddenly.
 const (
-	rateTime  = 10 * time.Second
-	burstTime = 2 * time.Second
+	rateWindow  = 10 * time.Second
+	burstWindow = 2 * time.Second
 )
 
 // exits are the moments at which endpoints have ended of late under tasks.
 type exits struct {
-	at []time.Time
+	times []time.Time
 }
 
 func (e *exits) add(at time.Time) {
-	e.at = append(e.at, at)
+	e.times = append(e.times, at)
 }
 
 // countWithin returns how many have ended of late.
 func (e *exits) countWithin(now time.Time, length time.Duration) int {
-	e.at = slices.DeleteFunc(e.at, func(at time.Time) bool { return now.Sub(at) > rateTime })
+	e.times = slices.DeleteFunc(e.times, func(at time.Time) bool { return now.Sub(at) > rateWindow })
 	count := 0
-	for _, at := range e.at {
+	for _, at := range e.times {
 		if now.Sub(at) <= length {
 			count++
 		}
@@ -38,42 +38,42 @@
 // tasks that crash their endpoints, nearly all are, and counted as baselineExitRate they would speak for
 // each of those tasks.
 type baselineExitRate struct {
-	ends exits
-	// exposed tells for how long endpoints have run something without an end while nothing
+	exits exits
+	// exposures tells for how long endpoints have run something without an end while nothing
 	// had begun there.
-	exposed []exposure
-	seenAt  time.Time
+	exposures  []exposure
+	observedAt time.Time
 }
 
 // exposure is the time that endpoints have spent so until a moment, in seconds of one.
 type exposure struct {
-	until   time.Time
-	seconds float64
+	until          time.Time
+	exposedSeconds float64
 }
 
 // What is counted beside the ends that were seen and the endpoints' time without one, as long as
 // that is short: none may be luck, and a single one as well.
 const (
-	priorEnds = 0.5
-	priorTime = 20 * time.Second
-	// burstEnds is the number of ends in burstTime that are one.
-	burstEnds = 2
+	priorExits    = 0.5
+	priorExposure = 20 * time.Second
+	// burstExits is the number of ends in burstTime that are one.
+	burstExits = 2
 )
 
 // observe takes note of how many endpoints are exposed since the last time.
 func (h *baselineExitRate) observe(now time.Time, endpoints int) {
-	if passed := now.Sub(h.seenAt); !h.seenAt.IsZero() && passed <= time.Second {
-		h.exposed = append(h.exposed, exposure{until: now, seconds: float64(endpoints) * passed.Seconds()})
+	if passed := now.Sub(h.observedAt); !h.observedAt.IsZero() && passed <= time.Second {
+		h.exposures = append(h.exposures, exposure{until: now, exposedSeconds: float64(endpoints) * passed.Seconds()})
 	}
-	h.seenAt = now
-	h.exposed = slices.DeleteFunc(h.exposed, func(e exposure) bool { return now.Sub(e.until) > rateTime })
+	h.observedAt = now
+	h.exposures = slices.DeleteFunc(h.exposures, func(e exposure) bool { return now.Sub(e.until) > rateWindow })
 }
 
 // rate returns how often one endpoint ends by itself, a second.
 func (h *baselineExitRate) rate(now time.Time) float64 {
-	rate := (float64(h.ends.countWithin(now, rateTime)) + priorEnds) / (h.seconds(now, rateTime) + priorTime.Seconds())
-	if lately := h.ends.countWithin(now, burstTime); lately >= burstEnds {
-		rate = max(rate, float64(lately)/(h.seconds(now, burstTime)+burstTime.Seconds()))
+	rate := (float64(h.exits.countWithin(now, rateWindow)) + priorExits) / (h.seconds(now, rateWindow) + priorExposure.Seconds())
+	if lately := h.exits.countWithin(now, burstWindow); lately >= burstExits {
+		rate = max(rate, float64(lately)/(h.seconds(now, burstWindow)+burstWindow.Seconds()))
 	}
 	return rate
 }
@@ -81,9 +81,9 @@
 // seconds returns for how long endpoints were exposed of late.
 func (h *baselineExitRate) seconds(now time.Time, length time.Duration) float64 {
 	sum := 0.0
-	for _, e := range h.exposed {
+	for _, e := range h.exposures {
 		if now.Sub(e.until) <= length {
-			sum += e.seconds
+			sum += e.exposedSeconds
 		}
 	}
 	return sum
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -7,8 +7,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// finished takes note of a run's end.
-func (c *Cell) finished(e *endpoint, end damsonwinch.Finished) {
+// applyResult takes note of a run's end.
+func (c *Cell) applyResult(e *endpoint, end damsonwinch.Finished) {
 	t := c.findTask(end.Task)
 	if t == nil {
 		return
@@ -18,11 +18,11 @@
 	if r == nil {
 		// An earlier look, or an earlier owner, has taken note of it, or its lease
 		// was taken to have run out.
-		if c.takeLapse(e, end) && end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
+		if c.resolveLapsed(e, end) && end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
 			c.countFailure(t)
 		}
 		if end.How == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
-			c.complete(t)
+			c.completeTask(t)
 		}
 		return
 	}
@@ -37,17 +37,17 @@
 			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
 			c.learnedNew = true
 		}
-		c.complete(t)
+		c.completeTask(t)
 	case end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
 		c.note("run failed", r, "")
-		c.fail(t, r)
+		c.attemptFailed(t, r)
 	case len(t.runs) == 0:
 		c.makeReady(t)
 	}
 }
 
-// fail takes note of a failed attempt.
-func (c *Cell) fail(t *task, r *run) {
+// attemptFailed takes note of a failed attempt.
+func (c *Cell) attemptFailed(t *task, r *run) {
 	t.avoid = r.endpoint.info.Life
 	c.countFailure(t)
 	if len(t.runs) == 0 {
@@ -60,15 +60,15 @@
 	t.failed++
 	j := t.phase.job()
 	c.touch(j)
-	if !t.done && !j.ended() && failures(t) >= c.attemptsOf(j) {
+	if !t.done && !j.ended() && failureCount(t) >= c.attemptsOf(j) {
 		c.stats.JobsFailed++
 		c.end(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
 	}
 }
 
-// failures counts what fails a job: a task's failed attempts, or those of a whole
+// failureCount counts what fails a job: a task's failed attempts, or those of a whole
 // gang.
-func failures(t *task) int {
+func failureCount(t *task) int {
 	if !t.phase.spec.Gang {
 		return t.failed
 	}
@@ -79,19 +79,19 @@
 	return sum
 }
 
-// complete notes that a task is done, and what follows from that. A gang's members
+// completeTask notes that a task is done, and what follows from that. A gang's members
 // are done together: one end stands for all.
-func (c *Cell) complete(t *task) {
+func (c *Cell) completeTask(t *task) {
 	if !t.phase.spec.Gang {
-		c.completeOne(t)
+		c.markDone(t)
 		return
 	}
 	for _, member := range t.phase.tasks {
-		c.completeOne(member)
+		c.markDone(member)
 	}
 }
 
-func (c *Cell) completeOne(t *task) {
+func (c *Cell) markDone(t *task) {
 	if t.done {
 		return
 	}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -9,47 +9,47 @@
 	"damsonwinch/pkg/wire"
 )
 
-// lapse is an attempt on an endpoint out of reach whose lease must have run out. How it
+// lapsedAttempt is an attempt on an endpoint out of reach whose lease must have run out. How it
 // ended is not known: it may have failed before that, and the endpoint tells so once it can
 // be reached again.
-type lapse struct {
+type lapsedAttempt struct {
 	task    *task
 	attempt int
-	// outlived is for how long at least it had been under way.
-	outlived time.Duration
+	// minAge is for how long at least it had been under way.
+	minAge time.Duration
 }
 
-// lapsed takes back a run whose lease must have run out, and keeps in mind that it may have
+// markLapsed takes back a run whose lease must have run out, and keeps in mind that it may have
 // failed.
-func (c *Cell) lapsed(r *run) {
+func (c *Cell) markLapsed(r *run) {
 	c.stats.RunsLapsed++
-	r.endpoint.lapsedAttempts = append(r.endpoint.lapsedAttempts, lapse{task: r.task, attempt: r.attempt, outlived: r.age(r.endpoint.lastAnsweredAt)})
+	r.endpoint.lapsedAttempts = append(r.endpoint.lapsedAttempts, lapsedAttempt{task: r.task, attempt: r.attempt, minAge: r.age(r.endpoint.lastAnsweredAt)})
 	r.task.lapses++
 	c.again(r)
 }
 
-// takeLapse takes note of the end of an attempt that was taken to have lapsed, and says
+// resolveLapsed takes note of the end of an attempt that was taken to have lapsed, and says
 // whether it was one.
-func (c *Cell) takeLapse(e *endpoint, end damsonwinch.Finished) bool {
-	at := slices.IndexFunc(e.lapsedAttempts, func(l lapse) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
+func (c *Cell) resolveLapsed(e *endpoint, end damsonwinch.Finished) bool {
+	at := slices.IndexFunc(e.lapsedAttempts, func(l lapsedAttempt) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
 	if at < 0 {
 		return false
 	}
-	c.dropLapse(e.lapsedAttempts[at])
+	c.removeLapsed(e.lapsedAttempts[at])
 	e.lapsedAttempts = slices.Delete(e.lapsedAttempts, at, at+1)
 	return true
 }
 
-// forgetLapses drops the attempts whose ends an endpoint has not listed, or never will: they
+// forgetLapsed drops the attempts whose ends an endpoint has not listed, or never will: they
 // are known not to have failed, or not to count.
-func (c *Cell) forgetLapses(e *endpoint) {
+func (c *Cell) forgetLapsed(e *endpoint) {
 	for _, l := range e.lapsedAttempts {
-		c.dropLapse(l)
+		c.removeLapsed(l)
 	}
 	e.lapsedAttempts = nil
 }
 
-func (c *Cell) dropLapse(l lapse) {
+func (c *Cell) removeLapsed(l lapsedAttempt) {
 	l.task.lapses--
 	c.unplaced = true
 	c.touch(l.task.phase.job())
@@ -59,15 +59,15 @@
 // attempts at it have ended. With those that may have failed it has failed as often as it is
 // tried.
 func (c *Cell) mustWait(t *task) bool {
-	return c.now.Before(t.notBefore) || t.lapses > 0 && !t.phase.spec.Lasting && failures(t)+t.lapses >= c.attemptsOf(t.phase.job())
+	return c.now.Before(t.notBefore) || t.lapses > 0 && !t.phase.spec.Lasting && failureCount(t)+t.lapses >= c.attemptsOf(t.phase.job())
 }
 
-// lapseColumns is the number of columns of a lapse in a job's record: the place of its
+// lapsedColumns is the number of columns of a lapse in a job's record: the place of its
 // task's row, its attempt and the place of its endpoint.
-const lapseColumns = 3
+const lapsedColumns = 3
 
-// writeLapses adds the lapses of a job's tasks to its record, whose rows hold the tasks.
-func (c *Cell) writeLapses(j *job, rows map[*task]int, record *wire.JobRecord) {
+// writeLapsed adds the lapses of a job's tasks to its record, whose rows hold the tasks.
+func (c *Cell) writeLapsed(j *job, rows map[*task]int, record *wire.JobRecord) {
 	if len(rows) == 0 {
 		return
 	}
@@ -80,15 +80,15 @@
 	}
 }
 
-// readLapses takes over the lapses of a job's record.
-func (c *Cell) readLapses(j *job, record wire.JobRecord) error {
+// readLapsed takes over the lapses of a job's record.
+func (c *Cell) readLapsed(j *job, record wire.JobRecord) error {
 	for _, row := range record.Lapsed {
-		if len(row) != lapseColumns || row[0] < 0 || row[0] >= len(record.Tasks) || row[2] < 0 || row[2] >= len(record.Endpoints) {
+		if len(row) != lapsedColumns || row[0] < 0 || row[0] >= len(record.Tasks) || row[2] < 0 || row[2] >= len(record.Endpoints) {
 			return fmt.Errorf("job %s has a lapse %v", j.id, row)
 		}
 		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
 			e := c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[row[2]]))
-			e.lapsedAttempts = append(e.lapsedAttempts, lapse{task: t, attempt: row[1]})
+			e.lapsedAttempts = append(e.lapsedAttempts, lapsedAttempt{task: t, attempt: row[1]})
 			t.lapses++
 		}
 	}
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		moved := func(r *run) bool { return c.mayHaveMoved(r, look, sentAt) }
-		c.loseAllBut(earlier, "another life answers under its ID", moved)
+		c.markLostKeeping(earlier, "another life answers under its ID", moved)
 		for _, r := range earlier.sortedRuns() {
 			switch {
 			case r.state == runPending:
@@ -77,7 +77,7 @@
 			case moved(r):
 				c.moveRunTo(r, there)
 			default:
-				c.notThere(r)
+				c.removeMissingRun(r)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 // markLostByReport takes note that a life has ended, by somebody else's word. Orders to it may still
 // be on the way: where lives share an ID, a later one may carry them out.
 func (c *Cell) markLostByReport(e *endpoint, why string) {
-	c.loseAllBut(e, why, func(r *run) bool {
+	c.markLostKeeping(e, why, func(r *run) bool {
 		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
 	})
 }
@@ -124,7 +124,7 @@
 func (c *Cell) dropKeptRuns(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.state != runPending {
-			c.notThere(r)
+			c.removeMissingRun(r)
 		}
 	}
 }
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -161,10 +161,10 @@
 	}
 	e.silent = false
 	e.clockSampleMs, e.clockSampledAt = look.Clock, c.now
-	c.outlive(e, sent.sentAt)
+	c.endProbation(e, sent.sentAt)
 	c.applyResults(e, look.Finished)
 	if len(look.Finished) < maxResults {
-		c.forgetLapses(e)
+		c.forgetLapsed(e)
 	}
 	c.reconcileRuns(e, look.Running, sent.step)
 	c.checkProgress(e)
@@ -178,7 +178,7 @@
 func (c *Cell) pollFailed(e *endpoint, sent *sentPoll, err error) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.lose(e, "another life answers at its address")
+		c.markLost(e, "another life answers at its address")
 	case errors.Is(err, damsonwinch.ErrOldToken):
 		c.effects.OwnershipLost = true
 	default:
@@ -203,7 +203,7 @@
 		}
 		e.appliedSequence = end.Number
 		c.commits.ends = append(c.commits.ends, e)
-		c.finished(e, end)
+		c.applyResult(e, end)
 	}
 }
 
@@ -224,7 +224,7 @@
 		switch {
 		case r.listedAt == c.step:
 		case c.mustBeListed(r, sentAt):
-			c.notThere(r)
+			c.removeMissingRun(r)
 		case r.state == runUncertain && !r.stopping && sentAt >= r.knownAt:
 			// Its start may still be on the way.
 			c.stop(r, "its start was not answered")
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -10,26 +10,26 @@
 	"damsonwinch/pkg/wire"
 )
 
-// lose takes note that a life has ended: all that ran there is gone.
-func (c *Cell) lose(e *endpoint, why string) {
-	c.loseAllBut(e, why, func(*run) bool { return false })
+// markLost takes note that a life has ended: all that ran there is gone.
+func (c *Cell) markLost(e *endpoint, why string) {
+	c.markLostKeeping(e, why, func(*run) bool { return false })
 }
 
-// loseAllBut takes note that a life has ended, and keeps those of its runs that may yet be found
+// markLostKeeping takes note that a life has ended, and keeps those of its runs that may yet be found
 // at a later life under its ID.
-func (c *Cell) loseAllBut(e *endpoint, why string, kept func(r *run) bool) {
+func (c *Cell) markLostKeeping(e *endpoint, why string, kept func(r *run) bool) {
 	if e.exited {
 		return
 	}
-	c.noteLost(e, why)
+	c.logEndpointLost(e, why)
 	e.exited = true
-	c.blameLapsed(e)
-	c.forgetLapses(e)
-	blamed := c.blamed(e)
-	if len(e.runs) > 0 && !c.begunWithin(e, e.endedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
-		c.chance.ends.add(c.now)
+	c.countLossForLapsed(e)
+	c.forgetLapsed(e)
+	blamedRun := c.blamed(e)
+	if len(e.runs) > 0 && !c.startedWithin(e, e.endedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
+		c.chance.exits.add(c.now)
 	}
-	c.noteProne(e, blamed)
+	c.countQueueExits(e, blamedRun)
 	if e.probation != nil {
 		c.trialEnds.add(c.now)
 	}
@@ -39,37 +39,37 @@
 			r.stopping = true
 			continue
 		}
-		end := c.endOf(r)
-		end.Explained = end.Explained || blamed != nil && blamed != r
+		end := c.lossOf(r)
+		end.Explained = end.Explained || blamedRun != nil && blamedRun != r
 		if kept(r) {
-			r.lost = &lostRun{with: e.info.Life, end: end}
+			r.lost = &runLoss{life: e.info.Life, loss: end}
 			continue
 		}
-		c.loseRun(r, lostRun{with: e.info.Life, end: end})
+		c.removeLostRun(r, runLoss{life: e.info.Life, loss: end})
 	}
 }
 
-// lostRun is how a run went: with which life, and how that ended.
-type lostRun struct {
-	with damsonwinch.Life
-	end  crash.Loss
+// runLoss is how a run went: with which life, and how that ended.
+type runLoss struct {
+	life damsonwinch.Life
+	loss crash.Loss
 }
 
-// loseRun takes away a run that has gone with its endpoint.
-func (c *Cell) loseRun(r *run, lost lostRun) {
+// removeLostRun takes away a run that has gone with its endpoint.
+func (c *Cell) removeLostRun(r *run, lost runLoss) {
 	c.stats.RunsLost++
 	c.removeRun(r)
-	c.endedUnder(r, lost)
+	c.countLoss(r, lost)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
 	}
 }
 
-// notThere takes away a run that its endpoint doesn't have.
-func (c *Cell) notThere(r *run) {
+// removeMissingRun takes away a run that its endpoint doesn't have.
+func (c *Cell) removeMissingRun(r *run) {
 	c.note("run is not there", r, "")
 	if r.lost != nil {
-		c.loseRun(r, *r.lost)
+		c.removeLostRun(r, *r.lost)
 		return
 	}
 	c.again(r)
@@ -78,16 +78,16 @@
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
 func (c *Cell) blamed(e *endpoint) *run {
-	if r := e.probation; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.endOf(r)) {
+	if r := e.probation; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.lossOf(r)) {
 		return r
 	}
 	return nil
 }
 
-// endOf describes the end of a run's endpoint.
-func (c *Cell) endOf(r *run) crash.Loss {
-	endedAt := r.endpoint.endedAt(c.now)
-	end := crash.Loss{MaxAge: r.age(endedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.endShared(r.endpoint, endedAt), Probation: r.endpoint.probation == r, LossRate: c.chance.rate(c.now)}
+// lossOf describes the end of a run's endpoint.
+func (c *Cell) lossOf(r *run) crash.Loss {
+	exitedAt := r.endpoint.endedAt(c.now)
+	end := crash.Loss{MaxAge: r.age(exitedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.hasCommonCause(r.endpoint, exitedAt), Probation: r.endpoint.probation == r, LossRate: c.chance.rate(c.now)}
 	if r.endpoint.silent && r.endpoint.pollBroken {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
 		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
@@ -100,26 +100,26 @@
 	return end
 }
 
-// endedUnder counts the end of a run's endpoint against its task, and gives the task up if
+// countLoss counts the end of a run's endpoint against its task, and gives the task up if
 // that is enough.
-func (c *Cell) endedUnder(r *run, lost lostRun) {
+func (c *Cell) countLoss(r *run, lost runLoss) {
 	t := r.task
-	t.crashes = c.options.CrashRules.Add(t.crashes, lost.end)
-	c.noteRunLost(r, lost)
-	if t.done || t.phase.job().ended() || c.giveUpConvicted(t, lost) {
+	t.crashes = c.options.CrashRules.Add(t.crashes, lost.loss)
+	c.logRunLost(r, lost)
+	if t.done || t.phase.job().ended() || c.giveUpIfConvicted(t, lost) {
 		return
 	}
-	c.suspect(t)
+	c.addSuspect(t)
 }
 
-// giveUpConvicted ends the job of a task whose trials have shown that it crashes its
+// giveUpIfConvicted ends the job of a task whose trials have shown that it crashes its
 // endpoints. It says whether it is one.
-func (c *Cell) giveUpConvicted(t *task, last lostRun) bool {
+func (c *Cell) giveUpIfConvicted(t *task, last runLoss) bool {
 	if !c.options.CrashRules.IsCrasher(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
-		t.id(), t.crashes.Losses, last.with, last.end.MaxAge.Milliseconds()))
+		t.id(), t.crashes.Losses, last.life, last.loss.MaxAge.Milliseconds()))
 	return true
 }
 
@@ -140,15 +140,15 @@
 	}
 	t.givenUp = true
 	c.stats.JobsGivenUp++
-	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hopes() {
+	if j := t.phase.job(); !t.phase.spec.Lasting || j.runs == 0 && !j.hasStartableTask() {
 		c.end(j, wire.JobStateFailed, why)
 	} else {
 		c.noteJob("task given up", j, why)
 	}
 }
 
-// hopes says whether a job has a task that isn't given up.
-func (j *job) hopes() bool {
+// hasStartableTask says whether a job has a task that isn't given up.
+func (j *job) hasStartableTask() bool {
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
 			if slices.ContainsFunc(p.tasks, func(t *task) bool { return !t.done && !t.givenUp }) {
@@ -159,20 +159,20 @@
 	return false
 }
 
-// countStarts counts a start of a task under which many endpoints have ended, or takes it
+// addStarts counts a start of a task under which many endpoints have ended, or takes it
 // back where its endpoint has certainly not begun it.
-func (c *Cell) countStarts(t *task, more int) {
+func (c *Cell) addStarts(t *task, more int) {
 	if c.options.CrashRules.CountsStarts(t.crashes) {
 		t.crashes = t.crashes.WithExtraStarts(more)
 	}
 }
 
-// blameLapsed counts the end of an endpoint against the tasks that were taken to have lapsed
+// countLossForLapsed counts the end of an endpoint against the tasks that were taken to have lapsed
 // there: it may have ended before that, and because of them.
-func (c *Cell) blameLapsed(e *endpoint) {
+func (c *Cell) countLossForLapsed(e *endpoint) {
 	for _, l := range e.lapsedAttempts {
-		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.outlived, MaxAge: c.options.CrashRules.MaxCrashAge})
-		c.suspect(l.task)
+		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.minAge, MaxAge: c.options.CrashRules.MaxCrashAge})
+		c.addSuspect(l.task)
 	}
 }
 
@@ -185,21 +185,21 @@
 	return now
 }
 
-// sharedTime is how close the ends of two endpoints must be to have one cause. The rack or
+// commonCauseTime is how close the ends of two endpoints must be to have one cause. The rack or
 // zone that they share ends within some milliseconds.
-const sharedTime = 50 * time.Millisecond
+const commonCauseTime = 50 * time.Millisecond
 
-// endShared says whether endpoints that share something with this one have ended at the same
+// hasCommonCause says whether endpoints that share something with this one have ended at the same
 // moment, and not under tasks on trial there: another one of its rack, or half of the others of
 // its zone. Where many endpoints end, two do at one moment by chance as well.
-func (c *Cell) endShared(e *endpoint, endedAt time.Time) bool {
+func (c *Cell) hasCommonCause(e *endpoint, endedAt time.Time) bool {
 	zone, ended := 0, 0
 	for _, other := range c.ranked {
 		if other == e || other.zone != e.zone {
 			continue
 		}
 		zone++
-		if other.probation != nil || !other.silent || other.silentSince.Sub(endedAt).Abs() > sharedTime {
+		if other.probation != nil || !other.silent || other.silentSince.Sub(endedAt).Abs() > commonCauseTime {
 			continue
 		}
 		ended++
@@ -215,8 +215,8 @@
 	return max(0, endedAt.Sub(r.startedAt))
 }
 
-// noteLost tells what a lost endpoint takes with it.
-func (c *Cell) noteLost(e *endpoint, why string) {
+// logEndpointLost tells what a lost endpoint takes with it.
+func (c *Cell) logEndpointLost(e *endpoint, why string) {
 	if len(e.runs) == 0 {
 		c.noteEndpoint("endpoint lost", e, why)
 		return
@@ -228,11 +228,11 @@
 		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
 
-// noteRunLost tells of a run that went with its endpoint. The first time it is one of many.
-func (c *Cell) noteRunLost(r *run, lost lostRun) {
-	end := lost.end
+// logRunLost tells of a run that went with its endpoint. The first time it is one of many.
+func (c *Cell) logRunLost(r *run, lost runLoss) {
+	end := lost.loss
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: "run lost", Job: r.task.phase.job().id, Task: r.id().Task.String(), Endpoint: lost.with.String(), Debug: r.task.crashes.Losses <= 1,
+		Message: "run lost", Job: r.task.phase.job().id, Task: r.id().Task.String(), Endpoint: lost.life.String(), Debug: r.task.crashes.Losses <= 1,
 		Reason: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
 			end.MinAge.Milliseconds(), end.MaxAge.Milliseconds(), end.Certain, end.Explained, end.Probation, end.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
@@ -264,7 +264,7 @@
 				Weight: row[6], ExtraStarts: row[7],
 			}
 			t.givenUp = c.options.CrashRules.IsCrasher(t.crashes)
-			c.suspect(t)
+			c.addSuspect(t)
 		}
 	}
 	return nil
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -14,7 +14,7 @@
 		return
 	}
 	c.unplaced = false
-	c.seeProne()
+	c.updateCrashProne()
 	clear(c.overQuota)
 	clear(c.inLine)
 	c.placeSuspects()
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// proneEnds is the number of endpoints that must have ended within proneTime just after
+	// crashProneExits is the number of endpoints that must have ended within proneTime just after
 	// something of a queue had begun there, so that its tasks are taken to crash endpoints.
-	proneEnds = 2
-	proneTime = 10 * time.Second
-	// proneWait is how long a suspect of such a queue waits for a trial: most of them are the
+	crashProneExits  = 2
+	crashProneWindow = 10 * time.Second
+	// crashProneProbationWait is how long a suspect of such a queue waits for a trial: most of them are the
 	// tasks of few jobs that crash endpoints.
-	proneWait = 8 * time.Second
-	// proneShare is the most of a cell's endpoints, in percent, that may be on trial or have ended
+	crashProneProbationWait = 8 * time.Second
+	// maxCrashProneProbationPercent is the most of a cell's endpoints, in percent, that may be on trial or have ended
 	// in one of late while a queue's tasks crash endpoints: most suspects do then, and their
 	// trials can wait.
-	proneShare = 10
-	// lastingStake weighs a lasting task beside what a queue's tasks may end, in thousandths of
+	maxCrashProneProbationPercent = 10
+	// longRunningWork weighs a lasting task beside what a queue's tasks may end, in thousandths of
 	// a core times milliseconds: it takes seconds to be at work again elsewhere.
-	lastingStake = 60_000_000
+	longRunningWork = 60_000_000
 )
 
-// noteProne counts the end of an endpoint against the queues of what had begun there just before.
+// countQueueExits counts the end of an endpoint against the queues of what had begun there just before.
 // Where one task is to blame its first end has been counted: one such task is no crowd.
-func (c *Cell) noteProne(e *endpoint, blamed *run) {
+func (c *Cell) countQueueExits(e *endpoint, blamed *run) {
 	endedAt := e.endedAt(c.now)
-	if blamed != nil || c.endShared(e, endedAt) {
+	if blamed != nil || c.hasCommonCause(e, endedAt) {
 		return
 	}
 	counted := map[string]bool{}
@@ -45,15 +45,15 @@
 	}
 }
 
-// seeProne finds the queues whose tasks crash endpoints of late.
-func (c *Cell) seeProne() {
+// updateCrashProne finds the queues whose tasks crash endpoints of late.
+func (c *Cell) updateCrashProne() {
 	for _, queue := range slices.Sorted(maps.Keys(c.proneEnds)) {
-		count := c.proneEnds[queue].countWithin(c.now, proneTime)
+		count := c.proneEnds[queue].countWithin(c.now, crashProneWindow)
 		switch {
-		case count >= proneEnds && !c.prone[queue]:
+		case count >= crashProneExits && !c.prone[queue]:
 			c.prone[queue] = true
-			c.noteQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, proneTime))
-		case count < proneEnds && c.prone[queue]:
+			c.noteQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, crashProneWindow))
+		case count < crashProneExits && c.prone[queue]:
 			delete(c.prone, queue)
 			c.noteQueue("queue's tasks crash no endpoints any more", queue, "")
 		}
@@ -63,10 +63,10 @@
 	}
 }
 
-// apart says whether nothing of another job has begun at an endpoint just before, if a task or
+// separatedFromOtherJobs says whether nothing of another job has begun at an endpoint just before, if a task or
 // that is of a queue whose tasks crash endpoints. What ends an endpoint is known then to be of
 // one job, and no sound one waits for trials.
-func (c *Cell) apart(t *task, e *endpoint) bool {
+func (c *Cell) separatedFromOtherJobs(t *task, e *endpoint) bool {
 	if len(c.prone) == 0 {
 		return true
 	}
@@ -79,27 +79,27 @@
 	return true
 }
 
-// chooseLeast returns the endpoint for a task that may crash it where the least is lost by that,
+// chooseLeastAtRisk returns the endpoint for a task that may crash it where the least is lost by that,
 // or nil.
-func (c *Cell) chooseLeast(t *task, label string) *endpoint {
+func (c *Cell) chooseLeastAtRisk(t *task, label string) *endpoint {
 	var choice choice
 	for _, e := range c.ranked {
 		if e.hasLabel(label) && c.canStart(t, e) {
-			choice.offer(e, c.leaning(t, e)-c.stake(e, t.phase.job())/milliCore)
+			choice.offer(e, c.leaning(t, e)-c.workAtRisk(e, t.phase.job())/milliCore)
 		}
 	}
 	return choice.best
 }
 
-// stake returns the work that is lost with an endpoint, beside a job's own, in thousandths of a
+// workAtRisk returns the work that is lost with an endpoint, beside a job's own, in thousandths of a
 // core times milliseconds.
-func (c *Cell) stake(e *endpoint, but *job) int {
+func (c *Cell) workAtRisk(e *endpoint, but *job) int {
 	sum := 0
 	for _, r := range e.runsByStart {
 		switch {
 		case r.task.phase.job() == but:
 		case r.task.phase.spec.Lasting:
-			sum += lastingStake
+			sum += longRunningWork
 		default:
 			sum += r.task.phase.need().CPU * int(c.now.Sub(r.startedAt).Milliseconds())
 		}
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -48,7 +48,7 @@
 		record.Customer = j.customer
 	}
 	if !j.ended() || j.runs > 0 {
-		c.writeLapses(j, writeTasks(j, &record), &record)
+		c.writeLapsed(j, writeTasks(j, &record), &record)
 	}
 	return append(records, damsonwinch.Record{Key: j.id, Value: encode(record)})
 }
@@ -130,7 +130,7 @@
 	if err := c.readCrashes(j, record); err != nil {
 		return err
 	}
-	return c.readLapses(j, record)
+	return c.readLapsed(j, record)
 }
 
 func (c *Cell) readTask(j *job, record wire.JobRecord, row []int) error {
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -79,7 +79,7 @@
 // there is room. A label that isn't empty leaves only the endpoints that have it.
 func (c *Cell) choose(t *task, label string) *endpoint {
 	if c.prone[t.phase.job().queue] {
-		return c.chooseLeast(t, label)
+		return c.chooseLeastAtRisk(t, label)
 	}
 	if home := c.home(t); home != nil {
 		if found := c.chooseIn(home.alone, t, label); found != nil {
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -50,7 +50,7 @@
 	inherited bool
 	// lost is how it went with its endpoint, where a later life under the same ID may have it; nil
 	// otherwise.
-	lost *lostRun
+	lost *runLoss
 	// jobLate says that its job could hardly be in time any more when it was started.
 	jobLate bool
 	pace    pace
@@ -70,12 +70,12 @@
 func (c *Cell) intend(t *task, at *endpoint) {
 	t.attempt++
 	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, jobLate: t.phase.late(int(c.now.UnixMilli()))}
-	trial := t.suspected && c.quiet(at)
+	trial := t.suspected && c.noRecentStart(at)
 	c.addRun(r)
 	if trial {
-		c.beginTrial(r)
+		c.startProbation(r)
 	}
-	c.countStarts(t, 1)
+	c.addStarts(t, 1)
 	t.phase.job().placed = true
 	if t.attempt > 1 {
 		c.stats.Reruns++
@@ -132,7 +132,7 @@
 // sendStart orders a recorded run.
 func (c *Cell) sendStart(r *run) {
 	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.mayBeCutOff() || !c.stillFits(r) {
-		c.countStarts(r.task, -1)
+		c.addStarts(r.task, -1)
 		c.again(r)
 		c.abandonGang(r.task.phase, "a member of its gang can't be started")
 		return
@@ -204,13 +204,13 @@
 // refused takes back a run that its endpoint has turned away.
 func (c *Cell) refused(r *run, err error) {
 	c.stats.StartsRefused++
-	c.countStarts(r.task, -1)
+	c.addStarts(r.task, -1)
 	c.note("start refused", r, err.Error())
 	defer c.abandonGang(r.task.phase, "a member of its gang was refused")
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.again(r)
-		c.lose(r.endpoint, "another life answers at its address")
+		c.markLost(r.endpoint, "another life answers at its address")
 		return
 	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
@@ -243,7 +243,7 @@
 // notSent takes back a run whose order has certainly not come to its endpoint.
 func (c *Cell) notSent(r *run, err error) {
 	c.note("start not sent", r, err.Error())
-	c.countStarts(r.task, -1)
+	c.addStarts(r.task, -1)
 	c.requestPoll(r.endpoint)
 	r.endpoint.backoffUntil = c.now.Add(refusalPause)
 	c.again(r)
@@ -295,7 +295,7 @@
 		r.stopped, r.knownAt = true, c.step
 		c.requestPoll(r.endpoint)
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.lose(r.endpoint, "another life answers at its address")
+		c.markLost(r.endpoint, "another life answers at its address")
 	}
 }
 
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// trialShare is the most of a cell's endpoints, in percent, on which tasks are on trial or
+	// maxProbationPercent is the most of a cell's endpoints, in percent, on which tasks are on trial or
 	// about to be, or which have ended in trials within backTime: some seconds later they are
 	// back. More suspects wait.
-	trialShare  = 25
-	restartTime = 3 * time.Second
-	// outlivedTime is how long a lasting task that was a suspect must have been at work to be
+	maxProbationPercent = 25
+	restartTime         = 3 * time.Second
+	// longRunningClearTime is how long a lasting task that was a suspect must have been at work to be
 	// one no more.
-	outlivedTime = 20 * time.Second
-	// usualWait is how long a suspect usually waits for a trial.
-	usualWait = time.Second
-	// lastingBeside weighs a lasting task beside a trial, in short ones: it takes seconds to be
+	longRunningClearTime = 20 * time.Second
+	// defaultProbationWait is how long a suspect usually waits for a trial.
+	defaultProbationWait = time.Second
+	// longRunningWeight weighs a lasting task beside a trial, in short ones: it takes seconds to be
 	// at work again elsewhere.
-	lastingBeside = 10
+	longRunningWeight = 10
 )
 
-// suspect puts a task among the suspects if the ends of endpoints under it call for that.
-func (c *Cell) suspect(t *task) {
+// addSuspect puts a task among the suspects if the ends of endpoints under it call for that.
+func (c *Cell) addSuspect(t *task) {
 	if !t.suspected && !t.done && c.options.CrashRules.IsSuspect(t.crashes) {
 		t.suspected, t.triedFrom = true, c.now
 		c.suspects = append(c.suspects, t)
@@ -37,7 +37,7 @@
 	if len(c.suspects) == 0 {
 		return
 	}
-	c.dropSuspects()
+	c.pruneSuspects()
 	for _, t := range c.suspects {
 		if !t.ready || len(t.runs) > 0 || t.phase.spec.Gang || c.mustWait(t) {
 			continue
@@ -45,11 +45,11 @@
 		if !c.withinQuota(t.phase, 1) {
 			continue
 		}
-		if e := c.trialPlace(t); e != nil {
+		if e := c.chooseProbationEndpoint(t); e != nil {
 			t.phase.unready(t)
 			c.intend(t, e)
 		} else if !c.probationWaitExpired(t) {
-			c.promise(t)
+			c.reserveForProbation(t)
 		}
 	}
 }
@@ -63,13 +63,13 @@
 // crowd of suspects, most of them sound, must not stand still.
 func (c *Cell) maxProbationWait(t *task) time.Duration {
 	if c.prone[t.phase.job().queue] {
-		return proneWait
+		return crashProneProbationWait
 	}
-	return usualWait
+	return defaultProbationWait
 }
 
-// dropSuspects drops what has been settled: tasks and promised endpoints.
-func (c *Cell) dropSuspects() {
+// pruneSuspects drops what has been settled: tasks and promised endpoints.
+func (c *Cell) pruneSuspects() {
 	c.suspects = slices.DeleteFunc(c.suspects, func(t *task) bool {
 		if t.done || t.phase.job().ended() {
 			t.suspected = false
@@ -94,23 +94,23 @@
 	})
 }
 
-// trialPlace returns the endpoint for a trial where the least is lost if that ends it.
-func (c *Cell) trialPlace(t *task) *endpoint {
+// chooseProbationEndpoint returns the endpoint for a trial where the least is lost if that ends it.
+func (c *Cell) chooseProbationEndpoint(t *task) *endpoint {
 	var choice choice
 	for _, e := range c.ranked {
-		if c.quiet(e) && c.canStart(t, e) {
-			choice.offer(e, -e.atStake())
+		if c.noRecentStart(e) && c.canStart(t, e) {
+			choice.offer(e, -e.weightAtRisk())
 		}
 	}
 	return choice.best
 }
 
-// atStake weighs what an endpoint takes with it when it ends.
-func (e *endpoint) atStake() int {
+// weightAtRisk weighs what an endpoint takes with it when it ends.
+func (e *endpoint) weightAtRisk() int {
 	sum := 0
 	for _, r := range e.runsByStart {
 		if r.task.phase.spec.Lasting {
-			sum += lastingBeside
+			sum += longRunningWeight
 		} else {
 			sum++
 		}
@@ -120,31 +120,31 @@
 
 // probationAllows says whether a task may start at an endpoint as far as trials go.
 func (c *Cell) probationAllows(t *task, e *endpoint) bool {
-	if e.probation != nil || e.reservedFor != nil && e.reservedFor != t || !c.apart(t, e) {
+	if e.probation != nil || e.reservedFor != nil && e.reservedFor != t || !c.separatedFromOtherJobs(t, e) {
 		return false
 	}
-	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayTry(e) && c.quiet(e)
+	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayHostProbation(e) && c.noRecentStart(e)
 }
 
-// mayTry says whether one more endpoint may be used for a trial.
-func (c *Cell) mayTry(e *endpoint) bool {
+// mayHostProbation says whether one more endpoint may be used for a trial.
+func (c *Cell) mayHostProbation(e *endpoint) bool {
 	if e.reservedFor != nil {
 		return true
 	}
-	share := trialShare
+	share := maxProbationPercent
 	if len(c.prone) > 0 {
-		share = proneShare
+		share = maxCrashProneProbationPercent
 	}
 	return len(c.trials)+c.trialEnds.countWithin(c.now, restartTime) < max(1, len(c.ranked)*share/wholePercent)
 }
 
-// quiet says whether nothing has begun at an endpoint of late that may end it yet.
-func (c *Cell) quiet(e *endpoint) bool {
-	return !c.begunWithin(e, c.now, c.options.CrashRules.SuspectAge)
+// noRecentStart says whether nothing has begun at an endpoint of late that may end it yet.
+func (c *Cell) noRecentStart(e *endpoint) bool {
+	return !c.startedWithin(e, c.now, c.options.CrashRules.SuspectAge)
 }
 
-// begunWithin says whether something has begun at an endpoint within a time before a moment.
-func (c *Cell) begunWithin(e *endpoint, at time.Time, length time.Duration) bool {
+// startedWithin says whether something has begun at an endpoint within a time before a moment.
+func (c *Cell) startedWithin(e *endpoint, at time.Time, length time.Duration) bool {
 	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.startedAt) < length })
 }
 
@@ -152,22 +152,22 @@
 func (c *Cell) countExposed() int {
 	count := 0
 	for _, e := range c.ranked {
-		if len(e.runs) > 0 && e.usable() && !c.begunWithin(e, c.now, c.options.CrashRules.MeasuredSuspectAge()) {
+		if len(e.runs) > 0 && e.usable() && !c.startedWithin(e, c.now, c.options.CrashRules.MeasuredSuspectAge()) {
 			count++
 		}
 	}
 	return count
 }
 
-// promise keeps an endpoint for a task until nothing young runs there and there is room.
-func (c *Cell) promise(t *task) {
+// reserveForProbation keeps an endpoint for a task until nothing young runs there and there is room.
+func (c *Cell) reserveForProbation(t *task) {
 	if slices.ContainsFunc(c.trials, func(e *endpoint) bool { return e.reservedFor == t }) {
 		return
 	}
 	var choice choice
 	for _, e := range c.ranked {
-		if e.probation == nil && e.reservedFor == nil && c.mayTry(e) && c.couldHold(t, e) {
-			choice.offer(e, -e.atStake())
+		if e.probation == nil && e.reservedFor == nil && c.mayHostProbation(e) && c.fitsWithoutShortRuns(t, e) {
+			choice.offer(e, -e.weightAtRisk())
 		}
 	}
 	if choice.best != nil {
@@ -176,8 +176,8 @@
 	}
 }
 
-// couldHold says whether a task could run at an endpoint once the short tasks there have ended.
-func (c *Cell) couldHold(t *task, e *endpoint) bool {
+// fitsWithoutShortRuns says whether a task could run at an endpoint once the short tasks there have ended.
+func (c *Cell) fitsWithoutShortRuns(t *task, e *endpoint) bool {
 	p := t.phase
 	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
 		return false
@@ -185,9 +185,9 @@
 	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
 }
 
-// beginTrial notes that a run is on trial: nothing else starts at its endpoint until it has
+// startProbation notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
-func (c *Cell) beginTrial(r *run) {
+func (c *Cell) startProbation(r *run) {
 	r.endpoint.probation, r.endpoint.reservedFor = r, nil
 	if !slices.Contains(c.trials, r.endpoint) {
 		c.trials = append(c.trials, r.endpoint)
@@ -198,7 +198,7 @@
 // have been at work for long.
 func (c *Cell) checkProbations() {
 	for _, e := range c.trials {
-		if e.probation != nil && e.probation.state == runConfirmed && !c.now.Before(c.outlivesAt(e.probation)) {
+		if e.probation != nil && e.probation.state == runConfirmed && !c.now.Before(c.probationEnd(e.probation)) {
 			c.requestPoll(e)
 		}
 	}
@@ -206,22 +206,22 @@
 		if !t.phase.spec.Lasting || len(t.runs) == 0 {
 			continue
 		}
-		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.startedAt) >= outlivedTime {
+		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.startedAt) >= longRunningClearTime {
 			t.crashes, t.suspected = crash.History{}, false
 			c.touch(t.phase.job())
 		}
 	}
 }
 
-// outlivesAt returns when a run on trial has outlived it.
-func (c *Cell) outlivesAt(r *run) time.Time {
+// probationEnd returns when a run on trial has outlived it.
+func (c *Cell) probationEnd(r *run) time.Time {
 	return r.startedAt.Add(c.options.CrashRules.ProbationTime(r.task.crashes))
 }
 
-// outlive ends the trial at an endpoint that has answered a look which was sent after it
+// endProbation ends the trial at an endpoint that has answered a look which was sent after it
 // should be over.
-func (c *Cell) outlive(e *endpoint, sentAt time.Time) {
-	if e.probation != nil && e.probation.state == runConfirmed && !sentAt.Before(c.outlivesAt(e.probation)) {
+func (c *Cell) endProbation(e *endpoint, sentAt time.Time) {
+	if e.probation != nil && e.probation.state == runConfirmed && !sentAt.Before(c.probationEnd(e.probation)) {
 		e.probation = nil
 		c.unplaced = true
 	}
