--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -114,7 +114,7 @@
 	// An older owner may have prolonged leases until it noticed that it was one.
 	e.leasesExpireBy = c.now.Add(c.options.RenewalGrace + withClockSlack(c.options.MaxLease))
 	c.endpoints[life] = e
-	c.settleIn(e)
+	c.updateZone(e)
 	c.ranked = slices.Insert(c.ranked, c.indexOfLife(life), e)
 	return e
 }
@@ -152,7 +152,7 @@
 			c.noteEndpoint("endpoint listed", e, "box "+info.Box+" at "+info.Address)
 		}
 		e.info, e.listed = info, true
-		c.settleIn(e)
+		c.updateZone(e)
 	}
 	for _, e := range c.ranked {
 		if e.listed && !present[e.info.Life] {
@@ -175,7 +175,7 @@
 		}
 		c.forgetLapsed(e)
 		delete(c.endpoints, e.info.Life)
-		e.zone.rooms.drop(e)
+		e.zone.byFreeCores.remove(e)
 		c.dropEndpoint(e)
 		return true
 	})
--- a/pkg/cell/gang.go
+++ b/pkg/cell/gang.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// rackWait is how long a gang that is slow across racks waits for one that holds
+// sameRackWait is how long a gang that is slow across racks waits for one that holds
 // it: about what its tasks lose by being spread.
-const rackWait = 400 * time.Millisecond
+const sameRackWait = 400 * time.Millisecond
 
 // placeGang starts all tasks of a phase together, or none.
 func (c *Cell) placeGang(p *phase) {
@@ -18,7 +18,7 @@
 	if !c.withinQuota(p, len(p.ready)) {
 		return
 	}
-	chosen := c.chooseGang(p)
+	chosen := c.chooseGangEndpoints(p)
 	if chosen == nil {
 		return
 	}
@@ -32,13 +32,13 @@
 		t.ready = false
 		// All members share the attempt.
 		t.attempt = attempt
-		c.intend(t, chosen[at])
+		c.planRun(t, chosen[at])
 	}
 }
 
-// abandonGang stops what runs of a gang that can't be whole, so that its members
+// stopGang stops what runs of a gang that can't be whole, so that its members
 // don't wait for one that will not come.
-func (c *Cell) abandonGang(p *phase, why string) {
+func (c *Cell) stopGang(p *phase, why string) {
 	if !p.spec.Gang {
 		return
 	}
@@ -51,29 +51,29 @@
 	}
 }
 
-// chooseGang returns an endpoint for each waiting task of a gang, or nil.
-func (c *Cell) chooseGang(p *phase) []*endpoint {
+// chooseGangEndpoints returns an endpoint for each waiting task of a gang, or nil.
+func (c *Cell) chooseGangEndpoints(p *phase) []*endpoint {
 	if p.readySince.IsZero() {
 		p.readySince = c.now
 	}
 	if !p.spec.SameRack {
-		return c.chooseAmong(p, "")
+		return c.chooseGangWithLabel(p, "")
 	}
 	for _, rack := range c.racks() {
-		if chosen := c.chooseAmong(p, rack); chosen != nil {
+		if chosen := c.chooseGangWithLabel(p, rack); chosen != nil {
 			return chosen
 		}
 	}
-	if c.now.Sub(p.readySince) < rackWait {
+	if c.now.Sub(p.readySince) < sameRackWait {
 		return nil
 	}
-	return c.chooseAmong(p, "")
+	return c.chooseGangWithLabel(p, "")
 }
 
-// chooseAmong returns an endpoint for each waiting task of a gang among those with
+// chooseGangWithLabel returns an endpoint for each waiting task of a gang among those with
 // a label, or nil. Room is held for the time of the choice, so that members don't
 // count on the same.
-func (c *Cell) chooseAmong(p *phase, label string) []*endpoint {
+func (c *Cell) chooseGangWithLabel(p *phase, label string) []*endpoint {
 	chosen := make([]*endpoint, 0, len(p.ready))
 	p.held = map[*endpoint]int{}
 	defer func() {
@@ -83,7 +83,7 @@
 		p.held = nil
 	}()
 	for _, t := range p.ready {
-		e := c.choose(t, label)
+		e := c.chooseEndpoint(t, label)
 		if e == nil {
 			return nil
 		}
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// entryTime is how old what an endpoint said of its room may be for starts there, where the
+// maxCapacityAge is how old what an endpoint said of its room may be for starts there, where the
 // endpoint itself doesn't refuse what doesn't fit: it says so each 1.5 s, and a room that has
 // shrunk counts 3 s and one such time later.
-const entryTime = 2500 * time.Millisecond
+const maxCapacityAge = 2500 * time.Millisecond
 
 // SetRejectsOverload says whether the cell's endpoints refuse what doesn't fit. Where they don't, what
 // is known of their room must be new: a task too many harms all that run there.
@@ -18,7 +18,7 @@
 
 // capacityKnown says whether what is known of an endpoint's room is new enough for starts there.
 func (c *Cell) capacityKnown(e *endpoint) bool {
-	return !c.unguarded || c.now.Sub(e.info.SeenAt) <= entryTime
+	return !c.unguarded || c.now.Sub(e.info.SeenAt) <= maxCapacityAge
 }
 
 // stillFits says whether a run that was given room some time ago may be ordered now.
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -46,7 +46,7 @@
 	// is done.
 	probing bool
 	// progressSamples tell how fast its tasks get on.
-	progressSamples []sign
+	progressSamples []progressSample
 }
 
 // healthAllows says whether an endpoint may be given new work, as far as its health goes.
@@ -145,7 +145,7 @@
 			continue
 		}
 		tasks++
-		if c.now.Sub(r.pace.movedAt) < stallTime+c.options.RestoreTime {
+		if c.now.Sub(r.progress.advancedAt) < stallTime+c.options.RestoreTime {
 			return false
 		}
 	}
@@ -155,7 +155,7 @@
 // moveRunsAway runs the tasks of an unwell endpoint elsewhere, where that is sooner. It
 // takes so many times as long there, or for ever when times is 0.
 func (c *Cell) moveRunsAway(e *endpoint, times float64) {
-	c.copyRuns(e)
+	c.startSpeculativeAttempts(e)
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed || r.task.phase.spec.Lasting || r.task.phase.spec.Copies || !c.fitsElsewhere(r) {
 			continue
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -25,7 +25,7 @@
 	c.stats.RunsLapsed++
 	r.endpoint.lapsedAttempts = append(r.endpoint.lapsedAttempts, lapsedAttempt{task: r.task, attempt: r.attempt, minAge: r.age(r.endpoint.lastAnsweredAt)})
 	r.task.lapses++
-	c.again(r)
+	c.requeue(r)
 }
 
 // resolveLapsed takes note of the end of an attempt that was taken to have lapsed, and says
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -52,7 +52,7 @@
 		there = c.ensureEndpoint(life)
 		there.info = e.info
 		there.info.Life = life
-		c.settleIn(there)
+		c.updateZone(there)
 	}
 	if there.exited {
 		c.pollFailed(e, sent, errExitedLife)
@@ -92,7 +92,7 @@
 	case runRequested, runUncertain:
 		return true
 	case runConfirmed:
-		if r.knownAt > sentAt {
+		if r.listedAfterStep > sentAt {
 			return true
 		}
 	}
@@ -104,11 +104,11 @@
 // out whether it is there.
 func (c *Cell) moveRunTo(r *run, there *endpoint) {
 	c.note("run may be at a later life", r, "born "+there.info.Life.String())
-	c.leave(r)
+	c.removeFromEndpoint(r)
 	r.endpoint = there
-	c.enter(r)
+	c.addToEndpoint(r)
 	// What the earlier life has been told doesn't bind this one.
-	r.stopped = false
+	r.stopConfirmed = false
 	c.touch(r.task.phase.job())
 }
 
@@ -116,7 +116,7 @@
 // be on the way: where lives share an ID, a later one may carry them out.
 func (c *Cell) markLostByReport(e *endpoint, why string) {
 	c.markLostKeeping(e, why, func(r *run) bool {
-		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.knownAt >= e.silentStep)
+		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.listedAfterStep >= e.silentStep)
 	})
 }
 
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -153,7 +153,7 @@
 	if e = c.answeringLife(e, sent, look.Born); e == nil {
 		return
 	}
-	c.heard(e)
+	c.endpointAnswered(e)
 	e.polls.answeredStep = sent.step
 	c.supersedeOtherLives(e, look, sent.step)
 	if e.silent {
@@ -168,7 +168,7 @@
 	}
 	c.reconcileRuns(e, look.Running, sent.step)
 	c.checkProgress(e)
-	c.share(e)
+	c.adjustFillerSpeeds(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
 		c.noteEndpoint("endpoint attached", e, "box "+e.info.Box)
@@ -189,7 +189,7 @@
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
-			c.copyRuns(e)
+			c.startSpeculativeAttempts(e)
 		}
 	}
 }
@@ -217,15 +217,15 @@
 			c.stopStray(e, row.Run)
 			continue
 		}
-		r.listedAt = c.step
+		r.lastListedStep = c.step
 		c.applyProgress(r, row)
 	}
 	for _, r := range e.sortedRuns() {
 		switch {
-		case r.listedAt == c.step:
+		case r.lastListedStep == c.step:
 		case c.mustBeListed(r, sentAt):
 			c.removeMissingRun(r)
-		case r.state == runUncertain && !r.stopping && sentAt >= r.knownAt:
+		case r.state == runUncertain && !r.stopping && sentAt >= r.listedAfterStep:
 			// Its start may still be on the way.
 			c.stop(r, "its start was not answered")
 		}
@@ -240,19 +240,19 @@
 		// This owner's token has kept out later orders of earlier owners.
 		return true
 	case runConfirmed:
-		return sentAt >= r.knownAt
+		return sentAt >= r.listedAfterStep
 	case runUncertain:
 		// Once the endpoint has taken the stop, the attempt can't begin any more.
-		return r.stopped && sentAt >= r.knownAt
+		return r.stopConfirmed && sentAt >= r.listedAfterStep
 	}
 	return false
 }
 
 func (c *Cell) applyProgress(r *run, row damsonwinch.Running) {
 	r.task.phase.job().begun = true
-	r.pace.see(c.now, row.Percent)
-	c.signal(r)
-	r.percent, r.load, r.lost = row.Percent, row.Load, nil
+	r.progress.update(c.now, row.Percent)
+	c.sampleProgress(r)
+	r.percent, r.load, r.pendingLoss = row.Percent, row.Load, nil
 	if row.Checkpoint != "" {
 		r.task.saved = row.Checkpoint
 	}
@@ -260,10 +260,10 @@
 		return
 	}
 	uncertain := r.state == runUncertain
-	r.state, r.knownAt = runConfirmed, c.step
+	r.state, r.listedAfterStep = runConfirmed, c.step
 	if r.task.phase.job().ended() || r.task.done {
 		c.stop(r, "its job has ended")
-	} else if uncertain && r.stopping && r.stopSent.IsZero() {
+	} else if uncertain && r.stopping && r.stopSentAt.IsZero() {
 		r.stopping = false
 	}
 }
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -42,7 +42,7 @@
 		end := c.lossOf(r)
 		end.Explained = end.Explained || blamedRun != nil && blamedRun != r
 		if kept(r) {
-			r.lost = &runLoss{life: e.info.Life, loss: end}
+			r.pendingLoss = &runLoss{life: e.info.Life, loss: end}
 			continue
 		}
 		c.removeLostRun(r, runLoss{life: e.info.Life, loss: end})
@@ -68,11 +68,11 @@
 // removeMissingRun takes away a run that its endpoint doesn't have.
 func (c *Cell) removeMissingRun(r *run) {
 	c.note("run is not there", r, "")
-	if r.lost != nil {
-		c.removeLostRun(r, *r.lost)
+	if r.pendingLoss != nil {
+		c.removeLostRun(r, *r.pendingLoss)
 		return
 	}
-	c.again(r)
+	c.requeue(r)
 }
 
 // blamed returns the run that was on trial on an endpoint that has ended and is to blame,
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// pace is how fast a run gets on, by what looks have shown of it.
-type pace struct {
-	// from is where it was when it was first seen to get on, in percent.
-	from    int
-	fromAt  time.Time
-	seenAt  time.Time
-	percent int
-	// movedAt is when it was last seen to have got on.
-	movedAt time.Time
+// progress is how fast a run gets on, by what looks have shown of it.
+type progress struct {
+	// basePercent is where it was when it was first seen to get on, in percent.
+	basePercent int
+	baseAt      time.Time
+	reportedAt  time.Time
+	percent     int
+	// advancedAt is when it was last seen to have got on.
+	advancedAt time.Time
 }
 
-// leastWatched is the progress, in percent, from which a pace can be told: looks
+// minMeasuredPercent is the progress, in percent, from which a pace can be told: looks
 // round to whole percents.
-const leastWatched = 6
+const minMeasuredPercent = 6
 
-// see takes how far a run is.
-func (p *pace) see(now time.Time, percent int) {
+// update takes how far a run is.
+func (p *progress) update(now time.Time, percent int) {
 	switch {
-	case p.movedAt.IsZero():
-		p.movedAt = now
+	case p.advancedAt.IsZero():
+		p.advancedAt = now
 	case percent != p.percent:
-		p.movedAt = now
-		if p.fromAt.IsZero() {
-			p.from, p.fromAt = percent, now
+		p.advancedAt = now
+		if p.baseAt.IsZero() {
+			p.basePercent, p.baseAt = percent, now
 		}
 	}
-	p.seenAt, p.percent = now, percent
+	p.reportedAt, p.percent = now, percent
 }
 
-// perMs returns the progress in percent a millisecond, or 0 while it isn't known.
-func (p *pace) perMs() float64 {
-	if p.fromAt.IsZero() || p.percent-p.from < leastWatched {
+// percentPerMs returns the progress in percent a millisecond, or 0 while it isn't known.
+func (p *progress) percentPerMs() float64 {
+	if p.baseAt.IsZero() || p.percent-p.basePercent < minMeasuredPercent {
 		return 0
 	}
-	return float64(p.percent-p.from) / float64(max(1, p.seenAt.Sub(p.fromAt).Milliseconds()))
+	return float64(p.percent-p.basePercent) / float64(max(1, p.reportedAt.Sub(p.baseAt).Milliseconds()))
 }
 
 // totalMs returns how long the whole task takes at this pace, or 0 while that
 // isn't known.
-func (p *pace) totalMs() float64 {
-	if speed := p.perMs(); speed > 0 {
+func (p *progress) totalMs() float64 {
+	if speed := p.percentPerMs(); speed > 0 {
 		return wholePercent / speed
 	}
 	return 0
@@ -51,7 +51,7 @@
 // remainingMs returns how long the run still takes at its pace, or 0 while that isn't
 // known.
 func (r *run) remainingMs() float64 {
-	if speed := r.pace.perMs(); speed > 0 {
+	if speed := r.progress.percentPerMs(); speed > 0 {
 		return float64(wholePercent-r.percent) / speed
 	}
 	return 0
@@ -60,11 +60,11 @@
 // remainingMs estimates how long a run still takes, in milliseconds.
 func (c *Cell) remainingMs(r *run) int {
 	if left := r.remainingMs(); left > 0 {
-		return int(left) - int(c.now.Sub(r.pace.seenAt).Milliseconds())
+		return int(left) - int(c.now.Sub(r.progress.reportedAt).Milliseconds())
 	}
 	usual := c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs)
-	return max(leastLeftMs, usual-int(c.now.Sub(r.startedAt).Milliseconds()))
+	return max(minRemainingMs, usual-int(c.now.Sub(r.startedAt).Milliseconds()))
 }
 
-// leastLeftMs is what a run is taken to need when it should have ended already.
-const leastLeftMs = 200
+// minRemainingMs is what a run is taken to need when it should have ended already.
+const minRemainingMs = 200
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -45,7 +45,7 @@
 		}
 		if p.spec.Gang {
 			c.placeGang(p)
-		} else if !c.placeTasks(p) && c.unconstrained(p) {
+		} else if !c.placeTasks(p) && c.needsOnlyCapacity(p) {
 			full = append(full, p.need())
 		}
 		c.seekAdvice(p)
@@ -68,8 +68,8 @@
 	return false
 }
 
-// unconstrained says that only room decides where a phase's tasks may run.
-func (c *Cell) unconstrained(p *phase) bool {
+// needsOnlyCapacity says that only room decides where a phase's tasks may run.
+func (c *Cell) needsOnlyCapacity(p *phase) bool {
 	return p.spec.Label == "" && p.spec.MostPerBox == 0 && !c.needsPermit(p)
 }
 
@@ -87,13 +87,13 @@
 			p.ready = append(p.ready, waiting[at:]...)
 			return true
 		}
-		e := c.choose(t, "")
+		e := c.chooseEndpoint(t, "")
 		if e == nil {
 			p.ready = append(p.ready, waiting[at:]...)
 			return false
 		}
 		t.ready = false
-		c.intend(t, e)
+		c.planRun(t, e)
 	}
 	return true
 }
@@ -108,15 +108,15 @@
 func (c *Cell) canHost(t *task, e *endpoint) bool {
 	p := t.phase
 	// Most endpoints of a busy cell are full; that is found out first.
-	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.capacityKnown(e) || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || t.runsAt(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
+	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.capacityKnown(e) || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || t.runsOn(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
 		return false
 	}
-	return p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox
+	return p.spec.MostPerBox == 0 || countOnEndpoint(p, e) < p.spec.MostPerBox
 }
 
-// onEndpoint counts a phase's runs at an endpoint, with the places that are held
+// countOnEndpoint counts a phase's runs at an endpoint, with the places that are held
 // there while a gang is placed.
-func onEndpoint(p *phase, e *endpoint) int {
+func countOnEndpoint(p *phase, e *endpoint) int {
 	count := p.held[e]
 	for _, t := range p.tasks {
 		for _, r := range t.runs {
@@ -130,22 +130,22 @@
 
 // Weights of a choice, in thousandths of a core of free room.
 const (
-	scoreRack  = 1_000_000
-	scoreAvoid = -4_000_000
-	scoreDoubt = -2_000_000
-	// scoreBeside keeps what serves and what fills apart while there is room.
-	scoreBeside = -500_000
-	// scoreDue keeps lasting tasks off boxes that are still to be maintained: each move
+	scoreRack          = 1_000_000
+	scoreAvoid         = -4_000_000
+	scoreRecentFailure = -2_000_000
+	// scoreInterference keeps what serves and what fills apart while there is room.
+	scoreInterference = -500_000
+	// scoreMaintenanceDue keeps lasting tasks off boxes that are still to be maintained: each move
 	// takes some 1.5 s, and of one job often only one task may be away.
-	scoreDue = -3_000_000
+	scoreMaintenanceDue = -3_000_000
 )
 
 func (c *Cell) score(t *task, e *endpoint) int {
-	return c.leaning(t, e) - e.free().CPU
+	return c.preference(t, e) - e.free().CPU
 }
 
-// leaning is what speaks for an endpoint beside its room.
-func (c *Cell) leaning(t *task, e *endpoint) int {
+// preference is what speaks for an endpoint beside its room.
+func (c *Cell) preference(t *task, e *endpoint) int {
 	score := 0
 	if rack := t.phase.spec.Rack; rack != "" && slices.Contains(e.info.Labels, rack) {
 		score += scoreRack
@@ -154,13 +154,13 @@
 		score += scoreAvoid
 	}
 	if e.health.consecutiveFailures > 0 {
-		score += scoreDoubt
+		score += scoreRecentFailure
 	}
-	if c.besides(t.phase, e) {
-		score += scoreBeside
+	if c.interferes(t.phase, e) {
+		score += scoreInterference
 	}
 	if e.maintenanceDue && t.phase.spec.Lasting {
-		score += scoreDue
+		score += scoreMaintenanceDue
 	}
 	return score
 }
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -85,7 +85,7 @@
 	var choice choice
 	for _, e := range c.ranked {
 		if e.hasLabel(label) && c.canStart(t, e) {
-			choice.offer(e, c.leaning(t, e)-c.workAtRisk(e, t.phase.job())/milliCore)
+			choice.offer(e, c.preference(t, e)-c.workAtRisk(e, t.phase.job())/milliCPUPerCore)
 		}
 	}
 	return choice.best
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -4,26 +4,26 @@
 	"damsonwinch"
 )
 
-// coresShown is how many whole free cores are told apart; boxes with more count as
+// maxCoreBucket is how many whole free cores are told apart; boxes with more count as
 // having that many.
-const coresShown = 256
+const maxCoreBucket = 256
 
-// milliCore is a core in the unit of resources.
-const milliCore = 1000
+// milliCPUPerCore is a core in the unit of resources.
+const milliCPUPerCore = 1000
 
-// rooms holds a zone's endpoints by their whole free cores, so that a choice looks
+// freeCoreIndex holds a zone's endpoints by their whole free cores, so that a choice looks
 // only at those that may have room: in a busy cell most are full.
-type rooms struct {
-	byCores [coresShown + 1][]*endpoint
-	// most is the highest number of free cores that any endpoint has had.
-	most int
+type freeCoreIndex struct {
+	buckets [maxCoreBucket + 1][]*endpoint
+	// maxBucket is the highest number of free cores that any endpoint has had.
+	maxBucket int
 }
 
-// freeCPU returns the whole free cores of all usable endpoints.
-func (r *rooms) freeCPU() int {
+// freeCores returns the whole free cores of all usable endpoints.
+func (r *freeCoreIndex) freeCores() int {
 	sum := 0
-	for bucket := 1; bucket <= r.most; bucket++ {
-		for _, e := range r.byCores[bucket] {
+	for bucket := 1; bucket <= r.maxBucket; bucket++ {
+		for _, e := range r.buckets[bucket] {
 			if e.usable() && !e.overdue {
 				sum += bucket
 			}
@@ -32,75 +32,75 @@
 	return sum
 }
 
-// bucketOf returns the number of whole cores, as far as they are told apart.
-func bucketOf(cpu int) int {
-	return min(max(cpu/milliCore, 0), coresShown)
+// coreBucket returns the number of whole cores, as far as they are told apart.
+func coreBucket(cpu int) int {
+	return min(max(cpu/milliCPUPerCore, 0), maxCoreBucket)
 }
 
-// put takes an endpoint in, or moves it to where it belongs now.
-func (r *rooms) put(e *endpoint) {
-	bucket := bucketOf(e.free().CPU)
+// update takes an endpoint in, or moves it to where it belongs now.
+func (r *freeCoreIndex) update(e *endpoint) {
+	bucket := coreBucket(e.free().CPU)
 	if e.indexed {
 		if e.bucket == bucket {
 			return
 		}
-		r.drop(e)
+		r.remove(e)
 	}
-	e.indexed, e.bucket, e.bucketPos = true, bucket, len(r.byCores[bucket])
-	r.byCores[bucket] = append(r.byCores[bucket], e)
-	r.most = max(r.most, bucket)
+	e.indexed, e.bucket, e.bucketPos = true, bucket, len(r.buckets[bucket])
+	r.buckets[bucket] = append(r.buckets[bucket], e)
+	r.maxBucket = max(r.maxBucket, bucket)
 }
 
-// drop takes an endpoint out.
-func (r *rooms) drop(e *endpoint) {
+// remove takes an endpoint out.
+func (r *freeCoreIndex) remove(e *endpoint) {
 	if !e.indexed {
 		return
 	}
-	list := r.byCores[e.bucket]
+	list := r.buckets[e.bucket]
 	last := list[len(list)-1]
 	list[e.bucketPos], last.bucketPos = last, e.bucketPos
 	list[len(list)-1] = nil
-	r.byCores[e.bucket] = list[:len(list)-1]
+	r.buckets[e.bucket] = list[:len(list)-1]
 	e.indexed = false
 }
 
 // occupy takes room at an endpoint; release gives it back.
 func (c *Cell) occupy(e *endpoint, need damsonwinch.Resources) {
 	e.used = e.used.Plus(need)
-	e.zone.rooms.put(e)
+	e.zone.byFreeCores.update(e)
 }
 
 func (c *Cell) release(e *endpoint, need damsonwinch.Resources) {
 	e.used = e.used.Minus(need)
-	e.zone.rooms.put(e)
+	e.zone.byFreeCores.update(e)
 }
 
-// choose returns the endpoint that suits a task best, or nil: in its job's zone if
+// chooseEndpoint returns the endpoint that suits a task best, or nil: in its job's zone if
 // there is room. A label that isn't empty leaves only the endpoints that have it.
-func (c *Cell) choose(t *task, label string) *endpoint {
+func (c *Cell) chooseEndpoint(t *task, label string) *endpoint {
 	if c.prone[t.phase.job().queue] {
 		return c.chooseLeastAtRisk(t, label)
 	}
-	if home := c.home(t); home != nil {
-		if found := c.chooseIn(home.alone, t, label); found != nil {
+	if home := c.homeZone(t); home != nil {
+		if found := c.chooseInZones(home.asSlice, t, label); found != nil {
 			return found
 		}
 	}
-	return c.chooseIn(c.zones, t, label)
+	return c.chooseInZones(c.zones, t, label)
 }
 
-// chooseIn returns the endpoint of some zones that suits a task best, or nil. Work
+// chooseInZones returns the endpoint of some zones that suits a task best, or nil. Work
 // is packed on few boxes, so that others stay empty and can be given away or
 // maintained.
-func (c *Cell) chooseIn(zones []*zone, t *task, label string) *endpoint {
+func (c *Cell) chooseInZones(zones []*zone, t *task, label string) *endpoint {
 	var choice choice
 	most := 0
 	for _, z := range zones {
-		most = max(most, z.rooms.most)
+		most = max(most, z.byFreeCores.maxBucket)
 	}
-	for bucket := bucketOf(t.phase.need().CPU); bucket <= most; bucket++ {
+	for bucket := coreBucket(t.phase.need().CPU); bucket <= most; bucket++ {
 		for _, z := range zones {
-			for _, e := range z.rooms.byCores[bucket] {
+			for _, e := range z.byFreeCores.buckets[bucket] {
 				if e.hasLabel(label) && c.canStart(t, e) {
 					choice.offer(e, c.score(t, e))
 				}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -31,31 +31,31 @@
 	attempt  int
 	endpoint *endpoint
 	state    runState
-	// knownAt is the step after which the endpoint must list the run: a look sent
+	// listedAfterStep is the step after which the endpoint must list the run: a look sent
 	// later that doesn't list it shows that it isn't there.
-	knownAt int
-	// listedAt is the step of the newest look that listed it.
-	listedAt int
+	listedAfterStep int
+	// lastListedStep is the step of the newest look that listed it.
+	lastListedStep int
 	// stopping says that it is to end.
 	stopping bool
-	// stopSent is when the stop was last ordered, and stopped that the endpoint
+	// stopSentAt is when the stop was last ordered, and stopped that the endpoint
 	// has taken it: the attempt can't begin any more.
-	stopSent  time.Time
-	stopped   bool
-	percent   int
-	startedAt time.Time
+	stopSentAt    time.Time
+	stopConfirmed bool
+	percent       int
+	startedAt     time.Time
 	// resumed says that it goes on from a checkpoint, and adopted that an earlier
 	// owner started it: its time tells nothing of its task's.
 	resumed   bool
 	inherited bool
-	// lost is how it went with its endpoint, where a later life under the same ID may have it; nil
+	// pendingLoss is how it went with its endpoint, where a later life under the same ID may have it; nil
 	// otherwise.
-	lost *runLoss
+	pendingLoss *runLoss
 	// jobLate says that its job could hardly be in time any more when it was started.
-	jobLate bool
-	pace    pace
-	// judged says that its pace has been taken for a sign of its endpoint's health.
-	judged bool
+	jobLate  bool
+	progress progress
+	// progressSampled says that its pace has been taken for a sign of its endpoint's health.
+	progressSampled bool
 	// load is its newest figure of load: a serving task's tail in milliseconds.
 	load int
 	// speedPercent is the share of its speedPercent at which it was told to work, in percent.
@@ -66,8 +66,8 @@
 	return damsonwinch.Run{Task: r.task.id(), Attempt: r.attempt}
 }
 
-// intend reserves room for a new attempt; it is ordered once it is recorded.
-func (c *Cell) intend(t *task, at *endpoint) {
+// planRun reserves room for a new attempt; it is ordered once it is recorded.
+func (c *Cell) planRun(t *task, at *endpoint) {
 	t.attempt++
 	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, jobLate: t.phase.late(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.noRecentStart(at)
@@ -87,20 +87,20 @@
 // addRun ties a run to its task and endpoint.
 func (c *Cell) addRun(r *run) {
 	r.task.runs = append(r.task.runs, r)
-	c.enter(r)
+	c.addToEndpoint(r)
 	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs++
 }
 
-// enter ties a run to its endpoint, and leave takes it from there.
-func (c *Cell) enter(r *run) {
+// addToEndpoint ties a run to its endpoint, and leave takes it from there.
+func (c *Cell) addToEndpoint(r *run) {
 	r.endpoint.runs[r.id()] = r
 	r.endpoint.runsByStart = append(r.endpoint.runsByStart, r)
 	c.occupy(r.endpoint, r.task.phase.need())
 	c.schedulePoll(r.endpoint)
 }
 
-func (c *Cell) leave(r *run) {
+func (c *Cell) removeFromEndpoint(r *run) {
 	delete(r.endpoint.runs, r.id())
 	r.endpoint.runsByStart = slices.DeleteFunc(r.endpoint.runsByStart, func(other *run) bool { return other == r })
 	c.release(r.endpoint, r.task.phase.need())
@@ -114,15 +114,15 @@
 // removeRun takes away a run that is known not to exist any more.
 func (c *Cell) removeRun(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
-	c.leave(r)
+	c.removeFromEndpoint(r)
 	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
 	r.task.phase.job().runs--
 	c.unplaced = true
 	c.touch(r.task.phase.job())
 }
 
-// again resolves a run that came to nothing and makes its task ready.
-func (c *Cell) again(r *run) {
+// requeue resolves a run that came to nothing and makes its task ready.
+func (c *Cell) requeue(r *run) {
 	c.removeRun(r)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
@@ -133,8 +133,8 @@
 func (c *Cell) sendStart(r *run) {
 	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.mayBeCutOff() || !c.stillFits(r) {
 		c.addStarts(r.task, -1)
-		c.again(r)
-		c.abandonGang(r.task.phase, "a member of its gang can't be started")
+		c.requeue(r)
+		c.stopGang(r.task.phase, "a member of its gang can't be started")
 		return
 	}
 	r.state = runRequested
@@ -159,37 +159,37 @@
 	}
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.answered(r.endpoint)
-	case err == nil, refusedStart(err):
-		c.heard(r.endpoint)
+		c.addressAnswered(r.endpoint)
+	case err == nil, isStartRefusal(err):
+		c.endpointAnswered(r.endpoint)
 	}
 	switch {
 	case errors.Is(err, damsonwinch.ErrNotSent):
-		c.notSent(r, err)
+		c.startNotSent(r, err)
 	case err == nil:
-		r.state, r.knownAt = runConfirmed, c.step
+		r.state, r.listedAfterStep = runConfirmed, c.step
 		r.task.phase.job().begun = true
 		r.task.refusals = 0
 		if r.stopping {
 			c.stop(r, "asked for before it began")
 		}
-	case refusedStart(err):
-		c.refused(r, err)
+	case isStartRefusal(err):
+		c.startRefused(r, err)
 	default:
 		r.state = runUncertain
 		c.note("start unanswered", r, err.Error())
 		c.requestPoll(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
-			r.knownAt = c.step
+			r.listedAfterStep = c.step
 			return
 		}
 		c.stop(r, "its start was not answered")
-		c.abandonGang(r.task.phase, "the start of a member of its gang was not answered")
+		c.stopGang(r.task.phase, "the start of a member of its gang was not answered")
 	}
 }
 
-func refusedStart(err error) bool {
+func isStartRefusal(err error) bool {
 	for _, refusal := range []error{
 		damsonwinch.ErrOldToken, damsonwinch.ErrOldRun, damsonwinch.ErrLate, damsonwinch.ErrNoRoom, damsonwinch.ErrNoTicket,
 		damsonwinch.ErrOtherLife, damsonwinch.ErrUnhealthy, damsonwinch.ErrInvalid,
@@ -201,58 +201,58 @@
 	return false
 }
 
-// refused takes back a run that its endpoint has turned away.
-func (c *Cell) refused(r *run, err error) {
+// startRefused takes back a run that its endpoint has turned away.
+func (c *Cell) startRefused(r *run, err error) {
 	c.stats.StartsRefused++
 	c.addStarts(r.task, -1)
 	c.note("start refused", r, err.Error())
-	defer c.abandonGang(r.task.phase, "a member of its gang was refused")
+	defer c.stopGang(r.task.phase, "a member of its gang was refused")
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.again(r)
+		c.requeue(r)
 		c.markLost(r.endpoint, "another life answers at its address")
 		return
 	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
-		r.endpoint.backoffUntil = c.now.Add(refusalPause)
+		r.endpoint.backoffUntil = c.now.Add(endpointBackoff)
 	}
 	if errors.Is(err, damsonwinch.ErrNoTicket) {
 		r.task.phase.dropPermit(r.endpoint)
-		c.again(r)
+		c.requeue(r)
 		return
 	}
 	r.task.avoid = r.endpoint.info.Life
-	c.putBack(r.task)
-	c.again(r)
+	c.backOffTask(r.task)
+	c.requeue(r)
 }
 
-// putBack lets the starts of a task come further apart that endpoints refuse for good: each
+// backOffTask lets the starts of a task come further apart that endpoints refuse for good: each
 // costs a record and a call, and what one calls invalid the next one will as well.
-func (c *Cell) putBack(t *task) {
-	t.notBefore = c.now.Add(min(mostPutBack, leastPutBack<<min(t.refusals, 8)))
+func (c *Cell) backOffTask(t *task) {
+	t.notBefore = c.now.Add(min(maxStartBackoff, minStartBackoff<<min(t.refusals, 8)))
 	t.refusals++
 }
 
 // Times by which a refused start is put back: as long as another endpoint may take it soon, and
 // until a change of the endpoints' programs would be noticed.
 const (
-	leastPutBack = 100 * time.Millisecond
-	mostPutBack  = 2 * time.Second
+	minStartBackoff = 100 * time.Millisecond
+	maxStartBackoff = 2 * time.Second
 )
 
-// notSent takes back a run whose order has certainly not come to its endpoint.
-func (c *Cell) notSent(r *run, err error) {
+// startNotSent takes back a run whose order has certainly not come to its endpoint.
+func (c *Cell) startNotSent(r *run, err error) {
 	c.note("start not sent", r, err.Error())
 	c.addStarts(r.task, -1)
 	c.requestPoll(r.endpoint)
-	r.endpoint.backoffUntil = c.now.Add(refusalPause)
-	c.again(r)
-	c.abandonGang(r.task.phase, "a member of its gang could not be started")
+	r.endpoint.backoffUntil = c.now.Add(endpointBackoff)
+	c.requeue(r)
+	c.stopGang(r.task.phase, "a member of its gang could not be started")
 }
 
-// refusalPause keeps an endpoint that turned a task away from being asked again
+// endpointBackoff keeps an endpoint that turned a task away from being asked again
 // at once; several looks come back within it.
-const refusalPause = 300 * time.Millisecond
+const endpointBackoff = 300 * time.Millisecond
 
 // stop asks for the end of a run.
 func (c *Cell) stop(r *run, why string) {
@@ -261,7 +261,7 @@
 		r.stopping = true
 		return
 	}
-	if r.stopping && r.stopped {
+	if r.stopping && r.stopConfirmed {
 		return
 	}
 	if !r.stopping {
@@ -277,7 +277,7 @@
 }
 
 func (c *Cell) sendStop(r *run) {
-	r.stopSent = c.now
+	r.stopSentAt = c.now
 	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.endpoint.info, Request: damsonwinch.StopOrder{Run: r.id(), Token: c.token}})
 }
 
@@ -291,23 +291,23 @@
 	}
 	switch {
 	case err == nil:
-		c.heard(r.endpoint)
-		r.stopped, r.knownAt = true, c.step
+		c.endpointAnswered(r.endpoint)
+		r.stopConfirmed, r.listedAfterStep = true, c.step
 		c.requestPoll(r.endpoint)
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.markLost(r.endpoint, "another life answers at its address")
 	}
 }
 
-// retryStop is the time after which an unanswered stop is sent again.
-const retryStop = 400 * time.Millisecond
+// stopResendInterval is the time after which an unanswered stop is sent again.
+const stopResendInterval = 400 * time.Millisecond
 
 // resendStops sends stops again that nobody has answered.
 func (c *Cell) resendStops() {
 	for _, e := range c.ranked {
 		for _, r := range e.runsByStart {
-			if r.stopping && !r.stopped && r.state != runPending && r.state != runRequested && r.state != runUnverified &&
-				c.now.Sub(r.stopSent) >= retryStop {
+			if r.stopping && !r.stopConfirmed && r.state != runPending && r.state != runRequested && r.state != runUnverified &&
+				c.now.Sub(r.stopSentAt) >= stopResendInterval {
 				c.sendStop(r)
 			}
 		}
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -8,21 +8,21 @@
 
 // Rules by which tasks that fill are held back beside tasks that serve users.
 const (
-	// nearTarget is the part of its target, in percent, at which a serving task's
+	// highTailPercent is the part of its target, in percent, at which a serving task's
 	// tail calls for less beside it, and farFromTarget the part under which there
 	// may be more.
-	nearTarget    = 85
-	farFromTarget = 60
-	// paceDown is what is left of a filling task's speed, in percent, after each
+	highTailPercent = 85
+	lowTailPercent  = 60
+	// slowdownPercent is what is left of a filling task's speed, in percent, after each
 	// look that shows too much, and paceUp what it gets back after calmTime.
-	paceDown = 40
-	paceUp   = 15
+	slowdownPercent = 40
+	speedupPercent  = 15
 	// minSpeedPercent is the speed, in percent, under which a filling task stands still.
 	minSpeedPercent = 10
-	// paceGap is the time that a changed speed takes to show: the tail is a figure
+	// speedChangeInterval is the time that a changed speed takes to show: the tail is a figure
 	// of the last half second.
-	paceGap  = 600 * time.Millisecond
-	calmTime = 1500 * time.Millisecond
+	speedChangeInterval = 600 * time.Millisecond
+	lowTailTime         = 1500 * time.Millisecond
 )
 
 // SpeedChange is an order to an endpoint.
@@ -31,33 +31,33 @@
 	Request  damsonwinch.PaceOrder
 }
 
-// share holds back what fills an endpoint as long as what serves there needs it.
-func (c *Cell) share(e *endpoint) {
-	worst := c.worstTail(e)
+// adjustFillerSpeeds holds back what fills an endpoint as long as what serves there needs it.
+func (c *Cell) adjustFillerSpeeds(e *endpoint) {
+	worst := c.worstTailPercent(e)
 	switch {
-	case worst >= nearTarget:
+	case worst >= highTailPercent:
 		e.lowTailSince = time.Time{}
-		c.setPaces(e, func(percent int) int {
-			if percent*paceDown/wholePercent < minSpeedPercent {
+		c.setFillerSpeeds(e, func(percent int) int {
+			if percent*slowdownPercent/wholePercent < minSpeedPercent {
 				return 0
 			}
-			return percent * paceDown / wholePercent
+			return percent * slowdownPercent / wholePercent
 		})
-	case worst < farFromTarget:
+	case worst < lowTailPercent:
 		if e.lowTailSince.IsZero() {
 			e.lowTailSince = c.now
 		}
-		if c.now.Sub(e.lowTailSince) >= calmTime {
-			c.setPaces(e, func(percent int) int { return min(wholePercent, percent+paceUp) })
+		if c.now.Sub(e.lowTailSince) >= lowTailTime {
+			c.setFillerSpeeds(e, func(percent int) int { return min(wholePercent, percent+speedupPercent) })
 		}
 	default:
 		e.lowTailSince = time.Time{}
 	}
 }
 
-// worstTail returns the highest tail of the serving tasks at an endpoint, in
+// worstTailPercent returns the highest tail of the serving tasks at an endpoint, in
 // percent of its target; 0 if none serves there.
-func (c *Cell) worstTail(e *endpoint) int {
+func (c *Cell) worstTailPercent(e *endpoint) int {
 	worst := 0
 	for _, r := range e.runs {
 		if target := r.task.phase.spec.TargetMs; target > 0 && !r.stopping {
@@ -67,10 +67,10 @@
 	return worst
 }
 
-// setPaces changes the speed of the filling tasks at an endpoint, unless the last
+// setFillerSpeeds changes the speed of the filling tasks at an endpoint, unless the last
 // change can't have shown yet.
-func (c *Cell) setPaces(e *endpoint, change func(percent int) int) {
-	if c.now.Sub(e.speedChangedAt) < paceGap {
+func (c *Cell) setFillerSpeeds(e *endpoint, change func(percent int) int) {
+	if c.now.Sub(e.speedChangedAt) < speedChangeInterval {
 		return
 	}
 	for _, r := range e.sortedRuns() {
@@ -99,9 +99,9 @@
 	r.speedPercent = wholePercent
 }
 
-// besides says whether an endpoint runs tasks that a phase's should not stand
+// interferes says whether an endpoint runs tasks that a phase's should not stand
 // beside: what serves and what fills disturb each other.
-func (c *Cell) besides(p *phase, e *endpoint) bool {
+func (c *Cell) interferes(p *phase, e *endpoint) bool {
 	if !p.spec.Fills && p.spec.TargetMs == 0 {
 		return false
 	}
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -47,7 +47,7 @@
 		}
 		if e := c.chooseProbationEndpoint(t); e != nil {
 			t.phase.unready(t)
-			c.intend(t, e)
+			c.planRun(t, e)
 		} else if !c.probationWaitExpired(t) {
 			c.reserveForProbation(t)
 		}
@@ -182,7 +182,7 @@
 	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
 		return false
 	}
-	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || onEndpoint(p, e) < p.spec.MostPerBox)
+	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || countOnEndpoint(p, e) < p.spec.MostPerBox)
 }
 
 // startProbation notes that a run is on trial: nothing else starts at its endpoint until it has
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -8,78 +8,78 @@
 
 // Times by which a zone that is cut off is told from one that is well.
 const (
-	// overdueTime is how long a well endpoint may take to answer an order: it takes
+	// overdueAfter is how long a well endpoint may take to answer an order: it takes
 	// some 3 ms, and a loaded node some 50 to take the answer in.
-	overdueTime = 150 * time.Millisecond
-	// givenUpTime is when a call has been given up by who made it for this owner: it
+	overdueAfter = 150 * time.Millisecond
+	// abandonedAfter is when a call has been given up by who made it for this owner: it
 	// tells nothing any more.
-	givenUpTime = 1500 * time.Millisecond
-	// cutTime is how long a zone has been in doubt when its boxes are no longer
+	abandonedAfter = 1500 * time.Millisecond
+	// cutOffAfter is how long a zone has been in doubt when its boxes are no longer
 	// counted on: replacing them costs moves, and a hiccup is over by then.
-	cutTime = 300 * time.Millisecond
+	cutOffAfter = 300 * time.Millisecond
 )
 
 // zone is an availability zone as the owner sees it by the endpoints there.
 type zone struct {
-	name  string
-	rooms rooms
-	// alone holds just this zone.
-	alone []*zone
+	name        string
+	byFreeCores freeCoreIndex
+	// asSlice holds just this zone.
+	asSlice []*zone
 	// answeredAt is when one of its endpoints last answered a call.
 	answeredAt time.Time
-	// doubtSince is since when calls to its endpoints are overdue and none of them
+	// unansweredSince is since when calls to its endpoints are overdue and none of them
 	// has answered, zero if that is not so: the zone may be cut off.
-	doubtSince time.Time
-	// doubted is the same while the endpoints are gone through.
-	doubted bool
+	unansweredSince time.Time
+	// unanswered is the same while the endpoints are gone through.
+	unanswered bool
 }
 
 // mayBeCutOff says that the zone may be cut off.
 func (z *zone) mayBeCutOff() bool {
-	return !z.doubtSince.IsZero()
+	return !z.unansweredSince.IsZero()
 }
 
 // isCutOff says that the zone has been in doubt for so long that it counts as cut off.
 func (z *zone) isCutOff(now time.Time) bool {
-	return z.mayBeCutOff() && now.Sub(z.doubtSince) >= cutTime
+	return z.mayBeCutOff() && now.Sub(z.unansweredSince) >= cutOffAfter
 }
 
-// zoneOf returns the zone of a name, made known if need be.
-func (c *Cell) zoneOf(name string) *zone {
+// ensureZone returns the zone of a name, made known if need be.
+func (c *Cell) ensureZone(name string) *zone {
 	at, known := slices.BinarySearchFunc(c.zones, name, func(z *zone, name string) int { return strings.Compare(z.name, name) })
 	if !known {
 		z := &zone{name: name}
-		z.alone = []*zone{z}
+		z.asSlice = []*zone{z}
 		c.zones = slices.Insert(c.zones, at, z)
 	}
 	return c.zones[at]
 }
 
-// settleIn puts an endpoint where its zone and its free room say.
-func (c *Cell) settleIn(e *endpoint) {
-	if z := c.zoneOf(e.info.Zone); z != e.zone {
+// updateZone puts an endpoint where its zone and its free room say.
+func (c *Cell) updateZone(e *endpoint) {
+	if z := c.ensureZone(e.info.Zone); z != e.zone {
 		if e.zone != nil {
-			e.zone.rooms.drop(e)
+			e.zone.byFreeCores.remove(e)
 		}
 		e.zone = z
 	}
-	e.zone.rooms.put(e)
+	e.zone.byFreeCores.update(e)
 }
 
-// answered takes note that a call at an endpoint has been answered.
-func (c *Cell) answered(e *endpoint) {
+// addressAnswered takes note that a call at an endpoint has been addressAnswered.
+func (c *Cell) addressAnswered(e *endpoint) {
 	e.zone.answeredAt = c.now
 	e.overdue = false
 	if e.zone.mayBeCutOff() {
-		e.zone.doubtSince = time.Time{}
+		e.zone.unansweredSince = time.Time{}
 		c.unplaced = true
 	}
 }
 
-// heard takes note that an endpoint has answered a call itself, and not another life at its
+// endpointAnswered takes note that an endpoint has answered a call itself, and not another life at its
 // address.
-func (c *Cell) heard(e *endpoint) {
-	c.answered(e)
+func (c *Cell) endpointAnswered(e *endpoint) {
+	c.addressAnswered(e)
 	if c.awake() {
 		e.lastAnsweredAt = c.now
 	}
@@ -89,28 +89,28 @@
 // which nothing comes any more. A look would tell only after its whole time.
 func (c *Cell) updateOverdue() {
 	for _, z := range c.zones {
-		z.doubted = false
+		z.unanswered = false
 	}
 	for _, e := range c.ranked {
-		since, overdue := e.overdueSince(c.now, c.options.PollWait)
+		since, overdue := e.oldestOverdueCall(c.now, c.options.PollWait)
 		e.overdue = overdue
 		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.mayBeCutOff() {
-			e.zone.doubted = true
+			e.zone.unanswered = true
 		}
 	}
 	for _, z := range c.zones {
 		switch {
-		case !z.doubted:
-			z.doubtSince = time.Time{}
+		case !z.unanswered:
+			z.unansweredSince = time.Time{}
 		case !z.mayBeCutOff():
-			z.doubtSince = c.now
+			z.unansweredSince = c.now
 		}
 	}
 }
 
-// overdueSince returns when the oldest call was made that the endpoint should have
+// oldestOverdueCall returns when the oldest call was made that the endpoint should have
 // answered by now.
-func (e *endpoint) overdueSince(now time.Time, lookWait time.Duration) (time.Time, bool) {
+func (e *endpoint) oldestOverdueCall(now time.Time, lookWait time.Duration) (time.Time, bool) {
 	oldest := now
 	if sent := e.polls.immediate; sent != nil && sent.sentAt.Before(oldest) {
 		oldest = sent.sentAt
@@ -126,29 +126,29 @@
 		}
 	}
 	age := now.Sub(oldest)
-	return oldest, age > overdueTime && age < givenUpTime
+	return oldest, age > overdueAfter && age < abandonedAfter
 }
 
-// home returns the zone where a task's job has its tasks, as far as there is room:
+// homeZone returns the zone where a task's job has its tasks, as far as there is room:
 // whatever happens to a zone or a rack hits fewer jobs then. Lasting tasks are
 // spread, so that their job stays at work through the loss of a zone.
-func (c *Cell) home(t *task) *zone {
+func (c *Cell) homeZone(t *task) *zone {
 	j := t.phase.job()
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
 		return nil
 	}
 	if j.home == nil || j.home.mayBeCutOff() {
-		j.home = c.roomiest()
+		j.home = c.zoneWithMostFreeCores()
 	}
 	return j.home
 }
 
-// roomiest returns the zone with the most free cores, nil if there is none.
-func (c *Cell) roomiest() *zone {
+// zoneWithMostFreeCores returns the zone with the most free cores, nil if there is none.
+func (c *Cell) zoneWithMostFreeCores() *zone {
 	var best *zone
 	most := 0
 	for _, z := range c.zones {
-		if free := z.rooms.freeCPU(); !z.mayBeCutOff() && free > most {
+		if free := z.byFreeCores.freeCores(); !z.mayBeCutOff() && free > most {
 			best, most = z, free
 		}
 	}
