--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -9,11 +9,11 @@
 
 // Report tells the fleet planner how the cell is.
 func (c *Cell) Report(now time.Time) wire.SyncReply {
-	report := wire.SyncReply{Known: true, TaskMs: c.taskMs(), SlackMs: c.slackMs(now)}
+	report := wire.SyncReply{Known: true, TaskMs: c.meanTaskMs(), SlackMs: c.meanSlackMs(now)}
 	c.now = now
-	report.SteadyCpu, report.OfferedCpu = c.offered(now)
+	report.SteadyCpu, report.OfferedCpu = c.offeredCPU(now)
 	memory, boxMemory := 0, 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if c.superseded(e) {
 			// The planner has one life for each box.
 			continue
@@ -21,7 +21,7 @@
 		boxMemory = max(boxMemory, e.info.Capacity.MemoryMB)
 		entry := wire.EndpointReport{
 			Endpoint: e.info.Life.String(), Box: e.info.Box, Usable: e.usable() && !e.zone.isCutOff(now), Withdrawn: e.withdrawn && e.withdrawal.recorded,
-			Silent: e.silent || e.zone.isCutOff(now), Runs: len(e.runs), UsedCpu: e.used.CPU,
+			Silent: e.silent || e.zone.isCutOff(now), Runs: len(e.runs), UsedCpu: e.used.MilliCPU,
 		}
 		if len(e.runs) == 0 {
 			entry.IdleMs = int(now.Sub(e.lastBusy).Milliseconds())
@@ -31,17 +31,17 @@
 			if r.task.phase.spec.Lasting {
 				memory += need.MemoryMB
 				entry.Lasting++
-				report.LastingCpu += need.CPU
+				report.LastingCpu += need.MilliCPU
 				continue
 			}
 			switch {
 			case entry.Silent:
 				// What runs out of reach takes no room of the boxes that are left.
 			case r.jobLate:
-				report.RunningLateCpu += need.CPU
+				report.RunningLateCpu += need.MilliCPU
 			default:
 				memory += need.MemoryMB
-				report.RunningCpu += need.CPU
+				report.RunningCpu += need.MilliCPU
 			}
 			entry.EmptyMs = max(entry.EmptyMs, c.remainingMs(r))
 		}
@@ -49,24 +49,24 @@
 	}
 	memory += c.reportWaiting(&report)
 	if boxMemory > 0 {
-		report.MemoryShare = memory * wholeBox / boxMemory
+		report.MemoryShare = memory * sharesPerBox / boxMemory
 	}
-	report.Spread = c.spread()
-	c.reportWhole(&report)
+	report.Spread = c.spreadBoxes()
+	c.reportDedicatedBoxes(&report)
 	c.reportCustomers(&report)
 	return report
 }
 
-// reportWhole adds what asks for boxes without lasting tasks: the largest tasks don't fit
+// reportDedicatedBoxes adds what asks for boxes without lasting tasks: the largest tasks don't fit
 // beside one. A job of tasks of 29 cores stood still for 15 s beside 38 boxes of 32 cores,
 // half of whose room was free in sum.
-func (c *Cell) reportWhole(report *wire.SyncReply) {
+func (c *Cell) reportDedicatedBoxes(report *wire.SyncReply) {
 	var box, beside damsonwinch.Resources
-	for _, e := range c.ranked {
-		box = most(box, e.info.Capacity)
-		if lasting := e.lastingNeed(); lasting != (damsonwinch.Resources{}) {
+	for _, e := range c.sortedEndpoints {
+		box = maxResources(box, e.info.Capacity)
+		if lasting := e.longRunningNeed(); lasting != (damsonwinch.Resources{}) {
 			report.LastingBoxes++
-			beside = most(beside, e.info.Capacity.Minus(lasting))
+			beside = maxResources(beside, e.info.Capacity.Minus(lasting))
 		}
 	}
 	if report.LastingBoxes == 0 {
@@ -79,51 +79,51 @@
 			return
 		}
 		if late {
-			report.WholeLateBoxes += count * wholeBox / perBox(box, need)
+			report.WholeLateBoxes += count * sharesPerBox / tasksPerBox(box, need)
 			return
 		}
-		report.WholeBoxes += count * wholeBox / perBox(box, need)
+		report.WholeBoxes += count * sharesPerBox / tasksPerBox(box, need)
 	}
-	for _, p := range c.open {
-		add(p, len(p.ready), p.late(nowMs))
+	for _, p := range c.openPhases {
+		add(p, len(p.ready), p.isLate(nowMs))
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, r := range e.runsByStart {
 			add(r.task.phase, 1, r.jobLate)
 		}
 	}
 }
 
-// most returns the larger one of each kind of room.
-func most(a, b damsonwinch.Resources) damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPU: max(a.GPU, b.GPU)}
+// maxResources returns the larger one of each kind of room.
+func maxResources(a, b damsonwinch.Resources) damsonwinch.Resources {
+	return damsonwinch.Resources{MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
-// perBox returns how many tasks of a need an empty box holds, 1 at least.
-func perBox(box, need damsonwinch.Resources) int {
-	return max(1, min(box.CPU/max(1, need.CPU), box.MemoryMB/max(1, need.MemoryMB)))
+// tasksPerBox returns how many tasks of a need an empty box holds, 1 at least.
+func tasksPerBox(box, need damsonwinch.Resources) int {
+	return max(1, min(box.MilliCPU/max(1, need.MilliCPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
-// wholeBox is a box's room in the unit of shares.
-const wholeBox = 1000
+// sharesPerBox is a box's room in the unit of shares.
+const sharesPerBox = 1000
 
 // reportWaiting adds what ready tasks ask for, and returns their memory.
 func (c *Cell) reportWaiting(report *wire.SyncReply) int {
 	memory := 0
 	nowMs := int(c.now.UnixMilli())
 	allowed := c.newAllowedCPU()
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		need := p.need()
 		if p.spec.Lasting {
-			report.LastingCpu += len(p.ready) * need.CPU
+			report.LastingCpu += len(p.ready) * need.MilliCPU
 			continue
 		}
-		wanted := len(p.ready) * need.CPU
+		wanted := len(p.ready) * need.MilliCPU
 		may := allowed.take(p, wanted)
-		if p.late(nowMs) {
+		if p.isLate(nowMs) {
 			report.LateCpu += may
-			if p.job().runs == 0 && may >= need.CPU {
-				report.StalledCpu += need.CPU
+			if p.job().runCount == 0 && may >= need.MilliCPU {
+				report.StalledCpu += need.MilliCPU
 			}
 			continue
 		}
@@ -133,11 +133,11 @@
 	return memory
 }
 
-// spread returns how many boxes the cell's lasting phases need so that no box has
+// spreadBoxes returns how many boxes the cell's lasting phases need so that no box has
 // more tasks of one than allowed.
-func (c *Cell) spread() int {
+func (c *Cell) spreadBoxes() int {
 	most := 0
-	for _, j := range c.order {
+	for _, j := range c.activeJobs {
 		if j.ended() {
 			continue
 		}
@@ -154,51 +154,51 @@
 
 // ApplySync takes what the fleet planner wants of the endpoints.
 func (c *Cell) ApplySync(now time.Time, args wire.SyncArgs) {
-	c.begin(now)
-	c.changed()
-	defer c.settle()
-	for _, e := range c.ranked {
-		e.withdrawal.wanted, e.withdrawal.hurry, e.maintenanceDue = false, false, false
+	c.beginEvent(now)
+	c.endpointsChanged()
+	defer c.finishEvent()
+	for _, e := range c.sortedEndpoints {
+		e.withdrawal.requested, e.withdrawal.urgent, e.maintenanceDue = false, false, false
 	}
-	c.takeAllowances(args)
-	c.want(args.Gone, func(e *endpoint) { c.markLostByReport(e, "the fleet planner has seen its box without it") })
-	c.want(args.Withdraw, func(e *endpoint) { e.withdrawal.wanted = true })
-	c.want(args.Hurry, func(e *endpoint) { e.withdrawal.wanted, e.withdrawal.hurry = true, true })
-	c.want(args.Due, func(e *endpoint) { e.maintenanceDue = true })
-	c.want(args.Restore, func(e *endpoint) { c.restore(e) })
-	for _, e := range c.ranked {
-		c.empty(e)
+	c.applyAllowances(args)
+	c.forEachLife(args.Gone, func(e *endpoint) { c.markLostByReport(e, "the fleet planner has seen its box without it") })
+	c.forEachLife(args.Withdraw, func(e *endpoint) { e.withdrawal.requested = true })
+	c.forEachLife(args.Hurry, func(e *endpoint) { e.withdrawal.requested, e.withdrawal.urgent = true, true })
+	c.forEachLife(args.Due, func(e *endpoint) { e.maintenanceDue = true })
+	c.forEachLife(args.Restore, func(e *endpoint) { c.restoreEndpoint(e) })
+	for _, e := range c.sortedEndpoints {
+		c.continueWithdrawal(e)
 	}
 }
 
-// want does something with the endpoints of some lives. The planner doesn't know when those were
+// forEachLife does something with the endpoints of some lives. The planner doesn't know when those were
 // born that it hasn't been told of.
-func (c *Cell) want(lives []string, do func(e *endpoint)) {
+func (c *Cell) forEachLife(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
 		for _, e := range c.livesWithID(life.ID) {
-			if life.MayBe(e.info.Life) {
+			if life.MayBeSame(e.info.Life) {
 				do(e)
 			}
 		}
 	}
 }
 
-// lastingAway counts a phase's lasting tasks that are not at work.
-func (c *Cell) lastingAway(p *phase) int {
+// countUnavailable counts a phase's lasting tasks that are not at work.
+func (c *Cell) countUnavailable(p *phase) int {
 	away := 0
 	for _, t := range p.tasks {
-		if !c.atWork(t) {
+		if !c.isAvailable(t) {
 			away++
 		}
 	}
 	return away
 }
 
-// atWork says whether a lasting task has started and is not being stopped.
-func (c *Cell) atWork(t *task) bool {
+// isAvailable says whether a lasting task has started and is not being stopped.
+func (c *Cell) isAvailable(t *task) bool {
 	for _, r := range t.runs {
-		if r.state == runConfirmed && !r.stopping && !r.endpoint.silent && r.percent >= wholePercent && !c.mayBeStopping(r) {
+		if r.state == runConfirmed && !r.stopping && !r.endpoint.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
 			return true
 		}
 	}
@@ -208,20 +208,20 @@
 // mayBeStopping says whether an earlier owner may have stopped a run that is still
 // listed: it could do so until this owner's token came to the endpoint.
 func (c *Cell) mayBeStopping(r *run) bool {
-	return r.inherited && c.now.Sub(r.endpoint.attachedAt) < c.options.MaxStopTime+stopOnWay
+	return r.inherited && c.now.Sub(r.endpoint.attachedAt) < c.options.MaxStopTime+maxStopTransit
 }
 
-// stopOnWay is how long an earlier owner's stop may have been on its way when it
+// maxStopTransit is how long an earlier owner's stop may have been on its way when it
 // reached the endpoint before this owner's first look did, beside the time that
 // the task then takes to end.
-const stopOnWay = 300 * time.Millisecond
+const maxStopTransit = 300 * time.Millisecond
 
-const wholePercent = 100
+const fullPercent = 100
 
 // Endpoints returns what is known of the endpoints, for tests and status.
 func (c *Cell) Endpoints() []damsonwinch.Endpoint {
-	found := make([]damsonwinch.Endpoint, 0, len(c.ranked))
-	for _, e := range c.ranked {
+	found := make([]damsonwinch.Endpoint, 0, len(c.sortedEndpoints))
+	for _, e := range c.sortedEndpoints {
 		found = append(found, e.info)
 	}
 	return found
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -37,19 +37,19 @@
 // Start is an order to an endpoint.
 type Start struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.StartOrder
+	Request  damsonwinch.StartRequest
 }
 
 // Stop is an order to an endpoint.
 type Stop struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.StopOrder
+	Request  damsonwinch.StopRequest
 }
 
 // Poll is a question to an endpoint.
 type Poll struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.LookOrder
+	Request  damsonwinch.PollRequest
 	Number   int
 }
 
@@ -102,33 +102,33 @@
 	return c.stats
 }
 
-func (c *Cell) note(what string, r *run, why string) {
+func (c *Cell) logRun(what string, r *run, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: what, Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Reason: why,
 	})
 }
 
-// noteStart notes that an attempt is ordered, and what decided where.
-func (c *Cell) noteStart(r *run) {
+// logStart notes that an attempt is ordered, and what decided where.
+func (c *Cell) logStart(r *run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Debug: true,
 		Reason: fmt.Sprintf("attempt %d, waited %d ms, %d thousandths of a core of %d in use there", r.attempt,
-			c.now.Sub(r.startedAt).Milliseconds(), r.endpoint.used.CPU, r.endpoint.info.Capacity.CPU),
+			c.now.Sub(r.startedAt).Milliseconds(), r.endpoint.used.MilliCPU, r.endpoint.info.Capacity.MilliCPU),
 	})
 }
 
-func (c *Cell) noteJob(what string, j *job, why string) {
+func (c *Cell) logJob(what string, j *job, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Job: j.id, Reason: why})
 }
 
-func (c *Cell) noteCustomer(what, customer, why string) {
+func (c *Cell) logCustomer(what, customer, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Customer: customer, Reason: why})
 }
 
-func (c *Cell) noteQueue(what, queue, why string) {
+func (c *Cell) logQueue(what, queue, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Queue: queue, Reason: why})
 }
 
-func (c *Cell) noteEndpoint(what string, e *endpoint, why string) {
+func (c *Cell) logEndpoint(what string, e *endpoint, why string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: what, Endpoint: e.info.Life.String(), Reason: why})
 }
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -8,7 +8,7 @@
 )
 
 // applyResult takes note of a run's end.
-func (c *Cell) applyResult(e *endpoint, end damsonwinch.Finished) {
+func (c *Cell) applyResult(e *endpoint, end damsonwinch.RunResult) {
 	t := c.findTask(end.Task)
 	if t == nil {
 		return
@@ -18,28 +18,28 @@
 	if r == nil {
 		// An earlier look, or an earlier owner, has taken note of it, or its lease
 		// was taken to have run out.
-		if c.resolveLapsed(e, end) && end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
+		if c.resolveLapsed(e, end) && end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
 			c.countFailure(t)
 		}
-		if end.How == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
+		if end.Ending == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
 			c.completeTask(t)
 		}
 		return
 	}
 	if end.Checkpoint != "" {
-		t.saved = end.Checkpoint
+		t.checkpoint = end.Checkpoint
 	}
 	c.removeRun(r)
-	c.recordResult(r, end.How)
+	c.recordResult(r, end.Ending)
 	switch {
-	case end.How == damsonwinch.EndedDone && !t.phase.spec.Lasting:
+	case end.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.inherited && !r.resumed {
-			c.statsOf(t.phase.job().queue).times.finished(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
-			c.learnedNew = true
+			c.statsOf(t.phase.job().queue).times.addRun(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
+			c.queueStatsDirty = true
 		}
 		c.completeTask(t)
-	case end.How == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
-		c.note("run failed", r, "")
+	case end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
+		c.logRun("run failed", r, "")
 		c.attemptFailed(t, r)
 	case len(t.runs) == 0:
 		c.makeReady(t)
@@ -57,12 +57,12 @@
 
 // countFailure counts a failed attempt, and ends the job with the last one.
 func (c *Cell) countFailure(t *task) {
-	t.failed++
+	t.failedAttempts++
 	j := t.phase.job()
-	c.touch(j)
-	if !t.done && !j.ended() && failureCount(t) >= c.attemptsOf(j) {
+	c.markDirty(j)
+	if !t.done && !j.ended() && failureCount(t) >= c.maxAttempts(j) {
 		c.stats.JobsFailed++
-		c.end(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
+		c.endJob(j, wire.JobStateFailed, "task "+t.id().String()+" has failed too often")
 	}
 }
 
@@ -70,11 +70,11 @@
 // gang.
 func failureCount(t *task) int {
 	if !t.phase.spec.Gang {
-		return t.failed
+		return t.failedAttempts
 	}
 	sum := 0
 	for _, member := range t.phase.tasks {
-		sum += member.failed
+		sum += member.failedAttempts
 	}
 	return sum
 }
@@ -97,15 +97,15 @@
 	}
 	t.done = true
 	p := t.phase
-	p.unready(t)
+	p.removeReady(t)
 	if !p.spec.Gang {
 		for _, copied := range slices.Clone(t.runs) {
 			c.stop(copied, "another attempt is done")
 		}
 	}
-	p.left--
-	c.touch(p.job())
-	if p.left == 0 {
+	p.unfinishedTasks--
+	c.markDirty(p.job())
+	if p.unfinishedTasks == 0 {
 		c.completePhase(p)
 	}
 }
@@ -115,26 +115,26 @@
 func (c *Cell) completePhase(p *phase) {
 	c.closePhase(p)
 	r := p.round
-	r.left--
+	r.unfinishedPhases--
 	for _, later := range r.phases {
 		for _, waited := range later.spec.After {
 			if waited == p.number {
-				later.waitsFor--
+				later.unfinishedDeps--
 			}
 		}
-		if later.waitsFor == 0 && later.left > 0 && !later.open {
+		if later.unfinishedDeps == 0 && later.unfinishedTasks > 0 && !later.open {
 			c.openPhase(later)
 		}
 	}
 	j := r.job
-	if r.left > 0 || j.ended() || len(j.rounds) < j.roundsInAll() {
+	if r.unfinishedPhases > 0 || j.ended() || len(j.rounds) < j.totalRounds() {
 		return
 	}
 	for _, other := range j.rounds {
-		if other.left > 0 {
+		if other.unfinishedPhases > 0 {
 			return
 		}
 	}
 	c.stats.JobsCompleted++
-	c.end(j, wire.JobStateCompleted, "all tasks are done")
+	c.endJob(j, wire.JobStateCompleted, "all tasks are done")
 }
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -24,13 +24,13 @@
 func (c *Cell) markLapsed(r *run) {
 	c.stats.RunsLapsed++
 	r.endpoint.lapsedAttempts = append(r.endpoint.lapsedAttempts, lapsedAttempt{task: r.task, attempt: r.attempt, minAge: r.age(r.endpoint.lastAnsweredAt)})
-	r.task.lapses++
+	r.task.lapsedAttempts++
 	c.requeue(r)
 }
 
 // resolveLapsed takes note of the end of an attempt that was taken to have lapsed, and says
 // whether it was one.
-func (c *Cell) resolveLapsed(e *endpoint, end damsonwinch.Finished) bool {
+func (c *Cell) resolveLapsed(e *endpoint, end damsonwinch.RunResult) bool {
 	at := slices.IndexFunc(e.lapsedAttempts, func(l lapsedAttempt) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
 	if at < 0 {
 		return false
@@ -50,16 +50,16 @@
 }
 
 func (c *Cell) removeLapsed(l lapsedAttempt) {
-	l.task.lapses--
-	c.unplaced = true
-	c.touch(l.task.phase.job())
+	l.task.lapsedAttempts--
+	c.placementDue = true
+	c.markDirty(l.task.phase.job())
 }
 
 // mustWait says whether a task must wait: since endpoints have refused it, or until it is known how
 // attempts at it have ended. With those that may have failed it has failed as often as it is
 // tried.
 func (c *Cell) mustWait(t *task) bool {
-	return c.now.Before(t.notBefore) || t.lapses > 0 && !t.phase.spec.Lasting && failureCount(t)+t.lapses >= c.attemptsOf(t.phase.job())
+	return c.now.Before(t.notBefore) || t.lapsedAttempts > 0 && !t.phase.spec.Lasting && failureCount(t)+t.lapsedAttempts >= c.maxAttempts(t.phase.job())
 }
 
 // lapsedColumns is the number of columns of a lapse in a job's record: the place of its
@@ -71,10 +71,10 @@
 	if len(rows) == 0 {
 		return
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, l := range e.lapsedAttempts {
 			if row, known := rows[l.task]; known && l.task.phase.job() == j {
-				record.Lapsed = append(record.Lapsed, []int{row, l.attempt, placeOf(e, record)})
+				record.Lapsed = append(record.Lapsed, []int{row, l.attempt, endpointIndex(e, record)})
 			}
 		}
 	}
@@ -86,10 +86,10 @@
 		if len(row) != lapsedColumns || row[0] < 0 || row[0] >= len(record.Tasks) || row[2] < 0 || row[2] >= len(record.Endpoints) {
 			return fmt.Errorf("job %s has a lapse %v", j.id, row)
 		}
-		if t := c.findTask(idOf(j, record.Tasks[row[0]])); t != nil {
+		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			e := c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[row[2]]))
 			e.lapsedAttempts = append(e.lapsedAttempts, lapsedAttempt{task: t, attempt: row[1]})
-			t.lapses++
+			t.lapsedAttempts++
 		}
 	}
 	return nil
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -9,18 +9,18 @@
 
 // indexOfLife returns the place of a life among those known, which are in the order of their names.
 func (c *Cell) indexOfLife(life damsonwinch.Life) int {
-	at, _ := slices.BinarySearchFunc(c.ranked, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
+	at, _ := slices.BinarySearchFunc(c.sortedEndpoints, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
 	return at
 }
 
 // livesWithID returns the lives that are known under an ID.
 func (c *Cell) livesWithID(id string) []*endpoint {
-	from := c.indexOfLife(damsonwinch.Life{ID: id, Born: math.MinInt})
+	from := c.indexOfLife(damsonwinch.Life{ID: id, StartedUnixMs: math.MinInt})
 	to := from
-	for to < len(c.ranked) && c.ranked[to].info.Life.ID == id {
+	for to < len(c.sortedEndpoints) && c.sortedEndpoints[to].info.Life.ID == id {
 		to++
 	}
-	return c.ranked[from:to]
+	return c.sortedEndpoints[from:to]
 }
 
 // superseded says that a life has ended and another one under its ID is known.
@@ -42,8 +42,8 @@
 // answeringLife returns the life that has answered a look at e, nil if that one is known to have
 // ended.
 func (c *Cell) answeringLife(e *endpoint, sent *sentPoll, born int) *endpoint {
-	life := e.info.Life.WithBorn(born)
-	if life.MayBe(e.info.Life) {
+	life := e.info.Life.WithStarted(born)
+	if life.MayBeSame(e.info.Life) {
 		return e
 	}
 	there, known := c.endpoints[life]
@@ -63,7 +63,7 @@
 
 // supersedeOtherLives ends the other lives under the ID of one that has answered a look, which was sent
 // at a step.
-func (c *Cell) supersedeOtherLives(there *endpoint, look damsonwinch.Look, sentAt int) {
+func (c *Cell) supersedeOtherLives(there *endpoint, look damsonwinch.PollReply, sentAt int) {
 	for _, earlier := range c.livesWithID(there.info.Life.ID) {
 		if earlier == there {
 			continue
@@ -85,7 +85,7 @@
 
 // mayHaveMoved says whether the order for a run at an earlier life may be carried out by the one
 // that has answered a look: it has been, or the order may still be on its way.
-func (c *Cell) mayHaveMoved(r *run, look damsonwinch.Look, sentAt int) bool {
+func (c *Cell) mayHaveMoved(r *run, look damsonwinch.PollReply, sentAt int) bool {
 	switch r.state {
 	case runPending:
 		return false
@@ -96,27 +96,27 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(look.Running, func(row damsonwinch.Running) bool { return row.Run == r.id() }) ||
-		slices.ContainsFunc(look.Finished, func(end damsonwinch.Finished) bool { return end.Run == r.id() })
+	return slices.ContainsFunc(look.Running, func(row damsonwinch.RunProgress) bool { return row.Run == r.id() }) ||
+		slices.ContainsFunc(look.Finished, func(end damsonwinch.RunResult) bool { return end.Run == r.id() })
 }
 
 // moveRunTo has a run be at a later life under the ID of its own, as one of which it must be found
 // out whether it is there.
 func (c *Cell) moveRunTo(r *run, there *endpoint) {
-	c.note("run may be at a later life", r, "born "+there.info.Life.String())
+	c.logRun("run may be at a later life", r, "born "+there.info.Life.String())
 	c.removeFromEndpoint(r)
 	r.endpoint = there
 	c.addToEndpoint(r)
 	// What the earlier life has been told doesn't bind this one.
 	r.stopConfirmed = false
-	c.touch(r.task.phase.job())
+	c.markDirty(r.task.phase.job())
 }
 
 // markLostByReport takes note that a life has ended, by somebody else's word. Orders to it may still
 // be on the way: where lives share an ID, a later one may carry them out.
 func (c *Cell) markLostByReport(e *endpoint, why string) {
 	c.markLostKeeping(e, why, func(r *run) bool {
-		return e.info.Life.Born != 0 && (r.state != runConfirmed || e.silent && r.listedAfterStep >= e.silentStep)
+		return e.info.Life.StartedUnixMs != 0 && (r.state != runConfirmed || e.silent && r.listedAfterStep >= e.silentStep)
 	})
 }
 
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -33,9 +33,9 @@
 // sendDuePolls sends the looks that are due: at the endpoints that something has
 // happened to and, from time to time, at all.
 func (c *Cell) sendDuePolls() {
-	due := c.lookDue
-	if c.lookAtAll {
-		due = c.ranked
+	due := c.pollDue
+	if c.pollAll {
+		due = c.sortedEndpoints
 	}
 	for _, e := range due {
 		e.pollDue = false
@@ -44,14 +44,14 @@
 		}
 		c.pollIfDue(e)
 	}
-	c.lookDue, c.lookAtAll = c.lookDue[:0], false
+	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
 // schedulePoll notes that a look at an endpoint may be due.
 func (c *Cell) schedulePoll(e *endpoint) {
 	if !e.pollDue {
 		e.pollDue = true
-		c.lookDue = append(c.lookDue, e)
+		c.pollDue = append(c.pollDue, e)
 	}
 }
 
@@ -101,14 +101,14 @@
 		e.polls.immediate = sent
 		e.pollWanted = false
 	}
-	order := damsonwinch.LookOrder{Token: c.token, Seen: e.recordedSequence, Wait: wait}
+	order := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recordedSequence, MaxWait: wait}
 	if e.silent {
 		// If another life answers under its ID, that is not to forget its own first ends.
-		order.Seen = 0
+		order.AckedSequence = 0
 	}
-	if e.attached && !e.silent && c.sure() {
-		order.Until = e.estimateClock(c.now) + int(c.options.MaxLease.Milliseconds())
-		c.extendLeaseBound(e, order.Until)
+	if e.attached && !e.silent && c.mayRenewLeases() {
+		order.LeaseUntilMs = e.estimateClock(c.now) + int(c.options.MaxLease.Milliseconds())
+		c.extendLeaseBound(e, order.LeaseUntilMs)
 	}
 	c.stats.Polls++
 	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
@@ -129,14 +129,14 @@
 var errExitedLife = errors.New("a life answers that has ended")
 
 // Polled takes the answer to a look.
-func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.Look, err error) {
-	c.begin(now)
-	defer c.settle()
+func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
+	c.beginEvent(now)
+	defer c.finishEvent()
 	e := c.endpoints[asked]
 	if e == nil {
 		return
 	}
-	c.unplaced = true
+	c.placementDue = true
 	c.schedulePoll(e)
 	sent := e.polls.take(number)
 	if sent == nil || e.exited {
@@ -150,17 +150,17 @@
 		// A later look has been answered; this one is out of date.
 		return
 	}
-	if e = c.answeringLife(e, sent, look.Born); e == nil {
+	if e = c.answeringLife(e, sent, look.StartedUnixMs); e == nil {
 		return
 	}
 	c.endpointAnswered(e)
 	e.polls.answeredStep = sent.step
 	c.supersedeOtherLives(e, look, sent.step)
 	if e.silent {
-		c.noteEndpoint("endpoint answers again", e, "")
+		c.logEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSampleMs, e.clockSampledAt = look.Clock, c.now
+	e.clockSampleMs, e.clockSampledAt = look.ClockMs, c.now
 	c.endProbation(e, sent.sentAt)
 	c.applyResults(e, look.Finished)
 	if len(look.Finished) < maxResults {
@@ -171,7 +171,7 @@
 	c.adjustFillerSpeeds(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
-		c.noteEndpoint("endpoint attached", e, "box "+e.info.Box)
+		c.logEndpoint("endpoint attached", e, "box "+e.info.Box)
 	}
 }
 
@@ -179,13 +179,13 @@
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.markLost(e, "another life answers at its address")
-	case errors.Is(err, damsonwinch.ErrOldToken):
+	case errors.Is(err, damsonwinch.ErrStaleToken):
 		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
-			c.noteEndpoint("endpoint silent", e, err.Error())
+			c.logEndpoint("endpoint silent", e, err.Error())
 			e.silent, e.silentSince, e.silentStep = true, c.now, c.step
-			e.pollBroken = c.awake() && c.now.Sub(sent.sentAt) < sent.maxWait
+			e.pollBroken = c.caughtUp() && c.now.Sub(sent.sentAt) < sent.maxWait
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
@@ -195,20 +195,20 @@
 }
 
 // applyResults takes the ends that are new into the state, in order.
-func (c *Cell) applyResults(e *endpoint, ends []damsonwinch.Finished) {
-	slices.SortFunc(ends, func(a, b damsonwinch.Finished) int { return a.Number - b.Number })
+func (c *Cell) applyResults(e *endpoint, ends []damsonwinch.RunResult) {
+	slices.SortFunc(ends, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
 	for _, end := range ends {
-		if end.Number <= e.appliedSequence {
+		if end.Sequence <= e.appliedSequence {
 			continue
 		}
-		e.appliedSequence = end.Number
-		c.commits.ends = append(c.commits.ends, e)
+		e.appliedSequence = end.Sequence
+		c.commits.ackEndpoints = append(c.commits.ackEndpoints, e)
 		c.applyResult(e, end)
 	}
 }
 
 // reconcileRuns compares what runs with what should.
-func (c *Cell) reconcileRuns(e *endpoint, rows []damsonwinch.Running, sentAt int) {
+func (c *Cell) reconcileRuns(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
 	e.strayRuns = 0
 	for _, row := range rows {
 		r := e.runs[row.Run]
@@ -248,13 +248,13 @@
 	return false
 }
 
-func (c *Cell) applyProgress(r *run, row damsonwinch.Running) {
+func (c *Cell) applyProgress(r *run, row damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
-	r.progress.update(c.now, row.Percent)
+	r.progress.update(c.now, row.DonePercent)
 	c.sampleProgress(r)
-	r.percent, r.load, r.pendingLoss = row.Percent, row.Load, nil
+	r.percent, r.load, r.pendingLoss = row.DonePercent, row.Load, nil
 	if row.Checkpoint != "" {
-		r.task.saved = row.Checkpoint
+		r.task.checkpoint = row.Checkpoint
 	}
 	if r.state == runPending || r.state == runConfirmed {
 		return
@@ -271,5 +271,5 @@
 // stopStray ends a run that belongs to nothing that should run.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
-	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopOrder{Run: stray, Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopRequest{Run: stray, Token: c.token}})
 }
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -43,7 +43,7 @@
 // isn't known.
 func (p *progress) totalMs() float64 {
 	if speed := p.percentPerMs(); speed > 0 {
-		return wholePercent / speed
+		return fullPercent / speed
 	}
 	return 0
 }
@@ -52,7 +52,7 @@
 // known.
 func (r *run) remainingMs() float64 {
 	if speed := r.progress.percentPerMs(); speed > 0 {
-		return float64(wholePercent-r.percent) / speed
+		return float64(fullPercent-r.percent) / speed
 	}
 	return 0
 }
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -37,28 +37,28 @@
 		young := r.state != runPending && endedAt.Sub(r.startedAt) < c.options.CrashRules.MeasuredSuspectAge()
 		if young && !counted[queue] {
 			counted[queue] = true
-			if c.proneEnds[queue] == nil {
-				c.proneEnds[queue] = &exits{}
+			if c.queueExits[queue] == nil {
+				c.queueExits[queue] = &exits{}
 			}
-			c.proneEnds[queue].add(c.now)
+			c.queueExits[queue].add(c.now)
 		}
 	}
 }
 
 // updateCrashProne finds the queues whose tasks crash endpoints of late.
 func (c *Cell) updateCrashProne() {
-	for _, queue := range slices.Sorted(maps.Keys(c.proneEnds)) {
-		count := c.proneEnds[queue].countWithin(c.now, crashProneWindow)
+	for _, queue := range slices.Sorted(maps.Keys(c.queueExits)) {
+		count := c.queueExits[queue].countWithin(c.now, crashProneWindow)
 		switch {
-		case count >= crashProneExits && !c.prone[queue]:
-			c.prone[queue] = true
-			c.noteQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, crashProneWindow))
-		case count < crashProneExits && c.prone[queue]:
-			delete(c.prone, queue)
-			c.noteQueue("queue's tasks crash no endpoints any more", queue, "")
+		case count >= crashProneExits && !c.crashProne[queue]:
+			c.crashProne[queue] = true
+			c.logQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, crashProneWindow))
+		case count < crashProneExits && c.crashProne[queue]:
+			delete(c.crashProne, queue)
+			c.logQueue("queue's tasks crash no endpoints any more", queue, "")
 		}
 		if count == 0 {
-			delete(c.proneEnds, queue)
+			delete(c.queueExits, queue)
 		}
 	}
 }
@@ -67,12 +67,12 @@
 // that is of a queue whose tasks crash endpoints. What ends an endpoint is known then to be of
 // one job, and no sound one waits for trials.
 func (c *Cell) separatedFromOtherJobs(t *task, e *endpoint) bool {
-	if len(c.prone) == 0 {
+	if len(c.crashProne) == 0 {
 		return true
 	}
 	j := t.phase.job()
 	for _, r := range e.runsByStart {
-		if other := r.task.phase.job(); other != j && (c.prone[j.queue] || c.prone[other.queue]) && c.now.Sub(r.startedAt) < c.options.CrashRules.SuspectAge {
+		if other := r.task.phase.job(); other != j && (c.crashProne[j.queue] || c.crashProne[other.queue]) && c.now.Sub(r.startedAt) < c.options.CrashRules.SuspectAge {
 			return false
 		}
 	}
@@ -83,7 +83,7 @@
 // or nil.
 func (c *Cell) chooseLeastAtRisk(t *task, label string) *endpoint {
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.hasLabel(label) && c.canStart(t, e) {
 			choice.offer(e, c.preference(t, e)-c.workAtRisk(e, t.phase.job())/milliCPUPerCore)
 		}
@@ -101,7 +101,7 @@
 		case r.task.phase.spec.Lasting:
 			sum += longRunningWork
 		default:
-			sum += r.task.phase.need().CPU * int(c.now.Sub(r.startedAt).Milliseconds())
+			sum += r.task.phase.need().MilliCPU * int(c.now.Sub(r.startedAt).Milliseconds())
 		}
 	}
 	return sum
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -18,22 +18,22 @@
 
 // SetCustomers takes the customers of the configuration in force.
 func (c *Cell) SetCustomers(now time.Time, version int, customers []damsonwinch.Customer) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	c.quota.Configure(version, customers)
-	c.unplaced = true
+	c.placementDue = true
 }
 
-// share is what a task counts against its customer's cap. What fills counts with what it asks for:
+// quotaNeed is what a task counts against its customer's cap. What fills counts with what it asks for:
 // it runs, whatever else its box holds.
-func (p *phase) share() damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPU: p.spec.Gpu}
+func (p *phase) quotaNeed() damsonwinch.Resources {
+	return damsonwinch.Resources{MilliCPU: p.spec.Cpu, MemoryMB: p.spec.MemoryMb, GPUs: p.spec.Gpu}
 }
 
-// passTime is how long a phase lets less urgent ones of its customer pass while its own tasks need
+// maxOvertakeTime is how long a phase lets less urgent ones of its customer pass while its own tasks need
 // more than is left of the allowance. After that nothing of the customer's begins before them: in
 // an allowance that is always full a large task would find no room.
-const passTime = 200 * time.Millisecond
+const maxOvertakeTime = 200 * time.Millisecond
 
 // withinQuota says whether so many tasks of a phase may begin now as far as its customer's
 // allowance goes.
@@ -42,44 +42,44 @@
 	switch {
 	case customer == "":
 		return true
-	case c.inLine[customer]:
+	case c.quotaBlocked[customer]:
 		return false
-	case c.quota.Allows(customer, times(p.share(), count)):
-		p.heldSince = time.Time{}
+	case c.quota.Allows(customer, scaleResources(p.quotaNeed(), count)):
+		p.overQuotaSince = time.Time{}
 		return true
 	}
 	c.overQuota[customer] = true
-	if p.heldSince.IsZero() {
-		p.heldSince = c.now
+	if p.overQuotaSince.IsZero() {
+		p.overQuotaSince = c.now
 	}
-	c.inLine[customer] = c.now.Sub(p.heldSince) >= passTime && c.quota.CanEverFit(customer, times(p.share(), count))
+	c.quotaBlocked[customer] = c.now.Sub(p.overQuotaSince) >= maxOvertakeTime && c.quota.CanEverFit(customer, scaleResources(p.quotaNeed(), count))
 	return false
 }
 
-func times(need damsonwinch.Resources, count int) damsonwinch.Resources {
-	return damsonwinch.Resources{CPU: need.CPU * count, MemoryMB: need.MemoryMB * count, GPU: need.GPU * count}
+func scaleResources(need damsonwinch.Resources, count int) damsonwinch.Resources {
+	return damsonwinch.Resources{MilliCPU: need.MilliCPU * count, MemoryMB: need.MemoryMB * count, GPUs: need.GPUs * count}
 }
 
-// takeAllowances takes the word of the planner on what the cell may have running.
-func (c *Cell) takeAllowances(args wire.SyncArgs) {
+// applyAllowances takes the word of the planner on what the cell may have running.
+func (c *Cell) applyAllowances(args wire.SyncArgs) {
 	if c.quota.ApplyUpdate(c.token, args) {
-		c.commits.allowances = true
+		c.commits.allowancesDirty = true
 	}
 	if len(args.Allowances) > 0 {
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
 
 // AllowancesPending says whether the planner's word on allowances waits to be recorded.
 func (c *Cell) AllowancesPending() bool {
-	return c.commits.allowances || c.commits.sent != nil && c.commits.sent.allowances > 0
+	return c.commits.allowancesDirty || c.commits.inFlight != nil && c.commits.inFlight.allowanceNumber > 0
 }
 
 // allowancesRecord returns the record of the allowances, and notes under which number its commit
 // confirms them.
 func (c *Cell) allowancesRecord(sent *sentCommit) damsonwinch.Record {
 	record, number := c.quota.Record()
-	sent.allotter, sent.allowances = c.quota.AllocatorToken(), number
+	sent.allocatorToken, sent.allowanceNumber = c.quota.AllocatorToken(), number
 	return damsonwinch.Record{Key: allowancesKey, Value: encode(record)}
 }
 
@@ -95,14 +95,14 @@
 // reportCustomers tells the planner which customers want more than they may have running.
 func (c *Cell) reportCustomers(report *wire.SyncReply) {
 	wanted := map[string]quota.Demand{}
-	for _, p := range c.open {
+	for _, p := range c.openPhases {
 		customer := p.job().customer
 		if customer == "" || len(p.ready) == 0 {
 			continue
 		}
-		need := p.share()
+		need := p.quotaNeed()
 		if p.spec.Gang {
-			wanted[customer] = wanted[customer].WithTasks(times(need, len(p.ready)), 1)
+			wanted[customer] = wanted[customer].WithTasks(scaleResources(need, len(p.ready)), 1)
 			continue
 		}
 		wanted[customer] = wanted[customer].WithTasks(need, len(p.ready))
@@ -135,25 +135,25 @@
 	return may
 }
 
-// noteQuotas tells which customers have come to wait for their allowances, and which don't any
+// logQuotaWaits tells which customers have come to wait for their allowances, and which don't any
 // more.
-func (c *Cell) noteQuotas() {
+func (c *Cell) logQuotaWaits() {
 	for _, customer := range slices.Sorted(maps.Keys(c.overQuota)) {
-		if c.heldSince[customer].IsZero() {
-			c.heldSince[customer] = c.now
+		if c.overQuotaSince[customer].IsZero() {
+			c.overQuotaSince[customer] = c.now
 			c.stats.QuotaWaits++
-			c.noteCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
+			c.logCustomer("customer waits for its allowance", customer, c.quota.Explain(customer))
 		}
 	}
-	for _, customer := range slices.Sorted(maps.Keys(c.heldSince)) {
+	for _, customer := range slices.Sorted(maps.Keys(c.overQuotaSince)) {
 		if !c.overQuota[customer] {
-			c.noteCustomer("customer goes on", customer, fmt.Sprintf("after %d ms", c.now.Sub(c.heldSince[customer]).Milliseconds()))
-			delete(c.heldSince, customer)
+			c.logCustomer("customer goes on", customer, fmt.Sprintf("after %d ms", c.now.Sub(c.overQuotaSince[customer]).Milliseconds()))
+			delete(c.overQuotaSince, customer)
 		}
 	}
 }
 
-// whyOverQuota says why a task waits for its customer's allowance.
-func (c *Cell) whyOverQuota(t *task) string {
+// explainQuota says why a task waits for its customer's allowance.
+func (c *Cell) explainQuota(t *task) string {
 	return "customer " + t.phase.job().customer + " " + c.quota.Explain(t.phase.job().customer)
 }
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -39,7 +39,7 @@
 
 // update takes an endpoint in, or moves it to where it belongs now.
 func (r *freeCoreIndex) update(e *endpoint) {
-	bucket := coreBucket(e.free().CPU)
+	bucket := coreBucket(e.free().MilliCPU)
 	if e.indexed {
 		if e.bucket == bucket {
 			return
@@ -78,7 +78,7 @@
 // chooseEndpoint returns the endpoint that suits a task best, or nil: in its job's zone if
 // there is room. A label that isn't empty leaves only the endpoints that have it.
 func (c *Cell) chooseEndpoint(t *task, label string) *endpoint {
-	if c.prone[t.phase.job().queue] {
+	if c.crashProne[t.phase.job().queue] {
 		return c.chooseLeastAtRisk(t, label)
 	}
 	if home := c.homeZone(t); home != nil {
@@ -98,7 +98,7 @@
 	for _, z := range zones {
 		most = max(most, z.byFreeCores.maxBucket)
 	}
-	for bucket := coreBucket(t.phase.need().CPU); bucket <= most; bucket++ {
+	for bucket := coreBucket(t.phase.need().MilliCPU); bucket <= most; bucket++ {
 		for _, z := range zones {
 			for _, e := range z.byFreeCores.buckets[bucket] {
 				if e.hasLabel(label) && c.canStart(t, e) {
@@ -107,7 +107,7 @@
 			}
 		}
 		// Endpoints with more room count for less, unless a rack makes up for it.
-		if choice.best != nil && t.phase.spec.Rack == "" && choice.score >= -choice.best.free().CPU {
+		if choice.best != nil && t.phase.spec.Rack == "" && choice.score >= -choice.best.free().MilliCPU {
 			break
 		}
 	}
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -68,8 +68,8 @@
 
 // planRun reserves room for a new attempt; it is ordered once it is recorded.
 func (c *Cell) planRun(t *task, at *endpoint) {
-	t.attempt++
-	r := &run{task: t, attempt: t.attempt, endpoint: at, startedAt: c.now, resumed: t.saved != "", speedPercent: wholePercent, jobLate: t.phase.late(int(c.now.UnixMilli()))}
+	t.lastAttempt++
+	r := &run{task: t, attempt: t.lastAttempt, endpoint: at, startedAt: c.now, resumed: t.checkpoint != "", speedPercent: fullPercent, jobLate: t.phase.isLate(int(c.now.UnixMilli()))}
 	trial := t.suspected && c.noRecentStart(at)
 	c.addRun(r)
 	if trial {
@@ -77,10 +77,10 @@
 	}
 	c.addStarts(t, 1)
 	t.phase.job().placed = true
-	if t.attempt > 1 {
+	if t.lastAttempt > 1 {
 		c.stats.Reruns++
 	}
-	c.touch(t.phase.job())
+	c.markDirty(t.phase.job())
 	c.commits.starts = append(c.commits.starts, r)
 }
 
@@ -88,8 +88,8 @@
 func (c *Cell) addRun(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.addToEndpoint(r)
-	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
-	r.task.phase.job().runs++
+	c.quota.AddRun(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
+	r.task.phase.job().runCount++
 }
 
 // addToEndpoint ties a run to its endpoint, and leave takes it from there.
@@ -115,10 +115,10 @@
 func (c *Cell) removeRun(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.removeFromEndpoint(r)
-	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.share(), r.task.phase.spec.Lasting)
-	r.task.phase.job().runs--
-	c.unplaced = true
-	c.touch(r.task.phase.job())
+	c.quota.RemoveRun(r.task.phase.job().customer, r.task.phase.quotaNeed(), r.task.phase.spec.Lasting)
+	r.task.phase.job().runCount--
+	c.placementDue = true
+	c.markDirty(r.task.phase.job())
 }
 
 // requeue resolves a run that came to nothing and makes its task ready.
@@ -138,21 +138,21 @@
 		return
 	}
 	r.state = runRequested
-	c.noteStart(r)
+	c.logStart(r)
 	r.startedAt = c.now
 	until := r.endpoint.estimateClock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
 	c.extendLeaseBound(r.endpoint, until)
 	c.stats.Starts++
-	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.endpoint.info, Request: damsonwinch.StartOrder{
-		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, Until: until, Checkpoint: r.task.saved,
-		Ticket: c.ticket(r.task.phase, r.endpoint),
+	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.endpoint.info, Request: damsonwinch.StartRequest{
+		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.checkpoint,
+		Ticket: c.permitTicket(r.task.phase, r.endpoint),
 	}})
 }
 
 // Started takes the answer to a start.
 func (c *Cell) Started(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	r := c.findRun(at, which)
 	if r == nil || r.state != runRequested {
 		return
@@ -177,7 +177,7 @@
 		c.startRefused(r, err)
 	default:
 		r.state = runUncertain
-		c.note("start unanswered", r, err.Error())
+		c.logRun("start unanswered", r, err.Error())
 		c.requestPoll(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
 			// Whether it is at work is asked first: if so, it is not to be stopped.
@@ -191,7 +191,7 @@
 
 func isStartRefusal(err error) bool {
 	for _, refusal := range []error{
-		damsonwinch.ErrOldToken, damsonwinch.ErrOldRun, damsonwinch.ErrLate, damsonwinch.ErrNoRoom, damsonwinch.ErrNoTicket,
+		damsonwinch.ErrStaleToken, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate, damsonwinch.ErrNoCapacity, damsonwinch.ErrInvalidTicket,
 		damsonwinch.ErrOtherLife, damsonwinch.ErrUnhealthy, damsonwinch.ErrInvalid,
 	} {
 		if errors.Is(err, refusal) {
@@ -205,18 +205,18 @@
 func (c *Cell) startRefused(r *run, err error) {
 	c.stats.StartsRefused++
 	c.addStarts(r.task, -1)
-	c.note("start refused", r, err.Error())
+	c.logRun("start refused", r, err.Error())
 	defer c.stopGang(r.task.phase, "a member of its gang was refused")
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
 		c.requeue(r)
 		c.markLost(r.endpoint, "another life answers at its address")
 		return
-	case errors.Is(err, damsonwinch.ErrNoRoom), errors.Is(err, damsonwinch.ErrUnhealthy):
+	case errors.Is(err, damsonwinch.ErrNoCapacity), errors.Is(err, damsonwinch.ErrUnhealthy):
 		// Its own count of room or its health differs from what is known here.
 		r.endpoint.backoffUntil = c.now.Add(endpointBackoff)
 	}
-	if errors.Is(err, damsonwinch.ErrNoTicket) {
+	if errors.Is(err, damsonwinch.ErrInvalidTicket) {
 		r.task.phase.dropPermit(r.endpoint)
 		c.requeue(r)
 		return
@@ -242,7 +242,7 @@
 
 // startNotSent takes back a run whose order has certainly not come to its endpoint.
 func (c *Cell) startNotSent(r *run, err error) {
-	c.note("start not sent", r, err.Error())
+	c.logRun("start not sent", r, err.Error())
 	c.addStarts(r.task, -1)
 	c.requestPoll(r.endpoint)
 	r.endpoint.backoffUntil = c.now.Add(endpointBackoff)
@@ -265,7 +265,7 @@
 		return
 	}
 	if !r.stopping {
-		c.note("stop", r, why)
+		c.logRun("stop", r, why)
 	}
 	r.stopping = true
 	if r.state == runRequested {
@@ -278,13 +278,13 @@
 
 func (c *Cell) sendStop(r *run) {
 	r.stopSentAt = c.now
-	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.endpoint.info, Request: damsonwinch.StopOrder{Run: r.id(), Token: c.token}})
+	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.endpoint.info, Request: damsonwinch.StopRequest{Run: r.id(), Token: c.token}})
 }
 
 // Stopped takes the answer to a stop.
 func (c *Cell) Stopped(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
-	defer c.settle()
+	c.beginEvent(now)
+	defer c.finishEvent()
 	r := c.findRun(at, which)
 	if r == nil {
 		return
@@ -304,7 +304,7 @@
 
 // resendStops sends stops again that nobody has answered.
 func (c *Cell) resendStops() {
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		for _, r := range e.runsByStart {
 			if r.stopping && !r.stopConfirmed && r.state != runPending && r.state != runRequested && r.state != runUnverified &&
 				c.now.Sub(r.stopSentAt) >= stopResendInterval {
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -28,7 +28,7 @@
 // SpeedChange is an order to an endpoint.
 type SpeedChange struct {
 	Endpoint damsonwinch.Endpoint
-	Request  damsonwinch.PaceOrder
+	Request  damsonwinch.SpeedRequest
 }
 
 // adjustFillerSpeeds holds back what fills an endpoint as long as what serves there needs it.
@@ -38,17 +38,17 @@
 	case worst >= highTailPercent:
 		e.lowTailSince = time.Time{}
 		c.setFillerSpeeds(e, func(percent int) int {
-			if percent*slowdownPercent/wholePercent < minSpeedPercent {
+			if percent*slowdownPercent/fullPercent < minSpeedPercent {
 				return 0
 			}
-			return percent * slowdownPercent / wholePercent
+			return percent * slowdownPercent / fullPercent
 		})
 	case worst < lowTailPercent:
 		if e.lowTailSince.IsZero() {
 			e.lowTailSince = c.now
 		}
 		if c.now.Sub(e.lowTailSince) >= lowTailTime {
-			c.setFillerSpeeds(e, func(percent int) int { return min(wholePercent, percent+speedupPercent) })
+			c.setFillerSpeeds(e, func(percent int) int { return min(fullPercent, percent+speedupPercent) })
 		}
 	default:
 		e.lowTailSince = time.Time{}
@@ -61,7 +61,7 @@
 	worst := 0
 	for _, r := range e.runs {
 		if target := r.task.phase.spec.TargetMs; target > 0 && !r.stopping {
-			worst = max(worst, r.load*wholePercent/target)
+			worst = max(worst, r.load*fullPercent/target)
 		}
 	}
 	return worst
@@ -80,7 +80,7 @@
 		if next := change(r.speedPercent); next != r.speedPercent {
 			r.speedPercent = next
 			e.speedChangedAt = c.now
-			c.effects.Paces = append(c.effects.Paces, SpeedChange{Endpoint: e.info, Request: damsonwinch.PaceOrder{Run: r.id(), Token: c.token, Percent: next}})
+			c.effects.Paces = append(c.effects.Paces, SpeedChange{Endpoint: e.info, Request: damsonwinch.SpeedRequest{Run: r.id(), Token: c.token, SpeedPercent: next}})
 		}
 	}
 }
@@ -88,15 +88,15 @@
 // SpeedSet takes the answer to an order on a run's speed. One that was not answered
 // may not have been done: the next look tells.
 func (c *Cell) SpeedSet(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := c.findRun(at, which)
 	if r == nil || err == nil {
 		return
 	}
-	c.note("pace not set", r, err.Error())
+	c.logRun("pace not set", r, err.Error())
 	// It is set again with the next change; until then nothing is taken for sure.
 	r.endpoint.speedChangedAt = time.Time{}
-	r.speedPercent = wholePercent
+	r.speedPercent = fullPercent
 }
 
 // interferes says whether an endpoint runs tasks that a phase's should not stand
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -27,7 +27,7 @@
 	}
 	r.progressSampled = true
 	times := &c.statsOf(r.task.phase.job().queue).times
-	if times.actual.count < learnedRuns {
+	if times.logTime.count < minLearnedRuns {
 		return
 	}
 	h := &r.endpoint.health
@@ -40,13 +40,13 @@
 			return
 		}
 	}
-	h.progressSamples = append(h.progressSamples, progressSample{phase: r.task.phase, sampledAt: c.now, logRatioSum: off, count: 1, variance: times.uncertainty()})
+	h.progressSamples = append(h.progressSamples, progressSample{phase: r.task.phase, sampledAt: c.now, logRatioSum: off, count: 1, variance: times.estimateVariance()})
 }
 
 // slowness returns how many times as long as expected the tasks of an endpoint
 // take, or 0 while that may be chance.
 func (h *health) slowness(now time.Time) float64 {
-	sum, variance, count := 0.0, leastVariance, 0.0
+	sum, variance, count := 0.0, minVariance, 0.0
 	for _, s := range h.progressSamples {
 		if now.Sub(s.sampledAt) > progressSampleTime {
 			continue
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -26,7 +26,7 @@
 // addSuspect puts a task among the suspects if the ends of endpoints under it call for that.
 func (c *Cell) addSuspect(t *task) {
 	if !t.suspected && !t.done && c.options.CrashRules.IsSuspect(t.crashes) {
-		t.suspected, t.triedFrom = true, c.now
+		t.suspected, t.probationWaitSince = true, c.now
 		c.suspects = append(c.suspects, t)
 	}
 }
@@ -46,7 +46,7 @@
 			continue
 		}
 		if e := c.chooseProbationEndpoint(t); e != nil {
-			t.phase.unready(t)
+			t.phase.removeReady(t)
 			c.planRun(t, e)
 		} else if !c.probationWaitExpired(t) {
 			c.reserveForProbation(t)
@@ -56,13 +56,13 @@
 
 // probationWaitExpired says whether a suspect has waited for a trial for too long.
 func (c *Cell) probationWaitExpired(t *task) bool {
-	return c.now.Sub(t.triedFrom) >= c.maxProbationWait(t)
+	return c.now.Sub(t.probationWaitSince) >= c.maxProbationWait(t)
 }
 
 // maxProbationWait returns how long a suspect waits for a trial. Then it starts as any other does: a
 // crowd of suspects, most of them sound, must not stand still.
 func (c *Cell) maxProbationWait(t *task) time.Duration {
-	if c.prone[t.phase.job().queue] {
+	if c.crashProne[t.phase.job().queue] {
 		return crashProneProbationWait
 	}
 	return defaultProbationWait
@@ -76,7 +76,7 @@
 		}
 		return !t.suspected
 	})
-	c.trials = slices.DeleteFunc(c.trials, func(e *endpoint) bool {
+	c.probationEndpoints = slices.DeleteFunc(c.probationEndpoints, func(e *endpoint) bool {
 		if t := e.reservedFor; t != nil && (!t.suspected || !t.ready || !e.usable() || c.probationWaitExpired(t)) {
 			e.reservedFor = nil
 		}
@@ -84,7 +84,7 @@
 	})
 	nowMs := int(c.now.UnixMilli())
 	slices.SortStableFunc(c.suspects, func(a, b *task) int {
-		if late := a.phase.late(nowMs); late != b.phase.late(nowMs) {
+		if late := a.phase.isLate(nowMs); late != b.phase.isLate(nowMs) {
 			if late {
 				return 1
 			}
@@ -97,7 +97,7 @@
 // chooseProbationEndpoint returns the endpoint for a trial where the least is lost if that ends it.
 func (c *Cell) chooseProbationEndpoint(t *task) *endpoint {
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if c.noRecentStart(e) && c.canStart(t, e) {
 			choice.offer(e, -e.weightAtRisk())
 		}
@@ -132,10 +132,10 @@
 		return true
 	}
 	share := maxProbationPercent
-	if len(c.prone) > 0 {
+	if len(c.crashProne) > 0 {
 		share = maxCrashProneProbationPercent
 	}
-	return len(c.trials)+c.trialEnds.countWithin(c.now, restartTime) < max(1, len(c.ranked)*share/wholePercent)
+	return len(c.probationEndpoints)+c.probationExits.countWithin(c.now, restartTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
 }
 
 // noRecentStart says whether nothing has begun at an endpoint of late that may end it yet.
@@ -151,7 +151,7 @@
 // countExposed counts the endpoints that run something and would end by themselves if they did now.
 func (c *Cell) countExposed() int {
 	count := 0
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && e.usable() && !c.startedWithin(e, c.now, c.options.CrashRules.MeasuredSuspectAge()) {
 			count++
 		}
@@ -161,43 +161,43 @@
 
 // reserveForProbation keeps an endpoint for a task until nothing young runs there and there is room.
 func (c *Cell) reserveForProbation(t *task) {
-	if slices.ContainsFunc(c.trials, func(e *endpoint) bool { return e.reservedFor == t }) {
+	if slices.ContainsFunc(c.probationEndpoints, func(e *endpoint) bool { return e.reservedFor == t }) {
 		return
 	}
 	var choice choice
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		if e.probation == nil && e.reservedFor == nil && c.mayHostProbation(e) && c.fitsWithoutShortRuns(t, e) {
 			choice.offer(e, -e.weightAtRisk())
 		}
 	}
 	if choice.best != nil {
 		choice.best.reservedFor = t
-		c.trials = append(c.trials, choice.best)
+		c.probationEndpoints = append(c.probationEndpoints, choice.best)
 	}
 }
 
 // fitsWithoutShortRuns says whether a task could run at an endpoint once the short tasks there have ended.
 func (c *Cell) fitsWithoutShortRuns(t *task, e *endpoint) bool {
 	p := t.phase
-	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.permitted(p, e) {
+	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.hasPermit(p, e) {
 		return false
 	}
-	return e.info.Capacity.Minus(e.lastingNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || countOnEndpoint(p, e) < p.spec.MostPerBox)
+	return e.info.Capacity.Minus(e.longRunningNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || countOnEndpoint(p, e) < p.spec.MostPerBox)
 }
 
 // startProbation notes that a run is on trial: nothing else starts at its endpoint until it has
 // outlived that.
 func (c *Cell) startProbation(r *run) {
 	r.endpoint.probation, r.endpoint.reservedFor = r, nil
-	if !slices.Contains(c.trials, r.endpoint) {
-		c.trials = append(c.trials, r.endpoint)
+	if !slices.Contains(c.probationEndpoints, r.endpoint) {
+		c.probationEndpoints = append(c.probationEndpoints, r.endpoint)
 	}
 }
 
 // checkProbations looks at endpoints where a trial should be over, and clears lasting tasks that
 // have been at work for long.
 func (c *Cell) checkProbations() {
-	for _, e := range c.trials {
+	for _, e := range c.probationEndpoints {
 		if e.probation != nil && e.probation.state == runConfirmed && !c.now.Before(c.probationEnd(e.probation)) {
 			c.requestPoll(e)
 		}
@@ -206,9 +206,9 @@
 		if !t.phase.spec.Lasting || len(t.runs) == 0 {
 			continue
 		}
-		if r := t.runs[0]; r.percent >= wholePercent && c.now.Sub(r.startedAt) >= longRunningClearTime {
+		if r := t.runs[0]; r.percent >= fullPercent && c.now.Sub(r.startedAt) >= longRunningClearTime {
 			t.crashes, t.suspected = crash.History{}, false
-			c.touch(t.phase.job())
+			c.markDirty(t.phase.job())
 		}
 	}
 }
@@ -223,6 +223,6 @@
 func (c *Cell) endProbation(e *endpoint, sentAt time.Time) {
 	if e.probation != nil && e.probation.state == runConfirmed && !sentAt.Before(c.probationEnd(e.probation)) {
 		e.probation = nil
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -10,23 +10,23 @@
 	"damsonwinch/pkg/wire"
 )
 
-// markPrefix starts the keys of records about endpoints.
-const markPrefix = "endpoint/"
+// endpointKeyPrefix starts the keys of records about endpoints.
+const endpointKeyPrefix = "endpoint/"
 
 // withdrawal is how far the emptying of an endpoint is.
 type withdrawal struct {
-	// wanted says that the planner wants it empty.
-	wanted bool
-	// hurry says that its tasks are to be run elsewhere instead of waited for.
-	hurry bool
+	// requested says that the planner wants it empty.
+	requested bool
+	// urgent says that its tasks are to be run elsewhere instead of waited for.
+	urgent bool
 	// recorded says that the stream holds the withdrawal.
 	recorded bool
 }
 
-// empty goes on with the emptying of an endpoint, and withdraws it for good once
+// continueWithdrawal goes on with the emptying of an endpoint, and withdraws it for good once
 // nothing runs there any more.
-func (c *Cell) empty(e *endpoint) {
-	if !e.withdrawal.wanted || e.withdrawn || e.exited {
+func (c *Cell) continueWithdrawal(e *endpoint) {
+	if !e.withdrawal.requested || e.withdrawn || e.exited {
 		return
 	}
 	if len(e.runs) > 0 {
@@ -37,8 +37,8 @@
 		return
 	}
 	e.withdrawn = true
-	c.mark(e)
-	c.noteEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
+	c.recordWithdrawal(e)
+	c.logEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
 }
 
 // evacuate stops what would not end soon by itself, so that it runs elsewhere.
@@ -52,65 +52,65 @@
 		case spec.Lasting:
 			// In a hurry it waits for room elsewhere: it goes first there, as soon as a
 			// short task ends. In a full cell it would hold its box up for ever.
-			if c.lastingAway(r.task.phase) < spec.AwayAtMost && (e.withdrawal.hurry || c.roomElsewhere(r)) {
+			if c.countUnavailable(r.task.phase) < spec.AwayAtMost && (e.withdrawal.urgent || c.canStartElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
-		case e.withdrawal.hurry && spec.Checkpoints && !spec.Gang && (c.canWait(r) || c.roomElsewhere(r)):
+		case e.withdrawal.urgent && spec.Checkpoints && !spec.Gang && (c.canWaitForCapacity(r) || c.canStartElsewhere(r)):
 			c.stop(r, "its box is wanted")
 		}
 	}
 }
 
-// canWait says whether a run's job would still be in time if the run stood still
+// canWaitForCapacity says whether a run's job would still be in time if the run stood still
 // for a while.
-func (c *Cell) canWait(r *run) bool {
+func (c *Cell) canWaitForCapacity(r *run) bool {
 	j := r.task.phase.job()
-	return int(c.now.Add(waitForRoom).UnixMilli())+j.chains[r.task.phase.number] < j.dueMs
+	return int(c.now.Add(capacityWait).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.dueMs
 }
 
-// waitForRoom is how long a stopped task may have to wait for room, with the time
+// capacityWait is how long a stopped task may have to wait for room, with the time
 // of its stop and of its return to where it was.
-const waitForRoom = 1500 * time.Millisecond
+const capacityWait = 1500 * time.Millisecond
 
-// roomElsewhere says whether a run could go on at another endpoint now.
-func (c *Cell) roomElsewhere(r *run) bool {
-	for _, e := range c.ranked {
-		if e != r.endpoint && !e.withdrawal.wanted && c.canStart(r.task, e) {
+// canStartElsewhere says whether a run could go on at another endpoint now.
+func (c *Cell) canStartElsewhere(r *run) bool {
+	for _, e := range c.sortedEndpoints {
+		if e != r.endpoint && !e.withdrawal.requested && c.canStart(r.task, e) {
 			return true
 		}
 	}
 	return false
 }
 
-// restore takes an endpoint back into use.
-func (c *Cell) restore(e *endpoint) {
+// restoreEndpoint takes an endpoint back into use.
+func (c *Cell) restoreEndpoint(e *endpoint) {
 	if !e.withdrawn {
 		return
 	}
 	e.withdrawn, e.withdrawal = false, withdrawal{}
-	c.commits.marks = append(c.commits.marks, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
-	c.noteEndpoint("endpoint restored", e, "the fleet planner does not need its box")
+	c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String()})
+	c.logEndpoint("endpoint restored", e, "the fleet planner does not need its box")
 }
 
-// mark records that an endpoint is withdrawn.
-func (c *Cell) mark(e *endpoint) {
-	c.commits.marks = append(c.commits.marks, e.markRecord(c.now))
-	c.commits.withdrawn = append(c.commits.withdrawn, e)
+// recordWithdrawal records that an endpoint is withdrawn.
+func (c *Cell) recordWithdrawal(e *endpoint) {
+	c.commits.endpointRecords = append(c.commits.endpointRecords, e.withdrawalRecord(c.now))
+	c.commits.withdrawals = append(c.commits.withdrawals, e)
 }
 
-func (c *Cell) loadMark(record damsonwinch.Record) error {
+func (c *Cell) loadEndpointRecord(record damsonwinch.Record) error {
 	var mark wire.EndpointRecord
 	if err := json.Unmarshal(record.Value, &mark); err != nil {
 		return fmt.Errorf("read record of %s: %w", record.Key, err)
 	}
-	e := c.ensureEndpoint(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, markPrefix)))
+	e := c.ensureEndpoint(damsonwinch.ParseLife(strings.TrimPrefix(record.Key, endpointKeyPrefix)))
 	e.withdrawn, e.withdrawal.recorded = mark.Withdrawn, mark.Withdrawn
 	return nil
 }
 
-// dropEndpoint makes the stream forget an endpoint.
-func (c *Cell) dropEndpoint(e *endpoint) {
+// deleteEndpointRecord makes the stream forget an endpoint.
+func (c *Cell) deleteEndpointRecord(e *endpoint) {
 	if e.withdrawn {
-		c.commits.marks = append(c.commits.marks, damsonwinch.Record{Key: markPrefix + e.info.Life.String()})
+		c.commits.endpointRecords = append(c.commits.endpointRecords, damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String()})
 	}
 }
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -72,7 +72,7 @@
 	e.overdue = false
 	if e.zone.mayBeCutOff() {
 		e.zone.unansweredSince = time.Time{}
-		c.unplaced = true
+		c.placementDue = true
 	}
 }
 
@@ -80,7 +80,7 @@
 // address.
 func (c *Cell) endpointAnswered(e *endpoint) {
 	c.addressAnswered(e)
-	if c.awake() {
+	if c.caughtUp() {
 		e.lastAnsweredAt = c.now
 	}
 }
@@ -91,7 +91,7 @@
 	for _, z := range c.zones {
 		z.unanswered = false
 	}
-	for _, e := range c.ranked {
+	for _, e := range c.sortedEndpoints {
 		since, overdue := e.oldestOverdueCall(c.now, c.options.PollWait)
 		e.overdue = overdue
 		if overdue && e.zone.answeredAt.Before(since) || e.silent && e.zone.mayBeCutOff() {
@@ -137,10 +137,10 @@
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
 		return nil
 	}
-	if j.home == nil || j.home.mayBeCutOff() {
-		j.home = c.zoneWithMostFreeCores()
+	if j.homeZone == nil || j.homeZone.mayBeCutOff() {
+		j.homeZone = c.zoneWithMostFreeCores()
 	}
-	return j.home
+	return j.homeZone
 }
 
 // zoneWithMostFreeCores returns the zone with the most free cores, nil if there is none.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -51,11 +51,11 @@
 	Logger   logrus.FieldLogger
 	Metrics  *metrics.Set
 	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.Slept
+	Slept damsonwinch.SuspendedTime
 	// CallListener takes the calls of other nodes.
 	CallListener net.Listener
 	// Configured is told each configuration that comes into force.
-	Configured func(configuration damsonwinch.Configuration, book *customer.Book)
+	Configured func(configuration damsonwinch.Configuration, book *customer.Index)
 }
 
 // Options say who the node is and by which times it decides.
@@ -178,7 +178,7 @@
 }
 
 // Jobs takes clients' calls.
-func (n *Node) Jobs() damsonwinch.Jobs {
+func (n *Node) Jobs() damsonwinch.JobService {
 	return n.router
 }
 
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -11,25 +11,25 @@
 	"damsonwinch/pkg/wire"
 )
 
-// fleetOf builds a planner with boxes spread over pools, one of them for parked
-// boxes, and reports that ask each second for other numbers of boxes.
-type fleetOf struct {
+// benchFleet is a planner with boxes spread over pools, one of which is powered off. The demand of each
+// pool changes each second.
+type benchFleet struct {
 	planner *supply.Planner
 	pools   []damsonwinch.Pool
 	boxes   []damsonwinch.Box
 	now     time.Time
 }
 
-func newFleet(boxes, pools int) *fleetOf {
-	f := &fleetOf{now: time.Unix(1_000_000, 0)}
+func newBenchFleet(boxes, pools int) *benchFleet {
+	f := &benchFleet{now: time.Unix(1_000_000, 0)}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for at := range pools {
-		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), Parking: at == 0})
+		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), PoweredOff: at == 0})
 	}
 	for at := range boxes {
 		f.boxes = append(f.boxes, damsonwinch.Box{
 			Name: fmt.Sprintf("box-%04d", at), Pool: f.pools[at%pools].Name, State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", at%4),
-			Capacity: damsonwinch.Resources{CPU: 32000, MemoryMB: 128000}, Endpoint: fmt.Sprintf("endpoint-%04d", at),
+			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, EndpointID: fmt.Sprintf("endpoint-%04d", at),
 		})
 	}
 	f.planner.SetPools(f.pools, shard.NewLayout(1, nil))
@@ -38,54 +38,56 @@
 	return f
 }
 
-// round reports, plans and carries out what is ordered, as a platform without
-// faults would.
-func (f *fleetOf) round(number int) int {
+// round reports the cells, plans, and carries out all orders at once. It returns the number of orders.
+func (f *benchFleet) round(number int) int {
 	f.now = f.now.Add(100 * time.Millisecond)
 	for at, pool := range f.pools {
-		if !pool.Parking {
+		if !pool.PoweredOff {
 			f.planner.SetReport(f.now, pool.Name, f.report(pool.Name, (number/10+at)%len(f.pools)))
 		}
 	}
 	orders := f.planner.Plan(f.now)
 	for _, order := range orders {
-		f.planner.Ordered(f.now, order, nil)
+		f.planner.HandleOrderResult(f.now, order, nil)
 		f.move(order)
 	}
 	f.planner.SetBoxes(f.now.Add(time.Millisecond), f.boxes)
 	return len(orders)
 }
 
-func (f *fleetOf) move(order supply.Order) {
+// move carries out an order.
+func (f *benchFleet) move(order supply.Order) {
 	for at := range f.boxes {
 		if f.boxes[at].Name == order.Box && order.Pool != "" {
 			f.boxes[at].Pool = order.Pool
-			f.boxes[at].Endpoint += "+"
+			f.boxes[at].EndpointID += "+"
 		}
 	}
 }
 
-func (f *fleetOf) report(pool string, share int) wire.SyncReply {
+// report returns the report of a pool's cell, whose running tasks use 2*share/len(f.pools) times the
+// capacity of a pool of average size.
+func (f *benchFleet) report(pool string, share int) wire.SyncReply {
 	reply := wire.SyncReply{Known: true, TaskMs: 800, SlackMs: 1200}
 	withdrawn := map[string]bool{}
-	wishes := f.planner.Wishes(pool)
-	for _, id := range append(wishes.Withdraw, wishes.Hurry...) {
+	directives := f.planner.Directives(pool)
+	for _, id := range append(directives.Withdraw, directives.WithdrawUrgently...) {
 		withdrawn[id] = true
 	}
 	for _, b := range f.boxes {
 		if b.Pool == pool {
-			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.Endpoint, Box: b.Name, Usable: !withdrawn[b.Endpoint], Withdrawn: withdrawn[b.Endpoint]})
+			reply.Endpoints = append(reply.Endpoints, wire.EndpointReport{Endpoint: b.EndpointID, Box: b.Name, Usable: !withdrawn[b.EndpointID], Withdrawn: withdrawn[b.EndpointID]})
 		}
 	}
 	reply.RunningCpu = len(f.boxes) * 32000 / len(f.pools) * 2 * share / len(f.pools)
 	return reply
 }
 
-// BenchmarkPlan plans for fleets whose demand turns each second.
+// BenchmarkPlan measures a round in fleets whose demand moves from pool to pool each second.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ boxes, pools int }{{50, 5}, {350, 5}, {5800, 45}} {
 		b.Run(fmt.Sprintf("boxes=%d", size.boxes), func(b *testing.B) {
-			f := newFleet(size.boxes, size.pools)
+			f := newBenchFleet(size.boxes, size.pools)
 			orders := 0
 			for number := 0; b.Loop(); number++ {
 				orders += f.round(number)
