--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -48,7 +48,7 @@
 // exposure is the time that endpoints have spent so until a moment, in seconds of one.
 type exposure struct {
 	until          time.Time
-	exposedSeconds float64
+	seconds float64
 }
 
 // What is counted beside the ends that were seen and the endpoints' time without one, as long as
@@ -63,7 +63,7 @@
 // observe takes note of how many endpoints are exposed since the last time.
 func (h *baselineExitRate) observe(now time.Time, endpoints int) {
 	if passed := now.Sub(h.observedAt); !h.observedAt.IsZero() && passed <= time.Second {
-		h.exposures = append(h.exposures, exposure{until: now, exposedSeconds: float64(endpoints) * passed.Seconds()})
+		h.exposures = append(h.exposures, exposure{until: now, seconds: float64(endpoints) * passed.Seconds()})
 	}
 	h.observedAt = now
 	h.exposures = slices.DeleteFunc(h.exposures, func(e exposure) bool { return now.Sub(e.until) > rateWindow })
@@ -71,19 +71,19 @@
 
 // rate returns how often one endpoint ends by itself, a second.
 func (h *baselineExitRate) rate(now time.Time) float64 {
-	rate := (float64(h.exits.countWithin(now, rateWindow)) + priorExits) / (h.seconds(now, rateWindow) + priorExposure.Seconds())
+	rate := (float64(h.exits.countWithin(now, rateWindow)) + priorExits) / (h.exposedSeconds(now, rateWindow) + priorExposure.Seconds())
 	if lately := h.exits.countWithin(now, burstWindow); lately >= burstExits {
-		rate = max(rate, float64(lately)/(h.seconds(now, burstWindow)+burstWindow.Seconds()))
+		rate = max(rate, float64(lately)/(h.exposedSeconds(now, burstWindow)+burstWindow.Seconds()))
 	}
 	return rate
 }
 
-// seconds returns for how long endpoints were exposed of late.
-func (h *baselineExitRate) seconds(now time.Time, length time.Duration) float64 {
+// exposedSeconds returns for how long endpoints were exposed of late.
+func (h *baselineExitRate) exposedSeconds(now time.Time, length time.Duration) float64 {
 	sum := 0.0
 	for _, e := range h.exposures {
 		if now.Sub(e.until) <= length {
-			sum += e.exposedSeconds
+			sum += e.seconds
 		}
 	}
 	return sum
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -25,8 +25,8 @@
 	e.exited = true
 	c.countLossForLapsed(e)
 	c.forgetLapsed(e)
-	blamedRun := c.blamed(e)
-	if len(e.runs) > 0 && !c.startedWithin(e, e.endedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
+	blamedRun := c.runToBlame(e)
+	if len(e.runs) > 0 && !c.startedWithin(e, e.exitedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
 		c.baselineExits.exits.add(c.now)
 	}
 	c.countQueueExits(e, blamedRun)
@@ -75,9 +75,9 @@
 	c.requeue(r)
 }
 
-// blamed returns the run that was on trial on an endpoint that has ended and is to blame,
+// runToBlame returns the run that was on trial on an endpoint that has ended and is to blame,
 // nil if there is none: then all tasks there may have ended it.
-func (c *Cell) blamed(e *endpoint) *run {
+func (c *Cell) runToBlame(e *endpoint) *run {
 	if r := e.probation; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.lossOf(r)) {
 		return r
 	}
@@ -86,7 +86,7 @@
 
 // lossOf describes the end of a run's endpoint.
 func (c *Cell) lossOf(r *run) crash.Loss {
-	exitedAt := r.endpoint.endedAt(c.now)
+	exitedAt := r.endpoint.exitedAt(c.now)
 	end := crash.Loss{MaxAge: r.age(exitedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.hasCommonCause(r.endpoint, exitedAt), Probation: r.endpoint.probation == r, LossRate: c.baselineExits.rate(c.now)}
 	if r.endpoint.silent && r.endpoint.pollBroken {
 		// The look that broke off would have told of the run's end. Otherwise it may have ended
@@ -176,9 +176,9 @@
 	}
 }
 
-// endedAt is when an endpoint that is lost has ended, as far as that can be told: a look
+// exitedAt is when an endpoint that is lost has ended, as far as that can be told: a look
 // waits there nearly always, and breaks off at once.
-func (e *endpoint) endedAt(now time.Time) time.Time {
+func (e *endpoint) exitedAt(now time.Time) time.Time {
 	if e.silent {
 		return e.silentSince
 	}
@@ -222,7 +222,7 @@
 		return
 	}
 	c.stats.EndpointsLost++
-	endedAt := e.endedAt(c.now)
+	endedAt := e.exitedAt(c.now)
 	youngest := e.runsByStart[len(e.runsByStart)-1].age(endedAt)
 	c.logEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
 		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -27,7 +27,7 @@
 // countQueueExits counts the end of an endpoint against the queues of what had begun there just before.
 // Where one task is to blame its first end has been counted: one such task is no crowd.
 func (c *Cell) countQueueExits(e *endpoint, blamed *run) {
-	endedAt := e.endedAt(c.now)
+	endedAt := e.exitedAt(c.now)
 	if blamed != nil || c.hasCommonCause(e, endedAt) {
 		return
 	}
