--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -7,111 +7,122 @@
 	"damsonwinch"
 )
 
-// endpoint is a life of the program that runs tasks, as the owner knows it.
+// endpoint is one life of the program that runs tasks on a box, as the cell's owner knows it.
 type endpoint struct {
 	info damsonwinch.Endpoint
 	zone *zone
-	// listed says that the registry has its entry now.
+	// listed is set while the registry lists the endpoint.
 	listed bool
-	// pollDue says that the cell is to see whether a look is due.
+	// pollDue is set while the endpoint is in Cell.pollDue.
 	pollDue bool
-	// room is the number of whole free cores by which it stands in the cell's rooms,
-	// at the index roomAt, if indexed.
+	// indexed is set if the endpoint is in its zone's index of free cores. It is there in the
+	// bucket of index bucket, at position bucketPos.
 	indexed   bool
 	bucket    int
 	bucketPos int
-	// attached says that it has answered a look under this owner's token: older
-	// owners can't order there any more, and all its runs are known.
+	// attached is set once the endpoint has answered a poll with this owner's token. From then on
+	// it refuses requests of older owners, and all its runs are known.
 	attached bool
-	// attachedAt is when it first did so.
+	// attachedAt is when attached was set.
 	attachedAt time.Time
-	// exited says that this life has ended for certain.
+	// exited is set once this life has certainly ended.
 	exited bool
-	// withdrawn says that it gets no more work, since its box is to be moved or
-	// maintained.
+	// withdrawn is set if the endpoint gets no more work because its box is to be moved or
+	// maintained, and withdrawal tells how far that is.
 	withdrawn  bool
 	withdrawal withdrawal
-	// maintenanceDue says that its box is still to be maintained.
+	// maintenanceDue is set while the endpoint's box still has to be maintained in the current
+	// wave.
 	maintenanceDue bool
-	runs           map[damsonwinch.Run]*run
-	// runsByStart holds the same runs in the order in which they were started.
+	// runs holds the runs that may exist on the endpoint, and runsByStart the same runs in the
+	// order in which they were started.
+	runs        map[damsonwinch.Run]*run
 	runsByStart []*run
-	used        damsonwinch.Resources
-	// strayRuns is the number of runs there, by the last look, that belong to nothing that should
-	// run: the room that they take until they have ended isn't known.
+	// used is the capacity that runs occupy.
+	used damsonwinch.Resources
+	// strayRuns is the number of runs in the last poll's reply that the cell doesn't know. The
+	// capacity that they use until they have ended isn't known.
 	strayRuns int
-	lastBusy  time.Time
-	// clockSampleMs is its clock, in milliseconds, in an answer that came at clockAt.
+	// lastBusy is when the last run was removed from the endpoint, or when the endpoint became
+	// known.
+	lastBusy time.Time
+	// clockSampleMs is the endpoint's clock, in milliseconds, in a reply that arrived at
+	// clockSampledAt.
 	clockSampleMs  int
 	clockSampledAt time.Time
-	// leasesExpireBy is when all that runs there has lapsed for certain, unless the
-	// endpoint is heard of before.
+	// leasesExpireBy is when all leases on the endpoint have certainly expired, if it can't be
+	// reached before.
 	leasesExpireBy time.Time
 	polls          polls
-	// lapsedAttempts are attempts there of which it isn't known how they ended.
+	// lapsedAttempts holds the attempts on the endpoint whose results aren't known.
 	lapsedAttempts []lapsedAttempt
-	// pollWanted asks for a look that doesn't wait.
+	// pollWanted requests a poll that the endpoint answers at once.
 	pollWanted bool
-	// appliedSequence is the highest end that has been taken into the state, and recorded the
-	// highest one in the stream.
+	// appliedSequence is the sequence number of the last result that has been applied to the state,
+	// and recordedSequence that of the last one whose effect is recorded in the stream.
 	appliedSequence  int
 	recordedSequence int
-	// silent says that the last look was not answered, since silentAt, and broke that it broke
-	// off while it waited: whatever ended the endpoint, it was then.
+	// silent is set while the last poll has not been answered, and silentSince is when that became
+	// known. pollBroken is set if the connection of that poll broke while the poll was waiting:
+	// whatever ended the endpoint, it happened then.
 	silent      bool
 	silentSince time.Time
 	pollBroken  bool
-	// silentStep is the step at silentAt.
+	// silentStep is the step at silentSince.
 	silentStep int
-	// lastAnsweredAt is when it last answered a call.
+	// lastAnsweredAt is when the endpoint last answered a call.
 	lastAnsweredAt time.Time
-	// probation is the run that is on probation there, and promised the task that is to be started on
-	// probation there next: no other starts meanwhile.
+	// probation is the run that is on probation on the endpoint, and reservedFor the task that is
+	// to be started on probation there next. Nothing else starts there meanwhile.
 	probation   *run
 	reservedFor *task
-	// overdue says that it has left a call unanswered for longer than usual.
-	overdue      bool
+	// overdue is set while a call to the endpoint has been unanswered for longer than usual.
+	overdue bool
+	// backoffUntil is until when no starts are sent, after a start was refused or could not be
+	// sent.
 	backoffUntil time.Time
 	health       health
-	// speedChangedAt is when the speed of a task there was last changed, and calmSince
-	// since when what serves there is far from its target.
+	// speedChangedAt is when the speed of a filler task on the endpoint was last changed.
+	// lowTailSince is since when the tail latency of its serving tasks is far below their targets,
+	// or zero.
 	speedChangedAt time.Time
 	lowTailSince   time.Time
 }
 
-// usable says whether new work may be ordered there.
+// usable reports whether new work may be started on the endpoint.
 func (e *endpoint) usable() bool {
 	return e.listed && e.attached && !e.exited && !e.withdrawn && !e.withdrawal.requested && !e.silent && !e.info.Draining
 }
 
-// free returns the room that is left.
+// free returns the free capacity.
 func (e *endpoint) free() damsonwinch.Resources {
 	return e.info.Capacity.Minus(e.used)
 }
 
-// estimateClock returns the endpoint's estimateClock as it should be now, in milliseconds.
+// estimateClock returns an estimate of the endpoint's clock at now, in milliseconds.
 func (e *endpoint) estimateClock(now time.Time) int {
 	return e.clockSampleMs + int(now.Sub(e.clockSampledAt).Milliseconds())
 }
 
-// hasLabel says whether a task that asks for a label may run there.
+// hasLabel reports whether the endpoint has a label. The empty label stands for none, which every
+// endpoint satisfies.
 func (e *endpoint) hasLabel(label string) bool {
 	return label == "" || slices.Contains(e.info.Labels, label)
 }
 
-// sortedRuns returns the runs in an order that doesn't depend on the map's. The
-// slice stays as it is when runs come and go.
+// sortedRuns returns a copy of the endpoint's runs in the order of their starts. Runs may be added
+// and removed while the caller iterates over it.
 func (e *endpoint) sortedRuns() []*run {
 	return slices.Clone(e.runsByStart)
 }
 
-// ensureEndpoint returns the endpoint of a life, made known if need be.
+// ensureEndpoint returns the endpoint of a life, and adds it if it isn't known yet.
 func (c *Cell) ensureEndpoint(life damsonwinch.Life) *endpoint {
 	if known := c.endpoints[life]; known != nil {
 		return known
 	}
 	e := &endpoint{info: damsonwinch.Endpoint{Life: life}, runs: map[damsonwinch.Run]*run{}, lastBusy: c.now}
-	// An older owner may have prolonged leases until it noticed that it was one.
+	// An earlier owner may have renewed leases until it noticed that it was no longer the owner.
 	e.leasesExpireBy = c.now.Add(c.options.RenewalGrace + withClockSlack(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.updateZone(e)
@@ -119,6 +130,8 @@
 	return e
 }
 
+// withClockSlack returns how long a lease may last by this machine's clock if the endpoint's clock
+// is as slow as the platform allows.
 func withClockSlack(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * clockDriftFactor)
 }
@@ -126,17 +139,17 @@
 // leaseMargin is added to every bound of a lease, for rounding and scheduling.
 const leaseMargin = 200 * time.Millisecond
 
-// extendLeaseBound notes that an order may keep runs alive until a moment of the
-// endpoint's clock.
-func (c *Cell) extendLeaseBound(e *endpoint, until int) {
-	left := time.Duration(until-e.clockSampleMs) * time.Millisecond
+// extendLeaseBound notes that a request may keep runs on the endpoint alive until untilMs on the
+// endpoint's clock, in milliseconds.
+func (c *Cell) extendLeaseBound(e *endpoint, untilMs int) {
+	left := time.Duration(untilMs-e.clockSampleMs) * time.Millisecond
 	bound := e.clockSampledAt.Add(withClockSlack(left) + leaseMargin)
 	if bound.After(e.leasesExpireBy) {
 		e.leasesExpireBy = bound
 	}
 }
 
-// SetEndpoints takes the cell's endpoints as the registry has them now.
+// SetEndpoints sets the cell's endpoints to those that the registry lists now.
 func (c *Cell) SetEndpoints(now time.Time, listed []damsonwinch.Endpoint) {
 	c.beginEvent(now)
 	c.endpointsChanged()
@@ -163,11 +176,13 @@
 	c.sweepEndpoints()
 }
 
-// lapsedResultWait is how long an endpoint whose entry has gone may come back and tell how attempts
-// there have ended, once their leases have run out. The users' cuts last up to 14 s.
+// lapsedResultWait is how long, after the leases on an endpoint that is no longer listed have
+// expired, the cell waits for the endpoint to come back and report the results of attempts there.
+// Network cuts of up to 14 s occur.
 const lapsedResultWait = 15 * time.Second
 
-// sweepEndpoints forgets endpoints that are neither listed nor hold a run.
+// sweepEndpoints removes the endpoints that are not listed, hold no runs and can report no results
+// of lapsed attempts any more.
 func (c *Cell) sweepEndpoints() {
 	c.sortedEndpoints = slices.DeleteFunc(c.sortedEndpoints, func(e *endpoint) bool {
 		if e.listed || len(e.runs) > 0 || len(e.lapsedAttempts) > 0 && !e.exited && c.now.Before(e.leasesExpireBy.Add(lapsedResultWait)) {
@@ -181,8 +196,8 @@
 	})
 }
 
-// SetBoxes takes the platform's list of boxes, which tells lives that have ended
-// from those that are only out of reach.
+// SetBoxes takes the platform's list of boxes, which distinguishes endpoints that have exited from
+// those that can't be reached.
 func (c *Cell) SetBoxes(now time.Time, boxes []damsonwinch.Box) {
 	c.beginEvent(now)
 	c.endpointsChanged()
@@ -194,8 +209,8 @@
 		}
 	}
 	for _, e := range slices.Clone(c.sortedEndpoints) {
-		// An endpoint that was listed only after the boxes were asked for is not
-		// missing: it must have been silent before.
+		// An endpoint that the registry listed only after the boxes were requested must not count
+		// as missing. So it must also be silent, or never have answered this owner.
 		if !alive[e.info.Life.ID] && !e.exited && (e.silent || !e.attached) && len(e.runs) > 0 {
 			c.markLostByReport(e, "the platform's list of boxes does not have it")
 		}
@@ -203,8 +218,9 @@
 	c.sweepEndpoints()
 }
 
-// requestBoxList asks for the platform's list of boxes while tasks may run on endpoints that
-// can't be asked: the registry has dropped their entries, perhaps because they ended.
+// requestBoxList requests the platform's list of boxes while tasks may run on endpoints that have
+// no address to poll them at: the registry has dropped their registrations, perhaps because they
+// exited.
 func (c *Cell) requestBoxList() {
 	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && !e.exited && !e.attached && e.info.Address == "" {
@@ -214,8 +230,8 @@
 	}
 }
 
-// expireLeases takes back runs on endpoints out of reach once their leases must
-// have run out.
+// expireLeases removes the runs on endpoints that can't be reached once their leases have certainly
+// expired. The runs that are kept for a life that has exited are removed at the same time.
 func (c *Cell) expireLeases() {
 	for _, e := range c.sortedEndpoints {
 		if len(e.runs) == 0 || !e.exited && e.attached && !e.silent || !c.now.After(e.leasesExpireBy) {
--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -47,7 +47,7 @@
 
 // exposure is the time that endpoints have spent so until a moment, in seconds of one.
 type exposure struct {
-	until          time.Time
+	until   time.Time
 	seconds float64
 }
 
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -6,50 +6,50 @@
 	"damsonwinch"
 )
 
-// Rules by which an endpoint is taken to be unwell.
+// Rules by which an endpoint counts as unhealthy.
 const (
-	// failuresToEject is the number of tasks in a row that must have failed there:
-	// healthy endpoints fail two in a thousand, and tasks that fail everywhere are
-	// not counted.
+	// failuresToEject is the number of tasks in a row that must have failed on the endpoint. On
+	// healthy endpoints two tasks in a thousand fail. Tasks that have also failed elsewhere are not
+	// counted.
 	failuresToEject = 2
-	// minEjection is how long an endpoint gets no new work at first; each time in
-	// a row doubles it, up to mostEjection. The troubles that the users name last
-	// five to seven seconds.
+	// minEjection is how long an endpoint gets no new work after its first ejection. Each further
+	// ejection in a row doubles that, up to maxEjection. Typical troubles of endpoints last five to
+	// seven seconds.
 	minEjection = 2 * time.Second
 	maxEjection = 8 * time.Second
-	// maxEjectedPercent is the most that may be ejected of a cell's endpoints, in
-	// percent: when more seem unwell, something else is the cause.
+	// maxEjectedPercent is the highest percentage of a cell's endpoints that may be ejected. When
+	// more seem unhealthy, something else is the cause.
 	maxEjectedPercent = 34
-	// minEjectionBase is the number of endpoints from which that share is taken when
-	// there are fewer: one may be ejected then, as long as another is left.
+	// minEjectionBase is the number of endpoints of which maxEjectedPercent is taken in smaller
+	// cells: there one endpoint may be ejected as long as another is left.
 	minEjectionBase = 3
-	// stallTime is how long no task of an endpoint may have got on for it to count
-	// as standing still.
+	// stallTime is how long none of an endpoint's tasks may have made progress before the endpoint
+	// counts as stalled. The time to restore a checkpoint is added to it.
 	stallTime = 1200 * time.Millisecond
-	// slowFactor is how many times as long as expected the tasks of an endpoint must
-	// take for it to count as slow, and slowEvidence how far that must be beyond
-	// chance: the square of the number of standard deviations.
+	// slowFactor is how many times as long as expected the tasks of an endpoint must take for it to
+	// count as slow. slowSquaredDeviations is how far that must exceed what chance explains: the
+	// square of the number of standard deviations.
 	slowFactor            = 2.5
 	slowSquaredDeviations = 16
-	// progressSampleTime is how long a sign of a task's pace counts.
+	// progressSampleTime is how long a sample of a task's progress counts.
 	progressSampleTime = 3 * time.Second
 )
 
-// health is what is known of how an endpoint does its work.
+// health is what is known of how well an endpoint does its work.
 type health struct {
-	// consecutiveFailures counts failed tasks since the last one that was done.
+	// consecutiveFailures counts the tasks that have failed since the last one that was done.
 	consecutiveFailures int
-	// consecutiveEjections counts consecutiveEjections in a row.
+	// consecutiveEjections counts the ejections since the last task that was done.
 	consecutiveEjections int
 	ejectedUntil         time.Time
-	// probing says that an ejected endpoint is given one task at a time until one
-	// is done.
+	// probing is set after an ejection, until a task is done: the endpoint gets one short task at a
+	// time.
 	probing bool
-	// progressSamples tell how fast its tasks get on.
+	// progressSamples tell how fast the endpoint's tasks make progress.
 	progressSamples []progressSample
 }
 
-// healthAllows says whether an endpoint may be given new work, as far as its health goes.
+// healthAllows reports whether the endpoint's health allows new work there.
 func (c *Cell) healthAllows(e *endpoint) bool {
 	h := &e.health
 	if c.now.Before(h.ejectedUntil) {
@@ -58,7 +58,7 @@
 	return !h.probing || e.countShortRuns() == 0
 }
 
-// countShortRuns counts the runs that end by themselves.
+// countShortRuns returns the number of runs that are not long-running.
 func (e *endpoint) countShortRuns() int {
 	count := 0
 	for _, r := range e.runs {
@@ -69,21 +69,21 @@
 	return count
 }
 
-// recordResult takes what the end of a run tells of its endpoint.
-func (c *Cell) recordResult(r *run, how damsonwinch.Ending) {
+// recordResult updates the health of a run's endpoint after the run has ended.
+func (c *Cell) recordResult(r *run, ending damsonwinch.Ending) {
 	h := &r.endpoint.health
-	switch how {
+	switch ending {
 	case damsonwinch.EndedDone:
 		if h.probing {
-			c.logEndpoint("endpoint well again", r.endpoint, "")
+			c.logEndpoint("endpoint healthy again", r.endpoint, "")
 		}
 		h.consecutiveFailures, h.consecutiveEjections, h.probing = 0, 0, false
 	case damsonwinch.EndedFailed:
 		if r.task.phase.spec.Lasting {
 			return
 		}
+		// The task has failed elsewhere as well, so it is to blame and not the endpoint.
 		if r.task.failedAttempts > 0 {
-			// It failed elsewhere, too: the task is to blame.
 			return
 		}
 		h.consecutiveFailures++
@@ -93,8 +93,8 @@
 	}
 }
 
-// eject gives an endpoint no new work for a while. It says whether the cell can do
-// without it.
+// eject gives an endpoint no new work for a while. It does nothing and returns false if the
+// endpoint is ejected already or the cell can't do without it.
 func (c *Cell) eject(e *endpoint, why string) bool {
 	h := &e.health
 	if c.now.Before(h.ejectedUntil) || !c.canEject() {
@@ -109,35 +109,36 @@
 	return true
 }
 
-// canEject says whether the cell can do without one more endpoint.
+// canEject reports whether the cell can do without one more endpoint.
 func (c *Cell) canEject() bool {
-	out, all := 0, 0
+	ejected, usable := 0, 0
 	for _, e := range c.sortedEndpoints {
 		if !e.usable() {
 			continue
 		}
-		all++
+		usable++
 		if c.now.Before(e.health.ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	return out+1 < all && (out+1)*100 <= max(all, minEjectionBase)*maxEjectedPercent
+	return ejected+1 < usable && (ejected+1)*100 <= max(usable, minEjectionBase)*maxEjectedPercent
 }
 
-// checkProgress draws conclusions from how far the tasks of an endpoint get.
+// checkProgress ejects an endpoint whose tasks are stalled or slow, and moves their runs elsewhere.
 func (c *Cell) checkProgress(e *endpoint) {
 	if c.isStalled(e) {
-		if c.eject(e, "its tasks stand still") {
+		if c.eject(e, "its tasks make no progress") {
 			c.moveRunsAway(e, 0)
 		}
 		return
 	}
-	if times := e.health.slowness(c.now); times >= slowFactor && c.eject(e, "its tasks are slow") {
-		c.moveRunsAway(e, times)
+	if factor := e.health.slowness(c.now); factor >= slowFactor && c.eject(e, "its tasks are slow") {
+		c.moveRunsAway(e, factor)
 	}
 }
 
-// isStalled says whether an endpoint has tasks and none has got on for a while.
+// isStalled reports whether an endpoint has short tasks and none of them has made progress for a
+// while.
 func (c *Cell) isStalled(e *endpoint) bool {
 	tasks := 0
 	for _, r := range e.runs {
@@ -152,25 +153,26 @@
 	return tasks > 0 && !e.silent
 }
 
-// moveRunsAway runs the tasks of an unwell endpoint elsewhere, where that is sooner. It
-// takes so many times as long there, or for ever when times is 0.
-func (c *Cell) moveRunsAway(e *endpoint, times float64) {
+// moveRunsAway stops the runs on an unhealthy endpoint that are finished sooner elsewhere, and
+// starts speculative attempts of those whose phases allow that. Runs on the endpoint take factor
+// times as long as elsewhere, or never end if factor is 0.
+func (c *Cell) moveRunsAway(e *endpoint, factor float64) {
 	c.startSpeculativeAttempts(e)
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed || r.task.phase.spec.Lasting || r.task.phase.spec.Copies || !c.fitsElsewhere(r) {
 			continue
 		}
-		here := r.remainingMs()
-		if times > 0 && here > 0 && here < c.restartElsewhereMs(r, here/times) {
+		remaining := r.remainingMs()
+		if factor > 0 && remaining > 0 && remaining < c.restartElsewhereMs(r, remaining/factor) {
 			continue
 		}
 		c.stop(r, "its endpoint is unwell")
 	}
 }
 
-// fitsElsewhere says whether another endpoint that is well has room for a run, now or once
-// short tasks have ended there. The largest ones may have no other place than where they
-// are, and come to nothing if they are stopped there again and again.
+// fitsElsewhere reports whether another endpoint that is not ejected has capacity for a run, now or
+// once its short tasks have ended. The largest tasks may fit only where they are, and would never
+// finish if they were stopped there again and again.
 func (c *Cell) fitsElsewhere(r *run) bool {
 	for _, e := range c.sortedEndpoints {
 		if e != r.endpoint && e.usable() && !c.now.Before(e.health.ejectedUntil) && e.info.Capacity.Minus(e.longRunningNeed()).Holds(r.task.phase.need()) {
@@ -180,12 +182,12 @@
 	return false
 }
 
-// restartElsewhereMs estimates how long a run would take on another endpoint, where what
-// is left of it here takes leftMs.
-func (c *Cell) restartElsewhereMs(r *run, leftMs float64) float64 {
-	stop := float64(c.options.MaxStopTime.Milliseconds())
+// restartElsewhereMs estimates how many milliseconds a run takes on another endpoint, including the
+// stop here. remainingMs is the time that its remaining work takes at normal speed.
+func (c *Cell) restartElsewhereMs(r *run, remainingMs float64) float64 {
+	stopMs := float64(c.options.MaxStopTime.Milliseconds())
 	if r.task.phase.spec.Checkpoints {
-		return stop + float64(c.options.RestoreTime.Milliseconds()) + leftMs
+		return stopMs + float64(c.options.RestoreTime.Milliseconds()) + remainingMs
 	}
-	return stop + float64(c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs))
+	return stopMs + float64(c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs))
 }
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -7,13 +7,13 @@
 	"damsonwinch"
 )
 
-// indexOfLife returns the place of a life among those known, which are in the order of their names.
+// indexOfLife returns the index in sortedEndpoints at which a life is or would be inserted.
 func (c *Cell) indexOfLife(life damsonwinch.Life) int {
 	at, _ := slices.BinarySearchFunc(c.sortedEndpoints, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
 	return at
 }
 
-// livesWithID returns the lives that are known under an ID.
+// livesWithID returns the known lives with an ID, ordered by their start times.
 func (c *Cell) livesWithID(id string) []*endpoint {
 	from := c.indexOfLife(damsonwinch.Life{ID: id, StartedUnixMs: math.MinInt})
 	to := from
@@ -23,14 +23,14 @@
 	return c.sortedEndpoints[from:to]
 }
 
-// superseded says that a life has ended and another one under its ID is known.
+// superseded reports whether a life has ended and another one with the same ID is known.
 func (c *Cell) superseded(e *endpoint) bool {
 	return e.exited && len(c.livesWithID(e.info.Life.ID)) > 1
 }
 
-// lastAnsweredStep returns the step at which the newest look was sent that a life under an ID has
-// answered. Which life is there now is told by that, not by when they were born: a box's clock
-// may have been set back in between.
+// lastAnsweredStep returns the step at which the newest poll was sent that a life with this ID has
+// answered. That shows which life is running now; the start times don't, since a box's clock may
+// have been set back.
 func (c *Cell) lastAnsweredStep(id string) int {
 	newest := 0
 	for _, e := range c.livesWithID(id) {
@@ -39,43 +39,43 @@
 	return newest
 }
 
-// answeringLife returns the life that has answered a look at e, nil if that one is known to have
-// ended.
-func (c *Cell) answeringLife(e *endpoint, sent *sentPoll, born int) *endpoint {
-	life := e.info.Life.WithStarted(born)
+// answeringLife returns the life that has answered a poll of e and reports startedUnixMs as its
+// start. It returns nil if that life is known to have ended.
+func (c *Cell) answeringLife(e *endpoint, sent *sentPoll, startedUnixMs int) *endpoint {
+	life := e.info.Life.WithStarted(startedUnixMs)
 	if life.MayBeSame(e.info.Life) {
 		return e
 	}
-	there, known := c.endpoints[life]
+	answering, known := c.endpoints[life]
 	if !known {
-		// Its entry is yet to come; until then it gets no work.
-		there = c.ensureEndpoint(life)
-		there.info = e.info
-		there.info.Life = life
-		c.updateZone(there)
+		// The life is not listed by the registry yet. It gets no work until then.
+		answering = c.ensureEndpoint(life)
+		answering.info = e.info
+		answering.info.Life = life
+		c.updateZone(answering)
 	}
-	if there.exited {
+	if answering.exited {
 		c.pollFailed(e, sent, errExitedLife)
 		return nil
 	}
-	return there
+	return answering
 }
 
-// supersedeOtherLives ends the other lives under the ID of one that has answered a look, which was sent
-// at a step.
-func (c *Cell) supersedeOtherLives(there *endpoint, look damsonwinch.PollReply, sentAt int) {
-	for _, earlier := range c.livesWithID(there.info.Life.ID) {
-		if earlier == there {
+// supersedeOtherLives marks all other lives with the ID of current as ended. current has answered a
+// poll that was sent at sentStep.
+func (c *Cell) supersedeOtherLives(current *endpoint, reply damsonwinch.PollReply, sentStep int) {
+	for _, earlier := range c.livesWithID(current.info.Life.ID) {
+		if earlier == current {
 			continue
 		}
-		moved := func(r *run) bool { return c.mayHaveMoved(r, look, sentAt) }
+		moved := func(r *run) bool { return c.mayHaveMoved(r, reply, sentStep) }
 		c.markLostKeeping(earlier, "another life answers under its ID", moved)
 		for _, r := range earlier.sortedRuns() {
 			switch {
 			case r.state == runPending:
-				// The commit takes it back.
+				// It is removed when its record is committed.
 			case moved(r):
-				c.moveRunTo(r, there)
+				c.moveRunTo(r, current)
 			default:
 				c.removeMissingRun(r)
 			}
@@ -83,44 +83,45 @@
 	}
 }
 
-// mayHaveMoved says whether the order for a run at an earlier life may be carried out by the one
-// that has answered a look: it has been, or the order may still be on its way.
-func (c *Cell) mayHaveMoved(r *run, look damsonwinch.PollReply, sentAt int) bool {
+// mayHaveMoved reports whether r, which was requested of an earlier life, may run on the life that
+// has answered a poll. Either the reply lists it, or its start request may still have been on its
+// way.
+func (c *Cell) mayHaveMoved(r *run, reply damsonwinch.PollReply, sentStep int) bool {
 	switch r.state {
 	case runPending:
 		return false
 	case runRequested, runUncertain:
 		return true
 	case runConfirmed:
-		if r.listedAfterStep > sentAt {
+		if r.listedAfterStep > sentStep {
 			return true
 		}
 	}
-	return slices.ContainsFunc(look.Running, func(row damsonwinch.RunProgress) bool { return row.Run == r.id() }) ||
-		slices.ContainsFunc(look.Finished, func(end damsonwinch.RunResult) bool { return end.Run == r.id() })
+	return slices.ContainsFunc(reply.Running, func(progress damsonwinch.RunProgress) bool { return progress.Run == r.id() }) ||
+		slices.ContainsFunc(reply.Finished, func(result damsonwinch.RunResult) bool { return result.Run == r.id() })
 }
 
-// moveRunTo has a run be at a later life under the ID of its own, as one of which it must be found
-// out whether it is there.
-func (c *Cell) moveRunTo(r *run, there *endpoint) {
-	c.logRun("run may be at a later life", r, "born "+there.info.Life.String())
+// moveRunTo assigns a run to a later life with the same ID. It isn't known yet whether the run
+// exists there.
+func (c *Cell) moveRunTo(r *run, later *endpoint) {
+	c.logRun("run may be on a later life of its endpoint", r, "now "+later.info.Life.String())
 	c.removeFromEndpoint(r)
-	r.endpoint = there
+	r.endpoint = later
 	c.addToEndpoint(r)
-	// What the earlier life has been told doesn't bind this one.
+	// Only the earlier life has confirmed the stop.
 	r.stopConfirmed = false
 	c.markDirty(r.task.phase.job())
 }
 
-// markLostByReport takes note that a life has ended, by somebody else's word. Orders to it may still
-// be on the way: where lives share an ID, a later one may carry them out.
+// markLostByReport marks a life as ended because the platform or the planner reported it. Requests
+// to it may still be on their way: if lives share an ID, a later one may carry them out.
 func (c *Cell) markLostByReport(e *endpoint, why string) {
 	c.markLostKeeping(e, why, func(r *run) bool {
 		return e.info.Life.StartedUnixMs != 0 && (r.state != runConfirmed || e.silent && r.listedAfterStep >= e.silentStep)
 	})
 }
 
-// dropKeptRuns gives up the runs that are still kept for a life that has ended.
+// dropKeptRuns removes the runs that are still kept for a life that has ended.
 func (c *Cell) dropKeptRuns(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.state != runPending {
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -8,30 +8,32 @@
 	"damsonwinch"
 )
 
-// polls are the questions to an endpoint that are on their way: at most one that
-// waits for an end, and one that doesn't.
+// polls tracks the polls of an endpoint that have not been answered yet. There is at most one that
+// the endpoint may hold until a run ends, and one that it answers at once.
 type polls struct {
+	// lastNumber is the number of the last poll sent.
 	lastNumber int
 	waiting    *sentPoll
 	immediate  *sentPoll
-	// answeredStep is the step at which the newest answeredStep look was sent.
+	// answeredStep is the step at which the newest answered poll was sent.
 	answeredStep int
 	lastSentAt   time.Time
 }
 
+// sentPoll is a poll that has not been answered yet.
 type sentPoll struct {
 	number int
 	step   int
 	sentAt time.Time
-	// maxWait is how long it may maxWait for an end.
+	// maxWait is how long the endpoint may hold the poll until a run ends.
 	maxWait time.Duration
 }
 
-// maxResults is the most ends that an endpoint lists at once; others may follow.
+// maxResults is the number of results that an endpoint lists in one reply at most. More may follow.
 const maxResults = 500
 
-// sendDuePolls sends the looks that are due: at the endpoints that something has
-// happened to and, from time to time, at all.
+// sendDuePolls sends the polls that are due: to the endpoints for which schedulePoll was called, or
+// to all when pollAll is set.
 func (c *Cell) sendDuePolls() {
 	due := c.pollDue
 	if c.pollAll {
@@ -47,7 +49,7 @@
 	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
-// schedulePoll notes that a look at an endpoint may be due.
+// schedulePoll has the next sendDuePolls check whether a poll of the endpoint is due.
 func (c *Cell) schedulePoll(e *endpoint) {
 	if !e.pollDue {
 		e.pollDue = true
@@ -55,12 +57,13 @@
 	}
 }
 
-// requestPoll asks for a look that doesn't wait.
+// requestPoll requests a poll that the endpoint answers at once.
 func (c *Cell) requestPoll(e *endpoint) {
 	e.pollWanted = true
 	c.schedulePoll(e)
 }
 
+// pollIfDue sends a poll to an endpoint if one is due in its present state.
 func (c *Cell) pollIfDue(e *endpoint) {
 	since := c.now.Sub(e.polls.lastSentAt)
 	switch {
@@ -74,13 +77,13 @@
 		}
 	case e.polls.waiting != nil:
 	case e.appliedSequence > e.recordedSequence:
-		// The endpoint would repeat the ends at once; they are not recorded yet.
-		// While the store is away, leases need prolonging all the same.
+		// A poll that waits would return at once with the same results, since they are not recorded
+		// yet. While the store is unavailable the leases still have to be renewed.
 		if e.polls.immediate == nil && since >= c.options.PollRetryInterval {
 			c.sendPoll(e, 0)
 		}
 	case e.strayRuns > 0:
-		// It takes no work until they have ended.
+		// The endpoint gets no work until its stray runs have ended.
 		if since >= c.options.PollRetryInterval {
 			c.sendPoll(e, 0)
 		}
@@ -91,32 +94,34 @@
 	}
 }
 
-func (c *Cell) sendPoll(e *endpoint, wait time.Duration) {
+// sendPoll sends a poll that the endpoint may hold for up to maxWait, and renews the leases there
+// if this owner may do so.
+func (c *Cell) sendPoll(e *endpoint, maxWait time.Duration) {
 	e.polls.lastNumber++
 	e.polls.lastSentAt = c.now
-	sent := &sentPoll{number: e.polls.lastNumber, step: c.step, sentAt: c.now, maxWait: wait}
-	if wait > 0 {
+	sent := &sentPoll{number: e.polls.lastNumber, step: c.step, sentAt: c.now, maxWait: maxWait}
+	if maxWait > 0 {
 		e.polls.waiting = sent
 	} else {
 		e.polls.immediate = sent
 		e.pollWanted = false
 	}
-	order := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recordedSequence, MaxWait: wait}
+	request := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recordedSequence, MaxWait: maxWait}
 	if e.silent {
-		// If another life answers under its ID, that is not to forget its own first ends.
-		order.AckedSequence = 0
+		// If another life answers under the same ID, it would discard its own first results.
+		request.AckedSequence = 0
 	}
 	if e.attached && !e.silent && c.mayRenewLeases() {
-		order.LeaseUntilMs = e.estimateClock(c.now) + int(c.options.MaxLease.Milliseconds())
-		c.extendLeaseBound(e, order.LeaseUntilMs)
+		request.LeaseUntilMs = e.estimateClock(c.now) + int(c.options.MaxLease.Milliseconds())
+		c.extendLeaseBound(e, request.LeaseUntilMs)
 	}
 	c.stats.Polls++
-	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
+	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: request, Number: sent.number})
 }
 
-// take removes and returns the look of a number.
-func (l *polls) take(number int) *sentPoll {
-	for _, place := range []**sentPoll{&l.waiting, &l.immediate} {
+// take removes and returns the unanswered poll with a number, or nil if there is none.
+func (p *polls) take(number int) *sentPoll {
+	for _, place := range []**sentPoll{&p.waiting, &p.immediate} {
 		if sent := *place; sent != nil && sent.number == number {
 			*place = nil
 			return sent
@@ -125,14 +130,15 @@
 	return nil
 }
 
-// errExitedLife says that a life has answered that is known to have ended.
+// errExitedLife is returned when the reply comes from a life that is known to have ended.
 var errExitedLife = errors.New("a life answers that has ended")
 
-// Polled takes the answer to a look.
-func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
+// Polled handles the reply to the poll of that number, which was sent to a life, or the error that
+// the poll failed with.
+func (c *Cell) Polled(now time.Time, life damsonwinch.Life, number int, reply damsonwinch.PollReply, err error) {
 	c.beginEvent(now)
 	defer c.finishEvent()
-	e := c.endpoints[asked]
+	e := c.endpoints[life]
 	if e == nil {
 		return
 	}
@@ -146,27 +152,27 @@
 		c.pollFailed(e, sent, err)
 		return
 	}
-	if sent.step < c.lastAnsweredStep(asked.ID) {
-		// A later look has been answered; this one is out of date.
+	// A poll that was sent later has been answered, so this reply is out of date.
+	if sent.step < c.lastAnsweredStep(life.ID) {
 		return
 	}
-	if e = c.answeringLife(e, sent, look.StartedUnixMs); e == nil {
+	if e = c.answeringLife(e, sent, reply.StartedUnixMs); e == nil {
 		return
 	}
 	c.endpointAnswered(e)
 	e.polls.answeredStep = sent.step
-	c.supersedeOtherLives(e, look, sent.step)
+	c.supersedeOtherLives(e, reply, sent.step)
 	if e.silent {
 		c.logEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSampleMs, e.clockSampledAt = look.ClockMs, c.now
+	e.clockSampleMs, e.clockSampledAt = reply.ClockMs, c.now
 	c.endProbation(e, sent.sentAt)
-	c.applyResults(e, look.Finished)
-	if len(look.Finished) < maxResults {
+	c.applyResults(e, reply.Finished)
+	if len(reply.Finished) < maxResults {
 		c.forgetLapsed(e)
 	}
-	c.reconcileRuns(e, look.Running, sent.step)
+	c.reconcileRuns(e, reply.Running, sent.step)
 	c.checkProgress(e)
 	c.adjustFillerSpeeds(e)
 	if !e.attached {
@@ -175,6 +181,9 @@
 	}
 }
 
+// pollFailed handles the error of a poll. ErrOtherLife means that the life has ended, and
+// ErrStaleToken that a newer owner has been at the endpoint. After any other error the endpoint
+// counts as silent.
 func (c *Cell) pollFailed(e *endpoint, sent *sentPoll, err error) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
@@ -194,67 +203,70 @@
 	}
 }
 
-// applyResults takes the ends that are new into the state, in order.
-func (c *Cell) applyResults(e *endpoint, ends []damsonwinch.RunResult) {
-	slices.SortFunc(ends, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
-	for _, end := range ends {
-		if end.Sequence <= e.appliedSequence {
+// applyResults applies the results that are new, in the order of their sequence numbers.
+func (c *Cell) applyResults(e *endpoint, results []damsonwinch.RunResult) {
+	slices.SortFunc(results, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
+	for _, result := range results {
+		if result.Sequence <= e.appliedSequence {
 			continue
 		}
-		e.appliedSequence = end.Sequence
+		e.appliedSequence = result.Sequence
 		c.commits.ackEndpoints = append(c.commits.ackEndpoints, e)
-		c.applyResult(e, end)
+		c.applyResult(e, result)
 	}
 }
 
-// reconcileRuns compares what runs with what should.
-func (c *Cell) reconcileRuns(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
+// reconcileRuns compares the runs that an endpoint lists, in the reply to a poll that was sent at
+// sentStep, with those that the cell expects there. It stops runs that are not expected and removes
+// those that don't exist.
+func (c *Cell) reconcileRuns(e *endpoint, listed []damsonwinch.RunProgress, sentStep int) {
 	e.strayRuns = 0
-	for _, row := range rows {
-		r := e.runs[row.Run]
+	for _, progress := range listed {
+		r := e.runs[progress.Run]
 		if r == nil {
 			e.strayRuns++
-			c.stopStray(e, row.Run)
+			c.stopStray(e, progress.Run)
 			continue
 		}
 		r.lastListedStep = c.step
-		c.applyProgress(r, row)
+		c.applyProgress(r, progress)
 	}
 	for _, r := range e.sortedRuns() {
 		switch {
 		case r.lastListedStep == c.step:
-		case c.mustBeListed(r, sentAt):
+		case c.mustBeListed(r, sentStep):
 			c.removeMissingRun(r)
-		case r.state == runUncertain && !r.stopping && sentAt >= r.listedAfterStep:
-			// Its start may still be on the way.
+		case r.state == runUncertain && !r.stopping && sentStep >= r.listedAfterStep:
+			// The start request may still arrive.
 			c.stop(r, "its start was not answered")
 		}
 	}
 }
 
-// mustBeListed says whether a look sent at a step would have shown a run that
+// mustBeListed reports whether the reply to a poll that was sent at sentStep lists the run if it
 // exists.
-func (c *Cell) mustBeListed(r *run, sentAt int) bool {
+func (c *Cell) mustBeListed(r *run, sentStep int) bool {
 	switch r.state {
 	case runUnverified:
-		// This owner's token has kept out later orders of earlier owners.
+		// This owner's token has kept out later start requests of earlier owners.
 		return true
 	case runConfirmed:
-		return sentAt >= r.listedAfterStep
+		return sentStep >= r.listedAfterStep
 	case runUncertain:
-		// Once the endpoint has taken the stop, the attempt can't begin any more.
-		return r.stopConfirmed && sentAt >= r.listedAfterStep
+		// Once the endpoint has accepted the stop, the attempt can't begin any more.
+		return r.stopConfirmed && sentStep >= r.listedAfterStep
 	}
 	return false
 }
 
-func (c *Cell) applyProgress(r *run, row damsonwinch.RunProgress) {
+// applyProgress updates a run that its endpoint has listed.
+func (c *Cell) applyProgress(r *run, progress damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
-	r.progress.update(c.now, row.DonePercent)
+	r.progress.update(c.now, progress.DonePercent)
 	c.sampleProgress(r)
-	r.percent, r.load, r.pendingLoss = row.DonePercent, row.Load, nil
-	if row.Checkpoint != "" {
-		r.task.checkpoint = row.Checkpoint
+	r.percent, r.load, r.pendingLoss = progress.DonePercent, progress.Load, nil
+	if progress.Checkpoint != "" {
+		r.task.checkpoint = progress.Checkpoint
 	}
 	if r.state == runPending || r.state == runConfirmed {
 		return
@@ -268,7 +280,7 @@
 	}
 }
 
-// stopStray ends a run that belongs to nothing that should run.
+// stopStray stops a run that the cell doesn't know or no longer expects.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
 	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopRequest{Run: stray, Token: c.token}})
