--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -111,7 +111,7 @@
 	sent := &sentCommit{number: w.lastNumber, sentAt: c.now, starts: w.starts, replies: w.replies, withdrawals: w.withdrawals, states: map[*job]wire.JobState{}}
 	records := c.buildRecords(sent)
 	for _, e := range w.ackEndpoints {
-		sent.acks = append(sent.acks, endpointAck{endpoint: e, number: e.seen})
+		sent.acks = append(sent.acks, endpointAck{endpoint: e, number: e.appliedSequence})
 	}
 	clear(w.dirtyJobs)
 	w.deletedKeys, w.endpointRecords, w.ackEndpoints, w.starts, w.replies, w.withdrawals, w.allowancesDirty = nil, nil, nil, nil, nil, nil, false
@@ -181,7 +181,7 @@
 		j.recorded, j.recordedState = true, state
 	}
 	for _, ack := range sent.acks {
-		ack.endpoint.recorded = max(ack.endpoint.recorded, ack.number)
+		ack.endpoint.recordedSequence = max(ack.endpoint.recordedSequence, ack.number)
 		c.schedulePoll(ack.endpoint)
 	}
 	for _, e := range sent.withdrawals {
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -8,115 +8,120 @@
 	"damsonwinch"
 )
 
-// looks are the questions to an endpoint that are on their way: at most one that
-// waits for an end, and one that doesn't.
-type looks struct {
-	next    int
-	waiting *sentLook
-	quick   *sentLook
-	// answered is the step at which the newest answered look was sent.
-	answered int
-	lastAt   time.Time
+// polls tracks the polls of an endpoint that have not been answered yet. There is at most one that
+// the endpoint may hold until a run ends, and one that it answers at once.
+type polls struct {
+	// lastNumber is the number of the last poll sent.
+	lastNumber int
+	waiting    *sentPoll
+	immediate  *sentPoll
+	// answeredStep is the step at which the newest answered poll was sent.
+	answeredStep int
+	lastSentAt   time.Time
 }
 
-type sentLook struct {
+// sentPoll is a poll that has not been answered yet.
+type sentPoll struct {
 	number int
 	step   int
-	at     time.Time
-	// wait is how long it may wait for an end.
-	wait time.Duration
+	sentAt time.Time
+	// maxWait is how long the endpoint may hold the poll until a run ends.
+	maxWait time.Duration
 }
 
-// mostEnds is the most ends that an endpoint lists at once; others may follow.
-const mostEnds = 500
+// maxResults is the number of results that an endpoint lists in one reply at most. More may follow.
+const maxResults = 500
 
-// sendDuePolls sends the looks that are due: at the endpoints that something has
-// happened to and, from time to time, at all.
+// sendDuePolls sends the polls that are due: to the endpoints for which schedulePoll was called, or
+// to all when pollAll is set.
 func (c *Cell) sendDuePolls() {
 	due := c.pollDue
 	if c.pollAll {
 		due = c.sortedEndpoints
 	}
 	for _, e := range due {
-		e.lookDue = false
+		e.pollDue = false
 		if e.exited || e.info.Address == "" || (len(e.runs) == 0 && (!e.listed || e.withdrawal.recorded)) {
 			continue
 		}
-		c.lookAt(e)
+		c.pollIfDue(e)
 	}
 	c.pollDue, c.pollAll = c.pollDue[:0], false
 }
 
-// schedulePoll notes that a look at an endpoint may be due.
+// schedulePoll has the next sendDuePolls check whether a poll of the endpoint is due.
 func (c *Cell) schedulePoll(e *endpoint) {
-	if !e.lookDue {
-		e.lookDue = true
+	if !e.pollDue {
+		e.pollDue = true
 		c.pollDue = append(c.pollDue, e)
 	}
 }
 
-// wantLook asks for a look that doesn't wait.
-func (c *Cell) wantLook(e *endpoint) {
-	e.wantLook = true
+// requestPoll requests a poll that the endpoint answers at once.
+func (c *Cell) requestPoll(e *endpoint) {
+	e.pollWanted = true
 	c.schedulePoll(e)
 }
 
-func (c *Cell) lookAt(e *endpoint) {
-	since := c.now.Sub(e.looks.lastAt)
+// pollIfDue sends a poll to an endpoint if one is due in its present state.
+func (c *Cell) pollIfDue(e *endpoint) {
+	since := c.now.Sub(e.polls.lastSentAt)
 	switch {
 	case e.silent:
-		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
-			c.sendLook(e, 0)
+		if e.polls.immediate == nil && since >= c.options.PollRetryInterval {
+			c.sendPoll(e, 0)
 		}
-	case !e.attached, e.wantLook:
-		if e.looks.quick == nil {
-			c.sendLook(e, 0)
+	case !e.attached, e.pollWanted:
+		if e.polls.immediate == nil {
+			c.sendPoll(e, 0)
 		}
-	case e.looks.waiting != nil:
-	case e.seen > e.recorded:
-		// The endpoint would repeat the ends at once; they are not recorded yet.
-		// While the store is away, leases need prolonging all the same.
-		if e.looks.quick == nil && since >= c.options.PollRetryInterval {
-			c.sendLook(e, 0)
+	case e.polls.waiting != nil:
+	case e.appliedSequence > e.recordedSequence:
+		// A poll that waits would return at once with the same results, since they are not recorded
+		// yet. While the store is unavailable the leases still have to be renewed.
+		if e.polls.immediate == nil && since >= c.options.PollRetryInterval {
+			c.sendPoll(e, 0)
 		}
 	case e.strayRuns > 0:
-		// It takes no work until they have ended.
+		// The endpoint gets no work until its stray runs have ended.
 		if since >= c.options.PollRetryInterval {
-			c.sendLook(e, 0)
+			c.sendPoll(e, 0)
 		}
 	case len(e.runs) > 0:
-		c.sendLook(e, c.options.PollWait)
+		c.sendPoll(e, c.options.PollWait)
 	case since >= c.options.IdlePollInterval:
-		c.sendLook(e, 0)
+		c.sendPoll(e, 0)
 	}
 }
 
-func (c *Cell) sendLook(e *endpoint, wait time.Duration) {
-	e.looks.next++
-	e.looks.lastAt = c.now
-	sent := &sentLook{number: e.looks.next, step: c.step, at: c.now, wait: wait}
-	if wait > 0 {
-		e.looks.waiting = sent
+// sendPoll sends a poll that the endpoint may hold for up to maxWait, and renews the leases there
+// if this owner may do so.
+func (c *Cell) sendPoll(e *endpoint, maxWait time.Duration) {
+	e.polls.lastNumber++
+	e.polls.lastSentAt = c.now
+	sent := &sentPoll{number: e.polls.lastNumber, step: c.step, sentAt: c.now, maxWait: maxWait}
+	if maxWait > 0 {
+		e.polls.waiting = sent
 	} else {
-		e.looks.quick = sent
-		e.wantLook = false
+		e.polls.immediate = sent
+		e.pollWanted = false
 	}
-	order := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recorded, MaxWait: wait}
+	request := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recordedSequence, MaxWait: maxWait}
 	if e.silent {
-		// If another life answers under its ID, that is not to forget its own first ends.
-		order.AckedSequence = 0
+		// If another life answers under the same ID, it would discard its own first results.
+		request.AckedSequence = 0
 	}
 	if e.attached && !e.silent && c.mayRenewLeases() {
-		order.LeaseUntilMs = e.clock(c.now) + int(c.options.MaxLease.Milliseconds())
-		c.prolong(e, order.LeaseUntilMs)
+		request.LeaseUntilMs = e.estimateClock(c.now) + int(c.options.MaxLease.Milliseconds())
+		c.extendLeaseBound(e, request.LeaseUntilMs)
 	}
 	c.stats.Polls++
-	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: order, Number: sent.number})
+	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: request, Number: sent.number})
 }
 
-// take removes and returns the look of a number.
-func (l *looks) take(number int) *sentLook {
-	for _, place := range []**sentLook{&l.waiting, &l.quick} {
+// take removes and returns the unanswered poll with a number, or nil if there is none.
+func (p *polls) take(number int) *sentPoll {
+	for _, place := range []**sentPoll{&p.waiting, &p.immediate} {
 		if sent := *place; sent != nil && sent.number == number {
 			*place = nil
 			return sent
@@ -125,150 +130,157 @@
 	return nil
 }
 
-// errEndedLife says that a life has answered that is known to have ended.
-var errEndedLife = errors.New("a life answers that has ended")
+// errExitedLife is returned when the reply comes from a life that is known to have ended.
+var errExitedLife = errors.New("a life answers that has ended")
 
-// Polled takes the answer to a look.
-func (c *Cell) Polled(now time.Time, asked damsonwinch.Life, number int, look damsonwinch.PollReply, err error) {
+// Polled handles the reply to the poll of that number, which was sent to a life, or the error that
+// the poll failed with.
+func (c *Cell) Polled(now time.Time, life damsonwinch.Life, number int, reply damsonwinch.PollReply, err error) {
 	c.beginEvent(now)
 	defer c.finishEvent()
-	e := c.endpoints[asked]
+	e := c.endpoints[life]
 	if e == nil {
 		return
 	}
 	c.placementDue = true
 	c.schedulePoll(e)
-	sent := e.looks.take(number)
+	sent := e.polls.take(number)
 	if sent == nil || e.exited {
 		return
 	}
 	if err != nil {
-		c.lookFailed(e, sent, err)
+		c.pollFailed(e, sent, err)
 		return
 	}
-	if sent.step < c.answeredUnder(asked.ID) {
-		// A later look has been answered; this one is out of date.
+	// A poll that was sent later has been answered, so this reply is out of date.
+	if sent.step < c.lastAnsweredStep(life.ID) {
 		return
 	}
-	if e = c.answering(e, sent, look.StartedUnixMs); e == nil {
+	if e = c.answeringLife(e, sent, reply.StartedUnixMs); e == nil {
 		return
 	}
-	c.heard(e)
-	e.looks.answered = sent.step
-	c.followLives(e, look, sent.step)
+	c.endpointAnswered(e)
+	e.polls.answeredStep = sent.step
+	c.supersedeOtherLives(e, reply, sent.step)
 	if e.silent {
 		c.logEndpoint("endpoint answers again", e, "")
 	}
 	e.silent = false
-	e.clockSample, e.clockAt = look.ClockMs, c.now
-	c.outlive(e, sent.at)
-	c.takeEnds(e, look.Finished)
-	if len(look.Finished) < mostEnds {
-		c.forgetLapses(e)
+	e.clockSampleMs, e.clockSampledAt = reply.ClockMs, c.now
+	c.endProbation(e, sent.sentAt)
+	c.applyResults(e, reply.Finished)
+	if len(reply.Finished) < maxResults {
+		c.forgetLapsed(e)
 	}
-	c.takeRunning(e, look.Running, sent.step)
-	c.judge(e)
-	c.share(e)
+	c.reconcileRuns(e, reply.Running, sent.step)
+	c.checkProgress(e)
+	c.adjustFillerSpeeds(e)
 	if !e.attached {
 		e.attached, e.attachedAt = true, c.now
 		c.logEndpoint("endpoint attached", e, "box "+e.info.Box)
 	}
 }
 
-func (c *Cell) lookFailed(e *endpoint, sent *sentLook, err error) {
+// pollFailed handles the error of a poll. ErrOtherLife means that the life has ended, and
+// ErrStaleToken that a newer owner has been at the endpoint. After any other error the endpoint
+// counts as silent.
+func (c *Cell) pollFailed(e *endpoint, sent *sentPoll, err error) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
-		c.lose(e, "another life answers at its address")
+		c.markLost(e, "another life answers at its address")
 	case errors.Is(err, damsonwinch.ErrStaleToken):
 		c.effects.OwnershipLost = true
 	default:
 		if !e.silent {
 			c.logEndpoint("endpoint silent", e, err.Error())
-			e.silent, e.silentAt, e.silentStep = true, c.now, c.step
-			e.broke = c.caughtUp() && c.now.Sub(sent.at) < sent.wait
+			e.silent, e.silentSince, e.silentStep = true, c.now, c.step
+			e.pollBroken = c.caughtUp() && c.now.Sub(sent.sentAt) < sent.maxWait
 		}
 		if len(e.runs) > 0 {
 			c.effects.ListBoxes = true
-			c.copyRuns(e)
+			c.startSpeculativeAttempts(e)
 		}
 	}
 }
 
-// takeEnds takes the ends that are new into the state, in order.
-func (c *Cell) takeEnds(e *endpoint, ends []damsonwinch.RunResult) {
-	slices.SortFunc(ends, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
-	for _, end := range ends {
-		if end.Sequence <= e.seen {
+// applyResults applies the results that are new, in the order of their sequence numbers.
+func (c *Cell) applyResults(e *endpoint, results []damsonwinch.RunResult) {
+	slices.SortFunc(results, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
+	for _, result := range results {
+		if result.Sequence <= e.appliedSequence {
 			continue
 		}
-		e.seen = end.Sequence
+		e.appliedSequence = result.Sequence
 		c.commits.ackEndpoints = append(c.commits.ackEndpoints, e)
-		c.finished(e, end)
+		c.applyResult(e, result)
 	}
 }
 
-// takeRunning compares what runs with what should.
-func (c *Cell) takeRunning(e *endpoint, rows []damsonwinch.RunProgress, sentAt int) {
+// reconcileRuns compares the runs that an endpoint lists, in the reply to a poll that was sent at
+// sentStep, with those that the cell expects there. It stops runs that are not expected and removes
+// those that don't exist.
+func (c *Cell) reconcileRuns(e *endpoint, listed []damsonwinch.RunProgress, sentStep int) {
 	e.strayRuns = 0
-	for _, row := range rows {
-		r := e.runs[row.Run]
+	for _, progress := range listed {
+		r := e.runs[progress.Run]
 		if r == nil {
 			e.strayRuns++
-			c.stopStray(e, row.Run)
+			c.stopStray(e, progress.Run)
 			continue
 		}
-		r.listedAt = c.step
-		c.seenRunning(r, row)
+		r.lastListedStep = c.step
+		c.applyProgress(r, progress)
 	}
 	for _, r := range e.sortedRuns() {
 		switch {
-		case r.listedAt == c.step:
-		case c.mustBeListed(r, sentAt):
-			c.notThere(r)
-		case r.state == runUncertain && !r.stopping && sentAt >= r.knownAt:
-			// Its start may still be on the way.
+		case r.lastListedStep == c.step:
+		case c.mustBeListed(r, sentStep):
+			c.removeMissingRun(r)
+		case r.state == runUncertain && !r.stopping && sentStep >= r.listedAfterStep:
+			// The start request may still arrive.
 			c.stop(r, "its start was not answered")
 		}
 	}
 }
 
-// mustBeListed says whether a look sent at a step would have shown a run that
+// mustBeListed reports whether the reply to a poll that was sent at sentStep lists the run if it
 // exists.
-func (c *Cell) mustBeListed(r *run, sentAt int) bool {
+func (c *Cell) mustBeListed(r *run, sentStep int) bool {
 	switch r.state {
 	case runUnverified:
-		// This owner's token has kept out later orders of earlier owners.
+		// This owner's token has kept out later start requests of earlier owners.
 		return true
 	case runConfirmed:
-		return sentAt >= r.knownAt
+		return sentStep >= r.listedAfterStep
 	case runUncertain:
-		// Once the endpoint has taken the stop, the attempt can't begin any more.
-		return r.stopped && sentAt >= r.knownAt
+		// Once the endpoint has accepted the stop, the attempt can't begin any more.
+		return r.stopConfirmed && sentStep >= r.listedAfterStep
 	}
 	return false
 }
 
-func (c *Cell) seenRunning(r *run, row damsonwinch.RunProgress) {
+// applyProgress updates a run that its endpoint has listed.
+func (c *Cell) applyProgress(r *run, progress damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
-	r.pace.see(c.now, row.DonePercent)
-	c.signal(r)
-	r.percent, r.load, r.lost = row.DonePercent, row.Load, nil
-	if row.Checkpoint != "" {
-		r.task.checkpoint = row.Checkpoint
+	r.progress.update(c.now, progress.DonePercent)
+	c.sampleProgress(r)
+	r.percent, r.load, r.pendingLoss = progress.DonePercent, progress.Load, nil
+	if progress.Checkpoint != "" {
+		r.task.checkpoint = progress.Checkpoint
 	}
 	if r.state == runPending || r.state == runConfirmed {
 		return
 	}
 	uncertain := r.state == runUncertain
-	r.state, r.knownAt = runConfirmed, c.step
+	r.state, r.listedAfterStep = runConfirmed, c.step
 	if r.task.phase.job().ended() || r.task.done {
 		c.stop(r, "its job has ended")
-	} else if uncertain && r.stopping && r.stopSent.IsZero() {
+	} else if uncertain && r.stopping && r.stopSentAt.IsZero() {
 		r.stopping = false
 	}
 }
 
-// stopStray ends a run that belongs to nothing that should run.
+// stopStray stops a run that the cell doesn't know or no longer expects.
 func (c *Cell) stopStray(e *endpoint, stray damsonwinch.Run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: "stop stray run", Job: stray.Task.Job, Task: stray.Task.String(), Endpoint: e.info.Life.String()})
 	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: e.info, Request: damsonwinch.StopRequest{Run: stray, Token: c.token}})
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -50,7 +50,7 @@
 		record.Customer = j.customer
 	}
 	if !j.ended() || j.runCount > 0 {
-		c.writeLapses(j, writeTasks(j, &record), &record)
+		c.writeLapsed(j, writeTasks(j, &record), &record)
 	}
 	return append(records, damsonwinch.Record{Key: j.id, Value: encode(record)})
 }
@@ -135,7 +135,7 @@
 	if err := c.readCrashes(j, record); err != nil {
 		return err
 	}
-	return c.readLapses(j, record)
+	return c.readLapsed(j, record)
 }
 
 // readTask restores a task from its row in a job's record.
