--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -61,8 +61,8 @@
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.SuspendedTime
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
 	// AskPeer asks another node for the claims that it knows.
 	AskPeer func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
 	// Changed is told the claims in force after each change, and what was asked
--- a/pkg/ownership/wake.go
+++ b/pkg/ownership/wake.go
@@ -12,7 +12,7 @@
 // and reads the claims anew.
 func (o *Ownership) wake() {
 	s := &o.state
-	slept := o.deps.Slept.Total() - s.slept
+	slept := o.deps.SuspendedTime.Total() - s.slept
 	if slept < damsonwinch.NegligibleSuspension {
 		return
 	}
