--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -63,8 +63,8 @@
 	Metrics *metrics.Set
 	// SuspendedTime tells of suspensions of the machine.
 	SuspendedTime damsonwinch.SuspendedTime
-	// AskPeer asks another node for the claims that it knows.
-	AskPeer func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
+	// FetchClaims asks another node for the claims that it knows.
+	FetchClaims func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
 	// Changed is told the claims in force after each change, and what was asked
 	// when, so that the node can run the cells that are its own. It must not wait.
 	Changed func(View)
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -50,7 +50,7 @@
 	w.view.Store(&View{})
 	w.Ownership = New(Deps{
 		Store: store, Clock: clockwork.NewRealClock(), Logger: logger, Metrics: metrics.New(),
-		AskPeer: func(_ context.Context, address string, _ wire.ClaimsArgs) (wire.ClaimsReply, error) {
+		FetchClaims: func(_ context.Context, address string, _ wire.ClaimsArgs) (wire.ClaimsReply, error) {
 			return store.ask(address)
 		},
 		Changed: func(view View) { w.view.Store(&view) },
--- a/pkg/ownership/peers.go
+++ b/pkg/ownership/peers.go
@@ -29,7 +29,7 @@
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 		defer cancel()
-		reply, err := o.deps.AskPeer(ctx, address, wire.ClaimsArgs{Node: o.options.Self.Node})
+		reply, err := o.deps.FetchClaims(ctx, address, wire.ClaimsArgs{Node: o.options.Self.Node})
 		o.send(claimsHeard{reply: reply, err: err})
 		return nil
 	})
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -115,7 +115,7 @@
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, proofWait)
 		defer cancel()
-		reply, err := o.deps.AskPeer(ctx, claim.Address, wire.ClaimsArgs{Node: o.options.Self.Node})
+		reply, err := o.deps.FetchClaims(ctx, claim.Address, wire.ClaimsArgs{Node: o.options.Self.Node})
 		o.send(proofHeard{node: claim.Node, incarnation: claim.Incarnation, askedAt: now, reply: reply, err: err})
 		return nil
 	})
