--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -159,7 +159,7 @@
 	}
 	n.calls = calls
 	n.ownership = ownership.New(ownership.Deps{
-		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Changed: n.viewChanged,
+		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.viewChanged,
 		FetchClaims: n.router.Claims, SuspendedTime: deps.Slept,
 	}, ownership.Options{Self: options.Self, TTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -65,9 +65,9 @@
 	SuspendedTime damsonwinch.SuspendedTime
 	// FetchClaims asks another node for the claims that it knows.
 	FetchClaims func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
-	// Changed is told the claims in force after each change, and what was asked
+	// OnViewChange is told the claims in force after each change, and what was asked
 	// when, so that the node can run the cells that are its own. It must not wait.
-	Changed func(View)
+	OnViewChange func(View)
 }
 
 // View is what a node believes about the cells.
@@ -309,7 +309,7 @@
 
 func (o *Ownership) publish() {
 	s := &o.state
-	o.deps.Changed(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), Steady: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
+	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), Steady: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
 }
 
 // act makes the calls that are due.
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -53,7 +53,7 @@
 		FetchClaims: func(_ context.Context, address string, _ wire.ClaimsArgs) (wire.ClaimsReply, error) {
 			return store.ask(address)
 		},
-		Changed: func(view View) { w.view.Store(&view) },
+		OnViewChange: func(view View) { w.view.Store(&view) },
 	}, Options{Self: self, Partitions: 24})
 	w.Want(cells)
 	store.set(func() { store.lives[self.Address] = self })
