--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -47,7 +47,7 @@
 		return
 	}
 	count := shard.ChooseCount(n.state.boxes, len(pools), weightsOf(view.Members))
-	if count > 1 && !view.Steady {
+	if count > 1 && !view.MembersComplete {
 		return
 	}
 	n.deps.Logger.WithFields(logrus.Fields{
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -36,11 +36,11 @@
 	store.set(func() { store.full = true })
 	w := start(t, store, "a", "one")
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	assert.Assert(t, !w.view.Load().Steady)
+	assert.Assert(t, !w.view.Load().MembersComplete)
 
 	store.set(func() { store.full = false })
 
-	until(t, "the list is complete", func() bool { return w.view.Load().Steady })
+	until(t, "the list is complete", func() bool { return w.view.Load().MembersComplete })
 }
 
 // TestAGroupThatCanGrowNoMoreIsAsCompleteAsItGets: with more nodes than the partitions of all topics
@@ -54,7 +54,7 @@
 		store.topics[name] = mostTopics
 	}
 	w := start(t, store, "a", "one")
-	until(t, "the list is taken for complete", func() bool { return w.view.Load().Steady })
+	until(t, "the list is taken for complete", func() bool { return w.view.Load().MembersComplete })
 }
 
 // TestAGroupOfAFewPartitionsListsAFleet: 300 nodes before topics of 12 partitions.
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -74,8 +74,8 @@
 type View struct {
 	Claims  map[string]Claim
 	Members []Member
-	// Steady says that the list of members has probably all of them.
-	Steady bool
+	// MembersComplete says that the list of members has probably all of them.
+	MembersComplete bool
 	// Layout says into how many cells each pool is cut.
 	Layout shard.Layout
 	// ConfirmedAt is when the newest answered reading of the claims was sent: until
@@ -309,7 +309,7 @@
 
 func (o *Ownership) publish() {
 	s := &o.state
-	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), Steady: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
+	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), MembersComplete: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
 }
 
 // act makes the calls that are due.
