--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -161,7 +161,7 @@
 	n.ownership = ownership.New(ownership.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.viewChanged,
 		FetchClaims: n.router.Claims, SuspendedTime: deps.Slept,
-	}, ownership.Options{Self: options.Self, TTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
+	}, ownership.Options{Self: options.Self, MembershipTTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.peers.Ask,
--- a/pkg/ownership/group.go
+++ b/pkg/ownership/group.go
@@ -12,7 +12,7 @@
 
 func (o *Ownership) join() {
 	request := damsonwinch.JoinRequest{
-		Group: groupName, Member: o.options.Self.Name(), Topics: o.topics(), TTL: max(o.options.TTL, leastTTL), Generation: o.state.generation,
+		Group: groupName, Member: o.options.Self.Name(), Topics: o.topics(), TTL: max(o.options.MembershipTTL, leastTTL), Generation: o.state.generation,
 	}
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -92,8 +92,8 @@
 // Options say who this node is.
 type Options struct {
 	Self Member
-	// TTL is how long the group keeps a silent node.
-	TTL time.Duration
+	// MembershipTTL is how long the group keeps a silent node.
+	MembershipTTL time.Duration
 	// Partitions is how many partitions a topic has.
 	Partitions int
 	// FirstStart says that the system starts for the first time.
