--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -70,7 +70,7 @@
 		return
 	}
 	n.state.layout = layout
-	n.ownership.Want(cellsOf(n.state.configuration, layout))
+	n.ownership.SetCells(cellsOf(n.state.configuration, layout))
 	if planning, here := (*n.holdings.Load())[fleetCell].(*planner.Planner); here {
 		planning.Configure(n.state.configuration, layout)
 	}
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -59,7 +59,7 @@
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
 	}
 	n.deps.Configured(configuration, book)
-	n.ownership.Want(cellsOf(configuration, n.state.layout))
+	n.ownership.SetCells(cellsOf(configuration, n.state.layout))
 	n.decideLayout()
 	for cell, held := range *n.holdings.Load() {
 		switch held := held.(type) {
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -189,8 +189,8 @@
 	return o
 }
 
-// Want names the cells that need an owner.
-func (o *Ownership) Want(cells []string) {
+// SetCells names the cells that need an owner.
+func (o *Ownership) SetCells(cells []string) {
 	o.send(cellsWanted{cells: cells})
 }
 
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -55,7 +55,7 @@
 		},
 		OnViewChange: func(view View) { w.view.Store(&view) },
 	}, Options{Self: self, Partitions: 24})
-	w.Want(cells)
+	w.SetCells(cells)
 	store.set(func() { store.lives[self.Address] = self })
 	t.Cleanup(func() { assert.Check(t, w.Close()) })
 	return w
@@ -106,7 +106,7 @@
 	})
 	store.set(func() { store.add(claimOf(t, "two", gone)) })
 
-	w.Want([]string{"one", "two"})
+	w.SetCells([]string{"one", "two"})
 
 	until(t, "the cell of the lost node is owned", func() bool { return w.owns("two") })
 	store.set(func() { assert.Assert(t, store.appends-before <= 2, "%d tries", store.appends-before) })
@@ -187,7 +187,7 @@
 		store.lives[unlisted.Address] = unlisted
 		store.add(claimOf(t, "two", unlisted))
 	})
-	w.Want([]string{"one", "two"})
+	w.SetCells([]string{"one", "two"})
 
 	clockwork.NewRealClock().Sleep(5 * time.Second / 2)
 
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -61,7 +61,7 @@
 	assert.Assert(t, w.owns("one") && w.view.Load().Claims["one"].Token > token)
 	w.Move("one", token, 9)
 	w.Move("two", token, 9)
-	w.Want([]string{"one", "three"})
+	w.SetCells([]string{"one", "three"})
 	until(t, "a cell is owned that came later", func() bool { return w.owns("three") })
 	assert.Equal(t, w.view.Load().Claims["one"].Partition, 7, "a claim that has been followed moves nothing")
 	assert.Equal(t, w.view.Load().Claims["three"].Partition, 8, "a partition that no cell has had")
