--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -220,7 +220,7 @@
 
 // Suspect implements intake.Cells.
 func (n *Node) Suspect(node string, incarnation int) {
-	n.ownership.Suspect(node, incarnation)
+	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
 func (n *Node) viewChanged(view ownership.View) {
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -194,9 +194,9 @@
 	o.send(cellsWanted{cells: cells})
 }
 
-// Suspect tells that the address of a node's life has refused a connection: its process
+// ReportRefusedConnection tells that the address of a node's life has refused a connection: its process
 // has ended.
-func (o *Ownership) Suspect(node string, incarnation int) {
+func (o *Ownership) ReportRefusedConnection(node string, incarnation int) {
 	o.send(suspected{node: node, incarnation: incarnation})
 }
 
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -171,7 +171,7 @@
 	until(t, "the free cell is owned", func() bool { return w.owns("two") })
 	assert.Assert(t, !w.owns("one"))
 
-	w.Suspect("b", 1)
+	w.ReportRefusedConnection("b", 1)
 
 	until(t, "the cell of the ended node is owned", func() bool { return w.owns("one") })
 }
