--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -119,5 +119,5 @@
 	}
 	n.holdings.Store(&next)
 	n.state.ended[name] = ended.Token()
-	n.ownership.Renounce(name, ended.Token())
+	n.ownership.ReleaseClaim(name, ended.Token())
 }
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -200,8 +200,8 @@
 	o.send(suspected{node: node, incarnation: incarnation})
 }
 
-// Renounce gives up a claim whose owner has ended by itself.
-func (o *Ownership) Renounce(cell string, token int) {
+// ReleaseClaim gives up a claim whose owner has ended by itself.
+func (o *Ownership) ReleaseClaim(cell string, token int) {
 	o.send(renounced{cell: cell, token: token})
 }
 
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -121,7 +121,7 @@
 	token := w.view.Load().Claims["one"].Token
 	store.set(func() { store.fail = 2 })
 
-	w.Renounce("one", token)
+	w.ReleaseClaim("one", token)
 
 	until(t, "the cell is owned by a newer claim", func() bool { return w.owns("one") && w.view.Load().Claims["one"].Token > token })
 }
