--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -215,7 +215,7 @@
 
 // StoreAnsweredAt implements intake.Cells.
 func (n *Node) StoreAnsweredAt() time.Time {
-	return n.ownership.AnsweredAt()
+	return n.ownership.StoreAnsweredAt()
 }
 
 // Suspect implements intake.Cells.
@@ -320,6 +320,6 @@
 
 func (n *Node) feedDeps() feed.Deps {
 	return feed.Deps{
-		Store: n.deps.Platform.Store, Clock: n.deps.Clock, Logger: n.deps.Logger, Metrics: n.deps.Metrics, StoreAnsweredAt: n.ownership.AnsweredAt,
+		Store: n.deps.Platform.Store, Clock: n.deps.Clock, Logger: n.deps.Logger, Metrics: n.deps.Metrics, StoreAnsweredAt: n.ownership.StoreAnsweredAt,
 	}
 }
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// AnsweredAt returns when the store last answered this node.
-func (o *Ownership) AnsweredAt() time.Time {
+// StoreAnsweredAt returns when the store last answered this node.
+func (o *Ownership) StoreAnsweredAt() time.Time {
 	return time.Unix(0, o.answeredAt.Load())
 }
 
