--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -53,7 +53,7 @@
 	n.deps.Logger.WithFields(logrus.Fields{
 		"shards": count, "boxes": n.state.boxes, "pools": len(pools), "members": len(view.Members),
 	}).Info("layout of cells decided")
-	n.ownership.Decide(shard.NewLayout(count, pools))
+	n.ownership.ProposeLayout(shard.NewLayout(count, pools))
 }
 
 func weightsOf(members []ownership.Member) []int {
--- a/pkg/ownership/layout.go
+++ b/pkg/ownership/layout.go
@@ -30,8 +30,8 @@
 	err    error
 }
 
-// Decide puts a layout in force, unless there is one.
-func (o *Ownership) Decide(layout shard.Layout) {
+// ProposeLayout puts a layout in force, unless there is one.
+func (o *Ownership) ProposeLayout(layout shard.Layout) {
 	o.send(layoutDecided{layout: layout})
 }
 
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -16,13 +16,13 @@
 	store := newMemoryStore()
 	a, b := start(t, store, "a", "one"), start(t, store, "b", "one")
 
-	a.Decide(shard.NewLayout(3, []string{"p"}))
-	b.Decide(shard.NewLayout(5, []string{"p", "q"}))
+	a.ProposeLayout(shard.NewLayout(3, []string{"p"}))
+	b.ProposeLayout(shard.NewLayout(5, []string{"p", "q"}))
 
 	until(t, "both know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
 	decided := a.view.Load().Layout
 	assert.Assert(t, decided.Equal(b.view.Load().Layout), "%v and %v", decided, b.view.Load().Layout)
-	b.Decide(shard.NewLayout(7, nil))
+	b.ProposeLayout(shard.NewLayout(7, nil))
 	later := start(t, store, "c", "one", "two")
 	until(t, "a later node knows it", func() bool { return later.view.Load().Layout.Decided() })
 	assert.Assert(t, later.view.Load().Layout.Equal(decided))
