--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -58,9 +58,9 @@
 	}
 )
 
-// TakePartition takes a partition that no cell has had and tells its number. What the
+// ReservePartition takes a partition that no cell has had and tells its number. What the
 // function does must not wait.
-func (o *Ownership) TakePartition(take func(number int)) {
+func (o *Ownership) ReservePartition(take func(number int)) {
 	o.send(partitionWanted{take: take})
 }
 
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -20,7 +20,7 @@
 	}
 	for range 5 {
 		for _, node := range nodes {
-			node.TakePartition(func(number int) {
+			node.ReservePartition(func(number int) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				taken[number]++
@@ -44,7 +44,7 @@
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
 	store.set(func() { store.fail = 1 })
 	numbers := make(chan int, 1)
-	w.TakePartition(func(number int) { numbers <- number })
+	w.ReservePartition(func(number int) { numbers <- number })
 	assert.Equal(t, <-numbers, 2)
 }
 
