--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -64,9 +64,9 @@
 	o.send(partitionWanted{take: take})
 }
 
-// Move lets a cell that is owned here by a claim go on in another partition, unless it has
+// MoveClaim lets a cell that is owned here by a claim go on in another partition, unless it has
 // been claimed since.
-func (o *Ownership) Move(cell string, token, partition int) {
+func (o *Ownership) MoveClaim(cell string, token, partition int) {
 	o.send(moveWanted{cell: cell, token: token, partition: partition})
 }
 
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -55,12 +55,12 @@
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
 	token := w.view.Load().Claims["one"].Token
 
-	w.Move("one", token, 7)
+	w.MoveClaim("one", token, 7)
 
 	until(t, "the claim names the partition", func() bool { return w.view.Load().Claims["one"].Partition == 7 })
 	assert.Assert(t, w.owns("one") && w.view.Load().Claims["one"].Token > token)
-	w.Move("one", token, 9)
-	w.Move("two", token, 9)
+	w.MoveClaim("one", token, 9)
+	w.MoveClaim("two", token, 9)
 	w.SetCells([]string{"one", "three"})
 	until(t, "a cell is owned that came later", func() bool { return w.owns("three") })
 	assert.Equal(t, w.view.Load().Claims["one"].Partition, 7, "a claim that has been followed moves nothing")
