--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -81,8 +81,8 @@
 		Store: n.deps.Platform.Store, Endpoints: n.deps.Platform.Endpoints, Fleet: n.deps.Platform.Fleet, Advisor: n.deps.Platform.Advisor, Clock: n.deps.Clock,
 		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, RoomWanted: n.readEndpoints,
 		Slept: n.deps.Slept, StoreAnsweredAt: n.ownership.StoreAnsweredAt, TakePartition: n.ownership.ReservePartition, Move: n.ownership.MoveClaim,
-		StreamAt: func(number int) damsonwinch.Stream { return ownership.StreamAt(number, n.options.Partitions) },
-	}, owner.Options{Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, CallBytes: n.options.CallBytes, Cells: n.options.Cells})
+		StreamAt: func(number int) damsonwinch.Stream { return ownership.PartitionStream(number, n.options.Partitions) },
+	}, owner.Options{Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, CallBytes: n.options.CallBytes, Cells: n.options.Cells})
 	started.Configure(n.state.configuration, n.guarded(claim.Cell))
 	if n.state.registry.complete && n.state.registry.told(n.state.layout, &n.state.placements) {
 		started.SetEndpoints(n.state.registry.of(claim.Cell, n.state.layout))
@@ -96,7 +96,7 @@
 		Metrics: n.deps.Metrics, Sync: n.router.Sync, WaveReport: n.deps.Platform.WaveReport,
 		SuspendedTime:  n.deps.Slept,
 		OnFirstBoxList: func(count int) { n.send(boxesCounted{boxes: count}) },
-	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
+	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
 	started.Configure(n.state.configuration, n.state.layout)
 	for _, wave := range n.state.waves {
 		started.SetWave(wave)
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -77,7 +77,7 @@
 		return
 	}
 	n.state.placing = true
-	stream := ownership.StreamOf(claim, n.options.Partitions)
+	stream := ownership.CellStream(claim, n.options.Partitions)
 	n.group.Go(func() error {
 		feed.New(n.feedDeps(), feed.Options{
 			Stream: stream, Pause: func() time.Duration { return placementPause }, Wanted: n.owning.Load, Wake: n.place, NewestOnly: true,
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -71,7 +71,7 @@
 	for partition := range 50 {
 		claim := Claim{}
 		claim.Partition = partition
-		stream := StreamOf(claim, 24)
+		stream := CellStream(claim, 24)
 		assert.Assert(t, stream.Partition < 24)
 		streams[stream.String()] = true
 	}
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -19,14 +19,14 @@
 // platform keeps 100 topics in all.
 const mostPartitionTopics = 55
 
-// StreamOf returns the stream of the cell of a claim. Cells are numbered through the
+// CellStream returns the stream of the cell of a claim. Cells are numbered through the
 // partitions of as many topics as they need.
-func StreamOf(claim Claim, partitions int) damsonwinch.Stream {
-	return StreamAt(claim.Partition, partitions)
+func CellStream(claim Claim, partitions int) damsonwinch.Stream {
+	return PartitionStream(claim.Partition, partitions)
 }
 
-// StreamAt returns the stream of a numbered partition.
-func StreamAt(number, partitions int) damsonwinch.Stream {
+// PartitionStream returns the stream of a numbered partition.
+func PartitionStream(number, partitions int) damsonwinch.Stream {
 	return damsonwinch.Stream{Topic: numbered(cellTopic, 1+number/partitions), Partition: number % partitions}
 }
 
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -138,7 +138,7 @@
 		defer cancel()
 		read := workRead{node: of.Node, incarnation: of.Incarnation, askedAt: now}
 		for _, claim := range claims {
-			page, err := o.deps.Store.Newest(ctx, StreamOf(claim, o.options.Partitions), beyondKeys)
+			page, err := o.deps.Store.Newest(ctx, CellStream(claim, o.options.Partitions), beyondKeys)
 			if err != nil {
 				read.err = err
 				break
--- a/pkg/process/move_test.go
+++ b/pkg/process/move_test.go
@@ -14,7 +14,7 @@
 // turnAwayCells makes the log turn away the calls of the partitions in which cells stand.
 func (s *story) turnAwayCells(away bool) {
 	for number := range 2 {
-		stream := ownership.StreamAt(number, usualPartitions)
+		stream := ownership.PartitionStream(number, usualPartitions)
 		s.platform.TurnAway(stream.Topic, stream.Partition, away)
 	}
 }
