--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -150,7 +150,7 @@
 		book:    eject.New(),
 		random:  rand.New(rand.NewPCG(f.deps.Seed, uint64(f.incarnation))),
 		avoid:   map[string]time.Time{},
-		leasing: newLeasing(lease.Terms{Length: milliseconds(f.deps.Settings.LeaseMs)}),
+		leasing: newLeasing(lease.Timing{Duration: milliseconds(f.deps.Settings.LeaseMs)}),
 		jobs:    map[string]*job{},
 		budgets: map[string]float64{},
 		peers:   map[string]*call.Client{},
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -23,7 +23,7 @@
 	asking     map[lease.Peer]bool
 }
 
-func newLeasing(terms lease.Terms) leasing {
+func newLeasing(terms lease.Timing) leasing {
 	return leasing{holder: lease.New(terms), asking: map[lease.Peer]bool{}}
 }
 
@@ -106,7 +106,7 @@
 	f.deps.Logger.WithField("entry", f.key.Entry).Warn("this sender was released; the entry comes back as another")
 	f.deps.Metrics.Add("rejoined", 1)
 	f.key.Entry = max(f.key.Entry+1, int(f.now().UnixNano()))
-	f.leasing = newLeasing(lease.Terms{Length: milliseconds(f.deps.Settings.LeaseMs)})
+	f.leasing = newLeasing(lease.Timing{Duration: milliseconds(f.deps.Settings.LeaseMs)})
 }
 
 // publishLease lets requests read the clock against the lease directly before
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -116,8 +116,8 @@
 	return k, nil
 }
 
-func terms(s settings.Keeper) lease.Terms {
-	return lease.Terms{Length: milliseconds(s.LeaseMs), Drift: milliseconds(s.DriftMs)}
+func terms(s settings.Keeper) lease.Timing {
+	return lease.Timing{Duration: milliseconds(s.LeaseMs), MaxDrift: milliseconds(s.DriftMs)}
 }
 
 func milliseconds(count int) time.Duration {
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Terms are the times that all processes of a deployment share.
-type Terms struct {
-	// Length is how long a sender goes on after a renewal or a grant.
-	Length time.Duration
-	// Drift is the margin by which two clocks may differ over one Length.
-	Drift time.Duration
+// Timing are the times that all processes of a deployment share.
+type Timing struct {
+	// Duration is how long a sender goes on after a renewal or a grant.
+	Duration time.Duration
+	// MaxDrift is the margin by which two clocks may differ over one Length.
+	MaxDrift time.Duration
 }
 
 // Peer is a hall member whose grant a cut-off sender needs.
@@ -25,7 +25,7 @@
 // Holder is the sender's side of its lease. It never changes; its With methods
 // return a new one.
 type Holder struct {
-	terms  Terms
+	terms  Timing
 	issued map[int]time.Time
 	until  time.Time
 	grants map[Peer]time.Time
@@ -34,7 +34,7 @@
 }
 
 // New returns a holder that has no lease yet.
-func New(terms Terms) Holder {
+func New(terms Timing) Holder {
 	return Holder{terms: terms, issued: map[int]time.Time{}, grants: map[Peer]time.Time{}, ended: map[Peer]bool{}}
 }
 
@@ -57,7 +57,7 @@
 	if !known {
 		return h
 	}
-	if until := at.Add(h.terms.Length); until.After(h.until) {
+	if until := at.Add(h.terms.Duration); until.After(h.until) {
 		h.until = until
 	}
 	h.issued = maps.Clone(h.issued)
@@ -74,7 +74,7 @@
 // WithGrant notes an extension that was asked for at a time on the sender's
 // clock.
 func (h Holder) WithGrant(peer Peer, asked time.Time) Holder {
-	if until := asked.Add(h.terms.Length); until.After(h.grants[peer]) {
+	if until := asked.Add(h.terms.Duration); until.After(h.grants[peer]) {
 		h.grants = maps.Clone(h.grants)
 		h.grants[peer] = until
 	}
@@ -129,7 +129,7 @@
 	}
 	if least.IsZero() {
 		// Every peer has ended while it was bound: nobody is left to propose.
-		return now.Add(h.terms.Length)
+		return now.Add(h.terms.Duration)
 	}
 	return least
 }
--- a/pkg/lease/witness.go
+++ b/pkg/lease/witness.go
@@ -19,13 +19,13 @@
 // when it may propose their release. It never changes; its With methods return
 // a new one.
 type Witness struct {
-	terms  Terms
+	terms  Timing
 	sights map[string]sight
 }
 
 // NewWitness returns a witness that has seen nothing. It is not named New
 // because a package has one of those and the holder is the first part.
-func NewWitness(terms Terms) Witness {
+func NewWitness(terms Timing) Witness {
 	return Witness{terms: terms, sights: map[string]sight{}}
 }
 
@@ -67,7 +67,7 @@
 	if !seen || known.proposed != 0 && known.proposed >= known.seq {
 		return w, false
 	}
-	known.promised = now.Add(w.terms.Length)
+	known.promised = now.Add(w.terms.Duration)
 	return w.with(sender, known), true
 }
 
@@ -78,8 +78,8 @@
 	if !seen || known.read.IsZero() {
 		return false
 	}
-	waited := known.read.Add(w.terms.Length + w.terms.Drift)
-	return now.After(waited) && now.After(known.promised.Add(w.terms.Drift))
+	waited := known.read.Add(w.terms.Duration + w.terms.MaxDrift)
+	return now.After(waited) && now.After(known.promised.Add(w.terms.MaxDrift))
 }
 
 // WithProposed notes that a release upon the sender's last known renewal is on
