--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -94,7 +94,7 @@
 	}
 	var roster []lease.Peer
 	for _, member := range f.state.Roster(f.deps.Settings.Hall) {
-		roster = append(roster, lease.Peer{Node: member.Node, Keeper: member.Keeper})
+		roster = append(roster, lease.Peer{Node: member.Node, Incarnation: member.Keeper})
 	}
 	f.leasing.holder = f.leasing.holder.WithRoster(roster)
 	f.publishLease(f.now())
@@ -150,7 +150,7 @@
 	switch {
 	case err != nil:
 		message.ended = call.Refused(err)
-	case reply.Keeper != peer.Keeper:
+	case reply.Keeper != peer.Incarnation:
 		message.ended = true
 	default:
 		message.granted = reply.Granted
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -47,6 +47,6 @@
 
 	assert.Assert(t, f.key.Entry > old.Entry)
 	assert.Assert(t, !f.covered())
-	f.takeExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Keeper: 1}, asked: clock.Now().Add(time.Millisecond), granted: true})
+	f.takeExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Incarnation: 1}, asked: clock.Now().Add(time.Millisecond), granted: true})
 	assert.Assert(t, !f.covered())
 }
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -172,7 +172,7 @@
 	for k := range w.keepers {
 		if m, known := seen.members[k]; known {
 			w.roster[k] = m.inc
-			roster = append(roster, Peer{Node: fmt.Sprint(k), Keeper: m.inc})
+			roster = append(roster, Peer{Node: fmt.Sprint(k), Incarnation: m.inc})
 		}
 	}
 	w.holder = w.holder.WithRoster(roster)
@@ -207,7 +207,7 @@
 	}
 	for k, keeper := range w.keepers {
 		for inc := range 3 {
-			peer := Peer{Node: fmt.Sprint(k), Keeper: inc}
+			peer := Peer{Node: fmt.Sprint(k), Incarnation: inc}
 			b = append(b, tickOf(w.holder.grants[peer]), flag(w.holder.ended[peer]))
 		}
 		s := keeper.witness.sights["s"]
@@ -350,7 +350,7 @@
 func (w *world) hear(k int) {
 	answer := w.keepers[k].pending
 	w.keepers[k].pending = answerModel{}
-	peer := Peer{Node: fmt.Sprint(k), Keeper: answer.inc}
+	peer := Peer{Node: fmt.Sprint(k), Incarnation: answer.inc}
 	switch {
 	case answer.granted:
 		w.holder = w.holder.WithGrant(peer, at(answer.asked))
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -19,7 +19,7 @@
 // Peer is a hall member whose grant a cut-off sender needs.
 type Peer struct {
 	Node   string
-	Keeper int // Incarnation.
+	Incarnation int // Incarnation.
 }
 
 // Holder is the sender's side of its lease. It never changes; its With methods
