--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -24,7 +24,7 @@
 }
 
 func newLeasing(terms lease.Timing) leasing {
-	return leasing{holder: lease.New(terms), asking: map[lease.Peer]bool{}}
+	return leasing{holder: lease.NewHolder(terms), asking: map[lease.Peer]bool{}}
 }
 
 // renew issues the next renewal when it is time, and asks the hall's members
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -101,7 +101,7 @@
 
 func newWorld(keepers int) world {
 	terms := Timing{Duration: time.Duration(searchBounds.length) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
-	w := world{holder: New(terms), members: map[int]member{}, roster: map[int]int{}}
+	w := world{holder: NewHolder(terms), members: map[int]member{}, roster: map[int]int{}}
 	for k := range keepers {
 		w.keepers = append(w.keepers, keeperModel{alive: true, inc: 1, witness: NewWitness(terms)})
 		w.land(record{kind: 'j', keeper: k, inc: 1})
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -33,8 +33,8 @@
 	roster []Peer
 }
 
-// New returns a holder that has no lease yet.
-func New(terms Timing) Holder {
+// NewHolder returns a holder that has no lease yet.
+func NewHolder(terms Timing) Holder {
 	return Holder{terms: terms, issued: map[int]time.Time{}, grants: map[Peer]time.Time{}, ended: map[Peer]bool{}}
 }
 
