--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -41,7 +41,7 @@
 		return
 	}
 	f.leasing.seq++
-	f.leasing.holder = f.leasing.holder.WithIssued(f.leasing.seq, now)
+	f.leasing.holder = f.leasing.holder.WithRenewalIssued(f.leasing.seq, now)
 	f.leasing.renewing = true
 	member := f.member()
 	f.group.Go(func() error {
@@ -88,7 +88,7 @@
 			f.leasing.next = time.Time{}
 		}
 		f.leasing.registered = true
-		f.leasing.holder = f.leasing.holder.WithReadBack(sender.Seq)
+		f.leasing.holder = f.leasing.holder.WithRenewalConfirmed(sender.Seq)
 	case f.leasing.registered:
 		f.rejoin()
 	}
@@ -96,7 +96,7 @@
 	for _, member := range f.state.Roster(f.deps.Settings.Hall) {
 		roster = append(roster, lease.Peer{Node: member.Node, Incarnation: member.Keeper})
 	}
-	f.leasing.holder = f.leasing.holder.WithRoster(roster)
+	f.leasing.holder = f.leasing.holder.WithPeers(roster)
 	f.publishLease(f.now())
 }
 
@@ -112,7 +112,7 @@
 // publishLease lets requests read the clock against the lease directly before
 // each send.
 func (f *Front) publishLease(now time.Time) {
-	until := f.leasing.holder.Until(now)
+	until := f.leasing.holder.ValidUntil(now)
 	f.sendUntil.Store(&until)
 }
 
@@ -124,10 +124,10 @@
 // extend asks the members of the hall whose promise would run out soon.
 func (f *Front) extend(ctx context.Context, now time.Time) {
 	half := milliseconds(f.deps.Settings.LeaseMs) / 2
-	if f.leasing.holder.ByLog(now.Add(half)) {
+	if f.leasing.holder.CoveredByLog(now.Add(half)) {
 		return
 	}
-	for _, peer := range f.leasing.holder.Wanted(now.Add(half)) {
+	for _, peer := range f.leasing.holder.PeersExpiringBefore(now.Add(half)) {
 		member, known := f.state.Member(peer.Node)
 		if f.leasing.asking[peer] || !known {
 			continue
@@ -166,10 +166,10 @@
 	delete(f.leasing.asking, m.peer)
 	switch {
 	case m.granted:
-		f.leasing.holder = f.leasing.holder.WithGrant(m.peer, m.asked)
+		f.leasing.holder = f.leasing.holder.WithExtension(m.peer, m.asked)
 		f.deps.Metrics.Add("extensions", 1)
 	case m.ended:
-		f.leasing.holder = f.leasing.holder.WithEnded(m.peer, f.now())
+		f.leasing.holder = f.leasing.holder.WithPeerExited(m.peer, f.now())
 	}
 	f.publishLease(f.now())
 }
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -36,7 +36,7 @@
 	f.loop = f.newLoop()
 	f.key = fold.SenderKey{Node: "a", Entry: 11}
 	old := f.key
-	f.leasing.holder = f.leasing.holder.WithIssued(1, clock.Now())
+	f.leasing.holder = f.leasing.holder.WithRenewalIssued(1, clock.Now())
 	renewal := wire.Member{Node: "a", Hall: "north", Keeper: 1, Entry: 11, Seq: 1}
 	f.state = foldOne(t, fold.New(table.Table{}), wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{renewal}})
 	f.readBack()
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -107,7 +107,7 @@
 		w.land(record{kind: 'j', keeper: k, inc: 1})
 	}
 	w.senderSeq = 1
-	w.holder = w.holder.WithIssued(1, at(0))
+	w.holder = w.holder.WithRenewalIssued(1, at(0))
 	w.land(record{kind: 'r', seq: 1, folded: keepers})
 	for k := range w.keepers {
 		w.readKeeper(k)
@@ -166,7 +166,7 @@
 	}
 	w.folded = len(w.log)
 	w.knows = seen.released
-	w.holder = w.holder.WithReadBack(seen.lastSeq)
+	w.holder = w.holder.WithRenewalConfirmed(seen.lastSeq)
 	w.roster = map[int]int{}
 	var roster []Peer
 	for k := range w.keepers {
@@ -175,7 +175,7 @@
 			roster = append(roster, Peer{Node: fmt.Sprint(k), Incarnation: m.inc})
 		}
 	}
-	w.holder = w.holder.WithRoster(roster)
+	w.holder = w.holder.WithPeers(roster)
 }
 
 func (w *world) readKeeper(k int) {
@@ -267,7 +267,7 @@
 	if w.senderSeq < searchBounds.seqs {
 		do(func(n *world) {
 			n.senderSeq++
-			n.holder = n.holder.WithIssued(n.senderSeq, at(n.now))
+			n.holder = n.holder.WithRenewalIssued(n.senderSeq, at(n.now))
 			n.flying = append(n.flying, record{kind: 'r', seq: n.senderSeq, folded: n.folded})
 		})
 	}
@@ -353,11 +353,11 @@
 	peer := Peer{Node: fmt.Sprint(k), Incarnation: answer.inc}
 	switch {
 	case answer.granted:
-		w.holder = w.holder.WithGrant(peer, at(answer.asked))
+		w.holder = w.holder.WithExtension(peer, at(answer.asked))
 	case answer.ended && searchRules.endedWhileBound:
-		w.holder = w.holder.WithEnded(peer, at(w.now))
+		w.holder = w.holder.WithPeerExited(peer, at(w.now))
 	case answer.ended:
-		w.holder = w.holder.WithEnded(peer, at(-searchBounds.horizon))
+		w.holder = w.holder.WithPeerExited(peer, at(-searchBounds.horizon))
 	}
 }
 
@@ -427,7 +427,7 @@
 			}
 			w = next[random.IntN(len(next))]
 			assert.Assert(t, !w.broken(), "seed %d, step %d: two senders may send: %+v", seed, step, w)
-			if w.holder.MaySend(at(w.now)) && !w.holder.ByLog(at(w.now)) {
+			if w.holder.MaySend(at(w.now)) && !w.holder.CoveredByLog(at(w.now)) {
 				sends++
 			}
 		}
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -38,8 +38,8 @@
 	return Holder{terms: terms, issued: map[int]time.Time{}, grants: map[Peer]time.Time{}, ended: map[Peer]bool{}}
 }
 
-// WithIssued notes that renewal seq was issued at a time on the sender's clock.
-func (h Holder) WithIssued(seq int, at time.Time) Holder {
+// WithRenewalIssued notes that renewal seq was issued at a time on the sender's clock.
+func (h Holder) WithRenewalIssued(seq int, at time.Time) Holder {
 	h.issued = maps.Clone(h.issued)
 	h.issued[seq] = at
 	delete(h.issued, seq-mostIssued)
@@ -50,9 +50,9 @@
 // To forget an old one only shortens the lease.
 const mostIssued = 64
 
-// WithReadBack notes that renewal seq was read back from the log, by the
+// WithRenewalConfirmed notes that renewal seq was read back from the log, by the
 // sender itself or through a peer.
-func (h Holder) WithReadBack(seq int) Holder {
+func (h Holder) WithRenewalConfirmed(seq int) Holder {
 	at, known := h.issued[seq]
 	if !known {
 		return h
@@ -65,15 +65,15 @@
 	return h
 }
 
-// WithRoster notes the members of the sender's hall as last folded.
-func (h Holder) WithRoster(roster []Peer) Holder {
+// WithPeers notes the members of the sender's hall as last folded.
+func (h Holder) WithPeers(roster []Peer) Holder {
 	h.roster = roster
 	return h
 }
 
-// WithGrant notes an extension that was asked for at a time on the sender's
+// WithExtension notes an extension that was asked for at a time on the sender's
 // clock.
-func (h Holder) WithGrant(peer Peer, asked time.Time) Holder {
+func (h Holder) WithExtension(peer Peer, asked time.Time) Holder {
 	if until := asked.Add(h.terms.Duration); until.After(h.grants[peer]) {
 		h.grants = maps.Clone(h.grants)
 		h.grants[peer] = until
@@ -81,13 +81,13 @@
 	return h
 }
 
-// WithEnded notes that a peer was seen to have ended: its address refuses
+// WithPeerExited notes that a peer was seen to have ended: its address refuses
 // connections or answers as another incarnation.
 //
 // It counts only while the peer was still bound by the log's lease or by its
 // own grant. Once that has run out the peer may have proposed a release before
 // it ended, and the log may take that proposal long after.
-func (h Holder) WithEnded(peer Peer, seen time.Time) Holder {
+func (h Holder) WithPeerExited(peer Peer, seen time.Time) Holder {
 	if !seen.Before(h.boundUntil(peer)) {
 		return h
 	}
@@ -106,12 +106,12 @@
 
 // MaySend says whether the sender may send at a time on its own clock.
 func (h Holder) MaySend(now time.Time) bool {
-	return now.Before(h.Until(now))
+	return now.Before(h.ValidUntil(now))
 }
 
-// Until returns the time at which the present right to send ends, or the zero
+// ValidUntil returns the time at which the present right to send ends, or the zero
 // time when there is none.
-func (h Holder) Until(now time.Time) time.Time {
+func (h Holder) ValidUntil(now time.Time) time.Time {
 	if h.until.IsZero() {
 		return time.Time{}
 	}
@@ -134,13 +134,13 @@
 	return least
 }
 
-// ByLog says whether the log's own lease covers a time on the sender's clock.
-func (h Holder) ByLog(now time.Time) bool {
+// CoveredByLog says whether the log's own lease covers a time on the sender's clock.
+func (h Holder) CoveredByLog(now time.Time) bool {
 	return now.Before(h.until)
 }
 
-// Wanted returns the peers whose grant would run out before a time.
-func (h Holder) Wanted(before time.Time) []Peer {
+// PeersExpiringBefore returns the peers whose grant would run out before a time.
+func (h Holder) PeersExpiringBefore(before time.Time) []Peer {
 	var wanted []Peer
 	for _, peer := range h.roster {
 		if !h.ended[peer] && h.boundUntil(peer).Before(before) {
