--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -69,7 +69,7 @@
 	state    fold.State
 	relay    relay
 	trail    *audit.Trail
-	witness  lease.Witness
+	witness  lease.Grantor
 	roster   roster
 	outbox   outbox
 	list     listView
@@ -96,7 +96,7 @@
 		peers:       map[string]*call.Client{},
 		state:       deps.Empty,
 		trail:       audit.New(auditLines),
-		witness:     lease.NewWitness(terms(deps.Settings)),
+		witness:     lease.NewGrantor(terms(deps.Settings)),
 		carrying:    map[string]carried{},
 	}
 	k.listed.Store(&[]string{deps.Settings.Hall})
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -13,7 +13,7 @@
 	for _, sender := range k.state.Senders() {
 		name := sender.Key.String()
 		present[name] = true
-		k.witness = k.witness.WithSeen(name, sender.Seq, now)
+		k.witness = k.witness.WithRenewalRead(name, sender.Seq, now)
 	}
 	for _, name := range k.witness.Senders() {
 		if !present[name] {
@@ -75,7 +75,7 @@
 }
 
 func (k *Keeper) proposeRelease(sender fold.Sender, how wire.ReleaseHow) {
-	k.witness = k.witness.WithProposed(sender.Key.String())
+	k.witness = k.witness.WithReleaseProposed(sender.Key.String())
 	k.propose(wire.Proposal{
 		Kind:    wire.KindRelease,
 		Cause:   "the sender does not renew",
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -56,7 +56,7 @@
 	inc      int
 	read     int
 	skew     int
-	witness  Witness
+	witness  Grantor
 	restarts int
 	pending  answerModel
 }
@@ -103,7 +103,7 @@
 	terms := Timing{Duration: time.Duration(searchBounds.length) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
 	w := world{holder: NewHolder(terms), members: map[int]member{}, roster: map[int]int{}}
 	for k := range keepers {
-		w.keepers = append(w.keepers, keeperModel{alive: true, inc: 1, witness: NewWitness(terms)})
+		w.keepers = append(w.keepers, keeperModel{alive: true, inc: 1, witness: NewGrantor(terms)})
 		w.land(record{kind: 'j', keeper: k, inc: 1})
 	}
 	w.senderSeq = 1
@@ -189,7 +189,7 @@
 		keeper.witness = keeper.witness.WithoutSender("s")
 		return
 	}
-	keeper.witness = keeper.witness.WithSeen("s", seen.lastSeq, at(w.now+keeper.skew))
+	keeper.witness = keeper.witness.WithRenewalRead("s", seen.lastSeq, at(w.now+keeper.skew))
 }
 
 // key names the state; equal keys have equal futures.
@@ -302,7 +302,7 @@
 				next.alive, next.read = true, 0
 				next.restarts++
 				next.inc++
-				next.witness = NewWitness(keeper.witness.terms)
+				next.witness = NewGrantor(keeper.witness.terms)
 				n.flying = append(n.flying, record{kind: 'j', keeper: k, inc: next.inc})
 			})
 		}
@@ -317,7 +317,7 @@
 	if keeper.skew < searchBounds.drift {
 		do(func(n *world) { n.keepers[k].skew++ })
 	}
-	release := record{kind: 'x', keeper: k, inc: keeper.inc, seq: keeper.witness.Seq("s")}
+	release := record{kind: 'x', keeper: k, inc: keeper.inc, seq: keeper.witness.LastRenewal("s")}
 	// A second copy of a release is refused like a stale one.
 	proposed := slices.Contains(w.flying, release) || slices.Contains(w.log, release)
 	if !proposed && keeper.witness.MayRelease("s", at(w.now+keeper.skew)) {
@@ -325,7 +325,7 @@
 			kept := &n.keepers[k]
 			n.flying = append(n.flying, release)
 			if searchRules.denyAfterRelease {
-				kept.witness = kept.witness.WithProposed("s")
+				kept.witness = kept.witness.WithReleaseProposed("s")
 			}
 		})
 	}
--- a/pkg/lease/witness.go
+++ b/pkg/lease/witness.go
@@ -15,23 +15,23 @@
 	proposed int
 }
 
-// Witness is a keeper's side: what it has promised to senders of its hall, and
+// Grantor is a keeper's side: what it has promised to senders of its hall, and
 // when it may propose their release. It never changes; its With methods return
 // a new one.
-type Witness struct {
+type Grantor struct {
 	terms  Timing
 	sights map[string]sight
 }
 
-// NewWitness returns a witness that has seen nothing. It is not named New
+// NewGrantor returns a witness that has seen nothing. It is not named New
 // because a package has one of those and the holder is the first part.
-func NewWitness(terms Timing) Witness {
-	return Witness{terms: terms, sights: map[string]sight{}}
+func NewGrantor(terms Timing) Grantor {
+	return Grantor{terms: terms, sights: map[string]sight{}}
 }
 
-// WithSeen notes that renewal seq of a sender was read from the log at a time on
+// WithRenewalRead notes that renewal seq of a sender was read from the log at a time on
 // the witness's clock.
-func (w Witness) WithSeen(sender string, seq int, at time.Time) Witness {
+func (w Grantor) WithRenewalRead(sender string, seq int, at time.Time) Grantor {
 	known, seen := w.sights[sender]
 	if seen && seq <= known.seq {
 		return w
@@ -41,7 +41,7 @@
 }
 
 // WithoutSender forgets a sender that the log has released.
-func (w Witness) WithoutSender(sender string) Witness {
+func (w Grantor) WithoutSender(sender string) Grantor {
 	if _, known := w.sights[sender]; !known {
 		return w
 	}
@@ -51,7 +51,7 @@
 }
 
 // Senders returns the names of the senders that the witness has seen.
-func (w Witness) Senders() []string {
+func (w Grantor) Senders() []string {
 	names := make([]string, 0, len(w.sights))
 	for name := range w.sights {
 		names = append(names, name)
@@ -62,7 +62,7 @@
 // Extend answers a sender's wish for an extension. It is denied while a release
 // proposal upon the sender's last known renewal may still land, and to a sender
 // that the log doesn't show: it may have been released without knowing it.
-func (w Witness) Extend(sender string, now time.Time) (Witness, bool) {
+func (w Grantor) Extend(sender string, now time.Time) (Grantor, bool) {
 	known, seen := w.sights[sender]
 	if !seen || known.proposed != 0 && known.proposed >= known.seq {
 		return w, false
@@ -73,7 +73,7 @@
 
 // MayRelease says whether the witness has waited out the sender's last renewal
 // and every extension it granted.
-func (w Witness) MayRelease(sender string, now time.Time) bool {
+func (w Grantor) MayRelease(sender string, now time.Time) bool {
 	known, seen := w.sights[sender]
 	if !seen || known.read.IsZero() {
 		return false
@@ -82,20 +82,20 @@
 	return now.After(waited) && now.After(known.promised.Add(w.terms.MaxDrift))
 }
 
-// WithProposed notes that a release upon the sender's last known renewal is on
+// WithReleaseProposed notes that a release upon the sender's last known renewal is on
 // its way to the log.
-func (w Witness) WithProposed(sender string) Witness {
+func (w Grantor) WithReleaseProposed(sender string) Grantor {
 	known := w.sights[sender]
 	known.proposed = known.seq
 	return w.with(sender, known)
 }
 
-// Seq returns the sender's last renewal that the witness has read.
-func (w Witness) Seq(sender string) int {
+// LastRenewal returns the sender's last renewal that the witness has read.
+func (w Grantor) LastRenewal(sender string) int {
 	return w.sights[sender].seq
 }
 
-func (w Witness) with(sender string, known sight) Witness {
+func (w Grantor) with(sender string, known sight) Grantor {
 	w.sights = maps.Clone(w.sights)
 	w.sights[sender] = known
 	return w
