--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -47,7 +47,7 @@
 	}
 	// The sender asks for extensions by the roster it folded. A writer that
 	// joined after that isn't asked, so it may not rely on its own waiting.
-	qualified := writer.Hall == sender.Hall && lease.Bound(writer.Joined, sender.Folded)
+	qualified := writer.Hall == sender.Hall && lease.KnownToSender(writer.Joined, sender.Folded)
 	switch release.How {
 	case wire.ReleaseHowTime:
 		if !qualified {
@@ -87,7 +87,7 @@
 		return true
 	}
 	for _, member := range s.Roster(sender.Hall) {
-		if member.Node != sender.Key.Node && lease.Bound(member.Joined, sender.Folded) {
+		if member.Node != sender.Key.Node && lease.KnownToSender(member.Joined, sender.Folded) {
 			return true
 		}
 	}
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -51,7 +51,7 @@
 	if !joined || member.Keeper != k.incarnation {
 		return "", false
 	}
-	qualified := sender.Hall == member.Hall && lease.Bound(member.Joined, sender.Folded)
+	qualified := sender.Hall == member.Hall && lease.KnownToSender(member.Joined, sender.Folded)
 	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Entry) {
 		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -154,7 +154,7 @@
 
 func (w *world) qualified(m member) bool {
 	if searchRules.boundByFolded {
-		return Bound(m.joined, w.lastFolded)
+		return KnownToSender(m.joined, w.lastFolded)
 	}
 	return m.joined < w.lastOffset
 }
