--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -18,7 +18,7 @@
 
 // Peer is a hall member whose grant a cut-off sender needs.
 type Peer struct {
-	Node   string
+	Node        string
 	Incarnation int // Incarnation.
 }
 
