--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -13,7 +13,7 @@
 	for _, sender := range k.state.Senders() {
 		name := sender.Key.String()
 		present[name] = true
-		k.witness = k.witness.WithSeen(name, sender.Seq, now)
+		k.witness = k.witness.WithRenewalRead(name, sender.Seq, now)
 	}
 	for _, name := range k.witness.Senders() {
 		if !present[name] {
@@ -51,7 +51,7 @@
 	if !joined || member.Keeper != k.incarnation {
 		return "", false
 	}
-	qualified := sender.Hall == member.Hall && lease.Bound(member.Joined, sender.Folded)
+	qualified := sender.Hall == member.Hall && lease.KnownToSender(member.Joined, sender.Folded)
 	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Entry) {
 		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
@@ -75,7 +75,7 @@
 }
 
 func (k *Keeper) proposeRelease(sender fold.Sender, how wire.ReleaseHow) {
-	k.witness = k.witness.WithProposed(sender.Key.String())
+	k.witness = k.witness.WithReleaseProposed(sender.Key.String())
 	k.propose(wire.Proposal{
 		Kind:    wire.KindRelease,
 		Cause:   "the sender does not renew",
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -47,13 +47,13 @@
 		return
 	}
 	count := shard.ChooseCount(n.state.boxes, len(pools), weightsOf(view.Members))
-	if count > 1 && !view.Steady {
+	if count > 1 && !view.MembersComplete {
 		return
 	}
 	n.deps.Logger.WithFields(logrus.Fields{
 		"shards": count, "boxes": n.state.boxes, "pools": len(pools), "members": len(view.Members),
 	}).Info("layout of cells decided")
-	n.ownership.Decide(shard.NewLayout(count, pools))
+	n.ownership.ProposeLayout(shard.NewLayout(count, pools))
 }
 
 func weightsOf(members []ownership.Member) []int {
@@ -70,7 +70,7 @@
 		return
 	}
 	n.state.layout = layout
-	n.ownership.Want(cellsOf(n.state.configuration, layout))
+	n.ownership.SetCells(cellsOf(n.state.configuration, layout))
 	if planning, here := (*n.holdings.Load())[fleetCell].(*planner.Planner); here {
 		planning.Configure(n.state.configuration, layout)
 	}
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -159,9 +159,9 @@
 	}
 	n.calls = calls
 	n.ownership = ownership.New(ownership.Deps{
-		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Changed: n.viewChanged,
-		AskPeer: n.router.Claims, Slept: deps.Slept,
-	}, ownership.Options{Self: options.Self, TTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
+		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.viewChanged,
+		FetchClaims: n.router.Claims, SuspendedTime: deps.Slept,
+	}, ownership.Options{Self: options.Self, MembershipTTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.peers.Ask,
@@ -215,12 +215,12 @@
 
 // StoreAnsweredAt implements intake.Cells.
 func (n *Node) StoreAnsweredAt() time.Time {
-	return n.ownership.AnsweredAt()
+	return n.ownership.StoreAnsweredAt()
 }
 
 // Suspect implements intake.Cells.
 func (n *Node) Suspect(node string, incarnation int) {
-	n.ownership.Suspect(node, incarnation)
+	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
 func (n *Node) viewChanged(view ownership.View) {
@@ -320,6 +320,6 @@
 
 func (n *Node) feedDeps() feed.Deps {
 	return feed.Deps{
-		Store: n.deps.Platform.Store, Clock: n.deps.Clock, Logger: n.deps.Logger, Metrics: n.deps.Metrics, StoreAnsweredAt: n.ownership.AnsweredAt,
+		Store: n.deps.Platform.Store, Clock: n.deps.Clock, Logger: n.deps.Logger, Metrics: n.deps.Metrics, StoreAnsweredAt: n.ownership.StoreAnsweredAt,
 	}
 }
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -16,13 +16,13 @@
 	store := newMemoryStore()
 	a, b := start(t, store, "a", "one"), start(t, store, "b", "one")
 
-	a.Decide(shard.NewLayout(3, []string{"p"}))
-	b.Decide(shard.NewLayout(5, []string{"p", "q"}))
+	a.ProposeLayout(shard.NewLayout(3, []string{"p"}))
+	b.ProposeLayout(shard.NewLayout(5, []string{"p", "q"}))
 
 	until(t, "both know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
 	decided := a.view.Load().Layout
 	assert.Assert(t, decided.Equal(b.view.Load().Layout), "%v and %v", decided, b.view.Load().Layout)
-	b.Decide(shard.NewLayout(7, nil))
+	b.ProposeLayout(shard.NewLayout(7, nil))
 	later := start(t, store, "c", "one", "two")
 	until(t, "a later node knows it", func() bool { return later.view.Load().Layout.Decided() })
 	assert.Assert(t, later.view.Load().Layout.Equal(decided))
@@ -36,11 +36,11 @@
 	store.set(func() { store.full = true })
 	w := start(t, store, "a", "one")
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	assert.Assert(t, !w.view.Load().Steady)
+	assert.Assert(t, !w.view.Load().MembersComplete)
 
 	store.set(func() { store.full = false })
 
-	until(t, "the list is complete", func() bool { return w.view.Load().Steady })
+	until(t, "the list is complete", func() bool { return w.view.Load().MembersComplete })
 }
 
 // TestAGroupThatCanGrowNoMoreIsAsCompleteAsItGets: with more nodes than the partitions of all topics
@@ -54,7 +54,7 @@
 		store.topics[name] = mostTopics
 	}
 	w := start(t, store, "a", "one")
-	until(t, "the list is taken for complete", func() bool { return w.view.Load().Steady })
+	until(t, "the list is taken for complete", func() bool { return w.view.Load().MembersComplete })
 }
 
 // TestAGroupOfAFewPartitionsListsAFleet: 300 nodes before topics of 12 partitions.
@@ -71,7 +71,7 @@
 	for partition := range 50 {
 		claim := Claim{}
 		claim.Partition = partition
-		stream := StreamOf(claim, 24)
+		stream := CellStream(claim, 24)
 		assert.Assert(t, stream.Partition < 24)
 		streams[stream.String()] = true
 	}
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -61,21 +61,21 @@
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.SuspendedTime
-	// AskPeer asks another node for the claims that it knows.
-	AskPeer func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
-	// Changed is told the claims in force after each change, and what was asked
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
+	// FetchClaims asks another node for the claims that it knows.
+	FetchClaims func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
+	// OnViewChange is told the claims in force after each change, and what was asked
 	// when, so that the node can run the cells that are its own. It must not wait.
-	Changed func(View)
+	OnViewChange func(View)
 }
 
 // View is what a node believes about the cells.
 type View struct {
 	Claims  map[string]Claim
 	Members []Member
-	// Steady says that the list of members has probably all of them.
-	Steady bool
+	// MembersComplete says that the list of members has probably all of them.
+	MembersComplete bool
 	// Layout says into how many cells each pool is cut.
 	Layout shard.Layout
 	// ConfirmedAt is when the newest answered reading of the claims was sent: until
@@ -92,8 +92,8 @@
 // Options say who this node is.
 type Options struct {
 	Self Member
-	// TTL is how long the group keeps a silent node.
-	TTL time.Duration
+	// MembershipTTL is how long the group keeps a silent node.
+	MembershipTTL time.Duration
 	// Partitions is how many partitions a topic has.
 	Partitions int
 	// FirstStart says that the system starts for the first time.
@@ -189,19 +189,19 @@
 	return o
 }
 
-// Want names the cells that need an owner.
-func (o *Ownership) Want(cells []string) {
+// SetCells names the cells that need an owner.
+func (o *Ownership) SetCells(cells []string) {
 	o.send(cellsWanted{cells: cells})
 }
 
-// Suspect tells that the address of a node's life has refused a connection: its process
+// ReportRefusedConnection tells that the address of a node's life has refused a connection: its process
 // has ended.
-func (o *Ownership) Suspect(node string, incarnation int) {
+func (o *Ownership) ReportRefusedConnection(node string, incarnation int) {
 	o.send(suspected{node: node, incarnation: incarnation})
 }
 
-// Renounce gives up a claim whose owner has ended by itself.
-func (o *Ownership) Renounce(cell string, token int) {
+// ReleaseClaim gives up a claim whose owner has ended by itself.
+func (o *Ownership) ReleaseClaim(cell string, token int) {
 	o.send(renounced{cell: cell, token: token})
 }
 
@@ -217,8 +217,8 @@
 	}
 }
 
-// AnsweredAt returns when the store last answered this node.
-func (o *Ownership) AnsweredAt() time.Time {
+// StoreAnsweredAt returns when the store last answered this node.
+func (o *Ownership) StoreAnsweredAt() time.Time {
 	return time.Unix(0, o.answeredAt.Load())
 }
 
@@ -309,7 +309,7 @@
 
 func (o *Ownership) publish() {
 	s := &o.state
-	o.deps.Changed(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), Steady: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
+	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), MembersComplete: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
 }
 
 // act makes the calls that are due.
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -20,7 +20,7 @@
 	}
 	for range 5 {
 		for _, node := range nodes {
-			node.TakePartition(func(number int) {
+			node.ReservePartition(func(number int) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				taken[number]++
@@ -44,7 +44,7 @@
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
 	store.set(func() { store.fail = 1 })
 	numbers := make(chan int, 1)
-	w.TakePartition(func(number int) { numbers <- number })
+	w.ReservePartition(func(number int) { numbers <- number })
 	assert.Equal(t, <-numbers, 2)
 }
 
@@ -55,13 +55,13 @@
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
 	token := w.view.Load().Claims["one"].Token
 
-	w.Move("one", token, 7)
+	w.MoveClaim("one", token, 7)
 
 	until(t, "the claim names the partition", func() bool { return w.view.Load().Claims["one"].Partition == 7 })
 	assert.Assert(t, w.owns("one") && w.view.Load().Claims["one"].Token > token)
-	w.Move("one", token, 9)
-	w.Move("two", token, 9)
-	w.Want([]string{"one", "three"})
+	w.MoveClaim("one", token, 9)
+	w.MoveClaim("two", token, 9)
+	w.SetCells([]string{"one", "three"})
 	until(t, "a cell is owned that came later", func() bool { return w.owns("three") })
 	assert.Equal(t, w.view.Load().Claims["one"].Partition, 7, "a claim that has been followed moves nothing")
 	assert.Equal(t, w.view.Load().Claims["three"].Partition, 8, "a partition that no cell has had")
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -115,7 +115,7 @@
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, proofWait)
 		defer cancel()
-		reply, err := o.deps.AskPeer(ctx, claim.Address, wire.ClaimsArgs{Node: o.options.Self.Node})
+		reply, err := o.deps.FetchClaims(ctx, claim.Address, wire.ClaimsArgs{Node: o.options.Self.Node})
 		o.send(proofHeard{node: claim.Node, incarnation: claim.Incarnation, askedAt: now, reply: reply, err: err})
 		return nil
 	})
@@ -138,7 +138,7 @@
 		defer cancel()
 		read := workRead{node: of.Node, incarnation: of.Incarnation, askedAt: now}
 		for _, claim := range claims {
-			page, err := o.deps.Store.Newest(ctx, StreamOf(claim, o.options.Partitions), beyondKeys)
+			page, err := o.deps.Store.Newest(ctx, CellStream(claim, o.options.Partitions), beyondKeys)
 			if err != nil {
 				read.err = err
 				break
