--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -50,8 +50,8 @@
 	Dial     damsonwinch.Dial
 	Logger   logrus.FieldLogger
 	Metrics  *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.SuspendedTime
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
 	// CallListener takes the calls of other nodes.
 	CallListener net.Listener
 	// Configured is told each configuration that comes into force.
@@ -160,7 +160,7 @@
 	n.calls = calls
 	n.ownership = ownership.New(ownership.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Changed: n.viewChanged,
-		AskPeer: n.router.Claims, Slept: deps.Slept,
+		AskPeer: n.router.Claims, Slept: deps.SuspendedTime,
 	}, ownership.Options{Self: options.Self, TTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -32,8 +32,8 @@
 	Clock     damsonwinch.Clock
 	Logger    logrus.FieldLogger
 	Metrics   *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.SuspendedTime
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
 	// StoreAnsweredAt returns when the store last answered this node.
 	StoreAnsweredAt func() time.Time
 	// TakePartition takes a partition of the store that no cell has had, StreamAt returns its
@@ -98,7 +98,7 @@
 		deps: deps, options: options, cell: cell.New(options.Cells, options.Token), inbox: make(chan message, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, calling: workers.New(ctx, group), ctx: ctx, cancel: cancel, calls: map[int]chan<- wire.JobReply{},
-		ready: make(chan struct{}), done: make(chan struct{}), sleptBefore: deps.Slept.Total(),
+		ready: make(chan struct{}), done: make(chan struct{}), sleptBefore: deps.SuspendedTime.Total(),
 	}
 	group.Go(o.run)
 	return o
@@ -182,7 +182,7 @@
 // wake tells the cell for how long the machine has been suspended. It must come right before
 // orders are given: what was decided before a suspension is no longer true.
 func (o *Owner) wake() bool {
-	return o.cell.Suspended(o.deps.Slept.Total() - o.sleptBefore)
+	return o.cell.Suspended(o.deps.SuspendedTime.Total() - o.sleptBefore)
 }
 
 // Waits says whether tasks of the cell wait for room.
--- a/pkg/owner/suspend_test.go
+++ b/pkg/owner/suspend_test.go
@@ -11,7 +11,7 @@
 func TestASuspendedOwnerGivesNoOrder(t *testing.T) {
 	m := newMoving(t, &partedStore{})
 	slept := time.Duration(0)
-	m.deps.Slept = func() time.Duration { return slept }
+	m.deps.SuspendedTime = func() time.Duration { return slept }
 	committed{number: 1}.apply(m.Owner, m.clock.Now())
 	submission("b", m.clock.Now(), m.replies).apply(m.Owner, m.clock.Now())
 	m.clock.Advance(time.Second)
