--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -41,8 +41,8 @@
 	TakePartition func(take func(number int))
 	StreamAt      func(number int) damsonwinch.Stream
 	Move          func(cell string, token, number int)
-	// RoomWanted is told when tasks begin to wait for room. It must not wait.
-	RoomWanted func()
+	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
+	OnTasksWaiting func()
 }
 
 // Options say what is owned.
@@ -193,7 +193,7 @@
 func (o *Owner) noteWaits() {
 	waits := o.cell.HasWaitingTasks()
 	if o.waits.Swap(waits) != waits && waits {
-		o.deps.RoomWanted()
+		o.deps.OnTasksWaiting()
 	}
 }
 
