--- a/pkg/node/endpoints.go
+++ b/pkg/node/endpoints.go
@@ -34,7 +34,7 @@
 
 func (n *Node) endpointPause() time.Duration {
 	for _, held := range *n.holdings.Load() {
-		if cellOwner, isOwner := held.(*owner.Owner); isOwner && cellOwner.Waits() {
+		if cellOwner, isOwner := held.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
 			return hurriedPause
 		}
 	}
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -185,8 +185,8 @@
 	return o.cell.Suspended(o.deps.SuspendedTime.Total() - o.sleptBefore)
 }
 
-// Waits says whether tasks of the cell wait for room.
-func (o *Owner) Waits() bool {
+// HasWaitingTasks says whether tasks of the cell wait for room.
+func (o *Owner) HasWaitingTasks() bool {
 	return o.waits.Load()
 }
 
