--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -41,7 +41,7 @@
 	confirmedAt := n.View().ConfirmedAt
 	for _, held := range *n.holdings.Load() {
 		if cellOwner, isOwner := held.(*owner.Owner); isOwner {
-			cellOwner.Confirm(confirmedAt)
+			cellOwner.ConfirmOwnership(confirmedAt)
 		}
 	}
 }
--- a/pkg/owner/calls.go
+++ b/pkg/owner/calls.go
@@ -104,8 +104,8 @@
 	o.send(configured{configuration: configuration, guarded: guarded})
 }
 
-// Confirm tells the owner until when its claim stood for certain.
-func (o *Owner) Confirm(at time.Time) {
+// ConfirmOwnership tells the owner until when its claim stood for certain.
+func (o *Owner) ConfirmOwnership(at time.Time) {
 	o.send(confirmed{at: at})
 }
 
