--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -67,7 +67,7 @@
 	o.move.triedAt = now
 	o.deps.Logger.WithField("stuck_ms", o.cell.CommitAge(now).Milliseconds()).Warn("the store doesn't take the cell's records; another partition is sought")
 	o.deps.Metrics.Add("moves_tried", 1)
-	o.deps.TakePartition(func(number int) { o.send(partitionTaken{number: number}) })
+	o.deps.ReservePartition(func(number int) { o.send(partitionTaken{number: number}) })
 }
 
 // turnedAway tells whether the store doesn't take the append that is on its way.
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -66,7 +66,7 @@
 	m.cancel, m.inbox = cancel, make(chan message, inboxSize)
 	m.deps.Store = m.store
 	m.deps.StoreAnsweredAt = clock.Now
-	m.deps.TakePartition = func(take func(int)) { m.taken = append(m.taken, 0); take(len(m.taken)) }
+	m.deps.ReservePartition = func(take func(int)) { m.taken = append(m.taken, 0); take(len(m.taken)) }
 	m.deps.StreamAt = func(number int) damsonwinch.Stream { return damsonwinch.Stream{Topic: "cells", Partition: number} }
 	m.deps.Move = func(_ string, _, number int) { m.moves = append(m.moves, number) }
 	m.options = Options{Cell: "pool", Token: 3, CallBytes: 1 << 20}
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -36,9 +36,9 @@
 	SuspendedTime damsonwinch.SuspendedTime
 	// StoreAnsweredAt returns when the store last answered this node.
 	StoreAnsweredAt func() time.Time
-	// TakePartition takes a partition of the store that no cell has had, StreamAt returns its
+	// ReservePartition takes a partition of the store that no cell has had, StreamAt returns its
 	// stream, and Move has the cell that is owned by a token claimed anew in it.
-	TakePartition func(take func(number int))
+	ReservePartition func(take func(number int))
 	StreamAt      func(number int) damsonwinch.Stream
 	Move          func(cell string, token, number int)
 	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
