--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -94,7 +94,7 @@
 // writeTo writes the cell's records to a partition in which nothing may stand.
 func (o *Owner) writeTo(ctx context.Context, number int, records []damsonwinch.Record) error {
 	deps := stream.Deps{Store: o.deps.Store, Clock: o.deps.Clock, Metrics: o.deps.Metrics}
-	writer := stream.New(deps, o.deps.StreamAt(number), o.options.Cell, o.options.Token)
+	writer := stream.New(deps, o.deps.PartitionStream(number), o.options.Cell, o.options.Token)
 	before, err := writer.TakeOver(ctx)
 	if err != nil {
 		return err
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -39,7 +39,7 @@
 	// ReservePartition takes a partition of the store that no cell has had, StreamAt returns its
 	// stream, and Move has the cell that is owned by a token claimed anew in it.
 	ReservePartition func(take func(number int))
-	StreamAt      func(number int) damsonwinch.Stream
+	PartitionStream      func(number int) damsonwinch.Stream
 	Move          func(cell string, token, number int)
 	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
 	OnTasksWaiting func()
