--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -80,7 +80,7 @@
 	started := owner.New(owner.Deps{
 		Store: n.deps.Platform.Store, Endpoints: n.deps.Platform.Endpoints, Fleet: n.deps.Platform.Fleet, Advisor: n.deps.Platform.Advisor, Clock: n.deps.Clock,
 		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, OnTasksWaiting: n.readEndpoints,
-		SuspendedTime: n.deps.SuspendedTime, StoreAnsweredAt: n.ownership.AnsweredAt, ReservePartition: n.ownership.TakePartition, Move: n.ownership.Move,
+		SuspendedTime: n.deps.SuspendedTime, StoreAnsweredAt: n.ownership.AnsweredAt, ReservePartition: n.ownership.TakePartition, MoveClaim: n.ownership.Move,
 		PartitionStream: func(number int) damsonwinch.Stream { return ownership.StreamAt(number, n.options.Partitions) },
 	}, owner.Options{Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, CallBytes: n.options.CallBytes, Cells: n.options.Cells})
 	started.Configure(n.state.configuration, n.guarded(claim.Cell))
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -122,7 +122,7 @@
 		return
 	}
 	line.Info("cell written to another partition")
-	o.deps.Move(o.options.Cell, o.options.Token, m.number)
+	o.deps.MoveClaim(o.options.Cell, o.options.Token, m.number)
 }
 
 // endMove goes on as before, with what was withheld.
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -40,7 +40,7 @@
 	// stream, and Move has the cell that is owned by a token claimed anew in it.
 	ReservePartition func(take func(number int))
 	PartitionStream      func(number int) damsonwinch.Stream
-	Move          func(cell string, token, number int)
+	MoveClaim          func(cell string, token, number int)
 	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
 	OnTasksWaiting func()
 }
