--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -65,8 +65,8 @@
 	Supply     supply.Options
 	TTL        time.Duration
 	Partitions int
-	// CallBytes is the most that the store takes in a call.
-	CallBytes  int
+	// MaxAppendBytes is the most that the store takes in a call.
+	MaxAppendBytes  int
 	FirstStart bool
 }
 
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -84,7 +84,7 @@
 
 // commit appends to the cell's stream until that is done.
 func (o *Owner) commit(commit cell.Commit) {
-	batches := commit.Batches(o.options.CallBytes)
+	batches := commit.Batches(o.options.MaxAppendBytes)
 	fences := make([]damsonwinch.Fence, len(batches))
 	for number := range batches {
 		fences[number] = o.writer.Next()
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -102,7 +102,7 @@
 	if len(before) > 0 {
 		return errNotEmpty
 	}
-	for _, batch := range (cell.Commit{Records: records}).Batches(o.options.CallBytes) {
+	for _, batch := range (cell.Commit{Records: records}).Batches(o.options.MaxAppendBytes) {
 		if err := writer.Append(ctx, batch, writer.Next()); err != nil {
 			return err
 		}
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -69,7 +69,7 @@
 	m.deps.ReservePartition = func(take func(int)) { m.taken = append(m.taken, 0); take(len(m.taken)) }
 	m.deps.PartitionStream = func(number int) damsonwinch.Stream { return damsonwinch.Stream{Topic: "cells", Partition: number} }
 	m.deps.MoveClaim = func(_ string, _, number int) { m.moves = append(m.moves, number) }
-	m.options = Options{Cell: "pool", Token: 3, CallBytes: 1 << 20}
+	m.options = Options{Cell: "pool", Token: 3, MaxAppendBytes: 1 << 20}
 	m.writer = stream.New(stream.Deps{Store: m.store, Clock: clockwork.NewRealClock(), Metrics: m.deps.Metrics}, m.deps.PartitionStream(0), "pool", 3)
 	submission("a", clock.Now(), m.replies).apply(m.Owner, clock.Now())
 	assert.Assert(t, !m.carryOut())
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -52,8 +52,8 @@
 	Stream damsonwinch.Stream
 	// Token is the epoch of the claim by which the cell is owned.
 	Token int
-	// CallBytes is the most that the store takes in a call.
-	CallBytes int
+	// MaxAppendBytes is the most that the store takes in a call.
+	MaxAppendBytes int
 	Cells     cell.Options
 }
 
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -140,7 +140,7 @@
 		},
 		TTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
 		Partitions: orUsual(config.Partitions, usualPartitions),
-		CallBytes:  orUsual(config.StoreCallBytes, usualCallBytes),
+		MaxAppendBytes:  orUsual(config.StoreCallBytes, usualCallBytes),
 		FirstStart: config.FirstStart,
 	}
 }
