--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -82,7 +82,7 @@
 		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, OnTasksWaiting: n.readEndpoints,
 		SuspendedTime: n.deps.SuspendedTime, StoreAnsweredAt: n.ownership.AnsweredAt, ReservePartition: n.ownership.TakePartition, MoveClaim: n.ownership.Move,
 		PartitionStream: func(number int) damsonwinch.Stream { return ownership.StreamAt(number, n.options.Partitions) },
-	}, owner.Options{Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, MaxAppendBytes: n.options.MaxAppendBytes, Cells: n.options.Cells})
+	}, owner.Options{Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, MaxAppendBytes: n.options.MaxAppendBytes, CellOptions: n.options.CellOptions})
 	started.Configure(n.state.configuration, n.guarded(claim.Cell))
 	if n.state.registry.complete && n.state.registry.told(n.state.layout, &n.state.placements) {
 		started.SetEndpoints(n.state.registry.of(claim.Cell, n.state.layout))
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -61,7 +61,7 @@
 // Options say who the node is and by which times it decides.
 type Options struct {
 	Self       ownership.Member
-	Cells      cell.Options
+	CellOptions      cell.Options
 	Supply     supply.Options
 	TTL        time.Duration
 	Partitions int
@@ -310,7 +310,7 @@
 		n.state.boxes = m.boxes
 		n.decideLayout()
 	case reloaded:
-		n.options.Cells, n.options.Supply = m.options.Cells, m.options.Supply
+		n.options.CellOptions, n.options.Supply = m.options.CellOptions, m.options.Supply
 	case stopHoldings:
 		n.state.stopping = true
 		n.manageHoldings()
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -54,7 +54,7 @@
 	Token int
 	// MaxAppendBytes is the most that the store takes in a call.
 	MaxAppendBytes int
-	Cells     cell.Options
+	CellOptions     cell.Options
 }
 
 // Owner owns one cell until it is closed or deposed.
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	o := &Owner{
-		deps: deps, options: options, cell: cell.New(options.Cells, options.Token), inbox: make(chan message, inboxSize),
+		deps: deps, options: options, cell: cell.New(options.CellOptions, options.Token), inbox: make(chan message, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, calling: workers.New(ctx, group), ctx: ctx, cancel: cancel, calls: map[int]chan<- wire.JobReply{},
 		ready: make(chan struct{}), done: make(chan struct{}), sleptBefore: deps.SuspendedTime.Total(),
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -130,7 +130,7 @@
 		Self: ownership.Member{
 			Node: config.Node, Address: config.CallAddress, Weight: weightOf(config), Incarnation: int(env.Clock.Now().UnixMilli()),
 		},
-		Cells: cell.Options{
+		CellOptions: cell.Options{
 			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: tokenGrace, MaxStartDelay: startLate, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: commitGap,
 			PollWait: lookWait, IdlePollInterval: idleLook, PollRetryInterval: retryLook, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
 			BoxLeadTime: seconds(bounds.MoveS) + supply.FirstTaskDelay,
