--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -76,7 +76,7 @@
 func routerOf(cells Cells) *Router {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	return New(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
+	return NewRouter(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
 }
 
 func jobOf(id string, lasting bool) wire.JobArgs {
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -80,8 +80,8 @@
 
 var _ damsonwinch.JobService = (*Router)(nil)
 
-// New returns a router.
-func New(deps Deps) *Router {
+// NewRouter returns a router.
+func NewRouter(deps Deps) *Router {
 	return &Router{deps: deps, peers: map[string]*call.Client{}}
 }
 
