--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -52,7 +52,7 @@
 	owners map[string]*fakeOwner
 }
 
-func (c *fakeCells) Local(cell string) (CellOwner, bool) {
+func (c *fakeCells) LocalOwner(cell string) (CellOwner, bool) {
 	owner, here := c.owners[cell]
 	return owner, here
 }
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -36,8 +36,8 @@
 
 // Cells knows the cells' owners.
 type Cells interface {
-	// Local returns the cell's owner if it is on this node.
-	Local(cell string) (CellOwner, bool)
+	// LocalOwner returns the cell's owner if it is on this node.
+	LocalOwner(cell string) (CellOwner, bool)
 	// View returns what is believed of all cells.
 	View() ownership.View
 	// StoreAnsweredAt returns when the store last answered this node.
@@ -175,7 +175,7 @@
 
 // try makes one try and says whether it may have had an effect.
 func (r *Router) try(ctx context.Context, m method, args wire.JobArgs) (wire.JobReply, bool) {
-	if local, here := r.deps.Cells.Local(args.Cell); here {
+	if local, here := r.deps.Cells.LocalOwner(args.Cell); here {
 		reply := m.local(local, ctx, args)
 		return reply, reply.Outcome == wire.JobOutcomeUnknown
 	}
@@ -220,7 +220,7 @@
 
 // Sync brings the fleet planner's call to the owner of a cell, with one try.
 func (r *Router) Sync(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error) {
-	if local, here := r.deps.Cells.Local(args.Cell); here {
+	if local, here := r.deps.Cells.LocalOwner(args.Cell); here {
 		return local.Sync(ctx, args), nil
 	}
 	claim, known := r.deps.Cells.View().Owner(args.Cell)
--- a/pkg/intake/service.go
+++ b/pkg/intake/service.go
@@ -55,7 +55,7 @@
 func (s *Service) Sync(args wire.SyncArgs, reply *wire.SyncReply) error {
 	ctx, cancel := context.WithTimeout(s.context, serviceTimeout)
 	defer cancel()
-	if local, here := s.cells.Local(args.Cell); here {
+	if local, here := s.cells.LocalOwner(args.Cell); here {
 		*reply = local.Sync(ctx, args)
 	}
 	return nil
@@ -81,7 +81,7 @@
 func (s *Service) answer(m method, args wire.JobArgs, reply *wire.JobReply) error {
 	ctx, cancel := context.WithTimeout(s.context, serviceTimeout)
 	defer cancel()
-	local, here := s.cells.Local(args.Cell)
+	local, here := s.cells.LocalOwner(args.Cell)
 	if !here {
 		*reply = wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "this node does not own the cell"}
 		return nil
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -207,8 +207,8 @@
 	return *n.view.Load()
 }
 
-// Local implements intake.Cells.
-func (n *Node) Local(cell string) (intake.CellOwner, bool) {
+// LocalOwner implements intake.Cells.
+func (n *Node) LocalOwner(cell string) (intake.CellOwner, bool) {
 	found, here := (*n.holdings.Load())[cell].(intake.CellOwner)
 	return found, here
 }
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -192,7 +192,7 @@
 		if s.closed[number] {
 			continue
 		}
-		if _, here := node.node.Local(cell); here {
+		if _, here := node.node.LocalOwner(cell); here {
 			return number
 		}
 	}
