--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -59,7 +59,7 @@
 
 func (c *fakeCells) View() ownership.View       { return ownership.View{Layout: c.layout} }
 func (c *fakeCells) StoreAnsweredAt() time.Time { return time.Time{} }
-func (c *fakeCells) Suspect(string, int)        {}
+func (c *fakeCells) ReportRefusedConnection(string, int)        {}
 
 func (c *fakeCells) Admit(context.Context, wire.JobArgs) (wire.JobReply, bool) {
 	return wire.JobReply{}, true
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -45,8 +45,8 @@
 	// Admit says whether a call that another node has taken may be made, by what this one
 	// knows of customers and their keys; if not, the reply.
 	Admit(ctx context.Context, args wire.JobArgs) (wire.JobReply, bool)
-	// Suspect tells that a node's life has refused a connection.
-	Suspect(node string, incarnation int)
+	// ReportRefusedConnection tells that a node's life has refused a connection.
+	ReportRefusedConnection(node string, incarnation int)
 }
 
 // CellOwner is what the owner of a cell answers.
@@ -193,7 +193,7 @@
 	}
 	r.failedAt.Store(r.deps.Clock.Now().UnixNano())
 	if call.Refused(err) {
-		r.deps.Cells.Suspect(claim.Node, claim.Incarnation)
+		r.deps.Cells.ReportRefusedConnection(claim.Node, claim.Incarnation)
 	}
 	r.deps.Metrics.Add("forward_failures", 1)
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: err.Error()}, call.MaySent(err)
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -218,8 +218,8 @@
 	return n.ownership.AnsweredAt()
 }
 
-// Suspect implements intake.Cells.
-func (n *Node) Suspect(node string, incarnation int) {
+// ReportRefusedConnection implements intake.Cells.
+func (n *Node) ReportRefusedConnection(node string, incarnation int) {
 	n.ownership.Suspect(node, incarnation)
 }
 
