--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -204,9 +204,9 @@
 	return reply.Outcome == wire.JobOutcomeRefused || reply.Outcome == wire.JobOutcomeUnknown
 }
 
-// Serves says whether calls to other nodes were answered within a time as asked, the
+// ReachesOwners says whether calls to other nodes were answered within a time as asked, the
 // last one included.
-func (r *Router) Serves(within time.Duration) bool {
+func (r *Router) ReachesOwners(within time.Duration) bool {
 	answered := r.answeredAt.Load()
 	return answered > r.failedAt.Load() && r.deps.Clock.Now().UnixNano()-answered < within.Nanoseconds()
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -187,7 +187,7 @@
 	if n.inForce.Load() == nil {
 		return false
 	}
-	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.Serves(readyTime)
+	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.ReachesOwners(readyTime)
 }
 
 // ConfiguredAt returns when the configuration in force was last known to be the newest.
