--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -54,8 +54,8 @@
 	SuspendedTime damsonwinch.SuspendedTime
 	// CallListener takes the calls of other nodes.
 	CallListener net.Listener
-	// Configured is told each configuration that comes into force.
-	Configured func(configuration damsonwinch.Configuration, book *customer.Index)
+	// OnConfiguration is told each configuration that comes into force.
+	OnConfiguration func(configuration damsonwinch.Configuration, book *customer.Index)
 }
 
 // Options say who the node is and by which times it decides.
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -58,7 +58,7 @@
 	for _, flaw := range slices.Concat(configuration.Problems, flaws) {
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
 	}
-	n.deps.Configured(configuration, book)
+	n.deps.OnConfiguration(configuration, book)
 	n.ownership.Want(cellsOf(configuration, n.state.layout))
 	n.decideLayout()
 	for cell, held := range *n.holdings.Load() {
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -88,7 +88,7 @@
 			WaveReport: platform.WaveReport,
 		},
 		Clock: env.Clock, SuspendedTime: env.Slept, Dial: env.Dial, Logger: env.Logger, Metrics: set, CallListener: listeners[0],
-		Configured: func(configuration damsonwinch.Configuration, book *customer.Index) {
+		OnConfiguration: func(configuration damsonwinch.Configuration, book *customer.Index) {
 			if handler := clients.Load(); handler != nil {
 				handler.Configure(configuration, book)
 			}
