--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -63,7 +63,7 @@
 	Self       ownership.Member
 	CellOptions      cell.Options
 	Supply     supply.Options
-	TTL        time.Duration
+	MembershipTTL        time.Duration
 	Partitions int
 	// MaxAppendBytes is the most that the store takes in a call.
 	MaxAppendBytes  int
@@ -161,7 +161,7 @@
 	n.ownership = ownership.New(ownership.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Changed: n.viewChanged,
 		AskPeer: n.router.Claims, Slept: deps.SuspendedTime,
-	}, ownership.Options{Self: options.Self, TTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
+	}, ownership.Options{Self: options.Self, TTL: options.MembershipTTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.peers.Ask,
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -138,7 +138,7 @@
 		Supply: supply.Options{
 			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
-		TTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
+		MembershipTTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
 		Partitions: orUsual(config.Partitions, usualPartitions),
 		MaxAppendBytes:  orUsual(config.StoreCallBytes, usualCallBytes),
 		FirstStart: config.FirstStart,
