--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -177,8 +177,8 @@
 	return n, nil
 }
 
-// Jobs takes clients' calls.
-func (n *Node) Jobs() damsonwinch.JobService {
+// JobService takes clients' calls.
+func (n *Node) JobService() damsonwinch.JobService {
 	return n.router
 }
 
