--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -190,8 +190,8 @@
 	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.ReachesOwners(readyTime)
 }
 
-// ConfiguredAt returns when the configuration in force was last known to be the newest.
-func (n *Node) ConfiguredAt() time.Time {
+// ConfigurationConfirmedAt returns when the configuration in force was last known to be the newest.
+func (n *Node) ConfigurationConfirmedAt() time.Time {
 	return n.relay.CurrentAt()
 }
 
