--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -41,7 +41,7 @@
 	confirmedAt := n.View().ConfirmedAt
 	for _, held := range *n.holdings.Load() {
 		if cellOwner, isOwner := held.(*owner.Owner); isOwner {
-			cellOwner.Confirm(confirmedAt)
+			cellOwner.ConfirmOwnership(confirmedAt)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 func (n *Node) startOwner(claim ownership.Claim) *owner.Owner {
 	started := owner.New(owner.Deps{
 		Store: n.deps.Platform.Store, Endpoints: n.deps.Platform.Endpoints, Fleet: n.deps.Platform.Fleet, Advisor: n.deps.Platform.Advisor, Clock: n.deps.Clock,
-		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, RoomWanted: n.readEndpoints,
-		Slept: n.deps.Slept, StoreAnsweredAt: n.ownership.StoreAnsweredAt, TakePartition: n.ownership.ReservePartition, Move: n.ownership.MoveClaim,
-		StreamAt: func(number int) damsonwinch.Stream { return ownership.PartitionStream(number, n.options.Partitions) },
-	}, owner.Options{Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, CallBytes: n.options.CallBytes, Cells: n.options.Cells})
+		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, OnTasksWaiting: n.readEndpoints,
+		SuspendedTime: n.deps.SuspendedTime, StoreAnsweredAt: n.ownership.StoreAnsweredAt, ReservePartition: n.ownership.ReservePartition, MoveClaim: n.ownership.MoveClaim,
+		PartitionStream: func(number int) damsonwinch.Stream { return ownership.PartitionStream(number, n.options.Partitions) },
+	}, owner.Options{Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, MaxAppendBytes: n.options.MaxAppendBytes, CellOptions: n.options.CellOptions})
 	started.Configure(n.state.configuration, n.guarded(claim.Cell))
 	if n.state.registry.complete && n.state.registry.told(n.state.layout, &n.state.placements) {
 		started.SetEndpoints(n.state.registry.of(claim.Cell, n.state.layout))
@@ -94,7 +94,7 @@
 	started := planner.New(planner.Deps{
 		Store: n.deps.Platform.Store, Fleet: n.deps.Platform.Fleet, Clock: n.deps.Clock, Logger: n.deps.Logger.WithField("cell", claim.Cell),
 		Metrics: n.deps.Metrics, Sync: n.router.Sync, WaveReport: n.deps.Platform.WaveReport,
-		SuspendedTime:  n.deps.Slept,
+		SuspendedTime:  n.deps.SuspendedTime,
 		OnFirstBoxList: func(count int) { n.send(boxesCounted{boxes: count}) },
 	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
 	started.Configure(n.state.configuration, n.state.layout)
