--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -57,9 +57,9 @@
 	return owner, here
 }
 
-func (c *fakeCells) View() ownership.View       { return ownership.View{Layout: c.layout} }
-func (c *fakeCells) StoreAnsweredAt() time.Time { return time.Time{} }
-func (c *fakeCells) ReportRefusedConnection(string, int)        {}
+func (c *fakeCells) View() ownership.View                { return ownership.View{Layout: c.layout} }
+func (c *fakeCells) StoreAnsweredAt() time.Time          { return time.Time{} }
+func (c *fakeCells) ReportRefusedConnection(string, int) {}
 
 func (c *fakeCells) Admit(context.Context, wire.JobArgs) (wire.JobReply, bool) {
 	return wire.JobReply{}, true
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -60,14 +60,14 @@
 
 // Options say who the node is and by which times it decides.
 type Options struct {
-	Self       ownership.Member
-	CellOptions      cell.Options
-	Supply     supply.Options
-	MembershipTTL        time.Duration
-	Partitions int
+	Self          ownership.Member
+	CellOptions   cell.Options
+	Supply        supply.Options
+	MembershipTTL time.Duration
+	Partitions    int
 	// MaxAppendBytes is the most that the store takes in a call.
-	MaxAppendBytes  int
-	FirstStart bool
+	MaxAppendBytes int
+	FirstStart     bool
 }
 
 // Node is a running node.
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -39,8 +39,8 @@
 	// ReservePartition takes a partition of the store that no cell has had, StreamAt returns its
 	// stream, and Move has the cell that is owned by a token claimed anew in it.
 	ReservePartition func(take func(number int))
-	PartitionStream      func(number int) damsonwinch.Stream
-	MoveClaim          func(cell string, token, number int)
+	PartitionStream  func(number int) damsonwinch.Stream
+	MoveClaim        func(cell string, token, number int)
 	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
 	OnTasksWaiting func()
 }
@@ -54,7 +54,7 @@
 	Token int
 	// MaxAppendBytes is the most that the store takes in a call.
 	MaxAppendBytes int
-	CellOptions     cell.Options
+	CellOptions    cell.Options
 }
 
 // Owner owns one cell until it is closed or deposed.
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -138,10 +138,10 @@
 		Supply: supply.Options{
 			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
-		MembershipTTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
-		Partitions: orUsual(config.Partitions, usualPartitions),
-		MaxAppendBytes:  orUsual(config.StoreCallBytes, usualCallBytes),
-		FirstStart: config.FirstStart,
+		MembershipTTL:  milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
+		Partitions:     orUsual(config.Partitions, usualPartitions),
+		MaxAppendBytes: orUsual(config.StoreCallBytes, usualCallBytes),
+		FirstStart:     config.FirstStart,
 	}
 }
 
