--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -173,7 +173,7 @@
 	record := wire.Entry{Offset: state.Offset(), At: state.At(), Data: string(data)}
 	took := planbench.MedianMs(clock, func() {
 		for range together {
-			state.Fold(record)
+			state.Apply(record)
 		}
 	})
 	return took * float64(time.Millisecond/time.Microsecond) / together
@@ -192,7 +192,7 @@
 			return nil
 		}
 		known, _ := json.Marshal(renewal(int(count), true))
-		state, _ := empty.Fold(wire.Entry{Data: string(known)})
+		state, _ := empty.Apply(wire.Entry{Data: string(known)})
 		folds = append(folds, foldTime(clock, state, batch))
 		claims = append(claims, claimBytes(int(count)))
 	}
--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -41,9 +41,9 @@
 	batch  wire.Batch
 }
 
-// Fold returns the state after a record and a verdict for each of its
+// Apply returns the state after a record and a verdict for each of its
 // proposals. A record that can't be read is passed over by every process alike.
-func (s State) Fold(record wire.Entry) (State, []Verdict) {
+func (s State) Apply(record wire.Entry) (State, []Verdict) {
 	s.offset = record.Offset + 1
 	s.at = max(s.at, record.At)
 	var batch wire.Batch
--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -73,7 +73,7 @@
 	}
 	data, err := json.Marshal(batch)
 	assert.NilError(t, err)
-	next, verdicts := state.Fold(wire.Entry{Offset: state.Offset(), At: at, Data: string(data)})
+	next, verdicts := state.Apply(wire.Entry{Offset: state.Offset(), At: at, Data: string(data)})
 	var told strings.Builder
 	for _, verdict := range verdicts {
 		word := "refused"
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -32,7 +32,7 @@
 			data, err := json.Marshal(batch)
 			assert.NilError(t, err)
 			record := wire.Entry{Offset: state.Offset(), At: state.At() + random.IntN(2000), Data: string(data)}
-			next, verdicts := state.Fold(record)
+			next, verdicts := state.Apply(record)
 			state = next
 			for _, verdict := range verdicts {
 				if verdict.Accepted {
@@ -64,7 +64,7 @@
 	}}
 	data, err := json.Marshal(batch)
 	assert.NilError(t, err)
-	state, _ = state.Fold(wire.Entry{Offset: 0, At: 1, Data: string(data)})
+	state, _ = state.Apply(wire.Entry{Offset: 0, At: 1, Data: string(data)})
 	assert.Equal(t, state.Table().Version(), 1)
 	return state
 }
@@ -177,7 +177,7 @@
 	f.Fuzz(func(t *testing.T, data string) {
 		state := New(table.New(checker))
 		for range 2 {
-			next, _ := state.Fold(wire.Entry{Offset: state.Offset(), At: 5, Data: data})
+			next, _ := state.Apply(wire.Entry{Offset: state.Offset(), At: 5, Data: data})
 			assert.Equal(t, next.Offset(), state.Offset()+1)
 			state = next
 		}
--- a/pkg/fold/release_test.go
+++ b/pkg/fold/release_test.go
@@ -16,7 +16,7 @@
 	renew := func(members ...wire.Member) {
 		data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Proposals: []wire.Proposal{{Kind: wire.KindRenew, Members: members}}})
 		assert.NilError(t, err)
-		state, _ = state.Fold(wire.Entry{Offset: state.Offset(), Data: string(data)})
+		state, _ = state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
 	}
 	releasable := func() bool {
 		sender, known := state.Sender(SenderKey{Node: "a", Entry: 11})
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -190,7 +190,7 @@
 			return update, fmt.Errorf("record %d came after %d: records are missing", record.Offset, f.state.Offset()-1)
 		}
 		was := f.state
-		next, verdicts := was.Fold(record)
+		next, verdicts := was.Apply(record)
 		f.deps.Invariants.Check(invariant.ConfigReverted, next.Table().Version() >= was.Table().Version() && next.Offset() > was.Offset(),
 			"record %d took the table from version %d to %d", record.Offset, was.Table().Version(), next.Table().Version())
 		f.state = next
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -21,7 +21,7 @@
 func foldOne(t *testing.T, state fold.State, proposal wire.Proposal) fold.State {
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: 1, Number: state.Offset() + 1, Proposals: []wire.Proposal{proposal}})
 	assert.NilError(t, err)
-	next, verdicts := state.Fold(wire.Entry{Offset: state.Offset(), Data: string(data)})
+	next, verdicts := state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
 	assert.Assert(t, verdicts[0].Accepted, verdicts[0].Reason)
 	return next
 }
--- a/pkg/keeper/outbox_test.go
+++ b/pkg/keeper/outbox_test.go
@@ -32,7 +32,7 @@
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: testIncarnation, Number: number, Proposals: proposals})
 	assert.NilError(f.t, err)
 	record := wire.Entry{Offset: f.state.Offset(), Data: string(data)}
-	next, verdicts := f.state.Fold(record)
+	next, verdicts := f.state.Apply(record)
 	f.state = next
 	return []follow.Folded{{Record: record, Verdicts: verdicts}}
 }
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil
 	}
-	next, verdicts := b.state.Fold(wire.Entry{Offset: b.state.Offset(), At: b.at, Data: string(data)})
+	next, verdicts := b.state.Apply(wire.Entry{Offset: b.state.Offset(), At: b.at, Data: string(data)})
 	b.state = next
 	return verdicts
 }
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -84,7 +84,7 @@
 
 func (o *observer) fold(record wire.Entry) {
 	was := o.state
-	next, verdicts := was.Fold(record)
+	next, verdicts := was.Apply(record)
 	o.state = next
 	if next.Table().Version() > was.Table().Version() {
 		o.publishedAt[next.Table().Version()] = time.UnixMilli(int64(record.At))
