--- a/pkg/audit/audit.go
+++ b/pkg/audit/audit.go
@@ -20,7 +20,7 @@
 
 // Add notes the verdicts of one record. Accepted renewals and
 // checkpoints are left out: they change nothing that an operator asks about.
-func (t *Trail) Add(record wire.Entry, verdicts []fold.Verdict) {
+func (t *Trail) Add(record wire.Entry, verdicts []fold.Result) {
 	for i, verdict := range verdicts {
 		if kind := verdict.Proposal.Kind; verdict.Accepted && (kind == wire.KindRenew || kind == wire.KindCheckpoint) {
 			continue
@@ -32,7 +32,7 @@
 	}
 }
 
-func line(record wire.Entry, index int, verdict fold.Verdict) wire.AuditLine {
+func line(record wire.Entry, index int, verdict fold.Result) wire.AuditLine {
 	return wire.AuditLine{
 		Offset:   record.Offset,
 		Index:    index,
--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -9,8 +9,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Verdict is what became of one proposal.
-type Verdict struct {
+// Result is what became of one proposal.
+type Result struct {
 	Proposal wire.Proposal
 	// Subject names the boxes, the node or the rows that the proposal is about,
 	// with a space between them.
@@ -43,22 +43,22 @@
 
 // Apply returns the state after a record and a verdict for each of its
 // proposals. A record that can't be read is passed over by every process alike.
-func (s State) Apply(record wire.Entry) (State, []Verdict) {
+func (s State) Apply(record wire.Entry) (State, []Result) {
 	s.offset = record.Offset + 1
 	s.at = max(s.at, record.At)
 	var batch wire.Batch
 	if err := json.Unmarshal([]byte(record.Data), &batch); err != nil {
-		return s, []Verdict{{Subject: "record", Reason: fmt.Sprintf("not readable: %v", err)}}
+		return s, []Result{{Subject: "record", Reason: fmt.Sprintf("not readable: %v", err)}}
 	}
 	if err := s.checkCopy(batch); err != nil {
-		return s, []Verdict{{Subject: batch.Node, Reason: err.Error(), Author: batch.Node}}
+		return s, []Result{{Subject: batch.Node, Reason: err.Error(), Author: batch.Node}}
 	}
 	s = s.withWriter(batch)
 	where := step{offset: record.Offset, at: s.at, batch: batch}
-	verdicts := make([]Verdict, 0, len(batch.Proposals))
+	verdicts := make([]Result, 0, len(batch.Proposals))
 	for _, proposal := range batch.Proposals {
 		next, did, err := s.apply(proposal, where)
-		verdict := Verdict{Proposal: proposal, Subject: subject(proposal), Accepted: err == nil, Reason: did, Author: author(proposal, batch)}
+		verdict := Result{Proposal: proposal, Subject: subject(proposal), Accepted: err == nil, Reason: did, Author: author(proposal, batch)}
 		if err != nil {
 			verdict.Reason = err.Error()
 		} else {
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -114,7 +114,7 @@
 }
 
 // checkState recomputes from the boxes alone what the state keeps sums of.
-func checkState(t *testing.T, seed uint64, was, state State, verdicts []Verdict) {
+func checkState(t *testing.T, seed uint64, was, state State, verdicts []Result) {
 	t.Helper()
 	total, slots := 0, 0
 	for _, pool := range []string{"one", "two", FreePool} {
@@ -139,7 +139,7 @@
 
 // checkMoves checks that a box leaves its pool only by way of empty, and that a
 // record of one drain leaves its pool its budget.
-func checkMoves(t *testing.T, seed uint64, was, state State, verdicts []Verdict) {
+func checkMoves(t *testing.T, seed uint64, was, state State, verdicts []Result) {
 	t.Helper()
 	for _, box := range state.Boxes() {
 		before, _ := was.Box(box.Info.Name)
--- a/pkg/follow/checkpoint.go
+++ b/pkg/follow/checkpoint.go
@@ -26,7 +26,7 @@
 }
 
 // compareCheckpoints compares the hashes that others have published with our own.
-func (f *Follower) compareCheckpoints(verdicts []fold.Verdict) {
+func (f *Follower) compareCheckpoints(verdicts []fold.Result) {
 	for _, verdict := range verdicts {
 		published := verdict.Proposal.Checkpoint
 		if verdict.Proposal.Kind != wire.KindCheckpoint || published == nil {
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -31,7 +31,7 @@
 // Folded is one record with its verdicts.
 type Folded struct {
 	Record   wire.Entry
-	Verdicts []fold.Verdict
+	Verdicts []fold.Result
 }
 
 // ChangesFleet says whether the record did more than renew.
@@ -227,7 +227,7 @@
 // checkBudgets asserts that an accepted drain of a usable box leaves its pool's
 // services what they need. It looks at records with one proposal, because other
 // proposals of a record may change the pool after the drain.
-func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Verdict) {
+func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Result) {
 	for _, verdict := range verdicts {
 		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
 			continue
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -64,7 +64,7 @@
 }
 
 // append folds one record and returns its verdicts.
-func (b *bench) append(proposals ...wire.Proposal) []fold.Verdict {
+func (b *bench) append(proposals ...wire.Proposal) []fold.Result {
 	b.number++
 	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(b.number), Node: benchNode, Incarnation: 1, Number: b.number, Proposals: proposals})
 	if err != nil {
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -63,7 +63,7 @@
 
 // countMoves counts boxes that leave a pool. A box that has failed must leave, so
 // that the bound counts it too.
-func (b *bench) countMoves(verdicts []fold.Verdict) {
+func (b *bench) countMoves(verdicts []fold.Result) {
 	for _, verdict := range verdicts {
 		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
 			continue
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func (o *observer) count(verdict fold.Verdict, was, next fold.State) {
+func (o *observer) count(verdict fold.Result, was, next fold.State) {
 	change := verdict.Proposal.Change
 	if change == nil {
 		return
