--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -170,7 +170,7 @@
 		return 0
 	}
 	const together = 200
-	record := wire.Entry{Offset: state.Offset(), At: state.At(), Data: string(data)}
+	record := wire.Entry{Offset: state.Offset(), At: state.LogTimeMs(), Data: string(data)}
 	took := planbench.MedianMs(clock, func() {
 		for range together {
 			state.Apply(record)
--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -50,7 +50,7 @@
 // a late copy, number.
 func foldScript(t *testing.T, state State, d *datadriven.TestData, numbers map[string]int) (State, string) {
 	batch := wire.Batch{Id: d.Pos, Node: "a", Incarnation: 1}
-	at := state.At() + 1000
+	at := state.LogTimeMs() + 1000
 	for _, arg := range d.CmdArgs {
 		switch arg.Key {
 		case "node":
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -31,7 +31,7 @@
 			batch := randomBatch(random, state)
 			data, err := json.Marshal(batch)
 			assert.NilError(t, err)
-			record := wire.Entry{Offset: state.Offset(), At: state.At() + random.IntN(2000), Data: string(data)}
+			record := wire.Entry{Offset: state.Offset(), At: state.LogTimeMs() + random.IntN(2000), Data: string(data)}
 			next, verdicts := state.Apply(record)
 			state = next
 			for _, verdict := range verdicts {
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -57,9 +57,9 @@
 	return s.offset
 }
 
-// At returns the log's time of the newest folded record, in milliseconds since
+// LogTimeMs returns the log's time of the newest folded record, in milliseconds since
 // 1970.
-func (s State) At() int {
+func (s State) LogTimeMs() int {
 	return s.at
 }
 
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -171,7 +171,7 @@
 		if box.inUse > 0 || now.Before(box.mayRunUntil) {
 			continue
 		}
-		if box.Phase == fold.Draining && f.state.At() >= box.HeldUntil {
+		if box.Phase == fold.Draining && f.state.LogTimeMs() >= box.HeldUntil {
 			box.asked = now
 			proposals = append(proposals, f.proposal(wire.KindEmpty, box, "its last request has ended"))
 		}
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -118,7 +118,7 @@
 func (f *Front) heirs() []fold.Sender {
 	var heirs []fold.Sender
 	for _, sender := range f.state.Senders() {
-		fresh := sender.RenewedAt >= f.state.At()-f.deps.Settings.LeaseMs
+		fresh := sender.RenewedAt >= f.state.LogTimeMs()-f.deps.Settings.LeaseMs
 		if sender.Key != f.key && !sender.Leaving && fresh && f.state.Releasable(sender) {
 			heirs = append(heirs, sender)
 		}
--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -20,7 +20,7 @@
 		if !k.leadsHall(hall) {
 			continue
 		}
-		k.propose(plan.Senders(k.state, hall, k.liveSenders(), k.state.At()-k.liveFor())...)
+		k.propose(plan.Senders(k.state, hall, k.liveSenders(), k.state.LogTimeMs()-k.liveFor())...)
 		k.maintain(hall)
 	}
 }
@@ -28,7 +28,7 @@
 func (k *Keeper) liveSenders() []fold.Sender {
 	var live []fold.Sender
 	for _, sender := range k.state.Senders() {
-		if sender.RenewedAt >= k.state.At()-k.liveFor() && !sender.Leaving && k.state.Releasable(sender) {
+		if sender.RenewedAt >= k.state.LogTimeMs()-k.liveFor() && !sender.Leaving && k.state.Releasable(sender) {
 			live = append(live, sender)
 		}
 	}
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -104,7 +104,7 @@
 	var eldest fold.Member
 	found := false
 	for _, member := range members {
-		if member.RenewedAt < k.state.At()-k.liveFor() {
+		if member.RenewedAt < k.state.LogTimeMs()-k.liveFor() {
 			continue
 		}
 		if !found || member.Joined < eldest.Joined || (member.Joined == eldest.Joined && member.Node < eldest.Node) {
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -108,5 +108,5 @@
 
 // since returns the log's time that has passed since a moment in milliseconds.
 func (p *planner) since(moment int) time.Duration {
-	return time.Duration(p.state.At()-moment) * time.Millisecond
+	return time.Duration(p.state.LogTimeMs()-moment) * time.Millisecond
 }
