--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -71,7 +71,7 @@
 
 // hasPeers says whether the sender's hall has members on other nodes.
 func (s State) hasPeers(sender Sender) bool {
-	for _, member := range s.Roster(sender.Hall) {
+	for _, member := range s.MembersInZone(sender.Hall) {
 		if member.Node != sender.Key.Node {
 			return true
 		}
@@ -86,7 +86,7 @@
 	if !s.hasPeers(sender) {
 		return true
 	}
-	for _, member := range s.Roster(sender.Hall) {
+	for _, member := range s.MembersInZone(sender.Hall) {
 		if member.Node != sender.Key.Node && lease.Bound(member.Joined, sender.Folded) {
 			return true
 		}
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -113,8 +113,8 @@
 	return found
 }
 
-// Roster returns the members of one hall.
-func (s State) Roster(hall string) []Member {
+// MembersInZone returns the members of one hall.
+func (s State) MembersInZone(hall string) []Member {
 	var found []Member
 	for _, member := range s.Members() {
 		if member.Hall == hall {
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -93,7 +93,7 @@
 		f.rejoin()
 	}
 	var roster []lease.Peer
-	for _, member := range f.state.Roster(f.deps.Settings.Hall) {
+	for _, member := range f.state.MembersInZone(f.deps.Settings.Hall) {
 		roster = append(roster, lease.Peer{Node: member.Node, Keeper: member.Keeper})
 	}
 	f.leasing.holder = f.leasing.holder.WithRoster(roster)
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -97,7 +97,7 @@
 // hallWriter returns the member that speaks for the hall: the one that renewed
 // lately and joined first.
 func (k *Keeper) hallWriter() (fold.Member, bool) {
-	return k.eldest(k.state.Roster(k.deps.Settings.Hall))
+	return k.eldest(k.state.MembersInZone(k.deps.Settings.Hall))
 }
 
 func (k *Keeper) eldest(members []fold.Member) (fold.Member, bool) {
@@ -163,7 +163,7 @@
 // leadsHall says whether this keeper does the work that one member does for a
 // hall. A hall without members is looked after by the fleet's eldest.
 func (k *Keeper) leadsHall(hall string) bool {
-	leader, found := k.eldest(k.state.Roster(hall))
+	leader, found := k.eldest(k.state.MembersInZone(hall))
 	if !found {
 		return k.leadsFleet()
 	}
