--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// LastBatch returns the number of the newest folded batch of a keeper's
+// LastBatchNumber returns the number of the newest folded batch of a keeper's
 // incarnation, 0 if there is none.
-func (s State) LastBatch(incarnation int) int {
+func (s State) LastBatchNumber(incarnation int) int {
 	for entries := s.writers.Iterator(); !entries.Done(); {
 		if _, last, _ := entries.Next(); last.Incarnation == incarnation {
 			return last.Number
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -85,7 +85,7 @@
 			folded[verdict.Proposal.Id] = true
 		}
 	}
-	last := state.LastBatch(o.incarnation)
+	last := state.LastBatchNumber(o.incarnation)
 	kept := o.operators[:0]
 	for _, operator := range o.operators {
 		if folded[operator.proposal.Id] {
@@ -116,7 +116,7 @@
 	if o.inFlight {
 		return true
 	}
-	return o.number > state.LastBatch(o.incarnation) && now.Before(o.sentAt.Add(appendTimeout))
+	return o.number > state.LastBatchNumber(o.incarnation) && now.Before(o.sentAt.Add(appendTimeout))
 }
 
 // take removes what the next batch carries.
