--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -34,12 +34,12 @@
 func (s State) mayMoveNow(box Box, target string, maintain bool, at int) error {
 	if target != box.Pool {
 		for _, pool := range []string{box.Pool, target} {
-			if service := s.Frozen(pool, at); service != "" {
+			if service := s.FrozenService(pool, at); service != "" {
 				return refuse("pool %s sees no moves now: service %s is in a freeze", pool, service)
 			}
 		}
 	}
-	if maintain && !s.InWindow(box.Pool, at) {
+	if maintain && !s.InMaintenanceWindow(box.Pool, at) {
 		return refuse("pool %s is not in its maintenance window", box.Pool)
 	}
 	return nil
@@ -71,9 +71,9 @@
 	return summary.Slots - summary.WorstRack() - s.table.Needed(pool)
 }
 
-// Frozen returns a service of the pool that is in a freeze at the log's time,
+// FrozenService returns a service of the pool that is in a freeze at the log's time,
 // in milliseconds since 1970, or "".
-func (s State) Frozen(pool string, at int) string {
+func (s State) FrozenService(pool string, at int) string {
 	day := time.UnixMilli(int64(at)).UTC().Day()
 	for _, service := range s.table.InPool(pool) {
 		row, _ := s.table.Row(service)
@@ -86,9 +86,9 @@
 	return ""
 }
 
-// InWindow says whether all services of the pool allow maintenance at the
+// InMaintenanceWindow says whether all services of the pool allow maintenance at the
 // log's time, in milliseconds since 1970.
-func (s State) InWindow(pool string, at int) bool {
+func (s State) InMaintenanceWindow(pool string, at int) bool {
 	clock := time.UnixMilli(int64(at)).UTC().Format("15:04")
 	for _, service := range s.table.InPool(pool) {
 		row, _ := s.table.Row(service)
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -150,7 +150,7 @@
 	for _, box := range candidates {
 		cause := fmt.Sprintf("pool %s has %d slots of %d wanted, pool %s can miss %d",
 			receiver.name, receiver.slots, p.wanted(receiver), donor.name, p.surplus(donor))
-		if p.drain(box, receiver.name, p.due(box) && p.state.InWindow(donor.name, p.state.LogTimeMs()), cause) == nil {
+		if p.drain(box, receiver.name, p.due(box) && p.state.InMaintenanceWindow(donor.name, p.state.LogTimeMs()), cause) == nil {
 			at := p.atlas.place(box)
 			donor.remove(box, at)
 			donor.boxes = without(donor.boxes, box)
