--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -68,7 +68,7 @@
 // spare with its worst rack lost. It is negative when the budget is broken.
 func (s State) Headroom(pool string) int {
 	summary := s.Pool(pool)
-	return summary.Slots - summary.WorstRack() - s.table.Needed(pool)
+	return summary.Slots - summary.MaxRackSlots() - s.table.Needed(pool)
 }
 
 // FrozenService returns a service of the pool that is in a freeze at the log's time,
--- a/pkg/fold/pool.go
+++ b/pkg/fold/pool.go
@@ -21,8 +21,8 @@
 	slots int
 }
 
-// WorstRack returns the most usable slots that the loss of one rack takes.
-func (p Pool) WorstRack() int {
+// MaxRackSlots returns the most usable slots that the loss of one rack takes.
+func (p Pool) MaxRackSlots() int {
 	return p.worstWithout(Box{})
 }
 
