--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	note(slopeRestore, planbench.MedianMs(clock, func() { _, err = empty.WithSnapshot(snapshot) }))
+	note(slopeRestore, planbench.MedianMs(clock, func() { _, err = empty.Restore(snapshot) }))
 	if err != nil {
 		return err
 	}
--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -168,7 +168,7 @@
 func snapshotTwice(t *testing.T, state State) string {
 	first, err := state.Snapshot()
 	assert.NilError(t, err)
-	restored, err := emptyState(t).WithSnapshot(first)
+	restored, err := emptyState(t).Restore(first)
 	assert.NilError(t, err)
 	second, err := restored.Snapshot()
 	assert.NilError(t, err)
--- a/pkg/fold/snapshot.go
+++ b/pkg/fold/snapshot.go
@@ -58,9 +58,9 @@
 	return strconv.FormatUint(xxhash.Sum64(text), 16)
 }
 
-// WithSnapshot returns the state that a snapshot holds. The receiver gives the
+// Restore returns the state that a snapshot holds. The receiver gives the
 // empty table to start from.
-func (s State) WithSnapshot(snapshot Snapshot) (State, error) {
+func (s State) Restore(snapshot Snapshot) (State, error) {
 	if digest(snapshot.State) != snapshot.Hash {
 		return s, fmt.Errorf("snapshot at %d: its hash is not that of its state", snapshot.Offset)
 	}
@@ -68,7 +68,7 @@
 	if err := json.Unmarshal(snapshot.State, &from); err != nil {
 		return s, fmt.Errorf("snapshot at %d: %w", snapshot.Offset, err)
 	}
-	table, err := s.table.WithSaved(from.Table)
+	table, err := s.table.Restore(from.Table)
 	if err != nil {
 		return s, fmt.Errorf("table of snapshot at %d: %w", snapshot.Offset, err)
 	}
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -214,7 +214,7 @@
 	if snapshot.Offset <= f.state.Offset() {
 		return false, nil
 	}
-	restored, err := f.deps.Empty.WithSnapshot(snapshot)
+	restored, err := f.deps.Empty.Restore(snapshot)
 	if err != nil {
 		return false, err
 	}
--- a/pkg/operator/operator.go
+++ b/pkg/operator/operator.go
@@ -76,7 +76,7 @@
 	if err := json.Unmarshal([]byte(reply.State), &snapshot); err != nil {
 		return c.empty, fmt.Errorf("read state of %s: %w", c.keeper.Peer(), err)
 	}
-	return c.empty.WithSnapshot(snapshot)
+	return c.empty.Restore(snapshot)
 }
 
 // Publish makes the table as wanted. The edit names the cells that differ from
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -100,8 +100,8 @@
 	return json.Marshal(saved{Version: t.version, Lines: t.lines})
 }
 
-// WithSaved returns the table that MarshalJSON wrote.
-func (t Table) WithSaved(text []byte) (Table, error) {
+// Restore returns the table that MarshalJSON wrote.
+func (t Table) Restore(text []byte) (Table, error) {
 	var from saved
 	if err := json.Unmarshal(text, &from); err != nil {
 		return t, err
