--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -25,8 +25,8 @@
 	// Target is the pool a draining box goes to; its own for maintenance only.
 	Target   string `json:"target,omitempty"`
 	Maintain bool   `json:"maintain,omitempty"`
-	// Carrier is the keeper that carries out the maintenance.
-	Carrier Carrier `json:"carrier"`
+	// Maintainer is the keeper that carries out the maintenance.
+	Maintainer KeeperKey `json:"carrier"`
 	// MaintainedAt and Since are the log's times, in milliseconds since 1970,
 	// of the end of the last maintenance and of the last change.
 	MaintainedAt int `json:"maintained_at"`
@@ -40,10 +40,10 @@
 	ChangedBy int `json:"changed_by"`
 }
 
-// Carrier names one incarnation of a keeper.
-type Carrier struct {
-	Node   string `json:"node,omitempty"`
-	Keeper int    `json:"keeper,omitempty"`
+// KeeperKey names one incarnation of a keeper.
+type KeeperKey struct {
+	Node        string `json:"node,omitempty"`
+	Incarnation int    `json:"keeper,omitempty"`
 }
 
 // Usable says whether the box counts for its pool's availability.
--- a/pkg/fold/life.go
+++ b/pkg/fold/life.go
@@ -103,11 +103,11 @@
 	if box.Phase != Maintenance {
 		return s, "", refuse("box %s is %s, not in maintenance", box.Info.Name, box.Phase)
 	}
-	if member, known := s.members.Get(box.Carrier.Node); known && member.Keeper == box.Carrier.Keeper {
-		return s, "", refuse("%s carries out the maintenance of %s", box.Carrier.Node, box.Info.Name)
+	if member, known := s.members.Get(box.Maintainer.Node); known && member.Keeper == box.Maintainer.Incarnation {
+		return s, "", refuse("%s carries out the maintenance of %s", box.Maintainer.Node, box.Info.Name)
 	}
 	box = box.moved(where.offset, where.at)
-	box.Carrier = Carrier{Node: where.batch.Node, Keeper: where.batch.Incarnation}
+	box.Maintainer = KeeperKey{Node: where.batch.Node, Incarnation: where.batch.Incarnation}
 	return s.withBox(box), fmt.Sprintf("%s carries out the maintenance of %s", where.batch.Node, box.Info.Name), nil
 }
 
@@ -116,11 +116,11 @@
 	if box.Phase != Maintenance {
 		return s, "", refuse("box %s is %s, not in maintenance", box.Info.Name, box.Phase)
 	}
-	if box.Carrier != (Carrier{Node: where.batch.Node, Keeper: where.batch.Incarnation}) {
-		return s, "", refuse("the maintenance of %s is carried out by %s", box.Info.Name, box.Carrier.Node)
+	if box.Maintainer != (KeeperKey{Node: where.batch.Node, Incarnation: where.batch.Incarnation}) {
+		return s, "", refuse("the maintenance of %s is carried out by %s", box.Info.Name, box.Maintainer.Node)
 	}
 	box = box.moved(where.offset, where.at)
-	box.Carrier = Carrier{}
+	box.Maintainer = KeeperKey{}
 	box.Phase, box.Health, box.MaintainedAt = Serving, wire.HealthUp, where.at
 	return s.withBox(box), fmt.Sprintf("%s serves pool %s again", box.Info.Name, box.Pool), nil
 }
--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -50,7 +50,7 @@
 		if box.Info.Hall != hall || box.Phase != fold.Maintenance {
 			continue
 		}
-		if member, known := k.state.Member(box.Carrier.Node); !known || member.Keeper != box.Carrier.Keeper {
+		if member, known := k.state.Member(box.Maintainer.Node); !known || member.Keeper != box.Maintainer.Incarnation {
 			k.proposeStep(wire.KindCarry, box, "it is empty for maintenance")
 		}
 	}
@@ -61,7 +61,7 @@
 func (k *Keeper) carryOut(ctx context.Context) {
 	mine := map[string]bool{}
 	for _, box := range k.state.Boxes() {
-		if box.Phase != fold.Maintenance || box.Carrier != k.carrier() {
+		if box.Phase != fold.Maintenance || box.Maintainer != k.carrier() {
 			continue
 		}
 		name := box.Info.Name
@@ -82,8 +82,8 @@
 	}
 }
 
-func (k *Keeper) carrier() fold.Carrier {
-	return fold.Carrier{Node: k.node(), Keeper: k.incarnation}
+func (k *Keeper) carrier() fold.KeeperKey {
+	return fold.KeeperKey{Node: k.node(), Incarnation: k.incarnation}
 }
 
 func (k *Keeper) proposeStep(kind wire.Kind, box fold.Box, cause string) {
