--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -55,7 +55,7 @@
 
 func boxLines(box fold.Box) []string {
 	lines := []string{
-		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, moment(box.Since)),
+		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, moment(box.EpochStartedAt)),
 		fmt.Sprintf("It stands in hall %s, %s, with %d slots; it was last maintained at %s.", box.Info.Hall, box.Info.Rack, box.Info.Slots, moment(box.MaintainedAt)),
 	}
 	switch {
@@ -112,7 +112,7 @@
 		}
 		story.Boxes = append(story.Boxes, box)
 		for _, line := range trail {
-			if line.Offset == box.ChangedBy && about(line, box.Info.Name) {
+			if line.Offset == box.ChangedAtOffset && about(line, box.Info.Name) {
 				story.Changes = append(story.Changes, line)
 			}
 		}
--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -29,15 +29,15 @@
 	Maintainer KeeperKey `json:"carrier"`
 	// MaintainedAt and Since are the log's times, in milliseconds since 1970,
 	// of the end of the last maintenance and of the last change.
-	MaintainedAt int `json:"maintained_at"`
-	Since        int `json:"since"`
-	// HealthAt is the log's time of the last change of Health.
-	HealthAt int `json:"health_at,omitempty"`
+	MaintainedAt   int `json:"maintained_at"`
+	EpochStartedAt int `json:"since"`
+	// HealthChangedAt is the log's time of the last change of Health.
+	HealthChangedAt int `json:"health_at,omitempty"`
 	// HeldUntil is the log's time before which requests of a lost sender may
 	// still run on the box.
 	HeldUntil int `json:"held_until,omitempty"`
-	// ChangedBy is the offset of the record that last changed the box.
-	ChangedBy int `json:"changed_by"`
+	// ChangedAtOffset is the offset of the record that last changed the box.
+	ChangedAtOffset int `json:"changed_by"`
 }
 
 // KeeperKey names one incarnation of a keeper.
@@ -71,8 +71,8 @@
 // moved returns the box one epoch on.
 func (b Box) moved(offset, at int) Box {
 	b.Epoch++
-	b.ChangedBy = offset
-	b.Since = at
+	b.ChangedAtOffset = offset
+	b.EpochStartedAt = at
 	return b
 }
 
--- a/pkg/fold/life.go
+++ b/pkg/fold/life.go
@@ -138,7 +138,7 @@
 		return s, "", refuse("unknown health %q", change.Health)
 	}
 	was := box.Health
-	box.Health, box.HealthAt = change.Health, where.at
-	box.ChangedBy = where.offset
+	box.Health, box.HealthChangedAt = change.Health, where.at
+	box.ChangedAtOffset = where.offset
 	return s.withBox(box), fmt.Sprintf("%s was %s and is %s", box.Info.Name, was, box.Health), nil
 }
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -16,7 +16,7 @@
 			if box.Phase != fold.Serving {
 				continue
 			}
-			cause := fmt.Sprintf("repair: %s is %s since %d", box.Info.Name, box.Health, box.HealthAt)
+			cause := fmt.Sprintf("repair: %s is %s since %d", box.Info.Name, box.Health, box.HealthChangedAt)
 			if err := p.drain(box, fold.FreePool, false, cause); err != nil {
 				p.wait(fmt.Sprintf("%s of pool %s is broken and stays: %v", box.Info.Name, name, err))
 			}
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -25,7 +25,7 @@
 	held := heldBy(state)
 	var proposals []wire.Proposal
 	for _, box := range state.Boxes() {
-		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.None() || (adopting && box.Since > adopt) {
+		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.None() || (adopting && box.EpochStartedAt > adopt) {
 			continue
 		}
 		chosen := leastLoaded(candidates, held, box.Pool)
