--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -53,11 +53,11 @@
 
 // counts says whether the box isn't down. A free one needs no sender.
 func (b Box) counts() bool {
-	return b.Usable() || (b.Pool == FreePool && b.Lent())
+	return b.Usable() || (b.Pool == FreePool && b.AcceptsWork())
 }
 
-// Lent says whether the box takes new work when its sender has any.
-func (b Box) Lent() bool {
+// AcceptsWork says whether the box takes new work when its sender has any.
+func (b Box) AcceptsWork() bool {
 	return b.Phase == Serving && b.Health == wire.HealthUp
 }
 
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -55,7 +55,7 @@
 		case box.Sender == f.key:
 			mine[box.Info.Name] = true
 			f.takeOwn(box)
-		case box.Lent() && box.Pool != fold.FreePool && !box.Sender.None():
+		case box.AcceptsWork() && box.Pool != fold.FreePool && !box.Sender.None():
 			f.addRoute(routes, box)
 		}
 	}
--- a/pkg/front/cache.go
+++ b/pkg/front/cache.go
@@ -40,7 +40,7 @@
 		return slots
 	}
 	for _, box := range f.inPool(pool) {
-		if box.Lent() {
+		if box.AcceptsWork() {
 			slots += box.Info.Slots
 		}
 	}
