--- a/pkg/fold/life.go
+++ b/pkg/fold/life.go
@@ -103,7 +103,7 @@
 	if box.Phase != Maintenance {
 		return s, "", refuse("box %s is %s, not in maintenance", box.Info.Name, box.Phase)
 	}
-	if member, known := s.members.Get(box.Maintainer.Node); known && member.Keeper == box.Maintainer.Incarnation {
+	if member, known := s.members.Get(box.Maintainer.Node); known && member.KeeperIncarnation == box.Maintainer.Incarnation {
 		return s, "", refuse("%s carries out the maintenance of %s", box.Maintainer.Node, box.Info.Name)
 	}
 	box = box.moved(where.offset, where.at)
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -7,12 +7,12 @@
 
 // Member is a keeper's place in its hall's roster.
 type Member struct {
-	Node    string `json:"node"`
-	Hall    string `json:"hall"`
-	Keeper  int    `json:"keeper"`
-	Address string `json:"address"`
-	// Joined is the offset of the record by which this incarnation joined.
-	Joined int `json:"joined"`
+	Node              string `json:"node"`
+	Zone              string `json:"hall"`
+	KeeperIncarnation int    `json:"keeper"`
+	Address           string `json:"address"`
+	// JoinedOffset is the offset of the record by which this incarnation joined.
+	JoinedOffset int `json:"joined"`
 	// RenewedAt is the log's time of its last renewal, in milliseconds since
 	// 1970.
 	RenewedAt int `json:"renewed_at"`
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -42,17 +42,17 @@
 // may still rely on.
 func (s State) mayRelease(sender Sender, release wire.Release, where step) error {
 	writer, known := s.members.Get(where.batch.Node)
-	if !known || writer.Keeper != where.batch.Incarnation {
+	if !known || writer.KeeperIncarnation != where.batch.Incarnation {
 		return refuse("%s incarnation %d is not in the roster", where.batch.Node, where.batch.Incarnation)
 	}
 	// The sender asks for extensions by the roster it folded. A writer that
 	// joined after that isn't asked, so it may not rely on its own waiting.
-	qualified := writer.Hall == sender.Hall && lease.Bound(writer.Joined, sender.Folded)
+	qualified := writer.Zone == sender.Hall && lease.Bound(writer.JoinedOffset, sender.Folded)
 	switch release.How {
 	case wire.ReleaseHowTime:
 		if !qualified {
 			return refuse("%s is not bound by the promises to %s: it joined at %d, the sender had folded %d",
-				writer.Node, sender.Key, writer.Joined, sender.Folded)
+				writer.Node, sender.Key, writer.JoinedOffset, sender.Folded)
 		}
 		return nil
 	case wire.ReleaseHowEnded:
@@ -61,7 +61,7 @@
 		}
 		return nil
 	case wire.ReleaseHowList:
-		if writer.Hall != sender.Hall && s.hasPeers(sender) {
+		if writer.Zone != sender.Hall && s.hasPeers(sender) {
 			return refuse("hall %s has members left to release %s", sender.Hall, sender.Key)
 		}
 		return nil
@@ -87,7 +87,7 @@
 		return true
 	}
 	for _, member := range s.MembersInZone(sender.Hall) {
-		if member.Node != sender.Key.Node && lease.Bound(member.Joined, sender.Folded) {
+		if member.Node != sender.Key.Node && lease.Bound(member.JoinedOffset, sender.Folded) {
 			return true
 		}
 	}
--- a/pkg/fold/renew.go
+++ b/pkg/fold/renew.go
@@ -22,11 +22,11 @@
 
 func (s State) renewMember(renewal wire.Member, where step) State {
 	member, known := s.members.Get(renewal.Node)
-	if !known || member.Keeper != renewal.Keeper {
-		if known && renewal.Keeper < member.Keeper {
+	if !known || member.KeeperIncarnation != renewal.Keeper {
+		if known && renewal.Keeper < member.KeeperIncarnation {
 			return s
 		}
-		member = Member{Node: renewal.Node, Hall: orKnown(renewal.Hall, member.Hall), Keeper: renewal.Keeper, Joined: where.offset}
+		member = Member{Node: renewal.Node, Zone: orKnown(renewal.Hall, member.Zone), KeeperIncarnation: renewal.Keeper, JoinedOffset: where.offset}
 	}
 	member.Address = orKnown(renewal.KeeperAddress, member.Address)
 	member.RenewedAt = where.at
@@ -70,14 +70,14 @@
 
 func (s State) hallOf(node string) string {
 	member, _ := s.members.Get(node)
-	return member.Hall
+	return member.Zone
 }
 
 // withoutSilent drops members of a hall that have long said nothing, and
 // senders that hold no box and say nothing.
 func (s State) withoutSilent(hall string, at int) State {
 	for _, member := range s.Members() {
-		if member.Hall == hall && member.RenewedAt < at-rosterMs {
+		if member.Zone == hall && member.RenewedAt < at-rosterMs {
 			s.members = s.members.Delete(member.Node)
 		}
 	}
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -117,7 +117,7 @@
 func (s State) MembersInZone(hall string) []Member {
 	var found []Member
 	for _, member := range s.Members() {
-		if member.Hall == hall {
+		if member.Zone == hall {
 			found = append(found, member)
 		}
 	}
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -94,7 +94,7 @@
 	}
 	var roster []lease.Peer
 	for _, member := range f.state.MembersInZone(f.deps.Settings.Hall) {
-		roster = append(roster, lease.Peer{Node: member.Node, Keeper: member.Keeper})
+		roster = append(roster, lease.Peer{Node: member.Node, Keeper: member.KeeperIncarnation})
 	}
 	f.leasing.holder = f.leasing.holder.WithRoster(roster)
 	f.publishLease(f.now())
--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -50,7 +50,7 @@
 		if box.Info.Hall != hall || box.Phase != fold.Maintenance {
 			continue
 		}
-		if member, known := k.state.Member(box.Maintainer.Node); !known || member.Keeper != box.Maintainer.Incarnation {
+		if member, known := k.state.Member(box.Maintainer.Node); !known || member.KeeperIncarnation != box.Maintainer.Incarnation {
 			k.proposeStep(wire.KindCarry, box, "it is empty for maintenance")
 		}
 	}
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -48,10 +48,10 @@
 // fold checks again what it can see.
 func (k *Keeper) mayRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
 	member, joined := k.state.Member(k.node())
-	if !joined || member.Keeper != k.incarnation {
+	if !joined || member.KeeperIncarnation != k.incarnation {
 		return "", false
 	}
-	qualified := sender.Hall == member.Hall && lease.Bound(member.Joined, sender.Folded)
+	qualified := sender.Hall == member.Zone && lease.Bound(member.JoinedOffset, sender.Folded)
 	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Entry) {
 		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -74,7 +74,7 @@
 func (k *Keeper) withoutKnown(renewal wire.Member) wire.Member {
 	member, known := k.state.Member(renewal.Node)
 	sender, sends := k.state.Sender(fold.SenderKey{Node: renewal.Node, Entry: renewal.Entry})
-	if !known || member.Keeper != renewal.Keeper || member.Address != renewal.KeeperAddress {
+	if !known || member.KeeperIncarnation != renewal.Keeper || member.Address != renewal.KeeperAddress {
 		return renewal
 	}
 	if renewal.Entry != 0 && (!sends || sender.Address != renewal.EntryAddress) {
@@ -107,7 +107,7 @@
 		if member.RenewedAt < k.state.LogTimeMs()-k.liveFor() {
 			continue
 		}
-		if !found || member.Joined < eldest.Joined || (member.Joined == eldest.Joined && member.Node < eldest.Node) {
+		if !found || member.JoinedOffset < eldest.JoinedOffset || (member.JoinedOffset == eldest.JoinedOffset && member.Node < eldest.Node) {
 			eldest, found = member, true
 		}
 	}
@@ -167,12 +167,12 @@
 	if !found {
 		return k.leadsFleet()
 	}
-	return leader.Node == k.node() && leader.Keeper == k.incarnation
+	return leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
 
 // leadsFleet says whether this keeper plans for the fleet. Two may think so at
 // once; the epochs in their proposals keep that safe.
 func (k *Keeper) leadsFleet() bool {
 	leader, found := k.eldest(k.state.Members())
-	return found && leader.Node == k.node() && leader.Keeper == k.incarnation
+	return found && leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
