--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -59,7 +59,7 @@
 		fmt.Sprintf("It stands in hall %s, %s, with %d slots; it was last maintained at %s.", box.Info.Hall, box.Info.Rack, box.Info.Slots, moment(box.MaintainedAt)),
 	}
 	switch {
-	case box.Sender.None():
+	case box.Sender.IsNone():
 		lines = append(lines, "No entry sends to it.")
 	default:
 		lines = append(lines, fmt.Sprintf("Entry %s sends to it.", box.Sender.Node))
--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -48,7 +48,7 @@
 
 // Usable says whether the box counts for its pool's availability.
 func (b Box) Usable() bool {
-	return b.Phase == Serving && b.Health == wire.HealthUp && !b.Sender.None()
+	return b.Phase == Serving && b.Health == wire.HealthUp && !b.Sender.IsNone()
 }
 
 // counts says whether the box isn't down. A free one needs no sender.
--- a/pkg/fold/edit.go
+++ b/pkg/fold/edit.go
@@ -31,7 +31,7 @@
 		if known && box.Info == info {
 			continue
 		}
-		if known && !box.Sender.None() {
+		if known && !box.Sender.IsNone() {
 			return s, "", refuse("box %s is in use by %s; its address changes after a release", info.Name, box.Sender)
 		}
 		if !known {
--- a/pkg/fold/life.go
+++ b/pkg/fold/life.go
@@ -8,8 +8,8 @@
 
 // assign gives a box without a sender to one that renews.
 func (s State) assign(box Box, change wire.BoxChange, where step) (State, string, error) {
-	key := SenderKey{Node: change.Node, Entry: change.Entry}
-	if !box.Sender.None() {
+	key := SenderKey{Node: change.Node, Incarnation: change.Entry}
+	if !box.Sender.IsNone() {
 		return s, "", refuse("box %s has the sender %s", box.Info.Name, box.Sender)
 	}
 	sender, known := s.senders.Get(key.String())
@@ -27,8 +27,8 @@
 	if err := speaks(box, change); err != nil {
 		return s, "", err
 	}
-	to := SenderKey{Node: change.ToNode, Entry: change.ToEntry}
-	if sender, known := s.senders.Get(to.String()); !to.None() && (!known || sender.Leaving) {
+	to := SenderKey{Node: change.ToNode, Incarnation: change.ToEntry}
+	if sender, known := s.senders.Get(to.String()); !to.IsNone() && (!known || sender.Leaving) {
 		return s, "", refuse("%s is no sender, or is leaving", to)
 	}
 	box = box.moved(where.offset, where.at)
@@ -38,7 +38,7 @@
 
 // speaks checks that a change comes from the box's present sender.
 func speaks(box Box, change wire.BoxChange) error {
-	if box.Sender != (SenderKey{Node: change.Node, Entry: change.Entry}) || box.Sender.None() {
+	if box.Sender != (SenderKey{Node: change.Node, Incarnation: change.Entry}) || box.Sender.IsNone() {
 		return refuse("box %s is sent to by %q, not by %s#%d", box.Info.Name, box.Sender, change.Node, change.Entry)
 	}
 	return nil
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -20,21 +20,21 @@
 
 // SenderKey names one incarnation of an entry.
 type SenderKey struct {
-	Node  string `json:"node,omitempty"`
-	Entry int    `json:"entry,omitempty"`
+	Node        string `json:"node,omitempty"`
+	Incarnation int    `json:"entry,omitempty"`
 }
 
-// None says whether the key names no sender.
-func (k SenderKey) None() bool {
+// IsNone says whether the key names no sender.
+func (k SenderKey) IsNone() bool {
 	return k.Node == ""
 }
 
 // String returns the key as one word.
 func (k SenderKey) String() string {
-	if k.None() {
+	if k.IsNone() {
 		return ""
 	}
-	return k.Node + "#" + strconv.Itoa(k.Entry)
+	return k.Node + "#" + strconv.Itoa(k.Incarnation)
 }
 
 // ParseSenderKey reads what String wrote; anything else is no sender.
@@ -44,7 +44,7 @@
 	if !found || err != nil {
 		return SenderKey{}
 	}
-	return SenderKey{Node: node, Entry: entry}
+	return SenderKey{Node: node, Incarnation: entry}
 }
 
 // Sender is an entry that may hold boxes.
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -82,7 +82,7 @@
 func randomProposal(random *rand.Rand, state State, batch wire.Batch, node int) wire.Proposal {
 	boxes := state.Boxes()
 	box := boxes[random.IntN(len(boxes))]
-	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch - random.IntN(8)/7, Node: box.Sender.Node, Entry: box.Sender.Entry}
+	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch - random.IntN(8)/7, Node: box.Sender.Node, Entry: box.Sender.Incarnation}
 	kinds := []wire.Kind{
 		wire.KindDrain, wire.KindDrain, wire.KindEmpty, wire.KindEmpty, wire.KindWithdraw, wire.KindCarry, wire.KindBack,
 		wire.KindHealth, wire.KindAssign, wire.KindAssign, wire.KindHandover, wire.KindRenew, wire.KindRenew, wire.KindRelease, wire.KindEdit,
@@ -103,7 +103,7 @@
 		seq := 1 + state.Offset()
 		return wire.Proposal{Kind: kind, Members: []wire.Member{{Node: batch.Node, Hall: fmt.Sprintf("h%d", node%2), Keeper: batch.Incarnation, Entry: 1 + random.IntN(2), Seq: seq, Folded: max(0, state.Offset()-random.IntN(20))}}}
 	case wire.KindRelease:
-		known, _ := state.Sender(SenderKey{Node: sender, Entry: 1})
+		known, _ := state.Sender(SenderKey{Node: sender, Incarnation: 1})
 		how := []wire.ReleaseHow{wire.ReleaseHowTime, wire.ReleaseHowEnded, wire.ReleaseHowList}[random.IntN(3)]
 		return wire.Proposal{Kind: kind, Release: &wire.Release{Node: sender, Entry: 1, Seq: known.Seq, How: how}}
 	case wire.KindEdit:
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -14,7 +14,7 @@
 		return s, "", refuse("a release needs its sender")
 	}
 	release := *proposal.Release
-	key := SenderKey{Node: release.Node, Entry: release.Entry}
+	key := SenderKey{Node: release.Node, Incarnation: release.Entry}
 	sender, known := s.senders.Get(key.String())
 	if !known {
 		return s, "", refuse("%s holds nothing", key)
@@ -34,7 +34,7 @@
 	}
 	s.senders = s.senders.Delete(key.String())
 	newest, _ := s.released.Get(key.Node)
-	s.released = s.released.Set(key.Node, max(newest, key.Entry))
+	s.released = s.released.Set(key.Node, max(newest, key.Incarnation))
 	return s, fmt.Sprintf("%d boxes of %s are free for another sender", freed, key), nil
 }
 
--- a/pkg/fold/release_test.go
+++ b/pkg/fold/release_test.go
@@ -19,7 +19,7 @@
 		state, _ = state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
 	}
 	releasable := func() bool {
-		sender, known := state.Sender(SenderKey{Node: "a", Entry: 11})
+		sender, known := state.Sender(SenderKey{Node: "a", Incarnation: 11})
 		assert.Assert(t, known)
 		return state.Releasable(sender)
 	}
--- a/pkg/fold/renew.go
+++ b/pkg/fold/renew.go
@@ -39,7 +39,7 @@
 		return s
 	}
 	renewal.Hall = orKnown(renewal.Hall, s.hallOf(renewal.Node))
-	key := SenderKey{Node: renewal.Node, Entry: renewal.Entry}
+	key := SenderKey{Node: renewal.Node, Incarnation: renewal.Entry}
 	sender, known := s.senders.Get(key.String())
 	if known && renewal.Seq <= sender.Seq {
 		return s
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -55,7 +55,7 @@
 		case box.Sender == f.key:
 			mine[box.Info.Name] = true
 			f.takeOwn(box)
-		case box.AcceptsWork() && box.Pool != fold.FreePool && !box.Sender.None():
+		case box.AcceptsWork() && box.Pool != fold.FreePool && !box.Sender.IsNone():
 			f.addRoute(routes, box)
 		}
 	}
@@ -185,7 +185,7 @@
 		Kind:   kind,
 		Cause:  cause,
 		Author: f.key.Node,
-		Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: f.key.Node, Entry: f.key.Entry},
+		Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: f.key.Node, Entry: f.key.Incarnation},
 	}
 }
 
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -111,7 +111,7 @@
 	f := &Front{
 		deps:        deps,
 		incarnation: incarnation,
-		key:         fold.SenderKey{Node: deps.Settings.Node, Entry: incarnation},
+		key:         fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
 		inbox:       make(chan any, inboxLength),
 		updates:     make(chan follow.Update),
 		ctx:         ctx,
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -93,7 +93,7 @@
 func (f *Front) giveUp(box *ownBox, heir fold.SenderKey, now time.Time) wire.Proposal {
 	box.asked, box.givenUp = now, true
 	proposal := f.proposal(wire.KindHandover, box, "its sender stops as planned, or has more boxes than others")
-	proposal.Change.ToNode, proposal.Change.ToEntry = heir.Node, heir.Entry
+	proposal.Change.ToNode, proposal.Change.ToEntry = heir.Node, heir.Incarnation
 	return proposal
 }
 
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -56,7 +56,7 @@
 	return wire.Member{
 		Node:         f.key.Node,
 		Hall:         f.deps.Settings.Hall,
-		Entry:        f.key.Entry,
+		Entry:        f.key.Incarnation,
 		EntryAddress: f.deps.Settings.Address,
 		Seq:          f.leasing.seq,
 		Folded:       f.state.Offset(),
@@ -103,9 +103,9 @@
 // rejoin makes the entry a new sender after its release: the old one's boxes are
 // others' now, and its lease must never be extended again.
 func (f *Front) rejoin() {
-	f.deps.Logger.WithField("entry", f.key.Entry).Warn("this sender was released; the entry comes back as another")
+	f.deps.Logger.WithField("entry", f.key.Incarnation).Warn("this sender was released; the entry comes back as another")
 	f.deps.Metrics.Add("rejoined", 1)
-	f.key.Entry = max(f.key.Entry+1, int(f.now().UnixNano()))
+	f.key.Incarnation = max(f.key.Incarnation+1, int(f.now().UnixNano()))
 	f.leasing = newLeasing(lease.Terms{Length: milliseconds(f.deps.Settings.LeaseMs)})
 }
 
@@ -145,7 +145,7 @@
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply wire.ExtendReply
-	err := client.Do(limited, "Keeper.Extend", wire.ExtendArgs{Node: key.Node, Entry: key.Entry}, &reply)
+	err := client.Do(limited, "Keeper.Extend", wire.ExtendArgs{Node: key.Node, Entry: key.Incarnation}, &reply)
 	message := extendedMessage{key: key, peer: peer, asked: asked}
 	switch {
 	case err != nil:
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -34,7 +34,7 @@
 	clock := clockwork.NewFakeClock()
 	f := &Front{deps: Deps{Clock: clock, Metrics: metrics.New(), Logger: logger, Settings: settings.Entry{Node: "a", Hall: "north", LeaseMs: 1000}}}
 	f.loop = f.newLoop()
-	f.key = fold.SenderKey{Node: "a", Entry: 11}
+	f.key = fold.SenderKey{Node: "a", Incarnation: 11}
 	old := f.key
 	f.leasing.holder = f.leasing.holder.WithIssued(1, clock.Now())
 	renewal := wire.Member{Node: "a", Hall: "north", Keeper: 1, Entry: 11, Seq: 1}
@@ -45,7 +45,7 @@
 	f.state = foldOne(t, f.state, wire.Proposal{Kind: wire.KindRelease, Release: &wire.Release{Node: "a", Entry: 11, Seq: 1, How: wire.ReleaseHowEnded}})
 	f.readBack()
 
-	assert.Assert(t, f.key.Entry > old.Entry)
+	assert.Assert(t, f.key.Incarnation > old.Incarnation)
 	assert.Assert(t, !f.covered())
 	f.takeExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Keeper: 1}, asked: clock.Now().Add(time.Millisecond), granted: true})
 	assert.Assert(t, !f.covered())
--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -29,7 +29,7 @@
 }
 
 func another() route {
-	return route{key: fold.SenderKey{Node: "other", Entry: 1}, address: "127.0.0.1:1", slots: 8}
+	return route{key: fold.SenderKey{Node: "other", Incarnation: 1}, address: "127.0.0.1:1", slots: 8}
 }
 
 // TestWaitingRequestsGoWhereTheBoxesWent: the entry's boxes were handed over
@@ -52,7 +52,7 @@
 	f.reroute()
 
 	granted := <-reply
-	assert.Assert(t, granted.forward.None())
+	assert.Assert(t, granted.forward.IsNone())
 	assert.Equal(t, granted.refusal.status, http.StatusServiceUnavailable)
 	assert.Equal(t, f.queue(testPool).Total(), 0)
 }
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -24,7 +24,7 @@
 
 // extend answers a sender that has lost the log.
 func (k *Keeper) extend(args wire.ExtendArgs) wire.ExtendReply {
-	key := fold.SenderKey{Node: args.Node, Entry: args.Entry}
+	key := fold.SenderKey{Node: args.Node, Incarnation: args.Entry}
 	reply := wire.ExtendReply{Keeper: k.incarnation, LogFresh: k.logFresh()}
 	k.witness, reply.Granted = k.witness.Extend(key.String(), k.now())
 	if reply.Granted {
@@ -52,7 +52,7 @@
 		return "", false
 	}
 	qualified := sender.Hall == member.Zone && lease.Bound(member.JoinedOffset, sender.Folded)
-	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Entry) {
+	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Incarnation) {
 		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
 		}
@@ -79,6 +79,6 @@
 	k.propose(wire.Proposal{
 		Kind:    wire.KindRelease,
 		Cause:   "the sender does not renew",
-		Release: &wire.Release{Node: sender.Key.Node, Entry: sender.Key.Entry, Seq: sender.Seq, How: how},
+		Release: &wire.Release{Node: sender.Key.Node, Entry: sender.Key.Incarnation, Seq: sender.Seq, How: how},
 	})
 }
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -73,7 +73,7 @@
 // reads every renewal, so that their size is most of what control costs.
 func (k *Keeper) withoutKnown(renewal wire.Member) wire.Member {
 	member, known := k.state.Member(renewal.Node)
-	sender, sends := k.state.Sender(fold.SenderKey{Node: renewal.Node, Entry: renewal.Entry})
+	sender, sends := k.state.Sender(fold.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
 	if !known || member.KeeperIncarnation != renewal.Keeper || member.Address != renewal.KeeperAddress {
 		return renewal
 	}
--- a/pkg/keeper/watch.go
+++ b/pkg/keeper/watch.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		box, known := k.state.Box(listed.Info.Name)
-		if !known || (box.Info != listed.Info && box.Sender.None()) {
+		if !known || (box.Info != listed.Info && box.Sender.IsNone()) {
 			added = append(added, listed.Info)
 			continue
 		}
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -25,7 +25,7 @@
 	held := heldBy(state)
 	var proposals []wire.Proposal
 	for _, box := range state.Boxes() {
-		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.None() || (adopting && box.EpochStartedAt > adopt) {
+		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.IsNone() || (adopting && box.EpochStartedAt > adopt) {
 			continue
 		}
 		chosen := leastLoaded(candidates, held, box.Pool)
@@ -33,7 +33,7 @@
 		proposals = append(proposals, wire.Proposal{
 			Kind:   wire.KindAssign,
 			Cause:  fmt.Sprintf("%s has no sender", box.Info.Name),
-			Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: chosen.Key.Node, Entry: chosen.Key.Entry},
+			Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: chosen.Key.Node, Entry: chosen.Key.Incarnation},
 		})
 	}
 	return proposals
@@ -63,7 +63,7 @@
 func heldBy(state fold.State) holdings {
 	held := holdings{all: map[fold.SenderKey]int{}, byPool: map[poolHolding]int{}}
 	for _, box := range state.Boxes() {
-		if !box.Sender.None() {
+		if !box.Sender.IsNone() {
 			held.add(box.Sender, box.Pool)
 		}
 	}
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -54,7 +54,7 @@
 	var proposals []wire.Proposal
 	for _, box := range b.state.Boxes() {
 		if box.Phase == phase {
-			change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: box.Sender.Node, Entry: box.Sender.Entry}
+			change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: box.Sender.Node, Entry: box.Sender.Incarnation}
 			proposals = append(proposals, wire.Proposal{Kind: kind, Change: change})
 		}
 	}
