--- a/pkg/command/control_status.go
+++ b/pkg/command/control_status.go
@@ -91,7 +91,7 @@
 	}
 	lines = append(lines, "", fmt.Sprintf("%-24s %-12s %6s  %s", "sender", "hall", "boxes", "last renewal"))
 	for _, sender := range s.Senders {
-		lines = append(lines, fmt.Sprintf("%-24s %-12s %6d  %s", sender.Key.Node, sender.Hall, sender.Boxes, moment(sender.RenewedAt)))
+		lines = append(lines, fmt.Sprintf("%-24s %-12s %6d  %s", sender.Key.Node, sender.Zone, sender.Boxes, moment(sender.RenewedAt)))
 	}
 	return lines
 }
--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -159,7 +159,7 @@
 func senderTable(state State) string {
 	var told strings.Builder
 	for _, sender := range state.Senders() {
-		fmt.Fprintf(&told, "%s hall=%s seq=%d boxes=%d leaving=%v\n", sender.Key, sender.Hall, sender.Seq, sender.Boxes, sender.Leaving)
+		fmt.Fprintf(&told, "%s hall=%s seq=%d boxes=%d leaving=%v\n", sender.Key, sender.Zone, sender.Seq, sender.Boxes, sender.Leaving)
 	}
 	return told.String()
 }
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -50,14 +50,14 @@
 // Sender is an entry that may hold boxes.
 type Sender struct {
 	Key     SenderKey `json:"key"`
-	Hall    string    `json:"hall"`
+	Zone    string    `json:"hall"`
 	Address string    `json:"address"`
 	// Seq is the number of its last renewal, Folded the offset that it had
 	// folded when it issued that.
-	Seq       int  `json:"seq"`
-	Folded    int  `json:"folded"`
-	RenewedAt int  `json:"renewed_at"`
-	Leaving   bool `json:"leaving,omitempty"`
+	Seq           int  `json:"seq"`
+	AppliedOffset int  `json:"folded"`
+	RenewedAt     int  `json:"renewed_at"`
+	Leaving       bool `json:"leaving,omitempty"`
 	// Boxes counts the boxes it sends to.
 	Boxes int `json:"boxes"`
 }
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -47,12 +47,12 @@
 	}
 	// The sender asks for extensions by the roster it folded. A writer that
 	// joined after that isn't asked, so it may not rely on its own waiting.
-	qualified := writer.Zone == sender.Hall && lease.Bound(writer.JoinedOffset, sender.Folded)
+	qualified := writer.Zone == sender.Zone && lease.Bound(writer.JoinedOffset, sender.AppliedOffset)
 	switch release.How {
 	case wire.ReleaseHowTime:
 		if !qualified {
 			return refuse("%s is not bound by the promises to %s: it joined at %d, the sender had folded %d",
-				writer.Node, sender.Key, writer.JoinedOffset, sender.Folded)
+				writer.Node, sender.Key, writer.JoinedOffset, sender.AppliedOffset)
 		}
 		return nil
 	case wire.ReleaseHowEnded:
@@ -61,8 +61,8 @@
 		}
 		return nil
 	case wire.ReleaseHowList:
-		if writer.Zone != sender.Hall && s.hasPeers(sender) {
-			return refuse("hall %s has members left to release %s", sender.Hall, sender.Key)
+		if writer.Zone != sender.Zone && s.hasPeers(sender) {
+			return refuse("hall %s has members left to release %s", sender.Zone, sender.Key)
 		}
 		return nil
 	}
@@ -71,7 +71,7 @@
 
 // hasPeers says whether the sender's hall has members on other nodes.
 func (s State) hasPeers(sender Sender) bool {
-	for _, member := range s.MembersInZone(sender.Hall) {
+	for _, member := range s.MembersInZone(sender.Zone) {
 		if member.Node != sender.Key.Node {
 			return true
 		}
@@ -86,8 +86,8 @@
 	if !s.hasPeers(sender) {
 		return true
 	}
-	for _, member := range s.MembersInZone(sender.Hall) {
-		if member.Node != sender.Key.Node && lease.Bound(member.JoinedOffset, sender.Folded) {
+	for _, member := range s.MembersInZone(sender.Zone) {
+		if member.Node != sender.Key.Node && lease.Bound(member.JoinedOffset, sender.AppliedOffset) {
 			return true
 		}
 	}
--- a/pkg/fold/renew.go
+++ b/pkg/fold/renew.go
@@ -49,10 +49,10 @@
 		return s
 	}
 	sender.Key = key
-	sender.Hall = renewal.Hall
+	sender.Zone = renewal.Hall
 	sender.Address = orKnown(renewal.EntryAddress, sender.Address)
 	sender.Seq = renewal.Seq
-	sender.Folded = renewal.Folded
+	sender.AppliedOffset = renewal.Folded
 	sender.RenewedAt = where.at
 	sender.Leaving = renewal.Leaving
 	s.senders = s.senders.Set(key.String(), sender)
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, sender := range s.Senders() {
-		if sender.Hall == hall && sender.Boxes == 0 && sender.RenewedAt < at-rosterMs {
+		if sender.Zone == hall && sender.Boxes == 0 && sender.RenewedAt < at-rosterMs {
 			s.senders = s.senders.Delete(sender.Key.String())
 		}
 	}
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -83,7 +83,7 @@
 func inHall(senders []fold.Sender, hall string) []fold.Sender {
 	var found []fold.Sender
 	for _, sender := range senders {
-		if sender.Hall == hall {
+		if sender.Zone == hall {
 			found = append(found, sender)
 		}
 	}
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -51,7 +51,7 @@
 	if !joined || member.KeeperIncarnation != k.incarnation {
 		return "", false
 	}
-	qualified := sender.Hall == member.Zone && lease.Bound(member.JoinedOffset, sender.Folded)
+	qualified := sender.Zone == member.Zone && lease.Bound(member.JoinedOffset, sender.AppliedOffset)
 	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Incarnation) {
 		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
@@ -63,9 +63,9 @@
 	if qualified {
 		return wire.ReleaseHowTime, true
 	}
-	missing, dropped := k.list.dropped(sender.Key.Node, sender.Hall)
+	missing, dropped := k.list.dropped(sender.Key.Node, sender.Zone)
 	waited := k.now().Sub(missing) > milliseconds(k.deps.Settings.LeaseMs+k.deps.Settings.DriftMs)
-	return wire.ReleaseHowList, dropped && waited && k.leadsHall(sender.Hall)
+	return wire.ReleaseHowList, dropped && waited && k.leadsHall(sender.Zone)
 }
 
 // hasEnded says whether an entry of this box has ended: its address refused a
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -42,7 +42,7 @@
 func inHall(senders []fold.Sender, hall string) []fold.Sender {
 	var found []fold.Sender
 	for _, sender := range senders {
-		if sender.Hall == hall && !sender.Leaving {
+		if sender.Zone == hall && !sender.Leaving {
 			found = append(found, sender)
 		}
 	}
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -33,7 +33,7 @@
 func (b *bench) renew() {
 	var members []wire.Member
 	for _, sender := range b.state.Senders() {
-		members = append(members, b.member(sender.Hall))
+		members = append(members, b.member(sender.Zone))
 	}
 	b.append(wire.Proposal{Kind: wire.KindRenew, Members: members})
 }
@@ -42,9 +42,9 @@
 	live := b.state.Senders()
 	seen := map[string]bool{}
 	for _, sender := range live {
-		if !seen[sender.Hall] {
-			seen[sender.Hall] = true
-			b.append(plan.Senders(b.state, sender.Hall, live, b.at)...)
+		if !seen[sender.Zone] {
+			seen[sender.Zone] = true
+			b.append(plan.Senders(b.state, sender.Zone, live, b.at)...)
 		}
 	}
 }
