--- a/pkg/plan/census.go
+++ b/pkg/plan/census.go
@@ -99,7 +99,7 @@
 		home.broken = append(home.broken, box)
 		return
 	}
-	if box.Phase == fold.Maintenance && p.since(box.EpochStartedAt) > p.options.BackAfter {
+	if box.Phase == fold.Maintenance && p.since(box.EpochStartedAt) > p.options.MaintenanceTimeout {
 		home.absent = append(home.absent, box)
 		return
 	}
@@ -127,7 +127,7 @@
 	if box.Phase == fold.Maintenance || box.Health == wire.HealthUp {
 		return false
 	}
-	return box.Health != wire.HealthDown || p.since(box.HealthChangedAt) >= p.options.RepairAfter
+	return box.Health != wire.HealthDown || p.since(box.HealthChangedAt) >= p.options.DownTimeout
 }
 
 // poolNames returns the counted pools in order.
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -31,17 +31,17 @@
 
 // Options are the planner's choices that differ between deployments and trials.
 type Options struct {
-	// RepairAfter and BackAfter replace the usual times when above 0.
-	RepairAfter time.Duration
-	BackAfter   time.Duration
+	// DownTimeout and BackAfter replace the usual times when above 0.
+	DownTimeout        time.Duration
+	MaintenanceTimeout time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	if o.RepairAfter == 0 {
-		o.RepairAfter = repairAfter
+	if o.DownTimeout == 0 {
+		o.DownTimeout = repairAfter
 	}
-	if o.BackAfter == 0 {
-		o.BackAfter = backAfter
+	if o.MaintenanceTimeout == 0 {
+		o.MaintenanceTimeout = backAfter
 	}
 	return o
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -280,7 +280,7 @@
 
 // StartKeeper starts a node's keeper.
 func (c *Cluster) StartKeeper(node *Node) error {
-	started, err := process.NewKeeper(node.keeper, plan.Options{RepairAfter: repairAfter, BackAfter: backAfter}, c.env(node))
+	started, err := process.NewKeeper(node.keeper, plan.Options{DownTimeout: repairAfter, MaintenanceTimeout: backAfter}, c.env(node))
 	if err != nil {
 		return err
 	}
