--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -138,7 +138,7 @@
 	}
 	if args.WithPlan {
 		made := plan.New(k.state, k.deps.Plan)
-		reply.Planned, reply.Waits = made.Proposals, made.Waits
+		reply.Planned, reply.Waits = made.Proposals, made.Deferred
 	}
 	if !args.WithState {
 		return reply
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -25,8 +25,8 @@
 // Plan is what should be done next, and why some of it waits.
 type Plan struct {
 	Proposals []wire.Proposal
-	// Waits says what is wanted and not proposed now, one sentence each.
-	Waits []string
+	// Deferred says what is wanted and not proposed now, one sentence each.
+	Deferred []string
 }
 
 // Options are the planner's choices that differ between deployments and trials.
@@ -89,7 +89,7 @@
 }
 
 func (p *planner) wait(sentence string) {
-	p.plan.Waits = append(p.plan.Waits, sentence)
+	p.plan.Deferred = append(p.plan.Deferred, sentence)
 }
 
 // due says whether a box should be maintained.
