--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -39,13 +39,13 @@
 // more; the table's weights decide.
 func (p *planner) reserve(pool *census) int {
 	slots := p.boxSlots(pool)
-	return slots * Together(p.state.Table(), pool.name, slots)
+	return slots * ConcurrentMaintenance(p.state.Table(), pool.name, slots)
 }
 
-// Together returns how many boxes of a pool should be maintained at once: more
+// ConcurrentMaintenance returns how many boxes of a pool should be maintained at once: more
 // end a wave in fewer rounds and hold back more slots, and the table's weights
 // say which is dearer.
-func Together(table table.Table, pool string, slots int) int {
+func ConcurrentMaintenance(table table.Table, pool string, slots int) int {
 	measures := table.Deployment()
 	boxes := (table.Needed(pool) + slots - 1) / slots
 	best, least := 1, 0
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -192,7 +192,7 @@
 	racks := len(names)
 	for _, pool := range b.state.Table().Deployment().Pools {
 		needed := b.state.Table().Needed(pool)
-		kept := (needed+size-1)/size + plan.Together(b.state.Table(), pool, size)
+		kept := (needed+size-1)/size + plan.ConcurrentMaintenance(b.state.Table(), pool, size)
 		boxes := kept + 1
 		for boxes-(boxes+racks-1)/racks < kept {
 			boxes++
@@ -207,7 +207,7 @@
 func (b *bench) roundsBound() int {
 	bound := 0
 	for _, pool := range b.state.Table().Deployment().Pools {
-		together := plan.Together(b.state.Table(), pool, b.boxSlots())
+		together := plan.ConcurrentMaintenance(b.state.Table(), pool, b.boxSlots())
 		bound = max(bound, (b.state.Pool(pool).Boxes+together-1)/together)
 	}
 	return bound
