--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -20,7 +20,7 @@
 		if !k.leadsHall(hall) {
 			continue
 		}
-		k.propose(plan.Senders(k.state, hall, k.liveSenders(), k.state.LogTimeMs()-k.liveFor())...)
+		k.propose(plan.AssignSenders(k.state, hall, k.liveSenders(), k.state.LogTimeMs()-k.liveFor())...)
 		k.maintain(hall)
 	}
 }
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -9,11 +9,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Senders proposes a sender for each box of a hall that has none. Live are the
+// AssignSenders proposes a sender for each box of a hall that has none. Live are the
 // senders that renew. When the hall has none of its own, another hall's take
 // the boxes that have stood still since before adopt, in milliseconds since
 // 1970: a hall whose entries are only starting keeps its boxes.
-func Senders(state fold.State, hall string, live []fold.Sender, adopt int) []wire.Proposal {
+func AssignSenders(state fold.State, hall string, live []fold.Sender, adopt int) []wire.Proposal {
 	candidates := inHall(live, hall)
 	adopting := len(candidates) == 0
 	if adopting {
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -44,7 +44,7 @@
 	for _, sender := range live {
 		if !seen[sender.Zone] {
 			seen[sender.Zone] = true
-			b.append(plan.Senders(b.state, sender.Zone, live, b.at)...)
+			b.append(plan.AssignSenders(b.state, sender.Zone, live, b.at)...)
 		}
 	}
 }
