--- a/pkg/fold/edit.go
+++ b/pkg/fold/edit.go
@@ -16,7 +16,7 @@
 		return s, "", fmt.Errorf("edit on version %d: %w", proposal.Edit.Base, err)
 	}
 	s.table = next
-	return s, fmt.Sprintf("table is at version %d: %s", next.Version(), table.Words(*proposal.Edit)), nil
+	return s, fmt.Sprintf("table is at version %d: %s", next.Version(), table.DescribeEdit(*proposal.Edit)), nil
 }
 
 // enroll takes boxes from the platform's list into the free pool; a known box
--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -157,7 +157,7 @@
 	case proposal.Release != nil:
 		return proposal.Release.Node
 	case proposal.Edit != nil:
-		return strings.Join(table.Rows(*proposal.Edit), " ")
+		return strings.Join(table.EditedRows(*proposal.Edit), " ")
 	}
 	names := make([]string, 0, len(proposal.Boxes))
 	for _, box := range proposal.Boxes {
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -23,8 +23,8 @@
 // DeploymentName stands for the table's line without a service.
 const DeploymentName = "deployment"
 
-// Rows returns the names of the rows that an edit touches, in order.
-func Rows(edit wire.Edit) []string {
+// EditedRows returns the names of the rows that an edit touches, in order.
+func EditedRows(edit wire.Edit) []string {
 	names := slices.Clone(edit.Remove)
 	for _, cell := range edit.Cells {
 		name := cell.Row
@@ -37,8 +37,8 @@
 	return slices.Compact(names)
 }
 
-// Words returns an edit's changes in words.
-func Words(edit wire.Edit) string {
+// DescribeEdit returns an edit's changes in words.
+func DescribeEdit(edit wire.Edit) string {
 	const most = 40
 	var changes []string
 	for _, cell := range edit.Cells {
