--- a/pkg/command/control_table.go
+++ b/pkg/command/control_table.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		edit, err = state.Table().Edits(wanted)
+		edit, err = state.Table().Diff(wanted)
 		return err
 	})
 	return edit, err
--- a/pkg/operator/operator.go
+++ b/pkg/operator/operator.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return wire.AuditLine{}, err
 	}
-	edit, err := state.Table().Edits(wanted)
+	edit, err := state.Table().Diff(wanted)
 	if err != nil {
 		return wire.AuditLine{}, err
 	}
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -96,7 +96,7 @@
 func (b *bench) edit(change func(*settings.Table)) error {
 	wanted := b.state.Table().File()
 	change(&wanted)
-	edit, err := b.state.Table().Edits(wanted)
+	edit, err := b.state.Table().Diff(wanted)
 	if err != nil {
 		return err
 	}
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -159,8 +159,8 @@
 	return reasons
 }
 
-// Edits returns the cells by which the wanted table differs from this one.
-func (t Table) Edits(wanted settings.Table) (wire.Edit, error) {
+// Diff returns the cells by which the wanted table differs from this one.
+func (t Table) Diff(wanted settings.Table) (wire.Edit, error) {
 	edit := wire.Edit{Base: t.version}
 	if err := t.addCells(&edit, "", wanted.Deployment); err != nil {
 		return edit, err
