--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -104,7 +104,7 @@
 	pool := state.Pool(row.Pool)
 	story := serviceStory{
 		Service: name, Row: row, Headroom: state.Headroom(row.Pool), Edits: auditFilter{service: name}.lines(trail),
-		Pool: poolStatus{Pool: row.Pool, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().Needed(row.Pool), Headroom: state.Headroom(row.Pool)},
+		Pool: poolStatus{Pool: row.Pool, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().NeededSlots(row.Pool), Headroom: state.Headroom(row.Pool)},
 	}
 	for _, box := range state.Boxes() {
 		if box.Pool != row.Pool {
--- a/pkg/command/control_status.go
+++ b/pkg/command/control_status.go
@@ -73,7 +73,7 @@
 	for _, name := range append(append([]string{}, state.Table().Deployment().Pools...), fold.FreePool) {
 		pool := state.Pool(name)
 		status.Pools = append(status.Pools, poolStatus{
-			Pool: name, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().Needed(name), Headroom: state.Headroom(name),
+			Pool: name, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().NeededSlots(name), Headroom: state.Headroom(name),
 		})
 	}
 	return status
--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -52,11 +52,11 @@
 		return nil
 	}
 	pool := s.Pool(box.Pool)
-	limit := s.table.DownLimit(box.Pool)
+	limit := s.table.MaxDown(box.Pool)
 	if limit > 0 && pool.Down+1 > limit {
 		return refuse("pool %s would have %d boxes down, its limit is %d", box.Pool, pool.Down+1, limit)
 	}
-	needed := s.table.Needed(box.Pool)
+	needed := s.table.NeededSlots(box.Pool)
 	slots, worst := pool.Slots-box.Info.Slots, pool.worstWithout(box)
 	if slots-worst < needed {
 		return refuse("pool %s would keep %d slots with its worst rack lost, its services need %d", box.Pool, slots-worst, needed)
@@ -68,14 +68,14 @@
 // spare with its worst rack lost. It is negative when the budget is broken.
 func (s State) Headroom(pool string) int {
 	summary := s.Pool(pool)
-	return summary.Slots - summary.MaxRackSlots() - s.table.Needed(pool)
+	return summary.Slots - summary.MaxRackSlots() - s.table.NeededSlots(pool)
 }
 
 // FrozenService returns a service of the pool that is in a freeze at the log's time,
 // in milliseconds since 1970, or "".
 func (s State) FrozenService(pool string, at int) string {
 	day := time.UnixMilli(int64(at)).UTC().Day()
-	for _, service := range s.table.InPool(pool) {
+	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
 		for _, freeze := range row.Freeze {
 			if inSpan(day, freeze.FirstDay, freeze.LastDay) {
@@ -90,7 +90,7 @@
 // log's time, in milliseconds since 1970.
 func (s State) InMaintenanceWindow(pool string, at int) bool {
 	clock := time.UnixMilli(int64(at)).UTC().Format("15:04")
-	for _, service := range s.table.InPool(pool) {
+	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
 		if len(row.Windows) > 0 && !slices.ContainsFunc(row.Windows, func(w settings.Window) bool { return inWindow(clock, w) }) {
 			return false
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -111,7 +111,7 @@
 // milliseconds.
 func (s State) longestRun(pool string) int {
 	longest := 0
-	for _, service := range s.table.InPool(pool) {
+	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
 		longest = max(longest, row.RunMs)
 	}
--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -86,7 +86,7 @@
 			slots -= other.Info.Slots
 		}
 	}
-	if slots-box.Info.Slots < f.state.Table().Floor(box.Pool) {
+	if slots-box.Info.Slots < f.state.Table().FloorSlots(box.Pool) {
 		f.deps.Metrics.Add("ejections_refused", 1)
 		return false
 	}
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -27,7 +27,7 @@
 // wanted returns the slots that a pool should have: what its services need, the
 // worst rack on top, and a reserve so that boxes can be maintained at all.
 func (p *planner) wanted(pool *census) int {
-	needed := p.state.Table().Needed(pool.name)
+	needed := p.state.Table().NeededSlots(pool.name)
 	if needed == 0 {
 		return 0
 	}
@@ -47,9 +47,9 @@
 // say which is dearer.
 func ConcurrentMaintenance(table table.Table, pool string, slots int) int {
 	measures := table.Deployment()
-	boxes := (table.Needed(pool) + slots - 1) / slots
+	boxes := (table.NeededSlots(pool) + slots - 1) / slots
 	best, least := 1, 0
-	for at := 1; at <= max(1, table.DownLimit(pool)); at++ {
+	for at := 1; at <= max(1, table.MaxDown(pool)); at++ {
 		rounds := (boxes + at + at) / at
 		cost := measures.Rollout*rounds + measures.Buffer*at
 		if at == 1 || cost < least {
--- a/pkg/plan/shelf.go
+++ b/pkg/plan/shelf.go
@@ -80,7 +80,7 @@
 		}
 	}
 	size := p.boxSlots(pool)
-	wanted := p.state.Table().Needed(pool.name) + p.reserve(pool)
+	wanted := p.state.Table().NeededSlots(pool.name) + p.reserve(pool)
 	return size * boxesInWorstRack((wanted+size-1)/size, racks)
 }
 
--- a/pkg/plan/withdraw.go
+++ b/pkg/plan/withdraw.go
@@ -14,7 +14,7 @@
 		if box.Phase != fold.Draining || box.Health != wire.HealthUp || box.Pool == fold.FreePool {
 			continue
 		}
-		floor := p.state.Table().Floor(box.Pool)
+		floor := p.state.Table().FloorSlots(box.Pool)
 		slots := p.state.Pool(box.Pool).Slots
 		if slots >= floor {
 			continue
--- a/pkg/planbench/baseline.go
+++ b/pkg/planbench/baseline.go
@@ -81,7 +81,7 @@
 	for _, slots := range racks {
 		worst = max(worst, slots)
 	}
-	return b.state.Table().Needed(pool) + worst + size
+	return b.state.Table().NeededSlots(pool) + worst + size
 }
 
 func (b *baseline) maintainOne() {
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -174,7 +174,7 @@
 func (b *bench) spare() int {
 	spare := 0
 	for _, pool := range b.state.Table().Deployment().Pools {
-		spare += b.state.Pool(pool).Slots - b.state.Table().Floor(pool)
+		spare += b.state.Pool(pool).Slots - b.state.Table().FloorSlots(pool)
 	}
 	return spare
 }
@@ -191,13 +191,13 @@
 	}
 	racks := len(names)
 	for _, pool := range b.state.Table().Deployment().Pools {
-		needed := b.state.Table().Needed(pool)
+		needed := b.state.Table().NeededSlots(pool)
 		kept := (needed+size-1)/size + plan.ConcurrentMaintenance(b.state.Table(), pool, size)
 		boxes := kept + 1
 		for boxes-(boxes+racks-1)/racks < kept {
 			boxes++
 		}
-		bound += boxes*size - b.state.Table().Floor(pool)
+		bound += boxes*size - b.state.Table().FloorSlots(pool)
 	}
 	return bound
 }
@@ -232,7 +232,7 @@
 		}
 	}
 	for _, pool := range b.state.Table().Deployment().Pools {
-		short := b.state.Table().Needed(pool) - b.state.Pool(pool).Slots
+		short := b.state.Table().NeededSlots(pool) - b.state.Pool(pool).Slots
 		lacking += max(0, (short+size-1)/size)
 	}
 	return max(0, lacking-free)
--- a/pkg/table/sums.go
+++ b/pkg/table/sums.go
@@ -21,19 +21,19 @@
 	}
 }
 
-// Needed returns the slots that a pool must keep at every moment: the floors
+// NeededSlots returns the slots that a pool must keep at every moment: the floors
 // and spare of its services.
-func (t Table) Needed(pool string) int {
+func (t Table) NeededSlots(pool string) int {
 	return t.sums[pool].floor + t.sums[pool].spare
 }
 
-// Floor returns the slots that the services of a pool keep, without spare.
-func (t Table) Floor(pool string) int {
+// FloorSlots returns the slots that the services of a pool keep, without spare.
+func (t Table) FloorSlots(pool string) int {
 	return t.sums[pool].floor
 }
 
-// DownLimit returns how many boxes of a pool may be down at once: the least of
+// MaxDown returns how many boxes of a pool may be down at once: the least of
 // its services' limits, or 0 if no service uses it.
-func (t Table) DownLimit(pool string) int {
+func (t Table) MaxDown(pool string) int {
 	return t.sums[pool].downLimit
 }
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -63,8 +63,8 @@
 	return t.names
 }
 
-// InPool returns the services of a pool in order.
-func (t Table) InPool(pool string) []string {
+// ServicesInPool returns the services of a pool in order.
+func (t Table) ServicesInPool(pool string) []string {
 	var found []string
 	for _, service := range t.names {
 		if t.rows[service].Pool == pool {
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -159,7 +159,7 @@
 		}
 	}
 	for _, pool := range o.state.Table().Deployment().Pools {
-		if slots[pool] < o.state.Table().Floor(pool) {
+		if slots[pool] < o.state.Table().FloorSlots(pool) {
 			o.belowFloor++
 		}
 	}
