--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -65,8 +65,8 @@
 	Entries func() int
 }
 
-// Book claims keys for one entry. One task owns its state.
-type Book struct {
+// Claimer claims keys for one entry. One task owns its state.
+type Claimer struct {
 	deps   Deps
 	inbox  chan any
 	cancel context.CancelFunc
@@ -111,10 +111,10 @@
 )
 
 // New starts to follow the claims stream.
-func New(deps Deps) *Book {
+func New(deps Deps) *Claimer {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
-	b := &Book{
+	b := &Claimer{
 		deps:      deps,
 		inbox:     make(chan any, inboxLength),
 		cancel:    cancel,
@@ -130,7 +130,7 @@
 }
 
 // Close stops the book and waits for its goroutines.
-func (b *Book) Close() error {
+func (b *Claimer) Close() error {
 	b.cancel()
 	return b.group.Wait()
 }
@@ -138,7 +138,7 @@
 // Acquire claims a key for a request with the given digest and deadline. It
 // waits until the log has decided, at most until the given time. Both times are
 // on this process's clock.
-func (b *Book) Acquire(key, digest string, until, deadline time.Time) Verdict {
+func (b *Claimer) Acquire(key, digest string, until, deadline time.Time) Verdict {
 	reply := make(chan Verdict, 1)
 	select {
 	case b.inbox <- acquireMessage{key: key, digest: digest, until: until, deadline: deadline, reply: reply}:
@@ -161,7 +161,7 @@
 }
 
 // Settle records the outcome of a claim that was won.
-func (b *Book) Settle(key, owner string, outcome wire.Outcome, status int) {
+func (b *Claimer) Settle(key, owner string, outcome wire.Outcome, status int) {
 	claim := wire.Claim{Key: key, Owner: owner, Outcome: outcome, Status: status}
 	select {
 	case b.inbox <- settleMessage{claim: claim}:
@@ -169,7 +169,7 @@
 	}
 }
 
-func (b *Book) run(ctx context.Context) error {
+func (b *Claimer) run(ctx context.Context) error {
 	ticker := pace.New(b.deps.Clock, busyTick, idleTick)
 	defer ticker.Stop()
 	for {
@@ -188,7 +188,7 @@
 	}
 }
 
-func (b *Book) take(message any) {
+func (b *Claimer) take(message any) {
 	switch m := message.(type) {
 	case acquireMessage:
 		b.acquire(m)
@@ -203,7 +203,7 @@
 	}
 }
 
-func (b *Book) acquire(m acquireMessage) {
+func (b *Claimer) acquire(m acquireMessage) {
 	if held, known := b.ledger.keys[m.key]; known && held.outcome != wire.OutcomeNotRun {
 		m.reply <- taken(held, m.digest)
 		return
@@ -227,7 +227,7 @@
 	return Verdict{State: Taken, Outcome: held.outcome, Status: held.status}
 }
 
-func (b *Book) takeRecord(record wire.Entry) {
+func (b *Claimer) takeRecord(record wire.Entry) {
 	claims := b.ledger.fold(record)
 	for _, claim := range claims {
 		if claim.Outcome != "" {
@@ -238,7 +238,7 @@
 }
 
 // takeClaims decides the wishes for keys that a folded record names.
-func (b *Book) takeClaims(claims []wire.Claim) {
+func (b *Claimer) takeClaims(claims []wire.Claim) {
 	for _, claim := range claims {
 		held := b.ledger.keys[claim.Key]
 		if b.abandoned[claim.Key] == held.owner && held.owner != "" && held.outcome == "" {
@@ -259,13 +259,13 @@
 	}
 }
 
-func (b *Book) answer(wish *wish, verdict Verdict) {
+func (b *Claimer) answer(wish *wish, verdict Verdict) {
 	delete(b.waiting, wish.claim.Key)
 	wish.reply <- verdict
 }
 
 // giveUpLate answers wishes whose time is over.
-func (b *Book) giveUpLate() {
+func (b *Claimer) giveUpLate() {
 	now := b.deps.Clock.Now()
 	for _, wish := range b.waiting {
 		if !now.Before(wish.until) {
@@ -274,13 +274,13 @@
 	}
 }
 
-func (b *Book) giveUpAll() {
+func (b *Claimer) giveUpAll() {
 	for _, wish := range b.waiting {
 		b.giveUp(wish)
 	}
 }
 
-func (b *Book) giveUp(wish *wish) {
+func (b *Claimer) giveUp(wish *wish) {
 	b.abandoned[wish.claim.Key] = wish.claim.Owner
 	b.dropUnsent(wish.claim)
 	b.deps.Metrics.Add("claims_unavailable", 1)
@@ -288,7 +288,7 @@
 }
 
 // dropUnsent takes a claim that was never appended out of the outbox.
-func (b *Book) dropUnsent(claim wire.Claim) {
+func (b *Claimer) dropUnsent(claim wire.Claim) {
 	for i, waiting := range b.outbox {
 		if waiting.Owner == claim.Owner && waiting.Outcome == "" {
 			b.outbox = append(b.outbox[:i], b.outbox[i+1:]...)
@@ -299,7 +299,7 @@
 }
 
 // flush appends what waits as one record: group commit.
-func (b *Book) flush(ctx context.Context) {
+func (b *Claimer) flush(ctx context.Context) {
 	now := b.deps.Clock.Now()
 	if b.inFlight || len(b.outbox) == 0 || now.Before(b.next) {
 		return
@@ -327,7 +327,7 @@
 
 // takeAppended says outcomes again that may not have landed. Claims are not
 // said again: their wishes end by their own time.
-func (b *Book) takeAppended(m appendedMessage) {
+func (b *Claimer) takeAppended(m appendedMessage) {
 	b.inFlight = false
 	pause := min(mostSpacing, spacing*time.Duration(max(1, b.deps.Entries())))
 	if m.err != nil {
@@ -343,7 +343,7 @@
 }
 
 // follow reads the claims stream from the oldest record on.
-func (b *Book) follow(ctx context.Context) error {
+func (b *Claimer) follow(ctx context.Context) error {
 	from := 0
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, readTimeout)
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -70,7 +70,7 @@
 	rpc         *call.Server
 	http        *http.Server
 	sender      *send.Client
-	claims      *claim.Book
+	claims      *claim.Claimer
 	keepers     []*call.Client
 	stopping    atomic.Bool
 	requests    atomic.Int64
