--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -45,8 +45,8 @@
 	Unavailable
 )
 
-// Verdict is the answer to a claim.
-type Verdict struct {
+// Result is the answer to a claim.
+type Result struct {
 	State State
 	// Owner names the claim that was won.
 	Owner   string
@@ -61,8 +61,8 @@
 	Node        string
 	Incarnation int
 	Metrics     *metrics.Set
-	// Entries returns how many entries append claims now.
-	Entries func() int
+	// EntryCount returns how many entries append claims now.
+	EntryCount func() int
 }
 
 // Claimer claims keys for one entry. One task owns its state.
@@ -87,7 +87,7 @@
 type wish struct {
 	claim wire.Claim
 	until time.Time // When the wish is given up.
-	reply chan<- Verdict
+	reply chan<- Result
 }
 
 // Messages to the loop.
@@ -96,7 +96,7 @@
 		key, digest string
 		until       time.Time
 		deadline    time.Time
-		reply       chan<- Verdict
+		reply       chan<- Result
 	}
 	settleMessage struct {
 		claim wire.Claim
@@ -138,12 +138,12 @@
 // Acquire claims a key for a request with the given digest and deadline. It
 // waits until the log has decided, at most until the given time. Both times are
 // on this process's clock.
-func (b *Claimer) Acquire(key, digest string, until, deadline time.Time) Verdict {
-	reply := make(chan Verdict, 1)
+func (b *Claimer) Acquire(key, digest string, until, deadline time.Time) Result {
+	reply := make(chan Result, 1)
 	select {
 	case b.inbox <- acquireMessage{key: key, digest: digest, until: until, deadline: deadline, reply: reply}:
 	case <-b.ended:
-		return Verdict{State: Unavailable}
+		return Result{State: Unavailable}
 	}
 	// The loop answers every wish by its time; a caller that left before would
 	// leave a claim behind whose owner nobody is.
@@ -156,12 +156,12 @@
 	case verdict := <-reply:
 		return verdict
 	default:
-		return Verdict{State: Unavailable}
+		return Result{State: Unavailable}
 	}
 }
 
-// Settle records the outcome of a claim that was won.
-func (b *Claimer) Settle(key, owner string, outcome wire.Outcome, status int) {
+// RecordOutcome records the outcome of a claim that was won.
+func (b *Claimer) RecordOutcome(key, owner string, outcome wire.Outcome, status int) {
 	claim := wire.Claim{Key: key, Owner: owner, Outcome: outcome, Status: status}
 	select {
 	case b.inbox <- settleMessage{claim: claim}:
@@ -209,7 +209,7 @@
 		return
 	}
 	if b.waiting[m.key] != nil {
-		m.reply <- Verdict{State: Taken}
+		m.reply <- Result{State: Taken}
 		return
 	}
 	b.attempts++
@@ -220,11 +220,11 @@
 	b.deps.Metrics.Add("claims", 1)
 }
 
-func taken(held holding, digest string) Verdict {
+func taken(held holding, digest string) Result {
 	if held.digest != digest {
-		return Verdict{State: Mismatch}
+		return Result{State: Mismatch}
 	}
-	return Verdict{State: Taken, Outcome: held.outcome, Status: held.status}
+	return Result{State: Taken, Outcome: held.outcome, Status: held.status}
 }
 
 func (b *Claimer) takeRecord(record wire.Entry) {
@@ -252,14 +252,14 @@
 			continue
 		}
 		if held.owner == wish.claim.Owner {
-			b.answer(wish, Verdict{State: Won, Owner: held.owner})
+			b.answer(wish, Result{State: Won, Owner: held.owner})
 			continue
 		}
 		b.answer(wish, taken(held, wish.claim.Digest))
 	}
 }
 
-func (b *Claimer) answer(wish *wish, verdict Verdict) {
+func (b *Claimer) answer(wish *wish, verdict Result) {
 	delete(b.waiting, wish.claim.Key)
 	wish.reply <- verdict
 }
@@ -284,7 +284,7 @@
 	b.abandoned[wish.claim.Key] = wish.claim.Owner
 	b.dropUnsent(wish.claim)
 	b.deps.Metrics.Add("claims_unavailable", 1)
-	b.answer(wish, Verdict{State: Unavailable})
+	b.answer(wish, Result{State: Unavailable})
 }
 
 // dropUnsent takes a claim that was never appended out of the outbox.
@@ -329,7 +329,7 @@
 // said again: their wishes end by their own time.
 func (b *Claimer) takeAppended(m appendedMessage) {
 	b.inFlight = false
-	pause := min(mostSpacing, spacing*time.Duration(max(1, b.deps.Entries())))
+	pause := min(mostSpacing, spacing*time.Duration(max(1, b.deps.EntryCount())))
 	if m.err != nil {
 		b.deps.Metrics.Add("claim_append_failures", 1)
 		pause = max(pause, retryPause)
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -127,7 +127,7 @@
 	}
 	f.claims = claim.New(claim.Deps{
 		Log: deps.Log, Clock: deps.Clock, Node: deps.Settings.Node, Incarnation: incarnation,
-		Metrics: deps.Metrics, Entries: func() int { return int(f.entries.Load()) },
+		Metrics: deps.Metrics, EntryCount: func() int { return int(f.entries.Load()) },
 	})
 	server, err := call.Serve(deps.Listener, ServiceName, &service{front: f})
 	if err != nil {
--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -171,7 +171,7 @@
 		return lostClaim(verdict)
 	}
 	outcome := f.Run(ctx, request)
-	f.claims.Settle(key, verdict.Owner, outcome.Outcome, outcome.Status)
+	f.claims.RecordOutcome(key, verdict.Owner, outcome.Outcome, outcome.Status)
 	return outcome
 }
 
@@ -180,7 +180,7 @@
 }
 
 // lostClaim words what is known of a key that another request holds.
-func lostClaim(verdict claim.Verdict) Outcome {
+func lostClaim(verdict claim.Result) Outcome {
 	switch verdict.State {
 	case claim.Mismatch:
 		return Outcome{Outcome: wire.OutcomeNotRun, Status: http.StatusUnprocessableEntity,
