--- a/pkg/front/admit.go
+++ b/pkg/front/admit.go
@@ -91,13 +91,13 @@
 		return f.noSender(row.Pool)
 	}
 	for _, quota := range row.Quotas {
-		if quota.Team != item.Team {
+		if quota.Team != item.Customer {
 			continue
 		}
 		share := max(1, f.shareOf(quota.Most, row.Pool))
-		if f.usage(item.Service).teams[item.Team] >= share {
+		if f.usage(item.Service).teams[item.Customer] >= share {
 			return refuse(http.StatusTooManyRequests, f.retryAfter(item.Service, row.Pool),
-				"team %s has %d requests here, its share of the quota of %d is %d", item.Team, share, quota.Most, share)
+				"team %s has %d requests here, its share of the quota of %d is %d", item.Customer, share, quota.Most, share)
 		}
 	}
 	return nil
@@ -167,7 +167,7 @@
 
 func (f *Front) enqueue(m acquireMessage, row settings.Row) {
 	f.jobs[m.item.ID] = &job{item: m.item, tried: m.tried, hop: m.hop, reply: m.reply, pool: row.Pool}
-	f.usage(m.item.Service).teams[m.item.Team]++
+	f.usage(m.item.Service).teams[m.item.Customer]++
 	f.queue(row.Pool).Push(m.item)
 }
 
@@ -204,9 +204,9 @@
 func (f *Front) forget(known *job) {
 	delete(f.jobs, known.item.ID)
 	teams := f.usage(known.item.Service).teams
-	teams[known.item.Team]--
-	if teams[known.item.Team] <= 0 {
-		delete(teams, known.item.Team)
+	teams[known.item.Customer]--
+	if teams[known.item.Customer] <= 0 {
+		delete(teams, known.item.Customer)
 	}
 }
 
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -39,8 +39,8 @@
 	return row.Weight
 }
 
-// Team returns a team's share of a service.
-func (w weights) Team(service, team string) int {
+// Customer returns a team's share of a service.
+func (w weights) Customer(service, team string) int {
 	row, _ := w.front.state.Table().Row(service)
 	for _, quota := range row.Quotas {
 		if quota.Team == team {
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -124,7 +124,7 @@
 
 func (t *trip) item() queue.Item {
 	return queue.Item{
-		ID: t.request.ID, Service: t.request.Service, Team: t.request.Team, Class: t.request.Class,
+		ID: t.request.ID, Service: t.request.Service, Customer: t.request.Team, Class: t.request.Class,
 		Entered: t.front.now(), Deadline: t.request.Deadline, Size: max(1, t.request.Size),
 	}
 }
--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -21,9 +21,9 @@
 	f.loop = f.newLoop()
 	f.routes[testPool] = others
 	reply := make(chan grant, 1)
-	item := queue.Item{ID: "r", Service: "s", Team: "t", Size: 1}
+	item := queue.Item{ID: "r", Service: "s", Customer: "t", Size: 1}
 	f.jobs[item.ID] = &job{item: item, hop: hop, pool: testPool, reply: reply}
-	f.usage(item.Service).teams[item.Team]++
+	f.usage(item.Service).teams[item.Customer]++
 	f.queue(testPool).Push(item)
 	return f, reply
 }
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -14,7 +14,7 @@
 type Item struct {
 	ID       string
 	Service  string
-	Team     string
+	Customer string
 	Class    wire.Class
 	Entered  time.Time
 	Deadline time.Time
@@ -25,7 +25,7 @@
 // Weights gives the shares of services and teams. Unknown ones weigh 1.
 type Weights interface {
 	Service(service string) int
-	Team(service, team string) int
+	Customer(service, team string) int
 }
 
 // Accepts says whether an item may start now.
@@ -122,15 +122,15 @@
 	if tier.teams == nil {
 		tier.teams = map[string]*team{}
 	}
-	waiting := tier.teams[item.Team]
+	waiting := tier.teams[item.Customer]
 	if waiting == nil {
 		waiting = &team{used: service.clock, items: list.New()}
-		tier.teams[item.Team] = waiting
-		tier.order = append(tier.order, item.Team)
+		tier.teams[item.Customer] = waiting
+		tier.order = append(tier.order, item.Customer)
 	}
 	element := waiting.items.PushBack(item)
 	service.length++
-	q.places[item.ID] = place{line: service, rank: rank, team: item.Team, element: element}
+	q.places[item.ID] = place{line: service, rank: rank, team: item.Customer, element: element}
 }
 
 // Remove takes a waiting request out, and says whether it was there.
@@ -252,9 +252,9 @@
 	q.clock = max(q.clock, service.used)
 	service.used += size / float64(max(q.weights.Service(item.Service), 1))
 	for rank := range service.ranks {
-		if waiting := service.ranks[rank].teams[item.Team]; waiting != nil {
+		if waiting := service.ranks[rank].teams[item.Customer]; waiting != nil {
 			service.clock = max(service.clock, waiting.used)
-			waiting.used += size / float64(max(q.weights.Team(item.Service, item.Team), 1))
+			waiting.used += size / float64(max(q.weights.Customer(item.Service, item.Customer), 1))
 		}
 	}
 }
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -17,7 +17,7 @@
 
 func (s scripted) Service(service string) int { return max(1, s[service]) }
 
-func (s scripted) Team(_, team string) int { return max(1, s[team]) }
+func (s scripted) Customer(_, team string) int { return max(1, s[team]) }
 
 // TestOrder runs scripts that push requests and show in which order they start.
 func TestOrder(t *testing.T) {
@@ -36,7 +36,7 @@
 				assert.NilError(t, err)
 				weights[words[1]] = value
 			case "push":
-				item := Item{ID: fmt.Sprintf("%s/%d", strings.Join(words[1:4], "."), count), Service: words[1], Team: words[2], Class: wire.Class(words[3]), Entered: start, Size: 1}
+				item := Item{ID: fmt.Sprintf("%s/%d", strings.Join(words[1:4], "."), count), Service: words[1], Customer: words[2], Class: wire.Class(words[3]), Entered: start, Size: 1}
 				left, err := time.ParseDuration(words[4])
 				assert.NilError(t, err)
 				item.Deadline = start.Add(left)
@@ -70,7 +70,7 @@
 	waiting := New(scripted{})
 	const count = 1000
 	for number := range count {
-		waiting.Push(Item{ID: fmt.Sprint(number), Service: "s", Team: fmt.Sprint(number % 7), Class: wire.ClassNormal})
+		waiting.Push(Item{ID: fmt.Sprint(number), Service: "s", Customer: fmt.Sprint(number % 7), Class: wire.ClassNormal})
 	}
 	for number := range count {
 		assert.Assert(t, waiting.Remove(fmt.Sprint(number)))
@@ -82,11 +82,11 @@
 func BenchmarkPushPop(b *testing.B) {
 	waiting := New(scripted{})
 	for number := range 600 {
-		waiting.Push(Item{ID: fmt.Sprint("w", number), Service: "s", Team: fmt.Sprint(number % 200), Class: wire.ClassNormal})
+		waiting.Push(Item{ID: fmt.Sprint("w", number), Service: "s", Customer: fmt.Sprint(number % 200), Class: wire.ClassNormal})
 	}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		waiting.Push(Item{ID: fmt.Sprint(number), Service: "s", Team: fmt.Sprint(number % 200), Class: wire.ClassNormal})
+		waiting.Push(Item{ID: fmt.Sprint(number), Service: "s", Customer: fmt.Sprint(number % 200), Class: wire.ClassNormal})
 		waiting.Pop(func(Item) bool { return true })
 	}
 }
