--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -263,7 +263,7 @@
 func (f *Front) expire() {
 	now := f.now()
 	for pool, waiting := range f.queues {
-		for _, item := range waiting.Expired(now) {
+		for _, item := range waiting.PopExpired(now) {
 			f.refuseJob(f.jobs[item.ID], refuse(http.StatusServiceUnavailable, f.retryAfter(item.Service, pool),
 				"its deadline came while it waited in the queue of pool %s", pool))
 		}
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -125,7 +125,7 @@
 func (t *trip) item() queue.Item {
 	return queue.Item{
 		ID: t.request.ID, Service: t.request.Service, Customer: t.request.Team, Class: t.request.Class,
-		Entered: t.front.now(), Deadline: t.request.Deadline, Size: max(1, t.request.Size),
+		EnqueuedAt: t.front.now(), Deadline: t.request.Deadline, Size: max(1, t.request.Size),
 	}
 }
 
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -12,12 +12,12 @@
 
 // Item is one waiting request.
 type Item struct {
-	ID       string
-	Service  string
-	Customer string
-	Class    wire.Class
-	Entered  time.Time
-	Deadline time.Time
+	ID         string
+	Service    string
+	Customer   string
+	Class      wire.Class
+	EnqueuedAt time.Time
+	Deadline   time.Time
 	// Size is the number of slots it needs on one box.
 	Size int
 }
@@ -28,8 +28,8 @@
 	Customer(service, team string) int
 }
 
-// Accepts says whether an item may start now.
-type Accepts func(item Item) bool
+// CanStart says whether an item may start now.
+type CanStart func(item Item) bool
 
 // ranks of waiting work, first served first.
 const (
@@ -183,7 +183,7 @@
 }
 
 // Pop removes and returns the next request that may start.
-func (q *Queue) Pop(accepts Accepts) (Item, bool) {
+func (q *Queue) Pop(accepts CanStart) (Item, bool) {
 	for rank := range rankCount {
 		if item, found := q.popRank(rank, accepts); found {
 			return item, true
@@ -194,7 +194,7 @@
 
 // popRank serves the service that has used least of its share, and within it
 // the team that has.
-func (q *Queue) popRank(rank int, accepts Accepts) (Item, bool) {
+func (q *Queue) popRank(rank int, accepts CanStart) (Item, bool) {
 	tried := map[string]bool{}
 	for {
 		service := q.leastUsed(rank, tried)
@@ -227,7 +227,7 @@
 }
 
 // first returns the head of the least served team whose head may start.
-func (q *Queue) first(service *line, rank int, accepts Accepts) (Item, place, bool) {
+func (q *Queue) first(service *line, rank int, accepts CanStart) (Item, place, bool) {
 	tier := &service.ranks[rank]
 	best, found := "", false
 	for _, name := range tier.order {
@@ -259,8 +259,8 @@
 	}
 }
 
-// Expired removes and returns the requests whose deadline has come.
-func (q *Queue) Expired(now time.Time) []Item {
+// PopExpired removes and returns the requests whose deadline has come.
+func (q *Queue) PopExpired(now time.Time) []Item {
 	var over []Item
 	q.each(func(item Item, _ place) {
 		if !now.Before(item.Deadline) {
@@ -299,7 +299,7 @@
 	if left <= lead {
 		return rankUrgent
 	}
-	if rank == rankSameDay && left <= item.Deadline.Sub(item.Entered)/2 {
+	if rank == rankSameDay && left <= item.Deadline.Sub(item.EnqueuedAt)/2 {
 		return rankNormal
 	}
 	return rank
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -36,7 +36,7 @@
 				assert.NilError(t, err)
 				weights[words[1]] = value
 			case "push":
-				item := Item{ID: fmt.Sprintf("%s/%d", strings.Join(words[1:4], "."), count), Service: words[1], Customer: words[2], Class: wire.Class(words[3]), Entered: start, Size: 1}
+				item := Item{ID: fmt.Sprintf("%s/%d", strings.Join(words[1:4], "."), count), Service: words[1], Customer: words[2], Class: wire.Class(words[3]), EnqueuedAt: start, Size: 1}
 				left, err := time.ParseDuration(words[4])
 				assert.NilError(t, err)
 				item.Deadline = start.Add(left)
@@ -50,7 +50,7 @@
 			case "expire":
 				at, err := time.ParseDuration(words[1])
 				assert.NilError(t, err)
-				fmt.Fprintf(&told, "expired %d\n", len(waiting.Expired(start.Add(at))))
+				fmt.Fprintf(&told, "expired %d\n", len(waiting.PopExpired(start.Add(at))))
 			}
 		}
 		for {
