--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -95,7 +95,7 @@
 	name := box.Info.Name
 	return pick.Box{
 		Name: name, Slots: box.Info.Slots, InUse: box.inUse,
-		Limit: f.learner.Limit(name, box.Info.Slots), Pace: f.learner.Pace(name),
+		Limit: f.learner.Limit(name, box.Info.Slots), RelativeLatency: f.learner.RelativeLatency(name),
 	}
 }
 
--- a/pkg/pick/pick.go
+++ b/pkg/pick/pick.go
@@ -15,9 +15,9 @@
 	InUse int
 	// Limit is the learned number of slots that the box bears, at most Slots.
 	Limit int
-	// Pace is the box's time for a request against the average of its service;
+	// RelativeLatency is the box's time for a request against the average of its service;
 	// 1 is average, more is slower.
-	Pace float64
+	RelativeLatency float64
 }
 
 // Free returns the slots that may be used now.
@@ -34,7 +34,7 @@
 		if box.Free() < size {
 			continue
 		}
-		cost := box.Pace * float64(box.InUse+size) / float64(min(box.Slots, box.Limit))
+		cost := box.RelativeLatency * float64(box.InUse+size) / float64(min(box.Slots, box.Limit))
 		switch {
 		case best < 0 || cost < least:
 			best, least, equals = i, cost, 1
@@ -75,8 +75,8 @@
 	return &Learner{averages: map[string]float64{}, paces: map[string]float64{}, limits: map[string]limit{}}
 }
 
-// Pace returns the learned pace of a box, 1 if unknown.
-func (l *Learner) Pace(box string) float64 {
+// RelativeLatency returns the learned pace of a box, 1 if unknown.
+func (l *Learner) RelativeLatency(box string) float64 {
 	if pace, known := l.paces[box]; known {
 		return pace
 	}
@@ -106,7 +106,7 @@
 	l.averages[service] = average + averageWeight*(seconds-average)
 	if average > 0 {
 		ratio := min(mostPace, max(leastPace, seconds/average))
-		l.paces[box] = l.Pace(box) + paceWeight*(ratio-l.Pace(box))
+		l.paces[box] = l.RelativeLatency(box) + paceWeight*(ratio-l.RelativeLatency(box))
 	}
 	l.raise(box, slots)
 }
