--- a/pkg/front/admit.go
+++ b/pkg/front/admit.go
@@ -212,7 +212,7 @@
 
 // retryAfter estimates when the present queue will have gone by.
 func (f *Front) retryAfter(service, pool string) time.Duration {
-	average := f.learner.Average(service)
+	average := f.learner.AverageLatency(service)
 	slots := max(1, f.ownSlots(pool))
 	waiting := f.queue(pool).Total()
 	estimate := average * time.Duration(waiting+1) / time.Duration(slots)
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -228,7 +228,7 @@
 	switch {
 	case report.unused:
 	case report.refused:
-		f.learner.Busy(name, box.inUse+done.item.Size)
+		f.learner.RecordBusy(name, box.inUse+done.item.Size)
 	case report.kind == send.Broken && !report.failed:
 		// Its caller left or its time was short: that says nothing of the box.
 	case report.failed:
@@ -238,7 +238,7 @@
 		}
 		f.book.AddFailure(done.item.ID, name, f.now())
 	default:
-		f.learner.Answered(done.item.Service, name, report.took, box.Info.Slots)
+		f.learner.RecordAnswer(done.item.Service, name, report.took, box.Info.Slots)
 		f.book.AddSuccess(done.item.ID, name)
 		if f.book.IsEjected(name) {
 			f.book.Reinstate(name)
@@ -276,7 +276,7 @@
 func (f *Front) age() {
 	now := f.now()
 	for _, waiting := range f.queues {
-		aged := waiting.Age(now, func(service string) time.Duration { return leadRuns * f.learner.Average(service) })
+		aged := waiting.Age(now, func(service string) time.Duration { return leadRuns * f.learner.AverageLatency(service) })
 		f.deps.Metrics.Add("aged", aged)
 	}
 }
--- a/pkg/pick/pick.go
+++ b/pkg/pick/pick.go
@@ -91,13 +91,13 @@
 	return slots
 }
 
-// Average returns how long a request of the service takes, 0 if unknown.
-func (l *Learner) Average(service string) time.Duration {
+// AverageLatency returns how long a request of the service takes, 0 if unknown.
+func (l *Learner) AverageLatency(service string) time.Duration {
 	return time.Duration(l.averages[service] * float64(time.Second))
 }
 
-// Answered learns from a request that was answered.
-func (l *Learner) Answered(service, box string, took time.Duration, slots int) {
+// RecordAnswer learns from a request that was answered.
+func (l *Learner) RecordAnswer(service, box string, took time.Duration, slots int) {
 	seconds := took.Seconds()
 	average, known := l.averages[service]
 	if !known {
@@ -127,8 +127,8 @@
 	l.limits[box] = learned
 }
 
-// Busy learns that a box refused work while it had a number of slots in use.
-func (l *Learner) Busy(box string, inUse int) {
+// RecordBusy learns that a box refused work while it had a number of slots in use.
+func (l *Learner) RecordBusy(box string, inUse int) {
 	l.limits[box] = limit{slots: max(1, inUse-1)}
 }
 
