--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	note(slopeRestore, planbench.MedianMs(clock, func() { _, err = empty.WithSnapshot(snapshot) }))
+	note(slopeRestore, planbench.MedianMs(clock, func() { _, err = empty.Restore(snapshot) }))
 	if err != nil {
 		return err
 	}
@@ -170,10 +170,10 @@
 		return 0
 	}
 	const together = 200
-	record := wire.Entry{Offset: state.Offset(), At: state.At(), Data: string(data)}
+	record := wire.Entry{Offset: state.Offset(), At: state.LogTimeMs(), Data: string(data)}
 	took := planbench.MedianMs(clock, func() {
 		for range together {
-			state.Fold(record)
+			state.Apply(record)
 		}
 	})
 	return took * float64(time.Millisecond/time.Microsecond) / together
@@ -192,7 +192,7 @@
 			return nil
 		}
 		known, _ := json.Marshal(renewal(int(count), true))
-		state, _ := empty.Fold(wire.Entry{Data: string(known)})
+		state, _ := empty.Apply(wire.Entry{Data: string(known)})
 		folds = append(folds, foldTime(clock, state, batch))
 		claims = append(claims, claimBytes(int(count)))
 	}
--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -55,11 +55,11 @@
 
 func boxLines(box fold.Box) []string {
 	lines := []string{
-		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, moment(box.Since)),
+		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, moment(box.EpochStartedAt)),
 		fmt.Sprintf("It stands in hall %s, %s, with %d slots; it was last maintained at %s.", box.Info.Hall, box.Info.Rack, box.Info.Slots, moment(box.MaintainedAt)),
 	}
 	switch {
-	case box.Sender.None():
+	case box.Sender.IsNone():
 		lines = append(lines, "No entry sends to it.")
 	default:
 		lines = append(lines, fmt.Sprintf("Entry %s sends to it.", box.Sender.Node))
@@ -104,7 +104,7 @@
 	pool := state.Pool(row.Pool)
 	story := serviceStory{
 		Service: name, Row: row, Headroom: state.Headroom(row.Pool), Edits: auditFilter{service: name}.lines(trail),
-		Pool: poolStatus{Pool: row.Pool, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().Needed(row.Pool), Headroom: state.Headroom(row.Pool)},
+		Pool: poolStatus{Pool: row.Pool, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().NeededSlots(row.Pool), Headroom: state.Headroom(row.Pool)},
 	}
 	for _, box := range state.Boxes() {
 		if box.Pool != row.Pool {
@@ -112,7 +112,7 @@
 		}
 		story.Boxes = append(story.Boxes, box)
 		for _, line := range trail {
-			if line.Offset == box.ChangedBy && about(line, box.Info.Name) {
+			if line.Offset == box.ChangedAtOffset && about(line, box.Info.Name) {
 				story.Changes = append(story.Changes, line)
 			}
 		}
--- a/pkg/fold/life.go
+++ b/pkg/fold/life.go
@@ -8,8 +8,8 @@
 
 // assign gives a box without a sender to one that renews.
 func (s State) assign(box Box, change wire.BoxChange, where step) (State, string, error) {
-	key := SenderKey{Node: change.Node, Entry: change.Entry}
-	if !box.Sender.None() {
+	key := SenderKey{Node: change.Node, Incarnation: change.Entry}
+	if !box.Sender.IsNone() {
 		return s, "", refuse("box %s has the sender %s", box.Info.Name, box.Sender)
 	}
 	sender, known := s.senders.Get(key.String())
@@ -27,8 +27,8 @@
 	if err := speaks(box, change); err != nil {
 		return s, "", err
 	}
-	to := SenderKey{Node: change.ToNode, Entry: change.ToEntry}
-	if sender, known := s.senders.Get(to.String()); !to.None() && (!known || sender.Leaving) {
+	to := SenderKey{Node: change.ToNode, Incarnation: change.ToEntry}
+	if sender, known := s.senders.Get(to.String()); !to.IsNone() && (!known || sender.Leaving) {
 		return s, "", refuse("%s is no sender, or is leaving", to)
 	}
 	box = box.moved(where.offset, where.at)
@@ -38,7 +38,7 @@
 
 // speaks checks that a change comes from the box's present sender.
 func speaks(box Box, change wire.BoxChange) error {
-	if box.Sender != (SenderKey{Node: change.Node, Entry: change.Entry}) || box.Sender.None() {
+	if box.Sender != (SenderKey{Node: change.Node, Incarnation: change.Entry}) || box.Sender.IsNone() {
 		return refuse("box %s is sent to by %q, not by %s#%d", box.Info.Name, box.Sender, change.Node, change.Entry)
 	}
 	return nil
@@ -103,11 +103,11 @@
 	if box.Phase != Maintenance {
 		return s, "", refuse("box %s is %s, not in maintenance", box.Info.Name, box.Phase)
 	}
-	if member, known := s.members.Get(box.Carrier.Node); known && member.Keeper == box.Carrier.Keeper {
-		return s, "", refuse("%s carries out the maintenance of %s", box.Carrier.Node, box.Info.Name)
+	if member, known := s.members.Get(box.Maintainer.Node); known && member.KeeperIncarnation == box.Maintainer.Incarnation {
+		return s, "", refuse("%s carries out the maintenance of %s", box.Maintainer.Node, box.Info.Name)
 	}
 	box = box.moved(where.offset, where.at)
-	box.Carrier = Carrier{Node: where.batch.Node, Keeper: where.batch.Incarnation}
+	box.Maintainer = KeeperKey{Node: where.batch.Node, Incarnation: where.batch.Incarnation}
 	return s.withBox(box), fmt.Sprintf("%s carries out the maintenance of %s", where.batch.Node, box.Info.Name), nil
 }
 
@@ -116,11 +116,11 @@
 	if box.Phase != Maintenance {
 		return s, "", refuse("box %s is %s, not in maintenance", box.Info.Name, box.Phase)
 	}
-	if box.Carrier != (Carrier{Node: where.batch.Node, Keeper: where.batch.Incarnation}) {
-		return s, "", refuse("the maintenance of %s is carried out by %s", box.Info.Name, box.Carrier.Node)
+	if box.Maintainer != (KeeperKey{Node: where.batch.Node, Incarnation: where.batch.Incarnation}) {
+		return s, "", refuse("the maintenance of %s is carried out by %s", box.Info.Name, box.Maintainer.Node)
 	}
 	box = box.moved(where.offset, where.at)
-	box.Carrier = Carrier{}
+	box.Maintainer = KeeperKey{}
 	box.Phase, box.Health, box.MaintainedAt = Serving, wire.HealthUp, where.at
 	return s.withBox(box), fmt.Sprintf("%s serves pool %s again", box.Info.Name, box.Pool), nil
 }
@@ -138,7 +138,7 @@
 		return s, "", refuse("unknown health %q", change.Health)
 	}
 	was := box.Health
-	box.Health, box.HealthAt = change.Health, where.at
-	box.ChangedBy = where.offset
+	box.Health, box.HealthChangedAt = change.Health, where.at
+	box.ChangedAtOffset = where.offset
 	return s.withBox(box), fmt.Sprintf("%s was %s and is %s", box.Info.Name, was, box.Health), nil
 }
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -31,8 +31,8 @@
 			batch := randomBatch(random, state)
 			data, err := json.Marshal(batch)
 			assert.NilError(t, err)
-			record := wire.Entry{Offset: state.Offset(), At: state.At() + random.IntN(2000), Data: string(data)}
-			next, verdicts := state.Fold(record)
+			record := wire.Entry{Offset: state.Offset(), At: state.LogTimeMs() + random.IntN(2000), Data: string(data)}
+			next, verdicts := state.Apply(record)
 			state = next
 			for _, verdict := range verdicts {
 				if verdict.Accepted {
@@ -64,7 +64,7 @@
 	}}
 	data, err := json.Marshal(batch)
 	assert.NilError(t, err)
-	state, _ = state.Fold(wire.Entry{Offset: 0, At: 1, Data: string(data)})
+	state, _ = state.Apply(wire.Entry{Offset: 0, At: 1, Data: string(data)})
 	assert.Equal(t, state.Table().Version(), 1)
 	return state
 }
@@ -82,7 +82,7 @@
 func randomProposal(random *rand.Rand, state State, batch wire.Batch, node int) wire.Proposal {
 	boxes := state.Boxes()
 	box := boxes[random.IntN(len(boxes))]
-	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch - random.IntN(8)/7, Node: box.Sender.Node, Entry: box.Sender.Entry}
+	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch - random.IntN(8)/7, Node: box.Sender.Node, Entry: box.Sender.Incarnation}
 	kinds := []wire.Kind{
 		wire.KindDrain, wire.KindDrain, wire.KindEmpty, wire.KindEmpty, wire.KindWithdraw, wire.KindCarry, wire.KindBack,
 		wire.KindHealth, wire.KindAssign, wire.KindAssign, wire.KindHandover, wire.KindRenew, wire.KindRenew, wire.KindRelease, wire.KindEdit,
@@ -103,7 +103,7 @@
 		seq := 1 + state.Offset()
 		return wire.Proposal{Kind: kind, Members: []wire.Member{{Node: batch.Node, Hall: fmt.Sprintf("h%d", node%2), Keeper: batch.Incarnation, Entry: 1 + random.IntN(2), Seq: seq, Folded: max(0, state.Offset()-random.IntN(20))}}}
 	case wire.KindRelease:
-		known, _ := state.Sender(SenderKey{Node: sender, Entry: 1})
+		known, _ := state.Sender(SenderKey{Node: sender, Incarnation: 1})
 		how := []wire.ReleaseHow{wire.ReleaseHowTime, wire.ReleaseHowEnded, wire.ReleaseHowList}[random.IntN(3)]
 		return wire.Proposal{Kind: kind, Release: &wire.Release{Node: sender, Entry: 1, Seq: known.Seq, How: how}}
 	case wire.KindEdit:
@@ -114,7 +114,7 @@
 }
 
 // checkState recomputes from the boxes alone what the state keeps sums of.
-func checkState(t *testing.T, seed uint64, was, state State, verdicts []Verdict) {
+func checkState(t *testing.T, seed uint64, was, state State, verdicts []Result) {
 	t.Helper()
 	total, slots := 0, 0
 	for _, pool := range []string{"one", "two", FreePool} {
@@ -139,7 +139,7 @@
 
 // checkMoves checks that a box leaves its pool only by way of empty, and that a
 // record of one drain leaves its pool its budget.
-func checkMoves(t *testing.T, seed uint64, was, state State, verdicts []Verdict) {
+func checkMoves(t *testing.T, seed uint64, was, state State, verdicts []Result) {
 	t.Helper()
 	for _, box := range state.Boxes() {
 		before, _ := was.Box(box.Info.Name)
@@ -177,7 +177,7 @@
 	f.Fuzz(func(t *testing.T, data string) {
 		state := New(table.New(checker))
 		for range 2 {
-			next, _ := state.Fold(wire.Entry{Offset: state.Offset(), At: 5, Data: data})
+			next, _ := state.Apply(wire.Entry{Offset: state.Offset(), At: 5, Data: data})
 			assert.Equal(t, next.Offset(), state.Offset()+1)
 			state = next
 		}
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -57,9 +57,9 @@
 	return s.offset
 }
 
-// At returns the log's time of the newest folded record, in milliseconds since
+// LogTimeMs returns the log's time of the newest folded record, in milliseconds since
 // 1970.
-func (s State) At() int {
+func (s State) LogTimeMs() int {
 	return s.at
 }
 
@@ -113,11 +113,11 @@
 	return found
 }
 
-// Roster returns the members of one hall.
-func (s State) Roster(hall string) []Member {
+// MembersInZone returns the members of one hall.
+func (s State) MembersInZone(hall string) []Member {
 	var found []Member
 	for _, member := range s.Members() {
-		if member.Hall == hall {
+		if member.Zone == hall {
 			found = append(found, member)
 		}
 	}
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -31,7 +31,7 @@
 // Folded is one record with its verdicts.
 type Folded struct {
 	Record   wire.Entry
-	Verdicts []fold.Verdict
+	Verdicts []fold.Result
 }
 
 // ChangesFleet says whether the record did more than renew.
@@ -190,7 +190,7 @@
 			return update, fmt.Errorf("record %d came after %d: records are missing", record.Offset, f.state.Offset()-1)
 		}
 		was := f.state
-		next, verdicts := was.Fold(record)
+		next, verdicts := was.Apply(record)
 		f.deps.Invariants.Check(invariant.ConfigReverted, next.Table().Version() >= was.Table().Version() && next.Offset() > was.Offset(),
 			"record %d took the table from version %d to %d", record.Offset, was.Table().Version(), next.Table().Version())
 		f.state = next
@@ -214,7 +214,7 @@
 	if snapshot.Offset <= f.state.Offset() {
 		return false, nil
 	}
-	restored, err := f.deps.Empty.WithSnapshot(snapshot)
+	restored, err := f.deps.Empty.Restore(snapshot)
 	if err != nil {
 		return false, err
 	}
@@ -227,7 +227,7 @@
 // checkBudgets asserts that an accepted drain of a usable box leaves its pool's
 // services what they need. It looks at records with one proposal, because other
 // proposals of a record may change the pool after the drain.
-func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Verdict) {
+func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Result) {
 	for _, verdict := range verdicts {
 		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
 			continue
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -24,7 +24,7 @@
 
 // extend answers a sender that has lost the log.
 func (k *Keeper) extend(args wire.ExtendArgs) wire.ExtendReply {
-	key := fold.SenderKey{Node: args.Node, Entry: args.Entry}
+	key := fold.SenderKey{Node: args.Node, Incarnation: args.Entry}
 	reply := wire.ExtendReply{Keeper: k.incarnation, LogFresh: k.logFresh()}
 	k.witness, reply.Granted = k.witness.Extend(key.String(), k.now())
 	if reply.Granted {
@@ -48,11 +48,11 @@
 // fold checks again what it can see.
 func (k *Keeper) mayRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
 	member, joined := k.state.Member(k.node())
-	if !joined || member.Keeper != k.incarnation {
+	if !joined || member.KeeperIncarnation != k.incarnation {
 		return "", false
 	}
-	qualified := sender.Hall == member.Hall && lease.KnownToSender(member.Joined, sender.Folded)
-	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Entry) {
+	qualified := sender.Zone == member.Zone && lease.KnownToSender(member.JoinedOffset, sender.AppliedOffset)
+	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Incarnation) {
 		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
 		}
@@ -63,9 +63,9 @@
 	if qualified {
 		return wire.ReleaseHowTime, true
 	}
-	missing, dropped := k.list.dropped(sender.Key.Node, sender.Hall)
+	missing, dropped := k.list.dropped(sender.Key.Node, sender.Zone)
 	waited := k.now().Sub(missing) > milliseconds(k.deps.Settings.LeaseMs+k.deps.Settings.DriftMs)
-	return wire.ReleaseHowList, dropped && waited && k.leadsHall(sender.Hall)
+	return wire.ReleaseHowList, dropped && waited && k.leadsHall(sender.Zone)
 }
 
 // hasEnded says whether an entry of this box has ended: its address refused a
@@ -79,6 +79,6 @@
 	k.propose(wire.Proposal{
 		Kind:    wire.KindRelease,
 		Cause:   "the sender does not renew",
-		Release: &wire.Release{Node: sender.Key.Node, Entry: sender.Key.Entry, Seq: sender.Seq, How: how},
+		Release: &wire.Release{Node: sender.Key.Node, Entry: sender.Key.Incarnation, Seq: sender.Seq, How: how},
 	})
 }
--- a/pkg/pick/pick.go
+++ b/pkg/pick/pick.go
@@ -15,9 +15,9 @@
 	InUse int
 	// Limit is the learned number of slots that the box bears, at most Slots.
 	Limit int
-	// Pace is the box's time for a request against the average of its service;
+	// RelativeLatency is the box's time for a request against the average of its service;
 	// 1 is average, more is slower.
-	Pace float64
+	RelativeLatency float64
 }
 
 // Free returns the slots that may be used now.
@@ -34,7 +34,7 @@
 		if box.Free() < size {
 			continue
 		}
-		cost := box.Pace * float64(box.InUse+size) / float64(min(box.Slots, box.Limit))
+		cost := box.RelativeLatency * float64(box.InUse+size) / float64(min(box.Slots, box.Limit))
 		switch {
 		case best < 0 || cost < least:
 			best, least, equals = i, cost, 1
@@ -75,8 +75,8 @@
 	return &Learner{averages: map[string]float64{}, paces: map[string]float64{}, limits: map[string]limit{}}
 }
 
-// Pace returns the learned pace of a box, 1 if unknown.
-func (l *Learner) Pace(box string) float64 {
+// RelativeLatency returns the learned pace of a box, 1 if unknown.
+func (l *Learner) RelativeLatency(box string) float64 {
 	if pace, known := l.paces[box]; known {
 		return pace
 	}
@@ -91,13 +91,13 @@
 	return slots
 }
 
-// Average returns how long a request of the service takes, 0 if unknown.
-func (l *Learner) Average(service string) time.Duration {
+// AverageLatency returns how long a request of the service takes, 0 if unknown.
+func (l *Learner) AverageLatency(service string) time.Duration {
 	return time.Duration(l.averages[service] * float64(time.Second))
 }
 
-// Answered learns from a request that was answered.
-func (l *Learner) Answered(service, box string, took time.Duration, slots int) {
+// RecordAnswer learns from a request that was answered.
+func (l *Learner) RecordAnswer(service, box string, took time.Duration, slots int) {
 	seconds := took.Seconds()
 	average, known := l.averages[service]
 	if !known {
@@ -106,7 +106,7 @@
 	l.averages[service] = average + averageWeight*(seconds-average)
 	if average > 0 {
 		ratio := min(mostPace, max(leastPace, seconds/average))
-		l.paces[box] = l.Pace(box) + paceWeight*(ratio-l.Pace(box))
+		l.paces[box] = l.RelativeLatency(box) + paceWeight*(ratio-l.RelativeLatency(box))
 	}
 	l.raise(box, slots)
 }
@@ -127,8 +127,8 @@
 	l.limits[box] = learned
 }
 
-// Busy learns that a box refused work while it had a number of slots in use.
-func (l *Learner) Busy(box string, inUse int) {
+// RecordBusy learns that a box refused work while it had a number of slots in use.
+func (l *Learner) RecordBusy(box string, inUse int) {
 	l.limits[box] = limit{slots: max(1, inUse-1)}
 }
 
