--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -26,8 +26,8 @@
 	Step string
 	// Peer is the address of the called process.
 	Peer string
-	// Sent says that the call may have been carried out.
-	Sent bool
+	// MayHaveExecuted says that the call may have been carried out.
+	MayHaveExecuted bool
 	// Err is the cause.
 	Err error
 }
@@ -48,10 +48,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// MaySent says whether the failed call may have been carried out.
-func MaySent(err error) bool {
+// MayHaveExecuted says whether the failed call may have been carried out.
+func MayHaveExecuted(err error) bool {
 	var failed *Error
-	return !errors.As(err, &failed) || failed.Sent
+	return !errors.As(err, &failed) || failed.MayHaveExecuted
 }
 
 // Client calls one peer over one connection, made anew after a failure.
@@ -102,11 +102,11 @@
 			conn.heard(c.clock.Now())
 			return c.finish(conn, method, call.Error)
 		case <-ctx.Done():
-			return &Error{Step: method, Peer: c.peer, Sent: true, Err: ctx.Err()}
+			return &Error{Step: method, Peer: c.peer, MayHaveExecuted: true, Err: ctx.Err()}
 		case <-watch.Chan():
 			if !conn.lives(c.clock.Now()) {
 				c.drop(conn)
-				return &Error{Step: method, Peer: c.peer, Sent: true, Err: errSilent}
+				return &Error{Step: method, Peer: c.peer, MayHaveExecuted: true, Err: errSilent}
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 	if !errors.As(err, &answered) {
 		c.drop(conn)
 	}
-	return &Error{Step: method, Peer: c.peer, Sent: true, Err: err}
+	return &Error{Step: method, Peer: c.peer, MayHaveExecuted: true, Err: err}
 }
 
 // connect returns a connection on which the caller may make one call.
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -52,7 +52,7 @@
 	err := asking.Wait()
 
 	assert.Assert(t, errors.Is(err, context.Canceled))
-	assert.Assert(t, MaySent(err))
+	assert.Assert(t, MayHaveExecuted(err))
 	close(g.open)
 	<-g.left
 	assert.Equal(t, reply, -1)
@@ -69,7 +69,7 @@
 	reply := 0
 	err := client.Do(context.Background(), "Gate.Ask", 1, &reply)
 	assert.Assert(t, Refused(err), "%v", err)
-	assert.Assert(t, !MaySent(err))
+	assert.Assert(t, !MayHaveExecuted(err))
 	var failed *Error
 	assert.Assert(t, errors.As(err, &failed))
 	assert.Equal(t, failed.Step, "Gate.Ask")
@@ -129,11 +129,11 @@
 	err := client.Do(context.Background(), "Gate.Ask", 0, &other)
 
 	assert.ErrorContains(t, err, "cut off")
-	assert.Assert(t, !MaySent(err))
+	assert.Assert(t, !MayHaveExecuted(err))
 	clock.Advance(deadTime)
 	assert.NilError(t, asking.Wait())
 	assert.Assert(t, errors.Is(silent, errSilent))
-	assert.Assert(t, MaySent(silent))
+	assert.Assert(t, MayHaveExecuted(silent))
 	assert.Equal(t, reply, -1)
 	client.Close()
 }
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -243,7 +243,7 @@
 	t.front.post(forwardedMessage{peer: granted.forward, pool: granted.row.Pool, busy: reply.Free == 0, lost: err != nil})
 	if err == nil && reply.Id != t.request.ID {
 		t.front.deps.Invariants.Check(invariant.WrongAnswer, false, "%s answered %q to request %s", granted.address, reply.Id, t.request.ID)
-		err = &call.Error{Step: ServiceName + ".Forward", Peer: granted.address, Sent: true, Err: send.ErrOther}
+		err = &call.Error{Step: ServiceName + ".Forward", Peer: granted.address, MayHaveExecuted: true, Err: send.ErrOther}
 	}
 	if err != nil {
 		return t.forwardFailed(ctx, granted, err)
@@ -265,7 +265,7 @@
 }
 
 func (t *trip) forwardFailed(ctx context.Context, granted grant, err error) (Outcome, bool) {
-	if !call.MaySent(err) {
+	if !call.MayHaveExecuted(err) {
 		return Outcome{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, Reason: err.Error(), RetryAfter: noSenderRetry}, ctx.Err() != nil
 	}
 	t.sent = true
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -196,7 +196,7 @@
 		r.deps.Cells.ReportRefusedConnection(claim.Node, claim.Incarnation)
 	}
 	r.deps.Metrics.Add("forward_failures", 1)
-	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: err.Error()}, call.MaySent(err)
+	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: err.Error()}, call.MayHaveExecuted(err)
 }
 
 // failed says whether an owner could not do what it was asked.
