--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -22,8 +22,8 @@
 
 // Error is a call that failed.
 type Error struct {
-	// Step is the call's name.
-	Step string
+	// Method is the call's name.
+	Method string
 	// Peer is the address of the called process.
 	Peer string
 	// MayHaveExecuted says that the call may have been carried out.
@@ -34,7 +34,7 @@
 
 // Error returns the step, the peer and the cause.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%s at %s: %v", e.Step, e.Peer, e.Err)
+	return fmt.Sprintf("%s at %s: %v", e.Method, e.Peer, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -83,7 +83,7 @@
 func (c *Client) Do(ctx context.Context, method string, args, reply any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
-		return &Error{Step: method, Peer: c.peer, Err: err}
+		return &Error{Method: method, Peer: c.peer, Err: err}
 	}
 	// The answer is decoded into a value of its own: one that comes after the
 	// deadline would otherwise be written into what the caller has moved on with,
@@ -102,11 +102,11 @@
 			conn.heard(c.clock.Now())
 			return c.finish(conn, method, call.Error)
 		case <-ctx.Done():
-			return &Error{Step: method, Peer: c.peer, MayHaveExecuted: true, Err: ctx.Err()}
+			return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: ctx.Err()}
 		case <-watch.Chan():
 			if !conn.lives(c.clock.Now()) {
 				c.drop(conn)
-				return &Error{Step: method, Peer: c.peer, MayHaveExecuted: true, Err: errSilent}
+				return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: errSilent}
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 	if !errors.As(err, &answered) {
 		c.drop(conn)
 	}
-	return &Error{Step: method, Peer: c.peer, MayHaveExecuted: true, Err: err}
+	return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: err}
 }
 
 // connect returns a connection on which the caller may make one call.
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -72,7 +72,7 @@
 	assert.Assert(t, !MayHaveExecuted(err))
 	var failed *Error
 	assert.Assert(t, errors.As(err, &failed))
-	assert.Equal(t, failed.Step, "Gate.Ask")
+	assert.Equal(t, failed.Method, "Gate.Ask")
 	assert.Equal(t, failed.Peer, client.Peer())
 }
 
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -243,7 +243,7 @@
 	t.front.post(forwardedMessage{peer: granted.forward, pool: granted.row.Pool, busy: reply.Free == 0, lost: err != nil})
 	if err == nil && reply.Id != t.request.ID {
 		t.front.deps.Invariants.Check(invariant.WrongAnswer, false, "%s answered %q to request %s", granted.address, reply.Id, t.request.ID)
-		err = &call.Error{Step: ServiceName + ".Forward", Peer: granted.address, MayHaveExecuted: true, Err: send.ErrOther}
+		err = &call.Error{Method: ServiceName + ".Forward", Peer: granted.address, MayHaveExecuted: true, Err: send.ErrOther}
 	}
 	if err != nil {
 		return t.forwardFailed(ctx, granted, err)
@@ -277,13 +277,13 @@
 func (f *Front) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
 	client := make(chan *call.Client, 1)
 	if !f.post(peerMessage{address: address, reply: client}) {
-		return &call.Error{Step: "Entry.Forward", Peer: address, Err: context.Canceled}
+		return &call.Error{Method: "Entry.Forward", Peer: address, Err: context.Canceled}
 	}
 	select {
 	case peer := <-client:
 		return peer.Do(ctx, ServiceName+".Forward", args, reply)
 	case <-f.ctx.Done():
-		return &call.Error{Step: "Entry.Forward", Peer: address, Err: context.Canceled}
+		return &call.Error{Method: "Entry.Forward", Peer: address, Err: context.Canceled}
 	}
 }
 
