--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -42,9 +42,9 @@
 	return e.Err
 }
 
-// Refused says whether the peer's address refused the connection, which shows
+// ConnectionRefused says whether the peer's address refused the connection, which shows
 // that its process has ended.
-func Refused(err error) bool {
+func ConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -68,7 +68,7 @@
 	server.Close()
 	reply := 0
 	err := client.Do(context.Background(), "Gate.Ask", 1, &reply)
-	assert.Assert(t, Refused(err), "%v", err)
+	assert.Assert(t, ConnectionRefused(err), "%v", err)
 	assert.Assert(t, !MayHaveExecuted(err))
 	var failed *Error
 	assert.Assert(t, errors.As(err, &failed))
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -149,7 +149,7 @@
 	message := extendedMessage{key: key, peer: peer, asked: asked}
 	switch {
 	case err != nil:
-		message.ended = call.Refused(err)
+		message.ended = call.ConnectionRefused(err)
 	case reply.Keeper != peer.Incarnation:
 		message.ended = true
 	default:
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -192,7 +192,7 @@
 		return reply, reply.Outcome == wire.JobOutcomeUnknown
 	}
 	r.failedAt.Store(r.deps.Clock.Now().UnixNano())
-	if call.Refused(err) {
+	if call.ConnectionRefused(err) {
 		r.deps.Cells.ReportRefusedConnection(claim.Node, claim.Incarnation)
 	}
 	r.deps.Metrics.Add("forward_failures", 1)
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -149,7 +149,7 @@
 		if err == nil {
 			_ = conn.Close()
 		}
-		if call.Refused(err) {
+		if call.ConnectionRefused(err) {
 			k.send(ctx, entryEndedMessage{entry: own.Entry})
 		}
 		k.send(ctx, probedMessage{})
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -195,7 +195,7 @@
 
 // noteSilent takes note of a question that failed.
 func (o *Ownership) noteSilent(m proofHeard, known *proof, now time.Time) {
-	if call.Refused(m.err) {
+	if call.ConnectionRefused(m.err) {
 		o.suspect(suspected{node: m.node, incarnation: m.incarnation}, now)
 	}
 	if known.noted {
