--- a/pkg/feed/crowd_test.go
+++ b/pkg/feed/crowd_test.go
@@ -97,12 +97,12 @@
 			StoreAnsweredAt: time.Now,
 		}, Options{
 			Stream: damsonwinch.Stream{Topic: "keyed.test"}, Wait: time.Second, NewestOnly: true,
-			Snapshot: func(records []damsonwinch.Record, _ int, _ time.Time) {
+			OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) {
 				for range records {
 					got <- struct{}{}
 				}
 			},
-			Added: func(records []damsonwinch.Record, _ int, _ time.Time) {
+			OnRecords: func(records []damsonwinch.Record, _ int, _ time.Time) {
 				for range records {
 					got <- struct{}{}
 				}
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -60,13 +60,13 @@
 	// is behind by more than one page then goes on with the newest records, not with
 	// those in between: a node with a slow link would fall ever further behind.
 	NewestOnly bool
-	// Snapshot is given all newest records, at first and whenever the store has
+	// OnSnapshot is given all newest records, at first and whenever the store has
 	// dropped what came after the last reading. AskedAt is when the first page was asked
 	// for: a record is as it was at that time or later.
-	Snapshot func(records []damsonwinch.Record, end int, askedAt time.Time)
-	// Added is given what was added, in order. It may be empty: the store has
+	OnSnapshot func(records []damsonwinch.Record, end int, askedAt time.Time)
+	// OnRecords is given what was added, in order. It may be empty: the store has
 	// answered that there is nothing new. AskedAt is when the reading was sent.
-	Added func(records []damsonwinch.Record, end int, askedAt time.Time)
+	OnRecords func(records []damsonwinch.Record, end int, askedAt time.Time)
 }
 
 // Feed follows a stream.
@@ -156,7 +156,7 @@
 		return err
 	}
 	f.next += len(page.Records)
-	f.options.Added(page.Records, page.End, askedAt)
+	f.options.OnRecords(page.Records, page.End, askedAt)
 	if f.options.NewestOnly && page.End-f.next >= farBehind {
 		f.started = false
 	}
@@ -177,7 +177,7 @@
 	}
 	records, end, askedAt := f.scan.Records()
 	f.scan, f.started, f.next = nil, true, end
-	f.options.Snapshot(records, end, askedAt)
+	f.options.OnSnapshot(records, end, askedAt)
 	return nil
 }
 
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -45,8 +45,8 @@
 	}
 	f := New(Deps{Store: store, Clock: clockwork.NewRealClock(), Logger: logger, Metrics: metrics.New()}, Options{
 		Stream: damsonwinch.Stream{Topic: "keyed.test"}, NewestOnly: newestOnly,
-		Snapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { give(records) },
-		Added:    func(records []damsonwinch.Record, _ int, _ time.Time) { give(records) },
+		OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { give(records) },
+		OnRecords:  func(records []damsonwinch.Record, _ int, _ time.Time) { give(records) },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
@@ -111,7 +111,7 @@
 	}
 	given := make(chan time.Time, 1)
 	f := New(Deps{Store: store, Clock: clock, Logger: logrus.New(), Metrics: metrics.New()}, Options{
-		Snapshot: func(_ []damsonwinch.Record, _ int, askedAt time.Time) { given <- askedAt },
+		OnSnapshot: func(_ []damsonwinch.Record, _ int, askedAt time.Time) { given <- askedAt },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/pkg/node/endpoints.go
+++ b/pkg/node/endpoints.go
@@ -22,10 +22,10 @@
 func (n *Node) followEndpoints() error {
 	feed.New(n.feedDeps(), feed.Options{
 		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointPause, Wanted: n.owning.Load, Wake: n.follow,
-		Snapshot: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
+		OnSnapshot: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
 			n.send(endpointRecords{records: records, snapshot: true, askedAt: askedAt})
 		},
-		Added: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
+		OnRecords: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
 			n.send(endpointRecords{records: records, askedAt: askedAt})
 		},
 	}).Run(n.ctx)
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -22,8 +22,8 @@
 	deps.Store = n.relay
 	feed.New(deps, feed.Options{
 		Stream: n.deps.Platform.OperatorStream, Wait: wait, NewestOnly: true,
-		Snapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
-		Added:    func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
+		OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
+		OnRecords:  func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
 	}).Run(n.ctx)
 	return nil
 }
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -81,10 +81,10 @@
 	n.group.Go(func() error {
 		feed.New(n.feedDeps(), feed.Options{
 			Stream: stream, Pause: func() time.Duration { return placementPause }, Wanted: n.owning.Load, Wake: n.place, NewestOnly: true,
-			Snapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
+			OnSnapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
 				n.send(placementRecords{records: records, snapshot: true, end: end, askedAt: askedAt})
 			},
-			Added: func(records []damsonwinch.Record, end int, askedAt time.Time) {
+			OnRecords: func(records []damsonwinch.Record, end int, askedAt time.Time) {
 				n.send(placementRecords{records: records, end: end, askedAt: askedAt})
 			},
 		}).Run(n.ctx)
--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -18,10 +18,10 @@
 func (o *Ownership) newFeed() *feed.Feed {
 	return feed.New(feed.Deps{Store: o.deps.Store, Clock: o.deps.Clock, Logger: o.deps.Logger, Metrics: o.deps.Metrics, StoreAnsweredAt: o.StoreAnsweredAt}, feed.Options{
 		Stream: damsonwinch.Stream{Topic: claimTopic}, Wait: claimWait,
-		Snapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
+		OnSnapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
 			o.send(claimsRead{records: records, end: end, snapshot: true, askedAt: askedAt})
 		},
-		Added: func(records []damsonwinch.Record, end int, askedAt time.Time) {
+		OnRecords: func(records []damsonwinch.Record, end int, askedAt time.Time) {
 			o.send(claimsRead{records: records, end: end, askedAt: askedAt})
 		},
 	})
