--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -172,7 +172,7 @@
 		o.wake()
 		if o.carryOut() {
 			o.deps.Logger.WithField("token", o.options.Token).Warn("cell lost: a newer owner may give orders")
-			return stream.ErrDeposed
+			return stream.ErrOwnershipLost
 		}
 		o.noteWaits()
 		resetTimer(timer, o.cell.NextTick().Sub(o.deps.Clock.Now()))
--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -30,8 +30,8 @@
 	mostPause  = 120 * time.Millisecond
 )
 
-// ErrDeposed says that a newer owner has written to the stream.
-var ErrDeposed = errors.New("a newer owner has taken the cell over")
+// ErrOwnershipLost says that a newer owner has written to the stream.
+var ErrOwnershipLost = errors.New("a newer owner has taken the cell over")
 
 // Deps are what a writer works with.
 type Deps struct {
@@ -133,7 +133,7 @@
 	case err == nil:
 		return true, nil
 	case errors.Is(err, damsonwinch.ErrFenced), errors.Is(err, damsonwinch.ErrOutOfSequence):
-		return true, fmt.Errorf("%w: %w", ErrDeposed, err)
+		return true, fmt.Errorf("%w: %w", ErrOwnershipLost, err)
 	case ctx.Err() != nil:
 		return true, ctx.Err()
 	}
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -92,7 +92,7 @@
 		store := &scripted{answers: []answer{{err: refusal}}}
 		w := newWriter(store)
 		_, err := w.TakeOver(context.Background())
-		assert.Assert(t, errors.Is(err, ErrDeposed))
+		assert.Assert(t, errors.Is(err, ErrOwnershipLost))
 		assert.Assert(t, errors.Is(err, refusal))
 		assert.Equal(t, len(store.fences), 1)
 	}
