--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -87,7 +87,7 @@
 	batches := commit.Batches(o.options.MaxAppendBytes)
 	fences := make([]damsonwinch.Fence, len(batches))
 	for number := range batches {
-		fences[number] = o.writer.Next()
+		fences[number] = o.writer.NextFence()
 	}
 	begun := o.deps.Clock.Now()
 	o.group.Go(func() error {
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -72,7 +72,7 @@
 
 // turnedAway tells whether the store doesn't take the append that is on its way.
 func (o *Owner) turnedAway(now time.Time) bool {
-	return o.cell.CommitAge(now) >= stuckTime && o.writer.Failed() >= failedTries
+	return o.cell.CommitAge(now) >= stuckTime && o.writer.FailedTries() >= failedTries
 }
 
 // apply writes the cell to the partition that was taken for it, unless the store has taken
@@ -103,7 +103,7 @@
 		return errNotEmpty
 	}
 	for _, batch := range (cell.Commit{Records: records}).Batches(o.options.MaxAppendBytes) {
-		if err := writer.Append(ctx, batch, writer.Next()); err != nil {
+		if err := writer.Append(ctx, batch, writer.NextFence()); err != nil {
 			return err
 		}
 	}
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -86,7 +86,7 @@
 // stuck lets the append fail for long enough.
 func (m *moving) stuck(t *testing.T) {
 	clock := clockwork.NewRealClock()
-	for m.writer.Failed() < failedTries {
+	for m.writer.FailedTries() < failedTries {
 		assert.NilError(t, t.Context().Err())
 		clock.Sleep(time.Millisecond)
 	}
--- a/pkg/owner/suspend_test.go
+++ b/pkg/owner/suspend_test.go
@@ -23,5 +23,5 @@
 	assert.Assert(t, m.wake())
 	assert.Assert(t, m.carryOut(), "it ends")
 	assert.Equal(t, len(m.replies), 1, "what the store holds is true all the same")
-	assert.Assert(t, m.writer.Next().Sequence <= 2, "nothing more was appended")
+	assert.Assert(t, m.writer.NextFence().Sequence <= 2, "nothing more was appended")
 }
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -75,7 +75,7 @@
 		return
 	}
 	p.appendInFlight = true
-	records, message, fence := p.pendingRecords, appended{orders: p.pendingOrders, customers: p.pendingCustomers}, p.writer.Next()
+	records, message, fence := p.pendingRecords, appended{orders: p.pendingOrders, customers: p.pendingCustomers}, p.writer.NextFence()
 	p.pendingRecords, p.pendingOrders, p.pendingCustomers = nil, nil, nil
 	p.group.Go(func() error {
 		message.err = p.writer.Append(p.ctx, records, fence)
--- a/pkg/stream/hedge_test.go
+++ b/pkg/stream/hedge_test.go
@@ -18,7 +18,7 @@
 	w := newWriter(store)
 	clock := clockwork.NewRealClock()
 	begun := clock.Now()
-	assert.NilError(t, w.Append(context.Background(), records, w.Next()))
+	assert.NilError(t, w.Append(context.Background(), records, w.NextFence()))
 	return clock.Since(begun)
 }
 
@@ -46,7 +46,7 @@
 	w := newWriter(store)
 	w.took.Store(int64(leastHedgeTime))
 	store.answers = []answer{{after: 2 * leastHedgeTime}}
-	assert.NilError(t, w.Append(context.Background(), nil, w.Next()))
+	assert.NilError(t, w.Append(context.Background(), nil, w.NextFence()))
 	assert.Equal(t, len(store.fences), 1)
 	assert.Equal(t, w.deps.Metrics.Count("store_hedges"), 0)
 }
@@ -61,6 +61,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leastTimeout)
 	defer cancel()
 	w := newWriter(store)
-	assert.ErrorIs(t, w.Append(ctx, nil, w.Next()), context.DeadlineExceeded)
+	assert.ErrorIs(t, w.Append(ctx, nil, w.NextFence()), context.DeadlineExceeded)
 	assert.Equal(t, len(store.fences), mostTries)
 }
--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -71,13 +71,13 @@
 	return records, err
 }
 
-// Failed returns how many tries of the call that is on its way have failed.
-func (w *Writer) Failed() int {
+// FailedTries returns how many tries of the call that is on its way have failed.
+func (w *Writer) FailedTries() int {
 	return int(w.failed.Load())
 }
 
-// Next returns the fence of the next append, which must follow the last one.
-func (w *Writer) Next() damsonwinch.Fence {
+// NextFence returns the fence of the next append, which must follow the last one.
+func (w *Writer) NextFence() damsonwinch.Fence {
 	w.sequence++
 	return w.fence()
 }
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -65,10 +65,10 @@
 func TestAnAppendIsRepeatedWithItsFence(t *testing.T) {
 	store := &scripted{answers: []answer{{silent: true}, {err: damsonwinch.ErrRefused}}}
 	w := newWriter(store)
-	fence := w.Next()
+	fence := w.NextFence()
 	assert.NilError(t, w.Append(context.Background(), nil, fence))
 	assert.DeepEqual(t, store.fences, []damsonwinch.Fence{fence, fence, fence})
-	assert.Equal(t, w.Next().Sequence, fence.Sequence+1)
+	assert.Equal(t, w.NextFence().Sequence, fence.Sequence+1)
 }
 
 // TestASilentStoreIsAskedAgainSoon since a call that was sent while it was away is not
@@ -82,7 +82,7 @@
 	w := newWriter(store)
 	clock := clockwork.NewRealClock()
 	begun := clock.Now()
-	assert.NilError(t, w.Append(context.Background(), nil, w.Next()))
+	assert.NilError(t, w.Append(context.Background(), nil, w.NextFence()))
 	assert.Assert(t, clock.Since(begun) < 5*(mostTimeout+mostPause)+time.Second)
 }
 
