--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -164,7 +164,7 @@
 	}, ownership.Options{Self: options.Self, MembershipTTL: options.MembershipTTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
-		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.peers.Ask,
+		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Follow: n.peers.Follow,
 		Members: func() []ownership.Member { return n.View().Members },
 	}, options.Self, deps.Platform.OperatorStream)
 	if err := n.calls.Register(relay.ServiceName, relay.NewService(ctx, n.relay)); err != nil {
@@ -192,7 +192,7 @@
 
 // ConfigurationConfirmedAt returns when the configuration in force was last known to be the newest.
 func (n *Node) ConfigurationConfirmedAt() time.Time {
-	return n.relay.CurrentAt()
+	return n.relay.ConfirmedAt()
 }
 
 // readyTime is how long ago the store, or an owner of a cell that could do what it
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -51,8 +51,8 @@
 	Metrics *metrics.Set
 	// Members are the nodes that are known.
 	Members func() []ownership.Member
-	// Ask asks the node at an address.
-	Ask func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error)
+	// Follow asks the node at an address.
+	Follow func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error)
 }
 
 // Relay is a node's way to a stream. For that stream its methods stand for those of the store;
@@ -123,9 +123,9 @@
 	return damsonwinch.KeyPage{Records: records, End: reply.End}, nil
 }
 
-// CurrentAt returns when the store last said that what this node has of the stream is all there
+// ConfirmedAt returns when the store last said that what this node has of the stream is all there
 // is; zero if it never did.
-func (r *Relay) CurrentAt() time.Time {
+func (r *Relay) ConfirmedAt() time.Time {
 	r.tail.mutex.Lock()
 	defer r.tail.mutex.Unlock()
 	return r.tail.currentAt
@@ -164,7 +164,7 @@
 
 // ask asks a reader.
 func (r *Relay) ask(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, []damsonwinch.Record, error) {
-	reply, err := r.deps.Ask(ctx, address, args)
+	reply, err := r.deps.Follow(ctx, address, args)
 	if err == nil {
 		err = doubt(reply, args)
 	}
@@ -243,8 +243,8 @@
 	return &Peers{dial: dial, clock: clock, peers: map[string]*call.Client{}}
 }
 
-// Ask asks the node at an address.
-func (p *Peers) Ask(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
+// Follow asks the node at an address.
+func (p *Peers) Follow(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
 	p.mutex.Lock()
 	client := p.peers[address]
 	if client == nil {
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -111,7 +111,7 @@
 		f.relays[member.Node] = New(Deps{
 			Store: store, Clock: clock, Logger: logger, Metrics: metrics.New(),
 			Members: func() []ownership.Member { return f.members },
-			Ask: func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
+			Follow: func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
 				return f.ask(ctx, address, args)
 			},
 		}, member, operatorStream)
