--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -28,15 +28,15 @@
 	mostBackoff  = time.Second
 )
 
-// Folded is one record with its verdicts.
-type Folded struct {
-	Record   wire.Entry
-	Verdicts []fold.Verdict
+// AppliedRecord is one record with its verdicts.
+type AppliedRecord struct {
+	Record  wire.Entry
+	Results []fold.Verdict
 }
 
 // ChangesFleet says whether the record did more than renew.
-func (f Folded) ChangesFleet() bool {
-	for _, verdict := range f.Verdicts {
+func (f AppliedRecord) ChangesFleet() bool {
+	for _, verdict := range f.Results {
 		kind := verdict.Proposal.Kind
 		if verdict.Accepted && kind != wire.KindRenew && kind != wire.KindCheckpoint {
 			return true
@@ -48,7 +48,7 @@
 // Update is what a follower passes on after a reading.
 type Update struct {
 	State   fold.State
-	Records []Folded
+	Records []AppliedRecord
 	// Restored says that the state was taken from a snapshot, so that records
 	// in between were not seen.
 	Restored bool
@@ -194,7 +194,7 @@
 		f.deps.Invariants.Check(invariant.ConfigReverted, next.Table().Version() >= was.Table().Version() && next.Offset() > was.Offset(),
 			"record %d took the table from version %d to %d", record.Offset, was.Table().Version(), next.Table().Version())
 		f.state = next
-		update.Records = append(update.Records, Folded{Record: record, Verdicts: verdicts})
+		update.Records = append(update.Records, AppliedRecord{Record: record, Results: verdicts})
 		f.checkBudgets(was, verdicts)
 		f.compareCheckpoints(verdicts)
 		if err := f.takeCheckpoint(&update); err != nil {
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -165,7 +165,7 @@
 	f.state = update.State
 	f.inForce.Store(&update.State)
 	f.readBack()
-	if update.Restored || slices.ContainsFunc(update.Records, follow.Folded.ChangesFleet) {
+	if update.Restored || slices.ContainsFunc(update.Records, follow.AppliedRecord.ChangesFleet) {
 		f.takeFleet(old)
 		f.endDrains(f.ctx)
 	}
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -116,7 +116,7 @@
 	k.changed = k.changed || update.Restored
 	for _, folded := range update.Records {
 		k.changed = k.changed || folded.ChangesFleet()
-		k.trail.Add(folded.Record, folded.Verdicts)
+		k.trail.Add(folded.Record, folded.Results)
 		k.countVerdicts(folded)
 	}
 	k.relay.take(update)
@@ -127,8 +127,8 @@
 	k.deps.Metrics.Put("table_version", k.state.Table().Version())
 }
 
-func (k *Keeper) countVerdicts(folded follow.Folded) {
-	for _, verdict := range folded.Verdicts {
+func (k *Keeper) countVerdicts(folded follow.AppliedRecord) {
+	for _, verdict := range folded.Results {
 		if verdict.Accepted {
 			k.deps.Metrics.Add("accepted_"+string(verdict.Proposal.Kind), 1)
 		} else {
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -78,10 +78,10 @@
 }
 
 // settle notes which operators' proposals were folded.
-func (o *outbox) settle(state fold.State, records []follow.Folded) {
+func (o *outbox) settle(state fold.State, records []follow.AppliedRecord) {
 	folded := map[string]bool{}
 	for _, record := range records {
-		for _, verdict := range record.Verdicts {
+		for _, verdict := range record.Results {
 			folded[verdict.Proposal.Id] = true
 		}
 	}
--- a/pkg/keeper/outbox_test.go
+++ b/pkg/keeper/outbox_test.go
@@ -28,13 +28,13 @@
 }
 
 // land folds a batch of this keeper and returns it as the follower would.
-func (f *folding) land(number int, proposals ...wire.Proposal) []follow.Folded {
+func (f *folding) land(number int, proposals ...wire.Proposal) []follow.AppliedRecord {
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: testIncarnation, Number: number, Proposals: proposals})
 	assert.NilError(f.t, err)
 	record := wire.Entry{Offset: f.state.Offset(), Data: string(data)}
 	next, verdicts := f.state.Fold(record)
 	f.state = next
-	return []follow.Folded{{Record: record, Verdicts: verdicts}}
+	return []follow.AppliedRecord{{Record: record, Results: verdicts}}
 }
 
 // send takes what the next batch carries.
@@ -63,7 +63,7 @@
 	o.settle(f.state, f.land(3))
 
 	assert.Equal(t, len(send(&o)), 1, "a later batch is folded: the first never will be")
-	assert.Equal(t, f.land(1, anEdit())[0].Verdicts[0].Accepted, false)
+	assert.Equal(t, f.land(1, anEdit())[0].Results[0].Accepted, false)
 }
 
 func TestAFoldedEditIsDone(t *testing.T) {
