--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -55,17 +55,17 @@
 	// Checkpoint is the state's snapshot at the newest offset that is one, if the
 	// records have passed one.
 	Checkpoint *fold.Snapshot
-	// Avoid names the boxes that the platform's list shows as leaving, if the
+	// LeavingBoxes names the boxes that the platform's list shows as leaving, if the
 	// source has read it, which AvoidKnown says.
-	Avoid      []string
-	AvoidKnown bool
+	LeavingBoxes      []string
+	LeavingBoxesKnown bool
 	// Source names where it came from.
 	Source string
 	// FromLog says that the records come from the log or from a keeper that
 	// reads it.
 	FromLog bool
-	// ReadAt is the follower's time at which the reading was begun.
-	ReadAt time.Time
+	// ReadStartedAt is the follower's time at which the reading was begun.
+	ReadStartedAt time.Time
 }
 
 // Deps is what a follower needs.
@@ -137,7 +137,7 @@
 		}
 		f.failures[i] = 0
 		answered = true
-		update.ReadAt = begun
+		update.ReadStartedAt = begun
 		update.Source = source.Name()
 		select {
 		case f.deps.Updates <- update:
@@ -174,7 +174,7 @@
 // take folds a reply. Records below the state's offset are known and a gap is
 // never folded over, so that the state only goes forward.
 func (f *Follower) take(reply wire.ReadReply) (Update, error) {
-	update := Update{Avoid: reply.Avoid, AvoidKnown: reply.AvoidKnown, FromLog: reply.LogFresh}
+	update := Update{LeavingBoxes: reply.Avoid, LeavingBoxesKnown: reply.AvoidKnown, FromLog: reply.LogFresh}
 	if reply.Snapshot != "" {
 		restored, err := f.restore(reply.Snapshot)
 		if err != nil {
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -155,8 +155,8 @@
 
 // takeUpdate moves the entry to a newer state.
 func (f *Front) takeUpdate(update follow.Update) {
-	if update.AvoidKnown {
-		f.takeAvoid(update.Avoid)
+	if update.LeavingBoxesKnown {
+		f.takeAvoid(update.LeavingBoxes)
 	}
 	if update.State.Offset() < f.state.Offset() {
 		return
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -107,7 +107,7 @@
 // takeUpdate moves the keeper to a newer state.
 func (k *Keeper) takeUpdate(update follow.Update) {
 	if update.Source == follow.LogName {
-		k.logRead = update.ReadAt
+		k.logRead = update.ReadStartedAt
 	}
 	if update.State.Offset() < k.state.Offset() {
 		return
