--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -73,8 +73,8 @@
 	Clock      damsonwinch.Clock
 	Sources    []damsonwinch.RecordSource
 	Invariants *invariant.Book
-	// Empty is the state before the first record.
-	Empty fold.State
+	// InitialState is the state before the first record.
+	InitialState fold.State
 	// Updates takes what the follower passes on.
 	Updates chan<- Update
 	// CheckpointEvery is the number of records between two checkpoints, 0 for none.
@@ -98,7 +98,7 @@
 	if deps.WaitMs == 0 {
 		deps.WaitMs = waitMs
 	}
-	return &Follower{deps: deps, state: deps.Empty, skipUntil: make([]time.Time, len(deps.Sources)),
+	return &Follower{deps: deps, state: deps.InitialState, skipUntil: make([]time.Time, len(deps.Sources)),
 		failures: make([]int, len(deps.Sources)), checkpoints: map[int]string{}}
 }
 
@@ -214,7 +214,7 @@
 	if snapshot.Offset <= f.state.Offset() {
 		return false, nil
 	}
-	restored, err := f.deps.Empty.WithSnapshot(snapshot)
+	restored, err := f.deps.InitialState.WithSnapshot(snapshot)
 	if err != nil {
 		return false, err
 	}
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -35,7 +35,7 @@
 	r := &reader{t: t, log: log, updates: make(chan Update, 1), breaches: map[string]int{}}
 	r.follower = New(Deps{
 		Clock: clockwork.NewFakeClock(), Sources: []damsonwinch.RecordSource{LogSource{Log: log}}, Updates: r.updates, CheckpointEvery: 4,
-		Invariants: invariant.New(func(name, _ string) { r.breaches[name]++ }), Empty: fold.New(table.New(checker)), WaitMs: -1,
+		Invariants: invariant.New(func(name, _ string) { r.breaches[name]++ }), InitialState: fold.New(table.New(checker)), WaitMs: -1,
 	})
 	return r
 }
@@ -155,7 +155,7 @@
 	r := newReader(t, newLog())
 	text, err := json.Marshal(enroll(1))
 	assert.NilError(t, err)
-	dead := &scripted{name: LogName, err: errors.New("cut off")}
+	dead := &scripted{name: LogSourceName, err: errors.New("cut off")}
 	idle := &scripted{name: "same hall"}
 	fresh := &scripted{name: "other hall", reply: wire.ReadReply{Entries: []wire.Entry{{Offset: 0, Data: string(text)}}, LogFresh: true}}
 	last := &scripted{name: "not needed"}
--- a/pkg/follow/source.go
+++ b/pkg/follow/source.go
@@ -9,8 +9,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// LogName is the name of the source that is the log itself.
-const LogName = "log"
+// LogSourceName is the name of the source that is the log itself.
+const LogSourceName = "log"
 
 // ReadMethod is the call by which a keeper relays records.
 const ReadMethod = "Keeper.Read"
@@ -22,7 +22,7 @@
 
 // Name returns LogName.
 func (s LogSource) Name() string {
-	return LogName
+	return LogSourceName
 }
 
 // Read returns records of the fleet stream. When they have expired it adds the
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -169,7 +169,7 @@
 		sources = append(sources, follow.PeerSource{Client: keeper})
 	}
 	follower := follow.New(follow.Deps{
-		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, Empty: f.deps.Empty, Updates: f.updates,
+		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.Empty, Updates: f.updates,
 	})
 	f.group.Go(func() error { return follower.Run(ctx) })
 	f.group.Go(func() error { return f.run(ctx) })
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -126,11 +126,11 @@
 
 func (k *Keeper) start(ctx context.Context) {
 	follower := follow.New(follow.Deps{
-		Clock:      k.deps.Clock,
-		Sources:    k.sources(),
-		Invariants: k.deps.Invariants,
-		Empty:      k.deps.Empty,
-		Updates:    k.updates,
+		Clock:        k.deps.Clock,
+		Sources:      k.sources(),
+		Invariants:   k.deps.Invariants,
+		InitialState: k.deps.Empty,
+		Updates:      k.updates,
 
 		CheckpointEvery: k.deps.Settings.SnapshotEvery,
 	})
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -106,7 +106,7 @@
 
 // takeUpdate moves the keeper to a newer state.
 func (k *Keeper) takeUpdate(update follow.Update) {
-	if update.Source == follow.LogName {
+	if update.Source == follow.LogSourceName {
 		k.logRead = update.ReadStartedAt
 	}
 	if update.State.Offset() < k.state.Offset() {
