--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -72,7 +72,7 @@
 type Deps struct {
 	Clock      damsonwinch.Clock
 	Sources    []damsonwinch.RecordSource
-	Invariants *invariant.Book
+	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
 	InitialState fold.State
 	// Updates takes what the follower passes on.
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -50,7 +50,7 @@
 	HTTPListener net.Listener
 	Logger       logrus.FieldLogger
 	Metrics      *metrics.Set
-	Invariants   *invariant.Book
+	Invariants   *invariant.Checker
 	// Empty is the state before the first record.
 	Empty fold.State
 	// Seed starts the choices that chance makes.
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Book counts breaches. Its zero counters stand in the metrics from the start,
+// Checker counts breaches. Its zero counters stand in the metrics from the start,
 // so that a dashboard can tell "none" from "not measured".
-type Book struct {
+type Checker struct {
 	counters *expvar.Map
 	report   func(name, detail string)
 	mutex    sync.Mutex
@@ -51,8 +51,8 @@
 
 // New returns a book. Report is called upon the first breach of each invariant;
 // tests make it fail the test.
-func New(report func(name, detail string)) *Book {
-	book := &Book{counters: new(expvar.Map).Init(), report: report, reported: map[string]bool{}}
+func New(report func(name, detail string)) *Checker {
+	book := &Checker{counters: new(expvar.Map).Init(), report: report, reported: map[string]bool{}}
 	for _, name := range names() {
 		book.counters.Add(name, 0)
 	}
@@ -60,7 +60,7 @@
 }
 
 // Check counts a breach of the named invariant unless it holds.
-func (b *Book) Check(name string, holds bool, detail string, values ...any) {
+func (b *Checker) Check(name string, holds bool, detail string, values ...any) {
 	if holds {
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (b *Book) first(name string) bool {
+func (b *Checker) first(name string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	first := !b.reported[name]
@@ -79,12 +79,12 @@
 }
 
 // Counters returns the counters for /debug/vars.
-func (b *Book) Counters() *expvar.Map {
+func (b *Checker) Counters() *expvar.Map {
 	return b.counters
 }
 
 // Total returns the number of all breaches.
-func (b *Book) Total() int {
+func (b *Checker) Total() int {
 	total := 0
 	b.counters.Do(func(pair expvar.KeyValue) {
 		if count, isInt := pair.Value.(*expvar.Int); isInt {
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -45,7 +45,7 @@
 	Listener   net.Listener
 	Logger     logrus.FieldLogger
 	Metrics    *metrics.Set
-	Invariants *invariant.Book
+	Invariants *invariant.Checker
 	// Empty is the state before the first record.
 	Empty fold.State
 	// Plan holds the planner's choices.
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -16,7 +16,7 @@
 	platform   *platform.Client
 	debug      *debug
 	Metrics    *metrics.Set
-	Invariants *invariant.Book
+	Invariants *invariant.Checker
 }
 
 // NewEntry starts an entry.
--- a/pkg/process/keeper.go
+++ b/pkg/process/keeper.go
@@ -26,7 +26,7 @@
 	platform   *platform.Client
 	debug      *debug
 	Metrics    *metrics.Set
-	Invariants *invariant.Book
+	Invariants *invariant.Checker
 }
 
 // NewKeeper starts a keeper.
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -81,7 +81,7 @@
 }
 
 // newSet returns a process's counters with its invariants among them.
-func newSet(env Env) (*metrics.Set, *invariant.Book) {
+func newSet(env Env) (*metrics.Set, *invariant.Checker) {
 	set := env.Metrics
 	if set == nil {
 		set = metrics.New()
