--- a/pkg/command/node.go
+++ b/pkg/command/node.go
@@ -36,7 +36,7 @@
 		}
 		env := newEnv(cmd)
 		env.Metrics = metrics.New()
-		log := logging.New(logging.Deps{Output: cmd.OutOrStdout(), Clock: env.Clock, Metrics: env.Metrics, Lines: config.LogLines})
+		log := logging.New(logging.Deps{Output: cmd.OutOrStdout(), Clock: env.Clock, Metrics: env.Metrics, LinesPerSecond: config.LogLines})
 		env.Logger = log.WithField("node", config.Node)
 		running, err := process.NewNode(config, env)
 		if err != nil {
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -23,9 +23,9 @@
 const (
 	// queueLines wait for the output at most; a line has about 300 bytes.
 	queueLines = 1024
-	// DefaultLines is the usual budget of lines a second. A node writes about 15 a
+	// DefaultLinesPerSecond is the usual budget of lines a second. A node writes about 15 a
 	// second on a day without load.
-	DefaultLines = 200
+	DefaultLinesPerSecond = 200
 	// minorShare is the part of the budget, in percent, that lines below the
 	// level "info" may take.
 	minorShare = 50
@@ -33,8 +33,8 @@
 	closeTime = 200 * time.Millisecond
 )
 
-// Log is a logger with its queue.
-type Log struct {
+// Logger is a logger with its queue.
+type Logger struct {
 	*logrus.Logger
 	queue chan []byte
 	done  chan struct{}
@@ -48,16 +48,16 @@
 	Clock  damsonwinch.Clock
 	// Metrics counts the lines left out.
 	Metrics *metrics.Set
-	// Lines is the budget of lines a second; 0 for the usual one.
-	Lines int
+	// LinesPerSecond is the budget of lines a second; 0 for the usual one.
+	LinesPerSecond int
 }
 
 // New returns a log that writes JSON lines.
-func New(deps Deps) *Log {
-	l := &Log{Logger: logrus.New(), queue: make(chan []byte, queueLines), done: make(chan struct{}), clock: deps.Clock}
-	lines := deps.Lines
+func New(deps Deps) *Logger {
+	l := &Logger{Logger: logrus.New(), queue: make(chan []byte, queueLines), done: make(chan struct{}), clock: deps.Clock}
+	lines := deps.LinesPerSecond
 	if lines == 0 {
-		lines = DefaultLines
+		lines = DefaultLinesPerSecond
 	}
 	l.SetLevel(logrus.DebugLevel)
 	l.SetFormatter(&budget{
@@ -69,7 +69,7 @@
 }
 
 // drain writes the queued lines until the log is closed and the queue is empty.
-func (l *Log) drain(output io.Writer) error {
+func (l *Logger) drain(output io.Writer) error {
 	defer close(l.done)
 	for line := range l.queue {
 		if _, err := output.Write(line); err != nil {
@@ -82,7 +82,7 @@
 
 // Close writes what is queued and ends the log. It waits, but not for an output
 // that takes nothing.
-func (l *Log) Close() error {
+func (l *Logger) Close() error {
 	l.SetOutput(io.Discard)
 	close(l.queue)
 	timer := l.clock.NewTimer(closeTime)
--- a/pkg/logging/logging_test.go
+++ b/pkg/logging/logging_test.go
@@ -18,7 +18,7 @@
 func TestABlockedOutputHoldsNothingUp(t *testing.T) {
 	reader, writer := io.Pipe()
 	clock, set := clockwork.NewRealClock(), metrics.New()
-	log := New(Deps{Output: writer, Clock: clock, Metrics: set, Lines: 10 * queueLines})
+	log := New(Deps{Output: writer, Clock: clock, Metrics: set, LinesPerSecond: 10 * queueLines})
 
 	begun := clock.Now()
 	for range 3 * queueLines {
@@ -35,7 +35,7 @@
 func TestTheBudgetHoldsAndTells(t *testing.T) {
 	var output bytes.Buffer
 	clock, set := clockwork.NewFakeClock(), metrics.New()
-	log := New(Deps{Output: &output, Clock: clock, Metrics: set, Lines: 10})
+	log := New(Deps{Output: &output, Clock: clock, Metrics: set, LinesPerSecond: 10})
 	for range 8 {
 		log.Debug("start")
 	}
@@ -66,7 +66,7 @@
 func BenchmarkLine(b *testing.B) {
 	for name, lines := range map[string]int{"written": 1 << 30, "left-out": 1} {
 		b.Run(name, func(b *testing.B) {
-			log := New(Deps{Output: io.Discard, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Lines: lines})
+			log := New(Deps{Output: io.Discard, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), LinesPerSecond: lines})
 			entry := log.WithField("job", "0123456789abcdef").WithField("endpoint", "i-0123456789")
 			for b.Loop() {
 				entry.WithField("why", "measured").Info("decision")
