--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -169,8 +169,8 @@
 		f.takeFleet(old)
 		f.endDrains(f.ctx)
 	}
-	f.deps.Metrics.Put("offset", f.state.Offset())
-	f.deps.Metrics.Put("table_version", f.state.Table().Version())
+	f.deps.Metrics.SetGauge("offset", f.state.Offset())
+	f.deps.Metrics.SetGauge("table_version", f.state.Table().Version())
 	f.dispatchAll()
 }
 
@@ -192,10 +192,10 @@
 
 func (f *Front) gauges() {
 	standing := f.standing()
-	f.deps.Metrics.Put("boxes", standing.boxes)
-	f.deps.Metrics.Put("slots_in_use", standing.inUse)
-	f.deps.Metrics.Put("waiting", standing.waiting)
-	f.deps.Metrics.Put("held_bytes", int(f.held.Load()))
+	f.deps.Metrics.SetGauge("boxes", standing.boxes)
+	f.deps.Metrics.SetGauge("slots_in_use", standing.inUse)
+	f.deps.Metrics.SetGauge("waiting", standing.waiting)
+	f.deps.Metrics.SetGauge("held_bytes", int(f.held.Load()))
 }
 
 func (f *Front) standing() standing {
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -123,8 +123,8 @@
 	k.answerWaiting()
 	k.outbox.settle(k.state, update.Records)
 	k.witnessSenders()
-	k.deps.Metrics.Put("offset", k.state.Offset())
-	k.deps.Metrics.Put("table_version", k.state.Table().Version())
+	k.deps.Metrics.SetGauge("offset", k.state.Offset())
+	k.deps.Metrics.SetGauge("table_version", k.state.Table().Version())
 }
 
 func (k *Keeper) countVerdicts(folded follow.AppliedRecord) {
--- a/pkg/metrics/metrics.go
+++ b/pkg/metrics/metrics.go
@@ -26,8 +26,8 @@
 	s.vars.Add(name, int64(by))
 }
 
-// Put sets a gauge.
-func (s *Set) Put(name string, value int) {
+// SetGauge sets a gauge.
+func (s *Set) SetGauge(name string, value int) {
 	number := new(expvar.Int)
 	number.Set(int64(value))
 	s.vars.Set(name, number)
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -53,7 +53,7 @@
 	if replaced := n.inForce.Swap(newInForce(configuration, book)); replaced != nil {
 		close(replaced.replaced)
 	}
-	n.deps.Metrics.Put("configuration_version", configuration.Version)
+	n.deps.Metrics.SetGauge("configuration_version", configuration.Version)
 	n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "queues": len(configuration.Queues), "customers": book.Len()}).Info("configuration in force")
 	for _, flaw := range slices.Concat(configuration.Problems, flaws) {
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
