--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -30,8 +30,8 @@
 	mostPause  = 120 * time.Millisecond
 )
 
-// ErrDeposed says that a newer owner has written to the stream.
-var ErrDeposed = errors.New("a newer owner has taken the cell over")
+// ErrOwnershipLost says that a newer owner has written to the stream.
+var ErrOwnershipLost = errors.New("a newer owner has taken the cell over")
 
 // Deps are what a writer works with.
 type Deps struct {
@@ -71,13 +71,13 @@
 	return records, err
 }
 
-// Failed returns how many tries of the call that is on its way have failed.
-func (w *Writer) Failed() int {
+// FailedTries returns how many tries of the call that is on its way have failed.
+func (w *Writer) FailedTries() int {
 	return int(w.failed.Load())
 }
 
-// Next returns the fence of the next append, which must follow the last one.
-func (w *Writer) Next() damsonwinch.Fence {
+// NextFence returns the fence of the next append, which must follow the last one.
+func (w *Writer) NextFence() damsonwinch.Fence {
 	w.sequence++
 	return w.fence()
 }
@@ -133,7 +133,7 @@
 	case err == nil:
 		return true, nil
 	case errors.Is(err, damsonwinch.ErrFenced), errors.Is(err, damsonwinch.ErrOutOfSequence):
-		return true, fmt.Errorf("%w: %w", ErrDeposed, err)
+		return true, fmt.Errorf("%w: %w", ErrOwnershipLost, err)
 	case ctx.Err() != nil:
 		return true, ctx.Err()
 	}
