--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -7,38 +7,38 @@
 	"damsonwinch/pkg/wire"
 )
 
-// applyResult takes note of a run's end.
-func (c *Cell) applyResult(e *endpoint, end damsonwinch.RunResult) {
-	t := c.findTask(end.Task)
+// applyResult applies the result of a run that an endpoint has listed.
+func (c *Cell) applyResult(e *endpoint, result damsonwinch.RunResult) {
+	t := c.findTask(result.Task)
 	if t == nil {
 		return
 	}
 	t.phase.job().begun = true
-	r := e.runs[end.Run]
+	r := e.runs[result.Run]
 	if r == nil {
-		// An earlier look, or an earlier owner, has taken note of it, or its lease
-		// was taken to have run out.
-		if c.resolveLapsed(e, end) && end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
+		// The result was applied after an earlier poll or by an earlier owner, or the run's lease
+		// was taken to have expired.
+		if c.resolveLapsed(e, result) && result.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
 			c.countFailure(t)
 		}
-		if end.Ending == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
+		if result.Ending == damsonwinch.EndedDone && !t.done && !t.phase.spec.Lasting {
 			c.completeTask(t)
 		}
 		return
 	}
-	if end.Checkpoint != "" {
-		t.checkpoint = end.Checkpoint
+	if result.Checkpoint != "" {
+		t.checkpoint = result.Checkpoint
 	}
 	c.removeRun(r)
-	c.recordResult(r, end.Ending)
+	c.recordResult(r, result.Ending)
 	switch {
-	case end.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
+	case result.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.inherited && !r.resumed {
 			c.statsOf(t.phase.job().queue).times.addRun(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
 			c.queueStatsDirty = true
 		}
 		c.completeTask(t)
-	case end.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
+	case result.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting:
 		c.logRun("run failed", r, "")
 		c.attemptFailed(t, r)
 	case len(t.runs) == 0:
@@ -46,7 +46,7 @@
 	}
 }
 
-// attemptFailed takes note of a failed attempt.
+// attemptFailed counts a failed attempt and makes its task ready for the next one.
 func (c *Cell) attemptFailed(t *task, r *run) {
 	t.avoid = r.endpoint.info.Life
 	c.countFailure(t)
@@ -55,7 +55,7 @@
 	}
 }
 
-// countFailure counts a failed attempt, and ends the job with the last one.
+// countFailure counts a failed attempt, and fails the job when no attempt is left.
 func (c *Cell) countFailure(t *task) {
 	t.failedAttempts++
 	j := t.phase.job()
@@ -66,8 +66,8 @@
 	}
 }
 
-// failureCount counts what fails a job: a task's failed attempts, or those of a whole
-// gang.
+// failureCount returns the number of failed attempts that count against a job: those of the task,
+// or those of all members if it belongs to a gang.
 func failureCount(t *task) int {
 	if !t.phase.spec.Gang {
 		return t.failedAttempts
@@ -79,8 +79,7 @@
 	return sum
 }
 
-// completeTask notes that a task is done, and what follows from that. A gang's members
-// are done together: one end stands for all.
+// completeTask marks a task as done. All members of a gang are done as soon as one of them is.
 func (c *Cell) completeTask(t *task) {
 	if !t.phase.spec.Gang {
 		c.markDone(t)
@@ -91,6 +90,8 @@
 	}
 }
 
+// markDone marks a single task as done, stops its other attempts, and completes its phase with the
+// last task.
 func (c *Cell) markDone(t *task) {
 	if t.done {
 		return
@@ -99,8 +100,8 @@
 	p := t.phase
 	p.removeReady(t)
 	if !p.spec.Gang {
-		for _, copied := range slices.Clone(t.runs) {
-			c.stop(copied, "another attempt is done")
+		for _, other := range slices.Clone(t.runs) {
+			c.stop(other, "another attempt is done")
 		}
 	}
 	p.unfinishedTasks--
@@ -110,15 +111,15 @@
 	}
 }
 
-// completePhase opens the phases that waited for this one, and ends the job with
-// its last phase.
+// completePhase opens the phases that depended on a phase, and completes the job with the last
+// phase.
 func (c *Cell) completePhase(p *phase) {
 	c.closePhase(p)
 	r := p.round
 	r.unfinishedPhases--
 	for _, later := range r.phases {
-		for _, waited := range later.spec.After {
-			if waited == p.number {
+		for _, dependency := range later.spec.After {
+			if dependency == p.number {
 				later.unfinishedDeps--
 			}
 		}
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -9,18 +9,17 @@
 	"damsonwinch/pkg/wire"
 )
 
-// lapsedAttempt is an attempt on an endpoint out of reach whose lease must have run out. How it
-// ended is not known: it may have failed before that, and the endpoint tells so once it can
-// be reached again.
+// lapsedAttempt is an attempt on an endpoint that can't be reached, and whose lease has certainly
+// expired. Its result isn't known. It may have failed before the lease expired, which the endpoint
+// reports once it can be reached again.
 type lapsedAttempt struct {
 	task    *task
 	attempt int
-	// minAge is for how long at least it had been under way.
+	// minAge is how long the attempt had been running at least.
 	minAge time.Duration
 }
 
-// markLapsed takes back a run whose lease must have run out, and keeps in mind that it may have
-// failed.
+// markLapsed removes a run whose lease has certainly expired, and notes that it may have failed.
 func (c *Cell) markLapsed(r *run) {
 	c.stats.RunsLapsed++
 	r.endpoint.lapsedAttempts = append(r.endpoint.lapsedAttempts, lapsedAttempt{task: r.task, attempt: r.attempt, minAge: r.age(r.endpoint.lastAnsweredAt)})
@@ -28,20 +27,20 @@
 	c.requeue(r)
 }
 
-// resolveLapsed takes note of the end of an attempt that was taken to have lapsed, and says
-// whether it was one.
-func (c *Cell) resolveLapsed(e *endpoint, end damsonwinch.RunResult) bool {
-	at := slices.IndexFunc(e.lapsedAttempts, func(l lapsedAttempt) bool { return l.attempt == end.Attempt && l.task.id() == end.Task })
-	if at < 0 {
+// resolveLapsed removes the lapsed attempt that a result belongs to, and reports whether there was
+// one.
+func (c *Cell) resolveLapsed(e *endpoint, result damsonwinch.RunResult) bool {
+	i := slices.IndexFunc(e.lapsedAttempts, func(l lapsedAttempt) bool { return l.attempt == result.Attempt && l.task.id() == result.Task })
+	if i < 0 {
 		return false
 	}
-	c.removeLapsed(e.lapsedAttempts[at])
-	e.lapsedAttempts = slices.Delete(e.lapsedAttempts, at, at+1)
+	c.removeLapsed(e.lapsedAttempts[i])
+	e.lapsedAttempts = slices.Delete(e.lapsedAttempts, i, i+1)
 	return true
 }
 
-// forgetLapsed drops the attempts whose ends an endpoint has not listed, or never will: they
-// are known not to have failed, or not to count.
+// forgetLapsed drops the lapsed attempts of an endpoint that will not report their results. Either
+// the endpoint has listed all results without them, or the attempts don't count any more.
 func (c *Cell) forgetLapsed(e *endpoint) {
 	for _, l := range e.lapsedAttempts {
 		c.removeLapsed(l)
@@ -49,24 +48,26 @@
 	e.lapsedAttempts = nil
 }
 
+// removeLapsed updates the task of a lapsed attempt whose result has become known or doesn't matter
+// any more.
 func (c *Cell) removeLapsed(l lapsedAttempt) {
 	l.task.lapsedAttempts--
 	c.placementDue = true
 	c.markDirty(l.task.phase.job())
 }
 
-// mustWait says whether a task must wait: since endpoints have refused it, or until it is known how
-// attempts at it have ended. With those that may have failed it has failed as often as it is
-// tried.
+// mustWait reports whether a task must not be started yet: either it backs off after endpoints have
+// refused it, or it has no attempts left in case all lapsed ones have failed.
 func (c *Cell) mustWait(t *task) bool {
 	return c.now.Before(t.notBefore) || t.lapsedAttempts > 0 && !t.phase.spec.Lasting && failureCount(t)+t.lapsedAttempts >= c.maxAttempts(t.phase.job())
 }
 
-// lapsedColumns is the number of columns of a lapse in a job's record: the place of its
-// task's row, its attempt and the place of its endpoint.
+// lapsedColumns is the number of columns of a row of JobRecord.Lapsed: the index of the task's row,
+// the number of the attempt and the index of the endpoint.
 const lapsedColumns = 3
 
-// writeLapsed adds the lapses of a job's tasks to its record, whose rows hold the tasks.
+// writeLapsed adds the lapsed attempts of a job's tasks to its record. rows maps each task to the
+// index of its row in record.Tasks.
 func (c *Cell) writeLapsed(j *job, rows map[*task]int, record *wire.JobRecord) {
 	if len(rows) == 0 {
 		return
@@ -80,11 +81,11 @@
 	}
 }
 
-// readLapsed takes over the lapses of a job's record.
+// readLapsed restores the lapsed attempts from a job's record.
 func (c *Cell) readLapsed(j *job, record wire.JobRecord) error {
 	for _, row := range record.Lapsed {
 		if len(row) != lapsedColumns || row[0] < 0 || row[0] >= len(record.Tasks) || row[2] < 0 || row[2] >= len(record.Endpoints) {
-			return fmt.Errorf("job %s has a lapse %v", j.id, row)
+			return fmt.Errorf("job %s has an invalid row of lapsed attempts %v", j.id, row)
 		}
 		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			e := c.ensureEndpoint(damsonwinch.ParseLife(record.Endpoints[row[2]]))
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -10,14 +10,14 @@
 	"damsonwinch/pkg/wire"
 )
 
-// markLost takes note that a life has ended: all that ran there is gone.
+// markLost marks a life as ended. Everything that ran there is lost.
 func (c *Cell) markLost(e *endpoint, why string) {
 	c.markLostKeeping(e, why, func(*run) bool { return false })
 }
 
-// markLostKeeping takes note that a life has ended, and keeps those of its runs that may yet be found
-// at a later life under its ID.
-func (c *Cell) markLostKeeping(e *endpoint, why string, kept func(r *run) bool) {
+// markLostKeeping marks a life as ended. It keeps the runs for which keep returns true, since a
+// later life with the same ID may run them.
+func (c *Cell) markLostKeeping(e *endpoint, why string, keep func(r *run) bool) {
 	if e.exited {
 		return
 	}
@@ -25,47 +25,48 @@
 	e.exited = true
 	c.countLossForLapsed(e)
 	c.forgetLapsed(e)
-	blamedRun := c.runToBlame(e)
+	blamed := c.runToBlame(e)
 	if len(e.runs) > 0 && !c.startedWithin(e, e.exitedAt(c.now), c.options.CrashRules.MeasuredSuspectAge()) {
 		c.baselineExits.exits.add(c.now)
 	}
-	c.countQueueExits(e, blamedRun)
+	c.countQueueExits(e, blamed)
 	if e.probation != nil {
 		c.probationExits.add(c.now)
 	}
 	for _, r := range e.sortedRuns() {
 		if r.state == runPending {
-			// The commit takes it back.
+			// It is removed when its record is committed.
 			r.stopping = true
 			continue
 		}
-		end := c.lossOf(r)
-		end.Explained = end.Explained || blamedRun != nil && blamedRun != r
-		if kept(r) {
-			r.pendingLoss = &runLoss{life: e.info.Life, loss: end}
+		loss := c.lossOf(r)
+		loss.Explained = loss.Explained || blamed != nil && blamed != r
+		if keep(r) {
+			r.pendingLoss = &runLoss{life: e.info.Life, details: loss}
 			continue
 		}
-		c.removeLostRun(r, runLoss{life: e.info.Life, loss: end})
+		c.removeLostRun(r, runLoss{life: e.info.Life, details: loss})
 	}
 }
 
-// runLoss is how a run went: with which life, and how that ended.
+// runLoss tells with which life a run was lost, and how.
 type runLoss struct {
-	life damsonwinch.Life
-	loss crash.Loss
+	life    damsonwinch.Life
+	details crash.Loss
 }
 
-// removeLostRun takes away a run that has gone with its endpoint.
-func (c *Cell) removeLostRun(r *run, lost runLoss) {
+// removeLostRun removes a run that was lost with its endpoint, and counts the loss against its
+// task.
+func (c *Cell) removeLostRun(r *run, loss runLoss) {
 	c.stats.RunsLost++
 	c.removeRun(r)
-	c.countLoss(r, lost)
+	c.countLoss(r, loss)
 	if len(r.task.runs) == 0 {
 		c.makeReady(r.task)
 	}
 }
 
-// removeMissingRun takes away a run that its endpoint doesn't have.
+// removeMissingRun removes a run that its endpoint doesn't have.
 func (c *Cell) removeMissingRun(r *run) {
 	c.logRun("run is not there", r, "")
 	if r.pendingLoss != nil {
@@ -75,8 +76,8 @@
 	c.requeue(r)
 }
 
-// runToBlame returns the run that was on trial on an endpoint that has ended and is to blame,
-// nil if there is none: then all tasks there may have ended it.
+// runToBlame returns the run on probation that is to blame for the exit of its endpoint. It returns
+// nil if there is none: then any of the tasks there may have caused the exit.
 func (c *Cell) runToBlame(e *endpoint) *run {
 	if r := e.probation; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.lossOf(r)) {
 		return r
@@ -84,46 +85,48 @@
 	return nil
 }
 
-// lossOf describes the end of a run's endpoint.
+// lossOf describes the loss of a run's endpoint, for the run's task.
 func (c *Cell) lossOf(r *run) crash.Loss {
 	exitedAt := r.endpoint.exitedAt(c.now)
-	end := crash.Loss{MaxAge: r.age(exitedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.hasCommonCause(r.endpoint, exitedAt), Probation: r.endpoint.probation == r, LossRate: c.baselineExits.rate(c.now)}
+	loss := crash.Loss{MaxAge: r.age(exitedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.hasCommonCause(r.endpoint, exitedAt), Probation: r.endpoint.probation == r, LossRate: c.baselineExits.rate(c.now)}
 	if r.endpoint.silent && r.endpoint.pollBroken {
-		// The look that broke off would have told of the run's end. Otherwise it may have ended
-		// before, unheard of. A start whose answer is lost with the endpoint had come there: where
-		// nothing else had begun, the weight of the end says how surely.
-		end.MinAge, end.Certain = end.MaxAge, r.state == runConfirmed || end.Probation
+		// The poll that broke would have reported the end of the run. Without such a poll the run
+		// may have ended before, unreported. A start request whose reply is lost with the endpoint
+		// has arrived there. That is certain enough only on probation, where nothing else had
+		// started: the weight of the loss accounts for the doubt.
+		loss.MinAge, loss.Certain = loss.MaxAge, r.state == runConfirmed || loss.Probation
 	}
 	if r.inherited {
-		end.MaxAge = max(end.MaxAge, c.options.CrashRules.MaxCrashAge)
+		loss.MaxAge = max(loss.MaxAge, c.options.CrashRules.MaxCrashAge)
 	}
-	return end
+	return loss
 }
 
-// countLoss counts the end of a run's endpoint against its task, and gives the task up if
-// that is enough.
-func (c *Cell) countLoss(r *run, lost runLoss) {
+// countLoss counts the loss of a run's endpoint against the run's task, and gives the task up if
+// that is enough evidence.
+func (c *Cell) countLoss(r *run, loss runLoss) {
 	t := r.task
-	t.crashes = c.options.CrashRules.Add(t.crashes, lost.loss)
-	c.logRunLost(r, lost)
-	if t.done || t.phase.job().ended() || c.giveUpIfConvicted(t, lost) {
+	t.crashes = c.options.CrashRules.Add(t.crashes, loss.details)
+	c.logRunLost(r, loss)
+	if t.done || t.phase.job().ended() || c.giveUpIfConvicted(t, loss) {
 		return
 	}
 	c.addSuspect(t)
 }
 
-// giveUpIfConvicted ends the job of a task whose trials have shown that it crashes its
-// endpoints. It says whether it is one.
-func (c *Cell) giveUpIfConvicted(t *task, last runLoss) bool {
+// giveUpIfConvicted gives a task up whose probations have shown that it crashes its endpoints. It
+// reports whether the task is one.
+func (c *Cell) giveUpIfConvicted(t *task, loss runLoss) bool {
 	if !c.options.CrashRules.IsCrasher(t.crashes) {
 		return false
 	}
 	c.giveUp(t, fmt.Sprintf("task %s crashes its endpoints: %d have ended under it, the last one, %s, %d ms after its start, where nothing else had begun",
-		t.id(), t.crashes.Losses, last.life, last.loss.MaxAge.Milliseconds()))
+		t.id(), t.crashes.Losses, loss.life, loss.details.MaxAge.Milliseconds()))
 	return true
 }
 
-// giveUpIfStartsExhausted gives a task up that has been started too often. It says whether it is one.
+// giveUpIfStartsExhausted gives a task up that may not be started again after the losses under it.
+// It reports whether the task is one.
 func (c *Cell) giveUpIfStartsExhausted(t *task) bool {
 	if !c.options.CrashRules.StartsExhausted(t.crashes) {
 		return false
@@ -132,8 +135,9 @@
 	return true
 }
 
-// giveUp ends the job of a task that must not be started any more. A lasting job goes on with
-// what is left of it: its other tasks serve, and more of them may not be away than it allows.
+// giveUp marks a task as one that is not started any more, and fails its job. A long-running job
+// goes on with its other tasks, as long as one of them runs or may be started. The given-up task
+// counts among those that may be missing.
 func (c *Cell) giveUp(t *task, why string) {
 	if t.givenUp {
 		return
@@ -147,7 +151,7 @@
 	}
 }
 
-// hasStartableTask says whether a job has a task that isn't given up.
+// hasStartableTask reports whether the job has a task that is neither done nor given up.
 func (j *job) hasStartableTask() bool {
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
@@ -159,16 +163,17 @@
 	return false
 }
 
-// addStarts counts a start of a task under which many endpoints have ended, or takes it
-// back where its endpoint has certainly not begun it.
+// addStarts adds more to the number of starts of a task since too many endpoints were lost under
+// it. It does nothing for other tasks. more is negative when the endpoint has certainly not begun
+// the task.
 func (c *Cell) addStarts(t *task, more int) {
 	if c.options.CrashRules.CountsStarts(t.crashes) {
 		t.crashes = t.crashes.WithExtraStarts(more)
 	}
 }
 
-// countLossForLapsed counts the end of an endpoint against the tasks that were taken to have lapsed
-// there: it may have ended before that, and because of them.
+// countLossForLapsed counts the loss of an endpoint against the tasks of its lapsed attempts: it
+// may have exited before their leases expired, and because of them.
 func (c *Cell) countLossForLapsed(e *endpoint) {
 	for _, l := range e.lapsedAttempts {
 		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.minAge, MaxAge: c.options.CrashRules.MaxCrashAge})
@@ -176,8 +181,8 @@
 	}
 }
 
-// exitedAt is when an endpoint that is lost has ended, as far as that can be told: a look
-// waits there nearly always, and breaks off at once.
+// exitedAt returns when a lost endpoint ended, as far as that is known. A poll waits there nearly
+// always, and its connection breaks at once.
 func (e *endpoint) exitedAt(now time.Time) time.Time {
 	if e.silent {
 		return e.silentSince
@@ -185,78 +190,79 @@
 	return now
 }
 
-// commonCauseTime is how close the ends of two endpoints must be to have one cause. The rack or
-// zone that they share ends within some milliseconds.
+// commonCauseTime is how close in time two endpoints must exit for that to have a common cause.
+// Endpoints of a rack or zone that fails exit within some milliseconds.
 const commonCauseTime = 50 * time.Millisecond
 
-// hasCommonCause says whether endpoints that share something with this one have ended at the same
-// moment, and not under tasks on trial there: another one of its rack, or half of the others of
-// its zone. Where many endpoints end, two do at one moment by chance as well.
-func (c *Cell) hasCommonCause(e *endpoint, endedAt time.Time) bool {
-	zone, ended := 0, 0
+// hasCommonCause reports whether endpoints that share a rack or zone with this one exited at the
+// same time: another one of the rack, or half of the others of the zone. Endpoints with a task on
+// probation don't count. Where many endpoints exit, two may do so at the same time by chance.
+func (c *Cell) hasCommonCause(e *endpoint, exitedAt time.Time) bool {
+	inZone, exited := 0, 0
 	for _, other := range c.sortedEndpoints {
 		if other == e || other.zone != e.zone {
 			continue
 		}
-		zone++
-		if other.probation != nil || !other.silent || other.silentSince.Sub(endedAt).Abs() > commonCauseTime {
+		inZone++
+		if other.probation != nil || !other.silent || other.silentSince.Sub(exitedAt).Abs() > commonCauseTime {
 			continue
 		}
-		ended++
+		exited++
 		if e.info.Rack != "" && other.info.Rack == e.info.Rack {
 			return true
 		}
 	}
-	return ended > 0 && ended*2 >= zone
+	return exited > 0 && exited*2 >= inZone
 }
 
-// age returns how long a run had been under way when its endpoint ended.
-func (r *run) age(endedAt time.Time) time.Duration {
-	return max(0, endedAt.Sub(r.startedAt))
+// age returns how long ago the run had started when its endpoint exited.
+func (r *run) age(exitedAt time.Time) time.Duration {
+	return max(0, exitedAt.Sub(r.startedAt))
 }
 
-// logEndpointLost tells what a lost endpoint takes with it.
+// logEndpointLost logs the loss of an endpoint with the number and age of its runs.
 func (c *Cell) logEndpointLost(e *endpoint, why string) {
 	if len(e.runs) == 0 {
 		c.logEndpoint("endpoint lost", e, why)
 		return
 	}
 	c.stats.EndpointsLost++
-	endedAt := e.exitedAt(c.now)
-	youngest := e.runsByStart[len(e.runsByStart)-1].age(endedAt)
+	exitedAt := e.exitedAt(c.now)
+	youngest := e.runsByStart[len(e.runsByStart)-1].age(exitedAt)
 	c.logEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
-		why, c.now.Sub(endedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
+		why, c.now.Sub(exitedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
 
-// logRunLost tells of a run that went with its endpoint. The first time it is one of many.
-func (c *Cell) logRunLost(r *run, lost runLoss) {
-	end := lost.loss
+// logRunLost logs a run that was lost with its endpoint. The first loss of a task is a debug line,
+// since it is mostly one of many.
+func (c *Cell) logRunLost(r *run, loss runLoss) {
+	details := loss.details
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
-		Message: "run lost", Job: r.task.phase.job().id, Task: r.id().Task.String(), Endpoint: lost.life.String(), Debug: r.task.crashes.Losses <= 1,
+		Message: "run lost", Job: r.task.phase.job().id, Task: r.id().Task.String(), Endpoint: loss.life.String(), Debug: r.task.crashes.Losses <= 1,
 		Reason: fmt.Sprintf("its endpoint ended %d to %d ms after its start (surely under it %t, explained %t, on trial %t, rate %.3f a second); attempt %d, %d endpoints ended under its task, weight %d, %d starts since",
-			end.MinAge.Milliseconds(), end.MaxAge.Milliseconds(), end.Certain, end.Explained, end.Probation, end.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
+			details.MinAge.Milliseconds(), details.MaxAge.Milliseconds(), details.Certain, details.Explained, details.Probation, details.LossRate, r.attempt, r.task.crashes.Losses, r.task.crashes.Weight, r.task.crashes.ExtraStarts),
 	})
 }
 
-// crashColumns is the number of columns of a task under which endpoints have ended, in its
-// job's record: the place of its row, how many, on how many of them it certainly ran, how many
-// in a row were alike, between which ages in milliseconds, the weight of the evidence, and its
-// starts since there were many.
+// crashColumns is the number of columns of a row of JobRecord.Crashed, which describes a task under
+// which endpoints were lost. The columns are the index of the task's row, the losses, the certain
+// losses, the similar losses in a row, the lower and upper bound of the age at these in
+// milliseconds, the weight of the evidence, and the extra starts.
 const crashColumns = 8
 
-// writeCrashes adds what is known of a task's crashes to its job's record, whose next row is
-// the task's.
+// writeCrashes adds a task's history of losses to its job's record. The next row of record.Tasks
+// must become the task's.
 func writeCrashes(t *task, record *wire.JobRecord) {
 	if t.crashes.Losses > 0 && !t.done {
 		record.Crashed = append(record.Crashed, []int{len(record.Tasks), t.crashes.Losses, t.crashes.CertainLosses, t.crashes.SimilarLosses, int(t.crashes.MinAge.Milliseconds()), int(t.crashes.MaxAge.Milliseconds()), t.crashes.Weight, t.crashes.ExtraStarts})
 	}
 }
 
-// readCrashes takes over what a job's record tells of its tasks' crashes.
+// readCrashes restores the histories of losses from a job's record.
 func (c *Cell) readCrashes(j *job, record wire.JobRecord) error {
 	for _, row := range record.Crashed {
 		if len(row) != crashColumns || row[0] < 0 || row[0] >= len(record.Tasks) {
-			return fmt.Errorf("job %s has a crashed task %v", j.id, row)
+			return fmt.Errorf("job %s has an invalid row of crashes %v", j.id, row)
 		}
 		if t := c.findTask(rowTaskID(j, record.Tasks[row[0]])); t != nil {
 			t.crashes = crash.History{
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// crashProneExits is the number of endpoints that must have ended within proneTime just after
-	// something of a queue had begun there, so that its tasks are taken to crash endpoints.
+	// crashProneExits is the number of endpoints that must have exited within crashProneWindow,
+	// just after tasks of a queue had started there, for the queue to count as crash-prone.
 	crashProneExits  = 2
 	crashProneWindow = 10 * time.Second
-	// crashProneProbationWait is how long a suspect of such a queue waits for a trial: most of them are the
-	// tasks of few jobs that crash endpoints.
+	// crashProneProbationWait is how long a suspect of a crash-prone queue waits for probation.
+	// Most suspects are the tasks of few jobs that crash endpoints.
 	crashProneProbationWait = 8 * time.Second
-	// maxCrashProneProbationPercent is the most of a cell's endpoints, in percent, that may be on trial or have ended
-	// in one of late while a queue's tasks crash endpoints: most suspects do then, and their
-	// trials can wait.
+	// maxCrashProneProbationPercent is the highest percentage of a cell's endpoints on which tasks
+	// may be on probation, or that may have exited in one recently, while a queue is crash-prone.
+	// Most suspects crash their endpoints then, and their probations can wait.
 	maxCrashProneProbationPercent = 10
-	// longRunningWork weighs a lasting task beside what a queue's tasks may end, in thousandths of
-	// a core times milliseconds: it takes seconds to be at work again elsewhere.
+	// longRunningWork is the work that the loss of a long-running task counts for, in thousandths
+	// of a core times milliseconds. It takes seconds until the task is at work again elsewhere.
 	longRunningWork = 60_000_000
 )
 
-// countQueueExits counts the end of an endpoint against the queues of what had begun there just before.
-// Where one task is to blame its first end has been counted: one such task is no crowd.
+// countQueueExits counts the exit of an endpoint against the queues whose tasks had started there
+// just before. If one task is to blame the exit isn't counted: the first exit under that task has
+// been, and a single bad task doesn't make its queue crash-prone.
 func (c *Cell) countQueueExits(e *endpoint, blamed *run) {
-	endedAt := e.exitedAt(c.now)
-	if blamed != nil || c.hasCommonCause(e, endedAt) {
+	exitedAt := e.exitedAt(c.now)
+	if blamed != nil || c.hasCommonCause(e, exitedAt) {
 		return
 	}
 	counted := map[string]bool{}
 	for _, r := range e.runsByStart {
 		queue := r.task.phase.job().queue
-		young := r.state != runPending && endedAt.Sub(r.startedAt) < c.options.CrashRules.MeasuredSuspectAge()
+		young := r.state != runPending && exitedAt.Sub(r.startedAt) < c.options.CrashRules.MeasuredSuspectAge()
 		if young && !counted[queue] {
 			counted[queue] = true
 			if c.queueExits[queue] == nil {
@@ -45,14 +46,14 @@
 	}
 }
 
-// updateCrashProne finds the queues whose tasks crash endpoints of late.
+// updateCrashProne updates which queues are crash-prone.
 func (c *Cell) updateCrashProne() {
 	for _, queue := range slices.Sorted(maps.Keys(c.queueExits)) {
 		count := c.queueExits[queue].countWithin(c.now, crashProneWindow)
 		switch {
 		case count >= crashProneExits && !c.crashProne[queue]:
 			c.crashProne[queue] = true
-			c.logQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have ended in the last %v just after something of it had begun", count, crashProneWindow))
+			c.logQueue("queue's tasks seem to crash endpoints", queue, fmt.Sprintf("%d have exited in the last %v just after one of its tasks had started", count, crashProneWindow))
 		case count < crashProneExits && c.crashProne[queue]:
 			delete(c.crashProne, queue)
 			c.logQueue("queue's tasks crash no endpoints any more", queue, "")
@@ -63,9 +64,10 @@
 	}
 }
 
-// separatedFromOtherJobs says whether nothing of another job has begun at an endpoint just before, if a task or
-// that is of a queue whose tasks crash endpoints. What ends an endpoint is known then to be of
-// one job, and no sound one waits for trials.
+// separatedFromOtherJobs reports whether a task may start on an endpoint as far as crash-prone
+// queues go. If the task or a run that has just started there belongs to one, both must belong to
+// the same job. So it is known which job's task crashes an endpoint, and tasks of sound jobs don't
+// wait for probation.
 func (c *Cell) separatedFromOtherJobs(t *task, e *endpoint) bool {
 	if len(c.crashProne) == 0 {
 		return true
@@ -79,8 +81,8 @@
 	return true
 }
 
-// chooseLeastAtRisk returns the endpoint for a task that may crash it where the least is lost by that,
-// or nil.
+// chooseLeastAtRisk returns the endpoint for a task that may crash it where that loses the least
+// work, or nil if none can start the task.
 func (c *Cell) chooseLeastAtRisk(t *task, label string) *endpoint {
 	var choice choice
 	for _, e := range c.sortedEndpoints {
@@ -91,13 +93,13 @@
 	return choice.best
 }
 
-// workAtRisk returns the work that is lost with an endpoint, beside a job's own, in thousandths of a
-// core times milliseconds.
-func (c *Cell) workAtRisk(e *endpoint, but *job) int {
+// workAtRisk returns the work that is lost if an endpoint exits, not counting the runs of one job,
+// in thousandths of a core times milliseconds.
+func (c *Cell) workAtRisk(e *endpoint, except *job) int {
 	sum := 0
 	for _, r := range e.runsByStart {
 		switch {
-		case r.task.phase.job() == but:
+		case r.task.phase.job() == except:
 		case r.task.phase.spec.Lasting:
 			sum += longRunningWork
 		default:
