--- a/pkg/cell/gang.go
+++ b/pkg/cell/gang.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// sameRackWait is how long a gang that is slow across racks waits for one that holds
-// it: about what its tasks lose by being spread.
+// sameRackWait is how long a gang that is slow across racks waits for a rack that can hold all of
+// it. It is about as long as its tasks are delayed by being spread.
 const sameRackWait = 400 * time.Millisecond
 
-// placeGang starts all tasks of a phase together, or none.
+// placeGang starts all tasks of a gang together, or none.
 func (c *Cell) placeGang(p *phase) {
 	if len(p.ready) < p.unfinishedTasks {
-		// Some members are still ending.
+		// Runs of some members have not ended yet.
 		return
 	}
 	if !c.withinQuota(p, len(p.ready)) {
@@ -28,16 +28,16 @@
 	}
 	members := p.ready
 	p.ready, p.gangReadySince = nil, time.Time{}
-	for at, t := range members {
+	for i, t := range members {
 		t.ready = false
-		// All members share the attempt.
+		// All members use the same attempt number.
 		t.lastAttempt = attempt
-		c.planRun(t, chosen[at])
+		c.planRun(t, chosen[i])
 	}
 }
 
-// stopGang stops what runs of a gang that can't be whole, so that its members
-// don't wait for one that will not come.
+// stopGang stops the runs of a gang that can't be complete, so that they don't wait for a member
+// that will not start.
 func (c *Cell) stopGang(p *phase, why string) {
 	if !p.spec.Gang {
 		return
@@ -51,7 +51,8 @@
 	}
 }
 
-// chooseGangEndpoints returns an endpoint for each waiting task of a gang, or nil.
+// chooseGangEndpoints returns an endpoint for each waiting task of a gang, or nil if they can't all
+// start now.
 func (c *Cell) chooseGangEndpoints(p *phase) []*endpoint {
 	if p.gangReadySince.IsZero() {
 		p.gangReadySince = c.now
@@ -70,8 +71,8 @@
 	return c.chooseGangWithLabel(p, "")
 }
 
-// chooseGangWithLabel returns an endpoint for each waiting task of a gang among those with
-// a label, or nil. Room is held for the time of the choice, so that members don't
+// chooseGangWithLabel returns an endpoint with a label for each waiting task of a gang, or nil if
+// they can't all start. The capacity of each is occupied during the choice, so that no two members
 // count on the same.
 func (c *Cell) chooseGangWithLabel(p *phase, label string) []*endpoint {
 	chosen := make([]*endpoint, 0, len(p.ready))
@@ -94,7 +95,7 @@
 	return chosen
 }
 
-// racks returns the racks of the cell's endpoints, in order.
+// racks returns the racks of the cell's endpoints in sorted order.
 func (c *Cell) racks() []string {
 	var found []string
 	for _, e := range c.sortedEndpoints {
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// maxCapacityAge is how old what an endpoint said of its room may be for starts there, where the
-// endpoint itself doesn't refuse what doesn't fit: it says so each 1.5 s, and a room that has
-// shrunk counts 3 s and one such time later.
+// maxCapacityAge is the maximum age of an endpoint's reported capacity for starts there, if the
+// endpoint itself doesn't refuse tasks that don't fit. Endpoints report every 1.5 s, and a reduced
+// capacity takes effect 3 s plus one such interval later.
 const maxCapacityAge = 2500 * time.Millisecond
 
-// SetRejectsOverload says whether the cell's endpoints refuse what doesn't fit. Where they don't, what
-// is known of their room must be new: a task too many harms all that run there.
-func (c *Cell) SetRejectsOverload(now time.Time, guarded bool) {
-	if c.noCapacityCheck != !guarded {
+// SetRejectsOverload sets whether the cell's endpoints refuse tasks that don't fit. If they don't,
+// starts need a recent report of the endpoint's capacity, since one task too many harms everything
+// that runs there.
+func (c *Cell) SetRejectsOverload(now time.Time, rejects bool) {
+	if c.noCapacityCheck != !rejects {
 		c.beginEvent(now)
-		c.noCapacityCheck = !guarded
+		c.noCapacityCheck = !rejects
 	}
 }
 
-// capacityKnown says whether what is known of an endpoint's room is new enough for starts there.
+// capacityKnown reports whether the known capacity of an endpoint is recent enough for starts
+// there.
 func (c *Cell) capacityKnown(e *endpoint) bool {
 	return !c.noCapacityCheck || c.now.Sub(e.info.SeenAt) <= maxCapacityAge
 }
 
-// stillFits says whether a run that was given room some time ago may be ordered now.
+// stillFits reports whether a run for which capacity was reserved earlier still fits on its
+// endpoint.
 func (c *Cell) stillFits(r *run) bool {
 	return c.capacityKnown(r.endpoint) && r.endpoint.strayRuns == 0 && r.endpoint.info.Capacity.Holds(r.endpoint.used)
 }
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// progress is how fast a run gets on, by what looks have shown of it.
+// progress tracks how fast a run makes progress, as shown by polls.
 type progress struct {
-	// basePercent is where it was when it was first seen to get on, in percent.
+	// basePercent is how much was done at baseAt, when the run was first seen to make progress.
+	// Speed is measured from there.
 	basePercent int
 	baseAt      time.Time
-	reportedAt  time.Time
-	percent     int
-	// advancedAt is when it was last seen to have got on.
+	// reportedAt is when the last report arrived, and percent how much was done by then.
+	reportedAt time.Time
+	percent    int
+	// advancedAt is when the run was last seen to have made progress.
 	advancedAt time.Time
 }
 
-// minMeasuredPercent is the progress, in percent, from which a pace can be told: looks
-// round to whole percents.
+// minMeasuredPercent is the progress from which the speed of a run can be told, since reports are
+// rounded to whole percents.
 const minMeasuredPercent = 6
 
-// update takes how far a run is.
+// update records how much of the run is done.
 func (p *progress) update(now time.Time, percent int) {
 	switch {
 	case p.advancedAt.IsZero():
@@ -31,7 +33,7 @@
 	p.reportedAt, p.percent = now, percent
 }
 
-// percentPerMs returns the progress in percent a millisecond, or 0 while it isn't known.
+// percentPerMs returns the speed in percent per millisecond, or 0 while it isn't known.
 func (p *progress) percentPerMs() float64 {
 	if p.baseAt.IsZero() || p.percent-p.basePercent < minMeasuredPercent {
 		return 0
@@ -39,8 +41,8 @@
 	return float64(p.percent-p.basePercent) / float64(max(1, p.reportedAt.Sub(p.baseAt).Milliseconds()))
 }
 
-// totalMs returns how long the whole task takes at this pace, or 0 while that
-// isn't known.
+// totalMs returns how many milliseconds the whole task takes at this speed, or 0 while that isn't
+// known.
 func (p *progress) totalMs() float64 {
 	if speed := p.percentPerMs(); speed > 0 {
 		return fullPercent / speed
@@ -48,7 +50,7 @@
 	return 0
 }
 
-// remainingMs returns how long the run still takes at its pace, or 0 while that isn't
+// remainingMs returns how many milliseconds the run still takes at its speed, or 0 while that isn't
 // known.
 func (r *run) remainingMs() float64 {
 	if speed := r.progress.percentPerMs(); speed > 0 {
@@ -57,7 +59,8 @@
 	return 0
 }
 
-// remainingMs estimates how long a run still takes, in milliseconds.
+// remainingMs estimates how many milliseconds a run still takes, from its speed if that is known
+// and otherwise from the estimate for its task.
 func (c *Cell) remainingMs(r *run) int {
 	if left := r.remainingMs(); left > 0 {
 		return int(left) - int(c.now.Sub(r.progress.reportedAt).Milliseconds())
@@ -66,5 +69,5 @@
 	return max(minRemainingMs, usual-int(c.now.Sub(r.startedAt).Milliseconds()))
 }
 
-// minRemainingMs is what a run is taken to need when it should have ended already.
+// minRemainingMs is the remaining time that is assumed for a run that takes longer than estimated.
 const minRemainingMs = 200
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -6,9 +6,9 @@
 	"damsonwinch"
 )
 
-// place starts the tasks that may start, as far as there is room: those of jobs
-// that can still be done in time first, and there the most urgent; then those that are
-// put off for them.
+// place starts the tasks that are ready, as far as there is capacity. Phases of jobs that can still
+// meet their deadlines come first, the most urgent before the others. Phases that are deferred for
+// these follow, and then late ones.
 func (c *Cell) place() {
 	if len(c.openPhases) == 0 || !c.placementDue {
 		return
@@ -31,65 +31,67 @@
 			inTime = append(inTime, p)
 		}
 	}
-	full := c.placePhases(inTime, nil)
-	full = c.placePhases(deferred, full)
-	c.placePhases(late, full)
+	unplaceable := c.placePhases(inTime, nil)
+	unplaceable = c.placePhases(deferred, unplaceable)
+	c.placePhases(late, unplaceable)
 }
 
-// placePhases places phases in order. Full are needs that found no room; it
-// returns them with those that it met.
-func (c *Cell) placePhases(phases []*phase, full []damsonwinch.Resources) []damsonwinch.Resources {
+// placePhases places phases in order. unplaceable holds resource needs for which no endpoint has
+// capacity; placePhases skips phases that need as much, and returns the slice with the needs that
+// it adds.
+func (c *Cell) placePhases(phases []*phase, unplaceable []damsonwinch.Resources) []damsonwinch.Resources {
 	for _, p := range phases {
-		if exceedsAny(p, full) {
+		if exceedsAny(p, unplaceable) {
 			continue
 		}
 		if p.spec.Gang {
 			c.placeGang(p)
 		} else if !c.placeTasks(p) && c.needsOnlyCapacity(p) {
-			full = append(full, p.need())
+			unplaceable = append(unplaceable, p.need())
 		}
 		c.requestPermits(p)
 		if len(p.ready) == 0 && p.open {
 			c.closePhase(p)
 		}
 	}
-	return full
+	return unplaceable
 }
 
-// exceedsAny says whether a phase's tasks need at least what already found no
-// room, so that looking again is in vain.
-func exceedsAny(p *phase, full []damsonwinch.Resources) bool {
+// exceedsAny reports whether a phase's tasks need at least as much as one of the needs for which no
+// endpoint has capacity.
+func exceedsAny(p *phase, unplaceable []damsonwinch.Resources) bool {
 	need := p.need()
-	for _, missed := range full {
-		if need.MilliCPU >= missed.MilliCPU && need.MemoryMB >= missed.MemoryMB && need.GPUs >= missed.GPUs {
+	for _, other := range unplaceable {
+		if need.MilliCPU >= other.MilliCPU && need.MemoryMB >= other.MemoryMB && need.GPUs >= other.GPUs {
 			return true
 		}
 	}
 	return false
 }
 
-// needsOnlyCapacity says that only room decides where a phase's tasks may run.
+// needsOnlyCapacity reports whether nothing but free capacity restricts where a phase's tasks may
+// run.
 func (c *Cell) needsOnlyCapacity(p *phase) bool {
 	return p.spec.Label == "" && p.spec.MostPerBox == 0 && !c.needsPermit(p)
 }
 
-// placeTasks places a phase's tasks one by one. It says whether there was room for all that may
-// start.
+// placeTasks places a phase's tasks one by one. It returns false if there was no capacity for a
+// task that may start.
 func (c *Cell) placeTasks(p *phase) bool {
 	waiting := p.ready
 	p.ready = nil
-	for at, t := range waiting {
+	for i, t := range waiting {
 		if c.mustWait(t) || t.suspected && !t.phase.spec.Gang && !c.probationWaitExpired(t) {
 			p.ready = append(p.ready, t)
 			continue
 		}
 		if !c.withinQuota(p, 1) {
-			p.ready = append(p.ready, waiting[at:]...)
+			p.ready = append(p.ready, waiting[i:]...)
 			return true
 		}
 		e := c.chooseEndpoint(t, "")
 		if e == nil {
-			p.ready = append(p.ready, waiting[at:]...)
+			p.ready = append(p.ready, waiting[i:]...)
 			return false
 		}
 		t.ready = false
@@ -98,24 +100,24 @@
 	return true
 }
 
-// canStart says whether a task may be started at an endpoint now.
+// canStart reports whether a task may be started on an endpoint now.
 func (c *Cell) canStart(t *task, e *endpoint) bool {
 	return !c.mustWait(t) && c.canHost(t, e) && c.probationAllows(t, e) && c.hasPermit(t.phase, e)
 }
 
-// canHost says whether an endpoint has room for a task and may run it, as far as
-// no permit is needed.
+// canHost reports whether an endpoint has capacity for a task and may run it, not considering
+// permits and probations.
 func (c *Cell) canHost(t *task, e *endpoint) bool {
 	p := t.phase
-	// Most endpoints of a busy cell are full; that is found out first.
+	// Most endpoints of a busy cell are full, so capacity is checked first.
 	if !e.free().Holds(p.need()) || !e.usable() || e.strayRuns > 0 || !c.capacityKnown(e) || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || t.runsOn(e) || c.now.Before(e.backoffUntil) || !e.hasLabel(p.spec.Label) {
 		return false
 	}
 	return p.spec.MostPerBox == 0 || countOnEndpoint(p, e) < p.spec.MostPerBox
 }
 
-// countOnEndpoint counts a phase's runs at an endpoint, with the places that are held
-// there while a gang is placed.
+// countOnEndpoint returns the number of a phase's runs on an endpoint, including the capacity
+// reserved there while a gang is placed.
 func countOnEndpoint(p *phase, e *endpoint) int {
 	count := p.gangReserved[e]
 	for _, t := range p.tasks {
@@ -128,23 +130,25 @@
 	return count
 }
 
-// Weights of a choice, in thousandths of a core of free room.
+// Weights of the score of an endpoint for a task, in thousandths of a core of free capacity.
 const (
 	scoreRack          = 1_000_000
 	scoreAvoid         = -4_000_000
 	scoreRecentFailure = -2_000_000
-	// scoreInterference keeps what serves and what fills apart while there is room.
+	// scoreInterference keeps serving tasks and filler tasks apart while there is enough capacity.
 	scoreInterference = -500_000
-	// scoreMaintenanceDue keeps lasting tasks off boxes that are still to be maintained: each move
-	// takes some 1.5 s, and of one job often only one task may be away.
+	// scoreMaintenanceDue keeps long-running tasks off boxes that still have to be maintained. Each
+	// move takes some 1.5 s, and often only one task of a job may be moved at a time.
 	scoreMaintenanceDue = -3_000_000
 )
 
+// score rates an endpoint for a task. Higher is better, and endpoints with less free capacity are
+// preferred.
 func (c *Cell) score(t *task, e *endpoint) int {
 	return c.preference(t, e) - e.free().MilliCPU
 }
 
-// preference is what speaks for an endpoint beside its room.
+// preference rates an endpoint for a task without considering its free capacity.
 func (c *Cell) preference(t *task, e *endpoint) int {
 	score := 0
 	if rack := t.phase.spec.Rack; rack != "" && slices.Contains(e.info.Labels, rack) {
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -4,26 +4,26 @@
 	"damsonwinch"
 )
 
-// maxCoreBucket is how many whole free cores are told apart; boxes with more count as
-// having that many.
+// maxCoreBucket is the highest number of free cores that the index distinguishes. Endpoints with
+// more are in the same bucket.
 const maxCoreBucket = 256
 
-// milliCPUPerCore is a core in the unit of resources.
+// milliCPUPerCore is the value of Resources.MilliCPU for one core.
 const milliCPUPerCore = 1000
 
-// freeCoreIndex holds a zone's endpoints by their whole free cores, so that a choice looks
-// only at those that may have room: in a busy cell most are full.
+// freeCoreIndex holds a zone's endpoints by the number of their free cores, rounded down. A search
+// then visits only those that may have enough: in a busy cell most endpoints are full.
 type freeCoreIndex struct {
 	buckets [maxCoreBucket + 1][]*endpoint
-	// maxBucket is the highest number of free cores that any endpoint has had.
+	// maxBucket is the highest bucket that has ever held an endpoint.
 	maxBucket int
 }
 
-// freeCores returns the whole free cores of all usable endpoints.
-func (r *freeCoreIndex) freeCores() int {
+// freeCores returns the sum of the free cores of all usable endpoints, each rounded down.
+func (x *freeCoreIndex) freeCores() int {
 	sum := 0
-	for bucket := 1; bucket <= r.maxBucket; bucket++ {
-		for _, e := range r.buckets[bucket] {
+	for bucket := 1; bucket <= x.maxBucket; bucket++ {
+		for _, e := range x.buckets[bucket] {
 			if e.usable() && !e.overdue {
 				sum += bucket
 			}
@@ -32,51 +32,53 @@
 	return sum
 }
 
-// coreBucket returns the number of whole cores, as far as they are told apart.
-func coreBucket(cpu int) int {
-	return min(max(cpu/milliCPUPerCore, 0), maxCoreBucket)
+// coreBucket returns the bucket for an amount of CPU in thousandths of a core.
+func coreBucket(milliCPU int) int {
+	return min(max(milliCPU/milliCPUPerCore, 0), maxCoreBucket)
 }
 
-// update takes an endpoint in, or moves it to where it belongs now.
-func (r *freeCoreIndex) update(e *endpoint) {
+// update adds an endpoint to the index, or moves it to the bucket of its free cores.
+func (x *freeCoreIndex) update(e *endpoint) {
 	bucket := coreBucket(e.free().MilliCPU)
 	if e.indexed {
 		if e.bucket == bucket {
 			return
 		}
-		r.remove(e)
+		x.remove(e)
 	}
-	e.indexed, e.bucket, e.bucketPos = true, bucket, len(r.buckets[bucket])
-	r.buckets[bucket] = append(r.buckets[bucket], e)
-	r.maxBucket = max(r.maxBucket, bucket)
+	e.indexed, e.bucket, e.bucketPos = true, bucket, len(x.buckets[bucket])
+	x.buckets[bucket] = append(x.buckets[bucket], e)
+	x.maxBucket = max(x.maxBucket, bucket)
 }
 
-// remove takes an endpoint out.
-func (r *freeCoreIndex) remove(e *endpoint) {
+// remove removes an endpoint from the index.
+func (x *freeCoreIndex) remove(e *endpoint) {
 	if !e.indexed {
 		return
 	}
-	list := r.buckets[e.bucket]
+	list := x.buckets[e.bucket]
 	last := list[len(list)-1]
 	list[e.bucketPos], last.bucketPos = last, e.bucketPos
 	list[len(list)-1] = nil
-	r.buckets[e.bucket] = list[:len(list)-1]
+	x.buckets[e.bucket] = list[:len(list)-1]
 	e.indexed = false
 }
 
-// occupy takes room at an endpoint; release gives it back.
+// occupy marks capacity of an endpoint as used.
 func (c *Cell) occupy(e *endpoint, need damsonwinch.Resources) {
 	e.used = e.used.Plus(need)
 	e.zone.byFreeCores.update(e)
 }
 
+// release marks capacity of an endpoint as free again.
 func (c *Cell) release(e *endpoint, need damsonwinch.Resources) {
 	e.used = e.used.Minus(need)
 	e.zone.byFreeCores.update(e)
 }
 
-// chooseEndpoint returns the endpoint that suits a task best, or nil: in its job's zone if
-// there is room. A label that isn't empty leaves only the endpoints that have it.
+// chooseEndpoint returns the best endpoint for a task, or nil if none can start it. Endpoints of
+// the home zone of the task's job are preferred. If label isn't empty, only endpoints with that
+// label are considered.
 func (c *Cell) chooseEndpoint(t *task, label string) *endpoint {
 	if c.crashProne[t.phase.job().queue] {
 		return c.chooseLeastAtRisk(t, label)
@@ -89,16 +91,15 @@
 	return c.chooseInZones(c.zones, t, label)
 }
 
-// chooseInZones returns the endpoint of some zones that suits a task best, or nil. Work
-// is packed on few boxes, so that others stay empty and can be given away or
-// maintained.
+// chooseInZones returns the best endpoint for a task in some zones, or nil if none can start it. It
+// packs work on few boxes, so that others stay empty and can be moved or maintained.
 func (c *Cell) chooseInZones(zones []*zone, t *task, label string) *endpoint {
 	var choice choice
-	most := 0
+	maxBucket := 0
 	for _, z := range zones {
-		most = max(most, z.byFreeCores.maxBucket)
+		maxBucket = max(maxBucket, z.byFreeCores.maxBucket)
 	}
-	for bucket := coreBucket(t.phase.need().MilliCPU); bucket <= most; bucket++ {
+	for bucket := coreBucket(t.phase.need().MilliCPU); bucket <= maxBucket; bucket++ {
 		for _, z := range zones {
 			for _, e := range z.byFreeCores.buckets[bucket] {
 				if e.hasLabel(label) && c.canStart(t, e) {
@@ -106,7 +107,7 @@
 				}
 			}
 		}
-		// Endpoints with more room count for less, unless a rack makes up for it.
+		// Endpoints in higher buckets have lower scores, unless a preferred rack makes up for that.
 		if choice.best != nil && t.phase.spec.Rack == "" && choice.score >= -choice.best.free().MilliCPU {
 			break
 		}
@@ -114,14 +115,14 @@
 	return choice.best
 }
 
-// choice is the endpoint with the highest score of those offered.
+// choice is the endpoint with the highest score of those offered so far.
 type choice struct {
 	best  *endpoint
 	score int
 }
 
-// offer takes the better one. Equal ones are told apart by their names: the order
-// in which they come depends on what happened before.
+// offer replaces the choice if e is better. Among equal scores the lower life wins, since the order
+// in which endpoints are offered depends on earlier events.
 func (c *choice) offer(e *endpoint, score int) {
 	if c.best == nil || score > c.score || score == c.score && e.info.Life.Compare(c.best.info.Life) < 0 {
 		c.best, c.score = e, score
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -8,71 +8,80 @@
 	"damsonwinch"
 )
 
-// runState is how much is known of an attempt.
+// runState is what is known about whether an attempt runs.
 type runState int
 
 const (
-	// runPending waits for its record before it is ordered.
+	// runPending is the state until the run's record is committed. Only then is the start
+	// requested.
 	runPending runState = iota
-	// runRequested has been ordered and not been answered yet.
+	// runRequested is the state while the reply to the start request is awaited.
 	runRequested
-	// runConfirmed is known to have been on its endpoint.
+	// runConfirmed is the state once the endpoint has accepted or listed the run.
 	runConfirmed
-	// runUncertain has been ordered, and the answer was lost.
+	// runUncertain is the state after the reply to the start request was lost.
 	runUncertain
-	// runUnverified was recorded by an earlier owner; its endpoint has not been
-	// asked yet.
+	// runUnverified is the state of a run that an earlier owner recorded, until its endpoint is
+	// polled.
 	runUnverified
 )
 
-// run is one attempt at a task that may exist.
+// run is an attempt at a task that may exist on an endpoint.
 type run struct {
 	task     *task
 	attempt  int
 	endpoint *endpoint
 	state    runState
-	// listedAfterStep is the step after which the endpoint must list the run: a look sent
-	// later that doesn't list it shows that it isn't there.
+	// listedAfterStep is the step after which polls must list the run: if a poll that was sent
+	// later doesn't, the run doesn't exist.
 	listedAfterStep int
-	// lastListedStep is the step of the newest look that listed it.
+	// lastListedStep is the step of the newest reply to a poll that listed the run.
 	lastListedStep int
-	// stopping says that it is to end.
+	// stopping is set once the run is to be stopped.
 	stopping bool
-	// stopSentAt is when the stop was last ordered, and stopped that the endpoint
-	// has taken it: the attempt can't begin any more.
+	// stopSentAt is when the last stop request was sent. stopConfirmed is set once the endpoint has
+	// accepted one: from then on the attempt can't begin any more.
 	stopSentAt    time.Time
 	stopConfirmed bool
-	percent       int
-	startedAt     time.Time
-	// resumed says that it goes on from a checkpoint, and adopted that an earlier
-	// owner started it: its time tells nothing of its task's.
+	// percent is how much of the task is done.
+	percent int
+	// startedAt is when the start was last decided or requested. For an inherited run it is when
+	// the cell was loaded.
+	startedAt time.Time
+	// resumed is set if the run continues from a checkpoint, and inherited if an earlier owner
+	// started it. In both cases its duration tells nothing about how long the task takes.
 	resumed   bool
 	inherited bool
-	// pendingLoss is how it went with its endpoint, where a later life under the same ID may have it; nil
-	// otherwise.
+	// pendingLoss describes how the run was lost with its endpoint, if a later life with the same
+	// ID may yet run it.
 	pendingLoss *runLoss
-	// jobLate says that its job could hardly be in time any more when it was started.
+	// jobLate is set if the run's job could hardly meet its deadline any more when the run was
+	// started.
 	jobLate  bool
 	progress progress
-	// progressSampled says that its pace has been taken for a sign of its endpoint's health.
+	// progressSampled is set once the run's progress has been counted in its endpoint's health.
 	progressSampled bool
-	// load is its newest figure of load: a serving task's tail in milliseconds.
+	// load is the last reported load, which is the tail latency in milliseconds if the task serves
+	// users.
 	load int
-	// speedPercent is the share of its speedPercent at which it was told to work, in percent.
+	// speedPercent is the speed that the run was last told to work at, in percent of its full
+	// speed.
 	speedPercent int
 }
 
+// id returns the run's identity as endpoints know it.
 func (r *run) id() damsonwinch.Run {
 	return damsonwinch.Run{Task: r.task.id(), Attempt: r.attempt}
 }
 
-// planRun reserves room for a new attempt; it is ordered once it is recorded.
-func (c *Cell) planRun(t *task, at *endpoint) {
+// planRun reserves capacity on an endpoint for a new attempt at a task. The start is requested once
+// the attempt is recorded.
+func (c *Cell) planRun(t *task, e *endpoint) {
 	t.lastAttempt++
-	r := &run{task: t, attempt: t.lastAttempt, endpoint: at, startedAt: c.now, resumed: t.checkpoint != "", speedPercent: fullPercent, jobLate: t.phase.isLate(int(c.now.UnixMilli()))}
-	trial := t.suspected && c.noRecentStart(at)
+	r := &run{task: t, attempt: t.lastAttempt, endpoint: e, startedAt: c.now, resumed: t.checkpoint != "", speedPercent: fullPercent, jobLate: t.phase.isLate(int(c.now.UnixMilli()))}
+	onProbation := t.suspected && c.noRecentStart(e)
 	c.addRun(r)
-	if trial {
+	if onProbation {
 		c.startProbation(r)
 	}
 	c.addStarts(t, 1)
@@ -84,7 +93,7 @@
 	c.commits.starts = append(c.commits.starts, r)
 }
 
-// addRun ties a run to its task and endpoint.
+// addRun adds a run to its task, job and endpoint, and counts it against its customer's quota.
 func (c *Cell) addRun(r *run) {
 	r.task.runs = append(r.task.runs, r)
 	c.addToEndpoint(r)
@@ -92,7 +101,7 @@
 	r.task.phase.job().runCount++
 }
 
-// addToEndpoint ties a run to its endpoint, and leave takes it from there.
+// addToEndpoint adds a run to its endpoint and occupies the capacity that it needs.
 func (c *Cell) addToEndpoint(r *run) {
 	r.endpoint.runs[r.id()] = r
 	r.endpoint.runsByStart = append(r.endpoint.runsByStart, r)
@@ -100,6 +109,7 @@
 	c.schedulePoll(r.endpoint)
 }
 
+// removeFromEndpoint removes a run from its endpoint and releases its capacity.
 func (c *Cell) removeFromEndpoint(r *run) {
 	delete(r.endpoint.runs, r.id())
 	r.endpoint.runsByStart = slices.DeleteFunc(r.endpoint.runsByStart, func(other *run) bool { return other == r })
@@ -111,7 +121,7 @@
 	c.schedulePoll(r.endpoint)
 }
 
-// removeRun takes away a run that is known not to exist any more.
+// removeRun removes a run that certainly doesn't exist any more.
 func (c *Cell) removeRun(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.removeFromEndpoint(r)
@@ -121,7 +131,7 @@
 	c.markDirty(r.task.phase.job())
 }
 
-// requeue resolves a run that came to nothing and makes its task ready.
+// requeue removes a run without a result and makes its task ready again.
 func (c *Cell) requeue(r *run) {
 	c.removeRun(r)
 	if len(r.task.runs) == 0 {
@@ -129,7 +139,8 @@
 	}
 }
 
-// sendStart orders a recorded run.
+// sendStart sends the start request for a run whose record is committed, or removes the run if it
+// must not start any more.
 func (c *Cell) sendStart(r *run) {
 	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.mayBeCutOff() || !c.stillFits(r) {
 		c.addStarts(r.task, -1)
@@ -140,20 +151,20 @@
 	r.state = runRequested
 	c.logStart(r)
 	r.startedAt = c.now
-	until := r.endpoint.estimateClock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
-	c.extendLeaseBound(r.endpoint, until)
+	leaseUntilMs := r.endpoint.estimateClock(c.now) + int(c.options.MaxStartDelay.Milliseconds())
+	c.extendLeaseBound(r.endpoint, leaseUntilMs)
 	c.stats.Starts++
 	c.effects.Starts = append(c.effects.Starts, Start{Endpoint: r.endpoint.info, Request: damsonwinch.StartRequest{
-		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: until, Checkpoint: r.task.checkpoint,
+		Run: r.id(), Spec: r.task.phase.job().spec.Text, Token: c.token, LeaseUntilMs: leaseUntilMs, Checkpoint: r.task.checkpoint,
 		Ticket: c.permitTicket(r.task.phase, r.endpoint),
 	}})
 }
 
-// Started takes the answer to a start.
-func (c *Cell) Started(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
+// Started handles the reply to a start request, or the error that the request failed with.
+func (c *Cell) Started(now time.Time, life damsonwinch.Life, id damsonwinch.Run, err error) {
 	c.beginEvent(now)
 	defer c.finishEvent()
-	r := c.findRun(at, which)
+	r := c.findRun(life, id)
 	if r == nil || r.state != runRequested {
 		return
 	}
@@ -180,7 +191,7 @@
 		c.logRun("start unanswered", r, err.Error())
 		c.requestPoll(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
-			// Whether it is at work is asked first: if so, it is not to be stopped.
+			// A poll is to show first whether the run is at work. If so, it isn't stopped.
 			r.listedAfterStep = c.step
 			return
 		}
@@ -189,6 +200,8 @@
 	}
 }
 
+// isStartRefusal reports whether an error is the refusal of an endpoint, which has not started the
+// run then.
 func isStartRefusal(err error) bool {
 	for _, refusal := range []error{
 		damsonwinch.ErrStaleToken, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate, damsonwinch.ErrNoCapacity, damsonwinch.ErrInvalidTicket,
@@ -201,7 +214,7 @@
 	return false
 }
 
-// startRefused takes back a run that its endpoint has turned away.
+// startRefused removes a run that its endpoint has refused to start.
 func (c *Cell) startRefused(r *run, err error) {
 	c.stats.StartsRefused++
 	c.addStarts(r.task, -1)
@@ -213,7 +226,7 @@
 		c.markLost(r.endpoint, "another life answers at its address")
 		return
 	case errors.Is(err, damsonwinch.ErrNoCapacity), errors.Is(err, damsonwinch.ErrUnhealthy):
-		// Its own count of room or its health differs from what is known here.
+		// The endpoint's free capacity or health differs from what the cell knows of it.
 		r.endpoint.backoffUntil = c.now.Add(endpointBackoff)
 	}
 	if errors.Is(err, damsonwinch.ErrInvalidTicket) {
@@ -226,21 +239,23 @@
 	c.requeue(r)
 }
 
-// backOffTask lets the starts of a task come further apart that endpoints refuse for good: each
-// costs a record and a call, and what one calls invalid the next one will as well.
+// backOffTask delays the next start of a task that endpoints refuse, longer each time. Each start
+// costs a record and a call, and a request that one endpoint rejects as invalid is rejected by the
+// next one as well.
 func (c *Cell) backOffTask(t *task) {
 	t.notBefore = c.now.Add(min(maxStartBackoff, minStartBackoff<<min(t.refusals, 8)))
 	t.refusals++
 }
 
-// Times by which a refused start is put back: as long as another endpoint may take it soon, and
-// until a change of the endpoints' programs would be noticed.
+// Bounds of the backoff after a refused start. The first one is short, since another endpoint may
+// soon accept the task. The last one is about as long as it takes to notice that the endpoints'
+// program has been replaced.
 const (
 	minStartBackoff = 100 * time.Millisecond
 	maxStartBackoff = 2 * time.Second
 )
 
-// startNotSent takes back a run whose order has certainly not come to its endpoint.
+// startNotSent removes a run whose start request has certainly not reached its endpoint.
 func (c *Cell) startNotSent(r *run, err error) {
 	c.logRun("start not sent", r, err.Error())
 	c.addStarts(r.task, -1)
@@ -250,14 +265,14 @@
 	c.stopGang(r.task.phase, "a member of its gang could not be started")
 }
 
-// endpointBackoff keeps an endpoint that turned a task away from being asked again
-// at once; several looks come back within it.
+// endpointBackoff is how long an endpoint that refused a task or couldn't be reached gets no
+// further start requests. Several polls are answered within that time.
 const endpointBackoff = 300 * time.Millisecond
 
-// stop asks for the end of a run.
+// stop stops a run.
 func (c *Cell) stop(r *run, why string) {
 	if r.state == runPending {
-		// It has not been ordered; sendStart or the commit takes it back.
+		// The start has not been requested yet; sendStart removes the run.
 		r.stopping = true
 		return
 	}
@@ -269,23 +284,24 @@
 	}
 	r.stopping = true
 	if r.state == runRequested {
-		// The answer to the start is on its way; a stop that overtakes it would
-		// still hold, but the answer tells more.
+		// The reply to the start request is on its way. A stop that overtakes the start would still
+		// be effective, but the reply tells more.
 		return
 	}
 	c.sendStop(r)
 }
 
+// sendStop sends a stop request for a run.
 func (c *Cell) sendStop(r *run) {
 	r.stopSentAt = c.now
 	c.effects.Stops = append(c.effects.Stops, Stop{Endpoint: r.endpoint.info, Request: damsonwinch.StopRequest{Run: r.id(), Token: c.token}})
 }
 
-// Stopped takes the answer to a stop.
-func (c *Cell) Stopped(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
+// Stopped handles the reply to a stop request, or the error that the request failed with.
+func (c *Cell) Stopped(now time.Time, life damsonwinch.Life, id damsonwinch.Run, err error) {
 	c.beginEvent(now)
 	defer c.finishEvent()
-	r := c.findRun(at, which)
+	r := c.findRun(life, id)
 	if r == nil {
 		return
 	}
@@ -299,10 +315,10 @@
 	}
 }
 
-// stopResendInterval is the time after which an unanswered stop is sent again.
+// stopResendInterval is the time after which an unanswered stop request is sent again.
 const stopResendInterval = 400 * time.Millisecond
 
-// resendStops sends stops again that nobody has answered.
+// resendStops sends stop requests again that have not been answered.
 func (c *Cell) resendStops() {
 	for _, e := range c.sortedEndpoints {
 		for _, r := range e.runsByStart {
@@ -314,19 +330,21 @@
 	}
 }
 
-// findRun returns a run that was ordered at a life; a later one under its ID may have it.
-func (c *Cell) findRun(at damsonwinch.Life, which damsonwinch.Run) *run {
-	if e := c.endpoints[at]; e != nil && e.runs[which] != nil {
-		return e.runs[which]
+// findRun returns a run that was requested of a life, or nil. The run may meanwhile be assigned to
+// a later life with the same ID.
+func (c *Cell) findRun(life damsonwinch.Life, id damsonwinch.Run) *run {
+	if e := c.endpoints[life]; e != nil && e.runs[id] != nil {
+		return e.runs[id]
 	}
-	for _, e := range c.livesWithID(at.ID) {
-		if r := e.runs[which]; r != nil {
+	for _, e := range c.livesWithID(life.ID) {
+		if r := e.runs[id]; r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
+// findTask returns the task with an ID, or nil.
 func (c *Cell) findTask(id damsonwinch.TaskID) *task {
 	j := c.jobs[id.Job]
 	if j == nil || id.Round < 0 || id.Round >= len(j.rounds) {
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -6,32 +6,35 @@
 	"damsonwinch"
 )
 
-// Rules by which tasks that fill are held back beside tasks that serve users.
+// Rules by which filler tasks are slowed down in favour of serving tasks on the same endpoint. All
+// percentages of tail latency are relative to the target of the serving task.
 const (
-	// highTailPercent is the part of its target, in percent, at which a serving task's
-	// tail calls for less beside it, and farFromTarget the part under which there
-	// may be more.
+	// highTailPercent is the tail latency from which filler tasks are slowed down, and
+	// lowTailPercent the one below which they may be sped up again.
 	highTailPercent = 85
 	lowTailPercent  = 60
-	// slowdownPercent is what is left of a filling task's speed, in percent, after each
-	// look that shows too much, and paceUp what it gets back after calmTime.
+	// slowdownPercent is the part of a filler task's speed that is left after each poll that shows
+	// a high tail. speedupPercent is added to the speed after the tail was low for lowTailTime.
 	slowdownPercent = 40
 	speedupPercent  = 15
-	// minSpeedPercent is the speed, in percent, under which a filling task stands still.
+	// minSpeedPercent is the lowest speed of a filler task. A lower one is rounded down to 0, at
+	// which the task is paused.
 	minSpeedPercent = 10
-	// speedChangeInterval is the time that a changed speed takes to show: the tail is a figure
-	// of the last half second.
+	// speedChangeInterval is the time that a changed speed takes to show, since the reported tail
+	// latency covers the last half second.
 	speedChangeInterval = 600 * time.Millisecond
 	lowTailTime         = 1500 * time.Millisecond
 )
 
-// SpeedChange is an order to an endpoint.
+// SpeedChange is a request to an endpoint to change the speed of a run. The outcome of the call is
+// passed to SpeedSet.
 type SpeedChange struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.SpeedRequest
 }
 
-// adjustFillerSpeeds holds back what fills an endpoint as long as what serves there needs it.
+// adjustFillerSpeeds slows down the filler tasks on an endpoint while the tail latency of a serving
+// task there is high, and speeds them up again once it was low for long enough.
 func (c *Cell) adjustFillerSpeeds(e *endpoint) {
 	worst := c.worstTailPercent(e)
 	switch {
@@ -55,8 +58,8 @@
 	}
 }
 
-// worstTailPercent returns the highest tail of the serving tasks at an endpoint, in
-// percent of its target; 0 if none serves there.
+// worstTailPercent returns the highest tail latency of the serving tasks on an endpoint, in percent
+// of the task's target. It returns 0 if no serving task runs there.
 func (c *Cell) worstTailPercent(e *endpoint) int {
 	worst := 0
 	for _, r := range e.runs {
@@ -67,8 +70,8 @@
 	return worst
 }
 
-// setFillerSpeeds changes the speed of the filling tasks at an endpoint, unless the last
-// change can't have shown yet.
+// setFillerSpeeds changes the speeds of the filler tasks on an endpoint, unless the effect of the
+// last change can't be seen yet.
 func (c *Cell) setFillerSpeeds(e *endpoint, change func(percent int) int) {
 	if c.now.Sub(e.speedChangedAt) < speedChangeInterval {
 		return
@@ -85,22 +88,22 @@
 	}
 }
 
-// SpeedSet takes the answer to an order on a run's speed. One that was not answered
-// may not have been done: the next look tells.
-func (c *Cell) SpeedSet(now time.Time, at damsonwinch.Life, which damsonwinch.Run, err error) {
+// SpeedSet handles the reply to a SpeedChange, or the error that it failed with.
+func (c *Cell) SpeedSet(now time.Time, life damsonwinch.Life, id damsonwinch.Run, err error) {
 	c.beginEvent(now)
-	r := c.findRun(at, which)
+	r := c.findRun(life, id)
 	if r == nil || err == nil {
 		return
 	}
-	c.logRun("pace not set", r, err.Error())
-	// It is set again with the next change; until then nothing is taken for sure.
+	c.logRun("speed not set", r, err.Error())
+	// The request may not have been carried out. The speed is assumed to be full, so that the next
+	// poll may set it again at once.
 	r.endpoint.speedChangedAt = time.Time{}
 	r.speedPercent = fullPercent
 }
 
-// interferes says whether an endpoint runs tasks that a phase's should not stand
-// beside: what serves and what fills disturb each other.
+// interferes reports whether an endpoint runs tasks that a phase's tasks should not run beside.
+// Serving tasks and filler tasks disturb each other, and so do two serving tasks.
 func (c *Cell) interferes(p *phase, e *endpoint) bool {
 	if !p.spec.Fills && p.spec.TargetMs == 0 {
 		return false
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// maxProbationPercent is the most of a cell's endpoints, in percent, on which tasks are on trial or
-	// about to be, or which have ended in trials within backTime: some seconds later they are
-	// back. More suspects wait.
+	// maxProbationPercent is the highest percentage of a cell's endpoints on which tasks may be on
+	// probation or about to be, or that may have exited with a task on probation within
+	// restartTime: some seconds later they are back. Further suspects wait.
 	maxProbationPercent = 25
 	restartTime         = 3 * time.Second
-	// longRunningClearTime is how long a lasting task that was a suspect must have been at work to be
-	// one no more.
+	// longRunningClearTime is how long a long-running task that is a suspect must have been at work
+	// to be cleared.
 	longRunningClearTime = 20 * time.Second
-	// defaultProbationWait is how long a suspect usually waits for a trial.
+	// defaultProbationWait is how long a suspect waits for probation if its queue isn't
+	// crash-prone.
 	defaultProbationWait = time.Second
-	// longRunningWeight weighs a lasting task beside a trial, in short ones: it takes seconds to be
-	// at work again elsewhere.
+	// longRunningWeight is the number of short tasks that a long-running one counts for when an
+	// endpoint for a probation is chosen. It takes seconds until the task is at work again
+	// elsewhere.
 	longRunningWeight = 10
 )
 
-// addSuspect puts a task among the suspects if the ends of endpoints under it call for that.
+// addSuspect adds a task to the suspects if the losses under it call for that.
 func (c *Cell) addSuspect(t *task) {
 	if !t.suspected && !t.done && c.options.CrashRules.IsSuspect(t.crashes) {
 		t.suspected, t.probationWaitSince = true, c.now
@@ -31,8 +33,8 @@
 	}
 }
 
-// placeSuspects starts the tasks that must be started on trial: each at an endpoint where
-// nothing has begun just now, and none of them beside another.
+// placeSuspects starts suspects on probation, each on an endpoint where nothing else has started
+// recently.
 func (c *Cell) placeSuspects() {
 	if len(c.suspects) == 0 {
 		return
@@ -54,13 +56,13 @@
 	}
 }
 
-// probationWaitExpired says whether a suspect has waited for a trial for too long.
+// probationWaitExpired reports whether a suspect has waited too long for probation.
 func (c *Cell) probationWaitExpired(t *task) bool {
 	return c.now.Sub(t.probationWaitSince) >= c.maxProbationWait(t)
 }
 
-// maxProbationWait returns how long a suspect waits for a trial. Then it starts as any other does: a
-// crowd of suspects, most of them sound, must not stand still.
+// maxProbationWait returns how long a suspect waits for probation. After that it starts like any
+// other task: a large number of suspects, most of them sound, must not be held up.
 func (c *Cell) maxProbationWait(t *task) time.Duration {
 	if c.crashProne[t.phase.job().queue] {
 		return crashProneProbationWait
@@ -68,7 +70,8 @@
 	return defaultProbationWait
 }
 
-// pruneSuspects drops what has been settled: tasks and promised endpoints.
+// pruneSuspects removes suspects that are finished and reservations that are no longer needed, and
+// sorts the other suspects by urgency, late ones last.
 func (c *Cell) pruneSuspects() {
 	c.suspects = slices.DeleteFunc(c.suspects, func(t *task) bool {
 		if t.done || t.phase.job().ended() {
@@ -94,7 +97,8 @@
 	})
 }
 
-// chooseProbationEndpoint returns the endpoint for a trial where the least is lost if that ends it.
+// chooseProbationEndpoint returns the endpoint for a probation where the least is lost if it
+// crashes, or nil if none can start the task.
 func (c *Cell) chooseProbationEndpoint(t *task) *endpoint {
 	var choice choice
 	for _, e := range c.sortedEndpoints {
@@ -105,7 +109,7 @@
 	return choice.best
 }
 
-// weightAtRisk weighs what an endpoint takes with it when it ends.
+// weightAtRisk returns the weight of the runs that are lost if an endpoint exits, in short tasks.
 func (e *endpoint) weightAtRisk() int {
 	sum := 0
 	for _, r := range e.runsByStart {
@@ -118,7 +122,8 @@
 	return sum
 }
 
-// probationAllows says whether a task may start at an endpoint as far as trials go.
+// probationAllows reports whether a task may start on an endpoint as far as probations go: those
+// that are under way or planned there, and the task's own if it is a suspect.
 func (c *Cell) probationAllows(t *task, e *endpoint) bool {
 	if e.probation != nil || e.reservedFor != nil && e.reservedFor != t || !c.separatedFromOtherJobs(t, e) {
 		return false
@@ -126,29 +131,32 @@
 	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayHostProbation(e) && c.noRecentStart(e)
 }
 
-// mayHostProbation says whether one more endpoint may be used for a trial.
+// mayHostProbation reports whether an endpoint is reserved for a probation, or one more may be used
+// for that.
 func (c *Cell) mayHostProbation(e *endpoint) bool {
 	if e.reservedFor != nil {
 		return true
 	}
-	share := maxProbationPercent
+	maxPercent := maxProbationPercent
 	if len(c.crashProne) > 0 {
-		share = maxCrashProneProbationPercent
+		maxPercent = maxCrashProneProbationPercent
 	}
-	return len(c.probationEndpoints)+c.probationExits.countWithin(c.now, restartTime) < max(1, len(c.sortedEndpoints)*share/fullPercent)
+	return len(c.probationEndpoints)+c.probationExits.countWithin(c.now, restartTime) < max(1, len(c.sortedEndpoints)*maxPercent/fullPercent)
 }
 
-// noRecentStart says whether nothing has begun at an endpoint of late that may end it yet.
+// noRecentStart reports whether nothing has started on an endpoint so recently that it may still
+// crash it.
 func (c *Cell) noRecentStart(e *endpoint) bool {
 	return !c.startedWithin(e, c.now, c.options.CrashRules.SuspectAge)
 }
 
-// startedWithin says whether something has begun at an endpoint within a time before a moment.
-func (c *Cell) startedWithin(e *endpoint, at time.Time, length time.Duration) bool {
-	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.startedAt) < length })
+// startedWithin reports whether something started on an endpoint within a window before a time.
+func (c *Cell) startedWithin(e *endpoint, at time.Time, window time.Duration) bool {
+	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.startedAt) < window })
 }
 
-// countExposed counts the endpoints that run something and would end by themselves if they did now.
+// countExposed returns the number of endpoints whose exit now would count as baseline: they run
+// something, and nothing has started there recently.
 func (c *Cell) countExposed() int {
 	count := 0
 	for _, e := range c.sortedEndpoints {
@@ -159,7 +167,8 @@
 	return count
 }
 
-// reserveForProbation keeps an endpoint for a task until nothing young runs there and there is room.
+// reserveForProbation reserves an endpoint for a task's probation. The task starts once nothing has
+// started there recently and there is enough free capacity.
 func (c *Cell) reserveForProbation(t *task) {
 	if slices.ContainsFunc(c.probationEndpoints, func(e *endpoint) bool { return e.reservedFor == t }) {
 		return
@@ -176,7 +185,8 @@
 	}
 }
 
-// fitsWithoutShortRuns says whether a task could run at an endpoint once the short tasks there have ended.
+// fitsWithoutShortRuns reports whether a task could run on an endpoint once the short runs there
+// have ended.
 func (c *Cell) fitsWithoutShortRuns(t *task, e *endpoint) bool {
 	p := t.phase
 	if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) || !e.hasLabel(p.spec.Label) || !c.hasPermit(p, e) {
@@ -185,8 +195,8 @@
 	return e.info.Capacity.Minus(e.longRunningNeed()).Holds(p.need()) && (p.spec.MostPerBox == 0 || countOnEndpoint(p, e) < p.spec.MostPerBox)
 }
 
-// startProbation notes that a run is on trial: nothing else starts at its endpoint until it has
-// outlived that.
+// startProbation puts a run on probation: nothing else starts on its endpoint until the run has
+// outlived it.
 func (c *Cell) startProbation(r *run) {
 	r.endpoint.probation, r.endpoint.reservedFor = r, nil
 	if !slices.Contains(c.probationEndpoints, r.endpoint) {
@@ -194,8 +204,8 @@
 	}
 }
 
-// checkProbations looks at endpoints where a trial should be over, and clears lasting tasks that
-// have been at work for long.
+// checkProbations polls the endpoints where a probation should be over, and clears long-running
+// suspects that have been at work for long enough.
 func (c *Cell) checkProbations() {
 	for _, e := range c.probationEndpoints {
 		if e.probation != nil && e.probation.state == runConfirmed && !c.now.Before(c.probationEnd(e.probation)) {
@@ -213,13 +223,13 @@
 	}
 }
 
-// probationEnd returns when a run on trial has outlived it.
+// probationEnd returns when a run on probation will have outlived it.
 func (c *Cell) probationEnd(r *run) time.Time {
 	return r.startedAt.Add(c.options.CrashRules.ProbationTime(r.task.crashes))
 }
 
-// endProbation ends the trial at an endpoint that has answered a look which was sent after it
-// should be over.
+// endProbation ends the probation on an endpoint that has answered a poll sent at sentAt, if the
+// run had outlived it by then.
 func (c *Cell) endProbation(e *endpoint, sentAt time.Time) {
 	if e.probation != nil && e.probation.state == runConfirmed && !sentAt.Before(c.probationEnd(e.probation)) {
 		e.probation = nil
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// Times by which a zone that is cut off is told from one that is well.
+// Times by which a zone that is cut off is distinguished from a healthy one.
 const (
-	// overdueAfter is how long a well endpoint may take to answer an order: it takes
-	// some 3 ms, and a loaded node some 50 to take the answer in.
+	// overdueAfter is how long a healthy endpoint may take to answer a request. It takes some 3 ms,
+	// and a busy node some 50 ms to process the reply.
 	overdueAfter = 150 * time.Millisecond
-	// abandonedAfter is when a call has been given up by who made it for this owner: it
-	// tells nothing any more.
+	// abandonedAfter is the age at which a call has timed out on the side of the caller. Such a
+	// call tells nothing any more.
 	abandonedAfter = 1500 * time.Millisecond
-	// cutOffAfter is how long a zone has been in doubt when its boxes are no longer
-	// counted on: replacing them costs moves, and a hiccup is over by then.
+	// cutOffAfter is how long a zone may be cut off until its boxes are no longer counted on.
+	// Replacing them costs moves, and short interruptions are over by then.
 	cutOffAfter = 300 * time.Millisecond
 )
 
-// zone is an availability zone as the owner sees it by the endpoints there.
+// zone is an availability zone as its endpoints show it to the owner.
 type zone struct {
 	name        string
 	byFreeCores freeCoreIndex
-	// asSlice holds just this zone.
+	// asSlice contains only this zone, as the argument of chooseInZones.
 	asSlice []*zone
-	// answeredAt is when one of its endpoints last answered a call.
+	// answeredAt is when an endpoint of the zone last answered a call.
 	answeredAt time.Time
-	// unansweredSince is since when calls to its endpoints are overdue and none of them
-	// has answered, zero if that is not so: the zone may be cut off.
+	// unansweredSince is since when calls to the zone's endpoints are overdue and none of them has
+	// answered, or zero if that isn't the case. The zone may be cut off then.
 	unansweredSince time.Time
-	// unanswered is the same while the endpoints are gone through.
+	// unanswered is the same condition while updateOverdue goes through the endpoints.
 	unanswered bool
 }
 
-// mayBeCutOff says that the zone may be cut off.
+// mayBeCutOff reports whether the zone may be cut off.
 func (z *zone) mayBeCutOff() bool {
 	return !z.unansweredSince.IsZero()
 }
 
-// isCutOff says that the zone has been in doubt for so long that it counts as cut off.
+// isCutOff reports whether the zone has been unreachable for so long that it counts as cut off.
 func (z *zone) isCutOff(now time.Time) bool {
 	return z.mayBeCutOff() && now.Sub(z.unansweredSince) >= cutOffAfter
 }
 
-// ensureZone returns the zone of a name, made known if need be.
+// ensureZone returns the zone with a name, and adds it if it isn't known yet.
 func (c *Cell) ensureZone(name string) *zone {
-	at, known := slices.BinarySearchFunc(c.zones, name, func(z *zone, name string) int { return strings.Compare(z.name, name) })
+	i, known := slices.BinarySearchFunc(c.zones, name, func(z *zone, name string) int { return strings.Compare(z.name, name) })
 	if !known {
 		z := &zone{name: name}
 		z.asSlice = []*zone{z}
-		c.zones = slices.Insert(c.zones, at, z)
+		c.zones = slices.Insert(c.zones, i, z)
 	}
-	return c.zones[at]
+	return c.zones[i]
 }
 
-// updateZone puts an endpoint where its zone and its free room say.
+// updateZone assigns an endpoint to its zone and updates the zone's index of free cores.
 func (c *Cell) updateZone(e *endpoint) {
 	if z := c.ensureZone(e.info.Zone); z != e.zone {
 		if e.zone != nil {
@@ -66,7 +66,8 @@
 	e.zone.byFreeCores.update(e)
 }
 
-// addressAnswered takes note that a call at an endpoint has been addressAnswered.
+// addressAnswered notes that a call to an endpoint's address has been answered, by this life or
+// another.
 func (c *Cell) addressAnswered(e *endpoint) {
 	e.zone.answeredAt = c.now
 	e.overdue = false
@@ -76,8 +77,7 @@
 	}
 }
 
-// endpointAnswered takes note that an endpoint has answered a call itself, and not another life at its
-// address.
+// endpointAnswered notes that a call has been answered by this life of the endpoint.
 func (c *Cell) endpointAnswered(e *endpoint) {
 	c.addressAnswered(e)
 	if c.caughtUp() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// updateOverdue finds the endpoints that leave calls unanswered, and the zones from
-// which nothing comes any more. A look would tell only after its whole time.
+// updateOverdue finds the endpoints whose calls are overdue, and the zones that may be cut off.
+// Polls that wait would show that only after their full time.
 func (c *Cell) updateOverdue() {
 	for _, z := range c.zones {
 		z.unanswered = false
@@ -108,15 +108,15 @@
 	}
 }
 
-// oldestOverdueCall returns when the oldest call was made that the endpoint should have
-// answered by now.
-func (e *endpoint) oldestOverdueCall(now time.Time, lookWait time.Duration) (time.Time, bool) {
+// oldestOverdueCall returns when the oldest call was due or sent that the endpoint hasn't answered,
+// and whether it is overdue. pollWait is how long the endpoint may hold a waiting poll.
+func (e *endpoint) oldestOverdueCall(now time.Time, pollWait time.Duration) (time.Time, bool) {
 	oldest := now
 	if sent := e.polls.immediate; sent != nil && sent.sentAt.Before(oldest) {
 		oldest = sent.sentAt
 	}
 	if sent := e.polls.waiting; sent != nil {
-		if at := sent.sentAt.Add(lookWait); at.Before(oldest) {
+		if at := sent.sentAt.Add(pollWait); at.Before(oldest) {
 			oldest = at
 		}
 	}
@@ -129,9 +129,9 @@
 	return oldest, age > overdueAfter && age < abandonedAfter
 }
 
-// homeZone returns the zone where a task's job has its tasks, as far as there is room:
-// whatever happens to a zone or a rack hits fewer jobs then. Lasting tasks are
-// spread, so that their job stays at work through the loss of a zone.
+// homeZone returns the zone where the tasks of a task's job are started while there is capacity, so
+// that the failure of a zone or rack affects fewer jobs. It returns nil for long-running tasks,
+// which are spread so that their job survives the loss of a zone, and for tasks that prefer a rack.
 func (c *Cell) homeZone(t *task) *zone {
 	j := t.phase.job()
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
@@ -143,7 +143,8 @@
 	return j.homeZone
 }
 
-// zoneWithMostFreeCores returns the zone with the most free cores, nil if there is none.
+// zoneWithMostFreeCores returns the zone with the most free cores, not counting zones that may be
+// cut off. It returns nil if no core is free.
 func (c *Cell) zoneWithMostFreeCores() *zone {
 	var best *zone
 	most := 0
