--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -28,11 +28,10 @@
 	// exited is set once this life has certainly ended.
 	exited bool
 	// withdrawn is set if the endpoint gets no more work because its box is to be moved or
-	// maintained, and withdrawal tells how far that is.
+	// maintained. withdrawal is the state of that withdrawal.
 	withdrawn  bool
 	withdrawal withdrawal
-	// maintenanceDue is set while the endpoint's box still has to be maintained in the current
-	// wave.
+	// maintenanceDue is set while the endpoint's box still has to be maintained.
 	maintenanceDue bool
 	// runs holds the runs that may exist on the endpoint, and runsByStart the same runs in the
 	// order in which they were started.
@@ -62,9 +61,9 @@
 	// and recordedSequence that of the last one whose effect is recorded in the stream.
 	appliedSequence  int
 	recordedSequence int
-	// silent is set while the last poll has not been answered, and silentSince is when that became
-	// known. pollBroken is set if the connection of that poll broke while the poll was waiting:
-	// whatever ended the endpoint, it happened then.
+	// silent is set if the last poll failed without an answer, and silentSince is when it did.
+	// pollBroken is set if the connection of that poll broke while the poll was waiting: whatever
+	// ended the endpoint, it happened then.
 	silent      bool
 	silentSince time.Time
 	pollBroken  bool
@@ -104,8 +103,7 @@
 	return e.clockSampleMs + int(now.Sub(e.clockSampledAt).Milliseconds())
 }
 
-// hasLabel reports whether the endpoint has a label. The empty label stands for none, which every
-// endpoint satisfies.
+// hasLabel reports whether the endpoint has a label. It returns true for the empty label.
 func (e *endpoint) hasLabel(label string) bool {
 	return label == "" || slices.Contains(e.info.Labels, label)
 }
@@ -178,7 +176,7 @@
 
 // lapsedResultWait is how long, after the leases on an endpoint that is no longer listed have
 // expired, the cell waits for the endpoint to come back and report the results of attempts there.
-// Network cuts of up to 14 s occur.
+// Network cuts that users report last up to 14 s.
 const lapsedResultWait = 15 * time.Second
 
 // sweepEndpoints removes the endpoints that are not listed, hold no runs and can report no results
--- a/pkg/cell/endrate.go
+++ b/pkg/cell/endrate.go
@@ -6,7 +6,7 @@
 )
 
 // rateWindow is the time over which the exits of endpoints are counted. burstWindow is a shorter
-// one, since typical troubles of endpoints take some seconds and begin suddenly.
+// one, since the disturbances that users report last some seconds and begin suddenly.
 const (
 	rateWindow  = 10 * time.Second
 	burstWindow = 2 * time.Second
@@ -41,7 +41,7 @@
 // counted in the baseline, each of those tasks would look innocent.
 type baselineExitRate struct {
 	exits exits
-	// exposures tells for how long endpoints ran something without exiting while nothing had
+	// exposures holds for how long endpoints ran something without exiting while nothing had
 	// started there just before.
 	exposures  []exposure
 	observedAt time.Time
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -13,15 +13,15 @@
 	// counted.
 	failuresToEject = 2
 	// minEjection is how long an endpoint gets no new work after its first ejection. Each further
-	// ejection in a row doubles that, up to maxEjection. Typical troubles of endpoints last five to
-	// seven seconds.
+	// ejection in a row doubles that, up to maxEjection. Disturbances that users report last five
+	// to seven seconds.
 	minEjection = 2 * time.Second
 	maxEjection = 8 * time.Second
 	// maxEjectedPercent is the highest percentage of a cell's endpoints that may be ejected. When
 	// more seem unhealthy, something else is the cause.
 	maxEjectedPercent = 34
 	// minEjectionBase is the number of endpoints of which maxEjectedPercent is taken in smaller
-	// cells: there one endpoint may be ejected as long as another is left.
+	// cells: one endpoint may be ejected there as long as another is left.
 	minEjectionBase = 3
 	// stallTime is how long none of an endpoint's tasks may have made progress before the endpoint
 	// counts as stalled. The time to restore a checkpoint is added to it.
@@ -45,7 +45,7 @@
 	// probing is set after an ejection, until a task is done: the endpoint gets one short task at a
 	// time.
 	probing bool
-	// progressSamples tell how fast the endpoint's tasks make progress.
+	// progressSamples holds recent samples of the progress of the endpoint's tasks.
 	progressSamples []progressSample
 }
 
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -9,8 +9,8 @@
 
 // indexOfLife returns the index in sortedEndpoints at which a life is or would be inserted.
 func (c *Cell) indexOfLife(life damsonwinch.Life) int {
-	at, _ := slices.BinarySearchFunc(c.sortedEndpoints, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
-	return at
+	i, _ := slices.BinarySearchFunc(c.sortedEndpoints, life, func(e *endpoint, l damsonwinch.Life) int { return e.info.Life.Compare(l) })
+	return i
 }
 
 // livesWithID returns the known lives with an ID, ordered by their start times.
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// runLoss tells with which life a run was lost, and how.
+// runLoss describes how a run was lost: with which life, and under which circumstances.
 type runLoss struct {
 	life    damsonwinch.Life
 	details crash.Loss
@@ -108,15 +108,15 @@
 	t := r.task
 	t.crashes = c.options.CrashRules.Add(t.crashes, loss.details)
 	c.logRunLost(r, loss)
-	if t.done || t.phase.job().ended() || c.giveUpIfConvicted(t, loss) {
+	if t.done || t.phase.job().ended() || c.giveUpIfCrasher(t, loss) {
 		return
 	}
 	c.addSuspect(t)
 }
 
-// giveUpIfConvicted gives a task up whose probations have shown that it crashes its endpoints. It
+// giveUpIfCrasher gives a task up whose probations have shown that it crashes its endpoints. It
 // reports whether the task is one.
-func (c *Cell) giveUpIfConvicted(t *task, loss runLoss) bool {
+func (c *Cell) giveUpIfCrasher(t *task, loss runLoss) bool {
 	if !c.options.CrashRules.IsCrasher(t.crashes) {
 		return false
 	}
@@ -195,8 +195,9 @@
 const commonCauseTime = 50 * time.Millisecond
 
 // hasCommonCause reports whether endpoints that share a rack or zone with this one exited at the
-// same time: another one of the rack, or half of the others of the zone. Endpoints with a task on
-// probation don't count. Where many endpoints exit, two may do so at the same time by chance.
+// same time: another one of the rack, or half of the others of the zone. Half are required since
+// two of many endpoints may exit at the same time by chance. Endpoints with a task on probation
+// don't count.
 func (c *Cell) hasCommonCause(e *endpoint, exitedAt time.Time) bool {
 	inZone, exited := 0, 0
 	for _, other := range c.sortedEndpoints {
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -15,8 +15,8 @@
 	advancedAt time.Time
 }
 
-// minMeasuredPercent is the progress from which the speed of a run can be told, since reports are
-// rounded to whole percents.
+// minMeasuredPercent is the progress from which the speed of a run can be measured, since reports
+// are rounded to whole percents.
 const minMeasuredPercent = 6
 
 // update records how much of the run is done.
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -64,10 +64,9 @@
 	}
 }
 
-// separatedFromOtherJobs reports whether a task may start on an endpoint as far as crash-prone
-// queues go. If the task or a run that has just started there belongs to one, both must belong to
-// the same job. So it is known which job's task crashes an endpoint, and tasks of sound jobs don't
-// wait for probation.
+// separatedFromOtherJobs reports whether a task and the runs that have just started on an endpoint
+// belong to the same job, as far as they are of crash-prone queues. So it is known which job a
+// crash of the endpoint is due to, and tasks of sound jobs don't have to wait for probation.
 func (c *Cell) separatedFromOtherJobs(t *task, e *endpoint) bool {
 	if len(c.crashProne) == 0 {
 		return true
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -49,7 +49,7 @@
 	// the cell was loaded.
 	startedAt time.Time
 	// resumed is set if the run continues from a checkpoint, and inherited if an earlier owner
-	// started it. In both cases its duration tells nothing about how long the task takes.
+	// started it. In both cases its duration isn't the time that the task takes.
 	resumed   bool
 	inherited bool
 	// pendingLoss describes how the run was lost with its endpoint, if a later life with the same
@@ -182,7 +182,7 @@
 		r.task.phase.job().begun = true
 		r.task.refusals = 0
 		if r.stopping {
-			c.stop(r, "asked for before it began")
+			c.stop(r, "requested before it began")
 		}
 	case isStartRefusal(err):
 		c.startRefused(r, err)
@@ -269,7 +269,8 @@
 // further start requests. Several polls are answered within that time.
 const endpointBackoff = 300 * time.Millisecond
 
-// stop stops a run.
+// stop stops a run. No request is sent while the start has not been requested or answered, or once
+// the endpoint has accepted a stop.
 func (c *Cell) stop(r *run, why string) {
 	if r.state == runPending {
 		// The start has not been requested yet; sendStart removes the run.
@@ -285,7 +286,7 @@
 	r.stopping = true
 	if r.state == runRequested {
 		// The reply to the start request is on its way. A stop that overtakes the start would still
-		// be effective, but the reply tells more.
+		// be effective, but the reply also shows whether the run has started.
 		return
 	}
 	c.sendStop(r)
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -122,8 +122,9 @@
 	return sum
 }
 
-// probationAllows reports whether a task may start on an endpoint as far as probations go: those
-// that are under way or planned there, and the task's own if it is a suspect.
+// probationAllows reports whether the rules of probation allow a task to start on an endpoint.
+// Nothing starts where a probation is under way or which is reserved for that of another task. A
+// suspect starts only on probation, unless it has waited for that too long.
 func (c *Cell) probationAllows(t *task, e *endpoint) bool {
 	if e.probation != nil || e.reservedFor != nil && e.reservedFor != t || !c.separatedFromOtherJobs(t, e) {
 		return false
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -11,8 +11,8 @@
 	// overdueAfter is how long a healthy endpoint may take to answer a request. It takes some 3 ms,
 	// and a busy node some 50 ms to process the reply.
 	overdueAfter = 150 * time.Millisecond
-	// abandonedAfter is the age at which a call has timed out on the side of the caller. Such a
-	// call tells nothing any more.
+	// abandonedAfter is the age at which a call has timed out on the side of the caller. Whether it
+	// is answered says nothing about the endpoint any more.
 	abandonedAfter = 1500 * time.Millisecond
 	// cutOffAfter is how long a zone may be cut off until its boxes are no longer counted on.
 	// Replacing them costs moves, and short interruptions are over by then.
@@ -108,8 +108,9 @@
 	}
 }
 
-// oldestOverdueCall returns when the oldest call was due or sent that the endpoint hasn't answered,
-// and whether it is overdue. pollWait is how long the endpoint may hold a waiting poll.
+// oldestOverdueCall returns when the oldest unanswered call to the endpoint should have been
+// answered at the earliest, and whether it is overdue since then. That is the time at which the
+// call was sent, or for a poll that waits pollWait later.
 func (e *endpoint) oldestOverdueCall(now time.Time, pollWait time.Duration) (time.Time, bool) {
 	oldest := now
 	if sent := e.polls.immediate; sent != nil && sent.sentAt.Before(oldest) {
@@ -129,9 +130,10 @@
 	return oldest, age > overdueAfter && age < abandonedAfter
 }
 
-// homeZone returns the zone where the tasks of a task's job are started while there is capacity, so
-// that the failure of a zone or rack affects fewer jobs. It returns nil for long-running tasks,
-// which are spread so that their job survives the loss of a zone, and for tasks that prefer a rack.
+// homeZone returns the zone in which the tasks of t's job are started while there is capacity, so
+// that the failure of a zone or rack affects fewer jobs. It returns nil if there is only one zone,
+// for long-running tasks, which are spread so that their job survives the loss of a zone, and for
+// tasks that prefer a rack.
 func (c *Cell) homeZone(t *task) *zone {
 	j := t.phase.job()
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
