--- a/pkg/owner/behind.go
+++ b/pkg/owner/behind.go
@@ -10,29 +10,32 @@
 )
 
 const (
-	// mostBehind is how long a submission may have waited for the owner's task. An owner
-	// that keeps up takes it within 20 ms. One that doesn't makes all of its jobs late, and
-	// each one more that it takes makes records and starts for which it has no time: with
-	// every submission taken an owner fell 1.5 to 2.1 s behind and needed 20 s to catch up.
-	mostBehind = 700 * time.Millisecond
-	// leastComeBack and comeBackSpread tell refused clients when to try again: what piled up
-	// is done in about a second, and they must not all come at once.
-	leastComeBack  = 700 * time.Millisecond
-	comeBackSpread = 1300 * time.Millisecond
+	// maxSubmissionDelay is how long a submission may have waited in the inbox. An owner that keeps up
+	// handles it within 20 ms. In an owner that doesn't, all jobs are late, and each further job adds
+	// records and starts for which it has no time: an owner that accepted every submission fell 1.5
+	// to 2.1 s behind and needed 20 s to catch up.
+	maxSubmissionDelay = 700 * time.Millisecond
+	// minRetryAfter and retryAfterSpread determine when a refused client should retry: after
+	// minRetryAfter and up to retryAfterSpread more. The owner catches up in about a second, and the
+	// clients must not all retry at once.
+	minRetryAfter    = 700 * time.Millisecond
+	retryAfterSpread = 1300 * time.Millisecond
 )
 
-// behind says whether a submission is to be refused because the owner can't keep up. Of a
-// job that is known that would not be true.
-func (o *Owner) behind(now time.Time, m clientCall) bool {
-	return now.Sub(m.at) > mostBehind && !o.cell.HasJob(m.args.Id)
+// isOverloaded reports whether a submission must be refused because the owner can't keep up. A job that
+// the cell already has is never refused, because a refusal says that the job will never run.
+func (o *Owner) isOverloaded(now time.Time, m jobChange) bool {
+	return now.Sub(m.receivedAt) > maxSubmissionDelay && !o.cell.HasJob(m.args.Id)
 }
 
-func (o *Owner) refuseBehind(now time.Time, m clientCall) wire.JobReply {
-	waited := now.Sub(m.at)
+// refuseOverloaded returns the refusal of a submission, and counts and logs it. When the client should
+// retry depends on the hash of the job's ID.
+func (o *Owner) refuseOverloaded(now time.Time, m jobChange) wire.JobReply {
+	waited := now.Sub(m.receivedAt)
 	o.deps.Metrics.Add("submissions_refused_behind", 1)
 	o.deps.Logger.WithFields(logrus.Fields{"job": m.args.Id, "waited_ms": waited.Milliseconds()}).Info("job refused: the owner can't keep up")
-	spread := time.Duration(xxhash.Sum64String(m.args.Id) % uint64(comeBackSpread))
+	spread := time.Duration(xxhash.Sum64String(m.args.Id) % uint64(retryAfterSpread))
 	return wire.JobReply{
-		Outcome: wire.JobOutcomeRefused, Reason: "the owner of the cell can't keep up", RetryAfterMs: int((leastComeBack + spread).Milliseconds()),
+		Outcome: wire.JobOutcomeRefused, Reason: "the owner of the cell can't keep up", RetryAfterMs: int((minRetryAfter + spread).Milliseconds()),
 	}
 }
--- a/pkg/owner/behind_test.go
+++ b/pkg/owner/behind_test.go
@@ -14,43 +14,43 @@
 	"damsonwinch/pkg/wire"
 )
 
-// newIdle returns an owner whose task doesn't run.
-func newIdle(clock clockwork.Clock) *Owner {
+// newOwnerWithoutTask returns an owner whose goroutine doesn't run, so that a test applies the messages.
+func newOwnerWithoutTask(clock clockwork.Clock) *Owner {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	o := &Owner{
 		deps: Deps{Clock: clock, Logger: logger, Metrics: metrics.New()}, cell: cell.New(cell.Options{EndedJobRetention: time.Minute}, 1),
-		calls: map[int]chan<- wire.JobReply{},
+		pendingCalls: map[int]chan<- wire.JobReply{},
 	}
 	return o
 }
 
-// submission is a call that came some time ago.
-func submission(id string, at time.Time, reply chan<- wire.JobReply) clientCall {
+// submission returns a client's call that reached the owner at the given time.
+func submission(id string, at time.Time, reply chan<- wire.JobReply) jobChange {
 	spec := wire.JobSpec{Text: "text", Phases: []wire.Phase{{Count: 1, Cpu: 1000, EstimateMs: 500}}}
-	return clientCall{args: wire.JobArgs{Id: id, Queue: "queue", Spec: &spec}, at: at, reply: reply}
+	return jobChange{args: wire.JobArgs{Id: id, Queue: "queue", Spec: &spec}, receivedAt: at, reply: reply}
 }
 
-// TestAnOwnerThatCannotKeepUpRefusesNewJobs at a slow store under five times the demand:
-// submissions waited 2 s in its inbox, and each one taken made the next wait longer. Those
-// of jobs that it knows, and cancels, are taken however late they come.
-func TestAnOwnerThatCannotKeepUpRefusesNewJobs(t *testing.T) {
+// With a slow store and five times the usual load, submissions waited in the inbox for 2 s, and each one
+// that was accepted made the next ones wait longer. Therefore submissions that have waited too long are
+// refused. Submissions of jobs that the cell has, and cancellations, are never refused for that.
+func TestOverloadedOwnerRefusesNewJobs(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	o, now := newIdle(clock), clock.Now()
+	o, now := newOwnerWithoutTask(clock), clock.Now()
 	replies := make(chan wire.JobReply, 4)
 
 	submission("a", now.Add(-20*time.Millisecond), replies).apply(o, now)
-	assert.Equal(t, len(replies), 0, "it waits for its record")
+	assert.Equal(t, len(replies), 0, "the reply waits until the job is stored")
 	assert.Assert(t, o.cell.HasJob("a"))
 
 	submission("b", now.Add(-2*time.Second), replies).apply(o, now)
 	refused := <-replies
 	assert.Equal(t, refused.Outcome, wire.JobOutcomeRefused)
 	assert.Assert(t, refused.RetryAfterMs >= 700 && refused.RetryAfterMs <= 2000, "%d ms", refused.RetryAfterMs)
-	assert.Assert(t, !o.cell.HasJob("b"), "what is refused never runs")
+	assert.Assert(t, !o.cell.HasJob("b"), "a refused job must not be in the cell")
 
 	submission("a", now.Add(-2*time.Second), replies).apply(o, now)
-	assert.Equal(t, len(replies), 0, "a job that may run is not said to be refused")
+	assert.Equal(t, len(replies), 0, "a job that the cell has must not be refused")
 	late := submission("a", now.Add(-2*time.Second), replies)
 	late.cancel = true
 	late.apply(o, now)
@@ -58,10 +58,10 @@
 	assert.Equal(t, o.deps.Metrics.Count("submissions_refused_behind"), 1)
 }
 
-// TestRefusedClientsAreSpread over the time in which they come back.
-func TestRefusedClientsAreSpread(t *testing.T) {
+// If all refused clients retried at the same time, they would overload the owner again.
+func TestRetriesOfRefusedClientsAreSpread(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	o, now := newIdle(clock), clock.Now()
+	o, now := newOwnerWithoutTask(clock), clock.Now()
 	seconds := map[int]int{}
 	for number := range 200 {
 		replies := make(chan wire.JobReply, 1)
--- a/pkg/owner/calls.go
+++ b/pkg/owner/calls.go
@@ -10,31 +10,32 @@
 
 var _ damsonwinch.JobService = (*Owner)(nil)
 
-// Submit implements damsonwinch.Jobs.
+// Submit implements damsonwinch.JobService.
 func (o *Owner) Submit(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	reply := make(chan wire.JobReply, 1)
-	return o.ask(ctx, clientCall{args: args, at: o.deps.Clock.Now(), reply: reply}, reply)
+	return o.call(ctx, jobChange{args: args, receivedAt: o.deps.Clock.Now(), reply: reply}, reply)
 }
 
-// Cancel implements damsonwinch.Jobs.
+// Cancel implements damsonwinch.JobService.
 func (o *Owner) Cancel(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	reply := make(chan wire.JobReply, 1)
-	return o.ask(ctx, clientCall{args: args, at: o.deps.Clock.Now(), cancel: true, reply: reply}, reply)
+	return o.call(ctx, jobChange{args: args, receivedAt: o.deps.Clock.Now(), cancel: true, reply: reply}, reply)
 }
 
-// Show implements damsonwinch.Jobs.
+// Show implements damsonwinch.JobService.
 func (o *Owner) Show(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	reply := make(chan wire.JobReply, 1)
-	return o.ask(ctx, question{args: args, reply: reply}, reply)
+	return o.call(ctx, jobQuery{args: args, reply: reply}, reply)
 }
 
-// Pending implements damsonwinch.Jobs.
+// Pending implements damsonwinch.JobService.
 func (o *Owner) Pending(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	return o.Show(ctx, args)
 }
 
-// Sync takes the fleet planner's wishes and tells how the cell is. A reply that is
-// not known comes from an owner that can't tell.
+// Sync applies what the fleet planner sends for the cell, its directives and allowances, and returns a
+// report on the cell. The reply's Known is false if the cell has not been taken over yet, if ctx ends
+// first, if the owner has stopped, or if a newer planner has called.
 func (o *Owner) Sync(ctx context.Context, args wire.SyncArgs) wire.SyncReply {
 	select {
 	case <-o.ready:
@@ -58,9 +59,10 @@
 	return wire.SyncReply{}
 }
 
-// ask gives the owner a message and waits for the reply. A message that the owner
-// hasn't taken has done nothing.
-func (o *Owner) ask(ctx context.Context, m message, reply <-chan wire.JobReply) wire.JobReply {
+// call sends a message to the owner's goroutine and waits for the reply. The call is refused if the
+// message was not put into the inbox, because it has had no effect then. Its outcome is unknown if the
+// message was put there and no reply came.
+func (o *Owner) call(ctx context.Context, m message, reply <-chan wire.JobReply) wire.JobReply {
 	select {
 	case <-o.ready:
 	case <-ctx.Done():
@@ -90,26 +92,26 @@
 	}
 }
 
-// refusalRetryMs tells a client when to come back after a refusal: a takeover is
-// done in about that time.
+// refusalRetryMs is the time after which a refused client should retry, in milliseconds: a takeover
+// takes about as long.
 const refusalRetryMs = 500
 
 func refusedReply(reason string) wire.JobReply {
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: reason, RetryAfterMs: refusalRetryMs}
 }
 
-// Configure tells the owner the configuration in force, and whether its endpoints refuse what
-// doesn't fit.
-func (o *Owner) Configure(configuration damsonwinch.Configuration, guarded bool) {
-	o.send(configured{configuration: configuration, guarded: guarded})
+// Configure puts a configuration in force in the cell. rejectsOverload says whether the cell's endpoints
+// reject tasks that exceed their free capacity.
+func (o *Owner) Configure(configuration damsonwinch.Configuration, rejectsOverload bool) {
+	o.send(configured{configuration: configuration, rejectsOverload: rejectsOverload})
 }
 
-// ConfirmOwnership tells the owner until when its claim stood for certain.
+// ConfirmOwnership tells the owner that its claim was in force at the given time.
 func (o *Owner) ConfirmOwnership(at time.Time) {
-	o.send(confirmed{at: at})
+	o.send(ownershipConfirmed{at: at})
 }
 
-// SetEndpoints tells the owner which endpoints the registry lists for its cell.
+// SetEndpoints replaces the list of the cell's endpoints with the one that the registry has now.
 func (o *Owner) SetEndpoints(endpoints []damsonwinch.Endpoint) {
 	o.send(endpointsListed{endpoints: endpoints})
 }
--- a/pkg/owner/counters.go
+++ b/pkg/owner/counters.go
@@ -2,12 +2,13 @@
 
 import "damsonwinch/pkg/cell"
 
-// counter is a figure of a cell that is added to the node's counters.
+// counter maps a metric of the node to the statistic of a cell that is added to it.
 type counter struct {
-	name string
-	of   func(cell.Stats) int
+	name  string
+	value func(cell.Stats) int
 }
 
+// counters are the node's metrics that sum up statistics of all its cells.
 var counters = []counter{
 	{"jobs_accepted", func(s cell.Stats) int { return s.JobsAccepted }},
 	{"jobs_completed", func(s cell.Stats) int { return s.JobsCompleted }},
@@ -25,13 +26,14 @@
 	{"endpoints_ejected", func(s cell.Stats) int { return s.Ejections }},
 }
 
-// publish adds what the cell has done since the last time to the node's counters.
-func (o *Owner) publish() {
-	now := o.cell.Stats()
+// publishStats adds to the node's metrics by how much the cell's statistics have grown since the last
+// call.
+func (o *Owner) publishStats() {
+	stats := o.cell.Stats()
 	for _, counter := range counters {
-		if by := counter.of(now) - counter.of(o.published); by != 0 {
-			o.deps.Metrics.Add(counter.name, by)
+		if increase := counter.value(stats) - counter.value(o.publishedStats); increase != 0 {
+			o.deps.Metrics.Add(counter.name, increase)
 		}
 	}
-	o.published = now
+	o.publishedStats = stats
 }
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -12,32 +12,34 @@
 	"damsonwinch/pkg/idle"
 )
 
-// Times of calls to endpoints and to the control of boxes.
+// Timeouts and intervals of the calls that an owner makes.
 const (
-	// orderTimeout is given to an order at an endpoint, which answers in a few
-	// milliseconds when it is well.
-	orderTimeout = 500 * time.Millisecond
-	// adviceTimeout is given to a call for permits: the service takes its time for
-	// each endpoint, and one call after the other.
+	// requestTimeout bounds a request to start or stop a run or to set its speed. A healthy endpoint
+	// answers in a few milliseconds.
+	requestTimeout = 500 * time.Millisecond
+	// adviceTimeout bounds a request for permits. The advice service needs some time for each
+	// endpoint, and handles one call after the other.
 	adviceTimeout = 5 * time.Second
-	// lookMargin is added to a look's own wait.
-	lookMargin = 500 * time.Millisecond
-	// boxesTimeout is how long a reading of the list of boxes, which is as large as the
-	// fleet, may be silent, and boxesPause stands between two.
-	boxesTimeout = time.Second
-	boxesPause   = 400 * time.Millisecond
+	// pollTimeoutMargin is added to the MaxWait of a poll, for which the endpoint may hold it.
+	pollTimeoutMargin = 500 * time.Millisecond
+	// boxListTimeout is how long a request for the list of boxes may go without progress. The time of
+	// the whole request isn't bounded, since the list grows with the fleet. boxListInterval is the
+	// least time between two requests.
+	boxListTimeout  = time.Second
+	boxListInterval = 400 * time.Millisecond
 )
 
-// carryOut does what the cell has decided. It says whether the cell is lost.
-func (o *Owner) carryOut() bool {
+// executeEffects carries out what the cell has decided since the last call. It returns true if the cell
+// may have a newer owner; it then writes nothing and sends no requests.
+func (o *Owner) executeEffects() bool {
 	effects := o.cell.TakeEffects()
-	for _, note := range effects.LogLines {
-		o.log(note)
+	for _, line := range effects.LogLines {
+		o.log(line)
 	}
 	for _, reply := range effects.Replies {
-		if call, waits := o.calls[reply.CallID]; waits {
+		if call, waiting := o.pendingCalls[reply.CallID]; waiting {
 			call <- reply.Reply
-			delete(o.calls, reply.CallID)
+			delete(o.pendingCalls, reply.CallID)
 		}
 	}
 	if effects.OwnershipLost {
@@ -52,110 +54,111 @@
 	for _, stop := range effects.Stops {
 		o.stop(stop)
 	}
-	for _, pace := range effects.Paces {
-		o.pace(pace)
+	for _, change := range effects.Paces {
+		o.setSpeed(change)
 	}
-	for _, look := range effects.Polls {
-		o.look(look)
+	for _, poll := range effects.Polls {
+		o.poll(poll)
 	}
-	for _, ask := range effects.PermitRequests {
-		o.seek(ask)
+	for _, request := range effects.PermitRequests {
+		o.requestPermits(request)
 	}
 	if effects.ListBoxes {
-		o.askBoxes()
+		o.listBoxes()
 	}
 	return false
 }
 
-func (o *Owner) log(note cell.LogLine) {
+func (o *Owner) log(line cell.LogLine) {
 	fields := logrus.Fields{}
-	for name, value := range map[string]string{"queue": note.Queue, "customer": note.Customer, "job": note.Job, "task": note.Task, "endpoint": note.Endpoint, "why": note.Reason} {
+	for name, value := range map[string]string{"queue": line.Queue, "customer": line.Customer, "job": line.Job, "task": line.Task, "endpoint": line.Endpoint, "why": line.Reason} {
 		if value != "" {
 			fields[name] = value
 		}
 	}
-	line := o.deps.Logger.WithFields(fields)
-	if note.Debug {
-		line.Debug(note.Message)
+	entry := o.deps.Logger.WithFields(fields)
+	if line.Debug {
+		entry.Debug(line.Message)
 		return
 	}
-	line.Info(note.Message)
+	entry.Info(line.Message)
 }
 
-// commit appends to the cell's stream until that is done.
+// commit appends records to the cell's stream in the background, with retries until that is done.
 func (o *Owner) commit(commit cell.Commit) {
 	batches := commit.Batches(o.options.MaxAppendBytes)
 	fences := make([]damsonwinch.Fence, len(batches))
 	for number := range batches {
 		fences[number] = o.writer.Next()
 	}
-	begun := o.deps.Clock.Now()
+	startedAt := o.deps.Clock.Now()
 	o.group.Go(func() error {
 		for number, records := range batches {
 			if err := o.writer.Append(o.ctx, records, fences[number]); err != nil {
-				// Ends the owner: what it decided from here on could not be kept.
+				// The error stops the owner: it could not store any later decision.
 				return err
 			}
 		}
-		o.deps.Metrics.Observe("commit", o.deps.Clock.Since(begun))
+		o.deps.Metrics.Observe("commit", o.deps.Clock.Since(startedAt))
 		o.send(committed{number: commit.Number})
 		return nil
 	})
 }
 
-// within returns the context of a call at an endpoint that begins now.
-func (o *Owner) within(limit time.Duration) context.Context {
-	return deadline.With(o.ctx, o.deps.Clock.Now().Add(limit))
+// requestContext returns the context of a request to an endpoint that starts now.
+func (o *Owner) requestContext(timeout time.Duration) context.Context {
+	return deadline.With(o.ctx, o.deps.Clock.Now().Add(timeout))
 }
 
 func (o *Owner) start(start cell.Start) {
-	o.calling.Go(func() {
-		err := o.deps.Endpoints.Start(o.within(orderTimeout), start.Endpoint, start.Request)
+	o.requestPool.Go(func() {
+		err := o.deps.Endpoints.Start(o.requestContext(requestTimeout), start.Endpoint, start.Request)
 		o.send(started{endpoint: start.Endpoint.Life, run: start.Request.Run, err: err})
 	})
 }
 
 func (o *Owner) stop(stop cell.Stop) {
-	o.calling.Go(func() {
-		err := o.deps.Endpoints.Stop(o.within(orderTimeout), stop.Endpoint, stop.Request)
+	o.requestPool.Go(func() {
+		err := o.deps.Endpoints.Stop(o.requestContext(requestTimeout), stop.Endpoint, stop.Request)
 		o.send(stopped{endpoint: stop.Endpoint.Life, run: stop.Request.Run, err: err})
 	})
 }
 
-func (o *Owner) pace(pace cell.SpeedChange) {
-	o.calling.Go(func() {
-		err := o.deps.Endpoints.SetSpeed(o.within(orderTimeout), pace.Endpoint, pace.Request)
-		o.send(paced{endpoint: pace.Endpoint.Life, run: pace.Request.Run, err: err})
+func (o *Owner) setSpeed(change cell.SpeedChange) {
+	o.requestPool.Go(func() {
+		err := o.deps.Endpoints.SetSpeed(o.requestContext(requestTimeout), change.Endpoint, change.Request)
+		o.send(speedSet{endpoint: change.Endpoint.Life, run: change.Request.Run, err: err})
 	})
 }
 
-func (o *Owner) seek(ask cell.PermitRequest) {
+func (o *Owner) requestPermits(request cell.PermitRequest) {
 	sentAt := o.deps.Clock.Now()
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, adviceTimeout)
 		defer cancel()
-		permits, valid, err := o.deps.Advisor.Advise(ctx, ask.Job, ask.Round, ask.Phase, ask.Endpoints)
-		o.send(advised{ask: ask, sentAt: sentAt, permits: permits, valid: valid, err: err})
+		permits, validFor, err := o.deps.Advisor.Advise(ctx, request.Job, request.Round, request.Phase, request.Endpoints)
+		o.send(advised{request: request, sentAt: sentAt, permits: permits, validFor: validFor, err: err})
 		return nil
 	})
 }
 
-func (o *Owner) look(look cell.Poll) {
-	o.calling.Go(func() {
-		found, err := o.deps.Endpoints.Poll(o.within(look.Request.MaxWait+lookMargin), look.Endpoint, look.Request)
-		o.send(looked{endpoint: look.Endpoint.Life, number: look.Number, look: found, err: err})
+func (o *Owner) poll(poll cell.Poll) {
+	o.requestPool.Go(func() {
+		reply, err := o.deps.Endpoints.Poll(o.requestContext(poll.Request.MaxWait+pollTimeoutMargin), poll.Endpoint, poll.Request)
+		o.send(polled{endpoint: poll.Endpoint.Life, number: poll.Number, reply: reply, err: err})
 	})
 }
 
-// askBoxes reads the list of boxes, unless it was read just now.
-func (o *Owner) askBoxes() {
+// listBoxes requests the platform's list of boxes, unless a request is in flight or was sent less than
+// boxListInterval ago.
+func (o *Owner) listBoxes() {
 	now := o.deps.Clock.Now()
-	if o.boxesOut || now.Sub(o.boxesAt) < boxesPause {
+	if o.boxListInFlight || now.Sub(o.boxesRequestedAt) < boxListInterval {
 		return
 	}
-	o.boxesOut, o.boxesAt = true, now
+	o.boxListInFlight, o.boxesRequestedAt = true, now
 	o.group.Go(func() error {
-		ctx, cancel := idle.WithTimeout(o.ctx, o.deps.Clock, boxesTimeout, boxesTimeout)
+		ctx, cancel := idle.WithTimeout(o.ctx, o.deps.Clock, boxListTimeout, boxListTimeout)
 		defer cancel(nil)
 		boxes, err := o.deps.Fleet.Boxes(ctx)
 		o.send(boxesListed{boxes: boxes, err: err})
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -8,37 +8,41 @@
 	"damsonwinch/pkg/wire"
 )
 
-// message is something that the owner's task is told.
+// message is an event that the owner's goroutine applies to the cell.
 type message interface {
 	apply(o *Owner, now time.Time)
 }
 
+// configured reports that a configuration is in force.
 type configured struct {
-	configuration damsonwinch.Configuration
-	guarded       bool
+	configuration   damsonwinch.Configuration
+	rejectsOverload bool
 }
 
 func (m configured) apply(o *Owner, now time.Time) {
 	o.cell.SetQueues(now, m.configuration.Queues)
 	o.cell.SetCustomers(now, m.configuration.Version, m.configuration.Customers)
-	o.cell.SetRejectsOverload(now, m.guarded)
+	o.cell.SetRejectsOverload(now, m.rejectsOverload)
 }
 
-type confirmed struct{ at time.Time }
+// ownershipConfirmed reports that the owner's claim was in force at some time.
+type ownershipConfirmed struct{ at time.Time }
 
-func (m confirmed) apply(o *Owner, _ time.Time) { o.cell.ConfirmOwnership(m.at) }
+func (m ownershipConfirmed) apply(o *Owner, _ time.Time) { o.cell.ConfirmOwnership(m.at) }
 
+// endpointsListed holds the cell's endpoints as the registry has them now.
 type endpointsListed struct{ endpoints []damsonwinch.Endpoint }
 
 func (m endpointsListed) apply(o *Owner, now time.Time) { o.cell.SetEndpoints(now, m.endpoints) }
 
+// boxesListed is the result of a request for the list of boxes.
 type boxesListed struct {
 	boxes []damsonwinch.Box
 	err   error
 }
 
 func (m boxesListed) apply(o *Owner, now time.Time) {
-	o.boxesOut = false
+	o.boxListInFlight = false
 	if m.err != nil {
 		o.deps.Logger.WithError(m.err).Warn("list of boxes not read")
 		return
@@ -46,17 +50,19 @@
 	o.cell.SetBoxes(now, m.boxes)
 }
 
+// committed reports that a commit of the cell is stored.
 type committed struct{ number int }
 
 func (m committed) apply(o *Owner, now time.Time) {
 	if o.move.frozen {
-		o.move.withheld = &m
+		o.move.withheldCommit = &m
 		return
 	}
 	o.cell.Committed(now, m.number)
-	o.answerSyncs(now, !o.cell.AllowancesPending())
+	o.replyToSyncs(now, !o.cell.AllowancesPending())
 }
 
+// started is the result of a request to start a run on an endpoint.
 type started struct {
 	endpoint damsonwinch.Life
 	run      damsonwinch.Run
@@ -65,6 +71,7 @@
 
 func (m started) apply(o *Owner, now time.Time) { o.cell.Started(now, m.endpoint, m.run, m.err) }
 
+// stopped is the result of a request to stop a run.
 type stopped struct {
 	endpoint damsonwinch.Life
 	run      damsonwinch.Run
@@ -73,61 +80,64 @@
 
 func (m stopped) apply(o *Owner, now time.Time) { o.cell.Stopped(now, m.endpoint, m.run, m.err) }
 
-type paced struct {
+// speedSet is the result of a request to set the speed of a run.
+type speedSet struct {
 	endpoint damsonwinch.Life
 	run      damsonwinch.Run
 	err      error
 }
 
-func (m paced) apply(o *Owner, now time.Time) { o.cell.SpeedSet(now, m.endpoint, m.run, m.err) }
+func (m speedSet) apply(o *Owner, now time.Time) { o.cell.SpeedSet(now, m.endpoint, m.run, m.err) }
 
+// advised is the result of a request for permits, which are valid for a time from sentAt on.
 type advised struct {
-	ask     cell.PermitRequest
-	sentAt  time.Time
-	permits []damsonwinch.Permit
-	valid   time.Duration
-	err     error
+	request  cell.PermitRequest
+	sentAt   time.Time
+	permits  []damsonwinch.Permit
+	validFor time.Duration
+	err      error
 }
 
 func (m advised) apply(o *Owner, now time.Time) {
-	o.cell.Advised(now, m.sentAt, m.ask, m.permits, m.valid, m.err)
+	o.cell.Advised(now, m.sentAt, m.request, m.permits, m.validFor, m.err)
 }
 
-type looked struct {
+// polled is the result of a poll of an endpoint. number is that of the poll.
+type polled struct {
 	endpoint damsonwinch.Life
 	number   int
-	look     damsonwinch.PollReply
+	reply    damsonwinch.PollReply
 	err      error
 }
 
-func (m looked) apply(o *Owner, now time.Time) {
-	o.cell.Polled(now, m.endpoint, m.number, m.look, m.err)
+func (m polled) apply(o *Owner, now time.Time) {
+	o.cell.Polled(now, m.endpoint, m.number, m.reply, m.err)
 }
 
-// clientCall is a client's call that changes a job.
-type clientCall struct {
+// jobChange is a client's call that submits or cancels a job.
+type jobChange struct {
 	args wire.JobArgs
-	// at is when the call came to the owner.
-	at     time.Time
-	cancel bool
-	reply  chan<- wire.JobReply
+	// receivedAt is when the call reached the owner, before it waited in the inbox.
+	receivedAt time.Time
+	cancel     bool
+	reply      chan<- wire.JobReply
 }
 
-func (m clientCall) apply(o *Owner, now time.Time) {
-	if !m.cancel && o.behind(now, m) {
-		m.reply <- o.refuseBehind(now, m)
+func (m jobChange) apply(o *Owner, now time.Time) {
+	if !m.cancel && o.isOverloaded(now, m) {
+		m.reply <- o.refuseOverloaded(now, m)
 		return
 	}
-	o.ticket++
-	o.calls[o.ticket] = m.reply
+	o.lastCallID++
+	o.pendingCalls[o.lastCallID] = m.reply
 	if m.cancel {
-		o.cell.Cancel(now, m.args, o.ticket)
+		o.cell.Cancel(now, m.args, o.lastCallID)
 		return
 	}
-	o.cell.Submit(now, m.args, o.ticket)
+	o.cell.Submit(now, m.args, o.lastCallID)
 }
 
-// syncCall is the fleet planner's call.
+// syncCall is a call of the fleet planner.
 type syncCall struct {
 	args  wire.SyncArgs
 	reply chan<- wire.SyncReply
@@ -141,44 +151,45 @@
 	o.plannerToken = m.args.Token
 	o.cell.ApplySync(now, m.args)
 	if len(m.args.Allowances) > 0 {
-		o.syncs = append(o.syncs, waitingSync{reply: m.reply, since: now})
+		o.waitingSyncs = append(o.waitingSyncs, waitingSync{reply: m.reply, since: now})
 		return
 	}
 	m.reply <- o.cell.Report(now)
 }
 
-// waitingSync is a call of the planner that is answered once its word on allowances is recorded:
-// what it has taken back here is free for others then.
+// waitingSync is a call of the planner that is answered once its allowances are stored. If an allowance
+// was lowered, the planner may give the difference to other cells from then on.
 type waitingSync struct {
 	reply chan<- wire.SyncReply
 	since time.Time
 }
 
-// syncWait is how long the planner waits for that. It has to know how the cell is, also while the
-// store is away.
-const syncWait = 80 * time.Millisecond
+// maxSyncWait is how long a call of the planner waits at most. The planner needs reports on the cell also
+// while the store doesn't answer.
+const maxSyncWait = 80 * time.Millisecond
 
-// answerSyncs answers the planner's calls that have waited long enough, or all.
-func (o *Owner) answerSyncs(now time.Time, all bool) {
-	for len(o.syncs) > 0 && (all || now.Sub(o.syncs[0].since) >= syncWait) {
-		o.syncs[0].reply <- o.cell.Report(now)
-		o.syncs = o.syncs[1:]
+// replyToSyncs answers the planner's calls that have waited for maxSyncWait, or all of them.
+func (o *Owner) replyToSyncs(now time.Time, all bool) {
+	for len(o.waitingSyncs) > 0 && (all || now.Sub(o.waitingSyncs[0].since) >= maxSyncWait) {
+		o.waitingSyncs[0].reply <- o.cell.Report(now)
+		o.waitingSyncs = o.waitingSyncs[1:]
 	}
 }
 
-// question is a client's call that changes nothing.
-type question struct {
+// jobQuery is a client's call that changes nothing. With a job's ID it asks for the job's state, without
+// one for the number of pending jobs of a queue.
+type jobQuery struct {
 	args  wire.JobArgs
 	reply chan<- wire.JobReply
 }
 
-func (m question) apply(o *Owner, _ time.Time) {
+func (m jobQuery) apply(o *Owner, _ time.Time) {
 	if m.args.Id == "" {
 		m.reply <- wire.JobReply{Outcome: wire.JobOutcomeFound, Pending: o.cell.Pending(m.args.Queue)}
 		return
 	}
-	state, known := o.cell.Show(m.args)
-	if !known {
+	state, found := o.cell.Show(m.args)
+	if !found {
 		m.reply <- wire.JobReply{Outcome: wire.JobOutcomeNoSuchJob}
 		return
 	}
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -12,95 +12,101 @@
 	"damsonwinch/pkg/stream"
 )
 
-// Times of a move to another partition of the store.
+// Conditions and timeouts of a move of the cell to another partition of the store. A move takes 0.2 s.
+// Outages of a partition last 4 to 7 s, and nothing of its cell starts meanwhile.
 const (
-	// stuckTime is for how long an append must not have been done for the cell to move, and
-	// failedTries how many times it must have failed: the store answers in 5 ms, and in 350
-	// on a slow day, and on a slow link an append takes seconds without failing. While a
-	// partition is out nothing of its cell starts; a move takes 0.2 s, and the outages last
-	// 4 to 7 s.
-	stuckTime   = 600 * time.Millisecond
-	failedTries = 2
-	// answeredTime is how long ago the store must have answered this node otherwise: one
-	// that is away as a whole takes no move.
-	answeredTime = 400 * time.Millisecond
-	// awayTime is for how long it must have answered nothing to have been away: a node calls it
-	// each 0.3 s, and it may take 0.35 s to answer. backTime is how long the store must have been back from being away as a whole: a try that
-	// was sent while it was silent is given up after 0.8 s, and the next one answered at once.
-	awayTime = 750 * time.Millisecond
-	backTime = time.Second
-	// moveTime bounds the writing of the cell, which takes 40 ms as a rule, to a partition
-	// which may be out as well. movePause stands between two tries.
-	moveTime  = 500 * time.Millisecond
-	movePause = 200 * time.Millisecond
+	// minCommitAge is how long an append must be in flight, and minFailedAttempts how many attempts at
+	// it must have failed, for the cell to move. The store answers in 5 ms, or in 350 ms on a slow
+	// day. On a slow link an append takes seconds without failing.
+	minCommitAge      = 600 * time.Millisecond
+	minFailedAttempts = 2
+	// maxStoreSilence is how long ago the store may have answered its last call of this node for the
+	// cell to move. If the store as a whole is unavailable, a move would fail too.
+	maxStoreSilence = 400 * time.Millisecond
+	// outageSilence is for how long the store must have answered no call of this node to count as
+	// unavailable as a whole. A node calls the store every 0.3 s, and an answer may take 0.35 s.
+	outageSilence = 750 * time.Millisecond
+	// outageRecoveryTime is how long after such an outage the cell may move. An attempt that was sent
+	// during the outage is given up after 0.8 s, and the next one is answered at once.
+	outageRecoveryTime = time.Second
+	// snapshotTimeout bounds the time for writing the cell to another partition, which may be out as
+	// well. It usually takes 40 ms.
+	snapshotTimeout = 500 * time.Millisecond
+	// moveRetryInterval is the least time between two attempts to move.
+	moveRetryInterval = 200 * time.Millisecond
 )
 
-// move is how far the owner is with going on in another partition. From the snapshot on
-// nothing may be done that it doesn't hold: what a commit would set off is withheld.
+// move is the state of moving the cell to another partition. Once the snapshot has been taken, nothing
+// may be done that it doesn't include.
 type move struct {
-	triedAt time.Time
-	// awayAt is when the store was last away as a whole.
-	awayAt   time.Time
-	frozen   bool
-	withheld *committed
+	attemptedAt time.Time
+	// storeOutageAt is when the store as a whole was last unavailable.
+	storeOutageAt time.Time
+	// frozen is set once the snapshot has been taken. If the commit in flight succeeds after that,
+	// withheldCommit holds the message, which is applied only if the move fails.
+	frozen         bool
+	withheldCommit *committed
 }
 
-// Messages on a move.
+// Messages about a move.
 type (
-	partitionTaken struct{ number int }
-	moveWritten    struct {
+	// partitionReserved reports that a partition is reserved for the cell.
+	partitionReserved struct{ number int }
+	// snapshotWritten is the result of writing the cell's snapshot to a partition.
+	snapshotWritten struct {
 		number int
 		err    error
 	}
 )
 
-// considerMove begins to move the cell while the store turns its stream's calls away and
-// answers others.
-func (o *Owner) considerMove(now time.Time) {
-	unheard := now.Sub(o.deps.StoreAnsweredAt())
-	if unheard > awayTime {
-		o.move.awayAt = now
+// maybeStartMove starts to move the cell if the store doesn't accept appends to the cell's stream but
+// answers other calls.
+func (o *Owner) maybeStartMove(now time.Time) {
+	storeSilence := now.Sub(o.deps.StoreAnsweredAt())
+	if storeSilence > outageSilence {
+		o.move.storeOutageAt = now
 	}
-	if o.move.frozen || now.Sub(o.move.triedAt) < movePause || !o.turnedAway(now) || unheard > answeredTime || now.Sub(o.move.awayAt) < backTime {
+	if o.move.frozen || now.Sub(o.move.attemptedAt) < moveRetryInterval || !o.appendRejected(now) || storeSilence > maxStoreSilence || now.Sub(o.move.storeOutageAt) < outageRecoveryTime {
 		return
 	}
-	o.move.triedAt = now
-	o.deps.Logger.WithField("stuck_ms", o.cell.CommitAge(now).Milliseconds()).Warn("the store doesn't take the cell's records; another partition is sought")
+	o.move.attemptedAt = now
+	o.deps.Logger.WithField("stuck_ms", o.cell.CommitAge(now).Milliseconds()).Warn("the store doesn't accept the cell's records; reserving another partition")
 	o.deps.Metrics.Add("moves_tried", 1)
-	o.deps.ReservePartition(func(number int) { o.send(partitionTaken{number: number}) })
+	o.deps.ReservePartition(func(number int) { o.send(partitionReserved{number: number}) })
 }
 
-// turnedAway tells whether the store doesn't take the append that is on its way.
-func (o *Owner) turnedAway(now time.Time) bool {
-	return o.cell.CommitAge(now) >= stuckTime && o.writer.Failed() >= failedTries
+// appendRejected reports whether the store has not accepted the append in flight for long enough, and in
+// enough attempts, for the cell to move.
+func (o *Owner) appendRejected(now time.Time) bool {
+	return o.cell.CommitAge(now) >= minCommitAge && o.writer.Failed() >= minFailedAttempts
 }
 
-// apply writes the cell to the partition that was taken for it, unless the store has taken
-// the records meanwhile.
-func (m partitionTaken) apply(o *Owner, now time.Time) {
-	if o.move.frozen || !o.turnedAway(now) {
+// apply writes a snapshot of the cell to the reserved partition, unless the store has accepted the append
+// in the meantime.
+func (m partitionReserved) apply(o *Owner, now time.Time) {
+	if o.move.frozen || !o.appendRejected(now) {
 		return
 	}
-	o.move.frozen, o.move.triedAt = true, now
+	o.move.frozen, o.move.attemptedAt = true, now
 	records := o.cell.Snapshot()
 	o.group.Go(func() error {
-		ctx, cancel := context.WithTimeout(o.ctx, moveTime)
+		ctx, cancel := context.WithTimeout(o.ctx, snapshotTimeout)
 		defer cancel()
-		o.send(moveWritten{number: m.number, err: o.writeTo(ctx, m.number, records)})
+		o.send(snapshotWritten{number: m.number, err: o.writeSnapshot(ctx, m.number, records)})
 		return nil
 	})
 }
 
-// writeTo writes the cell's records to a partition in which nothing may stand.
-func (o *Owner) writeTo(ctx context.Context, number int, records []damsonwinch.Record) error {
+// writeSnapshot writes the cell's records to a partition. It fails if the partition holds any records.
+func (o *Owner) writeSnapshot(ctx context.Context, number int, records []damsonwinch.Record) error {
 	deps := stream.Deps{Store: o.deps.Store, Clock: o.deps.Clock, Metrics: o.deps.Metrics}
 	writer := stream.New(deps, o.deps.PartitionStream(number), o.options.Cell, o.options.Token)
-	before, err := writer.TakeOver(ctx)
+	existing, err := writer.TakeOver(ctx)
 	if err != nil {
 		return err
 	}
-	if len(before) > 0 {
-		return errNotEmpty
+	if len(existing) > 0 {
+		return errPartitionNotEmpty
 	}
 	for _, batch := range (cell.Commit{Records: records}).Batches(o.options.MaxAppendBytes) {
 		if err := writer.Append(ctx, batch, writer.Next()); err != nil {
@@ -110,25 +116,26 @@
 	return nil
 }
 
-var errNotEmpty = errors.New("the partition holds records of another cell")
+var errPartitionNotEmpty = errors.New("the partition holds records of another cell")
 
-// apply has the cell claimed anew in the partition that holds it. Its next owner begins with
-// what stands there; this one ends when it sees the claim.
-func (m moveWritten) apply(o *Owner, now time.Time) {
-	line := o.deps.Logger.WithFields(logrus.Fields{"partition": m.number, "took_ms": now.Sub(o.move.triedAt).Milliseconds()})
+// apply claims the cell again, in the partition that now holds its snapshot, or aborts the move if the
+// snapshot could not be written. The next owner loads the cell from there. This owner is closed once
+// its node has read the new claim.
+func (m snapshotWritten) apply(o *Owner, now time.Time) {
+	logger := o.deps.Logger.WithFields(logrus.Fields{"partition": m.number, "took_ms": now.Sub(o.move.attemptedAt).Milliseconds()})
 	if m.err != nil {
-		line.WithError(m.err).Warn("cell not written to another partition")
-		o.endMove(now)
+		logger.WithError(m.err).Warn("cell not written to another partition")
+		o.abortMove(now)
 		return
 	}
-	line.Info("cell written to another partition")
+	logger.Info("cell written to another partition")
 	o.deps.MoveClaim(o.options.Cell, o.options.Token, m.number)
 }
 
-// endMove goes on as before, with what was withheld.
-func (o *Owner) endMove(now time.Time) {
-	withheld := o.move.withheld
-	o.move = move{triedAt: now, awayAt: o.move.awayAt}
+// abortMove ends an attempt to move and applies the commit that was withheld, if any.
+func (o *Owner) abortMove(now time.Time) {
+	withheld := o.move.withheldCommit
+	o.move = move{attemptedAt: now, storeOutageAt: o.move.storeOutageAt}
 	if withheld != nil {
 		withheld.apply(o, now)
 	}
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -16,19 +16,20 @@
 	"damsonwinch/pkg/wire"
 )
 
-// partedStore turns the calls of the first partition away and takes those of others.
-type partedStore struct {
+// partialOutageStore rejects appends to partition 0 and accepts those to all others.
+type partialOutageStore struct {
 	damsonwinch.Store
-	written atomic.Int64
-	full    bool
-	// slow makes appends take longer than any test.
+	recordsWritten atomic.Int64
+	// occupied makes all partitions hold a record of another cell.
+	occupied bool
+	// slow makes appends block until their contexts end.
 	slow bool
 }
 
-var errBusy = errors.New("turned away")
+var errBusy = errors.New("append rejected")
 
 // Append implements damsonwinch.Store.
-func (s *partedStore) Append(ctx context.Context, at damsonwinch.Stream, records []damsonwinch.Record, _ damsonwinch.Fence) (int, error) {
+func (s *partialOutageStore) Append(ctx context.Context, at damsonwinch.Stream, records []damsonwinch.Record, _ damsonwinch.Fence) (int, error) {
 	if s.slow {
 		<-ctx.Done()
 		return 0, ctx.Err()
@@ -36,147 +37,147 @@
 	if at.Partition == 0 {
 		return 0, errBusy
 	}
-	s.written.Add(int64(len(records)))
+	s.recordsWritten.Add(int64(len(records)))
 	return 0, nil
 }
 
 // Newest implements damsonwinch.Store.
-func (s *partedStore) Newest(context.Context, damsonwinch.Stream, string) (damsonwinch.KeyPage, error) {
-	if s.full {
+func (s *partialOutageStore) Newest(context.Context, damsonwinch.Stream, string) (damsonwinch.KeyPage, error) {
+	if s.occupied {
 		return damsonwinch.KeyPage{Records: []damsonwinch.Record{{Key: "job"}}, End: 1}, nil
 	}
 	return damsonwinch.KeyPage{}, nil
 }
 
-// moving is an owner whose task doesn't run, with a job on its way to the store.
-type moving struct {
+// ownerFixture is an owner whose goroutine doesn't run, with an append of a job in flight.
+type ownerFixture struct {
 	*Owner
 	clock   *clockwork.FakeClock
-	store   *partedStore
+	store   *partialOutageStore
 	replies chan wire.JobReply
-	// taken are the partitions that were sought, and moves those to go on in.
-	taken, moves []int
+	// reserved has one element for each reservation of a partition. moves holds the partitions to
+	// which the cell's claim was moved.
+	reserved, moves []int
 }
 
-func newMoving(t *testing.T, store *partedStore) *moving {
+func newFixture(t *testing.T, store *partialOutageStore) *ownerFixture {
 	clock := clockwork.NewFakeClock()
-	m := &moving{Owner: newIdle(clock), clock: clock, store: store, replies: make(chan wire.JobReply, 4)}
+	f := &ownerFixture{Owner: newOwnerWithoutTask(clock), clock: clock, store: store, replies: make(chan wire.JobReply, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
-	m.group, m.ctx = errgroup.WithContext(ctx)
-	m.cancel, m.inbox = cancel, make(chan message, inboxSize)
-	m.deps.Store = m.store
-	m.deps.StoreAnsweredAt = clock.Now
-	m.deps.ReservePartition = func(take func(int)) { m.taken = append(m.taken, 0); take(len(m.taken)) }
-	m.deps.PartitionStream = func(number int) damsonwinch.Stream { return damsonwinch.Stream{Topic: "cells", Partition: number} }
-	m.deps.MoveClaim = func(_ string, _, number int) { m.moves = append(m.moves, number) }
-	m.options = Options{Cell: "pool", Token: 3, MaxAppendBytes: 1 << 20}
-	m.writer = stream.New(stream.Deps{Store: m.store, Clock: clockwork.NewRealClock(), Metrics: m.deps.Metrics}, m.deps.PartitionStream(0), "pool", 3)
-	submission("a", clock.Now(), m.replies).apply(m.Owner, clock.Now())
-	assert.Assert(t, !m.carryOut())
+	f.group, f.ctx = errgroup.WithContext(ctx)
+	f.cancel, f.inbox = cancel, make(chan message, inboxSize)
+	f.deps.Store = f.store
+	f.deps.StoreAnsweredAt = clock.Now
+	f.deps.ReservePartition = func(take func(int)) { f.reserved = append(f.reserved, 0); take(len(f.reserved)) }
+	f.deps.PartitionStream = func(number int) damsonwinch.Stream { return damsonwinch.Stream{Topic: "cells", Partition: number} }
+	f.deps.MoveClaim = func(_ string, _, number int) { f.moves = append(f.moves, number) }
+	f.options = Options{Cell: "pool", Token: 3, MaxAppendBytes: 1 << 20}
+	f.writer = stream.New(stream.Deps{Store: f.store, Clock: clockwork.NewRealClock(), Metrics: f.deps.Metrics}, f.deps.PartitionStream(0), "pool", 3)
+	submission("a", clock.Now(), f.replies).apply(f.Owner, clock.Now())
+	assert.Assert(t, !f.executeEffects())
 	t.Cleanup(func() {
 		cancel()
-		_ = m.group.Wait()
+		_ = f.group.Wait()
 	})
-	return m
+	return f
 }
 
-// next takes the message that comes next.
-func (m *moving) next() { (<-m.inbox).apply(m.Owner, m.clock.Now()) }
+// applyNext waits for the next message and applies it.
+func (f *ownerFixture) applyNext() { (<-f.inbox).apply(f.Owner, f.clock.Now()) }
 
-// stuck lets the append fail for long enough.
-func (m *moving) stuck(t *testing.T) {
+// waitUntilRejected lets the append fail for so long and so often that the cell may move.
+func (f *ownerFixture) waitUntilRejected(t *testing.T) {
 	clock := clockwork.NewRealClock()
-	for m.writer.Failed() < failedTries {
+	for f.writer.Failed() < minFailedAttempts {
 		assert.NilError(t, t.Context().Err())
 		clock.Sleep(time.Millisecond)
 	}
-	m.clock.Advance(stuckTime)
+	f.clock.Advance(minCommitAge)
 }
 
-// TestACellIsWrittenElsewhere when its own partition turns records away, and what the commit
-// there would set off is not done any more.
-func TestACellIsWrittenElsewhere(t *testing.T) {
-	m := newMoving(t, &partedStore{})
-	m.stuck(t)
-	m.considerMove(m.clock.Now())
-	m.next()
-	m.next()
-	assert.DeepEqual(t, m.moves, []int{1})
-	assert.Assert(t, m.store.written.Load() > 0)
-
-	committed{number: 1}.apply(m.Owner, m.clock.Now())
-	assert.Assert(t, !m.carryOut())
-	assert.Equal(t, len(m.replies), 0, "the job's acceptance isn't in the snapshot")
-	m.clock.Advance(10 * movePause)
-	m.considerMove(m.clock.Now())
-	assert.Equal(t, len(m.taken), 1, "one move at a time")
+// If the commit in flight succeeds after the snapshot was taken, its effects must not be carried out,
+// because the snapshot doesn't include them.
+func TestCellMovesWhenItsPartitionRejectsAppends(t *testing.T) {
+	f := newFixture(t, &partialOutageStore{})
+	f.waitUntilRejected(t)
+	f.maybeStartMove(f.clock.Now())
+	f.applyNext()
+	f.applyNext()
+	assert.DeepEqual(t, f.moves, []int{1})
+	assert.Assert(t, f.store.recordsWritten.Load() > 0)
+
+	committed{number: 1}.apply(f.Owner, f.clock.Now())
+	assert.Assert(t, !f.executeEffects())
+	assert.Equal(t, len(f.replies), 0, "the snapshot doesn't include that the job is accepted")
+	f.clock.Advance(10 * moveRetryInterval)
+	f.maybeStartMove(f.clock.Now())
+	assert.Equal(t, len(f.reserved), 1, "there must be only one move at a time")
 }
 
-// TestACellStaysWhereTheOtherPartitionIsFull of another cell's records, and what was withheld
-// meanwhile is done.
-func TestACellStaysWhereTheOtherPartitionIsFull(t *testing.T) {
-	m := newMoving(t, &partedStore{full: true})
-	m.stuck(t)
-	m.considerMove(m.clock.Now())
-	m.next()
-	committed{number: 1}.apply(m.Owner, m.clock.Now())
-	assert.Assert(t, !m.carryOut())
-	assert.Equal(t, len(m.replies), 0)
-	m.next()
-	assert.Assert(t, !m.carryOut())
-	assert.Equal(t, (<-m.replies).Outcome, wire.JobOutcomeAccepted)
-	assert.Equal(t, len(m.moves), 0)
+// The move is aborted if the reserved partition holds records of another cell. The effects of a commit
+// that succeeded meanwhile are then carried out.
+func TestMoveIsAbortedIfPartitionHoldsRecords(t *testing.T) {
+	f := newFixture(t, &partialOutageStore{occupied: true})
+	f.waitUntilRejected(t)
+	f.maybeStartMove(f.clock.Now())
+	f.applyNext()
+	committed{number: 1}.apply(f.Owner, f.clock.Now())
+	assert.Assert(t, !f.executeEffects())
+	assert.Equal(t, len(f.replies), 0)
+	f.applyNext()
+	assert.Assert(t, !f.executeEffects())
+	assert.Equal(t, (<-f.replies).Outcome, wire.JobOutcomeAccepted)
+	assert.Equal(t, len(f.moves), 0)
 }
 
-// TestACellStaysWhereItIs while the store is away as a whole or the append is only slow, and
-// when the records are taken before a partition has been.
-func TestACellStaysWhereItIs(t *testing.T) {
-	m := newMoving(t, &partedStore{})
-	m.clock.Advance(stuckTime / 2)
-	m.considerMove(m.clock.Now())
-	assert.Equal(t, len(m.taken), 0, "too early")
-
-	m.stuck(t)
-	answered := m.clock.Now().Add(-2 * answeredTime)
-	m.deps.StoreAnsweredAt = func() time.Time { return answered }
-	m.considerMove(m.clock.Now())
-	assert.Equal(t, len(m.taken), 0, "the store is away")
-
-	m.deps.StoreAnsweredAt = m.clock.Now
-	m.clock.Advance(backTime)
-	m.considerMove(m.clock.Now())
-	committed{number: 1}.apply(m.Owner, m.clock.Now())
-	assert.Assert(t, !m.carryOut())
-	assert.Equal(t, len(m.replies), 1)
-	m.next()
-	assert.Assert(t, !m.move.frozen)
-	assert.Equal(t, len(m.moves), 0)
+// A cell stays in its partition if the append has not been in flight for long enough, if the store as a
+// whole is unavailable, or if the append succeeds before a partition is reserved.
+func TestCellDoesNotMoveWithoutNeed(t *testing.T) {
+	f := newFixture(t, &partialOutageStore{})
+	f.clock.Advance(minCommitAge / 2)
+	f.maybeStartMove(f.clock.Now())
+	assert.Equal(t, len(f.reserved), 0, "the append has not been in flight for long enough")
+
+	f.waitUntilRejected(t)
+	answered := f.clock.Now().Add(-2 * maxStoreSilence)
+	f.deps.StoreAnsweredAt = func() time.Time { return answered }
+	f.maybeStartMove(f.clock.Now())
+	assert.Equal(t, len(f.reserved), 0, "the store as a whole is unavailable")
+
+	f.deps.StoreAnsweredAt = f.clock.Now
+	f.clock.Advance(outageRecoveryTime)
+	f.maybeStartMove(f.clock.Now())
+	committed{number: 1}.apply(f.Owner, f.clock.Now())
+	assert.Assert(t, !f.executeEffects())
+	assert.Equal(t, len(f.replies), 1)
+	f.applyNext()
+	assert.Assert(t, !f.move.frozen)
+	assert.Equal(t, len(f.moves), 0)
 }
 
-// TestACellStaysWhenTheStoreIsBack: the append was sent while nothing was answered, and is
-// tried again within a second. A cell that moved meanwhile left the calls of 700 clients in
-// doubt, once in eight runs of a whole node whose store was silent for 1.5 s.
-func TestACellStaysWhenTheStoreIsBack(t *testing.T) {
-	m := newMoving(t, &partedStore{})
-	m.stuck(t)
-	answered := m.clock.Now().Add(-2 * answeredTime)
-	m.deps.StoreAnsweredAt = func() time.Time { return answered }
-	m.considerMove(m.clock.Now())
-
-	m.deps.StoreAnsweredAt = m.clock.Now
-	m.clock.Advance(backTime / 2)
-	m.considerMove(m.clock.Now())
-	assert.Equal(t, len(m.taken), 0, "the store is just back")
-	m.clock.Advance(backTime / 2)
-	m.considerMove(m.clock.Now())
-	assert.Equal(t, len(m.taken), 1, "its partition is out all the same")
+// An append that was sent while the store as a whole was unavailable is retried within a second after the
+// store is back. A cell that moved in that second left the outcome of 700 clients' calls unknown, in one
+// of eight runs of a whole node whose store was silent for 1.5 s.
+func TestCellDoesNotMoveRightAfterStoreOutage(t *testing.T) {
+	f := newFixture(t, &partialOutageStore{})
+	f.waitUntilRejected(t)
+	answered := f.clock.Now().Add(-2 * maxStoreSilence)
+	f.deps.StoreAnsweredAt = func() time.Time { return answered }
+	f.maybeStartMove(f.clock.Now())
+
+	f.deps.StoreAnsweredAt = f.clock.Now
+	f.clock.Advance(outageRecoveryTime / 2)
+	f.maybeStartMove(f.clock.Now())
+	assert.Equal(t, len(f.reserved), 0, "the store has only just recovered")
+	f.clock.Advance(outageRecoveryTime / 2)
+	f.maybeStartMove(f.clock.Now())
+	assert.Equal(t, len(f.reserved), 1, "the partition still rejects appends")
 }
 
-// TestASlowAppendIsNotTurnedAway: on a slow link 2 MB of records take 1.6 s, and a snapshot
-// of the cell would take longer.
-func TestASlowAppendIsNotTurnedAway(t *testing.T) {
-	m := newMoving(t, &partedStore{slow: true})
-	m.clock.Advance(10 * stuckTime)
-	m.considerMove(m.clock.Now())
-	assert.Equal(t, len(m.taken), 0)
+// On a slow link 2 MB of records take 1.6 s, and a snapshot of the cell would take even longer.
+func TestCellDoesNotMoveWhileAppendIsSlow(t *testing.T) {
+	f := newFixture(t, &partialOutageStore{slow: true})
+	f.clock.Advance(10 * minCommitAge)
+	f.maybeStartMove(f.clock.Now())
+	assert.Equal(t, len(f.reserved), 0)
 }
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -1,5 +1,6 @@
-// Package owner runs the owner of a cell: a task that holds the cell's state and
-// carries out its decisions, on the store and at the endpoints.
+// Package owner runs the owner of a cell: a goroutine that holds the cell's state, which pkg/cell
+// keeps, and carries out the cell's decisions. It appends records to the store, sends requests to
+// endpoints and replies to clients.
 package owner
 
 import (
@@ -20,10 +21,11 @@
 	"damsonwinch/pkg/workers"
 )
 
-// inboxSize lets answers wait while the owner is at work; who finds it full waits.
+// inboxSize is how many messages can wait while the owner's goroutine is busy. A sender blocks while
+// the inbox is full.
 const inboxSize = 256
 
-// Deps are what an owner works with.
+// Deps are the dependencies of an Owner.
 type Deps struct {
 	Store     damsonwinch.Store
 	Endpoints damsonwinch.EndpointControl
@@ -32,89 +34,96 @@
 	Clock     damsonwinch.Clock
 	Logger    logrus.FieldLogger
 	Metrics   *metrics.Set
-	// SuspendedTime tells of suspensions of the machine.
+	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// StoreAnsweredAt returns when the store last answered this node.
+	// StoreAnsweredAt returns when the store last answered any call of this node.
 	StoreAnsweredAt func() time.Time
-	// ReservePartition takes a partition of the store that no cell has had, StreamAt returns its
-	// stream, and Move has the cell that is owned by a token claimed anew in it.
-	ReservePartition func(take func(number int))
-	PartitionStream      func(number int) damsonwinch.Stream
-	MoveClaim          func(cell string, token, number int)
-	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
+	// ReservePartition reserves a partition of the store that no cell has used, and calls onReserved
+	// with its number. PartitionStream returns the stream of a partition. MoveClaim claims the cell,
+	// which this node owns by a token, again: its stream is then that of the partition.
+	ReservePartition func(onReserved func(number int))
+	PartitionStream  func(number int) damsonwinch.Stream
+	MoveClaim        func(cell string, token, partition int)
+	// OnTasksWaiting is called when tasks begin to wait for capacity. It must not block.
 	OnTasksWaiting func()
 }
 
-// Options say what is owned.
+// Options identify the cell to own, and configure it.
 type Options struct {
 	Cell string
 	// Stream holds the cell's records.
 	Stream damsonwinch.Stream
-	// Token is the epoch of the claim by which the cell is owned.
+	// Token is the epoch of the claim by which this node owns the cell. It is the fencing token of
+	// the owner's appends and requests.
 	Token int
-	// MaxAppendBytes is the most that the store takes in a call.
+	// MaxAppendBytes is the size of the largest append that the store accepts.
 	MaxAppendBytes int
-	CellOptions     cell.Options
+	CellOptions    cell.Options
 }
 
-// Owner owns one cell until it is closed or deposed.
+// Owner owns one cell until it is closed, until a newer owner has taken the cell over, or until the
+// machine has been suspended.
 type Owner struct {
 	deps    Deps
 	options Options
 	cell    *cell.Cell
 	inbox   chan message
 	group   *errgroup.Group
-	// calling makes the calls at endpoints.
-	calling *workers.Pool
-	ctx     context.Context // Ends with the owner; net calls hang on it.
-	cancel  context.CancelFunc
-	// calls holds the waiting calls of clients by ticket.
-	calls  map[int]chan<- wire.JobReply
-	ticket int
-	writer *stream.Writer
-	// syncs are calls of the planner that wait for a record.
-	syncs []waitingSync
-	// plannerToken is the epoch of the newest fleet planner heard of.
+	// requestPool runs the requests to endpoints.
+	requestPool *workers.Pool
+	ctx         context.Context // Ends with the owner, and with it the owner's network calls.
+	cancel      context.CancelFunc
+	// pendingCalls holds, by call ID, the channels for the replies to clients' calls that wait for one.
+	// lastCallID is the highest ID that has been used.
+	pendingCalls map[int]chan<- wire.JobReply
+	lastCallID   int
+	writer       *stream.Writer
+	// waitingSyncs are the planner's calls that wait for a record to be stored, oldest first.
+	waitingSyncs []waitingSync
+	// plannerToken is the highest epoch of a fleet planner that has called.
 	plannerToken int
-	boxesAt      time.Time
-	boxesOut     bool
-	move         move
-	// sleptBefore is for how long the machine had been suspended when this owner began.
-	sleptBefore time.Duration
-	// published are the figures of the cell that the node's counters have.
-	published cell.Stats
-	// waits says that tasks wait for room.
-	waits atomic.Bool
+	// boxesRequestedAt is when the list of boxes was last requested.
+	boxesRequestedAt time.Time
+	boxListInFlight  bool
+	move             move
+	// suspendedBefore is for how long the machine had been suspended when this owner started.
+	suspendedBefore time.Duration
+	// publishedStats are the statistics of the cell that the node's counters include.
+	publishedStats cell.Stats
+	// tasksWaiting is set while tasks wait for capacity.
+	tasksWaiting atomic.Bool
 	// ready is closed once the cell's state has been loaded.
 	ready chan struct{}
-	done  chan struct{}
+	// done is closed once the owner has stopped.
+	done chan struct{}
 }
 
-// New starts to own a cell.
+// New starts an owner. It takes the cell over in the background; until then clients' calls wait.
 func New(deps Deps, options Options) *Owner {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	o := &Owner{
 		deps: deps, options: options, cell: cell.New(options.CellOptions, options.Token), inbox: make(chan message, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
-		group:  group, calling: workers.New(ctx, group), ctx: ctx, cancel: cancel, calls: map[int]chan<- wire.JobReply{},
-		ready: make(chan struct{}), done: make(chan struct{}), sleptBefore: deps.SuspendedTime.Total(),
+		group:  group, requestPool: workers.New(ctx, group), ctx: ctx, cancel: cancel, pendingCalls: map[int]chan<- wire.JobReply{},
+		ready: make(chan struct{}), done: make(chan struct{}), suspendedBefore: deps.SuspendedTime.Total(),
 	}
 	group.Go(o.run)
 	return o
 }
 
-// Done is closed once the owner has ended, by itself or not.
+// Done returns a channel that is closed once the owner has stopped, by itself or by Close.
 func (o *Owner) Done() <-chan struct{} {
 	return o.done
 }
 
-// Token returns the epoch by which the cell is owned.
+// Token returns the epoch of the claim by which this node owns the cell.
 func (o *Owner) Token() int {
 	return o.options.Token
 }
 
-// Close ends the owner and waits for its calls to end.
+// Close stops the owner and waits for its calls to end. It returns the error with which the owner has
+// stopped by itself, if any.
 func (o *Owner) Close() error {
 	o.cancel()
 	if err := o.group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
@@ -126,7 +135,7 @@
 func (o *Owner) run() error {
 	defer close(o.done)
 	defer o.cancel()
-	defer o.failCalls()
+	defer o.failPendingCalls()
 	if err := o.takeOver(); err != nil {
 		o.deps.Logger.WithError(err).Warn("cell not taken over")
 		return err
@@ -135,9 +144,9 @@
 	return o.loop()
 }
 
-// takeOver loads what the stream holds, after earlier owners are kept out of it.
+// takeOver fences earlier owners off the cell's stream and loads the cell from it.
 func (o *Owner) takeOver() error {
-	begun := o.deps.Clock.Now()
+	startedAt := o.deps.Clock.Now()
 	records, err := o.writer.TakeOver(o.ctx)
 	if err != nil {
 		return err
@@ -147,12 +156,12 @@
 		return fmt.Errorf("load cell %s: %w", o.options.Cell, err)
 	}
 	o.deps.Logger.WithFields(logrus.Fields{
-		"token": o.options.Token, "records": len(records), "took_ms": now.Sub(begun).Milliseconds(),
+		"token": o.options.Token, "records": len(records), "took_ms": now.Sub(startedAt).Milliseconds(),
 	}).Info("cell taken over")
 	return nil
 }
 
-// loop takes messages and lets time pass until the owner ends.
+// loop handles messages and timer ticks until the owner stops.
 func (o *Owner) loop() error {
 	timer := o.deps.Clock.NewTimer(0)
 	defer timer.Stop()
@@ -161,48 +170,50 @@
 		case <-o.ctx.Done():
 			return o.ctx.Err()
 		case m := <-o.inbox:
-			o.cell.Batch(func() { o.takeAll(m) })
+			o.cell.Batch(func() { o.applyMessages(m) })
 		case <-timer.Chan():
 			now := o.deps.Clock.Now()
 			o.cell.Tick(now)
-			o.answerSyncs(now, false)
-			o.considerMove(now)
-			o.publish()
+			o.replyToSyncs(now, false)
+			o.maybeStartMove(now)
+			o.publishStats()
 		}
-		o.wake()
-		if o.carryOut() {
-			o.deps.Logger.WithField("token", o.options.Token).Warn("cell lost: a newer owner may give orders")
+		o.checkSuspension()
+		if o.executeEffects() {
+			o.deps.Logger.WithField("token", o.options.Token).Warn("cell lost: it may have a newer owner")
 			return stream.ErrDeposed
 		}
-		o.noteWaits()
+		o.updateTasksWaiting()
 		resetTimer(timer, o.cell.NextTick().Sub(o.deps.Clock.Now()))
 	}
 }
 
-// wake tells the cell for how long the machine has been suspended. It must come right before
-// orders are given: what was decided before a suspension is no longer true.
-func (o *Owner) wake() bool {
-	return o.cell.Suspended(o.deps.SuspendedTime.Total() - o.sleptBefore)
+// checkSuspension tells the cell for how long the machine has been suspended since this owner started,
+// and reports whether the cell may have a newer owner because of that. It must be called immediately
+// before requests are sent, because decisions from before a suspension are out of date.
+func (o *Owner) checkSuspension() bool {
+	return o.cell.Suspended(o.deps.SuspendedTime.Total() - o.suspendedBefore)
 }
 
-// HasWaitingTasks says whether tasks of the cell wait for room.
+// HasWaitingTasks reports whether tasks of the cell wait for capacity. Any goroutine may call it.
 func (o *Owner) HasWaitingTasks() bool {
-	return o.waits.Load()
+	return o.tasksWaiting.Load()
 }
 
-func (o *Owner) noteWaits() {
-	waits := o.cell.HasWaitingTasks()
-	if o.waits.Swap(waits) != waits && waits {
+// updateTasksWaiting brings tasksWaiting up to date and calls OnTasksWaiting if it has become true.
+func (o *Owner) updateTasksWaiting() {
+	waiting := o.cell.HasWaitingTasks()
+	if o.tasksWaiting.Swap(waiting) != waiting && waiting {
 		o.deps.OnTasksWaiting()
 	}
 }
 
-// takeAll takes a message and those that wait behind it, as many as an inbox holds
-// at most.
-func (o *Owner) takeAll(m message) {
-	for taken := 1; ; taken++ {
+// applyMessages applies a message and the ones that wait behind it in the inbox, at most inboxSize in
+// all.
+func (o *Owner) applyMessages(m message) {
+	for applied := 1; ; applied++ {
 		m.apply(o, o.deps.Clock.Now())
-		if taken >= inboxSize {
+		if applied >= inboxSize {
 			return
 		}
 		select {
@@ -213,21 +224,22 @@
 	}
 }
 
+// resetTimer makes the timer fire after delay, or at once if delay is negative.
 func resetTimer(timer interface {
 	Stop() bool
 	Reset(time.Duration) bool
 	Chan() <-chan time.Time
-}, length time.Duration) {
+}, delay time.Duration) {
 	if !timer.Stop() {
 		select {
 		case <-timer.Chan():
 		default:
 		}
 	}
-	timer.Reset(max(length, 0))
+	timer.Reset(max(delay, 0))
 }
 
-// send gives the owner a message; it is dropped once the owner has ended.
+// send puts a message into the inbox. The message is dropped if the owner has stopped.
 func (o *Owner) send(m message) {
 	select {
 	case o.inbox <- m:
@@ -235,10 +247,10 @@
 	}
 }
 
-// failCalls tells the waiting clients that nobody knows.
-func (o *Owner) failCalls() {
-	for ticket, call := range o.calls {
+// failPendingCalls replies to the waiting clients that the outcome is unknown.
+func (o *Owner) failPendingCalls() {
+	for id, call := range o.pendingCalls {
 		call <- wire.JobReply{Outcome: wire.JobOutcomeUnknown, Reason: "the owner of the cell has ended"}
-		delete(o.calls, ticket)
+		delete(o.pendingCalls, id)
 	}
 }
--- a/pkg/owner/suspend_test.go
+++ b/pkg/owner/suspend_test.go
@@ -7,21 +7,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestASuspendedOwnerGivesNoOrder: what it has decided is dropped, and it ends.
-func TestASuspendedOwnerGivesNoOrder(t *testing.T) {
-	m := newMoving(t, &partedStore{})
-	slept := time.Duration(0)
-	m.deps.SuspendedTime = func() time.Duration { return slept }
-	committed{number: 1}.apply(m.Owner, m.clock.Now())
-	submission("b", m.clock.Now(), m.replies).apply(m.Owner, m.clock.Now())
-	m.clock.Advance(time.Second)
-	m.cell.Tick(m.clock.Now())
-	slept = 50 * time.Millisecond
-	assert.Assert(t, !m.wake(), "too short to matter")
+// While the machine is suspended another node may take the cell over. The owner must then drop what it
+// has decided and stop.
+func TestOwnerSendsNothingAfterSuspension(t *testing.T) {
+	f := newFixture(t, &partialOutageStore{})
+	suspended := time.Duration(0)
+	f.deps.SuspendedTime = func() time.Duration { return suspended }
+	committed{number: 1}.apply(f.Owner, f.clock.Now())
+	submission("b", f.clock.Now(), f.replies).apply(f.Owner, f.clock.Now())
+	f.clock.Advance(time.Second)
+	f.cell.Tick(f.clock.Now())
+	suspended = 50 * time.Millisecond
+	assert.Assert(t, !f.checkSuspension(), "a suspension of 50 ms must be ignored")
 
-	slept = 3 * time.Second
-	assert.Assert(t, m.wake())
-	assert.Assert(t, m.carryOut(), "it ends")
-	assert.Equal(t, len(m.replies), 1, "what the store holds is true all the same")
-	assert.Assert(t, m.writer.Next().Sequence <= 2, "nothing more was appended")
+	suspended = 3 * time.Second
+	assert.Assert(t, f.checkSuspension())
+	assert.Assert(t, f.executeEffects(), "the owner must stop")
+	assert.Equal(t, len(f.replies), 1, "the job that is stored must still be confirmed to its client")
+	assert.Assert(t, f.writer.Next().Sequence <= 2, "nothing more may be appended")
 }
