--- a/pkg/intake/cells.go
+++ b/pkg/intake/cells.go
@@ -10,66 +10,68 @@
 	"damsonwinch/pkg/wire"
 )
 
-// undecided is the reply to a call that comes before it is known into how many cells the
-// pools are cut.
-func undecided() wire.JobReply {
-	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "the cells have not been laid out yet", RetryAfterMs: retryAfterMs}
+// undecidedReply returns the reply to a call that arrives before the layout of the cells is decided. A
+// job could get into the wrong cell then, and would not be found later.
+func undecidedReply() wire.JobReply {
+	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "the layout of the cells has not been decided yet", RetryAfterMs: retryAfterMs}
 }
 
-// Submit implements damsonwinch.Jobs.
+// Submit implements damsonwinch.JobService. The job goes to a cell by its ID, or, if it is long-running,
+// to its pool's cell for long-running jobs.
 func (r *Router) Submit(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
 	if !layout.Decided() {
-		return undecided()
+		return undecidedReply()
 	}
 	number := layout.JobShard(args.Id)
 	if args.Spec != nil && job.IsLongRunning(*args.Spec) {
 		number = layout.LongRunningJobShard(args.Pool)
 	}
-	return r.route(ctx, submit, inCell(args, number))
+	return r.route(ctx, submitMethod, argsForCell(args, number))
 }
 
-// Show implements damsonwinch.Jobs.
+// Show implements damsonwinch.JobService.
 func (r *Router) Show(ctx context.Context, args wire.JobArgs) wire.JobReply {
-	return r.find(ctx, show, args)
+	return r.find(ctx, showMethod, args)
 }
 
-// Cancel implements damsonwinch.Jobs.
+// Cancel implements damsonwinch.JobService.
 func (r *Router) Cancel(ctx context.Context, args wire.JobArgs) wire.JobReply {
-	return r.find(ctx, cancel, args)
+	return r.find(ctx, cancelMethod, args)
 }
 
-// find calls the cell that has a job: that of its ID or, if its tasks last, the one of its
-// pool for those.
+// find calls the owner of the cell that has a job. The call doesn't say whether the job is long-running,
+// so it goes to the cell for the job's ID first, and to the pool's cell for long-running jobs if the first
+// one doesn't have the job.
 func (r *Router) find(ctx context.Context, m method, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
 	if !layout.Decided() {
-		return undecided()
+		return undecidedReply()
 	}
-	number, lasting := layout.JobShard(args.Id), layout.LongRunningJobShard(args.Pool)
-	reply := r.route(ctx, m, inCell(args, number))
-	if reply.Outcome == wire.JobOutcomeNoSuchJob && lasting != number {
-		return r.route(ctx, m, inCell(args, lasting))
+	number, longRunning := layout.JobShard(args.Id), layout.LongRunningJobShard(args.Pool)
+	reply := r.route(ctx, m, argsForCell(args, number))
+	if reply.Outcome == wire.JobOutcomeNoSuchJob && longRunning != number {
+		return r.route(ctx, m, argsForCell(args, longRunning))
 	}
 	return reply
 }
 
-// Pending implements damsonwinch.Jobs. It is the sum over all cells of the pool; one that
-// can't tell leaves the whole untold.
+// Pending implements damsonwinch.JobService. It returns the sum over all cells of the pool, or the failure
+// of one cell if any has failed: a part of the sum would be taken for the whole.
 func (r *Router) Pending(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
 	if !layout.Decided() {
-		return undecided()
+		return undecidedReply()
 	}
 	replies := make([]wire.JobReply, layout.Shards)
 	var group errgroup.Group
 	for number := range replies {
 		group.Go(func() error {
-			replies[number] = r.route(ctx, pending, inCell(args, number))
+			replies[number] = r.route(ctx, pendingMethod, argsForCell(args, number))
 			return nil
 		})
 	}
-	// The calls tell of their failures by their replies.
+	// The functions always return nil. Failures are in the replies.
 	_ = group.Wait()
 	sum := replies[0]
 	for _, reply := range replies[1:] {
@@ -82,8 +84,8 @@
 	return sum
 }
 
-// inCell returns a call for one cell of its pool.
-func inCell(args wire.JobArgs, number int) wire.JobArgs {
+// argsForCell returns the arguments of a call with the cell of the given shard in place of the pool.
+func argsForCell(args wire.JobArgs, number int) wire.JobArgs {
 	args.Cell, args.Pool = shard.CellName(args.Pool, number), ""
 	return args
 }
--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -16,7 +16,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// fakeOwner is the owner of a cell that keeps the jobs it is handed.
+// fakeOwner is an owner of a cell that only remembers which jobs were submitted and not cancelled.
 type fakeOwner struct {
 	jobs    map[string]bool
 	pending wire.JobReply
@@ -46,20 +46,20 @@
 
 func (o *fakeOwner) Sync(context.Context, wire.SyncArgs) wire.SyncReply { return wire.SyncReply{} }
 
-// fakeCells are cells that are all owned here.
+// fakeCells are cells that are all owned by this node.
 type fakeCells struct {
 	layout shard.Layout
 	owners map[string]*fakeOwner
 }
 
 func (c *fakeCells) LocalOwner(cell string) (CellOwner, bool) {
-	owner, here := c.owners[cell]
-	return owner, here
+	owner, isLocal := c.owners[cell]
+	return owner, isLocal
 }
 
-func (c *fakeCells) View() ownership.View       { return ownership.View{Layout: c.layout} }
-func (c *fakeCells) StoreAnsweredAt() time.Time { return time.Time{} }
-func (c *fakeCells) ReportRefusedConnection(string, int)        {}
+func (c *fakeCells) View() ownership.View                { return ownership.View{Layout: c.layout} }
+func (c *fakeCells) StoreAnsweredAt() time.Time          { return time.Time{} }
+func (c *fakeCells) ReportRefusedConnection(string, int) {}
 
 func (c *fakeCells) Admit(context.Context, wire.JobArgs) (wire.JobReply, bool) {
 	return wire.JobReply{}, true
@@ -73,44 +73,43 @@
 	return c
 }
 
-func routerOf(cells Cells) *Router {
+func newTestRouter(cells Cells) *Router {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return NewRouter(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
 }
 
-func jobOf(id string, lasting bool) wire.JobArgs {
-	return wire.JobArgs{Queue: "queue", Pool: "pool", Id: id, Spec: &wire.JobSpec{Phases: []wire.Phase{{Count: 1, Lasting: lasting}}}}
+func submitArgs(id string, longRunning bool) wire.JobArgs {
+	return wire.JobArgs{Queue: "queue", Pool: "pool", Id: id, Spec: &wire.JobSpec{Phases: []wire.Phase{{Count: 1, Lasting: longRunning}}}}
 }
 
-// TestAJobIsFoundInItsCell whether its tasks last or not, and by any call: the calls that
-// follow don't tell.
-func TestAJobIsFoundInItsCell(t *testing.T) {
+// Show and Cancel find a job in its cell, although their calls don't say whether the job is long-running.
+func TestJobIsFoundInItsCell(t *testing.T) {
 	cells := newFakeCells(4)
-	router, ctx := routerOf(cells), t.Context()
+	router, ctx := newTestRouter(cells), t.Context()
 	for _, id := range []string{"a1", "b2", "c3", "d4", "e5", "f6", "a7", "b8"} {
-		for _, lasting := range []bool{false, true} {
+		for _, longRunning := range []bool{false, true} {
 			name := id
-			if lasting {
+			if longRunning {
 				name += "-lasts"
 			}
-			assert.Equal(t, router.Submit(ctx, jobOf(name, lasting)).Outcome, wire.JobOutcomeAccepted)
-			if lasting {
+			assert.Equal(t, router.Submit(ctx, submitArgs(name, longRunning)).Outcome, wire.JobOutcomeAccepted)
+			if longRunning {
 				assert.Assert(t, cells.owners[shard.CellName("pool", cells.layout.LongRunningJobShard("pool"))].jobs[name])
 			}
-			asked := wire.JobArgs{Queue: "queue", Pool: "pool", Id: name}
-			assert.Equal(t, router.Show(ctx, asked).State, wire.JobStateRunning)
-			assert.Equal(t, router.Cancel(ctx, asked).Outcome, wire.JobOutcomeAccepted)
-			assert.Equal(t, router.Show(ctx, asked).Outcome, wire.JobOutcomeNoSuchJob)
+			args := wire.JobArgs{Queue: "queue", Pool: "pool", Id: name}
+			assert.Equal(t, router.Show(ctx, args).State, wire.JobStateRunning)
+			assert.Equal(t, router.Cancel(ctx, args).Outcome, wire.JobOutcomeAccepted)
+			assert.Equal(t, router.Show(ctx, args).Outcome, wire.JobOutcomeNoSuchJob)
 		}
 	}
 }
 
-// TestPendingIsTheSumOverAllCells, or untold where one of them can't tell: a part of it
-// would be taken for the whole.
+// If one cell can't say how many jobs are pending, the whole call fails: a part of the sum would be taken
+// for the whole.
 func TestPendingIsTheSumOverAllCells(t *testing.T) {
 	cells := newFakeCells(3)
-	router := routerOf(cells)
+	router := newTestRouter(cells)
 	args := wire.JobArgs{Queue: "queue", Pool: "pool"}
 	assert.DeepEqual(t, router.Pending(t.Context(), args), wire.JobReply{Outcome: wire.JobOutcomeFound, Pending: 6})
 
@@ -118,12 +117,12 @@
 	assert.Equal(t, router.Pending(t.Context(), args).Outcome, wire.JobOutcomeRefused)
 }
 
-// TestNothingIsTakenBeforeTheCellsAreLaidOut: a job in the wrong cell would not be found.
-func TestNothingIsTakenBeforeTheCellsAreLaidOut(t *testing.T) {
-	router := routerOf(&fakeCells{})
+// A job that was put into the wrong cell would not be found later.
+func TestCallsAreRefusedBeforeLayoutIsDecided(t *testing.T) {
+	router := newTestRouter(&fakeCells{})
 	for _, reply := range []wire.JobReply{
-		router.Submit(t.Context(), jobOf("a", false)), router.Show(t.Context(), jobOf("a", false)),
-		router.Cancel(t.Context(), jobOf("a", false)), router.Pending(t.Context(), jobOf("", false)),
+		router.Submit(t.Context(), submitArgs("a", false)), router.Show(t.Context(), submitArgs("a", false)),
+		router.Cancel(t.Context(), submitArgs("a", false)), router.Pending(t.Context(), submitArgs("", false)),
 	} {
 		assert.Equal(t, reply.Outcome, wire.JobOutcomeRefused)
 		assert.Assert(t, reply.RetryAfterMs > 0)
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -1,5 +1,5 @@
-// Package intake brings clients' calls on jobs to the owners of their cells, on
-// this node or another, and serves such calls of other nodes.
+// Package intake routes clients' calls on jobs to the owners of the jobs' cells, on this node or another
+// one, and serves such calls from other nodes.
 package intake
 
 import (
@@ -17,46 +17,48 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of a call that waits for an owner.
+// Times of a call that is being routed.
 const (
-	// holdTime is how long a call waits for a cell that has no owner. A takeover is
-	// over in about a second; a client that is told to come back does so later.
-	holdTime = 500 * time.Millisecond
-	// ownerTime bounds the time in which an owner answers: it holds a job for a store
-	// that is away for at most 2.4 s. A peer that is cut off is noticed sooner.
-	ownerTime = 2600 * time.Millisecond
-	// openTime is how long a call is tried again whose outcome is open; then the client
-	// is told so, and may ask another node.
-	openTime = 1600 * time.Millisecond
-	// retryPause stands between two tries.
-	retryPause = 40 * time.Millisecond
-	// retryAfterMs tells a client when to come back after a refusal.
+	// refusedRetryTime is how long a call is retried that certainly has had no effect, for example
+	// because its cell has no owner. A takeover takes about a second. After refusedRetryTime the
+	// client is told to retry later.
+	refusedRetryTime = 500 * time.Millisecond
+	// routeTimeout bounds the time of a call including all attempts. While the store is unavailable, an
+	// owner waits at most 2.4 s before it replies. A peer that is cut off is detected sooner.
+	routeTimeout = 2600 * time.Millisecond
+	// unknownRetryTime is how long a call is retried whose outcome is unknown. After that the client
+	// is told that it is unknown, and may ask another node.
+	unknownRetryTime = 1600 * time.Millisecond
+	// retryInterval is the time between two attempts.
+	retryInterval = 40 * time.Millisecond
+	// retryAfterMs is the time after which a refused client should retry, in milliseconds.
 	retryAfterMs = 500
 )
 
-// Cells knows the cells' owners.
+// Cells is what a Router and a Service need of their node: the cells' owners, as far as the node knows
+// them.
 type Cells interface {
-	// LocalOwner returns the cell's owner if it is on this node.
+	// LocalOwner returns the owner of a cell if it is on this node, and whether it is.
 	LocalOwner(cell string) (CellOwner, bool)
-	// View returns what is believed of all cells.
+	// View returns what this node knows about all cells.
 	View() ownership.View
 	// StoreAnsweredAt returns when the store last answered this node.
 	StoreAnsweredAt() time.Time
-	// Admit says whether a call that another node has taken may be made, by what this one
-	// knows of customers and their keys; if not, the reply.
+	// Admit reports whether a call that another node has forwarded is permitted by the configuration
+	// that this node has of customers and their keys. If not, it returns the reply to the call.
 	Admit(ctx context.Context, args wire.JobArgs) (wire.JobReply, bool)
-	// ReportRefusedConnection tells that a node's life has refused a connection.
+	// ReportRefusedConnection reports that an incarnation of a node has refused a connection.
 	ReportRefusedConnection(node string, incarnation int)
 }
 
-// CellOwner is what the owner of a cell answers.
+// CellOwner is the owner of a cell, on this node.
 type CellOwner interface {
 	damsonwinch.JobService
-	// Sync answers the fleet planner.
+	// Sync handles a call of the fleet planner.
 	Sync(ctx context.Context, args wire.SyncArgs) wire.SyncReply
 }
 
-// Deps are what a router works with.
+// Deps are the dependencies of a Router.
 type Deps struct {
 	Cells   Cells
 	Dial    damsonwinch.Dial
@@ -65,22 +67,22 @@
 	Logger  logrus.FieldLogger
 }
 
-// Router sends each call to the owner of its cell.
+// Router sends each call to the owner of its cell, and retries it if the owner changes meanwhile.
 type Router struct {
 	deps Deps
-	// The lock guards only the table of connections, which calls of many clients
-	// share.
+	// mutex guards peers, the connections to other nodes by address. The calls of all clients share
+	// them.
 	mutex sync.Mutex
 	peers map[string]*call.Client
-	// answeredAt and failedAt are when another node last did as asked, or could not be
-	// reached, in nanoseconds since 1970.
-	answeredAt atomic.Int64
-	failedAt   atomic.Int64
+	// peerAnsweredAt is when another node last answered a call without refusing it, and peerFailedAt
+	// when a call to another node last failed, both in Unix nanoseconds.
+	peerAnsweredAt atomic.Int64
+	peerFailedAt   atomic.Int64
 }
 
 var _ damsonwinch.JobService = (*Router)(nil)
 
-// NewRouter returns a router.
+// NewRouter returns a router, which has no connections yet.
 func NewRouter(deps Deps) *Router {
 	return &Router{deps: deps, peers: map[string]*call.Client{}}
 }
@@ -94,47 +96,49 @@
 	}
 }
 
-// method is one of the calls on jobs: its name between nodes, and the local call.
+// method is one of the calls on jobs: its net/rpc name, by which other nodes are called, and the method
+// that calls an owner on this node.
 type method struct {
-	name  string
-	local func(jobs damsonwinch.JobService, ctx context.Context, args wire.JobArgs) wire.JobReply
+	name   string
+	invoke func(service damsonwinch.JobService, ctx context.Context, args wire.JobArgs) wire.JobReply
 }
 
 var (
-	submit  = method{ServiceName + ".Submit", damsonwinch.JobService.Submit}
-	show    = method{ServiceName + ".Show", damsonwinch.JobService.Show}
-	cancel  = method{ServiceName + ".Cancel", damsonwinch.JobService.Cancel}
-	pending = method{ServiceName + ".Pending", damsonwinch.JobService.Pending}
+	submitMethod  = method{ServiceName + ".Submit", damsonwinch.JobService.Submit}
+	showMethod    = method{ServiceName + ".Show", damsonwinch.JobService.Show}
+	cancelMethod  = method{ServiceName + ".Cancel", damsonwinch.JobService.Cancel}
+	pendingMethod = method{ServiceName + ".Pending", damsonwinch.JobService.Pending}
 )
 
-// route tries a call until the owner has answered it or it has waited long
-// enough. Owners take a job or a cancel of the same ID but once, so a try whose
-// outcome is open may be repeated; but then "refused" can no longer be told.
+// route makes attempts at a call until its owner has carried it out or refused it for good, or until the
+// time for retries is over. An attempt whose outcome is unknown may be repeated, because an owner accepts a
+// job of the same ID, or its cancellation, only once. But once an attempt's outcome is unknown, a later
+// refusal doesn't show that the call had no effect, and the outcome of the call remains unknown.
 func (r *Router) route(ctx context.Context, m method, args wire.JobArgs) wire.JobReply {
-	ctx, done := context.WithTimeout(ctx, ownerTime)
+	ctx, done := context.WithTimeout(ctx, routeTimeout)
 	defer done()
-	begun := r.deps.Clock.Now()
-	open := false
-	defer func() { r.deps.Metrics.Observe("call_"+m.name, r.deps.Clock.Since(begun)) }()
+	startedAt := r.deps.Clock.Now()
+	outcomeUnknown := false
+	defer func() { r.deps.Metrics.Observe("call_"+m.name, r.deps.Clock.Since(startedAt)) }()
 	for {
-		args.WaitMs = waitMs(ctx, r.deps.Clock.Now())
-		reply, maySent := r.try(ctx, m, args)
-		open = open || maySent
-		if !failed(reply) {
+		args.WaitMs = remainingMs(ctx, r.deps.Clock.Now())
+		reply, mayHaveEffect := r.attempt(ctx, m, args)
+		outcomeUnknown = outcomeUnknown || mayHaveEffect
+		if !isFailure(reply) {
 			return reply
 		}
-		if ctx.Err() != nil || final(reply) || r.deps.Clock.Now().Sub(begun) > patience(open) {
-			return r.giveUp(m, args, reply, open, begun)
+		if ctx.Err() != nil || isFinalRefusal(reply) || r.deps.Clock.Now().Sub(startedAt) > maxRetryTime(outcomeUnknown) {
+			return r.giveUp(m, args, reply, outcomeUnknown, startedAt)
 		}
 		r.deps.Metrics.Add("route_retries", 1)
 		if !r.sleep(ctx) {
-			return r.giveUp(m, args, reply, open, begun)
+			return r.giveUp(m, args, reply, outcomeUnknown, startedAt)
 		}
 	}
 }
 
-// waitMs returns how long a call still waits for its answer, in milliseconds.
-func waitMs(ctx context.Context, now time.Time) int {
+// remainingMs returns the time until a call's deadline in milliseconds, at least 1, or 0 if it has none.
+func remainingMs(ctx context.Context, now time.Time) int {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
 		return 0
@@ -142,27 +146,29 @@
 	return max(1, int(deadline.Sub(now).Milliseconds()))
 }
 
-// patience returns how long a call is tried again.
-func patience(open bool) time.Duration {
-	if open {
-		return openTime
+// maxRetryTime returns for how long a call is retried.
+func maxRetryTime(outcomeUnknown bool) time.Duration {
+	if outcomeUnknown {
+		return unknownRetryTime
 	}
-	return holdTime
+	return refusedRetryTime
 }
 
-// final says whether an owner has refused a call for good: it tells when to come back.
-func final(reply wire.JobReply) bool {
+// isFinalRefusal reports whether an owner has refused a call and has said when the client should retry. The
+// router doesn't retry such a call.
+func isFinalRefusal(reply wire.JobReply) bool {
 	return reply.Outcome == wire.JobOutcomeRefused && reply.RetryAfterMs > 0
 }
 
-// giveUp words the final answer of a call that no owner has answered.
-func (r *Router) giveUp(m method, args wire.JobArgs, reply wire.JobReply, open bool, begun time.Time) wire.JobReply {
+// giveUp returns the reply to a call that no owner has carried out, from the reply to the last attempt, and
+// counts and logs it.
+func (r *Router) giveUp(m method, args wire.JobArgs, reply wire.JobReply, outcomeUnknown bool, startedAt time.Time) wire.JobReply {
 	claim, _ := r.deps.Cells.View().Owner(args.Cell)
 	r.deps.Logger.WithFields(logrus.Fields{
-		"call": m.name, "job": args.Id, "cell": args.Cell, "owner": claim.Node, "epoch": claim.Token, "open": open,
-		"waited_ms": r.deps.Clock.Now().Sub(begun).Milliseconds(), "why": reply.Reason,
+		"call": m.name, "job": args.Id, "cell": args.Cell, "owner": claim.Node, "epoch": claim.Token, "open": outcomeUnknown,
+		"waited_ms": r.deps.Clock.Now().Sub(startedAt).Milliseconds(), "why": reply.Reason,
 	}).Warn("call given up")
-	if open {
+	if outcomeUnknown {
 		r.deps.Metrics.Add("calls_unknown", 1)
 		return wire.JobReply{Outcome: wire.JobOutcomeUnknown, Reason: reply.Reason}
 	}
@@ -173,25 +179,26 @@
 	return reply
 }
 
-// try makes one try and says whether it may have had an effect.
-func (r *Router) try(ctx context.Context, m method, args wire.JobArgs) (wire.JobReply, bool) {
-	if local, here := r.deps.Cells.LocalOwner(args.Cell); here {
-		reply := m.local(local, ctx, args)
+// attempt makes one attempt at a call. The second result reports whether its outcome is unknown: the call
+// may have been carried out, or may still be.
+func (r *Router) attempt(ctx context.Context, m method, args wire.JobArgs) (wire.JobReply, bool) {
+	if owner, isLocal := r.deps.Cells.LocalOwner(args.Cell); isLocal {
+		reply := m.invoke(owner, ctx, args)
 		return reply, reply.Outcome == wire.JobOutcomeUnknown
 	}
-	claim, known := r.deps.Cells.View().Owner(args.Cell)
-	if !known {
+	claim, owned := r.deps.Cells.View().Owner(args.Cell)
+	if !owned {
 		return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "the cell has no owner now"}, false
 	}
 	var reply wire.JobReply
 	err := r.peer(claim.Address).Do(ctx, m.name, args, &reply)
 	if err == nil {
-		if !failed(reply) {
-			r.answeredAt.Store(r.deps.Clock.Now().UnixNano())
+		if !isFailure(reply) {
+			r.peerAnsweredAt.Store(r.deps.Clock.Now().UnixNano())
 		}
 		return reply, reply.Outcome == wire.JobOutcomeUnknown
 	}
-	r.failedAt.Store(r.deps.Clock.Now().UnixNano())
+	r.peerFailedAt.Store(r.deps.Clock.Now().UnixNano())
 	if call.Refused(err) {
 		r.deps.Cells.ReportRefusedConnection(claim.Node, claim.Incarnation)
 	}
@@ -199,32 +206,33 @@
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: err.Error()}, call.MaySent(err)
 }
 
-// failed says whether an owner could not do what it was asked.
-func failed(reply wire.JobReply) bool {
+// isFailure reports whether a call was refused or its outcome is unknown.
+func isFailure(reply wire.JobReply) bool {
 	return reply.Outcome == wire.JobOutcomeRefused || reply.Outcome == wire.JobOutcomeUnknown
 }
 
-// ReachesOwners says whether calls to other nodes were answered within a time as asked, the
-// last one included.
-func (r *Router) ReachesOwners(within time.Duration) bool {
-	answered := r.answeredAt.Load()
-	return answered > r.failedAt.Load() && r.deps.Clock.Now().UnixNano()-answered < within.Nanoseconds()
+// ReachesOwners reports whether this node can reach owners on other nodes: one has answered a call without
+// refusing it in the last maxAge, and no call to another node has failed since.
+func (r *Router) ReachesOwners(maxAge time.Duration) bool {
+	answeredAt := r.peerAnsweredAt.Load()
+	return answeredAt > r.peerFailedAt.Load() && r.deps.Clock.Now().UnixNano()-answeredAt < maxAge.Nanoseconds()
 }
 
-// Claims asks another node for the claims that it knows.
+// Claims asks the node at an address for the claims that it knows.
 func (r *Router) Claims(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error) {
 	var reply wire.ClaimsReply
 	err := r.peer(address).Do(ctx, ServiceName+".Claims", args, &reply)
 	return reply, err
 }
 
-// Sync brings the fleet planner's call to the owner of a cell, with one try.
+// Sync sends a call of the fleet planner to the owner of a cell, in one attempt. If the cell has no owner,
+// the reply's Known is false.
 func (r *Router) Sync(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error) {
-	if local, here := r.deps.Cells.LocalOwner(args.Cell); here {
-		return local.Sync(ctx, args), nil
+	if owner, isLocal := r.deps.Cells.LocalOwner(args.Cell); isLocal {
+		return owner.Sync(ctx, args), nil
 	}
-	claim, known := r.deps.Cells.View().Owner(args.Cell)
-	if !known {
+	claim, owned := r.deps.Cells.View().Owner(args.Cell)
+	if !owned {
 		return wire.SyncReply{}, nil
 	}
 	var reply wire.SyncReply
@@ -232,6 +240,7 @@
 	return reply, err
 }
 
+// peer returns the client for calls to the node at an address.
 func (r *Router) peer(address string) *call.Client {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -241,8 +250,9 @@
 	return r.peers[address]
 }
 
+// sleep waits for retryInterval. It returns false if the context ends first.
 func (r *Router) sleep(ctx context.Context) bool {
-	timer := r.deps.Clock.NewTimer(retryPause)
+	timer := r.deps.Clock.NewTimer(retryInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pkg/intake/service.go
+++ b/pkg/intake/service.go
@@ -9,59 +9,59 @@
 	"damsonwinch/pkg/wire"
 )
 
-// ServiceName is the name of the calls on cells between nodes.
+// ServiceName is the net/rpc name under which a node registers its Service.
 const ServiceName = "Cells"
 
-// serviceTimeout bounds a call of another node, whose own deadline net/rpc does
-// not carry: no client of the users waits longer.
+// serviceTimeout bounds the handling of a call from another node, because net/rpc doesn't transmit the
+// caller's deadline. No client waits longer.
 const serviceTimeout = 3 * time.Second
 
-// Service answers other nodes' calls for the cells that this node owns. It never
-// sends a call on.
+// Service handles the calls of other nodes for the cells that this node owns. It never forwards a call.
 type Service struct {
 	self  ownership.Member
 	cells Cells
 	clock damsonwinch.Clock
-	// context ends the calls when the node does: net/rpc gives its methods none.
-	context context.Context
+	// ctx ends all calls when the node stops. net/rpc passes no context to the methods.
+	ctx context.Context
 }
 
-// NewService returns a node's service, whose calls end with a context.
+// NewService returns the service of the node self. Its calls end when ctx does.
 func NewService(ctx context.Context, self ownership.Member, cells Cells, clock damsonwinch.Clock) *Service {
-	return &Service{self: self, cells: cells, clock: clock, context: ctx}
+	return &Service{self: self, cells: cells, clock: clock, ctx: ctx}
 }
 
-// Submit hands in a job.
+// Submit submits a job.
 func (s *Service) Submit(args wire.JobArgs, reply *wire.JobReply) error {
-	return s.answer(submit, args, reply)
+	return s.handle(submitMethod, args, reply)
 }
 
-// Show tells a job's state.
+// Show returns a job's state.
 func (s *Service) Show(args wire.JobArgs, reply *wire.JobReply) error {
-	return s.answer(show, args, reply)
+	return s.handle(showMethod, args, reply)
 }
 
-// Cancel ends a job.
+// Cancel ends a job permanently.
 func (s *Service) Cancel(args wire.JobArgs, reply *wire.JobReply) error {
-	return s.answer(cancel, args, reply)
+	return s.handle(cancelMethod, args, reply)
 }
 
-// Pending counts a queue's jobs that have not begun.
+// Pending counts a queue's jobs in the cell that have not started.
 func (s *Service) Pending(args wire.JobArgs, reply *wire.JobReply) error {
-	return s.answer(pending, args, reply)
+	return s.handle(pendingMethod, args, reply)
 }
 
-// Sync answers the fleet planner.
+// Sync passes a call of the fleet planner to the owner of a cell. The reply's Known is false if the owner
+// isn't on this node.
 func (s *Service) Sync(args wire.SyncArgs, reply *wire.SyncReply) error {
-	ctx, cancel := context.WithTimeout(s.context, serviceTimeout)
+	ctx, cancel := context.WithTimeout(s.ctx, serviceTimeout)
 	defer cancel()
-	if local, here := s.cells.LocalOwner(args.Cell); here {
-		*reply = local.Sync(ctx, args)
+	if owner, isLocal := s.cells.LocalOwner(args.Cell); isLocal {
+		*reply = owner.Sync(ctx, args)
 	}
 	return nil
 }
 
-// Claims tells who this node is and the claims that it knows.
+// Claims returns the identity of this node, the claims that it knows, and how old that knowledge is.
 func (s *Service) Claims(_ wire.ClaimsArgs, reply *wire.ClaimsReply) error {
 	view := s.cells.View()
 	now := s.clock.Now()
@@ -78,11 +78,12 @@
 	return nil
 }
 
-func (s *Service) answer(m method, args wire.JobArgs, reply *wire.JobReply) error {
-	ctx, cancel := context.WithTimeout(s.context, serviceTimeout)
+// handle passes a call on jobs to the owner of its cell, if that is on this node and the call is admitted.
+func (s *Service) handle(m method, args wire.JobArgs, reply *wire.JobReply) error {
+	ctx, cancel := context.WithTimeout(s.ctx, serviceTimeout)
 	defer cancel()
-	local, here := s.cells.LocalOwner(args.Cell)
-	if !here {
+	owner, isLocal := s.cells.LocalOwner(args.Cell)
+	if !isLocal {
 		*reply = wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "this node does not own the cell"}
 		return nil
 	}
@@ -90,6 +91,6 @@
 		*reply = refusal
 		return nil
 	}
-	*reply = m.local(local, ctx, args)
+	*reply = m.invoke(owner, ctx, args)
 	return nil
 }
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -41,8 +41,8 @@
 	// ReservePartition reserves a partition of the store that no cell has used, and calls onReserved
 	// with its number. PartitionStream returns the stream of a partition. MoveClaim claims the cell,
 	// which this node owns by a token, again: its stream is then that of the partition.
-	ReservePartition func(onReserved func(number int))
-	PartitionStream  func(number int) damsonwinch.Stream
+	ReservePartition func(onReserved func(partition int))
+	PartitionStream  func(partition int) damsonwinch.Stream
 	MoveClaim        func(cell string, token, partition int)
 	// OnTasksWaiting is called when tasks begin to wait for capacity. It must not block.
 	OnTasksWaiting func()
