--- a/pkg/front/admit.go
+++ b/pkg/front/admit.go
@@ -59,7 +59,7 @@
 
 // acquire admits a request: refuses it, sends it on, queues it or grants it a
 // box at once.
-func (f *Front) acquire(m acquireMessage) {
+func (f *Entry) acquire(m acquireMessage) {
 	row, known := f.state.Table().Row(m.item.Service)
 	if !known {
 		m.reply <- grant{refusal: refuse(http.StatusNotFound, neverRetry, "service %q is not in the table", m.item.Service)}
@@ -86,7 +86,7 @@
 }
 
 // refuse checks the limits that hold before a request may wait.
-func (f *Front) refuse(item queue.Item, row settings.Row) *refusal {
+func (f *Entry) refuse(item queue.Item, row settings.Row) *refusal {
 	if !f.mayWait(row.Pool) {
 		return f.noSender(row.Pool)
 	}
@@ -103,12 +103,12 @@
 	return nil
 }
 
-func (f *Front) noSender(pool string) *refusal {
+func (f *Entry) noSender(pool string) *refusal {
 	return refuse(http.StatusServiceUnavailable, noSenderRetry, "no box of pool %s can be sent to from here now", pool)
 }
 
 // mayWait says whether this entry sends to a box of the pool and may.
-func (f *Front) mayWait(pool string) bool {
+func (f *Entry) mayWait(pool string) bool {
 	if !f.leasing.holder.MaySend(f.now()) {
 		return false
 	}
@@ -121,7 +121,7 @@
 }
 
 // largest returns the slots of the pool's largest box, at any sender.
-func (f *Front) largest(pool string) int {
+func (f *Entry) largest(pool string) int {
 	largest := 0
 	for _, box := range f.inPool(pool) {
 		largest = max(largest, box.Info.Slots)
@@ -137,7 +137,7 @@
 	return largest
 }
 
-func (f *Front) computeShare(total int, pool string) int {
+func (f *Entry) computeShare(total int, pool string) int {
 	weights := []int{f.ownSlots(pool)}
 	index := 0
 	for _, other := range f.routes[pool] {
@@ -158,14 +158,14 @@
 	return limit.Share(total, weights, index)
 }
 
-func (f *Front) usage(service string) *usage {
+func (f *Entry) usage(service string) *usage {
 	if f.running[service] == nil {
 		f.running[service] = &usage{teams: map[string]int{}}
 	}
 	return f.running[service]
 }
 
-func (f *Front) enqueue(m acquireMessage, row settings.Row) {
+func (f *Entry) enqueue(m acquireMessage, row settings.Row) {
 	f.jobs[m.item.ID] = &job{item: m.item, tried: m.tried, hop: m.hop, reply: m.reply, pool: row.Pool}
 	f.usage(m.item.Service).teams[m.item.Customer]++
 	f.queue(row.Pool).Push(m.item)
@@ -173,7 +173,7 @@
 
 // refuseUnqueued refuses a request that couldn't start at once and finds the
 // queue full.
-func (f *Front) refuseUnqueued(id string, row settings.Row) {
+func (f *Entry) refuseUnqueued(id string, row settings.Row) {
 	waiting := f.jobs[id]
 	if waiting == nil || waiting.box != "" {
 		return
@@ -196,12 +196,12 @@
 }
 
 // refuseJob answers a waiting job that will not run.
-func (f *Front) refuseJob(waiting *job, why *refusal) {
+func (f *Entry) refuseJob(waiting *job, why *refusal) {
 	f.forget(waiting)
 	waiting.reply <- grant{refusal: why}
 }
 
-func (f *Front) forget(known *job) {
+func (f *Entry) forget(known *job) {
 	delete(f.jobs, known.item.ID)
 	teams := f.usage(known.item.Service).teams
 	teams[known.item.Customer]--
@@ -211,7 +211,7 @@
 }
 
 // retryAfter estimates when the present queue will have gone by.
-func (f *Front) retryAfter(service, pool string) time.Duration {
+func (f *Entry) retryAfter(service, pool string) time.Duration {
 	average := f.learner.AverageLatency(service)
 	slots := max(1, f.ownSlots(pool))
 	waiting := f.queue(pool).Total()
@@ -220,7 +220,7 @@
 }
 
 // refuseAll answers every waiting request when the entry ends.
-func (f *Front) refuseAll() {
+func (f *Entry) refuseAll() {
 	for _, waiting := range f.jobs {
 		if waiting.box == "" {
 			f.refuseJob(waiting, refuse(http.StatusServiceUnavailable, noSenderRetry, "this entry has stopped"))
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -40,7 +40,7 @@
 const askAgain = time.Second
 
 // takeFleet takes the boxes and routes of the present state.
-func (f *Front) takeFleet(old fold.State) {
+func (f *Entry) takeFleet(old fold.State) {
 	routes := map[string][]route{}
 	mine := map[string]bool{}
 	entries := 0
@@ -72,7 +72,7 @@
 	}
 }
 
-func (f *Front) takeOwn(box fold.Box) {
+func (f *Entry) takeOwn(box fold.Box) {
 	own := f.boxes[box.Info.Name]
 	if own == nil {
 		f.boxes[box.Info.Name] = &ownBox{Box: box}
@@ -95,13 +95,13 @@
 }
 
 // loseOwn forgets a box that has another sender now.
-func (f *Front) loseOwn(name string) {
+func (f *Entry) loseOwn(name string) {
 	f.deps.Invariants.Check(invariant.CutInFlight, f.boxes[name].inUse == 0 || !f.leasing.holder.MaySend(f.now()),
 		"box %s got another sender with %d requests in flight here", name, f.boxes[name].inUse)
 	delete(f.boxes, name)
 }
 
-func (f *Front) addRoute(routes map[string][]route, box fold.Box) {
+func (f *Entry) addRoute(routes map[string][]route, box fold.Box) {
 	for i := range routes[box.Pool] {
 		if routes[box.Pool][i].key == box.Sender {
 			routes[box.Pool][i].slots += box.Info.Slots
@@ -115,7 +115,7 @@
 	routes[box.Pool] = append(routes[box.Pool], route{key: box.Sender, address: sender.Address, slots: box.Info.Slots})
 }
 
-func (f *Front) keepBusy(routes map[string][]route) {
+func (f *Entry) keepBusy(routes map[string][]route) {
 	for pool, old := range f.routes {
 		for _, was := range old {
 			for i := range routes[pool] {
@@ -128,7 +128,7 @@
 }
 
 // takeAvoid notes which boxes the platform's list shows as leaving.
-func (f *Front) takeAvoid(names []string) {
+func (f *Entry) takeAvoid(names []string) {
 	avoid := make(map[string]time.Time, len(names))
 	for _, name := range names {
 		since, known := f.avoid[name]
@@ -141,7 +141,7 @@
 }
 
 // open says whether a box takes new work from an item.
-func (f *Front) open(box *ownBox, repeatable bool) bool {
+func (f *Entry) open(box *ownBox, repeatable bool) bool {
 	name := box.Info.Name
 	if _, leaving := f.avoid[name]; leaving || box.givenUp || box.Phase != fold.Serving {
 		return false
@@ -153,7 +153,7 @@
 }
 
 // checkLeaving asserts that a box which gets work isn't known to leave.
-func (f *Front) checkLeaving(box *ownBox) {
+func (f *Entry) checkLeaving(box *ownBox) {
 	since, leaving := f.avoid[box.Info.Name]
 	f.deps.Invariants.Check(invariant.SentToLeaving, !leaving || f.now().Sub(since) < leavingGrace,
 		"box %s got work while it is leaving", box.Info.Name)
@@ -161,7 +161,7 @@
 
 // endDrains says which draining boxes have become empty, and in a planned stop
 // hands over boxes that have nothing in flight.
-func (f *Front) endDrains(ctx context.Context) {
+func (f *Entry) endDrains(ctx context.Context) {
 	now := f.now()
 	var proposals []wire.Proposal
 	for _, box := range f.boxes {
@@ -180,7 +180,7 @@
 	f.propose(ctx, proposals)
 }
 
-func (f *Front) proposal(kind wire.Kind, box *ownBox, cause string) wire.Proposal {
+func (f *Entry) proposal(kind wire.Kind, box *ownBox, cause string) wire.Proposal {
 	return wire.Proposal{
 		Kind:   kind,
 		Cause:  cause,
@@ -191,7 +191,7 @@
 
 // propose hands proposals to the first keeper that takes them. What is lost on
 // the way is proposed again from the state.
-func (f *Front) propose(ctx context.Context, proposals []wire.Proposal) {
+func (f *Entry) propose(ctx context.Context, proposals []wire.Proposal) {
 	if len(proposals) == 0 {
 		return
 	}
--- a/pkg/front/cache.go
+++ b/pkg/front/cache.go
@@ -19,7 +19,7 @@
 }
 
 // inPool returns this entry's boxes of a pool.
-func (f *Front) inPool(pool string) []*ownBox {
+func (f *Entry) inPool(pool string) []*ownBox {
 	known, cached := f.cache.boxes[pool]
 	if cached {
 		return known
@@ -34,7 +34,7 @@
 }
 
 // ownSlots returns the slots that this entry has in a pool.
-func (f *Front) ownSlots(pool string) int {
+func (f *Entry) ownSlots(pool string) int {
 	slots, cached := f.cache.slots[pool]
 	if cached {
 		return slots
@@ -50,7 +50,7 @@
 
 // shareOf returns this entry's part of a limit on a pool, by the slots that each
 // sender has there.
-func (f *Front) shareOf(total int, pool string) int {
+func (f *Entry) shareOf(total int, pool string) int {
 	key := shareKey{total: total, pool: pool}
 	share, cached := f.cache.shares[key]
 	if !cached {
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -30,7 +30,7 @@
 
 // weights gives the queue the table's shares.
 type weights struct {
-	front *Front
+	front *Entry
 }
 
 // Service returns a service's share of its pool.
@@ -50,14 +50,14 @@
 	return 1
 }
 
-func (f *Front) queue(pool string) *queue.Queue {
+func (f *Entry) queue(pool string) *queue.Queue {
 	if f.queues[pool] == nil {
 		f.queues[pool] = queue.New(weights{front: f})
 	}
 	return f.queues[pool]
 }
 
-func (f *Front) dispatchAll() {
+func (f *Entry) dispatchAll() {
 	for pool, waiting := range f.queues {
 		if waiting.Total() > 0 {
 			f.dispatch(pool)
@@ -66,7 +66,7 @@
 }
 
 // dispatch starts waiting requests of a pool while boxes have room for them.
-func (f *Front) dispatch(pool string) {
+func (f *Entry) dispatch(pool string) {
 	now := f.now()
 	if !f.leasing.holder.MaySend(now) {
 		return
@@ -91,7 +91,7 @@
 }
 
 // view returns what the picker sees of a box.
-func (f *Front) view(box *ownBox) pick.Box {
+func (f *Entry) view(box *ownBox) pick.Box {
 	name := box.Info.Name
 	return pick.Box{
 		Name: name, Slots: box.Info.Slots, InUse: box.inUse,
@@ -100,7 +100,7 @@
 }
 
 // views returns the boxes of a pool that take new work from anybody.
-func (f *Front) views(pool string) []pick.Box {
+func (f *Entry) views(pool string) []pick.Box {
 	boxes := f.inPool(pool)
 	views := make([]pick.Box, 0, len(boxes))
 	for _, box := range boxes {
@@ -127,7 +127,7 @@
 
 // reserve returns the slots kept free for urgent work of a pool that has seen
 // some lately.
-func (f *Front) reserve(pool string) int {
+func (f *Entry) reserve(pool string) int {
 	seen, known := f.urgent[pool]
 	slots := f.ownSlots(pool)
 	if !known || f.now().Sub(seen) > urgentMemory || slots < leastReservedFrom {
@@ -137,7 +137,7 @@
 }
 
 // choose returns the box on which an item may start now, or "".
-func (f *Front) choose(item queue.Item, pool string, views []pick.Box, free int) string {
+func (f *Entry) choose(item queue.Item, pool string, views []pick.Box, free int) string {
 	row, known := f.state.Table().Row(item.Service)
 	if !known || f.usage(item.Service).slots+item.Size > max(1, f.shareOf(row.Most, pool)) {
 		return ""
@@ -162,7 +162,7 @@
 }
 
 // trialFor returns an ejected box that this repeatable request may try.
-func (f *Front) trialFor(item queue.Item, pool string, row settings.Row) string {
+func (f *Entry) trialFor(item queue.Item, pool string, row settings.Row) string {
 	if !row.Repeatable || item.Class == wire.ClassUrgent || len(f.jobs[item.ID].tried) > 0 {
 		return ""
 	}
@@ -175,7 +175,7 @@
 	return ""
 }
 
-func (f *Front) anyOnTrial(pool string, now time.Time) bool {
+func (f *Entry) anyOnTrial(pool string, now time.Time) bool {
 	for _, box := range f.inPool(pool) {
 		if box.inUse == 0 && f.book.MayProbe(box.Info.Name, now) {
 			return true
@@ -185,7 +185,7 @@
 }
 
 // startItem grants an item its box.
-func (f *Front) startItem(item queue.Item, name string) {
+func (f *Entry) startItem(item queue.Item, name string) {
 	row, _ := f.state.Table().Row(item.Service)
 	box := f.boxes[name]
 	f.checkLeaving(box)
@@ -198,7 +198,7 @@
 }
 
 // finish takes back a grant and learns from what became of it.
-func (f *Front) finish(m finishMessage) {
+func (f *Entry) finish(m finishMessage) {
 	done := f.jobs[m.id]
 	if done == nil {
 		return
@@ -219,7 +219,7 @@
 	f.dispatch(done.pool)
 }
 
-func (f *Front) learn(done *job, box *ownBox, report report) {
+func (f *Entry) learn(done *job, box *ownBox, report report) {
 	name := box.Info.Name
 	if report.kind == send.Broken {
 		row, _ := f.state.Table().Row(done.item.Service)
@@ -249,7 +249,7 @@
 
 // cancelWaiting takes a request out of its queue; one that has been granted a
 // box is given back by its own goroutine.
-func (f *Front) cancelWaiting(id string) {
+func (f *Entry) cancelWaiting(id string) {
 	waiting := f.jobs[id]
 	if waiting == nil || waiting.box != "" {
 		return
@@ -260,7 +260,7 @@
 }
 
 // expire refuses waiting requests whose deadline has come.
-func (f *Front) expire() {
+func (f *Entry) expire() {
 	now := f.now()
 	for pool, waiting := range f.queues {
 		for _, item := range waiting.PopExpired(now) {
@@ -273,7 +273,7 @@
 const leadRuns = 2
 
 // age lifts work that has waited long.
-func (f *Front) age() {
+func (f *Entry) age() {
 	now := f.now()
 	for _, waiting := range f.queues {
 		aged := waiting.Age(now, func(service string) time.Duration { return leadRuns * f.learner.AverageLatency(service) })
@@ -282,7 +282,7 @@
 }
 
 // requeue moves waiting requests whose service has changed its pool.
-func (f *Front) requeue() {
+func (f *Entry) requeue() {
 	for id, waiting := range f.jobs {
 		pool := poolOf(f.state, waiting.item.Service)
 		if waiting.box != "" || pool == waiting.pool {
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -57,8 +57,8 @@
 	Seed uint64
 }
 
-// Front is one entry process's task.
-type Front struct {
+// Entry is one entry process's task.
+type Entry struct {
 	deps        Deps
 	incarnation int
 	key         fold.SenderKey
@@ -104,11 +104,11 @@
 
 // New starts an entry. Its incarnation is its start time, so that a later
 // process on the same box has a higher one.
-func New(deps Deps) (*Front, error) {
+func New(deps Deps) (*Entry, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	incarnation := int(deps.Clock.Now().UnixNano())
-	f := &Front{
+	f := &Entry{
 		deps:        deps,
 		incarnation: incarnation,
 		key:         fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
@@ -139,7 +139,7 @@
 	return f, nil
 }
 
-func (f *Front) newLoop() loop {
+func (f *Entry) newLoop() loop {
 	return loop{
 		state:   f.deps.Empty,
 		boxes:   map[string]*ownBox{},
@@ -163,7 +163,7 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-func (f *Front) start(ctx context.Context) {
+func (f *Entry) start(ctx context.Context) {
 	sources := make([]damsonwinch.RecordSource, 0, len(f.keepers))
 	for _, keeper := range f.keepers {
 		sources = append(sources, follow.PeerSource{Client: keeper})
@@ -182,13 +182,13 @@
 }
 
 // Incarnation returns the number of this process among those of its box.
-func (f *Front) Incarnation() int {
+func (f *Entry) Incarnation() int {
 	return f.incarnation
 }
 
 // Close stops the entry at once, without a hand-over, and returns once all of
 // its goroutines have ended. Stop is the planned way.
-func (f *Front) Close() error {
+func (f *Entry) Close() error {
 	_ = f.http.Close()
 	f.cancel()
 	err := f.group.Wait()
@@ -204,12 +204,12 @@
 	return err
 }
 
-func (f *Front) now() time.Time {
+func (f *Entry) now() time.Time {
 	return f.deps.Clock.Now()
 }
 
 // post passes a message to the task unless the entry has stopped.
-func (f *Front) post(message any) bool {
+func (f *Entry) post(message any) bool {
 	select {
 	case f.inbox <- message:
 		return true
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -20,7 +20,7 @@
 // handovers proposes to pass boxes to other senders: all of them in a planned
 // stop, otherwise those of other halls that have senders of their own, and as
 // many as make the hall's senders even.
-func (f *Front) handovers(now time.Time) []wire.Proposal {
+func (f *Entry) handovers(now time.Time) []wire.Proposal {
 	heirs := f.heirs()
 	if again := f.handOverAgain(heirs, now); len(again) > 0 {
 		return again
@@ -41,7 +41,7 @@
 }
 
 // evenOut passes boxes to the hall's sender that has least.
-func (f *Front) evenOut(heirs []fold.Sender, now time.Time) []wire.Proposal {
+func (f *Entry) evenOut(heirs []fold.Sender, now time.Time) []wire.Proposal {
 	near := inHall(heirs, f.deps.Settings.Hall)
 	if len(near) == 0 {
 		return nil
@@ -57,7 +57,7 @@
 // handOver proposes to pass wanted boxes with nothing in flight to heirs in
 // turn, those of the box's hall first, and at most a part of all boxes at once.
 // A box that is picked gets no new work until the log has decided.
-func (f *Front) handOver(heirs []fold.Sender, most int, now time.Time, wanted func(*ownBox) bool) []wire.Proposal {
+func (f *Entry) handOver(heirs []fold.Sender, most int, now time.Time, wanted func(*ownBox) bool) []wire.Proposal {
 	most = min(most, 1+len(f.boxes)/handoverParts)
 	var proposals []wire.Proposal
 	for _, box := range f.boxes {
@@ -90,7 +90,7 @@
 	return found
 }
 
-func (f *Front) giveUp(box *ownBox, heir fold.SenderKey, now time.Time) wire.Proposal {
+func (f *Entry) giveUp(box *ownBox, heir fold.SenderKey, now time.Time) wire.Proposal {
 	box.asked, box.givenUp = now, true
 	proposal := f.proposal(wire.KindHandover, box, "its sender stops as planned, or has more boxes than others")
 	proposal.Change.ToNode, proposal.Change.ToEntry = heir.Node, heir.Incarnation
@@ -99,7 +99,7 @@
 
 // handOverAgain repeats hand-overs that the log has not decided. Without an heir
 // the box goes to this entry itself, which settles it just as well.
-func (f *Front) handOverAgain(heirs []fold.Sender, now time.Time) []wire.Proposal {
+func (f *Entry) handOverAgain(heirs []fold.Sender, now time.Time) []wire.Proposal {
 	var proposals []wire.Proposal
 	for _, box := range f.boxes {
 		if !box.givenUp || now.Sub(box.asked) < askAgain {
@@ -115,7 +115,7 @@
 }
 
 // heirs returns the other senders that renew.
-func (f *Front) heirs() []fold.Sender {
+func (f *Entry) heirs() []fold.Sender {
 	var heirs []fold.Sender
 	for _, sender := range f.state.Senders() {
 		fresh := sender.RenewedAt >= f.state.LogTimeMs()-f.deps.Settings.LeaseMs
--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -16,7 +16,7 @@
 
 // spendRetry takes one retry from a service's budget, so that retries can't
 // multiply the load of a failing pool.
-func (f *Front) spendRetry(service string) bool {
+func (f *Entry) spendRetry(service string) bool {
 	left, known := f.budgets[service]
 	if !known {
 		left = retryBurst
@@ -31,7 +31,7 @@
 }
 
 // earnRetry adds to the budget with each new request.
-func (f *Front) earnRetry(service string) {
+func (f *Entry) earnRetry(service string) {
 	left, known := f.budgets[service]
 	if !known {
 		left = retryBurst
@@ -41,7 +41,7 @@
 
 // judgeBoxes ejects boxes that fail and records what it finds, so that budgets
 // count them.
-func (f *Front) judgeBoxes(ctx context.Context) {
+func (f *Entry) judgeBoxes(ctx context.Context) {
 	now := f.now()
 	var proposals []wire.Proposal
 	for name, box := range f.boxes {
@@ -67,7 +67,7 @@
 
 // mayJudge says whether the log should hear of a box's health. Leaving and gone
 // is the platform's to say.
-func (f *Front) mayJudge(box *ownBox, wanted wire.Health) bool {
+func (f *Entry) mayJudge(box *ownBox, wanted wire.Health) bool {
 	if box.Phase == fold.Maintenance || box.Health == wanted {
 		return false
 	}
@@ -76,7 +76,7 @@
 
 // mayEject keeps the pool at its floor: a box that answers some requests is
 // better than none.
-func (f *Front) mayEject(box *ownBox) bool {
+func (f *Entry) mayEject(box *ownBox) bool {
 	if box.Pool == fold.FreePool {
 		return false
 	}
--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -37,7 +37,7 @@
 	claimWait = 2 * time.Second
 )
 
-func (f *Front) handler() http.Handler {
+func (f *Entry) handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/run/{service}", f.handleRun).Methods(http.MethodPost)
 	router.HandleFunc("/readyz", f.handleReady).Methods(http.MethodGet)
@@ -45,7 +45,7 @@
 }
 
 // handleReady tells the balancer whether to send callers here.
-func (f *Front) handleReady(w http.ResponseWriter, _ *http.Request) {
+func (f *Entry) handleReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case f.stopping.Load():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
@@ -56,7 +56,7 @@
 	}
 }
 
-func (f *Front) handleRun(w http.ResponseWriter, r *http.Request) {
+func (f *Entry) handleRun(w http.ResponseWriter, r *http.Request) {
 	f.deps.Metrics.Add("requests", 1)
 	id := fmt.Sprintf("%s-%x-%d", f.key.Node, f.incarnation, f.requests.Add(1))
 	w.Header().Set(HeaderID, id)
@@ -85,7 +85,7 @@
 }
 
 // read checks a request's headers and takes its whole body.
-func (f *Front) read(r *http.Request, id, service string, row settings.Row) (Request, *refusal) {
+func (f *Entry) read(r *http.Request, id, service string, row settings.Row) (Request, *refusal) {
 	request := Request{ID: id, Service: service, Team: r.Header.Get(HeaderTeam), Caller: r.RemoteAddr}
 	class, refused := classOf(r.Header.Get(HeaderClass))
 	if refused != nil {
@@ -133,7 +133,7 @@
 	return value, nil
 }
 
-func (f *Front) readBody(r *http.Request, row settings.Row) ([]byte, *refusal) {
+func (f *Entry) readBody(r *http.Request, row settings.Row) ([]byte, *refusal) {
 	most := int64(row.RequestKb) * bytesAKilobyte
 	tooLarge := refuse(http.StatusRequestEntityTooLarge, neverRetry, "the request is larger than the service's %d bytes", most)
 	if r.ContentLength > most {
@@ -151,7 +151,7 @@
 }
 
 // runClaimed runs a request, first claiming its key when it must not run twice.
-func (f *Front) runClaimed(ctx context.Context, request Request, row settings.Row, key string) Outcome {
+func (f *Entry) runClaimed(ctx context.Context, request Request, row settings.Row, key string) Outcome {
 	if row.Repeatable {
 		return f.Run(ctx, request)
 	}
@@ -198,7 +198,7 @@
 }
 
 // write gives the caller the whole answer, or a refusal's body.
-func (f *Front) write(w http.ResponseWriter, id string, outcome Outcome) {
+func (f *Entry) write(w http.ResponseWriter, id string, outcome Outcome) {
 	w.Header().Set(HeaderOutcome, string(outcome.Outcome))
 	setRetryAfter(w.Header(), outcome.RetryAfter)
 	if outcome.Reason != "" {
@@ -216,7 +216,7 @@
 	_, _ = w.Write(outcome.Body)
 }
 
-func (f *Front) writeRefusal(w http.ResponseWriter, id string, why *refusal) {
+func (f *Entry) writeRefusal(w http.ResponseWriter, id string, why *refusal) {
 	f.deps.Metrics.Add("refused_"+strconv.Itoa(why.status), 1)
 	f.write(w, id, Outcome{Outcome: wire.OutcomeNotRun, Status: why.status, Reason: why.reason, RetryAfter: why.retryAfter})
 }
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -29,7 +29,7 @@
 
 // renew issues the next renewal when it is time, and asks the hall's members
 // for extensions when the log's lease runs low.
-func (f *Front) renew(ctx context.Context) {
+func (f *Entry) renew(ctx context.Context) {
 	now := f.now()
 	f.publishLease(now)
 	if now.Before(f.leasing.next) {
@@ -52,7 +52,7 @@
 	})
 }
 
-func (f *Front) member() wire.Member {
+func (f *Entry) member() wire.Member {
 	return wire.Member{
 		Node:         f.key.Node,
 		Hall:         f.deps.Settings.Hall,
@@ -65,7 +65,7 @@
 }
 
 // askKeepers calls one keeper after another until one is satisfied.
-func (f *Front) askKeepers(ctx context.Context, method string, args, reply any, satisfied func() bool) bool {
+func (f *Entry) askKeepers(ctx context.Context, method string, args, reply any, satisfied func() bool) bool {
 	for _, keeper := range f.keepers {
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		err := keeper.Do(limited, method, args, reply)
@@ -78,7 +78,7 @@
 }
 
 // readBack takes the lease that the folded state shows, and the hall's roster.
-func (f *Front) readBack() {
+func (f *Entry) readBack() {
 	sender, known := f.state.Sender(f.key)
 	switch {
 	case known:
@@ -102,7 +102,7 @@
 
 // rejoin makes the entry a new sender after its release: the old one's boxes are
 // others' now, and its lease must never be extended again.
-func (f *Front) rejoin() {
+func (f *Entry) rejoin() {
 	f.deps.Logger.WithField("entry", f.key.Incarnation).Warn("this sender was released; the entry comes back as another")
 	f.deps.Metrics.Add("rejoined", 1)
 	f.key.Incarnation = max(f.key.Incarnation+1, int(f.now().UnixNano()))
@@ -111,18 +111,18 @@
 
 // publishLease lets requests read the clock against the lease directly before
 // each send.
-func (f *Front) publishLease(now time.Time) {
+func (f *Entry) publishLease(now time.Time) {
 	until := f.leasing.holder.ValidUntil(now)
 	f.sendUntil.Store(&until)
 }
 
 // covered says whether the lease holds at this very moment.
-func (f *Front) covered() bool {
+func (f *Entry) covered() bool {
 	return f.now().Before(*f.sendUntil.Load())
 }
 
 // extend asks the members of the hall whose promise would run out soon.
-func (f *Front) extend(ctx context.Context, now time.Time) {
+func (f *Entry) extend(ctx context.Context, now time.Time) {
 	half := milliseconds(f.deps.Settings.LeaseMs) / 2
 	if f.leasing.holder.CoveredByLog(now.Add(half)) {
 		return
@@ -158,7 +158,7 @@
 	return message
 }
 
-func (f *Front) takeExtended(m extendedMessage) {
+func (f *Entry) takeExtended(m extendedMessage) {
 	if m.key != f.key {
 		// It was granted to the sender that this entry was before its release.
 		return
@@ -175,7 +175,7 @@
 }
 
 // peer returns the client for an address.
-func (f *Front) peer(address string) *call.Client {
+func (f *Entry) peer(address string) *call.Client {
 	if f.peers[address] == nil {
 		f.peers[address] = call.New(address, f.deps.Dial, f.deps.Clock)
 	}
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -32,7 +32,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	clock := clockwork.NewFakeClock()
-	f := &Front{deps: Deps{Clock: clock, Metrics: metrics.New(), Logger: logger, Settings: settings.Entry{Node: "a", Hall: "north", LeaseMs: 1000}}}
+	f := &Entry{deps: Deps{Clock: clock, Metrics: metrics.New(), Logger: logger, Settings: settings.Entry{Node: "a", Hall: "north", LeaseMs: 1000}}}
 	f.loop = f.newLoop()
 	f.key = fold.SenderKey{Node: "a", Incarnation: 11}
 	old := f.key
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -92,7 +92,7 @@
 )
 
 // busy says whether something waits for time to pass.
-func (f *Front) busy() bool {
+func (f *Entry) busy() bool {
 	if len(f.jobs) > 0 || f.leaving {
 		return true
 	}
@@ -105,7 +105,7 @@
 }
 
 // run is the task that owns the entry's state.
-func (f *Front) run(ctx context.Context) error {
+func (f *Entry) run(ctx context.Context) error {
 	ticker := pace.New(f.deps.Clock, busyTick, milliseconds(f.deps.Settings.RenewMs)/idleTicksARenewal)
 	defer ticker.Stop()
 	for ticks := 0; ; {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (f *Front) take(message any) {
+func (f *Entry) take(message any) {
 	switch m := message.(type) {
 	case acquireMessage:
 		f.acquire(m)
@@ -154,7 +154,7 @@
 }
 
 // takeUpdate moves the entry to a newer state.
-func (f *Front) takeUpdate(update follow.Update) {
+func (f *Entry) takeUpdate(update follow.Update) {
 	if update.LeavingBoxesKnown {
 		f.takeAvoid(update.LeavingBoxes)
 	}
@@ -174,7 +174,7 @@
 	f.dispatchAll()
 }
 
-func (f *Front) takeTick(ctx context.Context, ticks int) {
+func (f *Entry) takeTick(ctx context.Context, ticks int) {
 	f.renew(ctx)
 	f.expire()
 	f.reroute()
@@ -190,7 +190,7 @@
 	f.dispatchAll()
 }
 
-func (f *Front) gauges() {
+func (f *Entry) gauges() {
 	standing := f.standing()
 	f.deps.Metrics.SetGauge("boxes", standing.boxes)
 	f.deps.Metrics.SetGauge("slots_in_use", standing.inUse)
@@ -198,7 +198,7 @@
 	f.deps.Metrics.SetGauge("held_bytes", int(f.held.Load()))
 }
 
-func (f *Front) standing() standing {
+func (f *Entry) standing() standing {
 	summary := standing{boxes: len(f.boxes), maySend: f.leasing.holder.MaySend(f.now()), heirs: len(f.heirs())}
 	for _, box := range f.boxes {
 		summary.inUse += box.inUse
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -50,7 +50,7 @@
 
 // trip is one request's way through its attempts.
 type trip struct {
-	front   *Front
+	front   *Entry
 	request Request
 	tried   map[string]bool
 	// sent says that bytes of the request may have reached an endpoint.
@@ -63,7 +63,7 @@
 
 // Run takes a request to an endpoint and returns its outcome. It returns by the
 // request's deadline.
-func (f *Front) Run(ctx context.Context, request Request) Outcome {
+func (f *Entry) Run(ctx context.Context, request Request) Outcome {
 	limited, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	t := &trip{front: f, request: request, tried: map[string]bool{}}
@@ -274,7 +274,7 @@
 	return outcome, !granted.row.Repeatable || !t.mayRetry(ctx)
 }
 
-func (f *Front) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
+func (f *Entry) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
 	client := make(chan *call.Client, 1)
 	if !f.post(peerMessage{address: address, reply: client}) {
 		return &call.Error{Method: "Entry.Forward", Peer: address, Err: context.Canceled}
@@ -301,6 +301,6 @@
 }
 
 // rowOf returns the row of a service in force.
-func (f *Front) rowOf(service string) (settings.Row, bool) {
+func (f *Entry) rowOf(service string) (settings.Row, bool) {
 	return f.inForce.Load().Table().Row(service)
 }
--- a/pkg/front/request_test.go
+++ b/pkg/front/request_test.go
@@ -34,7 +34,7 @@
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f := &Front{deps: Deps{Clock: clock, Invariants: invariant.New(func(name, detail string) { t.Fatal(name, detail) })}, ctx: ctx, inbox: make(chan any, 1)}
+	f := &Entry{deps: Deps{Clock: clock, Invariants: invariant.New(func(name, detail string) { t.Fatal(name, detail) })}, ctx: ctx, inbox: make(chan any, 1)}
 	until := clock.Now().Add(time.Second)
 	f.sendUntil.Store(&until)
 	waiting := &trip{front: f, request: Request{ID: "r", Deadline: clock.Now().Add(time.Minute)}, tried: map[string]bool{}}
@@ -55,7 +55,7 @@
 // is room again.
 func TestMemoryIsBounded(t *testing.T) {
 	const kilobytes = 64
-	f := &Front{deps: Deps{Settings: settings.Entry{QueueKb: kilobytes}, Metrics: metrics.New()}}
+	f := &Entry{deps: Deps{Settings: settings.Entry{QueueKb: kilobytes}, Metrics: metrics.New()}}
 	release, refused := f.hold(kilobytes*bytesAKilobyte - 10)
 	assert.Assert(t, refused == nil)
 
--- a/pkg/front/route.go
+++ b/pkg/front/route.go
@@ -16,7 +16,7 @@
 // goesElsewhere sends a request to another sender of its pool when that one
 // likely has room and this entry has none. A request goes on only once, so that
 // no two entries pass it to and fro.
-func (f *Front) goesElsewhere(m acquireMessage, row settings.Row) bool {
+func (f *Entry) goesElsewhere(m acquireMessage, row settings.Row) bool {
 	if m.hop || f.freeNow(row.Pool, m.item.Size) {
 		return false
 	}
@@ -33,7 +33,7 @@
 }
 
 // freeNow says whether a request would start at once here.
-func (f *Front) freeNow(pool string, size int) bool {
+func (f *Entry) freeNow(pool string, size int) bool {
 	if !f.mayWait(pool) || f.queue(pool).Total() > 0 {
 		return false
 	}
@@ -47,7 +47,7 @@
 
 // chooseRoute picks by chance among the senders that may have room, by their
 // slots in the pool; if none may, among all.
-func (f *Front) chooseRoute(pool string, tried map[string]bool) *route {
+func (f *Entry) chooseRoute(pool string, tried map[string]bool) *route {
 	now := f.now()
 	for _, onlyFree := range []bool{true, false} {
 		if chosen := f.drawRoute(pool, tried, now, onlyFree); chosen != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (f *Front) drawRoute(pool string, tried map[string]bool, now time.Time, onlyFree bool) *route {
+func (f *Entry) drawRoute(pool string, tried map[string]bool, now time.Time, onlyFree bool) *route {
 	var chosen *route
 	total := 0
 	for i := range f.routes[pool] {
@@ -76,7 +76,7 @@
 // reroute sends waiting requests on when this entry can't send to any box of
 // their pool any more: its boxes went to others, or its lease ran out. Without
 // this they would wait for their deadline beside boxes that are free elsewhere.
-func (f *Front) reroute() {
+func (f *Entry) reroute() {
 	for id, waiting := range f.jobs {
 		if waiting.box != "" || f.mayWait(waiting.pool) {
 			continue
@@ -97,7 +97,7 @@
 }
 
 // takeForwarded learns from what a sender told of its free slots.
-func (f *Front) takeForwarded(m forwardedMessage) {
+func (f *Entry) takeForwarded(m forwardedMessage) {
 	for i := range f.routes[m.pool] {
 		known := &f.routes[m.pool][i]
 		if known.key != m.peer {
--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -16,8 +16,8 @@
 
 // waitingAt returns an entry that has a waiting request and no box for it, and
 // where the request's answer goes. Another sender may have boxes of the pool.
-func waitingAt(hop bool, others ...route) (*Front, chan grant) {
-	f := &Front{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
+func waitingAt(hop bool, others ...route) (*Entry, chan grant) {
+	f := &Entry{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
 	f.loop = f.newLoop()
 	f.routes[testPool] = others
 	reply := make(chan grant, 1)
--- a/pkg/front/service.go
+++ b/pkg/front/service.go
@@ -9,7 +9,7 @@
 
 // service is the receiver of calls from other entries.
 type service struct {
-	front *Front
+	front *Entry
 }
 
 // Forward runs a request that came to another entry.
@@ -38,7 +38,7 @@
 }
 
 // freeSlots returns the free slots in a service's pool here.
-func (f *Front) freeSlots(service string) int {
+func (f *Entry) freeSlots(service string) int {
 	reply := make(chan int, 1)
 	if !f.post(freeMessage{service: service, reply: reply}) {
 		return 0
@@ -52,7 +52,7 @@
 }
 
 // hold takes memory for a request and its answer, within the entry's bound.
-func (f *Front) hold(bytes int) (func(), *refusal) {
+func (f *Entry) hold(bytes int) (func(), *refusal) {
 	size := int64(bytes)
 	if f.held.Add(size) > int64(f.deps.Settings.QueueKb)*bytesAKilobyte {
 		f.held.Add(-size)
--- a/pkg/front/stop.go
+++ b/pkg/front/stop.go
@@ -16,7 +16,7 @@
 // Stop ends the entry without cutting a request: it tells the balancer, hands
 // its boxes over, waits until every request in flight has ended, and closes.
 // The context bounds the whole.
-func (f *Front) Stop(ctx context.Context) error {
+func (f *Entry) Stop(ctx context.Context) error {
 	f.stopping.Store(true)
 	f.deps.Logger.Info("planned stop: the balancer is told")
 	f.pause(ctx, milliseconds(f.deps.Settings.StopMs))
@@ -34,7 +34,7 @@
 	return err
 }
 
-func (f *Front) pause(ctx context.Context, wait time.Duration) {
+func (f *Entry) pause(ctx context.Context, wait time.Duration) {
 	select {
 	case <-f.deps.Clock.After(wait):
 	case <-ctx.Done():
@@ -42,7 +42,7 @@
 }
 
 // await returns once a summary satisfies, or the context ends.
-func (f *Front) await(ctx context.Context, satisfied func(standing) bool) {
+func (f *Entry) await(ctx context.Context, satisfied func(standing) bool) {
 	for ctx.Err() == nil {
 		reply := make(chan standing, 1)
 		if !f.post(standingMessage{reply: reply}) {
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -12,7 +12,7 @@
 
 // Entry is a running dw-entry.
 type Entry struct {
-	front      *front.Front
+	front      *front.Entry
 	platform   *platform.Client
 	debug      *debug
 	Metrics    *metrics.Set
