--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -23,7 +23,7 @@
 const (
 	HeaderOutcome  = "Damsonwinch-Outcome"
 	HeaderClass    = "Damsonwinch-Class"
-	HeaderTeam     = "Damsonwinch-Team"
+	HeaderCustomer     = "Damsonwinch-Team"
 	HeaderDeadline = "Damsonwinch-Deadline-Ms"
 	HeaderSize     = "Damsonwinch-Size"
 	HeaderID       = "Damsonwinch-Request"
@@ -86,7 +86,7 @@
 
 // read checks a request's headers and takes its whole body.
 func (f *Entry) read(r *http.Request, id, service string, row settings.Row) (Request, *refusal) {
-	request := Request{ID: id, Service: service, Team: r.Header.Get(HeaderTeam), Caller: r.RemoteAddr}
+	request := Request{ID: id, Service: service, Team: r.Header.Get(HeaderCustomer), Caller: r.RemoteAddr}
 	class, refused := classOf(r.Header.Get(HeaderClass))
 	if refused != nil {
 		return request, refused
@@ -102,7 +102,7 @@
 	}
 	if len(request.Team) > mostTeamLength || len(r.Header.Get(HeaderKey)) > mostKeyLength {
 		return request, refuse(http.StatusBadRequest, neverRetry, "%s or %s is too long; at most %d and %d bytes",
-			HeaderTeam, HeaderKey, mostTeamLength, mostKeyLength)
+			HeaderCustomer, HeaderKey, mostTeamLength, mostKeyLength)
 	}
 	request.Body, refused = f.readBody(r, row)
 	return request, refused
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -49,7 +49,7 @@
 // TestQuotaAndQueue refuses what is over a team's quota with a time to come back.
 func TestQuotaAndQueue(t *testing.T) {
 	s := startStory(t, smallUser())
-	team := map[string]string{front.HeaderTeam: "small"}
+	team := map[string]string{front.HeaderCustomer: "small"}
 	first := make(chan told, 1)
 	long := standin.Work{Nonce: s.nonce(), WorkMs: 500}
 	s.spawn(func() { first <- s.call("view", long, team) })
