--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -27,7 +27,7 @@
 	HeaderDeadline = "Damsonwinch-Deadline-Ms"
 	HeaderSize     = "Damsonwinch-Size"
 	HeaderID       = "Damsonwinch-Request"
-	HeaderKey      = "Idempotency-Key"
+	HeaderIdempotencyKey      = "Idempotency-Key"
 )
 
 const (
@@ -81,7 +81,7 @@
 		return
 	}
 	defer release()
-	f.write(w, id, f.runClaimed(r.Context(), request, row, r.Header.Get(HeaderKey)))
+	f.write(w, id, f.runClaimed(r.Context(), request, row, r.Header.Get(HeaderIdempotencyKey)))
 }
 
 // read checks a request's headers and takes its whole body.
@@ -100,9 +100,9 @@
 	if request.Size, refused = number(r.Header, HeaderSize, 1, maxSize); refused != nil {
 		return request, refused
 	}
-	if len(request.Team) > mostTeamLength || len(r.Header.Get(HeaderKey)) > mostKeyLength {
+	if len(request.Team) > mostTeamLength || len(r.Header.Get(HeaderIdempotencyKey)) > mostKeyLength {
 		return request, refuse(http.StatusBadRequest, neverRetry, "%s or %s is too long; at most %d and %d bytes",
-			HeaderCustomer, HeaderKey, mostTeamLength, mostKeyLength)
+			HeaderCustomer, HeaderIdempotencyKey, mostTeamLength, mostKeyLength)
 	}
 	request.Body, refused = f.readBody(r, row)
 	return request, refused
--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -113,7 +113,7 @@
 		request.Header.Set(front.HeaderDeadline, fmt.Sprint(tradeDeadlines))
 	}
 	if !service.Row.Repeatable && random.IntN(oneInKeyed) == 0 {
-		request.Header.Set(front.HeaderKey, nonce)
+		request.Header.Set(front.HeaderIdempotencyKey, nonce)
 	}
 	begun := c.cluster.clock.Now()
 	c.send(request, body, &line)
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -136,7 +136,7 @@
 			s.setFault(standin.Fault(fault), boxes)
 			nonce := s.nonce()
 			work := standin.Work{Nonce: nonce, WorkMs: 50}
-			header := map[string]string{front.HeaderKey: nonce}
+			header := map[string]string{front.HeaderIdempotencyKey: nonce}
 			first := s.call(service, work, header)
 			s.heal()
 			fmt.Fprintf(&lines, "%s: %s %d", service, first.outcome, first.status)
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -32,7 +32,7 @@
 		{"deadline too long", "view", "{}", map[string]string{front.HeaderDeadline: "3001"}, http.StatusBadRequest, "from 1 to 3000"},
 		{"size zero", "view", "{}", map[string]string{front.HeaderSize: "0"}, http.StatusBadRequest, front.HeaderSize},
 		{"can never fit", "view", "{}", map[string]string{front.HeaderSize: "9"}, http.StatusUnprocessableEntity, "largest box"},
-		{"key too long", "pay", "{}", map[string]string{front.HeaderKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
+		{"key too long", "pay", "{}", map[string]string{front.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := s.callRaw(row.service, []byte(row.body), row.header, "")
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -28,7 +28,7 @@
 		answers := make([]told, 2)
 		for i, node := range s.cluster.Nodes {
 			both.Go(func() error {
-				answers[i] = s.callAt(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderKey: nonce}, nonce)
+				answers[i] = s.callAt(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderIdempotencyKey: nonce}, nonce)
 				return nil
 			})
 		}
@@ -43,7 +43,7 @@
 // TestAKeyWhileTheLogIsDown is told "not run" and runs upon the next try.
 func TestAKeyWhileTheLogIsDown(t *testing.T) {
 	s := startStory(t, smallUser())
-	header := map[string]string{front.HeaderKey: "k"}
+	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
 
@@ -63,7 +63,7 @@
 // block its key for good.
 func TestAClaimThatLandsAfterNotRunWasTold(t *testing.T) {
 	s := startStory(t, smallUser())
-	header := map[string]string{front.HeaderKey: "k"}
+	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 	s.cluster.Platform.Log.SetFaults(standin.Faults{Late: 1, LateBy: 4 * time.Second})
 	first := s.call("pay", work, header)
@@ -87,7 +87,7 @@
 	s.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 1})
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 
-	first := s.call("pay", work, map[string]string{front.HeaderKey: "k"})
+	first := s.call("pay", work, map[string]string{front.HeaderIdempotencyKey: "k"})
 
 	assert.Equal(t, first.status, http.StatusOK, first.body)
 	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 1)
@@ -96,7 +96,7 @@
 // TestAKeyWithAnotherBody is refused: the key belongs to the first request.
 func TestAKeyWithAnotherBody(t *testing.T) {
 	s := startStory(t, smallUser())
-	header := map[string]string{front.HeaderKey: "k"}
+	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	first := s.call("pay", standin.Work{Nonce: s.nonce(), WorkMs: 1}, header)
 	assert.Equal(t, first.status, http.StatusOK, first.body)
 	other := standin.Work{Nonce: s.nonce(), WorkMs: 1}
@@ -115,7 +115,7 @@
 	user.Fleet.Halls = []settings.Hall{hall("north", 5, 1), hall("south", 5, 1)}
 	s := startStory(t, user)
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 400}
-	header := map[string]string{front.HeaderKey: "k"}
+	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	s.spawn(func() { s.tryCall(s.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
 	s.await("the request runs", func() bool { return s.cluster.Book.Runs(work.Nonce) == 1 })
 	assert.NilError(t, s.cluster.KillEntry(s.cluster.Nodes[0]))
