--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -26,7 +26,7 @@
 	HeaderCustomer     = "Damsonwinch-Team"
 	HeaderDeadline = "Damsonwinch-Deadline-Ms"
 	HeaderSize     = "Damsonwinch-Size"
-	HeaderID       = "Damsonwinch-Request"
+	HeaderRequestID       = "Damsonwinch-Request"
 	HeaderIdempotencyKey      = "Idempotency-Key"
 )
 
@@ -59,7 +59,7 @@
 func (f *Entry) handleRun(w http.ResponseWriter, r *http.Request) {
 	f.deps.Metrics.Add("requests", 1)
 	id := fmt.Sprintf("%s-%x-%d", f.key.Node, f.incarnation, f.requests.Add(1))
-	w.Header().Set(HeaderID, id)
+	w.Header().Set(HeaderRequestID, id)
 	service := mux.Vars(r)["service"]
 	row, known := f.rowOf(service)
 	if f.inForce.Load().Table().Version() == 0 {
