--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -51,8 +51,8 @@
 	Logger       logrus.FieldLogger
 	Metrics      *metrics.Set
 	Invariants   *invariant.Checker
-	// Empty is the state before the first record.
-	Empty fold.State
+	// InitialState is the state before the first record.
+	InitialState fold.State
 	// Seed starts the choices that chance makes.
 	Seed uint64
 }
@@ -120,7 +120,7 @@
 		sender:      send.New(deps.Dial),
 	}
 	f.loop = f.newLoop()
-	f.inForce.Store(&deps.Empty)
+	f.inForce.Store(&deps.InitialState)
 	f.sendUntil.Store(&time.Time{})
 	for _, keeper := range deps.Settings.Keepers {
 		f.keepers = append(f.keepers, call.New(keeper.Address, deps.Dial, deps.Clock))
@@ -141,7 +141,7 @@
 
 func (f *Entry) newLoop() loop {
 	return loop{
-		state:   f.deps.Empty,
+		state:   f.deps.InitialState,
 		boxes:   map[string]*ownBox{},
 		routes:  map[string][]route{},
 		queues:  map[string]*queue.Queue{},
@@ -169,7 +169,7 @@
 		sources = append(sources, follow.PeerSource{Client: keeper})
 	}
 	follower := follow.New(follow.Deps{
-		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.Empty, Updates: f.updates,
+		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.InitialState, Updates: f.updates,
 	})
 	f.group.Go(func() error { return follower.Run(ctx) })
 	f.group.Go(func() error { return f.run(ctx) })
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -34,7 +34,7 @@
 	started, err := front.New(front.Deps{
 		Settings: entryWithDefaults(config), Clock: env.Clock, Log: client, Dial: env.Dial,
 		Listener: listeners[0], HTTPListener: listeners[1],
-		Logger: env.Logger.WithField("entry", config.Node), Metrics: set, Invariants: book, Empty: empty, Seed: env.Seed,
+		Logger: env.Logger.WithField("entry", config.Node), Metrics: set, Invariants: book, InitialState: empty, Seed: env.Seed,
 	})
 	if err != nil {
 		return nil, err
