--- a/pkg/send/send.go
+++ b/pkg/send/send.go
@@ -19,9 +19,9 @@
 
 // Headers between entries and endpoints.
 const (
-	// HeaderRequest carries the request's id; the endpoint repeats it in its
+	// HeaderRequestID carries the request's id; the endpoint repeats it in its
 	// answer, so that another request's answer is never taken for this one's.
-	HeaderRequest = "Damsonwinch-Request"
+	HeaderRequestID = "Damsonwinch-Request"
 	headerType    = "Content-Type"
 )
 
@@ -120,7 +120,7 @@
 	}
 	// Without GetBody the transport can't send a body a second time by itself.
 	request.GetBody = nil
-	request.Header.Set(HeaderRequest, attempt.ID)
+	request.Header.Set(HeaderRequestID, attempt.ID)
 	response, err := c.http.Do(request)
 	if err != nil {
 		kind := NotSent
@@ -138,7 +138,7 @@
 	broken := func(err error) Result {
 		return Result{Kind: Broken, Err: fmt.Errorf("answer of %s: %w", attempt.Address, err)}
 	}
-	if response.Header.Get(HeaderRequest) != attempt.ID {
+	if response.Header.Get(HeaderRequestID) != attempt.ID {
 		return broken(ErrOther)
 	}
 	if response.ContentLength > int64(attempt.MostAnswer) {
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -195,7 +195,7 @@
 		http.Error(w, "a body of work is wanted", http.StatusBadRequest)
 		return
 	}
-	w.Header().Set(send.HeaderRequest, r.Header.Get(send.HeaderRequest))
+	w.Header().Set(send.HeaderRequestID, r.Header.Get(send.HeaderRequestID))
 	switch {
 	case fault == FaultBusy:
 		http.Error(w, "no room", http.StatusServiceUnavailable)
@@ -274,7 +274,7 @@
 		const longAnswer = 1 << 21
 		text = strings.Repeat("x", longAnswer)
 	case FaultOther:
-		w.Header().Set(send.HeaderRequest, "another")
+		w.Header().Set(send.HeaderRequestID, "another")
 	case FaultHalf:
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		text = text[:len(text)/2]
