--- a/pkg/ownership/alive.go
+++ b/pkg/ownership/alive.go
@@ -7,53 +7,56 @@
 	"github.com/sirupsen/logrus"
 )
 
-// refusalTime is how long a refused connection shows that a process has ended. By then
-// the group has noticed, or it has been started anew.
-const refusalTime = 1500 * time.Millisecond
+// refusalLifetime is how long a refused connection counts as proof that the process has exited.
+// After that time the group has dropped the member, or the process has been restarted.
+const refusalLifetime = 1500 * time.Millisecond
 
-// refusal is a connection that the address of a node's life refused.
+// refusal records that the address of an incarnation of a node refused a connection.
 type refusal struct {
 	incarnation int
 	at          time.Time
 }
 
-// alive says whether a claim's maker probably lives. Being wrong costs a takeover or a
-// wait: a later claim shuts out the earlier one.
-func (o *Ownership) alive(claim Claim) bool {
+// ownerAlive reports whether the node that made a claim is probably alive. A wrong result costs a
+// needless or a late takeover, but is safe: a later claim fences off the earlier one.
+func (o *Ownership) ownerAlive(claim Claim) bool {
 	switch {
 	case claim.HeldBy(o.options.Self):
 		return true
-	case claim.Released, o.ofEarlierLife(claim), o.refused(claim.Node, claim.Incarnation), o.silent(claim.Node, claim.Incarnation):
+	case claim.Released, o.byEarlierIncarnation(claim), o.refusedRecently(claim.Node, claim.Incarnation), o.isLost(claim.Node, claim.Incarnation):
 		return false
-	case o.state.roster.lists(claim):
+	case o.state.memberList.listsOwner(claim):
 		return true
 	}
-	return !o.state.roster.listsLater(claim) && !o.proofOf(claim.Node, claim.Incarnation).storeless
+	return !o.state.memberList.listsLaterIncarnation(claim) && !o.healthOf(claim.Node, claim.Incarnation).cutOffFromStore
 }
 
-// ofEarlierLife says whether an earlier life of this node made a claim.
-func (o *Ownership) ofEarlierLife(claim Claim) bool {
+// byEarlierIncarnation reports whether another incarnation of this node made a claim that isn't
+// released.
+func (o *Ownership) byEarlierIncarnation(claim Claim) bool {
 	return !claim.Released && claim.Node == o.options.Self.Node && claim.Incarnation != o.options.Self.Incarnation
 }
 
-// refused says whether a node's life has refused a connection of late.
-func (o *Ownership) refused(node string, incarnation int) bool {
-	seen, known := o.state.refusals[node]
-	return known && seen.incarnation == incarnation && o.deps.Clock.Since(seen.at) < refusalTime
+// refusedRecently reports whether an incarnation of a node has refused a connection within
+// refusalLifetime.
+func (o *Ownership) refusedRecently(node string, incarnation int) bool {
+	last, known := o.state.refusals[node]
+	return known && last.incarnation == incarnation && o.deps.Clock.Since(last.at) < refusalLifetime
 }
 
-// livingMembers returns the members that are not known to have ended.
+// livingMembers returns the members that have neither refused a connection lately nor been lost.
 func (o *Ownership) livingMembers() []Member {
-	return slices.DeleteFunc(slices.Clone(o.state.roster.members), func(m Member) bool {
-		return o.refused(m.Node, m.Incarnation) || o.silent(m.Node, m.Incarnation)
+	return slices.DeleteFunc(slices.Clone(o.state.memberList.members), func(m Member) bool {
+		return o.refusedRecently(m.Node, m.Incarnation) || o.isLost(m.Node, m.Incarnation)
 	})
 }
 
-// suspect takes note of a refused connection.
-func (o *Ownership) suspect(m suspected, now time.Time) {
-	if !o.refused(m.node, m.incarnation) {
+// recordRefusal records a refused connection, and logs it unless there was one within
+// refusalLifetime.
+func (o *Ownership) recordRefusal(m connectionRefused, now time.Time) {
+	if !o.refusedRecently(m.node, m.incarnation) {
 		o.deps.Logger.WithFields(logrus.Fields{"peer": m.node, "incarnation": m.incarnation}).Info("node refuses connections")
 	}
 	o.state.refusals[m.node] = refusal{incarnation: m.incarnation, at: now}
-	o.state.watchedOld = true
+	o.state.watchedStale = true
 }
--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -15,19 +15,22 @@
 	"damsonwinch/pkg/wire"
 )
 
+// newFeed returns the feed that follows the stream of claims.
 func (o *Ownership) newFeed() *feed.Feed {
 	return feed.New(feed.Deps{Store: o.deps.Store, Clock: o.deps.Clock, Logger: o.deps.Logger, Metrics: o.deps.Metrics, StoreAnsweredAt: o.StoreAnsweredAt}, feed.Options{
-		Stream: damsonwinch.Stream{Topic: claimTopic}, Wait: claimWait,
-		Snapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
-			o.send(claimsRead{records: records, end: end, snapshot: true, askedAt: askedAt})
+		Stream: damsonwinch.Stream{Topic: claimTopic}, Wait: claimReadWait,
+		Snapshot: func(records []damsonwinch.Record, end int, sentAt time.Time) {
+			o.send(claimsRead{records: records, end: end, snapshot: true, sentAt: sentAt})
 		},
-		Added: func(records []damsonwinch.Record, end int, askedAt time.Time) {
-			o.send(claimsRead{records: records, end: end, askedAt: askedAt})
+		Added: func(records []damsonwinch.Record, end int, sentAt time.Time) {
+			o.send(claimsRead{records: records, end: end, sentAt: sentAt})
 		},
 	})
 }
 
-func (o *Ownership) takeClaims(m claimsRead) {
+// handleClaimsRead applies records of the stream of claims. A snapshot replaces all claims but those
+// that are newer than it.
+func (o *Ownership) handleClaimsRead(m claimsRead) {
 	s := &o.state
 	if m.snapshot {
 		maps.DeleteFunc(s.claims, func(_ string, claim Claim) bool { return claim.Token <= m.end })
@@ -35,10 +38,10 @@
 	for _, record := range m.records {
 		switch record.Key {
 		case layoutKey:
-			o.takeLayout(record)
+			o.applyLayout(record)
 			continue
 		case partitionsKey:
-			o.takePartitions(record)
+			o.applyPartitions(record)
 			continue
 		}
 		var claim wire.CellClaim
@@ -50,98 +53,105 @@
 			continue
 		}
 		if err := json.Unmarshal(record.Value, &claim); err != nil {
-			o.deps.Logger.WithError(err).WithField("cell", record.Key).Error("claim not understood")
+			o.deps.Logger.WithError(err).WithField("cell", record.Key).Error("claim cannot be decoded")
 			continue
 		}
 		if !m.snapshot && s.claims[record.Key].Token != record.Offset+1 {
 			s.claimedAt[record.Key] = o.deps.Clock.Now()
 		}
 		s.claims[record.Key] = Claim{CellClaim: claim, Token: record.Offset + 1}
-		// A restarted node need not find out again how many topics show all members.
-		s.topics = min(max(s.topics, claim.Topics), mostTopics)
+		// Claims carry the number of topics that the group needs to list all members, so that a
+		// restarted node doesn't have to find it out again.
+		s.topicCount = min(max(s.topicCount, claim.Topics), maxTopics)
 	}
-	// A reading that was answered before this node's last claim shows less than is known.
-	s.end = max(s.end, m.end)
-	s.claimsRead, s.confirmed, s.watchedOld = true, m.askedAt, true
+	// A read that was answered before this node's last append ends before claimsEnd.
+	s.claimsEnd = max(s.claimsEnd, m.end)
+	s.haveClaims, s.confirmedAt, s.watchedStale = true, m.sentAt, true
 	o.answeredAt.Store(o.deps.Clock.Now().UnixNano())
-	o.publish()
+	o.publishView()
 }
 
-// reclaimOne claims the first cell that an earlier life of this node owned. Nobody has
-// to tell that it has ended, and the group may list it for a while.
-func (o *Ownership) reclaimOne() {
+// reclaimNextCell claims the first cell that an earlier incarnation of this node owned. That this
+// incarnation has exited is certain, even while the group still lists it.
+func (o *Ownership) reclaimNextCell() {
 	for _, cell := range o.state.cells {
-		if claim, known := o.state.claims[cell]; known && o.ofEarlierLife(claim) {
+		if claim, known := o.state.claims[cell]; known && o.byEarlierIncarnation(claim) {
 			o.claim(cell, claim, known)
 			return
 		}
 	}
 }
 
-// claimOne claims the first cell whose owner is gone and whose heir is this node.
-func (o *Ownership) claimOne() {
+// claimNextCell claims the first cell whose owner is gone and whose successor is this node.
+func (o *Ownership) claimNextCell() {
 	s := &o.state
 	for _, cell := range s.cells {
 		claim, known := s.claims[cell]
-		if known && o.alive(claim) {
+		if known && o.ownerAlive(claim) {
 			continue
 		}
-		chosen, found := heir(cell, o.livingMembers(), o.liveClaims())
-		if found && chosen.is(o.options.Self) {
+		chosen, found := successor(cell, o.livingMembers(), o.liveClaims())
+		if found && chosen.sameIncarnation(o.options.Self) {
 			o.claim(cell, claim, known)
 			return
 		}
 	}
 }
 
+// liveClaims returns the claims, by cell, whose owners are probably alive.
 func (o *Ownership) liveClaims() map[string]Claim {
 	live := map[string]Claim{}
 	for cell, claim := range o.state.claims {
-		if o.alive(claim) {
+		if o.ownerAlive(claim) {
 			live[cell] = claim
 		}
 	}
 	return live
 }
 
-func (o *Ownership) claim(cell string, before Claim, known bool) {
-	record := wire.CellClaim{
+// claim starts to append a claim of a cell for this node. The cell keeps the partition of its
+// previous claim; if known is false it has none, and gets the next free partition.
+func (o *Ownership) claim(cell string, previous Claim, known bool) {
+	next := wire.CellClaim{
 		Cell: cell, Node: o.options.Self.Node, Address: o.options.Self.Address, Incarnation: o.options.Self.Incarnation,
-		Partition: before.Partition, Topics: o.state.topics,
+		Partition: previous.Partition, Topics: o.state.topicCount,
 	}
 	if !known {
-		record.Partition = o.nextPartition()
+		next.Partition = o.nextPartition()
 	}
-	o.deps.Logger.WithFields(logrus.Fields{"cell": cell, "before": before.Node, "members": len(o.state.roster.members), "end": o.state.end}).Info("claim cell")
-	o.makeClaim(record)
+	o.deps.Logger.WithFields(logrus.Fields{"cell": cell, "before": previous.Node, "members": len(o.state.memberList.members), "end": o.state.claimsEnd}).Info("claim cell")
+	o.startClaimAppend(next)
 }
 
-// makeClaim appends a claim, or that one is given up, after all claims that are known.
-func (o *Ownership) makeClaim(claim wire.CellClaim) {
-	end := o.state.end
-	o.state.claiming = true
+// startClaimAppend starts to append a claim, or the release of one, at the end of the claims that
+// have been read.
+func (o *Ownership) startClaimAppend(claim wire.CellClaim) {
+	end := o.state.claimsEnd
+	o.state.appendPending = true
 	o.group.Go(func() error {
-		o.send(claimed{claim: claim, end: end, err: o.appendClaim(claim, end)})
+		o.send(claimAppended{claim: claim, end: end, err: o.appendClaim(claim, end)})
 		return nil
 	})
 }
 
-// releaseOne gives up the first cell whose owner here has ended by itself, until the
-// claims show that. Nobody else would take the cell as long as this node lives.
-func (o *Ownership) releaseOne() {
+// releaseNextCell starts to release the first claim of pendingReleases, and removes those that the
+// claims show as released or replaced. While this node is alive, no other node takes over a cell
+// that it has claimed, so a release is tried again until the claims show it.
+func (o *Ownership) releaseNextCell() {
 	s := &o.state
-	for _, cell := range slices.Sorted(maps.Keys(s.renounced)) {
+	for _, cell := range slices.Sorted(maps.Keys(s.pendingReleases)) {
 		claim := s.claims[cell]
-		if claim.Token != s.renounced[cell] || !claim.HeldBy(o.options.Self) {
-			delete(s.renounced, cell)
+		if claim.Token != s.pendingReleases[cell] || !claim.HeldBy(o.options.Self) {
+			delete(s.pendingReleases, cell)
 			continue
 		}
 		claim.Released = true
-		o.makeClaim(claim.CellClaim)
+		o.startClaimAppend(claim.CellClaim)
 		return
 	}
 }
 
+// appendClaim appends a claim to the stream of claims if the stream ends at an offset.
 func (o *Ownership) appendClaim(claim wire.CellClaim, at int) error {
 	value, err := json.Marshal(claim)
 	if err != nil {
@@ -150,62 +160,65 @@
 	return o.appendRecord(damsonwinch.Record{Key: claim.Cell, Value: value}, at)
 }
 
-// appendRecord appends to the stream of claims, after all that has been read of it.
+// appendRecord appends a record to the stream of claims if the stream ends at an offset. With the
+// end of what has been read as the offset, the append fails if there are records that this node
+// hasn't read.
 func (o *Ownership) appendRecord(record damsonwinch.Record, at int) error {
 	ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 	defer cancel()
 	return o.deps.Store.AppendAt(ctx, damsonwinch.Stream{Topic: claimTopic}, []damsonwinch.Record{record}, at)
 }
 
-// noEnd is no offset.
-const noEnd = -1
+// noConflict is the value of state.conflictEnd after no conflict. It is not a valid offset.
+const noConflict = -1
 
-// claimPause stands between an append to the stream of claims that failed and the next one. A
-// refused connection fails at once, and a store that is away is away for seconds.
-const claimPause = 100 * time.Millisecond
+// appendRetryDelay is the time between a failed append to the stream of claims and the next append.
+// A refused connection fails at once, and a store that is unreachable stays so for seconds.
+const appendRetryDelay = 100 * time.Millisecond
 
-// takeAppended takes the answer to an append to the stream of claims, and tells whether it
-// was done.
-func (o *Ownership) takeAppended(err error, end int, logger logrus.FieldLogger) bool {
+// finishAppend handles the result of an append to the stream of claims at the offset end, and
+// reports whether the append succeeded.
+func (o *Ownership) finishAppend(err error, end int, logger logrus.FieldLogger) bool {
 	s := &o.state
 	switch {
 	case err == nil:
-		s.end = end + 1
+		s.claimsEnd = end + 1
 		return true
 	case errors.Is(err, damsonwinch.ErrConflict):
-		// Somebody has appended what hasn't been read here.
+		// Another node has appended a record that this node hasn't read.
 		o.deps.Metrics.Add("claims_outdated", 1)
-		s.outdated = end
+		s.conflictEnd = end
 	default:
-		logger.WithError(err).Warn("claim not made")
-		s.failedAt = o.deps.Clock.Now()
+		logger.WithError(err).Warn("append to the stream of claims failed")
+		s.appendFailedAt = o.deps.Clock.Now()
 	}
 	return false
 }
 
-// takeClaimed takes the answer to a claim.
-func (o *Ownership) takeClaimed(m claimed) {
-	if !o.takeAppended(m.err, m.end, o.deps.Logger.WithField("cell", m.claim.Cell)) {
+// handleClaimAppended handles the result of appending a claim or the release of one.
+func (o *Ownership) handleClaimAppended(m claimAppended) {
+	if !o.finishAppend(m.err, m.end, o.deps.Logger.WithField("cell", m.claim.Cell)) {
 		return
 	}
-	// All before it has been read: it need not be awaited.
+	// All earlier records have been read, so the claim holds without being read back.
 	o.state.claims[m.claim.Cell] = Claim{CellClaim: m.claim, Token: m.end + 1}
-	o.state.watchedOld = true
-	o.publish()
+	o.state.watchedStale = true
+	o.publishView()
 }
 
-// newsTime is how long a claim that has been made may take to be read here: the
-// reading that waits for it is answered at once, unless its connection is dead.
-const newsTime = 250 * time.Millisecond
+// conflictReadTimeout is how long the record that caused a conflict may take to be read here. The
+// read that waits for new records is answered at once, unless its connection is dead.
+const conflictReadTimeout = 250 * time.Millisecond
 
-// awaitClaims waits until the claim that is known to have been made is read.
-func (o *Ownership) awaitClaims(now time.Time) {
+// awaitConflictingRecord is called as long as the record that caused a conflict hasn't been read. It
+// has the feed read the claims on another connection each time conflictReadTimeout has passed.
+func (o *Ownership) awaitConflictingRecord(now time.Time) {
 	s := &o.state
-	if s.outdatedAt.IsZero() {
-		s.outdatedAt = now
+	if s.conflictSince.IsZero() {
+		s.conflictSince = now
 	}
-	if now.Sub(s.outdatedAt) >= newsTime {
-		s.outdatedAt = now
+	if now.Sub(s.conflictSince) >= conflictReadTimeout {
+		s.conflictSince = now
 		o.feed.Refresh()
 	}
 }
--- a/pkg/ownership/group.go
+++ b/pkg/ownership/group.go
@@ -10,107 +10,110 @@
 	"damsonwinch/pkg/wire"
 )
 
+// join starts the call that joins the group, or renews the membership.
 func (o *Ownership) join() {
 	request := damsonwinch.JoinRequest{
-		Group: groupName, Member: o.options.Self.Name(), Topics: o.topics(), TTL: max(o.options.MembershipTTL, leastTTL), Generation: o.state.generation,
+		Group: groupName, Member: o.options.Self.Name(), Topics: o.topicNames(), TTL: max(o.options.MembershipTTL, minMembershipTTL), Generation: o.state.generation,
 	}
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 		defer cancel()
 		membership, err := o.deps.Store.Join(ctx, request)
-		o.send(joined{membership: membership, err: err})
+		o.send(joinReturned{membership: membership, err: err})
 		return nil
 	})
 }
 
+// readMembers starts to read the members of the group.
 func (o *Ownership) readMembers(now time.Time) {
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 		defer cancel()
-		partitions, err := o.deps.Store.Assignments(ctx, groupName)
-		o.send(membersListed{members: distinct(partitions), topics: topicsOf(partitions), crowded: crowded(partitions), askedAt: now, err: err})
+		assignments, err := o.deps.Store.Assignments(ctx, groupName)
+		o.send(membersRead{members: assignedMembers(assignments), topicCount: countTopics(assignments), nearlyFull: nearlyFull(assignments), sentAt: now, err: err})
 		return nil
 	})
 }
 
-// takeMembers takes who is in the group.
-func (o *Ownership) takeMembers(m membersListed) {
+// handleMembersRead handles the result of reading the members. If no read had been answered for
+// longer than usual, the members may have lost their membership and need time to join again.
+func (o *Ownership) handleMembersRead(m membersRead) {
 	s := &o.state
-	if !s.membersAt.IsZero() && m.askedAt.Sub(s.membersAt) > o.readEvery()+callTimeout {
-		s.regroupedAt = m.askedAt
+	if !s.membersReadAt.IsZero() && m.sentAt.Sub(s.membersReadAt) > o.memberReadInterval()+callTimeout {
+		s.membersRecoveredAt = m.sentAt
 	}
-	o.noteSteady(m)
-	// Members that deal in fewer topics than others would hold no partition.
-	s.topics = min(max(s.topics, m.topics), mostTopics)
-	if m.crowded {
-		s.topics = min(2*s.topics, mostTopics)
+	o.updateMembersComplete(m)
+	// A member that subscribes to fewer topics than the others could be assigned no partition.
+	s.topicCount = min(max(s.topicCount, m.topicCount), maxTopics)
+	if m.nearlyFull {
+		s.topicCount = min(2*s.topicCount, maxTopics)
 	}
-	s.roster, s.membersAt, s.watchedOld = newRoster(m.members, o.options.Self), m.askedAt, true
-	o.publish()
+	s.memberList, s.membersReadAt, s.watchedStale = newMemberList(m.members, o.options.Self), m.sentAt, true
+	o.publishView()
 }
 
-// mostTopics bounds the topics of the group: the platform keeps 100 in all, of as few as 12
-// partitions.
-const mostTopics = 40
+// maxTopics is the largest number of topics that the group uses. The platform allows 100 topics in
+// all, which may have as few as 12 partitions each.
+const maxTopics = 40
 
-// topics returns the topics whose partitions the group deals out.
-func (o *Ownership) topics() []string {
-	names := make([]string, 0, o.state.topics)
-	for number := 1; number <= o.state.topics; number++ {
-		names = append(names, numbered(groupTopic, number))
+// topicNames returns the names of the topics whose partitions the group assigns.
+func (o *Ownership) topicNames() []string {
+	names := make([]string, 0, o.state.topicCount)
+	for number := 1; number <= o.state.topicCount; number++ {
+		names = append(names, topicName(groupTopic, number))
 	}
 	return names
 }
 
-// spareShare is the part of the partitions, in percent of the members that are listed,
-// that must be left over for the list to be complete. With 147 nodes on 96 partitions one
-// was dealt two, and 52 had none.
-const spareShare = 25
+// minSparePercent is by how many percent the number of partitions must exceed that of the listed
+// members for the list to be taken for complete. Of 147 nodes on 96 partitions one was assigned two
+// partitions, and 52 none.
+const minSparePercent = 25
 
-// crowded says whether hardly a partition is left over. There may be members that hold
-// none then, and the list doesn't show them.
-func crowded(partitions []damsonwinch.Assignment) bool {
-	holders := make(map[string]bool, len(partitions))
-	for _, partition := range partitions {
-		holders[partition.Member] = true
+// nearlyFull reports whether there are hardly more partitions than members that hold one. Then there
+// may be members without a partition, which the assignments don't show.
+func nearlyFull(assignments []damsonwinch.Assignment) bool {
+	holders := make(map[string]bool, len(assignments))
+	for _, assignment := range assignments {
+		holders[assignment.Member] = true
 	}
-	return len(partitions)*100 < len(holders)*(100+spareShare)
+	return len(assignments)*100 < len(holders)*(100+minSparePercent)
 }
 
-// topicsOf counts the topics whose partitions are dealt out.
-func topicsOf(partitions []damsonwinch.Assignment) int {
+// countTopics returns the number of topics that have assigned partitions.
+func countTopics(assignments []damsonwinch.Assignment) int {
 	topics := map[string]bool{}
-	for _, partition := range partitions {
-		topics[partition.Stream.Topic] = true
+	for _, assignment := range assignments {
+		topics[assignment.Stream.Topic] = true
 	}
 	return len(topics)
 }
 
-// sparedHeirs is the number of members beyond one a cell that watch closely: some
-// may be lost at once.
-const sparedHeirs = 3
+// spareSuccessors is the number of nodes, beyond one per cell, that read the members at
+// fastMemberReadInterval, because several nodes may be lost at once.
+const spareSuccessors = 3
 
-// readEvery returns the time between two readings of the members. A node that
-// others would go before in taking over any cell can do with fewer: 147 nodes that all
-// read closely take 3.5 MB/s of lists.
-func (o *Ownership) readEvery() time.Duration {
-	if o.state.unlisted {
-		// It has to learn over how many topics the group is spread by now.
-		return joinEvery
+// memberReadInterval returns the time between two reads of the members. A node that comes after
+// enough others as the successor of any cell reads less often: 147 nodes that all read at the fast
+// interval receive 3.5 MB/s of lists.
+func (o *Ownership) memberReadInterval() time.Duration {
+	if o.state.unassigned {
+		// The node has to learn how many topics the group uses by now.
+		return joinInterval
 	}
-	if o.state.roster.ahead < len(o.state.cells)+sparedHeirs {
-		return membersEvery
+	if o.state.memberList.strongerCount < len(o.state.cells)+spareSuccessors {
+		return fastMemberReadInterval
 	}
-	return restEvery
+	return slowMemberReadInterval
 }
 
-// distinct returns the members that hold a partition, in order of their names.
-// Of several lives of one node only the newest counts.
-func distinct(partitions []damsonwinch.Assignment) []Member {
+// assignedMembers returns the members that hold a partition, ordered by node name. Of several
+// incarnations of a node it returns only the newest.
+func assignedMembers(assignments []damsonwinch.Assignment) []Member {
 	byNode := map[string]Member{}
-	for _, partition := range partitions {
-		member, understood := parseMember(partition.Member)
-		if understood && member.Incarnation >= byNode[member.Node].Incarnation {
+	for _, assignment := range assignments {
+		member, valid := parseMember(assignment.Member)
+		if valid && member.Incarnation >= byNode[member.Node].Incarnation {
 			byNode[member.Node] = member
 		}
 	}
@@ -121,21 +124,22 @@
 	return members
 }
 
-// leave releases the node's cells, so that others need not wait for its silence.
-func (o *Ownership) leave(m leave, _ time.Time) {
+// handleLeave releases the node's cells and leaves the group, so that the other nodes don't have to
+// wait until it counts as lost.
+func (o *Ownership) handleLeave(m leaveRequested, _ time.Time) {
 	s := &o.state
 	s.leaving = true
-	var mine []wire.CellClaim
+	var own []wire.CellClaim
 	for _, cell := range slices.Sorted(maps.Keys(s.claims)) {
 		if claim := s.claims[cell]; claim.HeldBy(o.options.Self) {
 			claim.Released = true
-			mine = append(mine, claim.CellClaim)
+			own = append(own, claim.CellClaim)
 		}
 	}
-	end := s.end
+	end := s.claimsEnd
 	o.group.Go(func() error {
 		defer close(m.done)
-		for i, claim := range mine {
+		for i, claim := range own {
 			if err := o.appendClaim(claim, end+i); err != nil {
 				o.deps.Logger.WithError(err).WithField("cell", claim.Cell).Warn("cell not released")
 			}
--- a/pkg/ownership/handover.go
+++ b/pkg/ownership/handover.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// handOverAfter is how long a far stronger node must have been there before a cell
-	// is handed over to it: a takeover costs some 0.1 s without starts, and a node that
-	// comes and goes must not be paid for twice.
-	handOverAfter = 3 * time.Second
-	// farStronger is how many times as much room for a cell another node must have. A
-	// cell at its busiest takes some 0.1 of a core; the users' weakest nodes have a
-	// fortieth of the strongest ones' weight and stand still under one.
-	farStronger = 4
+	// handOverDelay is how long a far stronger node must have been a member before a cell is handed
+	// over to it. A takeover stops all starts of the cell's tasks for about 0.1 s, and a node that
+	// comes and goes must not cost two of them.
+	handOverDelay = 3 * time.Second
+	// minHandOverRatio is how many times as lightly loaded for its weight another node must be to be
+	// given a cell. A cell takes up to about 0.1 of a core. The weakest nodes that users run have a
+	// fortieth of the weight of the strongest, and make no progress once they own a cell.
+	minHandOverRatio = 4
 )
 
-// handOverOne gives up a cell in order that a far stronger node could own. It may have
-// come to this one while the stronger were away.
-func (o *Ownership) handOverOne(now time.Time) {
+// handOverNextCell releases a cell so that a far stronger node can claim it. This node may have
+// claimed the cell while the stronger nodes were gone.
+func (o *Ownership) handOverNextCell(now time.Time) {
 	s := &o.state
-	claim, heir, found := o.misplaced()
+	claim, best, found := o.findMisplaced()
 	if !found {
-		s.weakSince = time.Time{}
+		s.misplacedSince = time.Time{}
 		return
 	}
-	if s.weakSince.IsZero() {
-		s.weakSince = now
+	if s.misplacedSince.IsZero() {
+		s.misplacedSince = now
 	}
-	if now.Sub(s.weakSince) < handOverAfter {
+	if now.Sub(s.misplacedSince) < handOverDelay {
 		return
 	}
-	s.weakSince = time.Time{}
+	s.misplacedSince = time.Time{}
 	o.deps.Logger.WithFields(logrus.Fields{
-		"cell": claim.Cell, "to": heir.Node, "their_weight": heir.Weight, "our_weight": o.options.Self.Weight,
+		"cell": claim.Cell, "to": best.Node, "their_weight": best.Weight, "our_weight": o.options.Self.Weight,
 	}).Info("hand cell over to a stronger node")
 	claim.Released = true
-	o.makeClaim(claim.CellClaim)
+	o.startClaimAppend(claim.CellClaim)
 }
 
-// misplaced returns a cell of this node's for which a listed member has far more room.
-func (o *Ownership) misplaced() (Claim, Member, bool) {
+// findMisplaced returns the claim of a cell that this node owns and the member that should own it
+// instead, because its load per weight is smaller by at least minHandOverRatio.
+func (o *Ownership) findMisplaced() (Claim, Member, bool) {
 	s := &o.state
 	if !slices.ContainsFunc(s.cells, func(cell string) bool { return s.claims[cell].HeldBy(o.options.Self) }) {
 		return Claim{}, Member{}, false
@@ -53,16 +54,17 @@
 		if !claim.HeldBy(o.options.Self) {
 			continue
 		}
-		best, found := heir(cell, living, live)
-		if found && best.Node != o.options.Self.Node && burden(best, cell, live)*farStronger <= burden(o.options.Self, cell, live) {
+		best, found := successor(cell, living, live)
+		if found && best.Node != o.options.Self.Node && loadPerWeight(best, cell, live)*minHandOverRatio <= loadPerWeight(o.options.Self, cell, live) {
 			return claim, best, true
 		}
 	}
 	return Claim{}, Member{}, false
 }
 
-// burden returns how much a member would have to carry for its weight with a cell.
-func burden(m Member, cell string, claims map[string]Claim) float64 {
+// loadPerWeight returns the number of cells that a member would own with the given cell, divided by
+// its weight.
+func loadPerWeight(m Member, cell string, claims map[string]Claim) float64 {
 	count := 1
 	for _, claim := range claims {
 		if claim.Cell != cell && claim.HeldBy(m) {
--- a/pkg/ownership/layout.go
+++ b/pkg/ownership/layout.go
@@ -11,45 +11,46 @@
 	"damsonwinch/pkg/wire"
 )
 
-// layoutKey is the key of the layout in the stream of claims. No cell has this name.
+// layoutKey is the key of the layout's record in the stream of claims. No cell has this name.
 const layoutKey = "@layout"
 
-// steadyTime is for how long the number of members must have stayed the same for their
-// list to be taken for complete: the group shows more of them from one reading to the
-// next until it is spread over enough topics. 147 nodes stood still at 95 for a second
-// while four of the eighteen strongest were missing, and cells for 60 owners were laid out.
-const steadyTime = 2 * time.Second
+// memberCountStableTime is how long the number of members must not have changed for their list to be
+// taken for complete. Until the group uses enough topics, each read shows more members than the one
+// before. Of 147 nodes 95 were listed for a second, without four of the eighteen strongest ones, and
+// the layout was chosen for 60 owners.
+const memberCountStableTime = 2 * time.Second
 
-// layoutDecided asks for a layout to be put in force.
-type layoutDecided struct{ layout shard.Layout }
+// layoutProposed asks run to put a layout in force.
+type layoutProposed struct{ layout shard.Layout }
 
-// layoutWritten is the answer to the append of a layout.
-type layoutWritten struct {
+// layoutAppended is the result of appending a layout.
+type layoutAppended struct {
 	layout shard.Layout
 	end    int
 	err    error
 }
 
-// ProposeLayout puts a layout in force, unless there is one.
+// ProposeLayout puts a layout in force unless there is one already. The view shows the result.
 func (o *Ownership) ProposeLayout(layout shard.Layout) {
-	o.send(layoutDecided{layout: layout})
+	o.send(layoutProposed{layout: layout})
 }
 
-// writeLayout appends the layout that is wanted, after all claims that are known, so that
-// of two nodes that decide at once one finds out.
+// writeLayout starts to append the proposed layout at the end of the claims that have been read. If
+// two nodes propose one at the same time, one of the appends conflicts.
 func (o *Ownership) writeLayout() {
 	s := &o.state
-	if s.layout.Decided() || !s.layoutWanted.Decided() {
+	if s.layout.Decided() || !s.proposedLayout.Decided() {
 		return
 	}
-	layout, end := s.layoutWanted, s.end
-	s.claiming = true
+	layout, end := s.proposedLayout, s.claimsEnd
+	s.appendPending = true
 	o.group.Go(func() error {
-		o.send(layoutWritten{layout: layout, end: end, err: o.appendLayout(layout, end)})
+		o.send(layoutAppended{layout: layout, end: end, err: o.appendLayout(layout, end)})
 		return nil
 	})
 }
 
+// appendLayout appends a layout to the stream of claims if the stream ends at an offset.
 func (o *Ownership) appendLayout(layout shard.Layout, at int) error {
 	value, err := json.Marshal(wire.Layout{Shards: layout.Shards, Pools: layout.Pools})
 	if err != nil {
@@ -58,34 +59,36 @@
 	return o.appendRecord(damsonwinch.Record{Key: layoutKey, Value: value}, at)
 }
 
-// takeWritten takes the answer to the append of a layout.
-func (o *Ownership) takeWritten(m layoutWritten) {
-	if !o.takeAppended(m.err, m.end, o.deps.Logger.WithField("cell", layoutKey)) {
+// handleLayoutAppended handles the result of appending a layout.
+func (o *Ownership) handleLayoutAppended(m layoutAppended) {
+	if !o.finishAppend(m.err, m.end, o.deps.Logger.WithField("cell", layoutKey)) {
 		return
 	}
 	o.setLayout(m.layout)
-	o.publish()
+	o.publishView()
 }
 
-// takeLayout takes the record of a layout.
-func (o *Ownership) takeLayout(record damsonwinch.Record) {
-	var found wire.Layout
-	if err := json.Unmarshal(record.Value, &found); err != nil {
-		o.deps.Logger.WithError(err).Error("layout not understood")
+// applyLayout applies the record of the layout.
+func (o *Ownership) applyLayout(record damsonwinch.Record) {
+	var stored wire.Layout
+	if err := json.Unmarshal(record.Value, &stored); err != nil {
+		o.deps.Logger.WithError(err).Error("layout cannot be decoded")
 		return
 	}
-	o.setLayout(shard.NewLayout(found.Shards, found.Pools))
+	o.setLayout(shard.NewLayout(stored.Shards, stored.Pools))
 }
 
-// hearLayout takes the layout that another node knows, and says whether it is new here.
-func (o *Ownership) hearLayout(heard *wire.Layout) bool {
-	if heard == nil || o.state.layout.Decided() {
+// adoptPeerLayout adopts the layout in another node's reply if this node has none, and reports
+// whether it did.
+func (o *Ownership) adoptPeerLayout(received *wire.Layout) bool {
+	if received == nil || o.state.layout.Decided() {
 		return false
 	}
-	o.setLayout(shard.NewLayout(heard.Shards, heard.Pools))
+	o.setLayout(shard.NewLayout(received.Shards, received.Pools))
 	return true
 }
 
+// setLayout puts a layout in force, and logs it if it is another than before.
 func (o *Ownership) setLayout(layout shard.Layout) {
 	if o.state.layout.Equal(layout) {
 		return
@@ -94,13 +97,14 @@
 	o.deps.Logger.WithFields(logrus.Fields{"shards": layout.Shards, "pools": layout.Pools}).Info("layout of cells in force")
 }
 
-// noteSteady notes since when the list of members has been as long as it is. One that may hide
-// members counts once the group can't be spread over more topics: it gets no better.
-func (o *Ownership) noteSteady(m membersListed) {
+// updateMembersComplete updates whether the list of members counts as complete, from a newly read list.
+// A list that may hide members counts as complete only if the group can't use more topics, because
+// then no better list will come.
+func (o *Ownership) updateMembersComplete(m membersRead) {
 	s := &o.state
-	hides := m.crowded && m.topics < mostTopics
-	if hides || len(m.members) != len(s.roster.members) || m.askedAt.Before(o.settledAt()) {
-		s.steadySince = m.askedAt
+	mayGrow := m.nearlyFull && m.topicCount < maxTopics
+	if mayGrow || len(m.members) != len(s.memberList.members) || m.sentAt.Before(o.membersSettledAt()) {
+		s.memberCountSince = m.sentAt
 	}
-	s.steady = m.askedAt.Sub(s.steadySince) >= steadyTime
+	s.membersComplete = m.sentAt.Sub(s.memberCountSince) >= memberCountStableTime
 }
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -48,10 +48,10 @@
 func TestAGroupThatCanGrowNoMoreIsAsCompleteAsItGets(t *testing.T) {
 	store := newMemoryStore()
 	store.places = 1
-	for number := range mostTopics + 20 {
+	for number := range maxTopics + 20 {
 		name := member("node-"+strconv.Itoa(100+number), 1).Name()
 		store.members = append(store.members, name)
-		store.topics[name] = mostTopics
+		store.topics[name] = maxTopics
 	}
 	w := start(t, store, "a", "one")
 	until(t, "the list is taken for complete", func() bool { return w.view.Load().MembersComplete })
@@ -60,8 +60,8 @@
 // TestAGroupOfAFewPartitionsListsAFleet: 300 nodes before topics of 12 partitions.
 func TestAGroupOfAFewPartitionsListsAFleet(t *testing.T) {
 	const nodes, partitions = 300, 12
-	assert.Assert(t, mostTopics*partitions*100 >= nodes*(100+spareShare))
-	assert.Assert(t, mostTopics+mostPartitionTopics < 100, "the platform keeps no more topics")
+	assert.Assert(t, maxTopics*partitions*100 >= nodes*(100+minSparePercent))
+	assert.Assert(t, maxTopics+maxCellTopics < 100, "the platform keeps no more topics")
 }
 
 // TestCellsAreNumberedThroughTheTopics so that a fleet may have more cells than a topic has
@@ -98,6 +98,6 @@
 				Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: strconv.Itoa(number % max(1, test.holders)),
 			})
 		}
-		assert.Equal(t, crowded(dealt), test.crowded, name)
+		assert.Equal(t, nearlyFull(dealt), test.crowded, name)
 	}
 }
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -1,8 +1,8 @@
-// Package ownership decides which node owns which cell. Nodes are members of a
-// group that the store keeps, and a cell's owner is who made the newest claim in
-// a stream that all nodes follow. A claim counts only if its maker had seen all
-// earlier ones. Being wrong about who is alive costs time, never safety: the
-// offset of a claim is the epoch that the store and the endpoints check.
+// Package ownership decides which node owns which cell. The nodes are members of a group that the
+// store keeps. A cell belongs to the node that made its newest claim in a stream that all nodes
+// follow. A node can append a claim only if it has read all earlier ones. A wrong decision about
+// which nodes are alive costs time, never safety: the offset of a claim gives the fencing token
+// that the store and the endpoints check.
 package ownership
 
 import (
@@ -23,162 +23,166 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Names in the store.
+// Names of the group and the topics in the store.
 const (
 	groupName  = "nodes"
 	groupTopic = "nodes"
 	// claimTopic holds the newest claim of each cell.
 	claimTopic = "keyed.claims"
-	// cellTopic holds the records of the cells, one in each partition.
+	// cellTopic holds the records of the cells, with one cell per partition.
 	cellTopic = "keyed.cells"
 )
 
-// Times of membership.
+// Intervals and timeouts of the calls to the store.
 const (
-	// joinEvery is the time between two proofs of life. It leaves room for two
-	// that are lost before the group gives a member up.
-	joinEvery = 300 * time.Millisecond
-	// membersEvery is the time between two readings of who is in the group by a
-	// node that may have to take a cell over next, and restEvery that of the others,
-	// which only step in where all of those are gone: each reading has a price.
-	membersEvery = 500 * time.Millisecond
-	restEvery    = 2500 * time.Millisecond
-	// callTimeout bounds a call to the store; a slow one is better given up, since
-	// what it would tell is old.
+	// joinInterval is the time between two Join calls, which are the node's heartbeats in the group.
+	// Two of them may be lost before the group drops the member.
+	joinInterval = 300 * time.Millisecond
+	// fastMemberReadInterval is the time between two reads of the member list by a node that may be
+	// the next to take over a cell. slowMemberReadInterval is that of the other nodes, which take
+	// cells over only if all of those nodes are gone: each read costs bandwidth.
+	fastMemberReadInterval = 500 * time.Millisecond
+	slowMemberReadInterval = 2500 * time.Millisecond
+	// callTimeout limits a call to the store. A slower answer is of no use, because what it reports
+	// is out of date.
 	callTimeout = 600 * time.Millisecond
-	// claimWait is how long a reading of the claims waits for news. Each answer
-	// also proves that the node's own claims still stand.
-	claimWait = time.Second
-	tick      = 100 * time.Millisecond
-	// leastTTL is how long the group keeps a silent node, unless the platform
-	// asks for more.
-	leastTTL = time.Second
+	// claimReadWait is how long a read of the claims waits for new records. Each answer, even an
+	// empty one, also confirms that the node's own claims are still the newest.
+	claimReadWait = time.Second
+	tickInterval  = 100 * time.Millisecond
+	// minMembershipTTL is the least time for which the group keeps a member that sends no heartbeat.
+	// Options may ask for more.
+	minMembershipTTL = time.Second
 )
 
-// Deps are what ownership works with.
+// Deps are the dependencies of Ownership.
 type Deps struct {
 	Store   damsonwinch.Store
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// SuspendedTime tells of suspensions of the machine.
+	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// FetchClaims asks another node for the claims that it knows.
+	// FetchClaims asks the node at an address who it is and which claims it knows.
 	FetchClaims func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
-	// OnViewChange is told the claims in force after each change, and what was asked
-	// when, so that the node can run the cells that are its own. It must not wait.
+	// OnViewChange receives the new view after each change and after each answered read of the
+	// claims, so that the node can run the cells that it owns. It must not block.
 	OnViewChange func(View)
 }
 
-// View is what a node believes about the cells.
+// View is what a node knows about the owners of the cells.
 type View struct {
-	Claims  map[string]Claim
+	// Claims holds the newest claim of each cell, by cell.
+	Claims map[string]Claim
+	// Members are the nodes in the group, as they were last read.
 	Members []Member
-	// MembersComplete says that the list of members has probably all of them.
+	// MembersComplete reports whether Members probably holds all members.
 	MembersComplete bool
-	// Layout says into how many cells each pool is cut.
+	// Layout is the division of the pools into cells.
 	Layout shard.Layout
-	// ConfirmedAt is when the newest answered reading of the claims was sent: until
-	// then the claims stood as they are here.
+	// ConfirmedAt is when the newest answered read of the claims was sent. At that time Claims were
+	// the newest claims.
 	ConfirmedAt time.Time
 }
 
-// Owner returns the owner of a cell.
+// Owner returns the newest claim of a cell, and whether the cell has one that isn't released.
 func (v View) Owner(cell string) (Claim, bool) {
 	claim, known := v.Claims[cell]
 	return claim, known && !claim.Released
 }
 
-// Options say who this node is.
+// Options configure the Ownership of one node.
 type Options struct {
+	// Self is this node as a member of the group.
 	Self Member
-	// MembershipTTL is how long the group keeps a silent node.
+	// MembershipTTL is how long the group keeps a member that sends no heartbeat.
 	MembershipTTL time.Duration
-	// Partitions is how many partitions a topic has.
+	// Partitions is the number of partitions of each topic.
 	Partitions int
-	// FirstStart says that the system starts for the first time.
+	// FirstStart reports whether the system starts for the first time.
 	FirstStart bool
 }
 
-// Ownership is one node's part in sharing out the cells.
+// Ownership keeps one node in the group, follows the claims, and claims and releases cells for that
+// node. One goroutine, run, handles all messages and owns the state.
 type Ownership struct {
 	deps    Deps
 	options Options
 	inbox   chan any
 	group   *errgroup.Group
-	ctx     context.Context // Ends with the task.
+	ctx     context.Context // Ends with run.
 	cancel  context.CancelFunc
 	state   state
 	feed    *feed.Feed
-	// answeredAt is when the store last answered a call, in nanoseconds since 1970.
+	// answeredAt is when the store last answered a call, in Unix nanoseconds.
 	answeredAt atomic.Int64
 }
 
-// Messages to the task.
+// Messages to run.
 type (
-	cellsWanted struct{ cells []string }
-	claimsRead  struct {
+	cellsSet   struct{ cells []string }
+	claimsRead struct {
 		records  []damsonwinch.Record
 		end      int
 		snapshot bool
-		askedAt  time.Time
+		sentAt   time.Time
 	}
-	joined struct {
+	joinReturned struct {
 		membership damsonwinch.Membership
 		err        error
 	}
-	membersListed struct {
+	membersRead struct {
 		members []Member
-		// topics is how many topics the members deal in, at most.
-		topics int
-		// crowded says that hardly a partition was left over.
-		crowded bool
-		askedAt time.Time
-		err     error
+		// topicCount is the number of topics of which the group has assigned partitions.
+		topicCount int
+		// nearlyFull is the result of nearlyFull for the group's assignments.
+		nearlyFull bool
+		sentAt     time.Time
+		err        error
 	}
-	claimed struct {
+	claimAppended struct {
 		claim wire.CellClaim
-		// end is the offset at which the claim was to be appended.
+		// end is the offset that the claim was to get.
 		end int
 		err error
 	}
-	leave     struct{ done chan<- struct{} }
-	suspected struct {
+	leaveRequested    struct{ done chan<- struct{} }
+	connectionRefused struct {
 		node        string
 		incarnation int
 	}
-	claimsHeard struct {
+	peerClaimsReceived struct {
 		reply wire.ClaimsReply
 		err   error
 	}
-	renounced struct {
+	releaseRequested struct {
 		cell  string
 		token int
 	}
-	// workRead is the sum of the ends of the streams of a node's cells.
-	workRead struct {
+	// streamEndsRead holds the sum of the end offsets of the streams of a node's cells.
+	streamEndsRead struct {
 		node        string
 		incarnation int
-		askedAt     time.Time
+		sentAt      time.Time
 		ends        int
 		err         error
 	}
-	proofHeard struct {
+	healthReply struct {
 		node        string
 		incarnation int
-		askedAt     time.Time
+		sentAt      time.Time
 		reply       wire.ClaimsReply
 		err         error
 	}
 )
 
-// New joins the group and begins to follow the claims.
+// New returns the Ownership of one node, which joins the group and follows the claims until Close.
 func New(deps Deps, options Options) *Ownership {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	o := &Ownership{
 		deps: deps, options: options, inbox: make(chan any, 64), group: group, ctx: ctx, cancel: cancel,
-		state: state{claims: map[string]Claim{}, claimedAt: map[string]time.Time{}, startedAt: deps.Clock.Now(), refusals: map[string]refusal{}, topics: 1, outdated: noEnd, renounced: map[string]int{}, moves: map[string]moveWanted{}, proofs: map[string]proof{}},
+		state: state{claims: map[string]Claim{}, claimedAt: map[string]time.Time{}, startedAt: deps.Clock.Now(), refusals: map[string]refusal{}, topicCount: 1, conflictEnd: noConflict, pendingReleases: map[string]int{}, pendingMoves: map[string]moveRequested{}, health: map[string]ownerHealth{}},
 	}
 	o.feed = o.newFeed()
 	group.Go(o.run)
@@ -189,27 +193,28 @@
 	return o
 }
 
-// SetCells names the cells that need an owner.
+// SetCells sets the names of all cells that need an owner.
 func (o *Ownership) SetCells(cells []string) {
-	o.send(cellsWanted{cells: cells})
+	o.send(cellsSet{cells: cells})
 }
 
-// ReportRefusedConnection tells that the address of a node's life has refused a connection: its process
-// has ended.
+// ReportRefusedConnection reports that the address of an incarnation of a node has refused a
+// connection, which means that its process has exited.
 func (o *Ownership) ReportRefusedConnection(node string, incarnation int) {
-	o.send(suspected{node: node, incarnation: incarnation})
+	o.send(connectionRefused{node: node, incarnation: incarnation})
 }
 
-// ReleaseClaim gives up a claim whose owner has ended by itself.
+// ReleaseClaim releases this node's claim of a cell, identified by its token, after the owner that
+// ran the cell here has stopped by itself.
 func (o *Ownership) ReleaseClaim(cell string, token int) {
-	o.send(renounced{cell: cell, token: token})
+	o.send(releaseRequested{cell: cell, token: token})
 }
 
-// Leave gives up all cells and leaves the group, for a planned stop. It returns
-// once the store knows or the context ends.
+// Leave releases all cells of this node and leaves the group, for a planned stop. It returns when
+// the calls to the store have returned, or when ctx or the Ownership ends.
 func (o *Ownership) Leave(ctx context.Context) {
 	done := make(chan struct{})
-	o.send(leave{done: done})
+	o.send(leaveRequested{done: done})
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -217,12 +222,12 @@
 	}
 }
 
-// StoreAnsweredAt returns when the store last answered this node.
+// StoreAnsweredAt returns when the store last answered a heartbeat or a read of the claims.
 func (o *Ownership) StoreAnsweredAt() time.Time {
 	return time.Unix(0, o.answeredAt.Load())
 }
 
-// Close ends the task and waits for its calls.
+// Close stops run and waits until all calls have returned.
 func (o *Ownership) Close() error {
 	o.cancel()
 	if err := o.group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
@@ -239,116 +244,118 @@
 }
 
 func (o *Ownership) run() error {
-	ticker := o.deps.Clock.NewTicker(tick)
+	ticker := o.deps.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-o.ctx.Done():
 			return nil
 		case m := <-o.inbox:
-			o.take(m)
+			o.handle(m)
 		case <-ticker.Chan():
 		}
-		o.wake()
-		o.act()
+		o.checkSuspension()
+		o.startDueCalls()
 	}
 }
 
-func (o *Ownership) take(m any) {
+func (o *Ownership) handle(m any) {
 	now := o.deps.Clock.Now()
 	s := &o.state
 	switch m := m.(type) {
-	case cellsWanted:
-		s.cells, s.watchedOld = m.cells, true
+	case cellsSet:
+		s.cells, s.watchedStale = m.cells, true
 	case claimsRead:
-		o.takeClaims(m)
-	case joined:
-		s.joining = false
+		o.handleClaimsRead(m)
+	case joinReturned:
+		s.joinPending = false
 		if m.err != nil {
 			o.deps.Metrics.Add("join_failures", 1)
 			return
 		}
-		s.generation, s.unlisted = m.membership.Generation, len(m.membership.Assigned) == 0
+		s.generation, s.unassigned = m.membership.Generation, len(m.membership.Assigned) == 0
 		o.answeredAt.Store(now.UnixNano())
-	case membersListed:
-		s.reading = false
+	case membersRead:
+		s.memberReadPending = false
 		if m.err != nil {
 			o.deps.Metrics.Add("members_failures", 1)
 			return
 		}
-		o.takeMembers(m)
-	case claimed:
-		s.claiming = false
-		o.takeClaimed(m)
-	case claimsHeard:
-		o.hear(m)
-	case suspected:
-		o.suspect(m, now)
-	case proofHeard:
-		o.takeProof(m, now)
-	case workRead:
-		o.takeWork(m, now)
-	case partitionWanted:
-		s.takers = append(s.takers, m.take)
-	case partitionTaken:
-		s.claiming = false
-		o.takePartition(m)
-	case moveWanted:
-		s.moves[m.cell] = m
-	case layoutDecided:
-		s.layoutWanted = m.layout
-	case layoutWritten:
-		s.claiming = false
-		o.takeWritten(m)
-	case renounced:
-		s.renounced[m.cell] = m.token
-	case leave:
-		o.leave(m, now)
+		o.handleMembersRead(m)
+	case claimAppended:
+		s.appendPending = false
+		o.handleClaimAppended(m)
+	case peerClaimsReceived:
+		o.handlePeerClaims(m)
+	case connectionRefused:
+		o.recordRefusal(m, now)
+	case healthReply:
+		o.handleHealthReply(m, now)
+	case streamEndsRead:
+		o.handleStreamEnds(m, now)
+	case partitionRequested:
+		s.partitionWaiters = append(s.partitionWaiters, m.use)
+	case partitionAppended:
+		s.appendPending = false
+		o.handlePartitionAppended(m)
+	case moveRequested:
+		s.pendingMoves[m.cell] = m
+	case layoutProposed:
+		s.proposedLayout = m.layout
+	case layoutAppended:
+		s.appendPending = false
+		o.handleLayoutAppended(m)
+	case releaseRequested:
+		s.pendingReleases[m.cell] = m.token
+	case leaveRequested:
+		o.handleLeave(m, now)
 	}
 }
 
-func (o *Ownership) publish() {
+// publishView passes the current view to OnViewChange.
+func (o *Ownership) publishView() {
 	s := &o.state
-	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.roster.members), MembersComplete: s.steady, Layout: s.layout, ConfirmedAt: s.confirmed})
+	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.memberList.members), MembersComplete: s.membersComplete, Layout: s.layout, ConfirmedAt: s.confirmedAt})
 }
 
-// act makes the calls that are due.
-func (o *Ownership) act() {
+// startDueCalls starts the calls that are due. At most one append to the stream of claims runs at a
+// time.
+func (o *Ownership) startDueCalls() {
 	s := &o.state
 	now := o.deps.Clock.Now()
 	if s.leaving {
 		return
 	}
-	if !s.joining && now.Sub(s.joinedAt) >= joinEvery {
-		s.joining, s.joinedAt = true, now
+	if !s.joinPending && now.Sub(s.joinSentAt) >= joinInterval {
+		s.joinPending, s.joinSentAt = true, now
 		o.join()
 	}
-	unsettled := s.membersAt.Before(o.settledAt())
-	if !s.reading && (now.Sub(s.readAt) >= o.readEvery() || unsettled && !now.Before(o.settledAt())) {
-		s.reading, s.readAt = true, now
+	unsettled := s.membersReadAt.Before(o.membersSettledAt())
+	if !s.memberReadPending && (now.Sub(s.memberReadSentAt) >= o.memberReadInterval() || unsettled && !now.Before(o.membersSettledAt())) {
+		s.memberReadPending, s.memberReadSentAt = true, now
 		o.readMembers(now)
 	}
-	if !s.asking && now.Sub(s.confirmed) >= staleAfter && now.Sub(s.askedAt) >= joinEvery {
-		o.askPeer(now)
+	if !s.fetchPending && now.Sub(s.confirmedAt) >= maxClaimsAge && now.Sub(s.fetchSentAt) >= joinInterval {
+		o.fetchPeerClaims(now)
 	}
-	o.watch(now)
-	if s.claiming || !s.claimsRead || now.Sub(s.failedAt) < claimPause {
+	o.watchOwners(now)
+	if s.appendPending || !s.haveClaims || now.Sub(s.appendFailedAt) < appendRetryDelay {
 		return
 	}
-	if s.end == s.outdated {
-		o.awaitClaims(now)
+	if s.claimsEnd == s.conflictEnd {
+		o.awaitConflictingRecord(now)
 		return
 	}
-	s.outdatedAt = time.Time{}
-	for _, due := range []func(){o.writeLayout, o.moveOne, o.takeOnePartition, o.releaseOne, o.reclaimOne} {
-		if !s.claiming {
+	s.conflictSince = time.Time{}
+	for _, due := range []func(){o.writeLayout, o.moveNextClaim, o.reserveNextPartition, o.releaseNextCell, o.reclaimNextCell} {
+		if !s.appendPending {
 			due()
 		}
 	}
-	if !s.claiming && !unsettled {
-		o.claimOne()
+	if !s.appendPending && !unsettled {
+		o.claimNextCell()
 	}
-	if !s.claiming && !unsettled {
-		o.handOverOne(now)
+	if !s.appendPending && !unsettled {
+		o.handOverNextCell(now)
 	}
 }
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -141,7 +141,7 @@
 	})
 	took := clock.Since(begun)
 	store.set(func() {
-		assert.Assert(t, store.appends <= 2+int(took/claimPause), "%d tries in %v", store.appends, took)
+		assert.Assert(t, store.appends <= 2+int(took/appendRetryDelay), "%d tries in %v", store.appends, took)
 		store.fail = 0
 	})
 	until(t, "the cell is owned", func() bool { return w.owns("one") })
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -11,139 +11,144 @@
 	"damsonwinch/pkg/wire"
 )
 
-// partitionsKey is the key of the number of partitions in the stream of claims. No cell has
-// this name.
+// partitionsKey is the key, in the stream of claims, of the number of partitions that have been
+// reserved. No cell has this name.
 const partitionsKey = "@partitions"
 
-// mostPartitionTopics bounds the topics over which the partitions of cells are numbered: the
-// platform keeps 100 topics in all.
-const mostPartitionTopics = 55
+// maxCellTopics is the largest number of topics that hold the partitions of cells. The platform allows
+// 100 topics in all.
+const maxCellTopics = 55
 
-// CellStream returns the stream of the cell of a claim. Cells are numbered through the
-// partitions of as many topics as they need.
+// CellStream returns the stream that holds the records of a claim's cell. partitions is the number of
+// partitions of each topic.
 func CellStream(claim Claim, partitions int) damsonwinch.Stream {
 	return PartitionStream(claim.Partition, partitions)
 }
 
-// PartitionStream returns the stream of a numbered partition.
+// PartitionStream returns the stream with a number. The numbers, from 0, run through the partitions of
+// as many topics as the cells need, each of which has the given number of partitions.
 func PartitionStream(number, partitions int) damsonwinch.Stream {
-	return damsonwinch.Stream{Topic: numbered(cellTopic, 1+number/partitions), Partition: number % partitions}
+	return damsonwinch.Stream{Topic: topicName(cellTopic, 1+number/partitions), Partition: number % partitions}
 }
 
-// numbered returns the name of the n-th topic of a kind, from 1.
-func numbered(topic string, number int) string {
+// topicName returns the name of one of several topics. The first, with the number 1, has the base name;
+// the others have their number after it.
+func topicName(topic string, number int) string {
 	if number == 1 {
 		return topic
 	}
 	return topic + "-" + strconv.Itoa(number)
 }
 
-// Messages on partitions.
+// Messages about partitions.
 type (
-	// partitionWanted asks for a partition that no cell has had, told to a function that
-	// must not wait.
-	partitionWanted struct{ take func(number int) }
-	// partitionTaken is the answer to the append that takes one.
-	partitionTaken struct {
-		taken int
-		end   int
-		err   error
+	// partitionRequested asks run to reserve a partition and to pass its number to use, which must
+	// not block.
+	partitionRequested struct{ use func(number int) }
+	// partitionAppended is the result of the append that reserves a partition. reserved is the number
+	// of reserved partitions including this one.
+	partitionAppended struct {
+		reserved int
+		end      int
+		err      error
 	}
-	// moveWanted asks for a claim by which a cell that is owned here goes on in another
-	// partition, to which its records have been written.
-	moveWanted struct {
+	// moveRequested asks run to claim a cell again, with a partition to which the cell's records have
+	// been copied.
+	moveRequested struct {
 		cell      string
 		token     int
 		partition int
 	}
 )
 
-// ReservePartition takes a partition that no cell has had and tells its number. What the
-// function does must not wait.
-func (o *Ownership) ReservePartition(take func(number int)) {
-	o.send(partitionWanted{take: take})
+// ReservePartition reserves a partition that no cell has ever used, and passes its number to use, which
+// must not block.
+func (o *Ownership) ReservePartition(use func(number int)) {
+	o.send(partitionRequested{use: use})
 }
 
-// MoveClaim lets a cell that is owned here by a claim go on in another partition, unless it has
-// been claimed since.
+// MoveClaim claims a cell of this node again, with another partition for its records. It does nothing
+// if token is not that of the cell's newest claim.
 func (o *Ownership) MoveClaim(cell string, token, partition int) {
-	o.send(moveWanted{cell: cell, token: token, partition: partition})
+	o.send(moveRequested{cell: cell, token: token, partition: partition})
 }
 
-// nextPartition returns the lowest partition that no cell has had.
+// nextPartition returns the lowest number above all partitions that are reserved or that a claim names.
 func (o *Ownership) nextPartition() int {
-	next := o.state.taken
+	next := o.state.reservedPartitions
 	for _, claim := range o.state.claims {
 		next = max(next, claim.Partition+1)
 	}
 	return next
 }
 
-// takeOnePartition takes a partition for the first who wants one.
-func (o *Ownership) takeOnePartition() {
+// reserveNextPartition starts to reserve a partition for the first of partitionWaiters. If none is
+// left it drops all of them.
+func (o *Ownership) reserveNextPartition() {
 	s := &o.state
-	if len(s.takers) == 0 {
+	if len(s.partitionWaiters) == 0 {
 		return
 	}
-	taken, end := o.nextPartition()+1, s.end
-	if taken > mostPartitionTopics*o.options.Partitions {
-		o.deps.Logger.WithField("taken", taken).Error("no partition is left for a cell to move to")
-		s.takers = nil
+	reserved, end := o.nextPartition()+1, s.claimsEnd
+	if reserved > maxCellTopics*o.options.Partitions {
+		o.deps.Logger.WithField("taken", reserved).Error("no partition is left for a cell to move to")
+		s.partitionWaiters = nil
 		return
 	}
-	s.claiming = true
+	s.appendPending = true
 	o.group.Go(func() error {
-		value, err := json.Marshal(wire.Partitions{Taken: taken})
+		value, err := json.Marshal(wire.Partitions{Taken: reserved})
 		if err == nil {
 			err = o.appendRecord(damsonwinch.Record{Key: partitionsKey, Value: value}, end)
 		}
-		o.send(partitionTaken{taken: taken, end: end, err: err})
+		o.send(partitionAppended{reserved: reserved, end: end, err: err})
 		return nil
 	})
 }
 
-// takePartition takes the answer to the append that takes a partition.
-func (o *Ownership) takePartition(m partitionTaken) {
+// handlePartitionAppended handles the result of the append that reserves a partition.
+func (o *Ownership) handlePartitionAppended(m partitionAppended) {
 	s := &o.state
-	done := o.takeAppended(m.err, m.end, o.deps.Logger.WithField("cell", partitionsKey))
+	succeeded := o.finishAppend(m.err, m.end, o.deps.Logger.WithField("cell", partitionsKey))
 	if errors.Is(m.err, damsonwinch.ErrConflict) {
 		return
 	}
-	// Where it isn't known whether it is taken, another one will do.
-	s.taken = max(s.taken, m.taken)
-	if !done {
+	// After an append with an unknown outcome the partition may be reserved: the next try uses another.
+	s.reservedPartitions = max(s.reservedPartitions, m.reserved)
+	if !succeeded {
 		return
 	}
-	take := s.takers[0]
-	s.takers = s.takers[1:]
+	use := s.partitionWaiters[0]
+	s.partitionWaiters = s.partitionWaiters[1:]
 	o.group.Go(func() error {
-		take(m.taken - 1)
+		use(m.reserved - 1)
 		return nil
 	})
 }
 
-// takePartitions takes the record of the partitions that cells have had.
-func (o *Ownership) takePartitions(record damsonwinch.Record) {
-	var found wire.Partitions
-	if err := json.Unmarshal(record.Value, &found); err != nil {
-		o.deps.Logger.WithError(err).Error("number of partitions not understood")
+// applyPartitions applies the record of the number of reserved partitions.
+func (o *Ownership) applyPartitions(record damsonwinch.Record) {
+	var stored wire.Partitions
+	if err := json.Unmarshal(record.Value, &stored); err != nil {
+		o.deps.Logger.WithError(err).Error("number of reserved partitions cannot be decoded")
 		return
 	}
-	o.state.taken = max(o.state.taken, found.Taken)
+	o.state.reservedPartitions = max(o.state.reservedPartitions, stored.Taken)
 }
 
-// moveOne claims the first cell that is to go on in another partition.
-func (o *Ownership) moveOne() {
+// moveNextClaim starts to append the claim of a cell that moves to another partition, and removes the
+// requests for claims that have been replaced.
+func (o *Ownership) moveNextClaim() {
 	s := &o.state
-	for cell, m := range s.moves {
+	for cell, m := range s.pendingMoves {
 		claim := s.claims[cell]
 		if claim.Token != m.token || !claim.HeldBy(o.options.Self) {
-			delete(s.moves, cell)
+			delete(s.pendingMoves, cell)
 			continue
 		}
-		o.deps.Logger.WithFields(logrus.Fields{"cell": cell, "from": claim.Partition, "to": m.partition}).Info("cell goes on in another partition")
+		o.deps.Logger.WithFields(logrus.Fields{"cell": cell, "from": claim.Partition, "to": m.partition}).Info("cell moves to another partition")
 		claim.Partition = m.partition
-		o.makeClaim(claim.CellClaim)
+		o.startClaimAppend(claim.CellClaim)
 		return
 	}
 }
--- a/pkg/ownership/peers.go
+++ b/pkg/ownership/peers.go
@@ -10,32 +10,33 @@
 	"damsonwinch/pkg/wire"
 )
 
-// staleAfter is the age of the claims at which a node asks others for newer ones:
-// readings that wait for a second are answered every second.
-const staleAfter = 1500 * time.Millisecond
+// maxClaimsAge is the age of the claims above which a node asks other nodes for newer ones, and the
+// largest age at which it accepts theirs. A read that waits a second for new records is answered
+// every second.
+const maxClaimsAge = 1500 * time.Millisecond
 
-// askPeer asks the next node that is known for the claims. A node that has lost
-// only the store learns from others who owns the cells, and that it no longer
+// fetchPeerClaims starts to fetch the claims from another node, a different one each time. A node that
+// is cut off only from the store learns in this way which nodes own the cells, and that it no longer
 // owns its own.
-func (o *Ownership) askPeer(now time.Time) {
+func (o *Ownership) fetchPeerClaims(now time.Time) {
 	s := &o.state
 	addresses := o.peerAddresses()
 	if len(addresses) == 0 {
 		return
 	}
-	address := addresses[s.asked%len(addresses)]
-	s.asking, s.askedAt = true, now
-	s.asked++
+	address := addresses[s.fetchCount%len(addresses)]
+	s.fetchPending, s.fetchSentAt = true, now
+	s.fetchCount++
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 		defer cancel()
 		reply, err := o.deps.FetchClaims(ctx, address, wire.ClaimsArgs{Node: o.options.Self.Node})
-		o.send(claimsHeard{reply: reply, err: err})
+		o.send(peerClaimsReceived{reply: reply, err: err})
 		return nil
 	})
 }
 
-// peerAddresses returns the addresses of all other nodes that are known.
+// peerAddresses returns the addresses of all other members and owners, in order.
 func (o *Ownership) peerAddresses() []string {
 	var addresses []string
 	add := func(address string) {
@@ -43,7 +44,7 @@
 			addresses = append(addresses, address)
 		}
 	}
-	for _, member := range o.state.roster.members {
+	for _, member := range o.state.memberList.members {
 		add(member.Address)
 	}
 	for _, claim := range o.state.claims {
@@ -53,25 +54,25 @@
 	return addresses
 }
 
-// hear takes claims from another node that the store has answered lately. They
-// are as true as those from the store, but confirm nothing of this node's own.
-func (o *Ownership) hear(m claimsHeard) {
+// handlePeerClaims adopts the newer claims from another node's reply, if the store has confirmed them
+// lately. They are as valid as claims read from the store, but don't confirm this node's own claims.
+func (o *Ownership) handlePeerClaims(m peerClaimsReceived) {
 	s := &o.state
-	s.asking = false
-	if m.err != nil || m.reply.AgeMs > int(staleAfter.Milliseconds()) {
+	s.fetchPending = false
+	if m.err != nil || m.reply.AgeMs > int(maxClaimsAge.Milliseconds()) {
 		o.deps.Metrics.Add("peers_without_claims", 1)
 		return
 	}
-	changed := o.hearLayout(m.reply.Layout)
-	for _, heard := range m.reply.Claims {
-		if known := s.claims[heard.Claim.Cell]; heard.Token > known.Token {
-			s.claims[heard.Claim.Cell] = Claim{CellClaim: heard.Claim, Token: heard.Token}
+	changed := o.adoptPeerLayout(m.reply.Layout)
+	for _, received := range m.reply.Claims {
+		if known := s.claims[received.Claim.Cell]; received.Token > known.Token {
+			s.claims[received.Claim.Cell] = Claim{CellClaim: received.Claim, Token: received.Token}
 			changed = true
 		}
 	}
 	if changed {
-		s.watchedOld = true
-		o.deps.Logger.WithFields(logrus.Fields{"claims": len(m.reply.Claims), "age_ms": m.reply.AgeMs}).Info("claims heard from another node")
-		o.publish()
+		s.watchedStale = true
+		o.deps.Logger.WithFields(logrus.Fields{"claims": len(m.reply.Claims), "age_ms": m.reply.AgeMs}).Info("claims received from another node")
+		o.publishView()
 	}
 }
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -12,55 +12,58 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of the questions whether an owner lives. The group alone can't tell: it may list
-// fewer members than there are, a new life only after its earlier one, and one that has
-// fallen silent for a second more.
+// Times of the health checks of owners. The list of members alone doesn't show whether an owner is
+// alive. It may lack members, it shows a new incarnation only after the earlier one has left it, and
+// it shows a node that has gone silent for another second.
 const (
-	// proofEvery is the time between two questions to an owner.
-	proofEvery = tick
-	// proofWait is how long an answer is waited for. It comes in 5 ms; a choked node has
-	// taken 250.
-	proofWait = 500 * time.Millisecond
-	// storeTime is how long ago the store may have answered an owner that lives: one
-	// that has lost the store can start nothing. It proves to the store that it lives
-	// each 300 ms; an answer that is lost costs it 600.
-	storeTime = joinEvery + callTimeout
+	// checkInterval is the time between two health checks of an owner.
+	checkInterval = tickInterval
+	// checkTimeout is how long the reply to a health check may take. It usually takes 5 ms, and has
+	// taken 250 ms from an overloaded node.
+	checkTimeout = 500 * time.Millisecond
+	// maxStoreAge is how long ago the store may have answered an owner for the owner to count as alive:
+	// an owner that is cut off from the store can start nothing. It sends the store a heartbeat every
+	// 300 ms, and a lost answer costs it another 600 ms.
+	maxStoreAge = joinInterval + callTimeout
 )
 
-// proof is what a node's life has shown of itself beside its place in the group.
-type proof struct {
+// ownerHealth is what this node knows of an incarnation of an owner besides its place in the list of
+// members.
+type ownerHealth struct {
 	incarnation int
 	evidence    liveness.Evidence
-	// reading says that a reading of its streams is on its way.
-	reading bool
-	// storeless says that the newest answer was that of a life which has lost the store,
-	// and replaced that another life has answered.
-	storeless bool
-	replaced  bool
-	// noted says that its silence has been logged, and slow that it was taken for slow.
-	noted bool
-	slow  bool
+	// streamReadPending reports whether a read of the owner's streams is under way.
+	streamReadPending bool
+	// cutOffFromStore reports whether the owner was cut off from the store at its newest reply, and
+	// replaced whether another incarnation has replied in its place.
+	cutOffFromStore bool
+	replaced        bool
+	// silenceReported and slownessReported are set once it has been logged that the owner doesn't
+	// reply, and that it works nevertheless.
+	silenceReported  bool
+	slownessReported bool
 }
 
-// proofOf returns what is known of a node's life.
-func (o *Ownership) proofOf(node string, incarnation int) proof {
-	known := o.state.proofs[node]
-	if known.incarnation != incarnation {
-		return proof{incarnation: incarnation}
+// healthOf returns what is known of an incarnation of a node.
+func (o *Ownership) healthOf(node string, incarnation int) ownerHealth {
+	health := o.state.health[node]
+	if health.incarnation != incarnation {
+		return ownerHealth{incarnation: incarnation}
 	}
-	return known
+	return health
 }
 
-// silent says whether a node's life was asked and doesn't answer any more, nor shows any
-// work at the store. One that has not been asked is taken to live: who would take its cells
-// asks first.
-func (o *Ownership) silent(node string, incarnation int) bool {
-	known := o.proofOf(node, incarnation)
+// isLost reports whether an incarnation of a node has stopped replying to health checks and has shown
+// no progress in its streams either, or has been replaced. A node that hasn't been checked isn't lost:
+// its successor checks it before taking over its cells.
+func (o *Ownership) isLost(node string, incarnation int) bool {
+	health := o.healthOf(node, incarnation)
 	now := o.deps.Clock.Now()
-	return known.replaced || known.evidence.IsLost(now, o.claimAge(node, now))
+	return health.replaced || health.evidence.IsLost(now, o.claimAge(node, now))
 }
 
-// claimAge returns how long ago a node made its newest claim, as far as that was seen.
+// claimAge returns how long ago a node made its newest claim, among the claims that this node has seen
+// being made. Without any it returns a very long time.
 func (o *Ownership) claimAge(node string, now time.Time) time.Duration {
 	age := time.Duration(1<<63 - 1)
 	for cell, claim := range o.state.claims {
@@ -71,139 +74,141 @@
 	return age
 }
 
-// watch asks the owners of the cells that this node would take over next, and looks for
-// their work at the store where they don't answer.
-func (o *Ownership) watch(now time.Time) {
+// watchOwners checks the owners of the cells whose successor is this node, and reads the streams of
+// those that don't reply.
+func (o *Ownership) watchOwners(now time.Time) {
 	s := &o.state
-	if s.watchedOld {
-		s.watched, s.watchedOld = o.nextCells(), false
+	if s.watchedStale {
+		s.watchedCells, s.watchedStale = o.successorCells(), false
 	}
-	for _, cell := range s.watched {
+	for _, cell := range s.watchedCells {
 		claim := s.claims[cell]
-		known := o.proofOf(claim.Node, claim.Incarnation)
-		if now.Sub(known.evidence.LastRequestAt()) >= proofEvery {
-			known.evidence = known.evidence.WithRequest(now)
-			o.askProof(claim, now)
+		health := o.healthOf(claim.Node, claim.Incarnation)
+		if now.Sub(health.evidence.LastRequestAt()) >= checkInterval {
+			health.evidence = health.evidence.WithRequest(now)
+			o.checkOwner(claim, now)
 		}
-		if !known.reading && known.evidence.StreamReadDue(now) {
-			known.reading = true
-			o.readWork(claim, now)
+		if !health.streamReadPending && health.evidence.StreamReadDue(now) {
+			health.streamReadPending = true
+			o.readStreamEnds(claim, now)
 		}
-		s.proofs[claim.Node] = known
+		s.health[claim.Node] = health
 	}
 }
 
-// nextCells returns the cells that this node would own if their owners were gone.
-func (o *Ownership) nextCells() []string {
+// successorCells returns the cells that this node would claim if their owners were lost.
+func (o *Ownership) successorCells() []string {
 	s := &o.state
 	living, live := o.livingMembers(), o.liveClaims()
-	var next []string
+	var cells []string
 	for _, cell := range s.cells {
 		claim, known := s.claims[cell]
-		if !known || claim.Released || claim.HeldBy(o.options.Self) || o.ofEarlierLife(claim) {
+		if !known || claim.Released || claim.HeldBy(o.options.Self) || o.byEarlierIncarnation(claim) {
 			continue
 		}
 		others := slices.DeleteFunc(slices.Clone(living), claim.HeldBy)
-		if best, found := heir(cell, others, live); found && best.is(o.options.Self) {
-			next = append(next, cell)
+		if best, found := successor(cell, others, live); found && best.sameIncarnation(o.options.Self) {
+			cells = append(cells, cell)
 		}
 	}
-	return next
+	return cells
 }
 
-func (o *Ownership) askProof(claim Claim, now time.Time) {
+// checkOwner starts a health check of a claim's owner.
+func (o *Ownership) checkOwner(claim Claim, now time.Time) {
 	o.group.Go(func() error {
-		ctx, cancel := context.WithTimeout(o.ctx, proofWait)
+		ctx, cancel := context.WithTimeout(o.ctx, checkTimeout)
 		defer cancel()
 		reply, err := o.deps.FetchClaims(ctx, claim.Address, wire.ClaimsArgs{Node: o.options.Self.Node})
-		o.send(proofHeard{node: claim.Node, incarnation: claim.Incarnation, askedAt: now, reply: reply, err: err})
+		o.send(healthReply{node: claim.Node, incarnation: claim.Incarnation, sentAt: now, reply: reply, err: err})
 		return nil
 	})
 }
 
-// beyondKeys stands behind all keys of a cell's stream: a reading from there on tells only
-// where the stream ends.
-const beyondKeys = "~"
+// lastKey sorts after all keys of a cell's stream. A read of the keys after it returns no records, only
+// the end of the stream.
+const lastKey = "~"
 
-// readWork reads where the streams of all cells of a claim's maker end.
-func (o *Ownership) readWork(of Claim, now time.Time) {
+// readStreamEnds starts to read the end offsets of the streams of all cells of a claim's owner.
+func (o *Ownership) readStreamEnds(watched Claim, now time.Time) {
 	var claims []Claim
 	for _, claim := range o.state.claims {
-		if claim.Node == of.Node && !claim.Released {
+		if claim.Node == watched.Node && !claim.Released {
 			claims = append(claims, claim)
 		}
 	}
 	o.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 		defer cancel()
-		read := workRead{node: of.Node, incarnation: of.Incarnation, askedAt: now}
+		result := streamEndsRead{node: watched.Node, incarnation: watched.Incarnation, sentAt: now}
 		for _, claim := range claims {
-			page, err := o.deps.Store.Newest(ctx, CellStream(claim, o.options.Partitions), beyondKeys)
+			page, err := o.deps.Store.Newest(ctx, CellStream(claim, o.options.Partitions), lastKey)
 			if err != nil {
-				read.err = err
+				result.err = err
 				break
 			}
-			read.ends += page.End
+			result.ends += page.End
 		}
-		o.send(read)
+		o.send(result)
 		return nil
 	})
 }
 
-// takeWork takes where the streams of a node that doesn't answer end.
-func (o *Ownership) takeWork(m workRead, now time.Time) {
-	known := o.state.proofs[m.node]
-	if known.incarnation != m.incarnation {
+// handleStreamEnds handles the result of reading the streams of an owner that doesn't reply.
+func (o *Ownership) handleStreamEnds(m streamEndsRead, now time.Time) {
+	health := o.state.health[m.node]
+	if health.incarnation != m.incarnation {
 		return
 	}
-	known.reading = false
+	health.streamReadPending = false
 	if m.err != nil {
-		// Who can't read the store judges nobody: it couldn't take a cell either.
+		// A node that can't read the store decides about no other node: it couldn't take over a cell.
 		o.deps.Metrics.Add("work_not_read", 1)
-		o.state.proofs[m.node] = known
+		o.state.health[m.node] = health
 		return
 	}
-	before := known.evidence
-	known.evidence = before.WithStreamRead(m.askedAt, now.Sub(m.askedAt), m.ends)
-	if known.evidence.ShowsProgressSince(before) && !known.slow {
-		known.slow = true
+	before := health.evidence
+	health.evidence = before.WithStreamRead(m.sentAt, now.Sub(m.sentAt), m.ends)
+	if health.evidence.ShowsProgressSince(before) && !health.slownessReported {
+		health.slownessReported = true
 		o.deps.Metrics.Add("owners_slow", 1)
 		o.deps.Logger.WithFields(logrus.Fields{"peer": m.node, "incarnation": m.incarnation, "ends": m.ends}).Info("owner of a cell doesn't answer but works")
 	}
-	o.state.proofs[m.node] = known
+	o.state.health[m.node] = health
 }
 
-// takeProof takes the answer of an owner that was asked whether it lives.
-func (o *Ownership) takeProof(m proofHeard, now time.Time) {
+// handleHealthReply handles the result of a health check.
+func (o *Ownership) handleHealthReply(m healthReply, now time.Time) {
 	s := &o.state
-	known := s.proofs[m.node]
-	if known.incarnation != m.incarnation {
+	health := s.health[m.node]
+	if health.incarnation != m.incarnation {
 		return
 	}
 	switch {
 	case m.err != nil:
-		o.noteSilent(m, &known, now)
+		o.recordFailedCheck(m, &health, now)
 	case m.reply.Node != m.node || m.reply.Incarnation != m.incarnation:
-		known.replaced = true
+		health.replaced = true
 	default:
-		known.storeless = m.reply.StoreAgeMs >= int(storeTime.Milliseconds())
-		known.noted, known.slow = false, false
-		known.evidence = known.evidence.WithReply(m.askedAt)
+		health.cutOffFromStore = m.reply.StoreAgeMs >= int(maxStoreAge.Milliseconds())
+		health.silenceReported, health.slownessReported = false, false
+		health.evidence = health.evidence.WithReply(m.sentAt)
 	}
-	s.proofs[m.node] = known
+	s.health[m.node] = health
 }
 
-// noteSilent takes note of a question that failed.
-func (o *Ownership) noteSilent(m proofHeard, known *proof, now time.Time) {
+// recordFailedCheck records a health check without a reply in health, and logs the first one since the
+// newest reply.
+func (o *Ownership) recordFailedCheck(m healthReply, health *ownerHealth, now time.Time) {
 	if call.Refused(m.err) {
-		o.suspect(suspected{node: m.node, incarnation: m.incarnation}, now)
+		o.recordRefusal(connectionRefused{node: m.node, incarnation: m.incarnation}, now)
 	}
-	if known.noted {
+	if health.silenceReported {
 		return
 	}
-	known.noted = true
+	health.silenceReported = true
 	o.deps.Metrics.Add("owners_silent", 1)
 	o.deps.Logger.WithError(m.err).WithFields(logrus.Fields{
-		"peer": m.node, "incarnation": m.incarnation, "asked_ms_ago": now.Sub(m.askedAt).Milliseconds(),
+		"peer": m.node, "incarnation": m.incarnation, "asked_ms_ago": now.Sub(m.sentAt).Milliseconds(),
 	}).Info("owner of a cell doesn't answer")
 }
--- a/pkg/ownership/proof_test.go
+++ b/pkg/ownership/proof_test.go
@@ -90,7 +90,7 @@
 	until(t, "the cells are owned", func() bool { return first.owns("one") && first.owns("two") })
 	start(t, store, "b", "one", "two")
 
-	clockwork.NewRealClock().Sleep(handOverAfter + time.Second)
+	clockwork.NewRealClock().Sleep(handOverDelay + time.Second)
 
 	assert.Assert(t, first.owns("one") && first.owns("two"))
 }
--- a/pkg/ownership/roster.go
+++ b/pkg/ownership/roster.go
@@ -2,32 +2,34 @@
 
 import "cmp"
 
-// roster is the group's members as they were last read, at most one life of each node.
-type roster struct {
+// memberList holds the members of the group as they were last read, at most one incarnation of each node.
+type memberList struct {
 	members []Member
 	byNode  map[string]Member
-	// ahead counts those that would take a cell over before this node if all had the same
-	// to carry: the stronger ones, and of equal ones those whose names come first.
-	ahead int
+	// strongerCount is the number of members that would take over a cell before this node if all
+	// nodes owned equally many cells: those with more weight, and those with the same weight whose
+	// names come first.
+	strongerCount int
 }
 
-func newRoster(members []Member, self Member) roster {
-	r := roster{members: members, byNode: make(map[string]Member, len(members))}
+// newMemberList returns the list of members as this node sees it.
+func newMemberList(members []Member, self Member) memberList {
+	l := memberList{members: members, byNode: make(map[string]Member, len(members))}
 	for _, member := range members {
-		r.byNode[member.Node] = member
+		l.byNode[member.Node] = member
 		if cmp.Or(cmp.Compare(self.Weight, member.Weight), cmp.Compare(member.Node, self.Node)) < 0 {
-			r.ahead++
+			l.strongerCount++
 		}
 	}
-	return r
+	return l
 }
 
-// lists says whether the maker of a claim is a member.
-func (r roster) lists(claim Claim) bool {
-	return claim.HeldBy(r.byNode[claim.Node])
+// listsOwner reports whether the owner by a claim is a member.
+func (l memberList) listsOwner(claim Claim) bool {
+	return claim.HeldBy(l.byNode[claim.Node])
 }
 
-// listsLater says whether a later life of the node that made a claim is a member.
-func (r roster) listsLater(claim Claim) bool {
-	return r.byNode[claim.Node].Incarnation > claim.Incarnation
+// listsLaterIncarnation reports whether a later incarnation of the node that made a claim is a member.
+func (l memberList) listsLaterIncarnation(claim Claim) bool {
+	return l.byNode[claim.Node].Incarnation > claim.Incarnation
 }
--- a/pkg/ownership/settle.go
+++ b/pkg/ownership/settle.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// Times until the members of the group are likely to be complete.
+// Delays after which the list of members is probably complete enough to claim cells by it.
 const (
-	// settleTime lets the other nodes of a starting system join before the first
-	// one shares out the cells.
-	settleTime = 1500 * time.Millisecond
-	// regroupTime lets the members come back whom the group has lost while the store
-	// was away, or who were all stopped at once: a call that hangs and the next one.
-	regroupTime = callTimeout + joinEvery + 100*time.Millisecond
+	// startupDelay lets the other nodes of a starting system join before the first one claims cells.
+	startupDelay = 1500 * time.Millisecond
+	// regroupDelay lets members join again that the group dropped while the store was unreachable, or
+	// that were all suspended at once. It covers a call that hangs and the next one.
+	regroupDelay = callTimeout + joinInterval + 100*time.Millisecond
 )
 
-// settledAt returns from when on the members are likely to be complete. Only a list
-// of members that was asked for later counts: an older one shows those who were
-// the first to come back.
-func (o *Ownership) settledAt() time.Time {
+// membersSettledAt returns the time from which the list of members is probably complete enough to claim
+// cells by it. Only a list that is requested after this time counts: an earlier one holds only the
+// first members to come back.
+func (o *Ownership) membersSettledAt() time.Time {
 	s := &o.state
-	pause := settleTime
+	delay := startupDelay
 	if len(s.claims) > 0 && !o.options.FirstStart {
-		pause = o.startPause()
+		delay = o.restartDelay()
 	}
-	at := s.startedAt.Add(pause)
-	if regrouped := s.regroupedAt.Add(regroupTime); regrouped.After(at) {
+	at := s.startedAt.Add(delay)
+	if regrouped := s.membersRecoveredAt.Add(regroupDelay); regrouped.After(at) {
 		return regrouped
 	}
 	return at
 }
 
-// startPause is how long a node that has restarted leaves cells to others, which may
-// have been stopped with it: the less it can carry, the longer.
-func (o *Ownership) startPause() time.Duration {
-	return min(regroupTime, fullPause*fullWeight/time.Duration(max(1, o.options.Self.Weight)))
+// restartDelay returns how long a restarted node leaves the cells to other nodes, which may have been
+// stopped together with it. The less weight the node has, the longer it waits.
+func (o *Ownership) restartDelay() time.Duration {
+	return min(regroupDelay, referenceDelay*referenceWeight/time.Duration(max(1, o.options.Self.Weight)))
 }
 
 const (
-	// fullPause is that time for a node with fullWeight, in thousandths of a core:
-	// about as long as nodes that are restarted together differ.
-	fullPause  = 60 * time.Millisecond
-	fullWeight = 400
+	// referenceDelay is the restart delay of a node with referenceWeight, which is in thousandths of a
+	// core. Nodes that are restarted together start about this far apart.
+	referenceDelay  = 60 * time.Millisecond
+	referenceWeight = 400
 )
--- a/pkg/ownership/state.go
+++ b/pkg/ownership/state.go
@@ -6,69 +6,82 @@
 	"damsonwinch/pkg/shard"
 )
 
-// state is what the task knows.
+// state is what run knows and has under way. A pending field is set while such a call is under way, and
+// a sentAt field is when the newest one was sent.
 type state struct {
-	cells  []string
+	// cells are the names of the cells that need an owner.
+	cells []string
+	// claims holds the newest claim of each cell, by cell.
 	claims map[string]Claim
-	// claimedAt is when a cell's claim was seen to be made, zero for one that stood before.
-	claimedAt  map[string]time.Time
-	end        int
-	claimsRead bool
-	confirmed  time.Time
-	roster     roster
-	// membersAt is when the members were last read, and regroupedAt when that was
-	// possible again after a while in which it was not.
-	membersAt   time.Time
-	regroupedAt time.Time
-	// steadySince is since when the list of members has been as long as it is, and steady
-	// says that it is taken for complete.
-	steadySince time.Time
-	steady      bool
-	// layout is in force, and layoutWanted the one to put in force if there is none.
-	layout       shard.Layout
-	layoutWanted shard.Layout
-	// topics is the number of topics over which the group is spread, so that each
-	// member holds a partition and is listed.
-	topics int
-	// slept is for how long the machine had been suspended when that was last looked at.
-	slept time.Duration
-	// proofs holds, by node, whether it answers when it is asked if it lives, watched
-	// the cells whose owners this node asks, and watchedOld that those may be others.
-	proofs     map[string]proof
-	watched    []string
-	watchedOld bool
-	// weakSince is since when this node has owned a cell that a far stronger one could
-	// have, zero if it doesn't.
-	weakSince  time.Time
+	// claimedAt is when this node saw the newest claim of a cell being made, by cell. A claim that was
+	// there at the first read has no time.
+	claimedAt map[string]time.Time
+	// claimsEnd is the end offset of the stream of claims as far as it has been read, and haveClaims
+	// reports whether it has been read at all.
+	claimsEnd  int
+	haveClaims bool
+	// confirmedAt is when the newest answered read of the claims was sent.
+	confirmedAt time.Time
+	memberList  memberList
+	// membersReadAt is when the newest answered read of the members was sent, and membersRecoveredAt
+	// when the newest one was sent that followed a long time without answers.
+	membersReadAt      time.Time
+	membersRecoveredAt time.Time
+	// memberCountSince is the time from which the number of members has been the same, and
+	// membersComplete reports whether their list counts as complete.
+	memberCountSince time.Time
+	membersComplete  bool
+	// layout is in force. proposedLayout is put in force if there is none.
+	layout         shard.Layout
+	proposedLayout shard.Layout
+	// topicCount is the number of topics that the group needs so that each member holds a partition
+	// and is listed.
+	topicCount int
+	// suspended is the machine's total suspended time at the last check.
+	suspended time.Duration
+	// health holds the health of owners, by node. watchedCells are the cells whose owners this node
+	// checks, and watchedStale is set when they have to be determined again.
+	health       map[string]ownerHealth
+	watchedCells []string
+	watchedStale bool
+	// misplacedSince is the time from which this node has owned a cell that a far stronger node should
+	// own, or zero.
+	misplacedSince time.Time
+	// generation is the newest generation of the group that this node knows.
 	generation int
-	// unlisted says that the group has dealt this node nothing, so that its list doesn't
-	// show it.
-	unlisted  bool
-	startedAt time.Time
-	joining   bool
-	joinedAt  time.Time
-	reading   bool
-	readAt    time.Time
-	claiming  bool
-	// outdated is the end of the stream of claims at which one has been made since; no
-	// other is made before newer claims have been read.
-	outdated int
-	// outdatedAt is since when newer claims are awaited.
-	outdatedAt time.Time
-	// failedAt is when an append to the stream of claims last failed.
-	failedAt time.Time
-	// taken is how many partitions cells have had, takers those who want another one, and
-	// moves what cells are to go on in one, by cell.
-	taken  int
-	takers []func(number int)
-	moves  map[string]moveWanted
-	// renounced holds the tokens of this node's claims that are to be given up.
-	renounced map[string]int
-	leaving   bool
-	asking    bool
-	askedAt   time.Time
-	// asked counts the questions to peers, which take turns.
-	asked int
-	// refusals holds, by node, the last refused connection.
+	// unassigned reports whether the group has assigned no partition to this node, so that the list of
+	// members doesn't show it.
+	unassigned bool
+	// startedAt is when this Ownership was created.
+	startedAt         time.Time
+	joinPending       bool
+	joinSentAt        time.Time
+	memberReadPending bool
+	memberReadSentAt  time.Time
+	// appendPending is set while an append to the stream of claims is under way.
+	appendPending bool
+	// conflictEnd is the offset of the newest append that conflicted with another node's. Nothing more
+	// is appended at that offset; newer records have to be read first.
+	conflictEnd int
+	// conflictSince is the time from which the conflicting record has been awaited, or zero.
+	conflictSince time.Time
+	// appendFailedAt is when an append to the stream of claims last failed.
+	appendFailedAt time.Time
+	// reservedPartitions is the lowest partition number that hasn't been reserved. partitionWaiters
+	// receive the partitions that are reserved next. pendingMoves holds the claims that are to be made
+	// again with another partition, by cell.
+	reservedPartitions int
+	partitionWaiters   []func(number int)
+	pendingMoves       map[string]moveRequested
+	// pendingReleases holds the tokens of this node's claims that are to be released, by cell.
+	pendingReleases map[string]int
+	// leaving is set once the node leaves the group. No more calls are started then.
+	leaving bool
+	// fetchPending and fetchSentAt are for fetches of the claims from other nodes, and fetchCount is
+	// their number, by which the other nodes take turns.
+	fetchPending bool
+	fetchSentAt  time.Time
+	fetchCount   int
+	// refusals holds the last refused connection of each node, by node.
 	refusals map[string]refusal
 }
--- a/pkg/ownership/store_test.go
+++ b/pkg/ownership/store_test.go
@@ -178,7 +178,7 @@
 func (s *memoryStore) deal() []damsonwinch.Assignment {
 	var dealt []damsonwinch.Assignment
 	held := map[string]int{}
-	for topic := range mostTopics {
+	for topic := range maxTopics {
 		for part := range s.places {
 			best := ""
 			for _, member := range slices.Sorted(slices.Values(s.members)) {
--- a/pkg/ownership/wake.go
+++ b/pkg/ownership/wake.go
@@ -7,24 +7,24 @@
 	"damsonwinch/pkg/liveness"
 )
 
-// wake forgets, once the machine has been suspended, what this node takes for new: others
-// that it had asked have long answered, and cells have other owners. It judges nobody by that,
-// and reads the claims anew.
-func (o *Ownership) wake() {
+// checkSuspension discards, after the machine was suspended, what this node takes for recent: other
+// nodes may have replied long ago, and cells may have other owners. No other node is taken for lost on
+// such evidence, and the claims are read again.
+func (o *Ownership) checkSuspension() {
 	s := &o.state
-	slept := o.deps.SuspendedTime.Total() - s.slept
-	if slept < damsonwinch.NegligibleSuspension {
+	suspended := o.deps.SuspendedTime.Total() - s.suspended
+	if suspended < damsonwinch.NegligibleSuspension {
 		return
 	}
-	s.slept += slept
+	s.suspended += suspended
 	o.deps.Metrics.Add("suspensions", 1)
-	o.deps.Metrics.Add("suspended_ms", int(slept.Milliseconds()))
-	o.deps.Logger.WithField("slept_ms", slept.Milliseconds()).Warn("the machine was suspended")
-	for node, known := range s.proofs {
-		known.evidence = liveness.Evidence{}
-		s.proofs[node] = known
+	o.deps.Metrics.Add("suspended_ms", int(suspended.Milliseconds()))
+	o.deps.Logger.WithField("slept_ms", suspended.Milliseconds()).Warn("the machine was suspended")
+	for node, health := range s.health {
+		health.evidence = liveness.Evidence{}
+		s.health[node] = health
 	}
-	s.confirmed = time.Time{}
+	s.confirmedAt = time.Time{}
 	o.feed.Refresh()
-	o.publish()
+	o.publishView()
 }
