--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -36,8 +36,8 @@
 
 // Cells knows the cells' owners.
 type Cells interface {
-	// Local returns the cell's owner if it is on this node.
-	Local(cell string) (CellOwner, bool)
+	// LocalOwner returns the cell's owner if it is on this node.
+	LocalOwner(cell string) (CellOwner, bool)
 	// View returns what is believed of all cells.
 	View() ownership.View
 	// StoreAnsweredAt returns when the store last answered this node.
@@ -45,8 +45,8 @@
 	// Admit says whether a call that another node has taken may be made, by what this one
 	// knows of customers and their keys; if not, the reply.
 	Admit(ctx context.Context, args wire.JobArgs) (wire.JobReply, bool)
-	// Suspect tells that a node's life has refused a connection.
-	Suspect(node string, incarnation int)
+	// ReportRefusedConnection tells that a node's life has refused a connection.
+	ReportRefusedConnection(node string, incarnation int)
 }
 
 // CellOwner is what the owner of a cell answers.
@@ -80,8 +80,8 @@
 
 var _ damsonwinch.JobService = (*Router)(nil)
 
-// New returns a router.
-func New(deps Deps) *Router {
+// NewRouter returns a router.
+func NewRouter(deps Deps) *Router {
 	return &Router{deps: deps, peers: map[string]*call.Client{}}
 }
 
@@ -175,7 +175,7 @@
 
 // try makes one try and says whether it may have had an effect.
 func (r *Router) try(ctx context.Context, m method, args wire.JobArgs) (wire.JobReply, bool) {
-	if local, here := r.deps.Cells.Local(args.Cell); here {
+	if local, here := r.deps.Cells.LocalOwner(args.Cell); here {
 		reply := m.local(local, ctx, args)
 		return reply, reply.Outcome == wire.JobOutcomeUnknown
 	}
@@ -193,7 +193,7 @@
 	}
 	r.failedAt.Store(r.deps.Clock.Now().UnixNano())
 	if call.Refused(err) {
-		r.deps.Cells.Suspect(claim.Node, claim.Incarnation)
+		r.deps.Cells.ReportRefusedConnection(claim.Node, claim.Incarnation)
 	}
 	r.deps.Metrics.Add("forward_failures", 1)
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: err.Error()}, call.MaySent(err)
@@ -204,9 +204,9 @@
 	return reply.Outcome == wire.JobOutcomeRefused || reply.Outcome == wire.JobOutcomeUnknown
 }
 
-// Serves says whether calls to other nodes were answered within a time as asked, the
+// ReachesOwners says whether calls to other nodes were answered within a time as asked, the
 // last one included.
-func (r *Router) Serves(within time.Duration) bool {
+func (r *Router) ReachesOwners(within time.Duration) bool {
 	answered := r.answeredAt.Load()
 	return answered > r.failedAt.Load() && r.deps.Clock.Now().UnixNano()-answered < within.Nanoseconds()
 }
@@ -220,7 +220,7 @@
 
 // Sync brings the fleet planner's call to the owner of a cell, with one try.
 func (r *Router) Sync(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error) {
-	if local, here := r.deps.Cells.Local(args.Cell); here {
+	if local, here := r.deps.Cells.LocalOwner(args.Cell); here {
 		return local.Sync(ctx, args), nil
 	}
 	claim, known := r.deps.Cells.View().Owner(args.Cell)
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -50,24 +50,24 @@
 	Dial     damsonwinch.Dial
 	Logger   logrus.FieldLogger
 	Metrics  *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.SuspendedTime
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
 	// CallListener takes the calls of other nodes.
 	CallListener net.Listener
-	// Configured is told each configuration that comes into force.
-	Configured func(configuration damsonwinch.Configuration, book *customer.Index)
+	// OnConfiguration is told each configuration that comes into force.
+	OnConfiguration func(configuration damsonwinch.Configuration, book *customer.Index)
 }
 
 // Options say who the node is and by which times it decides.
 type Options struct {
-	Self       ownership.Member
-	Cells      cell.Options
-	Supply     supply.Options
-	TTL        time.Duration
-	Partitions int
-	// CallBytes is the most that the store takes in a call.
-	CallBytes  int
-	FirstStart bool
+	Self          ownership.Member
+	CellOptions   cell.Options
+	Supply        supply.Options
+	MembershipTTL time.Duration
+	Partitions    int
+	// MaxAppendBytes is the most that the store takes in a call.
+	MaxAppendBytes int
+	FirstStart     bool
 }
 
 // Node is a running node.
@@ -151,7 +151,7 @@
 	}
 	n.view.Store(&ownership.View{})
 	n.holdings.Store(&map[string]holding{})
-	n.router = intake.New(intake.Deps{Cells: n, Dial: deps.Dial, Clock: deps.Clock, Metrics: deps.Metrics, Logger: deps.Logger})
+	n.router = intake.NewRouter(intake.Deps{Cells: n, Dial: deps.Dial, Clock: deps.Clock, Metrics: deps.Metrics, Logger: deps.Logger})
 	calls, err := call.Serve(deps.CallListener, intake.ServiceName, intake.NewService(ctx, options.Self, n, deps.Clock))
 	if err != nil {
 		cancel()
@@ -160,8 +160,8 @@
 	n.calls = calls
 	n.ownership = ownership.New(ownership.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.viewChanged,
-		FetchClaims: n.router.Claims, SuspendedTime: deps.Slept,
-	}, ownership.Options{Self: options.Self, MembershipTTL: options.TTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
+		FetchClaims: n.router.Claims, SuspendedTime: deps.SuspendedTime,
+	}, ownership.Options{Self: options.Self, MembershipTTL: options.MembershipTTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.peers.Ask,
@@ -177,8 +177,8 @@
 	return n, nil
 }
 
-// Jobs takes clients' calls.
-func (n *Node) Jobs() damsonwinch.JobService {
+// JobService takes clients' calls.
+func (n *Node) JobService() damsonwinch.JobService {
 	return n.router
 }
 
@@ -187,11 +187,11 @@
 	if n.inForce.Load() == nil {
 		return false
 	}
-	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.Serves(readyTime)
+	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.ReachesOwners(readyTime)
 }
 
-// ConfiguredAt returns when the configuration in force was last known to be the newest.
-func (n *Node) ConfiguredAt() time.Time {
+// ConfigurationConfirmedAt returns when the configuration in force was last known to be the newest.
+func (n *Node) ConfigurationConfirmedAt() time.Time {
 	return n.relay.CurrentAt()
 }
 
@@ -207,8 +207,8 @@
 	return *n.view.Load()
 }
 
-// Local implements intake.Cells.
-func (n *Node) Local(cell string) (intake.CellOwner, bool) {
+// LocalOwner implements intake.Cells.
+func (n *Node) LocalOwner(cell string) (intake.CellOwner, bool) {
 	found, here := (*n.holdings.Load())[cell].(intake.CellOwner)
 	return found, here
 }
@@ -218,8 +218,8 @@
 	return n.ownership.StoreAnsweredAt()
 }
 
-// Suspect implements intake.Cells.
-func (n *Node) Suspect(node string, incarnation int) {
+// ReportRefusedConnection implements intake.Cells.
+func (n *Node) ReportRefusedConnection(node string, incarnation int) {
 	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
@@ -310,7 +310,7 @@
 		n.state.boxes = m.boxes
 		n.decideLayout()
 	case reloaded:
-		n.options.Cells, n.options.Supply = m.options.Cells, m.options.Supply
+		n.options.CellOptions, n.options.Supply = m.options.CellOptions, m.options.Supply
 	case stopHoldings:
 		n.state.stopping = true
 		n.manageHoldings()
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -87,8 +87,8 @@
 			EndpointStream: platform.EndpointStream(), DecodeEndpoint: platform.DecodeEndpoint,
 			WaveReport: platform.WaveReport,
 		},
-		Clock: env.Clock, Slept: env.Slept, Dial: env.Dial, Logger: env.Logger, Metrics: set, CallListener: listeners[0],
-		Configured: func(configuration damsonwinch.Configuration, book *customer.Index) {
+		Clock: env.Clock, SuspendedTime: env.Slept, Dial: env.Dial, Logger: env.Logger, Metrics: set, CallListener: listeners[0],
+		OnConfiguration: func(configuration damsonwinch.Configuration, book *customer.Index) {
 			if handler := clients.Load(); handler != nil {
 				handler.Configure(configuration, book)
 			}
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	n.node = running
-	handler := platform.NewClients(running.Jobs(), env.Clock, set, platform.ClientOptions{Logger: env.Logger, KeyTime: keyTime(config.Bounds), ConfirmedAt: running.ConfiguredAt})
+	handler := platform.NewClients(running.JobService(), env.Clock, set, platform.ClientOptions{Logger: env.Logger, KeyTime: keyTime(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
 	clients.Store(handler)
 	n.clients = n.serve(listeners[1], handler, env.Logger)
 	n.ready = n.serve(listeners[2], http.HandlerFunc(n.answerReady), env.Logger)
@@ -130,7 +130,7 @@
 		Self: ownership.Member{
 			Node: config.Node, Address: config.CallAddress, Weight: weightOf(config), Incarnation: int(env.Clock.Now().UnixMilli()),
 		},
-		Cells: cell.Options{
+		CellOptions: cell.Options{
 			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: tokenGrace, MaxStartDelay: startLate, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: commitGap,
 			PollWait: lookWait, IdlePollInterval: idleLook, PollRetryInterval: retryLook, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
 			BoxLeadTime: seconds(bounds.MoveS) + supply.FirstTaskDelay,
@@ -138,10 +138,10 @@
 		Supply: supply.Options{
 			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
-		TTL:        milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
-		Partitions: orUsual(config.Partitions, usualPartitions),
-		CallBytes:  orUsual(config.StoreCallBytes, usualCallBytes),
-		FirstStart: config.FirstStart,
+		MembershipTTL:  milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
+		Partitions:     orUsual(config.Partitions, usualPartitions),
+		MaxAppendBytes: orUsual(config.StoreCallBytes, usualCallBytes),
+		FirstStart:     config.FirstStart,
 	}
 }
 
