--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -10,63 +10,63 @@
 	"damsonwinch/pkg/shard"
 )
 
-// TestALayoutIsDecidedOnce although two nodes decide at the same time: jobs are found by
-// it, so that a second one would hide them.
-func TestALayoutIsDecidedOnce(t *testing.T) {
+// TestOnlyOneLayoutIsDecided lets two nodes propose layouts at the same time. Jobs are found by the
+// layout, so a second one would hide jobs.
+func TestOnlyOneLayoutIsDecided(t *testing.T) {
 	store := newMemoryStore()
-	a, b := start(t, store, "a", "one"), start(t, store, "b", "one")
+	a, b := startNode(t, store, "a", "one"), startNode(t, store, "b", "one")
 
 	a.ProposeLayout(shard.NewLayout(3, []string{"p"}))
 	b.ProposeLayout(shard.NewLayout(5, []string{"p", "q"}))
 
-	until(t, "both know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
+	waitFor(t, "both nodes know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
 	decided := a.view.Load().Layout
 	assert.Assert(t, decided.Equal(b.view.Load().Layout), "%v and %v", decided, b.view.Load().Layout)
 	b.ProposeLayout(shard.NewLayout(7, nil))
-	later := start(t, store, "c", "one", "two")
-	until(t, "a later node knows it", func() bool { return later.view.Load().Layout.Decided() })
+	later := startNode(t, store, "c", "one", "two")
+	waitFor(t, "a later node knows the layout", func() bool { return later.view.Load().Layout.Decided() })
 	assert.Assert(t, later.view.Load().Layout.Equal(decided))
 	assert.Assert(t, b.view.Load().Layout.Equal(decided))
 }
 
-// TestAListOfMembersThatGrowsIsNotComplete: as long as each partition of the group has
-// another holder, or the number of members changes, there may be more.
-func TestAListOfMembersThatGrowsIsNotComplete(t *testing.T) {
+// TestGrowingMemberListIsIncomplete checks that the list of members doesn't count as complete while
+// each partition of the group has another holder, or while the number of members changes.
+func TestGrowingMemberListIsIncomplete(t *testing.T) {
 	store := newMemoryStore()
-	store.set(func() { store.full = true })
-	w := start(t, store, "a", "one")
-	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	assert.Assert(t, !w.view.Load().MembersComplete)
+	store.locked(func() { store.listFull = true })
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	assert.Assert(t, !n.view.Load().MembersComplete)
 
-	store.set(func() { store.full = false })
+	store.locked(func() { store.listFull = false })
 
-	until(t, "the list is complete", func() bool { return w.view.Load().MembersComplete })
+	waitFor(t, "the list counts as complete once it has spare partitions", func() bool { return n.view.Load().MembersComplete })
 }
 
-// TestAGroupThatCanGrowNoMoreIsAsCompleteAsItGets: with more nodes than the partitions of all topics
-// that the group may use, no list would ever be complete, and no layout decided.
-func TestAGroupThatCanGrowNoMoreIsAsCompleteAsItGets(t *testing.T) {
+// TestMemberListIsCompleteWhenGroupUsesAllTopics has more nodes than the partitions of all topics that
+// the group may use. If that kept the list from counting as complete, no layout would be decided.
+func TestMemberListIsCompleteWhenGroupUsesAllTopics(t *testing.T) {
 	store := newMemoryStore()
-	store.places = 1
+	store.partitionsPerTopic = 1
 	for number := range maxTopics + 20 {
 		name := member("node-"+strconv.Itoa(100+number), 1).Name()
 		store.members = append(store.members, name)
-		store.topics[name] = maxTopics
+		store.topicCounts[name] = maxTopics
 	}
-	w := start(t, store, "a", "one")
-	until(t, "the list is taken for complete", func() bool { return w.view.Load().MembersComplete })
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the list counts as complete", func() bool { return n.view.Load().MembersComplete })
 }
 
-// TestAGroupOfAFewPartitionsListsAFleet: 300 nodes before topics of 12 partitions.
-func TestAGroupOfAFewPartitionsListsAFleet(t *testing.T) {
+// TestGroupOfSmallTopicsListsLargeFleet checks that the group can list 300 nodes on topics of 12
+// partitions, and that all topics together stay below the limit of the platform.
+func TestGroupOfSmallTopicsListsLargeFleet(t *testing.T) {
 	const nodes, partitions = 300, 12
 	assert.Assert(t, maxTopics*partitions*100 >= nodes*(100+minSparePercent))
-	assert.Assert(t, maxTopics+maxCellTopics < 100, "the platform keeps no more topics")
+	assert.Assert(t, maxTopics+maxCellTopics < 100, "the platform allows 100 topics")
 }
 
-// TestCellsAreNumberedThroughTheTopics so that a fleet may have more cells than a topic has
-// partitions.
-func TestCellsAreNumberedThroughTheTopics(t *testing.T) {
+// TestCellPartitionsSpanTopics checks that there can be more cells than partitions of a topic.
+func TestCellPartitionsSpanTopics(t *testing.T) {
 	streams := map[string]bool{}
 	for partition := range 50 {
 		claim := Claim{}
@@ -79,25 +79,25 @@
 	assert.Assert(t, streams["keyed.cells/0"] && streams["keyed.cells-2/0"] && streams["keyed.cells-3/1"])
 }
 
-// TestAGroupThatIsNearlyFullMayHideMembers: of 147 nodes on 96 partitions 95 were listed,
-// one with two of them, and 52 had none.
-func TestAGroupThatIsNearlyFullMayHideMembers(t *testing.T) {
+// TestNearlyFullGroupMayHideMembers guards against taking a list for complete too early. Of 147 nodes
+// on 96 partitions 95 were listed, one of them with two partitions, and 52 had none.
+func TestNearlyFullGroupMayHideMembers(t *testing.T) {
 	for name, test := range map[string]struct {
 		partitions, holders int
-		crowded             bool
+		nearlyFull          bool
 	}{
-		"nobody yet":              {0, 0, false},
-		"six nodes":               {24, 6, false},
-		"each partition is taken": {24, 24, true},
-		"one member holds two":    {96, 95, true},
-		"room for all of them":    {192, 147, false},
+		"no members":                  {0, 0, false},
+		"six nodes":                   {24, 6, false},
+		"a member for each partition": {24, 24, true},
+		"one member holds two":        {96, 95, true},
+		"spare partitions":            {192, 147, false},
 	} {
-		var dealt []damsonwinch.Assignment
+		var assignments []damsonwinch.Assignment
 		for number := range test.partitions {
-			dealt = append(dealt, damsonwinch.Assignment{
+			assignments = append(assignments, damsonwinch.Assignment{
 				Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: strconv.Itoa(number % max(1, test.holders)),
 			})
 		}
-		assert.Equal(t, nearlyFull(dealt), test.crowded, name)
+		assert.Equal(t, nearlyFull(assignments), test.nearlyFull, name)
 	}
 }
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -17,181 +17,189 @@
 	"damsonwinch/pkg/wire"
 )
 
-// taskTime bounds each wait of a test.
-const taskTime = 20 * time.Second
+// waitTimeout limits each wait of a test.
+const waitTimeout = 20 * time.Second
 
-// watched is a node's ownership with the newest view it has told.
-type watched struct {
+// testNode is the Ownership of one node, with the newest view that it has published.
+type testNode struct {
 	*Ownership
 	view atomic.Pointer[View]
 }
 
-func start(t *testing.T, store *memoryStore, node string, cells ...string) *watched {
+// startNode starts the first incarnation of a node.
+func startNode(t *testing.T, store *memoryStore, node string, cells ...string) *testNode {
 	t.Helper()
-	return startLife(t, store, member(node, 1), cells...)
+	return startMember(t, store, member(node, 1), cells...)
 }
 
+// member returns an incarnation of a node with the usual weight.
 func member(node string, incarnation int) Member {
 	return Member{Node: node, Address: node + ":1", Weight: 400, Incarnation: incarnation}
 }
 
-// claimOf is a claim as a member makes it.
-func claimOf(t *testing.T, cell string, m Member) damsonwinch.Record {
+// claimRecord returns the record with which a member claims a cell.
+func claimRecord(t *testing.T, cell string, m Member) damsonwinch.Record {
 	value, err := json.Marshal(wire.CellClaim{Cell: cell, Node: m.Node, Address: m.Address, Incarnation: m.Incarnation})
 	assert.NilError(t, err)
 	return damsonwinch.Record{Key: cell, Value: value}
 }
 
-func startLife(t *testing.T, store *memoryStore, self Member, cells ...string) *watched {
+// startMember starts the Ownership of a member, which replies to health checks from then on.
+func startMember(t *testing.T, store *memoryStore, self Member, cells ...string) *testNode {
 	t.Helper()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	w := &watched{}
-	w.view.Store(&View{})
-	w.Ownership = New(Deps{
+	n := &testNode{}
+	n.view.Store(&View{})
+	n.Ownership = New(Deps{
 		Store: store, Clock: clockwork.NewRealClock(), Logger: logger, Metrics: metrics.New(),
 		FetchClaims: func(_ context.Context, address string, _ wire.ClaimsArgs) (wire.ClaimsReply, error) {
-			return store.ask(address)
+			return store.claimsReply(address)
 		},
-		OnViewChange: func(view View) { w.view.Store(&view) },
+		OnViewChange: func(view View) { n.view.Store(&view) },
 	}, Options{Self: self, Partitions: 24})
-	w.SetCells(cells)
-	store.set(func() { store.lives[self.Address] = self })
-	t.Cleanup(func() { assert.Check(t, w.Close()) })
-	return w
+	n.SetCells(cells)
+	store.locked(func() { store.replying[self.Address] = self })
+	t.Cleanup(func() { assert.Check(t, n.Close()) })
+	return n
 }
 
-func (w *watched) owns(cell string) bool {
-	claim, owned := w.view.Load().Owner(cell)
-	return owned && claim.HeldBy(w.options.Self)
+// owns reports whether this node owns a cell, in its newest view.
+func (n *testNode) owns(cell string) bool {
+	claim, owned := n.view.Load().Owner(cell)
+	return owned && claim.HeldBy(n.options.Self)
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds, and fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	for begun := clock.Now(); clock.Since(begun) < taskTime; clock.Sleep(10 * time.Millisecond) {
+	for start := clock.Now(); clock.Since(start) < waitTimeout; clock.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", taskTime, what)
+	t.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
-// TestANodeClaimsWhatNobodyOwns once for each cell.
-func TestANodeClaimsWhatNobodyOwns(t *testing.T) {
+// TestNodeClaimsEachUnownedCellOnce checks that a node claims cells without an owner, with one append
+// each.
+func TestNodeClaimsEachUnownedCellOnce(t *testing.T) {
 	store := newMemoryStore()
-	w := start(t, store, "a", "one", "two", "three")
-	until(t, "all cells are owned", func() bool { return w.owns("one") && w.owns("two") && w.owns("three") })
-	store.set(func() { assert.Equal(t, store.appends, 3) })
+	n := startNode(t, store, "a", "one", "two", "three")
+	waitFor(t, "all cells are owned", func() bool { return n.owns("one") && n.owns("two") && n.owns("three") })
+	store.locked(func() { assert.Equal(t, store.appends, 3) })
 }
 
-// TestAClaimThatCameTooLateWaitsForNews does not try again and again what can't
-// succeed: a node whose reading of the claims hung tried a hundred times a second.
-func TestAClaimThatCameTooLateWaitsForNews(t *testing.T) {
+// TestConflictingClaimIsNotRetriedBeforeNewRecordsAreRead guards against appends that can't succeed: a
+// node whose read of the claims hung tried a hundred a second.
+func TestConflictingClaimIsNotRetriedBeforeNewRecordsAreRead(t *testing.T) {
 	store := newMemoryStore()
-	w := start(t, store, "a", "one")
-	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	gone := member("gone", 1)
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	lost := member("gone", 1)
 	var before int
-	store.set(func() {
+	store.locked(func() {
 		before = store.appends
-		store.hang = true
+		store.hangNextRead = true
 	})
-	// The reading that waits now sees the first of these, the next one hangs.
-	store.set(func() { store.add(claimOf(t, "other", gone)) })
-	until(t, "the reading hangs", func() bool {
+	// The read that waits now returns this claim. The next read hangs.
+	store.locked(func() { store.appendRecord(claimRecord(t, "other", lost)) })
+	waitFor(t, "the read hangs", func() bool {
 		hung := false
-		store.set(func() { hung = !store.hang })
+		store.locked(func() { hung = !store.hangNextRead })
 		return hung
 	})
-	store.set(func() { store.add(claimOf(t, "two", gone)) })
+	store.locked(func() { store.appendRecord(claimRecord(t, "two", lost)) })
 
-	w.SetCells([]string{"one", "two"})
+	n.SetCells([]string{"one", "two"})
 
-	until(t, "the cell of the lost node is owned", func() bool { return w.owns("two") })
-	store.set(func() { assert.Assert(t, store.appends-before <= 2, "%d tries", store.appends-before) })
+	waitFor(t, "the cell of the lost node is owned", func() bool { return n.owns("two") })
+	store.locked(func() { assert.Assert(t, store.appends-before <= 2, "%d appends", store.appends-before) })
 }
 
-// TestARenouncedCellIsGivenUp also if the store doesn't answer at first: as long as
-// its claim stands, no living node takes the cell.
-func TestARenouncedCellIsGivenUp(t *testing.T) {
+// TestClaimIsReleasedDespiteFailedAppends releases a claim while the store doesn't answer at first. As
+// long as the claim stands, no node that is alive takes the cell.
+func TestClaimIsReleasedDespiteFailedAppends(t *testing.T) {
 	store := newMemoryStore()
-	w := start(t, store, "a", "one")
-	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	token := w.view.Load().Claims["one"].Token
-	store.set(func() { store.fail = 2 })
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	token := n.view.Load().Claims["one"].Token
+	store.locked(func() { store.failures = 2 })
 
-	w.ReleaseClaim("one", token)
+	n.ReleaseClaim("one", token)
 
-	until(t, "the cell is owned by a newer claim", func() bool { return w.owns("one") && w.view.Load().Claims["one"].Token > token })
+	waitFor(t, "the cell is owned by a newer claim", func() bool { return n.owns("one") && n.view.Load().Claims["one"].Token > token })
 }
 
-// TestAClaimThatFailsIsNotInsistedOn: nodes of a zone that was cut off were refused
-// connections to the store and tried a claim 150 times a second each, for 7 s.
-func TestAClaimThatFailsIsNotInsistedOn(t *testing.T) {
+// TestFailedClaimIsRetriedAfterDelay guards against a flood of appends: nodes of a zone that was cut
+// off were refused connections to the store, and tried 150 claims a second each for 7 s.
+func TestFailedClaimIsRetriedAfterDelay(t *testing.T) {
 	store := newMemoryStore()
-	store.fail = 1000
+	store.failures = 1000
 	clock := clockwork.NewRealClock()
-	begun := clock.Now()
-	w := start(t, store, "a", "one")
-	until(t, "it has been tried three times", func() bool {
+	start := clock.Now()
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "three appends have been tried", func() bool {
 		tried := 0
-		store.set(func() { tried = store.appends })
+		store.locked(func() { tried = store.appends })
 		return tried >= 3
 	})
-	took := clock.Since(begun)
-	store.set(func() {
-		assert.Assert(t, store.appends <= 2+int(took/appendRetryDelay), "%d tries in %v", store.appends, took)
-		store.fail = 0
+	took := clock.Since(start)
+	store.locked(func() {
+		assert.Assert(t, store.appends <= 2+int(took/appendRetryDelay), "%d appends in %v", store.appends, took)
+		store.failures = 0
 	})
-	until(t, "the cell is owned", func() bool { return w.owns("one") })
+	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
 }
 
-// TestARestartedNodeTakesItsCellsBackAtOnce although the group still lists its earlier
-// life and not yet this one: cells were without an owner for the group's whole time.
-func TestARestartedNodeTakesItsCellsBackAtOnce(t *testing.T) {
+// TestRestartedNodeReclaimsItsCellsAtOnce has a group that still lists the node's earlier incarnation
+// and not yet the new one. Nodes that waited for the group left their cells without an owner until
+// the membership expired.
+func TestRestartedNodeReclaimsItsCellsAtOnce(t *testing.T) {
 	store := newMemoryStore()
-	before, now := member("a", 1), member("a", 2)
-	store.add(claimOf(t, "one", before))
-	store.members = []string{before.Name()}
-	store.hidden = map[string]bool{now.Name(): true}
+	earlier, later := member("a", 1), member("a", 2)
+	store.appendRecord(claimRecord(t, "one", earlier))
+	store.members = []string{earlier.Name()}
+	store.unlisted = map[string]bool{later.Name(): true}
 
-	w := startLife(t, store, now, "one")
+	n := startMember(t, store, later, "one")
 
-	until(t, "the cell is owned by the later life", func() bool { return w.owns("one") })
+	waitFor(t, "the cell is owned by the later incarnation", func() bool { return n.owns("one") })
 }
 
-// TestANodeThatRefusesConnectionsHasEnded also if the group still lists it.
-func TestANodeThatRefusesConnectionsHasEnded(t *testing.T) {
+// TestNodeThatRefusesConnectionsLosesItsCell checks that a reported refused connection suffices for a
+// takeover, even if the group still lists the node.
+func TestNodeThatRefusesConnectionsLosesItsCell(t *testing.T) {
 	store := newMemoryStore()
 	other := member("b", 1)
-	store.add(claimOf(t, "one", other))
+	store.appendRecord(claimRecord(t, "one", other))
 	store.members = []string{other.Name()}
-	w := start(t, store, "a", "one", "two")
-	until(t, "the free cell is owned", func() bool { return w.owns("two") })
-	assert.Assert(t, !w.owns("one"))
+	n := startNode(t, store, "a", "one", "two")
+	waitFor(t, "the free cell is owned", func() bool { return n.owns("two") })
+	assert.Assert(t, !n.owns("one"))
 
-	w.ReportRefusedConnection("b", 1)
+	n.ReportRefusedConnection("b", 1)
 
-	until(t, "the cell of the ended node is owned", func() bool { return w.owns("one") })
+	waitFor(t, "the cell of the exited node is owned", func() bool { return n.owns("one") })
 }
 
-// TestANewLifeKeepsItsClaimUntilItIsListed so that a node that has restarted and taken
-// its cells back does not lose them to one that the group lists sooner.
-func TestANewLifeKeepsItsClaimUntilItIsListed(t *testing.T) {
+// TestUnlistedIncarnationKeepsItsClaimWhileItReplies guards a restarted node that has reclaimed its
+// cells: it must not lose them to a node that the group lists sooner.
+func TestUnlistedIncarnationKeepsItsClaimWhileItReplies(t *testing.T) {
 	store := newMemoryStore()
-	w := start(t, store, "a", "one")
-	until(t, "the free cell is owned", func() bool { return w.owns("one") })
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the free cell is owned", func() bool { return n.owns("one") })
 	unlisted := member("b", 2)
-	store.set(func() {
-		store.lives[unlisted.Address] = unlisted
-		store.add(claimOf(t, "two", unlisted))
+	store.locked(func() {
+		store.replying[unlisted.Address] = unlisted
+		store.appendRecord(claimRecord(t, "two", unlisted))
 	})
-	w.SetCells([]string{"one", "two"})
+	n.SetCells([]string{"one", "two"})
 
 	clockwork.NewRealClock().Sleep(5 * time.Second / 2)
 
-	assert.Assert(t, !w.owns("two"), "the cell of a living owner was taken")
-	store.set(func() { delete(store.lives, unlisted.Address) })
-	until(t, "the cell of a node that doesn't answer is owned", func() bool { return w.owns("two") })
+	assert.Assert(t, !n.owns("two"), "the cell was taken from an owner that is alive")
+	store.locked(func() { delete(store.replying, unlisted.Address) })
+	waitFor(t, "the cell of a node that doesn't reply is owned", func() bool { return n.owns("two") })
 }
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -7,62 +7,64 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAPartitionIsTakenOnce by whichever node: two cells in one would read each other's
-// records.
-func TestAPartitionIsTakenOnce(t *testing.T) {
+// TestPartitionIsReservedOnce lets two nodes reserve partitions. Two cells in one partition would read
+// each other's records.
+func TestPartitionIsReservedOnce(t *testing.T) {
 	store := newMemoryStore()
-	nodes := []*watched{start(t, store, "a", "one", "two"), start(t, store, "b", "one", "two")}
-	until(t, "both cells have a partition", func() bool { return len(nodes[0].view.Load().Claims) == 2 && len(nodes[1].view.Load().Claims) == 2 })
+	nodes := []*testNode{startNode(t, store, "a", "one", "two"), startNode(t, store, "b", "one", "two")}
+	waitFor(t, "both cells have a partition", func() bool { return len(nodes[0].view.Load().Claims) == 2 && len(nodes[1].view.Load().Claims) == 2 })
 	var mutex sync.Mutex
-	taken := map[int]int{}
+	uses := map[int]int{}
 	for _, claim := range nodes[0].view.Load().Claims {
-		taken[claim.Partition]++
+		uses[claim.Partition]++
 	}
 	for range 5 {
 		for _, node := range nodes {
 			node.ReservePartition(func(number int) {
 				mutex.Lock()
 				defer mutex.Unlock()
-				taken[number]++
+				uses[number]++
 			})
 		}
 	}
-	until(t, "twelve partitions are taken", func() bool {
+	waitFor(t, "twelve partitions are reserved", func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return len(taken) == 12
+		return len(uses) == 12
 	})
-	for number, times := range taken {
+	for number, times := range uses {
 		assert.Equal(t, times, 1, "partition %d", number)
 	}
 }
 
-// TestAPartitionThatMayBeTakenIsLeft when the answer to the record that takes it is lost.
-func TestAPartitionThatMayBeTakenIsLeft(t *testing.T) {
+// TestPartitionWithUnknownReservationIsSkipped loses the answer to the append that reserves a
+// partition. The partition may be reserved, so the next one is used instead.
+func TestPartitionWithUnknownReservationIsSkipped(t *testing.T) {
 	store := newMemoryStore()
-	w := start(t, store, "a", "one")
-	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	store.set(func() { store.fail = 1 })
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	store.locked(func() { store.failures = 1 })
 	numbers := make(chan int, 1)
-	w.ReservePartition(func(number int) { numbers <- number })
+	n.ReservePartition(func(number int) { numbers <- number })
 	assert.Equal(t, <-numbers, 2)
 }
 
-// TestACellGoesOnInAnotherPartition by a newer claim of the node that owns it.
-func TestACellGoesOnInAnotherPartition(t *testing.T) {
+// TestMovedClaimNamesNewPartition moves a cell to another partition by a newer claim of its owner, and
+// checks that a move for an outdated claim does nothing.
+func TestMovedClaimNamesNewPartition(t *testing.T) {
 	store := newMemoryStore()
-	w := start(t, store, "a", "one")
-	until(t, "the cell is owned", func() bool { return w.owns("one") })
-	token := w.view.Load().Claims["one"].Token
+	n := startNode(t, store, "a", "one")
+	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	token := n.view.Load().Claims["one"].Token
 
-	w.MoveClaim("one", token, 7)
+	n.MoveClaim("one", token, 7)
 
-	until(t, "the claim names the partition", func() bool { return w.view.Load().Claims["one"].Partition == 7 })
-	assert.Assert(t, w.owns("one") && w.view.Load().Claims["one"].Token > token)
-	w.MoveClaim("one", token, 9)
-	w.MoveClaim("two", token, 9)
-	w.SetCells([]string{"one", "three"})
-	until(t, "a cell is owned that came later", func() bool { return w.owns("three") })
-	assert.Equal(t, w.view.Load().Claims["one"].Partition, 7, "a claim that has been followed moves nothing")
-	assert.Equal(t, w.view.Load().Claims["three"].Partition, 8, "a partition that no cell has had")
+	waitFor(t, "the claim names the partition", func() bool { return n.view.Load().Claims["one"].Partition == 7 })
+	assert.Assert(t, n.owns("one") && n.view.Load().Claims["one"].Token > token)
+	n.MoveClaim("one", token, 9)
+	n.MoveClaim("two", token, 9)
+	n.SetCells([]string{"one", "three"})
+	waitFor(t, "the cell that was added later is owned", func() bool { return n.owns("three") })
+	assert.Equal(t, n.view.Load().Claims["one"].Partition, 7, "a move for an outdated claim has had an effect")
+	assert.Equal(t, n.view.Load().Claims["three"].Partition, 8, "the new cell has not got the next free partition")
 }
--- a/pkg/ownership/store_test.go
+++ b/pkg/ownership/store_test.go
@@ -14,58 +14,60 @@
 	"damsonwinch/pkg/wire"
 )
 
-// memoryStore holds the stream of claims and the group in memory.
+// memoryStore is a store that holds the stream of claims and the group in memory.
 type memoryStore struct {
 	mutex   sync.Mutex
 	claims  []damsonwinch.Record
 	members []string
-	// full says that the list has no room for the members that are hidden.
-	full bool
-	// places is the number of partitions of each of the group's topics, 0 for enough,
-	// and topics the number of topics that a member deals in.
-	places int
-	topics map[string]int
-	// lives are the nodes that answer, by address, and storeless those of them that the
-	// store doesn't answer.
-	lives     map[string]Member
-	storeless map[string]bool
-	// appends counts the claims that were tried, and fail makes the next ones fail
-	// with an open outcome.
-	appends int
-	fail    int
-	// hang makes readings of the claims hang until they are given up.
-	hang bool
-	// hidden are members that the group doesn't list yet.
-	hidden map[string]bool
-	// works is until when the streams of cells grow.
-	works time.Time
-	// news is closed and replaced with each claim.
-	news chan struct{}
+	// listFull leaves no spare partition, as if the group had a member for each partition.
+	listFull bool
+	// partitionsPerTopic is the number of partitions of each of the group's topics, or 0 for enough, and
+	// topicCounts the number of topics to which each member subscribes.
+	partitionsPerTopic int
+	topicCounts        map[string]int
+	// replying holds the nodes that reply to health checks, and cutOff those of them that are cut off
+	// from the store, both by address.
+	replying map[string]Member
+	cutOff   map[string]bool
+	// appends counts the appends that were tried. The next ones, as many as failures, fail with an
+	// unknown outcome.
+	appends  int
+	failures int
+	// hangNextRead makes the next read of the claims hang until it is canceled.
+	hangNextRead bool
+	// unlisted holds the names of members that the group doesn't list yet.
+	unlisted map[string]bool
+	// appendsUntil is when the streams of cells stop growing.
+	appendsUntil time.Time
+	// appended is closed and replaced at each append of a claim.
+	appended chan struct{}
 }
 
 var _ damsonwinch.Store = (*memoryStore)(nil)
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{news: make(chan struct{}), topics: map[string]int{}, lives: map[string]Member{}, storeless: map[string]bool{}}
+	return &memoryStore{appended: make(chan struct{}), topicCounts: map[string]int{}, replying: map[string]Member{}, cutOff: map[string]bool{}}
 }
 
-var errLost = errors.New("the answer was lost")
+var errNoAnswer = errors.New("no answer")
 
-func (s *memoryStore) set(change func()) {
+// locked calls a function while the mutex is held.
+func (s *memoryStore) locked(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change()
 }
 
-// add appends a record as another node would.
-func (s *memoryStore) add(record damsonwinch.Record) {
+// appendRecord appends a record as another node would. The mutex must be held, unless no node has
+// started.
+func (s *memoryStore) appendRecord(record damsonwinch.Record) {
 	record.Offset = len(s.claims)
 	s.claims = append(s.claims, record)
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 }
 
-// Append implements damsonwinch.Store; nobody uses it here.
+// Append implements damsonwinch.Store. The tests don't use it.
 func (s *memoryStore) Append(context.Context, damsonwinch.Stream, []damsonwinch.Record, damsonwinch.Fence) (int, error) {
 	return 0, damsonwinch.ErrRefused
 }
@@ -75,15 +77,15 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.appends++
-	if s.fail > 0 {
-		s.fail--
-		return errLost
+	if s.failures > 0 {
+		s.failures--
+		return errNoAnswer
 	}
 	if at != len(s.claims) {
 		return damsonwinch.ErrConflict
 	}
 	for _, record := range records {
-		s.add(record)
+		s.appendRecord(record)
 	}
 	return nil
 }
@@ -94,8 +96,8 @@
 	defer cancel()
 	for {
 		s.mutex.Lock()
-		hang, news, page := s.hang, s.news, s.page(from)
-		s.hang = false
+		hang, appended, page := s.hangNextRead, s.appended, s.page(from)
+		s.hangNextRead = false
 		s.mutex.Unlock()
 		if hang {
 			<-ctx.Done()
@@ -105,13 +107,14 @@
 			return page, nil
 		}
 		select {
-		case <-news:
+		case <-appended:
 		case <-limited.Done():
 			return page, ctx.Err()
 		}
 	}
 }
 
+// page returns the claims from an offset on.
 func (s *memoryStore) page(from int) damsonwinch.Page {
 	return damsonwinch.Page{Records: slices.Clone(s.claims[min(from, len(s.claims)):]), End: len(s.claims)}
 }
@@ -121,16 +124,16 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if stream.Topic != claimTopic {
-		return damsonwinch.KeyPage{End: s.workDone()}, nil
+		return damsonwinch.KeyPage{End: s.cellStreamEnd()}, nil
 	}
 	return damsonwinch.KeyPage{Records: slices.Clone(s.claims), End: len(s.claims)}, nil
 }
 
-// workDone returns the end of a cell's stream, to which its owner appends each 40 ms.
-func (s *memoryStore) workDone() int {
+// cellStreamEnd returns the end of a cell's stream, to which its owner appends every 40 ms.
+func (s *memoryStore) cellStreamEnd() int {
 	now := clockwork.NewRealClock().Now()
-	if now.After(s.works) {
-		now = s.works
+	if now.After(s.appendsUntil) {
+		now = s.appendsUntil
 	}
 	return int(now.UnixMilli() / 40)
 }
@@ -142,7 +145,7 @@
 	if !slices.Contains(s.members, request.Member) {
 		s.members = append(s.members, request.Member)
 	}
-	s.topics[request.Member] = len(request.Topics)
+	s.topicCounts[request.Member] = len(request.Topics)
 	return damsonwinch.Membership{Generation: len(s.members)}, nil
 }
 
@@ -158,55 +161,55 @@
 func (s *memoryStore) Assignments(context.Context, string) ([]damsonwinch.Assignment, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.places > 0 {
-		return s.deal(), nil
+	if s.partitionsPerTopic > 0 {
+		return s.assign(), nil
 	}
-	var dealt []damsonwinch.Assignment
+	var assignments []damsonwinch.Assignment
 	for number, member := range s.members {
-		if s.hidden[member] {
+		if s.unlisted[member] {
 			continue
 		}
-		dealt = append(dealt, damsonwinch.Assignment{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: member})
+		assignments = append(assignments, damsonwinch.Assignment{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: number}, Member: member})
 	}
-	if len(dealt) > 0 && !s.full {
-		dealt = append(dealt, damsonwinch.Assignment{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: len(s.members)}, Member: dealt[0].Member})
+	if len(assignments) > 0 && !s.listFull {
+		assignments = append(assignments, damsonwinch.Assignment{Stream: damsonwinch.Stream{Topic: groupTopic, Partition: len(s.members)}, Member: assignments[0].Member})
 	}
-	return dealt, nil
+	return assignments, nil
 }
 
-// deal gives the partitions of all topics to the members that deal in them, evenly.
-func (s *memoryStore) deal() []damsonwinch.Assignment {
-	var dealt []damsonwinch.Assignment
-	held := map[string]int{}
+// assign spreads the partitions of all topics evenly over the members that subscribe to them.
+func (s *memoryStore) assign() []damsonwinch.Assignment {
+	var assignments []damsonwinch.Assignment
+	counts := map[string]int{}
 	for topic := range maxTopics {
-		for part := range s.places {
+		for part := range s.partitionsPerTopic {
 			best := ""
 			for _, member := range slices.Sorted(slices.Values(s.members)) {
-				if s.topics[member] > topic && (best == "" || held[member] < held[best]) {
+				if s.topicCounts[member] > topic && (best == "" || counts[member] < counts[best]) {
 					best = member
 				}
 			}
 			if best == "" {
-				return dealt
+				return assignments
 			}
-			held[best]++
+			counts[best]++
 			stream := damsonwinch.Stream{Topic: groupTopic + strconv.Itoa(topic), Partition: part}
-			dealt = append(dealt, damsonwinch.Assignment{Stream: stream, Member: best})
+			assignments = append(assignments, damsonwinch.Assignment{Stream: stream, Member: best})
 		}
 	}
-	return dealt
+	return assignments
 }
 
-// ask answers for the node at an address, if it lives.
-func (s *memoryStore) ask(address string) (wire.ClaimsReply, error) {
+// claimsReply returns the reply of the node at an address, or an error if it doesn't reply.
+func (s *memoryStore) claimsReply(address string) (wire.ClaimsReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	life, lives := s.lives[address]
-	if !lives {
-		return wire.ClaimsReply{}, errLost
+	member, replies := s.replying[address]
+	if !replies {
+		return wire.ClaimsReply{}, errNoAnswer
 	}
-	reply := wire.ClaimsReply{Node: life.Node, Incarnation: life.Incarnation, AgeMs: int(time.Hour.Milliseconds())}
-	if s.storeless[address] {
+	reply := wire.ClaimsReply{Node: member.Node, Incarnation: member.Incarnation, AgeMs: int(time.Hour.Milliseconds())}
+	if s.cutOff[address] {
 		reply.StoreAgeMs = int(time.Hour.Milliseconds())
 	}
 	return reply, nil
