--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -22,19 +22,19 @@
 
 // Error is a call that failed.
 type Error struct {
-	// Step is the call's name.
-	Step string
+	// Method is the call's name.
+	Method string
 	// Peer is the address of the called process.
 	Peer string
-	// Sent says that the call may have been carried out.
-	Sent bool
+	// MayHaveExecuted says that the call may have been carried out.
+	MayHaveExecuted bool
 	// Err is the cause.
 	Err error
 }
 
 // Error returns the step, the peer and the cause.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%s at %s: %v", e.Step, e.Peer, e.Err)
+	return fmt.Sprintf("%s at %s: %v", e.Method, e.Peer, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -42,16 +42,16 @@
 	return e.Err
 }
 
-// Refused says whether the peer's address refused the connection, which shows
+// ConnectionRefused says whether the peer's address refused the connection, which shows
 // that its process has ended.
-func Refused(err error) bool {
+func ConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// MaySent says whether the failed call may have been carried out.
-func MaySent(err error) bool {
+// MayHaveExecuted says whether the failed call may have been carried out.
+func MayHaveExecuted(err error) bool {
 	var failed *Error
-	return !errors.As(err, &failed) || failed.Sent
+	return !errors.As(err, &failed) || failed.MayHaveExecuted
 }
 
 // Client calls one peer over one connection, made anew after a failure.
@@ -83,7 +83,7 @@
 func (c *Client) Do(ctx context.Context, method string, args, reply any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
-		return &Error{Step: method, Peer: c.peer, Err: err}
+		return &Error{Method: method, Peer: c.peer, Err: err}
 	}
 	// The answer is decoded into a value of its own: one that comes after the
 	// deadline would otherwise be written into what the caller has moved on with,
@@ -102,11 +102,11 @@
 			conn.heard(c.clock.Now())
 			return c.finish(conn, method, call.Error)
 		case <-ctx.Done():
-			return &Error{Step: method, Peer: c.peer, Sent: true, Err: ctx.Err()}
+			return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: ctx.Err()}
 		case <-watch.Chan():
 			if !conn.lives(c.clock.Now()) {
 				c.drop(conn)
-				return &Error{Step: method, Peer: c.peer, Sent: true, Err: errSilent}
+				return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: errSilent}
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 	if !errors.As(err, &answered) {
 		c.drop(conn)
 	}
-	return &Error{Step: method, Peer: c.peer, Sent: true, Err: err}
+	return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: err}
 }
 
 // connect returns a connection on which the caller may make one call.
--- a/pkg/command/control_status.go
+++ b/pkg/command/control_status.go
@@ -73,7 +73,7 @@
 	for _, name := range append(append([]string{}, state.Table().Deployment().Pools...), fold.FreePool) {
 		pool := state.Pool(name)
 		status.Pools = append(status.Pools, poolStatus{
-			Pool: name, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().Needed(name), Headroom: state.Headroom(name),
+			Pool: name, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().NeededSlots(name), Headroom: state.Headroom(name),
 		})
 	}
 	return status
@@ -91,7 +91,7 @@
 	}
 	lines = append(lines, "", fmt.Sprintf("%-24s %-12s %6s  %s", "sender", "hall", "boxes", "last renewal"))
 	for _, sender := range s.Senders {
-		lines = append(lines, fmt.Sprintf("%-24s %-12s %6d  %s", sender.Key.Node, sender.Hall, sender.Boxes, moment(sender.RenewedAt)))
+		lines = append(lines, fmt.Sprintf("%-24s %-12s %6d  %s", sender.Key.Node, sender.Zone, sender.Boxes, moment(sender.RenewedAt)))
 	}
 	return lines
 }
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -28,15 +28,15 @@
 	mostBackoff  = time.Second
 )
 
-// Folded is one record with its verdicts.
-type Folded struct {
-	Record   wire.Entry
-	Verdicts []fold.Verdict
+// AppliedRecord is one record with its verdicts.
+type AppliedRecord struct {
+	Record  wire.Entry
+	Results []fold.Result
 }
 
 // ChangesFleet says whether the record did more than renew.
-func (f Folded) ChangesFleet() bool {
-	for _, verdict := range f.Verdicts {
+func (f AppliedRecord) ChangesFleet() bool {
+	for _, verdict := range f.Results {
 		kind := verdict.Proposal.Kind
 		if verdict.Accepted && kind != wire.KindRenew && kind != wire.KindCheckpoint {
 			return true
@@ -48,33 +48,33 @@
 // Update is what a follower passes on after a reading.
 type Update struct {
 	State   fold.State
-	Records []Folded
+	Records []AppliedRecord
 	// Restored says that the state was taken from a snapshot, so that records
 	// in between were not seen.
 	Restored bool
 	// Checkpoint is the state's snapshot at the newest offset that is one, if the
 	// records have passed one.
 	Checkpoint *fold.Snapshot
-	// Avoid names the boxes that the platform's list shows as leaving, if the
+	// LeavingBoxes names the boxes that the platform's list shows as leaving, if the
 	// source has read it, which AvoidKnown says.
-	Avoid      []string
-	AvoidKnown bool
+	LeavingBoxes      []string
+	LeavingBoxesKnown bool
 	// Source names where it came from.
 	Source string
 	// FromLog says that the records come from the log or from a keeper that
 	// reads it.
 	FromLog bool
-	// ReadAt is the follower's time at which the reading was begun.
-	ReadAt time.Time
+	// ReadStartedAt is the follower's time at which the reading was begun.
+	ReadStartedAt time.Time
 }
 
 // Deps is what a follower needs.
 type Deps struct {
 	Clock      damsonwinch.Clock
 	Sources    []damsonwinch.RecordSource
-	Invariants *invariant.Book
-	// Empty is the state before the first record.
-	Empty fold.State
+	Invariants *invariant.Checker
+	// InitialState is the state before the first record.
+	InitialState fold.State
 	// Updates takes what the follower passes on.
 	Updates chan<- Update
 	// CheckpointEvery is the number of records between two checkpoints, 0 for none.
@@ -98,7 +98,7 @@
 	if deps.WaitMs == 0 {
 		deps.WaitMs = waitMs
 	}
-	return &Follower{deps: deps, state: deps.Empty, skipUntil: make([]time.Time, len(deps.Sources)),
+	return &Follower{deps: deps, state: deps.InitialState, skipUntil: make([]time.Time, len(deps.Sources)),
 		failures: make([]int, len(deps.Sources)), checkpoints: map[int]string{}}
 }
 
@@ -137,7 +137,7 @@
 		}
 		f.failures[i] = 0
 		answered = true
-		update.ReadAt = begun
+		update.ReadStartedAt = begun
 		update.Source = source.Name()
 		select {
 		case f.deps.Updates <- update:
@@ -174,7 +174,7 @@
 // take folds a reply. Records below the state's offset are known and a gap is
 // never folded over, so that the state only goes forward.
 func (f *Follower) take(reply wire.ReadReply) (Update, error) {
-	update := Update{Avoid: reply.Avoid, AvoidKnown: reply.AvoidKnown, FromLog: reply.LogFresh}
+	update := Update{LeavingBoxes: reply.Avoid, LeavingBoxesKnown: reply.AvoidKnown, FromLog: reply.LogFresh}
 	if reply.Snapshot != "" {
 		restored, err := f.restore(reply.Snapshot)
 		if err != nil {
@@ -190,11 +190,11 @@
 			return update, fmt.Errorf("record %d came after %d: records are missing", record.Offset, f.state.Offset()-1)
 		}
 		was := f.state
-		next, verdicts := was.Fold(record)
+		next, verdicts := was.Apply(record)
 		f.deps.Invariants.Check(invariant.ConfigReverted, next.Table().Version() >= was.Table().Version() && next.Offset() > was.Offset(),
 			"record %d took the table from version %d to %d", record.Offset, was.Table().Version(), next.Table().Version())
 		f.state = next
-		update.Records = append(update.Records, Folded{Record: record, Verdicts: verdicts})
+		update.Records = append(update.Records, AppliedRecord{Record: record, Results: verdicts})
 		f.checkBudgets(was, verdicts)
 		f.compareCheckpoints(verdicts)
 		if err := f.takeCheckpoint(&update); err != nil {
@@ -214,7 +214,7 @@
 	if snapshot.Offset <= f.state.Offset() {
 		return false, nil
 	}
-	restored, err := f.deps.Empty.WithSnapshot(snapshot)
+	restored, err := f.deps.InitialState.Restore(snapshot)
 	if err != nil {
 		return false, err
 	}
@@ -227,7 +227,7 @@
 // checkBudgets asserts that an accepted drain of a usable box leaves its pool's
 // services what they need. It looks at records with one proposal, because other
 // proposals of a record may change the pool after the drain.
-func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Verdict) {
+func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Result) {
 	for _, verdict := range verdicts {
 		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
 			continue
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -39,8 +39,8 @@
 	return row.Weight
 }
 
-// Team returns a team's share of a service.
-func (w weights) Team(service, team string) int {
+// Customer returns a team's share of a service.
+func (w weights) Customer(service, team string) int {
 	row, _ := w.front.state.Table().Row(service)
 	for _, quota := range row.Quotas {
 		if quota.Team == team {
@@ -95,7 +95,7 @@
 	name := box.Info.Name
 	return pick.Box{
 		Name: name, Slots: box.Info.Slots, InUse: box.inUse,
-		Limit: f.learner.Limit(name, box.Info.Slots), Pace: f.learner.Pace(name),
+		Limit: f.learner.Limit(name, box.Info.Slots), RelativeLatency: f.learner.RelativeLatency(name),
 	}
 }
 
@@ -228,7 +228,7 @@
 	switch {
 	case report.unused:
 	case report.refused:
-		f.learner.Busy(name, box.inUse+done.item.Size)
+		f.learner.RecordBusy(name, box.inUse+done.item.Size)
 	case report.kind == send.Broken && !report.failed:
 		// Its caller left or its time was short: that says nothing of the box.
 	case report.failed:
@@ -238,7 +238,7 @@
 		}
 		f.book.AddFailure(done.item.ID, name, f.now())
 	default:
-		f.learner.Answered(done.item.Service, name, report.took, box.Info.Slots)
+		f.learner.RecordAnswer(done.item.Service, name, report.took, box.Info.Slots)
 		f.book.AddSuccess(done.item.ID, name)
 		if f.book.IsEjected(name) {
 			f.book.Reinstate(name)
@@ -263,7 +263,7 @@
 func (f *Front) expire() {
 	now := f.now()
 	for pool, waiting := range f.queues {
-		for _, item := range waiting.Expired(now) {
+		for _, item := range waiting.PopExpired(now) {
 			f.refuseJob(f.jobs[item.ID], refuse(http.StatusServiceUnavailable, f.retryAfter(item.Service, pool),
 				"its deadline came while it waited in the queue of pool %s", pool))
 		}
@@ -276,7 +276,7 @@
 func (f *Front) age() {
 	now := f.now()
 	for _, waiting := range f.queues {
-		aged := waiting.Age(now, func(service string) time.Duration { return leadRuns * f.learner.Average(service) })
+		aged := waiting.Age(now, func(service string) time.Duration { return leadRuns * f.learner.AverageLatency(service) })
 		f.deps.Metrics.Add("aged", aged)
 	}
 }
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -50,7 +50,7 @@
 	HTTPListener net.Listener
 	Logger       logrus.FieldLogger
 	Metrics      *metrics.Set
-	Invariants   *invariant.Book
+	Invariants   *invariant.Checker
 	// Empty is the state before the first record.
 	Empty fold.State
 	// Seed starts the choices that chance makes.
@@ -70,7 +70,7 @@
 	rpc         *call.Server
 	http        *http.Server
 	sender      *send.Client
-	claims      *claim.Book
+	claims      *claim.Claimer
 	keepers     []*call.Client
 	stopping    atomic.Bool
 	requests    atomic.Int64
@@ -111,7 +111,7 @@
 	f := &Front{
 		deps:        deps,
 		incarnation: incarnation,
-		key:         fold.SenderKey{Node: deps.Settings.Node, Entry: incarnation},
+		key:         fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
 		inbox:       make(chan any, inboxLength),
 		updates:     make(chan follow.Update),
 		ctx:         ctx,
@@ -127,7 +127,7 @@
 	}
 	f.claims = claim.New(claim.Deps{
 		Log: deps.Log, Clock: deps.Clock, Node: deps.Settings.Node, Incarnation: incarnation,
-		Metrics: deps.Metrics, Entries: func() int { return int(f.entries.Load()) },
+		Metrics: deps.Metrics, EntryCount: func() int { return int(f.entries.Load()) },
 	})
 	server, err := call.Serve(deps.Listener, ServiceName, &service{front: f})
 	if err != nil {
@@ -169,7 +169,7 @@
 		sources = append(sources, follow.PeerSource{Client: keeper})
 	}
 	follower := follow.New(follow.Deps{
-		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, Empty: f.deps.Empty, Updates: f.updates,
+		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.Empty, Updates: f.updates,
 	})
 	f.group.Go(func() error { return follower.Run(ctx) })
 	f.group.Go(func() error { return f.run(ctx) })
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -83,7 +83,7 @@
 func inHall(senders []fold.Sender, hall string) []fold.Sender {
 	var found []fold.Sender
 	for _, sender := range senders {
-		if sender.Hall == hall {
+		if sender.Zone == hall {
 			found = append(found, sender)
 		}
 	}
@@ -93,7 +93,7 @@
 func (f *Front) giveUp(box *ownBox, heir fold.SenderKey, now time.Time) wire.Proposal {
 	box.asked, box.givenUp = now, true
 	proposal := f.proposal(wire.KindHandover, box, "its sender stops as planned, or has more boxes than others")
-	proposal.Change.ToNode, proposal.Change.ToEntry = heir.Node, heir.Entry
+	proposal.Change.ToNode, proposal.Change.ToEntry = heir.Node, heir.Incarnation
 	return proposal
 }
 
@@ -118,7 +118,7 @@
 func (f *Front) heirs() []fold.Sender {
 	var heirs []fold.Sender
 	for _, sender := range f.state.Senders() {
-		fresh := sender.RenewedAt >= f.state.At()-f.deps.Settings.LeaseMs
+		fresh := sender.RenewedAt >= f.state.LogTimeMs()-f.deps.Settings.LeaseMs
 		if sender.Key != f.key && !sender.Leaving && fresh && f.state.Releasable(sender) {
 			heirs = append(heirs, sender)
 		}
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -73,8 +73,8 @@
 // reads every renewal, so that their size is most of what control costs.
 func (k *Keeper) withoutKnown(renewal wire.Member) wire.Member {
 	member, known := k.state.Member(renewal.Node)
-	sender, sends := k.state.Sender(fold.SenderKey{Node: renewal.Node, Entry: renewal.Entry})
-	if !known || member.Keeper != renewal.Keeper || member.Address != renewal.KeeperAddress {
+	sender, sends := k.state.Sender(fold.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
+	if !known || member.KeeperIncarnation != renewal.Keeper || member.Address != renewal.KeeperAddress {
 		return renewal
 	}
 	if renewal.Entry != 0 && (!sends || sender.Address != renewal.EntryAddress) {
@@ -97,17 +97,17 @@
 // hallWriter returns the member that speaks for the hall: the one that renewed
 // lately and joined first.
 func (k *Keeper) hallWriter() (fold.Member, bool) {
-	return k.eldest(k.state.Roster(k.deps.Settings.Hall))
+	return k.eldest(k.state.MembersInZone(k.deps.Settings.Hall))
 }
 
 func (k *Keeper) eldest(members []fold.Member) (fold.Member, bool) {
 	var eldest fold.Member
 	found := false
 	for _, member := range members {
-		if member.RenewedAt < k.state.At()-k.liveFor() {
+		if member.RenewedAt < k.state.LogTimeMs()-k.liveFor() {
 			continue
 		}
-		if !found || member.Joined < eldest.Joined || (member.Joined == eldest.Joined && member.Node < eldest.Node) {
+		if !found || member.JoinedOffset < eldest.JoinedOffset || (member.JoinedOffset == eldest.JoinedOffset && member.Node < eldest.Node) {
 			eldest, found = member, true
 		}
 	}
@@ -149,7 +149,7 @@
 		if err == nil {
 			_ = conn.Close()
 		}
-		if call.Refused(err) {
+		if call.ConnectionRefused(err) {
 			k.send(ctx, entryEndedMessage{entry: own.Entry})
 		}
 		k.send(ctx, probedMessage{})
@@ -163,16 +163,16 @@
 // leadsHall says whether this keeper does the work that one member does for a
 // hall. A hall without members is looked after by the fleet's eldest.
 func (k *Keeper) leadsHall(hall string) bool {
-	leader, found := k.eldest(k.state.Roster(hall))
+	leader, found := k.eldest(k.state.MembersInZone(hall))
 	if !found {
 		return k.leadsFleet()
 	}
-	return leader.Node == k.node() && leader.Keeper == k.incarnation
+	return leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
 
 // leadsFleet says whether this keeper plans for the fleet. Two may think so at
 // once; the epochs in their proposals keep that safe.
 func (k *Keeper) leadsFleet() bool {
 	leader, found := k.eldest(k.state.Members())
-	return found && leader.Node == k.node() && leader.Keeper == k.incarnation
+	return found && leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -22,8 +22,8 @@
 	deps.Store = n.relay
 	feed.New(deps, feed.Options{
 		Stream: n.deps.Platform.OperatorStream, Wait: wait, NewestOnly: true,
-		Snapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
-		Added:    func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
+		OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
+		OnRecords:  func(records []damsonwinch.Record, _ int, _ time.Time) { n.send(operatorRecords{records}) },
 	}).Run(n.ctx)
 	return nil
 }
@@ -53,7 +53,7 @@
 	if replaced := n.inForce.Swap(newInForce(configuration, book)); replaced != nil {
 		close(replaced.replaced)
 	}
-	n.deps.Metrics.Put("configuration_version", configuration.Version)
+	n.deps.Metrics.SetGauge("configuration_version", configuration.Version)
 	n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "queues": len(configuration.Queues), "customers": book.Len()}).Info("configuration in force")
 	for _, flaw := range slices.Concat(configuration.Problems, flaws) {
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -19,10 +19,10 @@
 func (o *Ownership) newFeed() *feed.Feed {
 	return feed.New(feed.Deps{Store: o.deps.Store, Clock: o.deps.Clock, Logger: o.deps.Logger, Metrics: o.deps.Metrics, StoreAnsweredAt: o.StoreAnsweredAt}, feed.Options{
 		Stream: damsonwinch.Stream{Topic: claimTopic}, Wait: claimReadWait,
-		Snapshot: func(records []damsonwinch.Record, end int, sentAt time.Time) {
+		OnSnapshot: func(records []damsonwinch.Record, end int, sentAt time.Time) {
 			o.send(claimsRead{records: records, end: end, snapshot: true, sentAt: sentAt})
 		},
-		Added: func(records []damsonwinch.Record, end int, sentAt time.Time) {
+		OnRecords: func(records []damsonwinch.Record, end int, sentAt time.Time) {
 			o.send(claimsRead{records: records, end: end, sentAt: sentAt})
 		},
 	})
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -200,7 +200,7 @@
 // recordFailedCheck records a health check without a reply in health, and logs the first one since the
 // newest reply.
 func (o *Ownership) recordFailedCheck(m healthReply, health *ownerHealth, now time.Time) {
-	if call.Refused(m.err) {
+	if call.ConnectionRefused(m.err) {
 		o.recordRefusal(connectionRefused{node: m.node, incarnation: m.incarnation}, now)
 	}
 	if health.silenceReported {
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -25,23 +25,23 @@
 // Plan is what should be done next, and why some of it waits.
 type Plan struct {
 	Proposals []wire.Proposal
-	// Waits says what is wanted and not proposed now, one sentence each.
-	Waits []string
+	// Deferred says what is wanted and not proposed now, one sentence each.
+	Deferred []string
 }
 
 // Options are the planner's choices that differ between deployments and trials.
 type Options struct {
-	// RepairAfter and BackAfter replace the usual times when above 0.
-	RepairAfter time.Duration
-	BackAfter   time.Duration
+	// DownTimeout and BackAfter replace the usual times when above 0.
+	DownTimeout        time.Duration
+	MaintenanceTimeout time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	if o.RepairAfter == 0 {
-		o.RepairAfter = repairAfter
+	if o.DownTimeout == 0 {
+		o.DownTimeout = repairAfter
 	}
-	if o.BackAfter == 0 {
-		o.BackAfter = backAfter
+	if o.MaintenanceTimeout == 0 {
+		o.MaintenanceTimeout = backAfter
 	}
 	return o
 }
@@ -89,7 +89,7 @@
 }
 
 func (p *planner) wait(sentence string) {
-	p.plan.Waits = append(p.plan.Waits, sentence)
+	p.plan.Deferred = append(p.plan.Deferred, sentence)
 }
 
 // due says whether a box should be maintained.
@@ -108,5 +108,5 @@
 
 // since returns the log's time that has passed since a moment in milliseconds.
 func (p *planner) since(moment int) time.Duration {
-	return time.Duration(p.state.At()-moment) * time.Millisecond
+	return time.Duration(p.state.LogTimeMs()-moment) * time.Millisecond
 }
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -64,13 +64,13 @@
 }
 
 // append folds one record and returns its verdicts.
-func (b *bench) append(proposals ...wire.Proposal) []fold.Verdict {
+func (b *bench) append(proposals ...wire.Proposal) []fold.Result {
 	b.number++
 	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(b.number), Node: benchNode, Incarnation: 1, Number: b.number, Proposals: proposals})
 	if err != nil {
 		return nil
 	}
-	next, verdicts := b.state.Fold(wire.Entry{Offset: b.state.Offset(), At: b.at, Data: string(data)})
+	next, verdicts := b.state.Apply(wire.Entry{Offset: b.state.Offset(), At: b.at, Data: string(data)})
 	b.state = next
 	return verdicts
 }
@@ -96,7 +96,7 @@
 func (b *bench) edit(change func(*settings.Table)) error {
 	wanted := b.state.Table().File()
 	change(&wanted)
-	edit, err := b.state.Table().Edits(wanted)
+	edit, err := b.state.Table().Diff(wanted)
 	if err != nil {
 		return err
 	}
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -63,8 +63,8 @@
 	return t.names
 }
 
-// InPool returns the services of a pool in order.
-func (t Table) InPool(pool string) []string {
+// ServicesInPool returns the services of a pool in order.
+func (t Table) ServicesInPool(pool string) []string {
 	var found []string
 	for _, service := range t.names {
 		if t.rows[service].Pool == pool {
@@ -100,8 +100,8 @@
 	return json.Marshal(saved{Version: t.version, Lines: t.lines})
 }
 
-// WithSaved returns the table that MarshalJSON wrote.
-func (t Table) WithSaved(text []byte) (Table, error) {
+// Restore returns the table that MarshalJSON wrote.
+func (t Table) Restore(text []byte) (Table, error) {
 	var from saved
 	if err := json.Unmarshal(text, &from); err != nil {
 		return t, err
@@ -159,8 +159,8 @@
 	return reasons
 }
 
-// Edits returns the cells by which the wanted table differs from this one.
-func (t Table) Edits(wanted settings.Table) (wire.Edit, error) {
+// Diff returns the cells by which the wanted table differs from this one.
+func (t Table) Diff(wanted settings.Table) (wire.Edit, error) {
 	edit := wire.Edit{Base: t.version}
 	if err := t.addCells(&edit, "", wanted.Deployment); err != nil {
 		return edit, err
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -84,7 +84,7 @@
 
 func (o *observer) fold(record wire.Entry) {
 	was := o.state
-	next, verdicts := was.Fold(record)
+	next, verdicts := was.Apply(record)
 	o.state = next
 	if next.Table().Version() > was.Table().Version() {
 		o.publishedAt[next.Table().Version()] = time.UnixMilli(int64(record.At))
@@ -96,7 +96,7 @@
 	}
 }
 
-func (o *observer) count(verdict fold.Verdict, was, next fold.State) {
+func (o *observer) count(verdict fold.Result, was, next fold.State) {
 	change := verdict.Proposal.Change
 	if change == nil {
 		return
@@ -159,7 +159,7 @@
 		}
 	}
 	for _, pool := range o.state.Table().Deployment().Pools {
-		if slots[pool] < o.state.Table().Floor(pool) {
+		if slots[pool] < o.state.Table().FloorSlots(pool) {
 			o.belowFloor++
 		}
 	}
