--- a/pkg/node/endpoints.go
+++ b/pkg/node/endpoints.go
@@ -11,39 +11,39 @@
 // Times between two readings of the endpoints' entries. Each endpoint writes every
 // second or two: waiting for news would mean a call for each of them.
 const (
-	// hurriedPause is that time while tasks wait for boxes to come: quick jobs can
+	// shortReadInterval is that time while tasks wait for boxes to come: quick jobs can
 	// wait for about a second.
-	hurriedPause = 100 * time.Millisecond
-	// usualPause is that time otherwise. A draining endpoint must be known within two
+	shortReadInterval = 100 * time.Millisecond
+	// readInterval is that time otherwise. A draining endpoint must be known within two
 	// seconds.
-	usualPause = 300 * time.Millisecond
+	readInterval = 300 * time.Millisecond
 )
 
 func (n *Node) followEndpoints() error {
 	feed.New(n.feedDeps(), feed.Options{
-		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointPause, Wanted: n.owning.Load, Wake: n.follow,
+		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointReadInterval, Wanted: n.ownsPoolCell.Load, Wake: n.wakeEndpointFeed,
 		Snapshot: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
-			n.send(endpointRecords{records: records, snapshot: true, askedAt: askedAt})
+			n.send(endpointRecords{records: records, snapshot: true, requestedAt: askedAt})
 		},
 		Added: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
-			n.send(endpointRecords{records: records, askedAt: askedAt})
+			n.send(endpointRecords{records: records, requestedAt: askedAt})
 		},
 	}).Run(n.ctx)
 	return nil
 }
 
-func (n *Node) endpointPause() time.Duration {
-	for _, held := range *n.holdings.Load() {
+func (n *Node) endpointReadInterval() time.Duration {
+	for _, held := range *n.runners.Load() {
 		if cellOwner, isOwner := held.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
-			return hurriedPause
+			return shortReadInterval
 		}
 	}
-	return usualPause
+	return readInterval
 }
 
-// needEndpoints has the endpoints followed while this node owns a pool. Without one
+// updateEndpointFeed has the endpoints followed while this node owns a pool. Without one
 // it forgets them: what it knows would be out of date when it takes a pool over.
-func (n *Node) needEndpoints(held map[string]holding) {
+func (n *Node) updateEndpointFeed(held map[string]cellRunner) {
 	owning := false
 	for _, running := range held {
 		if _, isOwner := running.(*owner.Owner); isOwner {
@@ -51,30 +51,30 @@
 		}
 	}
 	if !owning {
-		n.state.registry.forget()
+		n.state.registry.reset()
 	}
-	n.owning.Store(owning)
-	n.readEndpoints()
-	if n.sortLives() {
-		n.tellEndpoints(func(string) bool { return true })
+	n.ownsPoolCell.Store(owning)
+	n.refreshEndpoints()
+	if n.assignShards() {
+		n.sendEndpoints(func(string) bool { return true })
 	}
 }
 
-// readEndpoints has the endpoints' entries read at once.
-func (n *Node) readEndpoints() {
+// refreshEndpoints has the endpoints' entries read at once.
+func (n *Node) refreshEndpoints() {
 	select {
-	case n.follow <- struct{}{}:
+	case n.wakeEndpointFeed <- struct{}{}:
 	default:
 		// It has been told already.
 	}
 }
 
-func (n *Node) takeEndpoints(m endpointRecords) {
-	if !n.owning.Load() {
+func (n *Node) applyEndpointRecords(m endpointRecords) {
+	if !n.ownsPoolCell.Load() {
 		return
 	}
-	m.takenAt = n.deps.Clock.Now()
-	changed, refused := n.state.registry.take(m)
+	m.receivedAt = n.deps.Clock.Now()
+	changed, refused := n.state.registry.apply(m)
 	for _, err := range refused {
 		n.deps.Metrics.Add("endpoint_entries_refused", 1)
 		n.deps.Logger.WithError(err).Error("endpoint not used: its entry can't be trusted")
@@ -82,19 +82,19 @@
 	if len(m.records) == 0 && !m.snapshot {
 		return
 	}
-	changed = n.sortLives() || changed
+	changed = n.assignShards() || changed
 	// Owners of endpoints that don't guard their room must know how old their word of it is.
-	n.tellEndpoints(func(cell string) bool { return changed || !n.guarded(cell) })
+	n.sendEndpoints(func(cell string) bool { return changed || !n.rejectsOverload(cell) })
 }
 
-// tellEndpoints tells owners of cells that need it of the endpoints.
-func (n *Node) tellEndpoints(needs func(cell string) bool) {
-	if !n.state.registry.told(n.state.layout, &n.state.placements) {
+// sendEndpoints tells owners of cells that need it of the endpoints.
+func (n *Node) sendEndpoints(needs func(cell string) bool) {
+	if !n.state.registry.readyForOwners(n.state.layout, &n.state.placements) {
 		return
 	}
-	for name, held := range *n.holdings.Load() {
+	for name, held := range *n.runners.Load() {
 		if cellOwner, isOwner := held.(*owner.Owner); isOwner && needs(name) {
-			cellOwner.SetEndpoints(n.state.registry.of(name, n.state.layout))
+			cellOwner.SetEndpoints(n.state.registry.cellEndpoints(name, n.state.layout))
 		}
 	}
 }
--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -7,51 +7,51 @@
 	"damsonwinch/pkg/planner"
 )
 
-// holding is a cell that this node owns.
-type holding interface {
+// cellRunner is a cell that this node owns.
+type cellRunner interface {
 	Done() <-chan struct{}
 	Token() int
 	Close() error
 }
 
-// manageHoldings starts and ends holdings so that they are those of the claims.
-func (n *Node) manageHoldings() {
+// updateRunners starts and ends holdings so that they are those of the claims.
+func (n *Node) updateRunners() {
 	view := n.View()
-	held := *n.holdings.Load()
-	next := make(map[string]holding, len(held))
+	held := *n.runners.Load()
+	next := make(map[string]cellRunner, len(held))
 	for name, running := range held {
-		if claim, known := view.Claims[name]; known && n.owns(claim) && claim.Token == running.Token() {
+		if claim, known := view.Claims[name]; known && n.shouldRun(claim) && claim.Token == running.Token() {
 			next[name] = running
 			continue
 		}
-		n.closeHolding(name, running)
+		n.closeRunner(name, running)
 	}
 	for name, claim := range view.Claims {
-		if next[name] == nil && n.owns(claim) && n.state.ended[name] != claim.Token {
-			next[name] = n.startHolding(claim)
+		if next[name] == nil && n.shouldRun(claim) && n.state.stoppedTokens[name] != claim.Token {
+			next[name] = n.startRunner(claim)
 		}
 	}
-	n.holdings.Store(&next)
-	n.needPlacements()
-	n.needEndpoints(next)
+	n.runners.Store(&next)
+	n.followPlacements()
+	n.updateEndpointFeed(next)
 }
 
-// confirm tells the owners until when their claims stood.
-func (n *Node) confirm() {
+// confirmOwnership tells the owners until when their claims stood.
+func (n *Node) confirmOwnership() {
 	confirmedAt := n.View().ConfirmedAt
-	for _, held := range *n.holdings.Load() {
+	for _, held := range *n.runners.Load() {
 		if cellOwner, isOwner := held.(*owner.Owner); isOwner {
 			cellOwner.ConfirmOwnership(confirmedAt)
 		}
 	}
 }
 
-// owns says whether a claim is this node's and to be made use of.
-func (n *Node) owns(claim ownership.Claim) bool {
+// shouldRun says whether a claim is this node's and to be made use of.
+func (n *Node) shouldRun(claim ownership.Claim) bool {
 	return claim.HeldBy(n.options.Self) && !n.state.stopping
 }
 
-func (n *Node) closeHolding(name string, running holding) {
+func (n *Node) closeRunner(name string, running cellRunner) {
 	n.deps.Logger.WithField("cell", name).Info("cell given up")
 	n.group.Go(func() error {
 		if err := running.Close(); err != nil {
@@ -61,8 +61,8 @@
 	})
 }
 
-func (n *Node) startHolding(claim ownership.Claim) holding {
-	var started holding
+func (n *Node) startRunner(claim ownership.Claim) cellRunner {
+	var started cellRunner
 	if claim.Cell == fleetCell {
 		started = n.startPlanner(claim)
 	} else {
@@ -70,7 +70,7 @@
 	}
 	n.group.Go(func() error {
 		<-started.Done()
-		n.send(holdingEnded{cell: claim.Cell, held: started})
+		n.send(runnerStopped{cell: claim.Cell, runner: started})
 		return nil
 	})
 	return started
@@ -79,13 +79,13 @@
 func (n *Node) startOwner(claim ownership.Claim) *owner.Owner {
 	started := owner.New(owner.Deps{
 		Store: n.deps.Platform.Store, Endpoints: n.deps.Platform.Endpoints, Fleet: n.deps.Platform.Fleet, Advisor: n.deps.Platform.Advisor, Clock: n.deps.Clock,
-		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, OnTasksWaiting: n.readEndpoints,
+		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, OnTasksWaiting: n.refreshEndpoints,
 		SuspendedTime: n.deps.SuspendedTime, StoreAnsweredAt: n.ownership.AnsweredAt, ReservePartition: n.ownership.TakePartition, MoveClaim: n.ownership.Move,
 		PartitionStream: func(number int) damsonwinch.Stream { return ownership.StreamAt(number, n.options.Partitions) },
 	}, owner.Options{Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, MaxAppendBytes: n.options.MaxAppendBytes, CellOptions: n.options.CellOptions})
-	started.Configure(n.state.configuration, n.guarded(claim.Cell))
-	if n.state.registry.complete && n.state.registry.told(n.state.layout, &n.state.placements) {
-		started.SetEndpoints(n.state.registry.of(claim.Cell, n.state.layout))
+	started.Configure(n.state.configuration, n.rejectsOverload(claim.Cell))
+	if n.state.registry.complete && n.state.registry.readyForOwners(n.state.layout, &n.state.placements) {
+		started.SetEndpoints(n.state.registry.cellEndpoints(claim.Cell, n.state.layout))
 	}
 	return started
 }
@@ -95,7 +95,7 @@
 		Store: n.deps.Platform.Store, Fleet: n.deps.Platform.Fleet, Clock: n.deps.Clock, Logger: n.deps.Logger.WithField("cell", claim.Cell),
 		Metrics: n.deps.Metrics, Sync: n.router.Sync, WaveReport: n.deps.Platform.WaveReport,
 		SuspendedTime:  n.deps.SuspendedTime,
-		OnFirstBoxList: func(count int) { n.send(boxesCounted{boxes: count}) },
+		OnFirstBoxList: func(count int) { n.send(boxCountReceived{boxes: count}) },
 	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.StreamOf(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
 	started.Configure(n.state.configuration, n.state.layout)
 	for _, wave := range n.state.waves {
@@ -104,20 +104,20 @@
 	return started
 }
 
-// removeHolding takes away a holding that has ended by itself. Its claim is of no
+// removeRunner takes away a holding that has ended by itself. Its claim is of no
 // use any more.
-func (n *Node) removeHolding(name string, ended holding) {
-	held := *n.holdings.Load()
+func (n *Node) removeRunner(name string, ended cellRunner) {
+	held := *n.runners.Load()
 	if held[name] != ended {
 		return
 	}
-	next := make(map[string]holding, len(held))
+	next := make(map[string]cellRunner, len(held))
 	for other, running := range held {
 		if running != ended {
 			next[other] = running
 		}
 	}
-	n.holdings.Store(&next)
-	n.state.ended[name] = ended.Token()
+	n.runners.Store(&next)
+	n.state.stoppedTokens[name] = ended.Token()
 	n.ownership.Renounce(name, ended.Token())
 }
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -13,18 +13,18 @@
 // name, which is none that the operator's names allow.
 const fleetCell = "@fleet"
 
-// cellsOf returns the cells that need an owner: the fleet's and, once the layout has been
+// requiredCells returns the cells that need an owner: the fleet's and, once the layout has been
 // decided, those of the pools whose boxes run.
-func cellsOf(configuration damsonwinch.Configuration, layout shard.Layout) []string {
+func requiredCells(configuration damsonwinch.Configuration, layout shard.Layout) []string {
 	cells := []string{fleetCell}
-	for _, pool := range runningPools(configuration) {
+	for _, pool := range poweredOnPools(configuration) {
 		cells = append(cells, layout.CellNames(pool)...)
 	}
 	return cells
 }
 
-// runningPools returns the names of the pools whose boxes run.
-func runningPools(configuration damsonwinch.Configuration) []string {
+// poweredOnPools returns the names of the pools whose boxes run.
+func poweredOnPools(configuration damsonwinch.Configuration) []string {
 	var names []string
 	for _, pool := range configuration.Pools {
 		if !pool.PoweredOff {
@@ -34,29 +34,29 @@
 	return names
 }
 
-// boxesCounted tells how many boxes the fleet has.
-type boxesCounted struct{ boxes int }
+// boxCountReceived tells how many boxes the fleet has.
+type boxCountReceived struct{ boxes int }
 
-// decideLayout decides into how many shards the fleet is cut, on the node that plans for it
+// proposeLayout decides into how many shards the fleet is cut, on the node that plans for it
 // and if nobody has before. Where one shard will do, it will also do with nodes that aren't
 // listed yet; else their list must be complete.
-func (n *Node) decideLayout() {
+func (n *Node) proposeLayout() {
 	view := n.View()
-	pools := runningPools(n.state.configuration)
-	if view.Layout.Decided() || n.state.boxes == 0 || len(pools) == 0 {
+	pools := poweredOnPools(n.state.configuration)
+	if view.Layout.Decided() || n.state.boxCount == 0 || len(pools) == 0 {
 		return
 	}
-	count := shard.ChooseCount(n.state.boxes, len(pools), weightsOf(view.Members))
+	count := shard.ChooseCount(n.state.boxCount, len(pools), memberWeights(view.Members))
 	if count > 1 && !view.Steady {
 		return
 	}
 	n.deps.Logger.WithFields(logrus.Fields{
-		"shards": count, "boxes": n.state.boxes, "pools": len(pools), "members": len(view.Members),
+		"shards": count, "boxes": n.state.boxCount, "pools": len(pools), "members": len(view.Members),
 	}).Info("layout of cells decided")
 	n.ownership.Decide(shard.NewLayout(count, pools))
 }
 
-func weightsOf(members []ownership.Member) []int {
+func memberWeights(members []ownership.Member) []int {
 	weights := make([]int, 0, len(members))
 	for _, member := range members {
 		weights = append(weights, member.Weight)
@@ -64,14 +64,14 @@
 	return weights
 }
 
-// useLayout has the cells of a layout owned and planned for once it is in force.
-func (n *Node) useLayout(layout shard.Layout) {
+// applyLayout has the cells of a layout owned and planned for once it is in force.
+func (n *Node) applyLayout(layout shard.Layout) {
 	if !layout.Decided() || n.state.layout.Equal(layout) {
 		return
 	}
 	n.state.layout = layout
-	n.ownership.Want(cellsOf(n.state.configuration, layout))
-	if planning, here := (*n.holdings.Load())[fleetCell].(*planner.Planner); here {
+	n.ownership.Want(requiredCells(n.state.configuration, layout))
+	if planning, here := (*n.runners.Load())[fleetCell].(*planner.Planner); here {
 		planning.Configure(n.state.configuration, layout)
 	}
 }
--- a/pkg/node/lives_test.go
+++ b/pkg/node/lives_test.go
@@ -11,8 +11,8 @@
 	"damsonwinch/pkg/shard"
 )
 
-// decodeBorn reads an entry whose value is when the life was born.
-func decodeBorn(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
+// decodeStartTime reads an entry whose value is when the life was born.
+func decodeStartTime(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
 	born, err := strconv.Atoi(string(record.Value))
 	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key, StartedUnixMs: born}, Pool: "p", Box: "box-" + record.Key}, err
 }
@@ -25,12 +25,12 @@
 	home := layout.BoxShard("box-a")
 	away := (home + 1) % layout.Shards
 	at := func(ms int) time.Time { return time.UnixMilli(1_700_000_000_000 + int64(ms)) }
-	r, placed := newRegistry(decodeBorn), newPlacements()
+	r, placed := newRegistry(decodeStartTime), newPlacements()
 	shown := func(ms, born int) (found damsonwinch.Life, number int) {
-		_, _ = r.take(endpointRecords{records: []damsonwinch.Record{entry("a", strconv.Itoa(born))}, askedAt: at(ms), takenAt: at(ms)})
-		_, _ = r.sort(layout, map[string]bool{"p": true}, &placed)
+		_, _ = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", strconv.Itoa(born))}, requestedAt: at(ms), receivedAt: at(ms)})
+		_, _ = r.assignShards(layout, map[string]bool{"p": true}, &placed)
 		for number := range layout.Shards {
-			if listed := r.of(shard.CellName("p", number), layout); len(listed) > 0 {
+			if listed := r.cellEndpoints(shard.CellName("p", number), layout); len(listed) > 0 {
 				assert.Equal(t, len(listed), 1)
 				return listed[0].Life, number
 			}
@@ -38,13 +38,13 @@
 		return damsonwinch.Life{}, -1
 	}
 
-	_ = placed.take(placementRecords{snapshot: true, askedAt: at(100)})
+	_ = placed.apply(placementRecords{snapshot: true, requestedAt: at(100)})
 	life, number := shown(50, 700)
 	assert.Equal(t, life, damsonwinch.Life{ID: "a", StartedUnixMs: 700})
 	assert.Equal(t, number, home)
 
 	ended := damsonwinch.Life{ID: "a", StartedUnixMs: 700}
-	_ = placed.take(placementRecords{records: []damsonwinch.Record{orderOn(t, "box-a", "p", ended.String(), home, away)}, end: 1, askedAt: at(200)})
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", ended.String(), home, away)}, end: 1, requestedAt: at(200)})
 	_, number = shown(210, 700)
 	assert.Equal(t, number, home, "to its end it stays where it is")
 	life, number = shown(190, 600)
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -60,44 +60,44 @@
 
 // Options say who the node is and by which times it decides.
 type Options struct {
-	Self       ownership.Member
-	CellOptions      cell.Options
-	Supply     supply.Options
-	MembershipTTL        time.Duration
-	Partitions int
+	Self          ownership.Member
+	CellOptions   cell.Options
+	Supply        supply.Options
+	MembershipTTL time.Duration
+	Partitions    int
 	// MaxAppendBytes is the most that the store takes in a call.
-	MaxAppendBytes  int
-	FirstStart bool
+	MaxAppendBytes int
+	FirstStart     bool
 }
 
 // Node is a running node.
 type Node struct {
-	deps      Deps
-	options   Options
-	ownership *ownership.Ownership
-	router    *intake.Router
-	calls     *call.Server
+	deps       Deps
+	options    Options
+	ownership  *ownership.Ownership
+	router     *intake.Router
+	callServer *call.Server
 	// relay is the way to the operator's stream, and peers the connections for it.
-	relay  *relay.Relay
-	peers  *relay.Peers
-	inbox  chan any
-	group  *errgroup.Group
-	ctx    context.Context // Ends with the node's tasks.
-	cancel context.CancelFunc
-	view   atomic.Pointer[ownership.View]
-	// holdings is replaced whole by the node's task and read by all calls.
-	holdings atomic.Pointer[map[string]holding]
-	// inForce is what the configuration in force says of who may call, nil before the first.
-	inForce atomic.Pointer[inForce]
-	// owning says that this node owns a pool, and follow wakes what then follows the
+	relay      *relay.Relay
+	relayPeers *relay.Peers
+	inbox      chan any
+	group      *errgroup.Group
+	ctx        context.Context // Ends with the node's tasks.
+	cancel     context.CancelFunc
+	view       atomic.Pointer[ownership.View]
+	// runners is replaced whole by the node's task and read by all calls.
+	runners atomic.Pointer[map[string]cellRunner]
+	// accessRules is what the configuration in force says of who may call, nil before the first.
+	accessRules atomic.Pointer[accessRules]
+	// ownsPoolCell says that this node owns a pool, and follow wakes what then follows the
 	// endpoints.
-	owning atomic.Bool
-	follow chan struct{}
-	// place wakes what then follows where the planner takes boxes.
-	place chan struct{}
-	state state
-	// ended is closed once the node's own task has ended.
-	ended chan struct{}
+	ownsPoolCell     atomic.Bool
+	wakeEndpointFeed chan struct{}
+	// wakePlacementFeed wakes what then follows where the planner takes boxes.
+	wakePlacementFeed chan struct{}
+	state             state
+	// done is closed once the node's own task has done.
+	done chan struct{}
 }
 
 // state is what the node's task knows.
@@ -105,17 +105,17 @@
 	configuration damsonwinch.Configuration
 	registry      registry
 	placements    placements
-	// placing says that the placements are followed.
-	placing bool
-	waves   map[int]damsonwinch.Wave
+	// followsPlacements says that the placements are followed.
+	followsPlacements bool
+	waves             map[int]damsonwinch.Wave
 	// layout says into how many cells each pool is cut, and boxes how many boxes there
 	// are, 0 while that is not known.
-	layout shard.Layout
-	boxes  int
-	// ended holds, by cell, the claim whose owner has ended by itself; it is not
+	layout   shard.Layout
+	boxCount int
+	// stoppedTokens holds, by cell, the claim whose owner has stoppedTokens by itself; it is not
 	// to be owned by that claim again.
-	ended    map[string]int
-	stopping bool
+	stoppedTokens map[string]int
+	stopping      bool
 }
 
 // Messages to the node's task.
@@ -125,16 +125,16 @@
 	endpointRecords struct {
 		records  []damsonwinch.Record
 		snapshot bool
-		// askedAt is when the store was asked for them, and takenAt when they had come.
-		askedAt time.Time
-		takenAt time.Time
+		// requestedAt is when the store was asked for them, and takenAt when they had come.
+		requestedAt time.Time
+		receivedAt  time.Time
 	}
-	holdingEnded struct {
-		cell string
-		held holding
+	runnerStopped struct {
+		cell   string
+		runner cellRunner
 	}
-	stopHoldings struct{ done chan<- struct{} }
-	reloaded     struct{ options Options }
+	stopRunners    struct{ done chan<- struct{} }
+	optionsChanged struct{ options Options }
 )
 
 // inboxSize lets the feeds go on while the task is at work.
@@ -146,28 +146,28 @@
 	group, ctx := errgroup.WithContext(ctx)
 	n := &Node{
 		deps: deps, options: options, inbox: make(chan any, inboxSize), group: group, ctx: ctx, cancel: cancel,
-		ended: make(chan struct{}), follow: make(chan struct{}, 1), place: make(chan struct{}, 1),
-		state: state{registry: newRegistry(deps.Platform.DecodeEndpoint), placements: newPlacements(), ended: map[string]int{}, waves: map[int]damsonwinch.Wave{}},
+		done: make(chan struct{}), wakeEndpointFeed: make(chan struct{}, 1), wakePlacementFeed: make(chan struct{}, 1),
+		state: state{registry: newRegistry(deps.Platform.DecodeEndpoint), placements: newPlacements(), stoppedTokens: map[string]int{}, waves: map[int]damsonwinch.Wave{}},
 	}
 	n.view.Store(&ownership.View{})
-	n.holdings.Store(&map[string]holding{})
+	n.runners.Store(&map[string]cellRunner{})
 	n.router = intake.NewRouter(intake.Deps{Cells: n, Dial: deps.Dial, Clock: deps.Clock, Metrics: deps.Metrics, Logger: deps.Logger})
 	calls, err := call.Serve(deps.CallListener, intake.ServiceName, intake.NewService(ctx, options.Self, n, deps.Clock))
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	n.calls = calls
+	n.callServer = calls
 	n.ownership = ownership.New(ownership.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Changed: n.viewChanged,
 		AskPeer: n.router.Claims, Slept: deps.SuspendedTime,
 	}, ownership.Options{Self: options.Self, TTL: options.MembershipTTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
-	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
+	n.relayPeers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
-		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.peers.Ask,
+		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Ask: n.relayPeers.Ask,
 		Members: func() []ownership.Member { return n.View().Members },
 	}, options.Self, deps.Platform.OperatorStream)
-	if err := n.calls.Register(relay.ServiceName, relay.NewService(ctx, n.relay)); err != nil {
+	if err := n.callServer.Register(relay.ServiceName, relay.NewService(ctx, n.relay)); err != nil {
 		cancel()
 		return nil, errors.Join(err, n.ownership.Close())
 	}
@@ -184,10 +184,10 @@
 
 // Ready says whether the node should be given clients.
 func (n *Node) Ready() bool {
-	if n.inForce.Load() == nil {
+	if n.accessRules.Load() == nil {
 		return false
 	}
-	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.ReachesOwners(readyTime)
+	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < maxReadySilence || n.router.ReachesOwners(maxReadySilence)
 }
 
 // ConfigurationConfirmedAt returns when the configuration in force was last known to be the newest.
@@ -195,12 +195,12 @@
 	return n.relay.CurrentAt()
 }
 
-// readyTime is how long ago the store, or an owner of a cell that could do what it
+// maxReadySilence is how long ago the store, or an owner of a cell that could do what it
 // was asked, may have answered last. A node that is cut off from both has its
 // clients sent elsewhere, and the balancer takes two seconds to see it. The node
 // proves to the store that it lives each 300 ms; an answer that is lost costs it
 // 600 ms.
-const readyTime = 800 * time.Millisecond
+const maxReadySilence = 800 * time.Millisecond
 
 // View implements intake.Cells.
 func (n *Node) View() ownership.View {
@@ -209,7 +209,7 @@
 
 // LocalOwner implements intake.Cells.
 func (n *Node) LocalOwner(cell string) (intake.CellOwner, bool) {
-	found, here := (*n.holdings.Load())[cell].(intake.CellOwner)
+	found, here := (*n.runners.Load())[cell].(intake.CellOwner)
 	return found, here
 }
 
@@ -242,7 +242,7 @@
 // Reload puts options in force for the cells that are taken over from now on. Who
 // the node is stays as it was.
 func (n *Node) Reload(options Options) {
-	n.send(reloaded{options: options})
+	n.send(optionsChanged{options: options})
 }
 
 // Stop gives the node's cells to others, for a planned stop. Clients can still be
@@ -250,7 +250,7 @@
 func (n *Node) Stop(ctx context.Context) {
 	n.ownership.Leave(ctx)
 	done := make(chan struct{})
-	n.send(stopHoldings{done: done})
+	n.send(stopRunners{done: done})
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -262,20 +262,20 @@
 	n.cancel()
 	// The node's tasks wait for the ends of holdings, which come first. No new ones
 	// begin: the task that starts them has been told to end.
-	<-n.ended
+	<-n.done
 	var err error
-	for _, held := range *n.holdings.Load() {
+	for _, held := range *n.runners.Load() {
 		err = errors.Join(err, held.Close())
 	}
 	err = errors.Join(err, n.group.Wait(), n.ownership.Close())
-	n.calls.Close()
+	n.callServer.Close()
 	n.router.Close()
-	n.peers.Close()
+	n.relayPeers.Close()
 	return err
 }
 
 func (n *Node) run() error {
-	defer close(n.ended)
+	defer close(n.done)
 	ticker := n.deps.Clock.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -283,37 +283,37 @@
 		case <-n.ctx.Done():
 			return nil
 		case m := <-n.inbox:
-			n.take(m)
+			n.handle(m)
 		case <-ticker.Chan():
-			n.manageHoldings()
+			n.updateRunners()
 		}
 	}
 }
 
-func (n *Node) take(m any) {
+func (n *Node) handle(m any) {
 	switch m := m.(type) {
 	case viewChanged:
-		n.useLayout(n.View().Layout)
-		n.decideLayout()
-		n.manageHoldings()
-		n.confirm()
+		n.applyLayout(n.View().Layout)
+		n.proposeLayout()
+		n.updateRunners()
+		n.confirmOwnership()
 	case placementRecords:
-		n.takePlacements(m)
+		n.applyPlacementRecords(m)
 	case operatorRecords:
-		n.takeOperator(m.records)
+		n.applyOperatorRecords(m.records)
 	case endpointRecords:
-		n.takeEndpoints(m)
-	case holdingEnded:
-		n.removeHolding(m.cell, m.held)
-		n.manageHoldings()
-	case boxesCounted:
-		n.state.boxes = m.boxes
-		n.decideLayout()
-	case reloaded:
+		n.applyEndpointRecords(m)
+	case runnerStopped:
+		n.removeRunner(m.cell, m.runner)
+		n.updateRunners()
+	case boxCountReceived:
+		n.state.boxCount = m.boxes
+		n.proposeLayout()
+	case optionsChanged:
 		n.options.CellOptions, n.options.Supply = m.options.CellOptions, m.options.Supply
-	case stopHoldings:
+	case stopRunners:
 		n.state.stopping = true
-		n.manageHoldings()
+		n.updateRunners()
 		close(m.done)
 	}
 }
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// takeOperator puts a newer configuration in force. Older ones come when the
+// applyOperatorRecords puts a newer configuration in force. Older ones come when the
 // stream is read anew.
-func (n *Node) takeOperator(records []damsonwinch.Record) {
+func (n *Node) applyOperatorRecords(records []damsonwinch.Record) {
 	for _, record := range records {
 		configuration, wave, err := n.deps.Platform.DecodeOperator(record)
 		if err != nil {
@@ -41,7 +41,7 @@
 			n.configure(*configuration)
 		}
 		if wave != nil {
-			n.takeWave(*wave)
+			n.setWave(*wave)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 func (n *Node) configure(configuration damsonwinch.Configuration) {
 	n.state.configuration = configuration
 	book, flaws := customer.New(configuration.Customers)
-	if replaced := n.inForce.Swap(newInForce(configuration, book)); replaced != nil {
+	if replaced := n.accessRules.Swap(newAccessRules(configuration, book)); replaced != nil {
 		close(replaced.replaced)
 	}
 	n.deps.Metrics.Put("configuration_version", configuration.Version)
@@ -59,31 +59,31 @@
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
 	}
 	n.deps.OnConfiguration(configuration, book)
-	n.ownership.Want(cellsOf(configuration, n.state.layout))
-	n.decideLayout()
-	for cell, held := range *n.holdings.Load() {
+	n.ownership.Want(requiredCells(configuration, n.state.layout))
+	n.proposeLayout()
+	for cell, held := range *n.runners.Load() {
 		switch held := held.(type) {
 		case *owner.Owner:
-			held.Configure(configuration, n.guarded(cell))
+			held.Configure(configuration, n.rejectsOverload(cell))
 		case *planner.Planner:
 			held.Configure(configuration, n.state.layout)
 		}
 	}
 }
 
-// guarded says whether the endpoints of a cell refuse what doesn't fit; those of a pool that
+// rejectsOverload says whether the endpoints of a cell refuse what doesn't fit; those of a pool that
 // isn't known are not counted on.
-func (n *Node) guarded(cell string) bool {
+func (n *Node) rejectsOverload(cell string) bool {
 	name, _ := shard.ParseCellName(cell)
 	pool, known := n.state.configuration.Pool(name)
 	return known && pool.RejectsOverload
 }
 
-// takeWave passes a wave on to the planner, if that is here.
-func (n *Node) takeWave(wave damsonwinch.Wave) {
+// setWave passes a wave on to the planner, if that is here.
+func (n *Node) setWave(wave damsonwinch.Wave) {
 	n.state.waves[wave.Number] = wave
 	n.deps.Logger.WithFields(logrus.Fields{"wave": wave.Number, "boxes": len(wave.Boxes), "most_down": wave.MaxDown, "duration": wave.Duration.String()}).Info("wave asked for")
-	if planning, here := (*n.holdings.Load())[fleetCell].(*planner.Planner); here {
+	if planning, here := (*n.runners.Load())[fleetCell].(*planner.Planner); here {
 		planning.SetWave(wave)
 	}
 }
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -10,17 +10,17 @@
 	"damsonwinch/pkg/shard"
 )
 
-// placementPause is the time between two readings of where the planner has taken boxes. A new
+// placementReadInterval is the time between two readings of where the planner has taken boxes. A new
 // life of an endpoint that waits to be sorted has them read at once.
-const placementPause = 10 * time.Second
+const placementReadInterval = 10 * time.Second
 
 // placements are to which shards boxes have been taken, as read from the planner's stream.
 type placements struct {
 	byBox map[string]shard.Placement
-	// next is the record that comes after those read, and readAt when the newest reading that
+	// nextOffset is the record that comes after those read, and readAt when the newest reading that
 	// brought all there was had been asked for; zero for none.
-	next   int
-	readAt time.Time
+	nextOffset int
+	upToDateAt time.Time
 }
 
 // placementRecords are records of the planner's stream.
@@ -28,21 +28,21 @@
 	records  []damsonwinch.Record
 	snapshot bool
 	// end is the number of the stream's next record.
-	end     int
-	askedAt time.Time
+	end         int
+	requestedAt time.Time
 }
 
 func newPlacements() placements {
 	return placements{byBox: map[string]shard.Placement{}}
 }
 
-// take takes records, and returns which can't be read.
-func (p *placements) take(m placementRecords) (refused []error) {
+// apply takes records, and returns which can't be read.
+func (p *placements) apply(m placementRecords) (refused []error) {
 	if m.snapshot {
 		clear(p.byBox)
-		p.next = m.end
+		p.nextOffset = m.end
 	} else {
-		p.next += len(m.records)
+		p.nextOffset += len(m.records)
 	}
 	for _, record := range m.records {
 		box, placement, err := planner.ParsePlacement(record)
@@ -55,74 +55,74 @@
 			delete(p.byBox, box)
 		}
 	}
-	if p.next >= m.end {
-		p.readAt = m.askedAt
+	if p.nextOffset >= m.end {
+		p.upToDateAt = m.requestedAt
 	}
 	return refused
 }
 
-// of returns the newest placement of a box, nil for none.
-func (p *placements) of(box string) *shard.Placement {
+// find returns the newest placement find a box, nil for none.
+func (p *placements) find(box string) *shard.Placement {
 	if placement, placed := p.byBox[box]; placed {
 		return &placement
 	}
 	return nil
 }
 
-// needPlacements has the planner's stream followed from when it is known where that is; a
+// followPlacements has the planner's stream followed from when it is known where that is; a
 // fleet in one shard never does.
-func (n *Node) needPlacements() {
+func (n *Node) followPlacements() {
 	claim, known := n.View().Claims[fleetCell]
-	if n.state.placing || !known || !n.state.layout.Sharded() {
+	if n.state.followsPlacements || !known || !n.state.layout.Sharded() {
 		return
 	}
-	n.state.placing = true
+	n.state.followsPlacements = true
 	stream := ownership.StreamOf(claim, n.options.Partitions)
 	n.group.Go(func() error {
 		feed.New(n.feedDeps(), feed.Options{
-			Stream: stream, Pause: func() time.Duration { return placementPause }, Wanted: n.owning.Load, Wake: n.place, NewestOnly: true,
+			Stream: stream, Pause: func() time.Duration { return placementReadInterval }, Wanted: n.ownsPoolCell.Load, Wake: n.wakePlacementFeed, NewestOnly: true,
 			Snapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
-				n.send(placementRecords{records: records, snapshot: true, end: end, askedAt: askedAt})
+				n.send(placementRecords{records: records, snapshot: true, end: end, requestedAt: askedAt})
 			},
 			Added: func(records []damsonwinch.Record, end int, askedAt time.Time) {
-				n.send(placementRecords{records: records, end: end, askedAt: askedAt})
+				n.send(placementRecords{records: records, end: end, requestedAt: askedAt})
 			},
 		}).Run(n.ctx)
 		return nil
 	})
 }
 
-// readPlacements has the planner's stream read at once.
-func (n *Node) readPlacements() {
+// refreshPlacements has the planner's stream read at once.
+func (n *Node) refreshPlacements() {
 	select {
-	case n.place <- struct{}{}:
+	case n.wakePlacementFeed <- struct{}{}:
 	default:
 		// It has been told already.
 	}
 }
 
-func (n *Node) takePlacements(m placementRecords) {
-	for _, err := range n.state.placements.take(m) {
+func (n *Node) applyPlacementRecords(m placementRecords) {
+	for _, err := range n.state.placements.apply(m) {
 		n.deps.Metrics.Add("placements_refused", 1)
 		n.deps.Logger.WithError(err).Error("order of the planner not understood")
 	}
-	if n.sortLives() {
-		n.tellEndpoints(func(string) bool { return true })
+	if n.assignShards() {
+		n.sendEndpoints(func(string) bool { return true })
 	}
 }
 
-// sortLives sorts new lives of endpoints by their shards, and says whether any has been. Only
+// assignShards sorts new lives of endpoints by their shards, and says whether any has been. Only
 // the pools that are owned here count: each reading is a call to the store, and those for all
 // pools cost a third of all calls of 27 nodes with 550 moves in 90 s.
-func (n *Node) sortLives() bool {
+func (n *Node) assignShards() bool {
 	pools := map[string]bool{}
-	for cell := range *n.holdings.Load() {
+	for cell := range *n.runners.Load() {
 		pool, _ := shard.ParseCellName(cell)
 		pools[pool] = true
 	}
-	sorted, waiting := n.state.registry.sort(n.state.layout, pools, &n.state.placements)
+	sorted, waiting := n.state.registry.assignShards(n.state.layout, pools, &n.state.placements)
 	if waiting {
-		n.readPlacements()
+		n.refreshPlacements()
 	}
 	return sorted
 }
--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -13,50 +13,50 @@
 	decode func(damsonwinch.Record) (damsonwinch.Endpoint, error)
 	// endpoints holds those that may be used, by their IDs.
 	endpoints map[string]damsonwinch.Endpoint
-	// spoilt holds the IDs of entries that name no endpoint to use.
-	spoilt map[string]bool
-	// lives holds to which shard each life that has been listed belongs.
-	lives map[damsonwinch.Life]life
+	// invalid holds the IDs of entries that name no endpoint to use.
+	invalid map[string]bool
+	// lifeShards holds to which shard each life that has been listed belongs.
+	lifeShards map[damsonwinch.Life]lifeShard
 	// complete says that all that are listed have been read.
 	complete bool
-	// readAt is when the first reading had come, zero before.
-	readAt time.Time
+	// firstReadAt is when the first reading had come, zero before.
+	firstReadAt time.Time
 }
 
-// life is a life of an endpoint's, which belongs to one shard to its end.
-type life struct {
-	// sorted says that its shard is known.
-	sorted bool
-	shard  int
-	// seenAt is when it was first seen: orders that led to it are in the planner's stream
+// lifeShard is a lifeShard of an endpoint's, which belongs to one shard to its end.
+type lifeShard struct {
+	// known says that its shard is known.
+	known bool
+	shard int
+	// firstSeenAt is when it was first seen: orders that led to it are in the planner's stream
 	// since before.
-	seenAt time.Time
+	firstSeenAt time.Time
 }
 
 func newRegistry(decode func(damsonwinch.Record) (damsonwinch.Endpoint, error)) registry {
-	return registry{decode: decode, endpoints: map[string]damsonwinch.Endpoint{}, spoilt: map[string]bool{}, lives: map[damsonwinch.Life]life{}}
+	return registry{decode: decode, endpoints: map[string]damsonwinch.Endpoint{}, invalid: map[string]bool{}, lifeShards: map[damsonwinch.Life]lifeShard{}}
 }
 
-// forget drops all that is known.
-func (r *registry) forget() {
+// reset drops all that is known.
+func (r *registry) reset() {
 	clear(r.endpoints)
-	clear(r.spoilt)
-	clear(r.lives)
-	r.complete, r.readAt = false, time.Time{}
+	clear(r.invalid)
+	clear(r.lifeShards)
+	r.complete, r.firstReadAt = false, time.Time{}
 }
 
-// take takes records of entries. It says whether owners have something new to learn of the
+// apply takes records of entries. It says whether owners have something new to learn of the
 // endpoints, and returns why entries were refused that were not before: an endpoint writes
 // one each second or two.
-func (r *registry) take(m endpointRecords) (changed bool, refused []error) {
-	if r.readAt.IsZero() {
-		r.readAt = m.takenAt
+func (r *registry) apply(m endpointRecords) (changed bool, refused []error) {
+	if r.firstReadAt.IsZero() {
+		r.firstReadAt = m.receivedAt
 	}
 	if m.snapshot {
 		clear(r.endpoints)
-		clear(r.spoilt)
+		clear(r.invalid)
 		r.complete, changed = true, true
-		defer r.dropLives()
+		defer r.dropUnlistedLives()
 	}
 	for _, record := range m.records {
 		before, known := r.endpoints[record.Key]
@@ -67,20 +67,20 @@
 		}
 		switch {
 		case err != nil:
-			if !r.spoilt[record.Key] {
+			if !r.invalid[record.Key] {
 				refused = append(refused, err)
 			}
-			r.spoilt[record.Key] = true
+			r.invalid[record.Key] = true
 			continue
 		case after.Pool != "":
-			after.SeenAt = m.askedAt
+			after.SeenAt = m.requestedAt
 			r.endpoints[record.Key] = after
-			if _, seen := r.lives[after.Life]; !seen {
-				r.lives[after.Life] = life{seenAt: m.takenAt}
+			if _, seen := r.lifeShards[after.Life]; !seen {
+				r.lifeShards[after.Life] = lifeShard{firstSeenAt: m.receivedAt}
 			}
 			changed = changed || !known || differs(before, after)
 		}
-		delete(r.spoilt, record.Key)
+		delete(r.invalid, record.Key)
 	}
 	return changed, refused
 }
@@ -91,48 +91,48 @@
 		before.Box != after.Box || before.Capacity != after.Capacity || !slices.Equal(before.Labels, after.Labels)
 }
 
-// dropLives forgets the lives that aren't listed any more.
-func (r *registry) dropLives() {
-	for named := range r.lives {
-		if r.endpoints[named.ID].Life != named && !r.spoilt[named.ID] {
-			delete(r.lives, named)
+// dropUnlistedLives forgets the lives that aren't listed any more.
+func (r *registry) dropUnlistedLives() {
+	for named := range r.lifeShards {
+		if r.endpoints[named.ID].Life != named && !r.invalid[named.ID] {
+			delete(r.lifeShards, named)
 		}
 	}
 }
 
-// sort sorts the lives in some pools by their shards, those for which the placements read are
+// assignShards sorts the lives in some pools by their shards, those for which the placements read are
 // new enough. It says whether any were, and whether others wait for newer placements.
-func (r *registry) sort(layout shard.Layout, pools map[string]bool, placed *placements) (sorted, waiting bool) {
+func (r *registry) assignShards(layout shard.Layout, pools map[string]bool, placed *placements) (sorted, waiting bool) {
 	if !layout.Sharded() {
 		return false, false
 	}
-	for named, l := range r.lives {
+	for named, l := range r.lifeShards {
 		endpoint := r.endpoints[named.ID]
 		switch {
-		case l.sorted || endpoint.Life != named || !pools[endpoint.Pool]:
-		case placed.readAt.Before(l.seenAt):
+		case l.known || endpoint.Life != named || !pools[endpoint.Pool]:
+		case placed.upToDateAt.Before(l.firstSeenAt):
 			waiting = true
 		default:
-			l.sorted, l.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, named, placed.of(endpoint.Box))
-			r.lives[named] = l
+			l.known, l.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, named, placed.find(endpoint.Box))
+			r.lifeShards[named] = l
 			sorted = true
 		}
 	}
 	return sorted, waiting
 }
 
-// told says whether owners can be told of the endpoints: those that were listed at first have
+// readyForOwners says whether owners can be readyForOwners of the endpoints: those that were listed at first have
 // been sorted, so that no owner takes the others for all there are.
-func (r *registry) told(layout shard.Layout, placed *placements) bool {
-	return !layout.Sharded() || !r.readAt.IsZero() && !placed.readAt.Before(r.readAt)
+func (r *registry) readyForOwners(layout shard.Layout, placed *placements) bool {
+	return !layout.Sharded() || !r.firstReadAt.IsZero() && !placed.upToDateAt.Before(r.firstReadAt)
 }
 
-// of returns the endpoints of a cell.
-func (r *registry) of(cell string, layout shard.Layout) []damsonwinch.Endpoint {
+// cellEndpoints returns the endpoints cellEndpoints a cell.
+func (r *registry) cellEndpoints(cell string, layout shard.Layout) []damsonwinch.Endpoint {
 	var found []damsonwinch.Endpoint
 	pool, number := shard.ParseCellName(cell)
 	for _, endpoint := range r.endpoints {
-		if endpoint.Pool == pool && r.isIn(endpoint.Life, number, layout) {
+		if endpoint.Pool == pool && r.belongsTo(endpoint.Life, number, layout) {
 			found = append(found, endpoint)
 		}
 	}
@@ -140,11 +140,11 @@
 	return found
 }
 
-// isIn says whether a life belongs to a shard.
-func (r *registry) isIn(named damsonwinch.Life, number int, layout shard.Layout) bool {
+// belongsTo says whether a life belongs to a shard.
+func (r *registry) belongsTo(named damsonwinch.Life, number int, layout shard.Layout) bool {
 	if !layout.Sharded() {
 		return number == 0
 	}
-	found := r.lives[named]
-	return found.sorted && found.shard == number
+	found := r.lifeShards[named]
+	return found.known && found.shard == number
 }
--- a/pkg/node/registry_test.go
+++ b/pkg/node/registry_test.go
@@ -13,21 +13,21 @@
 	"damsonwinch/pkg/wire"
 )
 
-var errSpoilt = errors.New("spoilt")
+var errInvalid = errors.New("spoilt")
 
-// decodeEntry reads an entry whose value is the endpoint's pool.
-func decodeEntry(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
+// decodeRegistration reads an entry whose value is the endpoint's pool.
+func decodeRegistration(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
 	if string(record.Value) == "?" {
-		return damsonwinch.Endpoint{}, errSpoilt
+		return damsonwinch.Endpoint{}, errInvalid
 	}
 	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key}, Pool: string(record.Value), Box: "box-" + record.Key}, nil
 }
 
-func entry(id, pool string) damsonwinch.Record {
+func registration(id, pool string) damsonwinch.Record {
 	return damsonwinch.Record{Key: id, Value: []byte(pool)}
 }
 
-func idsOf(endpoints []damsonwinch.Endpoint) []string {
+func lifeNames(endpoints []damsonwinch.Endpoint) []string {
 	ids := []string{}
 	for _, endpoint := range endpoints {
 		ids = append(ids, endpoint.Life.String())
@@ -38,34 +38,34 @@
 // TestASpoiltEntryNamesNoEndpointToUse and the others hold: the one that was there before
 // under its name is used no more until it can be read again.
 func TestASpoiltEntryNamesNoEndpointToUse(t *testing.T) {
-	r := newRegistry(decodeEntry)
+	r := newRegistry(decodeRegistration)
 	one := shard.NewLayout(1, nil)
-	changed, refused := r.take(endpointRecords{snapshot: true, records: []damsonwinch.Record{entry("a", "p"), entry("b", "?"), entry("c", "p")}})
+	changed, refused := r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p"), registration("b", "?"), registration("c", "p")}})
 	assert.Assert(t, changed)
 	assert.Equal(t, len(refused), 1)
-	assert.DeepEqual(t, idsOf(r.of("p", one)), []string{"a", "c"})
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"a", "c"})
 
-	changed, refused = r.take(endpointRecords{records: []damsonwinch.Record{entry("a", "?"), entry("b", "?")}})
+	changed, refused = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", "?"), registration("b", "?")}})
 	assert.Assert(t, changed)
 	assert.Equal(t, len(refused), 1, "only what is new is told")
-	assert.DeepEqual(t, idsOf(r.of("p", one)), []string{"c"})
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"c"})
 
-	changed, refused = r.take(endpointRecords{records: []damsonwinch.Record{entry("a", "?")}})
+	changed, refused = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", "?")}})
 	assert.Assert(t, !changed && len(refused) == 0)
 
-	changed, _ = r.take(endpointRecords{records: []damsonwinch.Record{entry("a", "p"), entry("b", "")}})
+	changed, _ = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", "p"), registration("b", "")}})
 	assert.Assert(t, changed)
-	assert.DeepEqual(t, idsOf(r.of("p", one)), []string{"a", "c"})
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"a", "c"})
 }
 
 // TestAnEntryIsAsOldAsTheReadingThatBroughtIt, also where it tells nothing new.
 func TestAnEntryIsAsOldAsTheReadingThatBroughtIt(t *testing.T) {
-	r := newRegistry(decodeEntry)
+	r := newRegistry(decodeRegistration)
 	first := time.UnixMilli(1_700_000_000_000)
-	_, _ = r.take(endpointRecords{snapshot: true, records: []damsonwinch.Record{entry("a", "p"), entry("b", "p")}, askedAt: first})
-	changed, _ := r.take(endpointRecords{records: []damsonwinch.Record{entry("b", "p")}, askedAt: first.Add(time.Second)})
+	_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p"), registration("b", "p")}, requestedAt: first})
+	changed, _ := r.apply(endpointRecords{records: []damsonwinch.Record{registration("b", "p")}, requestedAt: first.Add(time.Second)})
 	assert.Assert(t, !changed)
-	found := r.of("p", shard.NewLayout(1, nil))
+	found := r.cellEndpoints("p", shard.NewLayout(1, nil))
 	assert.Equal(t, found[0].SeenAt, first)
 	assert.Equal(t, found[1].SeenAt, first.Add(time.Second))
 }
@@ -89,8 +89,8 @@
 	assert.Assert(t, !differs(before, later))
 }
 
-// orderOn is the planner's record of an order that takes a box to a shard of a pool.
-func orderOn(t *testing.T, box, pool, ended string, from, to int) damsonwinch.Record {
+// orderRecord is the planner's record of an order that takes a box to a shard of a pool.
+func orderRecord(t *testing.T, box, pool, ended string, from, to int) damsonwinch.Record {
 	t.Helper()
 	value, err := json.Marshal(wire.OrderRecord{Box: box, Pool: pool, Endpoint: ended, Placement: &wire.PlacementRecord{Shard: to, Before: from}})
 	assert.NilError(t, err)
@@ -104,14 +104,14 @@
 	home := layout.BoxShard("box-a")
 	away := (home + 1) % layout.Shards
 	at := func(ms int) time.Time { return time.UnixMilli(1_700_000_000_000 + int64(ms)) }
-	r, placed := newRegistry(decodeEntry), newPlacements()
+	r, placed := newRegistry(decodeRegistration), newPlacements()
 	pools := map[string]bool{"p": true}
 	listed := func(ms int, id string) {
-		_, _ = r.take(endpointRecords{snapshot: true, records: []damsonwinch.Record{entry(id, "p")}, askedAt: at(ms - 10), takenAt: at(ms)})
+		_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration(id, "p")}, requestedAt: at(ms - 10), receivedAt: at(ms)})
 	}
 	cellOf := func() int {
 		for number := range layout.Shards {
-			if len(r.of(shard.CellName("p", number), layout)) > 0 {
+			if len(r.cellEndpoints(shard.CellName("p", number), layout)) > 0 {
 				return number
 			}
 		}
@@ -119,39 +119,39 @@
 	}
 
 	listed(100, "a")
-	assert.Equal(t, len(placed.take(placementRecords{snapshot: true, askedAt: at(50)})), 0)
-	sorted, waiting := r.sort(layout, pools, &placed)
+	assert.Equal(t, len(placed.apply(placementRecords{snapshot: true, requestedAt: at(50)})), 0)
+	sorted, waiting := r.assignShards(layout, pools, &placed)
 	assert.Assert(t, !sorted && waiting, "the placements are older than what was first seen")
-	assert.Assert(t, !r.told(layout, &placed))
+	assert.Assert(t, !r.readyForOwners(layout, &placed))
 
-	_ = placed.take(placementRecords{records: []damsonwinch.Record{orderOn(t, "box-a", "p", "", home, away)}, end: 2, askedAt: at(120)})
-	sorted, waiting = r.sort(layout, pools, &placed)
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", "", home, away)}, end: 2, requestedAt: at(120)})
+	sorted, waiting = r.assignShards(layout, pools, &placed)
 	assert.Assert(t, !sorted && waiting, "not all of the placements have been read")
 
-	_ = placed.take(placementRecords{records: []damsonwinch.Record{{Key: "wave/1"}}, end: 2, askedAt: at(130)})
-	sorted, waiting = r.sort(layout, pools, &placed)
-	assert.Assert(t, sorted && !waiting && r.told(layout, &placed))
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{{Key: "wave/1"}}, end: 2, requestedAt: at(130)})
+	sorted, waiting = r.assignShards(layout, pools, &placed)
+	assert.Assert(t, sorted && !waiting && r.readyForOwners(layout, &placed))
 	assert.Equal(t, cellOf(), away)
 
 	// An order that ends this life leaves it where it is, also where it is listed anew.
-	_ = placed.take(placementRecords{records: []damsonwinch.Record{orderOn(t, "box-a", "p", "a", away, home)}, end: 3, askedAt: at(200)})
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", "a", away, home)}, end: 3, requestedAt: at(200)})
 	listed(210, "a")
-	_, waiting = r.sort(layout, pools, &placed)
+	_, waiting = r.assignShards(layout, pools, &placed)
 	assert.Assert(t, !waiting)
 	assert.Equal(t, cellOf(), away)
-	fresh := newRegistry(decodeEntry)
+	fresh := newRegistry(decodeRegistration)
 	r = fresh
 	listed(190, "a")
-	_, _ = r.sort(layout, pools, &placed)
+	_, _ = r.assignShards(layout, pools, &placed)
 	assert.Equal(t, cellOf(), away, "for a node that sees it first after that, too")
 }
 
 // TestAFleetInOneShardWaitsForNoPlacements.
 func TestAFleetInOneShardWaitsForNoPlacements(t *testing.T) {
-	r, placed := newRegistry(decodeEntry), newPlacements()
+	r, placed := newRegistry(decodeRegistration), newPlacements()
 	one := shard.NewLayout(1, []string{"p"})
-	_, _ = r.take(endpointRecords{snapshot: true, records: []damsonwinch.Record{entry("a", "p")}, takenAt: time.UnixMilli(1_700_000_000_000)})
-	_, waiting := r.sort(one, map[string]bool{"p": true}, &placed)
-	assert.Assert(t, !waiting && r.told(one, &placed))
-	assert.DeepEqual(t, idsOf(r.of("p", one)), []string{"a"})
+	_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p")}, receivedAt: time.UnixMilli(1_700_000_000_000)})
+	_, waiting := r.assignShards(one, map[string]bool{"p": true}, &placed)
+	assert.Assert(t, !waiting && r.readyForOwners(one, &placed))
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"a"})
 }
