--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -47,13 +47,13 @@
 		return
 	}
 	count := shard.ChooseCount(n.state.boxCount, len(pools), memberWeights(view.Members))
-	if count > 1 && !view.Steady {
+	if count > 1 && !view.MembersComplete {
 		return
 	}
 	n.deps.Logger.WithFields(logrus.Fields{
 		"shards": count, "boxes": n.state.boxCount, "pools": len(pools), "members": len(view.Members),
 	}).Info("layout of cells decided")
-	n.ownership.Decide(shard.NewLayout(count, pools))
+	n.ownership.ProposeLayout(shard.NewLayout(count, pools))
 }
 
 func memberWeights(members []ownership.Member) []int {
@@ -70,7 +70,7 @@
 		return
 	}
 	n.state.layout = layout
-	n.ownership.Want(requiredCells(n.state.configuration, layout))
+	n.ownership.SetCells(requiredCells(n.state.configuration, layout))
 	if planning, here := (*n.runners.Load())[fleetCell].(*planner.Planner); here {
 		planning.Configure(n.state.configuration, layout)
 	}
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -59,7 +59,7 @@
 		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
 	}
 	n.deps.OnConfiguration(configuration, book)
-	n.ownership.Want(requiredCells(configuration, n.state.layout))
+	n.ownership.SetCells(requiredCells(configuration, n.state.layout))
 	n.proposeLayout()
 	for cell, held := range *n.runners.Load() {
 		switch held := held.(type) {
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -77,7 +77,7 @@
 		return
 	}
 	n.state.followsPlacements = true
-	stream := ownership.StreamOf(claim, n.options.Partitions)
+	stream := ownership.CellStream(claim, n.options.Partitions)
 	n.group.Go(func() error {
 		feed.New(n.feedDeps(), feed.Options{
 			Stream: stream, Pause: func() time.Duration { return placementReadInterval }, Wanted: n.ownsPoolCell.Load, Wake: n.wakePlacementFeed, NewestOnly: true,
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -54,7 +54,7 @@
 	for _, stop := range effects.Stops {
 		o.stop(stop)
 	}
-	for _, change := range effects.Paces {
+	for _, change := range effects.SpeedChanges {
 		o.setSpeed(change)
 	}
 	for _, poll := range effects.Polls {
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -50,12 +50,12 @@
 	w.view.Store(&View{})
 	w.Ownership = New(Deps{
 		Store: store, Clock: clockwork.NewRealClock(), Logger: logger, Metrics: metrics.New(),
-		AskPeer: func(_ context.Context, address string, _ wire.ClaimsArgs) (wire.ClaimsReply, error) {
+		FetchClaims: func(_ context.Context, address string, _ wire.ClaimsArgs) (wire.ClaimsReply, error) {
 			return store.ask(address)
 		},
-		Changed: func(view View) { w.view.Store(&view) },
+		OnViewChange: func(view View) { w.view.Store(&view) },
 	}, Options{Self: self, Partitions: 24})
-	w.Want(cells)
+	w.SetCells(cells)
 	store.set(func() { store.lives[self.Address] = self })
 	t.Cleanup(func() { assert.Check(t, w.Close()) })
 	return w
@@ -106,7 +106,7 @@
 	})
 	store.set(func() { store.add(claimOf(t, "two", gone)) })
 
-	w.Want([]string{"one", "two"})
+	w.SetCells([]string{"one", "two"})
 
 	until(t, "the cell of the lost node is owned", func() bool { return w.owns("two") })
 	store.set(func() { assert.Assert(t, store.appends-before <= 2, "%d tries", store.appends-before) })
@@ -121,7 +121,7 @@
 	token := w.view.Load().Claims["one"].Token
 	store.set(func() { store.fail = 2 })
 
-	w.Renounce("one", token)
+	w.ReleaseClaim("one", token)
 
 	until(t, "the cell is owned by a newer claim", func() bool { return w.owns("one") && w.view.Load().Claims["one"].Token > token })
 }
@@ -171,7 +171,7 @@
 	until(t, "the free cell is owned", func() bool { return w.owns("two") })
 	assert.Assert(t, !w.owns("one"))
 
-	w.Suspect("b", 1)
+	w.ReportRefusedConnection("b", 1)
 
 	until(t, "the cell of the ended node is owned", func() bool { return w.owns("one") })
 }
@@ -187,7 +187,7 @@
 		store.lives[unlisted.Address] = unlisted
 		store.add(claimOf(t, "two", unlisted))
 	})
-	w.Want([]string{"one", "two"})
+	w.SetCells([]string{"one", "two"})
 
 	clockwork.NewRealClock().Sleep(5 * time.Second / 2)
 
