--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -9,38 +9,40 @@
 	"damsonwinch/pkg/wire"
 )
 
-// maxVersionWait is how long a call of another node waits here for the configuration by which that
-// node took it: a new one is in force everywhere within half a second.
+// maxVersionWait is how long a call that another node has forwarded waits for the configuration by which that
+// node admitted it. A new configuration is in force on all nodes within half a second.
 const maxVersionWait = 500 * time.Millisecond
 
-// accessRules is what a configuration says of who may call.
+// accessRules say which clients may call, by one version of the configuration.
 type accessRules struct {
-	version      int
-	customers    *customer.Index
-	publicQueues map[string]bool // By queue.
-	// replaced is closed once a newer one is in force.
+	version   int
+	customers *customer.Index
+	// publicQueues says for each queue of the configuration whether its calls need no key.
+	publicQueues map[string]bool
+	// replaced is closed once those of a newer version are in force.
 	replaced chan struct{}
 }
 
-func newAccessRules(configuration damsonwinch.Configuration, book *customer.Index) *accessRules {
-	known := &accessRules{version: configuration.Version, customers: book, publicQueues: make(map[string]bool, len(configuration.Queues)), replaced: make(chan struct{})}
+func newAccessRules(configuration damsonwinch.Configuration, customers *customer.Index) *accessRules {
+	rules := &accessRules{version: configuration.Version, customers: customers, publicQueues: make(map[string]bool, len(configuration.Queues)), replaced: make(chan struct{})}
 	for _, queue := range configuration.Queues {
-		known.publicQueues[queue.Name] = queue.Public
+		rules.publicQueues[queue.Name] = queue.Public
 	}
-	return known
+	return rules
 }
 
-// admit says whether a call may be made. The word of the node that took it isn't enough: it has
-// to bring the digest of a key that leads to its customer here as well.
-func (f *accessRules) admit(args wire.JobArgs) (wire.JobOutcome, bool) {
-	public, known := f.publicQueues[args.Queue]
-	if public || f.customers.Len() == 0 && args.Customer == "" {
+// admit reports whether a call is admitted, and otherwise the outcome with which to refuse it. That the
+// forwarding node has admitted the call isn't enough: the key whose digest it carries must belong to its
+// customer by these rules too.
+func (r *accessRules) admit(args wire.JobArgs) (wire.JobOutcome, bool) {
+	public, exists := r.publicQueues[args.Queue]
+	if public || r.customers.Len() == 0 && args.Customer == "" {
 		return "", true
 	}
-	if name, keyInForce := f.customers.NameByKey(damsonwinch.ParseKeyDigest(args.Key)); keyInForce && name == args.Customer {
+	if name, keyInForce := r.customers.NameByKey(damsonwinch.ParseKeyDigest(args.Key)); keyInForce && name == args.Customer {
 		return "", true
 	}
-	if !known {
+	if !exists {
 		return wire.JobOutcomeUnknownQueue, false
 	}
 	return wire.JobOutcomeUnauthorized, false
@@ -48,37 +50,38 @@
 
 // Admit implements intake.Cells.
 func (n *Node) Admit(ctx context.Context, args wire.JobArgs) (wire.JobReply, bool) {
-	known := n.accessRules.Load()
-	if known == nil {
+	rules := n.accessRules.Load()
+	if rules == nil {
 		return refusedReply("no configuration yet"), false
 	}
-	outcome, admitted := known.admit(args)
-	if !admitted && args.ConfigVersion > known.version {
-		known = n.waitForVersion(ctx, args.ConfigVersion)
-		outcome, admitted = known.admit(args)
+	outcome, admitted := rules.admit(args)
+	if !admitted && args.ConfigVersion > rules.version {
+		rules = n.waitForVersion(ctx, args.ConfigVersion)
+		outcome, admitted = rules.admit(args)
 	}
 	switch {
 	case admitted:
 		return wire.JobReply{}, true
-	case args.ConfigVersion > known.version:
-		return refusedReply("the owner's node doesn't know the configuration yet"), false
+	case args.ConfigVersion > rules.version:
+		return refusedReply("the owner's node doesn't have the configuration yet"), false
 	}
 	n.deps.Metrics.Add("calls_not_admitted", 1)
-	return wire.JobReply{Outcome: outcome, Reason: "not by the owner's configuration"}, false
+	return wire.JobReply{Outcome: outcome, Reason: "not admitted by the configuration of the owner's node"}, false
 }
 
-// waitForVersion waits for a version, for a while, and returns the one in force.
+// waitForVersion waits until a version of the configuration, or a newer one, is in force, but at most for
+// maxVersionWait. It returns the rules in force then.
 func (n *Node) waitForVersion(ctx context.Context, version int) *accessRules {
-	limit := n.deps.Clock.NewTimer(maxVersionWait)
-	defer limit.Stop()
+	timer := n.deps.Clock.NewTimer(maxVersionWait)
+	defer timer.Stop()
 	for {
-		known := n.accessRules.Load()
-		if known.version >= version {
-			return known
+		rules := n.accessRules.Load()
+		if rules.version >= version {
+			return rules
 		}
 		select {
-		case <-known.replaced:
-		case <-limit.Chan():
+		case <-rules.replaced:
+		case <-timer.Chan():
 			return n.accessRules.Load()
 		case <-ctx.Done():
 			return n.accessRules.Load()
@@ -86,7 +89,8 @@
 	}
 }
 
-// refusalRetryMs tells a client when to come back whose call can't be judged yet.
+// refusalRetryMs is the time after which a client should retry, in milliseconds, if this node can't decide yet
+// whether to admit the call.
 const refusalRetryMs = 500
 
 func refusedReply(reason string) wire.JobReply {
--- a/pkg/node/endpoints.go
+++ b/pkg/node/endpoints.go
@@ -8,67 +8,71 @@
 	"damsonwinch/pkg/owner"
 )
 
-// Times between two readings of the endpoints' entries. Each endpoint writes every
-// second or two: waiting for news would mean a call for each of them.
+// Intervals between two reads of the endpoints' registrations. Each endpoint writes its own every second or
+// two, so that a read that waits for new records would return after nearly every one of them.
 const (
-	// shortReadInterval is that time while tasks wait for boxes to come: quick jobs can
-	// wait for about a second.
+	// shortReadInterval is the interval while tasks wait for capacity, which new endpoints may bring.
+	// Short jobs can wait for about a second.
 	shortReadInterval = 100 * time.Millisecond
-	// readInterval is that time otherwise. A draining endpoint must be known within two
-	// seconds.
+	// readInterval is the interval otherwise. A node must learn within 2 s that an endpoint is draining.
 	readInterval = 300 * time.Millisecond
 )
 
+// followEndpoints reads the endpoints' registrations, while this node owns a cell of a pool, until the node is
+// closed.
 func (n *Node) followEndpoints() error {
 	feed.New(n.feedDeps(), feed.Options{
 		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointReadInterval, Wanted: n.ownsPoolCell.Load, Wake: n.wakeEndpointFeed,
-		Snapshot: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
-			n.send(endpointRecords{records: records, snapshot: true, requestedAt: askedAt})
+		Snapshot: func(records []damsonwinch.Record, _ int, requestedAt time.Time) {
+			n.send(endpointRecords{records: records, snapshot: true, requestedAt: requestedAt})
 		},
-		Added: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
-			n.send(endpointRecords{records: records, requestedAt: askedAt})
+		Added: func(records []damsonwinch.Record, _ int, requestedAt time.Time) {
+			n.send(endpointRecords{records: records, requestedAt: requestedAt})
 		},
 	}).Run(n.ctx)
 	return nil
 }
 
+// endpointReadInterval returns the time until the next read of the registrations.
 func (n *Node) endpointReadInterval() time.Duration {
-	for _, held := range *n.runners.Load() {
-		if cellOwner, isOwner := held.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
+	for _, runner := range *n.runners.Load() {
+		if cellOwner, isOwner := runner.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
 			return shortReadInterval
 		}
 	}
 	return readInterval
 }
 
-// updateEndpointFeed has the endpoints followed while this node owns a pool. Without one
-// it forgets them: what it knows would be out of date when it takes a pool over.
-func (n *Node) updateEndpointFeed(held map[string]cellRunner) {
-	owning := false
-	for _, running := range held {
-		if _, isOwner := running.(*owner.Owner); isOwner {
-			owning = true
+// updateEndpointFeed makes the node follow the endpoints while one of its runners is an owner. Without an
+// owner the node drops what it knows of them, which would be out of date at its next takeover.
+func (n *Node) updateEndpointFeed(runners map[string]cellRunner) {
+	ownsPoolCell := false
+	for _, runner := range runners {
+		if _, isOwner := runner.(*owner.Owner); isOwner {
+			ownsPoolCell = true
 		}
 	}
-	if !owning {
+	if !ownsPoolCell {
 		n.state.registry.reset()
 	}
-	n.ownsPoolCell.Store(owning)
+	n.ownsPoolCell.Store(ownsPoolCell)
 	n.refreshEndpoints()
 	if n.assignShards() {
 		n.sendEndpoints(func(string) bool { return true })
 	}
 }
 
-// refreshEndpoints has the endpoints' entries read at once.
+// refreshEndpoints makes the feed read the endpoints' registrations at once. It doesn't block.
 func (n *Node) refreshEndpoints() {
 	select {
 	case n.wakeEndpointFeed <- struct{}{}:
 	default:
-		// It has been told already.
+		// A wake-up is already pending.
 	}
 }
 
+// applyEndpointRecords applies records of the endpoints' stream to the registry and sends the owners their
+// endpoints if something has changed for them.
 func (n *Node) applyEndpointRecords(m endpointRecords) {
 	if !n.ownsPoolCell.Load() {
 		return
@@ -77,23 +81,25 @@
 	changed, refused := n.state.registry.apply(m)
 	for _, err := range refused {
 		n.deps.Metrics.Add("endpoint_entries_refused", 1)
-		n.deps.Logger.WithError(err).Error("endpoint not used: its entry can't be trusted")
+		n.deps.Logger.WithError(err).Error("endpoint not used: its registration is invalid")
 	}
 	if len(m.records) == 0 && !m.snapshot {
 		return
 	}
 	changed = n.assignShards() || changed
-	// Owners of endpoints that don't guard their room must know how old their word of it is.
+	// An owner whose endpoints don't reject overload also needs to know how recent its knowledge of their
+	// capacity is.
 	n.sendEndpoints(func(cell string) bool { return changed || !n.rejectsOverload(cell) })
 }
 
-// sendEndpoints tells owners of cells that need it of the endpoints.
+// sendEndpoints sends the owners for whose cells needs returns true the list of their endpoints. It does nothing
+// while the registry isn't ready for that.
 func (n *Node) sendEndpoints(needs func(cell string) bool) {
 	if !n.state.registry.readyForOwners(n.state.layout, &n.state.placements) {
 		return
 	}
-	for name, held := range *n.runners.Load() {
-		if cellOwner, isOwner := held.(*owner.Owner); isOwner && needs(name) {
+	for name, runner := range *n.runners.Load() {
+		if cellOwner, isOwner := runner.(*owner.Owner); isOwner && needs(name) {
 			cellOwner.SetEndpoints(n.state.registry.cellEndpoints(name, n.state.layout))
 		}
 	}
--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -7,28 +7,29 @@
 	"damsonwinch/pkg/planner"
 )
 
-// cellRunner is a cell that this node owns.
+// cellRunner runs a cell that this node owns: the owner of a pool's cell, or the planner for the fleet's cell.
 type cellRunner interface {
 	Done() <-chan struct{}
 	Token() int
 	Close() error
 }
 
-// updateRunners starts and ends holdings so that they are those of the claims.
+// updateRunners closes the runners whose claims are no longer in force, and starts one for each new claim of
+// this node.
 func (n *Node) updateRunners() {
 	view := n.View()
-	held := *n.runners.Load()
-	next := make(map[string]cellRunner, len(held))
-	for name, running := range held {
-		if claim, known := view.Claims[name]; known && n.shouldRun(claim) && claim.Token == running.Token() {
-			next[name] = running
+	runners := *n.runners.Load()
+	next := make(map[string]cellRunner, len(runners))
+	for cell, runner := range runners {
+		if claim, claimed := view.Claims[cell]; claimed && n.shouldRun(claim) && claim.Token == runner.Token() {
+			next[cell] = runner
 			continue
 		}
-		n.closeRunner(name, running)
+		n.closeRunner(cell, runner)
 	}
-	for name, claim := range view.Claims {
-		if next[name] == nil && n.shouldRun(claim) && n.state.stoppedTokens[name] != claim.Token {
-			next[name] = n.startRunner(claim)
+	for cell, claim := range view.Claims {
+		if next[cell] == nil && n.shouldRun(claim) && n.state.stoppedTokens[cell] != claim.Token {
+			next[cell] = n.startRunner(claim)
 		}
 	}
 	n.runners.Store(&next)
@@ -36,31 +37,34 @@
 	n.updateEndpointFeed(next)
 }
 
-// confirmOwnership tells the owners until when their claims stood.
+// confirmOwnership tells the owners at which time their claims were last known to be in force.
 func (n *Node) confirmOwnership() {
 	confirmedAt := n.View().ConfirmedAt
-	for _, held := range *n.runners.Load() {
-		if cellOwner, isOwner := held.(*owner.Owner); isOwner {
+	for _, runner := range *n.runners.Load() {
+		if cellOwner, isOwner := runner.(*owner.Owner); isOwner {
 			cellOwner.ConfirmOwnership(confirmedAt)
 		}
 	}
 }
 
-// shouldRun says whether a claim is this node's and to be made use of.
+// shouldRun reports whether this node should run the cell of a claim: it holds the claim and isn't stopping.
 func (n *Node) shouldRun(claim ownership.Claim) bool {
 	return claim.HeldBy(n.options.Self) && !n.state.stopping
 }
 
-func (n *Node) closeRunner(name string, running cellRunner) {
-	n.deps.Logger.WithField("cell", name).Info("cell given up")
+// closeRunner closes a runner in the background.
+func (n *Node) closeRunner(cell string, runner cellRunner) {
+	n.deps.Logger.WithField("cell", cell).Info("cell given up")
 	n.group.Go(func() error {
-		if err := running.Close(); err != nil {
-			n.deps.Logger.WithError(err).WithField("cell", name).Warn("owner ended")
+		if err := runner.Close(); err != nil {
+			n.deps.Logger.WithError(err).WithField("cell", cell).Warn("owner stopped with an error")
 		}
 		return nil
 	})
 }
 
+// startRunner starts a runner for the cell of a claim. The node's task gets a runnerStopped message once it
+// has stopped.
 func (n *Node) startRunner(claim ownership.Claim) cellRunner {
 	var started cellRunner
 	if claim.Cell == fleetCell {
@@ -76,12 +80,15 @@
 	return started
 }
 
+// startOwner starts the owner of a pool's cell, with the configuration and the endpoints that are known.
 func (n *Node) startOwner(claim ownership.Claim) *owner.Owner {
 	started := owner.New(owner.Deps{
 		Store: n.deps.Platform.Store, Endpoints: n.deps.Platform.Endpoints, Fleet: n.deps.Platform.Fleet, Advisor: n.deps.Platform.Advisor, Clock: n.deps.Clock,
 		Logger: n.deps.Logger.WithField("cell", claim.Cell), Metrics: n.deps.Metrics, OnTasksWaiting: n.refreshEndpoints,
 		SuspendedTime: n.deps.SuspendedTime, StoreAnsweredAt: n.ownership.StoreAnsweredAt, ReservePartition: n.ownership.ReservePartition, MoveClaim: n.ownership.MoveClaim,
-		PartitionStream: func(number int) damsonwinch.Stream { return ownership.PartitionStream(number, n.options.Partitions) },
+		PartitionStream: func(partition int) damsonwinch.Stream {
+			return ownership.PartitionStream(partition, n.options.Partitions)
+		},
 	}, owner.Options{Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, MaxAppendBytes: n.options.MaxAppendBytes, CellOptions: n.options.CellOptions})
 	started.Configure(n.state.configuration, n.rejectsOverload(claim.Cell))
 	if n.state.registry.complete && n.state.registry.readyForOwners(n.state.layout, &n.state.placements) {
@@ -90,12 +97,13 @@
 	return started
 }
 
+// startPlanner starts the fleet planner, with the configuration and the waves that are known.
 func (n *Node) startPlanner(claim ownership.Claim) *planner.Planner {
 	started := planner.New(planner.Deps{
 		Store: n.deps.Platform.Store, Fleet: n.deps.Platform.Fleet, Clock: n.deps.Clock, Logger: n.deps.Logger.WithField("cell", claim.Cell),
 		Metrics: n.deps.Metrics, Sync: n.router.Sync, WaveReport: n.deps.Platform.WaveReport,
 		SuspendedTime:  n.deps.SuspendedTime,
-		OnFirstBoxList: func(count int) { n.send(boxCountReceived{boxes: count}) },
+		OnFirstBoxList: func(count int) { n.send(boxCountReceived{count: count}) },
 	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
 	started.Configure(n.state.configuration, n.state.layout)
 	for _, wave := range n.state.waves {
@@ -104,20 +112,20 @@
 	return started
 }
 
-// removeRunner takes away a holding that has ended by itself. Its claim is of no
-// use any more.
-func (n *Node) removeRunner(name string, ended cellRunner) {
-	held := *n.runners.Load()
-	if held[name] != ended {
+// removeRunner removes a runner that has stopped by itself, and releases its claim, for which no runner is
+// started again.
+func (n *Node) removeRunner(cell string, stopped cellRunner) {
+	runners := *n.runners.Load()
+	if runners[cell] != stopped {
 		return
 	}
-	next := make(map[string]cellRunner, len(held))
-	for other, running := range held {
-		if running != ended {
-			next[other] = running
+	next := make(map[string]cellRunner, len(runners))
+	for other, runner := range runners {
+		if runner != stopped {
+			next[other] = runner
 		}
 	}
 	n.runners.Store(&next)
-	n.state.stoppedTokens[name] = ended.Token()
-	n.ownership.ReleaseClaim(name, ended.Token())
+	n.state.stoppedTokens[cell] = stopped.Token()
+	n.ownership.ReleaseClaim(cell, stopped.Token())
 }
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -9,12 +9,12 @@
 	"damsonwinch/pkg/shard"
 )
 
-// fleetCell is the cell whose owner plans for all boxes. No pool can have its
-// name, which is none that the operator's names allow.
+// fleetCell is the cell whose owner plans for all boxes. No pool has this name, because the operator's naming
+// rules don't allow it.
 const fleetCell = "@fleet"
 
-// requiredCells returns the cells that need an owner: the fleet's and, once the layout has been
-// decided, those of the pools whose boxes run.
+// requiredCells returns the cells that need an owner: the fleet's cell and, once the layout has been decided,
+// all cells of the pools whose boxes are powered on.
 func requiredCells(configuration damsonwinch.Configuration, layout shard.Layout) []string {
 	cells := []string{fleetCell}
 	for _, pool := range poweredOnPools(configuration) {
@@ -23,7 +23,7 @@
 	return cells
 }
 
-// poweredOnPools returns the names of the pools whose boxes run.
+// poweredOnPools returns the names of the pools whose boxes are powered on.
 func poweredOnPools(configuration damsonwinch.Configuration) []string {
 	var names []string
 	for _, pool := range configuration.Pools {
@@ -34,12 +34,12 @@
 	return names
 }
 
-// boxCountReceived tells how many boxes the fleet has.
-type boxCountReceived struct{ boxes int }
+// boxCountReceived holds the number of boxes of the fleet, from the planner's first list of them.
+type boxCountReceived struct{ count int }
 
-// proposeLayout decides into how many shards the fleet is cut, on the node that plans for it
-// and if nobody has before. Where one shard will do, it will also do with nodes that aren't
-// listed yet; else their list must be complete.
+// proposeLayout chooses the number of shards and proposes a layout, if none has been decided. Only the node
+// that runs the planner knows the number of boxes and gets that far. If one shard is enough for the members
+// listed so far, it is enough for more members too. For any other number the list must be complete.
 func (n *Node) proposeLayout() {
 	view := n.View()
 	pools := poweredOnPools(n.state.configuration)
@@ -56,6 +56,7 @@
 	n.ownership.ProposeLayout(shard.NewLayout(count, pools))
 }
 
+// memberWeights returns the weights of members, in their order.
 func memberWeights(members []ownership.Member) []int {
 	weights := make([]int, 0, len(members))
 	for _, member := range members {
@@ -64,14 +65,15 @@
 	return weights
 }
 
-// applyLayout has the cells of a layout owned and planned for once it is in force.
+// applyLayout puts a decided layout in force on this node: its cells need owners from then on, and the planner,
+// if it runs here, plans for them.
 func (n *Node) applyLayout(layout shard.Layout) {
 	if !layout.Decided() || n.state.layout.Equal(layout) {
 		return
 	}
 	n.state.layout = layout
 	n.ownership.SetCells(requiredCells(n.state.configuration, layout))
-	if planning, here := (*n.runners.Load())[fleetCell].(*planner.Planner); here {
-		planning.Configure(n.state.configuration, layout)
+	if fleetPlanner, isLocal := (*n.runners.Load())[fleetCell].(*planner.Planner); isLocal {
+		fleetPlanner.Configure(n.state.configuration, layout)
 	}
 }
--- a/pkg/node/lives_test.go
+++ b/pkg/node/lives_test.go
@@ -11,23 +11,23 @@
 	"damsonwinch/pkg/shard"
 )
 
-// decodeStartTime reads an entry whose value is when the life was born.
+// decodeStartTime decodes a registration whose value is the start time of the life.
 func decodeStartTime(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
-	born, err := strconv.Atoi(string(record.Value))
-	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key, StartedUnixMs: born}, Pool: "p", Box: "box-" + record.Key}, err
+	startedUnixMs, err := strconv.Atoi(string(record.Value))
+	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key, StartedUnixMs: startedUnixMs}, Pool: "p", Box: "box-" + record.Key}, err
 }
 
-// TestALaterLifeUnderAnIDIsSortedAnew: an order on its box that ended the earlier life takes it to
-// another shard, where the earlier one was to its end. The newest entry is the one that counts,
-// whichever life was born later by its own clock.
-func TestALaterLifeUnderAnIDIsSortedAnew(t *testing.T) {
+// An order that ends one life takes the box to another shard: the next life of the same ID belongs to the new
+// shard, while the ended one belonged to the old shard until its end. The next life is the one that was
+// registered last, even if it has the earlier start time by the clock of its box.
+func TestLaterLifeOfAnIDIsAssignedAgain(t *testing.T) {
 	layout := shard.NewLayout(4, []string{"p"})
-	home := layout.BoxShard("box-a")
-	away := (home + 1) % layout.Shards
+	oldShard := layout.BoxShard("box-a")
+	newShard := (oldShard + 1) % layout.Shards
 	at := func(ms int) time.Time { return time.UnixMilli(1_700_000_000_000 + int64(ms)) }
 	r, placed := newRegistry(decodeStartTime), newPlacements()
-	shown := func(ms, born int) (found damsonwinch.Life, number int) {
-		_, _ = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", strconv.Itoa(born))}, requestedAt: at(ms), receivedAt: at(ms)})
+	registerAndFind := func(ms, startedUnixMs int) (found damsonwinch.Life, number int) {
+		_, _ = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", strconv.Itoa(startedUnixMs))}, requestedAt: at(ms), receivedAt: at(ms)})
 		_, _ = r.assignShards(layout, map[string]bool{"p": true}, &placed)
 		for number := range layout.Shards {
 			if listed := r.cellEndpoints(shard.CellName("p", number), layout); len(listed) > 0 {
@@ -39,15 +39,15 @@
 	}
 
 	_ = placed.apply(placementRecords{snapshot: true, requestedAt: at(100)})
-	life, number := shown(50, 700)
+	life, number := registerAndFind(50, 700)
 	assert.Equal(t, life, damsonwinch.Life{ID: "a", StartedUnixMs: 700})
-	assert.Equal(t, number, home)
+	assert.Equal(t, number, oldShard)
 
 	ended := damsonwinch.Life{ID: "a", StartedUnixMs: 700}
-	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", ended.String(), home, away)}, end: 1, requestedAt: at(200)})
-	_, number = shown(210, 700)
-	assert.Equal(t, number, home, "to its end it stays where it is")
-	life, number = shown(190, 600)
-	assert.Equal(t, life, damsonwinch.Life{ID: "a", StartedUnixMs: 600}, "its box's clock was set back")
-	assert.Equal(t, number, away)
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", ended.String(), oldShard, newShard)}, end: 1, requestedAt: at(200)})
+	_, number = registerAndFind(210, 700)
+	assert.Equal(t, number, oldShard, "a life stays in its shard until it ends")
+	life, number = registerAndFind(190, 600)
+	assert.Equal(t, life, damsonwinch.Life{ID: "a", StartedUnixMs: 600}, "the latest registration counts, although the clock of its box was set back")
+	assert.Equal(t, number, newShard)
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one node of the system: it follows the platform's streams,
-// owns the cells that are its own and serves clients and other nodes.
+// Package node runs one node of the system. It follows the platform's streams, runs an owner for each cell
+// that this node has claimed, and serves clients and other nodes.
 package node
 
 import (
@@ -25,95 +25,102 @@
 	"damsonwinch/pkg/supply"
 )
 
-// Platform is what a node needs of the platform's adapter.
+// Platform gives a node access to the platform.
 type Platform struct {
 	Store     damsonwinch.Store
 	Endpoints damsonwinch.EndpointControl
 	Fleet     damsonwinch.Fleet
 	Advisor   damsonwinch.Advisor
-	// OperatorStream holds the operator's configuration and waves.
+	// OperatorStream holds the operator's configurations and waves.
 	OperatorStream damsonwinch.Stream
-	// DecodeOperator reads a record of it; what it doesn't hold is nil.
+	// DecodeOperator decodes a record of OperatorStream. A result is nil if the record doesn't hold it.
 	DecodeOperator func(damsonwinch.Record) (*damsonwinch.Configuration, *damsonwinch.Wave, error)
-	// EndpointStream holds the endpoints' entries.
+	// EndpointStream holds the endpoints' registrations.
 	EndpointStream damsonwinch.Stream
-	// DecodeEndpoint reads one of them; without a pool, it has gone.
+	// DecodeEndpoint decodes a record of EndpointStream. An endpoint without a pool is no longer
+	// registered.
 	DecodeEndpoint func(damsonwinch.Record) (damsonwinch.Endpoint, error)
-	// WaveReport returns the record that tells the operator of a wave.
+	// WaveReport returns a report to the operator on a wave, and the stream to append it to.
 	WaveReport func(wave int, completed bool) (damsonwinch.Stream, damsonwinch.Record)
 }
 
-// Deps are what a node works with.
+// Deps are the dependencies of a Node.
 type Deps struct {
 	Platform Platform
 	Clock    damsonwinch.Clock
 	Dial     damsonwinch.Dial
 	Logger   logrus.FieldLogger
 	Metrics  *metrics.Set
-	// SuspendedTime tells of suspensions of the machine.
+	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// CallListener takes the calls of other nodes.
+	// CallListener accepts the connections of other nodes.
 	CallListener net.Listener
-	// OnConfiguration is told each configuration that comes into force.
-	OnConfiguration func(configuration damsonwinch.Configuration, book *customer.Index)
+	// OnConfiguration is called with each configuration that comes into force, and with an index of its
+	// customers.
+	OnConfiguration func(configuration damsonwinch.Configuration, customers *customer.Index)
 }
 
-// Options say who the node is and by which times it decides.
+// Options identify a node and configure it.
 type Options struct {
-	Self          ownership.Member
-	CellOptions   cell.Options
-	Supply        supply.Options
+	Self        ownership.Member
+	CellOptions cell.Options
+	Supply      supply.Options
+	// MembershipTTL is how long the group of nodes keeps a member that is silent.
 	MembershipTTL time.Duration
-	Partitions    int
-	// MaxAppendBytes is the most that the store takes in a call.
+	// Partitions is the number of partitions of each topic of the store.
+	Partitions int
+	// MaxAppendBytes is the size of the largest append that the store accepts.
 	MaxAppendBytes int
-	FirstStart     bool
+	// FirstStart reports whether the system starts for the first time.
+	FirstStart bool
 }
 
-// Node is a running node.
+// Node is a running node. One goroutine, the node's task, handles messages and changes state.
 type Node struct {
 	deps       Deps
 	options    Options
 	ownership  *ownership.Ownership
 	router     *intake.Router
 	callServer *call.Server
-	// relay is the way to the operator's stream, and peers the connections for it.
+	// relay reads the operator's stream, from the store or from other nodes. relayPeers holds the
+	// connections to those nodes.
 	relay      *relay.Relay
 	relayPeers *relay.Peers
 	inbox      chan any
 	group      *errgroup.Group
-	ctx        context.Context // Ends with the node's tasks.
+	ctx        context.Context // Ends with the node's goroutines.
 	cancel     context.CancelFunc
 	view       atomic.Pointer[ownership.View]
-	// runners is replaced whole by the node's task and read by all calls.
+	// runners holds the runners of this node's cells, by cell. The node's task replaces the whole map,
+	// and any goroutine may read it.
 	runners atomic.Pointer[map[string]cellRunner]
-	// accessRules is what the configuration in force says of who may call, nil before the first.
+	// accessRules are those of the configuration in force, or nil before the first one.
 	accessRules atomic.Pointer[accessRules]
-	// ownsPoolCell says that this node owns a pool, and follow wakes what then follows the
-	// endpoints.
+	// ownsPoolCell is set while this node owns a cell of a pool. wakeEndpointFeed wakes the feed that
+	// follows EndpointStream meanwhile.
 	ownsPoolCell     atomic.Bool
 	wakeEndpointFeed chan struct{}
-	// wakePlacementFeed wakes what then follows where the planner takes boxes.
+	// wakePlacementFeed wakes the feed that follows the planner's stream for placements of boxes.
 	wakePlacementFeed chan struct{}
 	state             state
-	// done is closed once the node's own task has done.
+	// done is closed once the node's task has ended.
 	done chan struct{}
 }
 
-// state is what the node's task knows.
+// state is what only the node's task reads and changes.
 type state struct {
 	configuration damsonwinch.Configuration
 	registry      registry
 	placements    placements
-	// followsPlacements says that the placements are followed.
+	// followsPlacements is set once the feed of placements has been started.
 	followsPlacements bool
 	waves             map[int]damsonwinch.Wave
-	// layout says into how many cells each pool is cut, and boxes how many boxes there
-	// are, 0 while that is not known.
+	// layout is the division of each pool into cells. boxCount is the number of boxes of the fleet, or
+	// 0 while it isn't known.
 	layout   shard.Layout
 	boxCount int
-	// stoppedTokens holds, by cell, the claim whose owner has stoppedTokens by itself; it is not
-	// to be owned by that claim again.
+	// stoppedTokens holds, by cell, the token of the newest claim whose runner has stopped by itself.
+	// No runner is started again for that claim.
 	stoppedTokens map[string]int
 	stopping      bool
 }
@@ -125,7 +132,8 @@
 	endpointRecords struct {
 		records  []damsonwinch.Record
 		snapshot bool
-		// requestedAt is when the store was asked for them, and takenAt when they had come.
+		// requestedAt is when the records were requested from the store, and receivedAt when this
+		// node had received them.
 		requestedAt time.Time
 		receivedAt  time.Time
 	}
@@ -137,10 +145,11 @@
 	optionsChanged struct{ options Options }
 )
 
-// inboxSize lets the feeds go on while the task is at work.
+// inboxSize is how many messages can wait while the node's task is busy. A feed blocks while the inbox is
+// full.
 const inboxSize = 64
 
-// New starts a node.
+// New starts a node. Other nodes can call it when New returns.
 func New(deps Deps, options Options) (*Node, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
@@ -177,12 +186,13 @@
 	return n, nil
 }
 
-// JobService takes clients' calls.
+// JobService returns the service to which clients' calls are passed.
 func (n *Node) JobService() damsonwinch.JobService {
 	return n.router
 }
 
-// Ready says whether the node should be given clients.
+// Ready reports whether clients should be sent to this node: it has a configuration, and it reaches the store
+// or owners on other nodes.
 func (n *Node) Ready() bool {
 	if n.accessRules.Load() == nil {
 		return false
@@ -195,11 +205,10 @@
 	return n.relay.CurrentAt()
 }
 
-// maxReadySilence is how long ago the store, or an owner of a cell that could do what it
-// was asked, may have answered last. A node that is cut off from both has its
-// clients sent elsewhere, and the balancer takes two seconds to see it. The node
-// proves to the store that it lives each 300 ms; an answer that is lost costs it
-// 600 ms.
+// maxReadySilence is how long ago the store, or an owner that carried out a call, may have answered last for
+// the node to be ready. Clients of a node that is cut off from both are sent to other nodes, and the load
+// balancer needs 2 s to notice. The node renews its membership at the store every 300 ms, and if an answer
+// is lost it waits 600 ms for it.
 const maxReadySilence = 800 * time.Millisecond
 
 // View implements intake.Cells.
@@ -209,8 +218,8 @@
 
 // LocalOwner implements intake.Cells.
 func (n *Node) LocalOwner(cell string) (intake.CellOwner, bool) {
-	found, here := (*n.runners.Load())[cell].(intake.CellOwner)
-	return found, here
+	owner, isLocal := (*n.runners.Load())[cell].(intake.CellOwner)
+	return owner, isLocal
 }
 
 // StoreAnsweredAt implements intake.Cells.
@@ -223,15 +232,18 @@
 	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
+// viewChanged stores a new view and tells the node's task.
 func (n *Node) viewChanged(view ownership.View) {
 	n.view.Store(&view)
-	// A message that is waiting already will see the newest view.
+	// The message is dropped if the inbox is full: one that waits there already will read the newest
+	// view.
 	select {
 	case n.inbox <- viewChanged{}:
 	default:
 	}
 }
 
+// send puts a message into the inbox. The message is dropped if the node is being closed.
 func (n *Node) send(m any) {
 	select {
 	case n.inbox <- m:
@@ -239,14 +251,14 @@
 	}
 }
 
-// Reload puts options in force for the cells that are taken over from now on. Who
-// the node is stays as it was.
+// Reload puts CellOptions and Supply of the given options in force for cells that this node takes over from
+// now on. All other options stay as they were.
 func (n *Node) Reload(options Options) {
 	n.send(optionsChanged{options: options})
 }
 
-// Stop gives the node's cells to others, for a planned stop. Clients can still be
-// served through their new owners until Close.
+// Stop gives up all cells, for a planned stop. Until Close the node still serves clients, by calling the
+// cells' new owners. Stop returns at the latest when ctx ends.
 func (n *Node) Stop(ctx context.Context) {
 	n.ownership.Leave(ctx)
 	done := make(chan struct{})
@@ -257,15 +269,15 @@
 	}
 }
 
-// Close ends the node and waits for its tasks.
+// Close stops the node and waits for its goroutines.
 func (n *Node) Close() error {
 	n.cancel()
-	// The node's tasks wait for the ends of holdings, which come first. No new ones
-	// begin: the task that starts them has been told to end.
+	// The runners are closed first, because goroutines of the group wait for them to stop. No runner is
+	// started any more: the node's task, which starts them, has ended.
 	<-n.done
 	var err error
-	for _, held := range *n.runners.Load() {
-		err = errors.Join(err, held.Close())
+	for _, runner := range *n.runners.Load() {
+		err = errors.Join(err, runner.Close())
 	}
 	err = errors.Join(err, n.group.Wait(), n.ownership.Close())
 	n.callServer.Close()
@@ -274,6 +286,7 @@
 	return err
 }
 
+// run is the node's task. It handles messages, and brings the runners in line with the claims every second.
 func (n *Node) run() error {
 	defer close(n.done)
 	ticker := n.deps.Clock.NewTicker(time.Second)
@@ -307,7 +320,7 @@
 		n.removeRunner(m.cell, m.runner)
 		n.updateRunners()
 	case boxCountReceived:
-		n.state.boxCount = m.boxes
+		n.state.boxCount = m.count
 		n.proposeLayout()
 	case optionsChanged:
 		n.options.CellOptions, n.options.Supply = m.options.CellOptions, m.options.Supply
@@ -318,6 +331,7 @@
 	}
 }
 
+// feedDeps returns the dependencies of a feed that reads from the store.
 func (n *Node) feedDeps() feed.Deps {
 	return feed.Deps{
 		Store: n.deps.Platform.Store, Clock: n.deps.Clock, Logger: n.deps.Logger, Metrics: n.deps.Metrics, StoreAnsweredAt: n.ownership.StoreAnsweredAt,
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -14,9 +14,10 @@
 	"damsonwinch/pkg/shard"
 )
 
+// followOperator reads the operator's stream, through the relay, until the node is closed.
 func (n *Node) followOperator() error {
-	// Configurations must be in force within two seconds, also where an answer is
-	// lost and the reading has to be given up.
+	// wait is how long a read waits for new records. A configuration must be in force within 2 s, even if
+	// an answer is lost and the read has to be given up.
 	const wait = time.Second
 	deps := n.feedDeps()
 	deps.Store = n.relay
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// applyOperatorRecords puts a newer configuration in force. Older ones come when the
-// stream is read anew.
+// applyOperatorRecords puts newer configurations in force and passes waves on. It skips older configurations,
+// which arrive when the feed reads the stream again.
 func (n *Node) applyOperatorRecords(records []damsonwinch.Record) {
 	for _, record := range records {
 		configuration, wave, err := n.deps.Platform.DecodeOperator(record)
@@ -46,44 +47,45 @@
 	}
 }
 
-// configure puts a configuration in force on this node.
+// configure puts a configuration in force on this node, and passes it to the owners and the planner that run
+// here.
 func (n *Node) configure(configuration damsonwinch.Configuration) {
 	n.state.configuration = configuration
-	book, flaws := customer.New(configuration.Customers)
-	if replaced := n.accessRules.Swap(newAccessRules(configuration, book)); replaced != nil {
+	customers, problems := customer.New(configuration.Customers)
+	if replaced := n.accessRules.Swap(newAccessRules(configuration, customers)); replaced != nil {
 		close(replaced.replaced)
 	}
 	n.deps.Metrics.Put("configuration_version", configuration.Version)
-	n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "queues": len(configuration.Queues), "customers": book.Len()}).Info("configuration in force")
-	for _, flaw := range slices.Concat(configuration.Problems, flaws) {
-		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": flaw}).Error("part of the configuration not in force")
+	n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "queues": len(configuration.Queues), "customers": customers.Len()}).Info("configuration in force")
+	for _, problem := range slices.Concat(configuration.Problems, problems) {
+		n.deps.Logger.WithFields(logrus.Fields{"version": configuration.Version, "why": problem}).Error("part of the configuration not in force")
 	}
-	n.deps.OnConfiguration(configuration, book)
+	n.deps.OnConfiguration(configuration, customers)
 	n.ownership.SetCells(requiredCells(configuration, n.state.layout))
 	n.proposeLayout()
-	for cell, held := range *n.runners.Load() {
-		switch held := held.(type) {
+	for cell, runner := range *n.runners.Load() {
+		switch runner := runner.(type) {
 		case *owner.Owner:
-			held.Configure(configuration, n.rejectsOverload(cell))
+			runner.Configure(configuration, n.rejectsOverload(cell))
 		case *planner.Planner:
-			held.Configure(configuration, n.state.layout)
+			runner.Configure(configuration, n.state.layout)
 		}
 	}
 }
 
-// rejectsOverload says whether the endpoints of a cell refuse what doesn't fit; those of a pool that
-// isn't known are not counted on.
+// rejectsOverload reports whether the endpoints of a cell reject tasks that exceed their free capacity. It returns
+// false for a pool that isn't in the configuration.
 func (n *Node) rejectsOverload(cell string) bool {
 	name, _ := shard.ParseCellName(cell)
-	pool, known := n.state.configuration.Pool(name)
-	return known && pool.RejectsOverload
+	pool, exists := n.state.configuration.Pool(name)
+	return exists && pool.RejectsOverload
 }
 
-// setWave passes a wave on to the planner, if that is here.
+// setWave passes a wave to the planner if that runs on this node, and keeps it for a planner that starts later.
 func (n *Node) setWave(wave damsonwinch.Wave) {
 	n.state.waves[wave.Number] = wave
-	n.deps.Logger.WithFields(logrus.Fields{"wave": wave.Number, "boxes": len(wave.Boxes), "most_down": wave.MaxDown, "duration": wave.Duration.String()}).Info("wave asked for")
-	if planning, here := (*n.runners.Load())[fleetCell].(*planner.Planner); here {
-		planning.SetWave(wave)
+	n.deps.Logger.WithFields(logrus.Fields{"wave": wave.Number, "boxes": len(wave.Boxes), "most_down": wave.MaxDown, "duration": wave.Duration.String()}).Info("wave requested")
+	if fleetPlanner, isLocal := (*n.runners.Load())[fleetCell].(*planner.Planner); isLocal {
+		fleetPlanner.SetWave(wave)
 	}
 }
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -10,15 +10,15 @@
 	"damsonwinch/pkg/shard"
 )
 
-// placementReadInterval is the time between two readings of where the planner has taken boxes. A new
-// life of an endpoint that waits to be sorted has them read at once.
+// placementReadInterval is the time between two reads of the planner's placements. They are also read at once
+// when a new life of an endpoint needs a shard.
 const placementReadInterval = 10 * time.Second
 
-// placements are to which shards boxes have been taken, as read from the planner's stream.
+// placements holds the placements of boxes that have been read from the planner's stream.
 type placements struct {
 	byBox map[string]shard.Placement
-	// nextOffset is the record that comes after those read, and readAt when the newest reading that
-	// brought all there was had been asked for; zero for none.
+	// nextOffset is the offset of the first record that has not been read. upToDateAt is when the latest
+	// read that returned all remaining records was sent, or zero if there has been none.
 	nextOffset int
 	upToDateAt time.Time
 }
@@ -27,7 +27,7 @@
 type placementRecords struct {
 	records  []damsonwinch.Record
 	snapshot bool
-	// end is the number of the stream's next record.
+	// end is the offset that the stream's next record will get.
 	end         int
 	requestedAt time.Time
 }
@@ -36,7 +36,7 @@
 	return placements{byBox: map[string]shard.Placement{}}
 }
 
-// apply takes records, and returns which can't be read.
+// apply applies records and returns an error for each one that is invalid.
 func (p *placements) apply(m placementRecords) (refused []error) {
 	if m.snapshot {
 		clear(p.byBox)
@@ -61,7 +61,7 @@
 	return refused
 }
 
-// find returns the newest placement find a box, nil for none.
+// find returns the placement of the newest order on a box, or nil if there has been none.
 func (p *placements) find(box string) *shard.Placement {
 	if placement, placed := p.byBox[box]; placed {
 		return &placement
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// followPlacements has the planner's stream followed from when it is known where that is; a
-// fleet in one shard never does.
+// followPlacements starts to follow the planner's stream, unless it has been started, once it is known where that
+// stream is and that the layout has more than one shard.
 func (n *Node) followPlacements() {
-	claim, known := n.View().Claims[fleetCell]
-	if n.state.followsPlacements || !known || !n.state.layout.Sharded() {
+	claim, claimed := n.View().Claims[fleetCell]
+	if n.state.followsPlacements || !claimed || !n.state.layout.Sharded() {
 		return
 	}
 	n.state.followsPlacements = true
@@ -81,26 +81,28 @@
 	n.group.Go(func() error {
 		feed.New(n.feedDeps(), feed.Options{
 			Stream: stream, Pause: func() time.Duration { return placementReadInterval }, Wanted: n.ownsPoolCell.Load, Wake: n.wakePlacementFeed, NewestOnly: true,
-			Snapshot: func(records []damsonwinch.Record, end int, askedAt time.Time) {
-				n.send(placementRecords{records: records, snapshot: true, end: end, requestedAt: askedAt})
+			Snapshot: func(records []damsonwinch.Record, end int, requestedAt time.Time) {
+				n.send(placementRecords{records: records, snapshot: true, end: end, requestedAt: requestedAt})
 			},
-			Added: func(records []damsonwinch.Record, end int, askedAt time.Time) {
-				n.send(placementRecords{records: records, end: end, requestedAt: askedAt})
+			Added: func(records []damsonwinch.Record, end int, requestedAt time.Time) {
+				n.send(placementRecords{records: records, end: end, requestedAt: requestedAt})
 			},
 		}).Run(n.ctx)
 		return nil
 	})
 }
 
-// refreshPlacements has the planner's stream read at once.
+// refreshPlacements makes the feed read the planner's stream at once. It doesn't block.
 func (n *Node) refreshPlacements() {
 	select {
 	case n.wakePlacementFeed <- struct{}{}:
 	default:
-		// It has been told already.
+		// A wake-up is already pending.
 	}
 }
 
+// applyPlacementRecords applies records of the planner's stream and sends the owners their endpoints if some now
+// have a shard.
 func (n *Node) applyPlacementRecords(m placementRecords) {
 	for _, err := range n.state.placements.apply(m) {
 		n.deps.Metrics.Add("placements_refused", 1)
@@ -111,18 +113,18 @@
 	}
 }
 
-// assignShards sorts new lives of endpoints by their shards, and says whether any has been. Only
-// the pools that are owned here count: each reading is a call to the store, and those for all
-// pools cost a third of all calls of 27 nodes with 550 moves in 90 s.
+// assignShards assigns new lives of endpoints to their shards, and reports whether any has been assigned. It only
+// considers pools of which this node owns a cell. Each read of placements is a call to the store, and with
+// 550 moves in 90 s the reads for all pools were a third of all calls of 27 nodes.
 func (n *Node) assignShards() bool {
 	pools := map[string]bool{}
 	for cell := range *n.runners.Load() {
 		pool, _ := shard.ParseCellName(cell)
 		pools[pool] = true
 	}
-	sorted, waiting := n.state.registry.assignShards(n.state.layout, pools, &n.state.placements)
+	assigned, waiting := n.state.registry.assignShards(n.state.layout, pools, &n.state.placements)
 	if waiting {
 		n.refreshPlacements()
 	}
-	return sorted
+	return assigned
 }
--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -8,28 +8,30 @@
 	"damsonwinch/pkg/shard"
 )
 
-// registry is the endpoints that the platform lists.
+// registry holds the registrations of endpoints, as read from the platform's stream, and the shards of the
+// endpoints' lives.
 type registry struct {
 	decode func(damsonwinch.Record) (damsonwinch.Endpoint, error)
-	// endpoints holds those that may be used, by their IDs.
+	// endpoints holds the endpoints with a valid registration, by ID.
 	endpoints map[string]damsonwinch.Endpoint
-	// invalid holds the IDs of entries that name no endpoint to use.
+	// invalid holds the IDs whose registration is invalid.
 	invalid map[string]bool
-	// lifeShards holds to which shard each life that has been listed belongs.
+	// lifeShards holds the shard of each registered life.
 	lifeShards map[damsonwinch.Life]lifeShard
-	// complete says that all that are listed have been read.
+	// complete is set once all registrations have been read.
 	complete bool
-	// firstReadAt is when the first reading had come, zero before.
+	// firstReadAt is when the first records had been received, or zero before that.
 	firstReadAt time.Time
 }
 
-// lifeShard is a lifeShard of an endpoint's, which belongs to one shard to its end.
+// lifeShard is the shard to which a life of an endpoint belongs until the endpoint exits.
 type lifeShard struct {
-	// known says that its shard is known.
+	// known reports whether the shard has been determined.
 	known bool
 	shard int
-	// firstSeenAt is when it was first seen: orders that led to it are in the planner's stream
-	// since before.
+	// firstSeenAt is when this node first received a registration of the life. The planner records an
+	// order before the life to which it leads can start, so placements that were read after
+	// firstSeenAt include that order.
 	firstSeenAt time.Time
 }
 
@@ -37,7 +39,7 @@
 	return registry{decode: decode, endpoints: map[string]damsonwinch.Endpoint{}, invalid: map[string]bool{}, lifeShards: map[damsonwinch.Life]lifeShard{}}
 }
 
-// reset drops all that is known.
+// reset drops everything that has been read.
 func (r *registry) reset() {
 	clear(r.endpoints)
 	clear(r.invalid)
@@ -45,9 +47,9 @@
 	r.complete, r.firstReadAt = false, time.Time{}
 }
 
-// apply takes records of entries. It says whether owners have something new to learn of the
-// endpoints, and returns why entries were refused that were not before: an endpoint writes
-// one each second or two.
+// apply applies records of registrations. It reports whether anything has changed that owners need to know, and
+// returns the errors of invalid registrations. The error of an ID is returned only when its registration
+// becomes invalid, because an endpoint writes a registration every second or two.
 func (r *registry) apply(m endpointRecords) (changed bool, refused []error) {
 	if r.firstReadAt.IsZero() {
 		r.firstReadAt = m.receivedAt
@@ -59,11 +61,11 @@
 		defer r.dropUnlistedLives()
 	}
 	for _, record := range m.records {
-		before, known := r.endpoints[record.Key]
+		before, existed := r.endpoints[record.Key]
 		after, err := r.decode(record)
 		if err != nil || after.Pool == "" {
 			delete(r.endpoints, record.Key)
-			changed = changed || known
+			changed = changed || existed
 		}
 		switch {
 		case err != nil:
@@ -78,56 +80,57 @@
 			if _, seen := r.lifeShards[after.Life]; !seen {
 				r.lifeShards[after.Life] = lifeShard{firstSeenAt: m.receivedAt}
 			}
-			changed = changed || !known || differs(before, after)
+			changed = changed || !existed || differs(before, after)
 		}
 		delete(r.invalid, record.Key)
 	}
 	return changed, refused
 }
 
-// differs says whether an entry tells owners something new.
+// differs reports whether two registrations of an endpoint differ in anything that owners need to know.
 func differs(before, after damsonwinch.Endpoint) bool {
 	return before.Life != after.Life || before.Draining != after.Draining || before.Address != after.Address || before.Pool != after.Pool || before.Zone != after.Zone ||
 		before.Box != after.Box || before.Capacity != after.Capacity || !slices.Equal(before.Labels, after.Labels)
 }
 
-// dropUnlistedLives forgets the lives that aren't listed any more.
+// dropUnlistedLives drops the shards of lives that are no longer registered.
 func (r *registry) dropUnlistedLives() {
-	for named := range r.lifeShards {
-		if r.endpoints[named.ID].Life != named && !r.invalid[named.ID] {
-			delete(r.lifeShards, named)
+	for life := range r.lifeShards {
+		if r.endpoints[life.ID].Life != life && !r.invalid[life.ID] {
+			delete(r.lifeShards, life)
 		}
 	}
 }
 
-// assignShards sorts the lives in some pools by their shards, those for which the placements read are
-// new enough. It says whether any were, and whether others wait for newer placements.
-func (r *registry) assignShards(layout shard.Layout, pools map[string]bool, placed *placements) (sorted, waiting bool) {
+// assignShards determines the shards of new lives in the given pools, as far as the placements were read after the
+// lives had been seen. It reports whether any shard was determined, and whether other lives wait for newer
+// placements.
+func (r *registry) assignShards(layout shard.Layout, pools map[string]bool, boxPlacements *placements) (assigned, waiting bool) {
 	if !layout.Sharded() {
 		return false, false
 	}
-	for named, l := range r.lifeShards {
-		endpoint := r.endpoints[named.ID]
+	for life, assignment := range r.lifeShards {
+		endpoint := r.endpoints[life.ID]
 		switch {
-		case l.known || endpoint.Life != named || !pools[endpoint.Pool]:
-		case placed.upToDateAt.Before(l.firstSeenAt):
+		case assignment.known || endpoint.Life != life || !pools[endpoint.Pool]:
+		case boxPlacements.upToDateAt.Before(assignment.firstSeenAt):
 			waiting = true
 		default:
-			l.known, l.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, named, placed.find(endpoint.Box))
-			r.lifeShards[named] = l
-			sorted = true
+			assignment.known, assignment.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, life, boxPlacements.find(endpoint.Box))
+			r.lifeShards[life] = assignment
+			assigned = true
 		}
 	}
-	return sorted, waiting
+	return assigned, waiting
 }
 
-// readyForOwners says whether owners can be readyForOwners of the endpoints: those that were listed at first have
-// been sorted, so that no owner takes the others for all there are.
-func (r *registry) readyForOwners(layout shard.Layout, placed *placements) bool {
-	return !layout.Sharded() || !r.firstReadAt.IsZero() && !placed.upToDateAt.Before(r.firstReadAt)
+// readyForOwners reports whether owners may be sent their endpoints: all lives that were listed at first have a
+// shard. Otherwise an owner would take the endpoints that have one for all endpoints of its cell.
+func (r *registry) readyForOwners(layout shard.Layout, boxPlacements *placements) bool {
+	return !layout.Sharded() || !r.firstReadAt.IsZero() && !boxPlacements.upToDateAt.Before(r.firstReadAt)
 }
 
-// cellEndpoints returns the endpoints cellEndpoints a cell.
+// cellEndpoints returns the endpoints of a cell, in the order of their lives.
 func (r *registry) cellEndpoints(cell string, layout shard.Layout) []damsonwinch.Endpoint {
 	var found []damsonwinch.Endpoint
 	pool, number := shard.ParseCellName(cell)
@@ -140,11 +143,11 @@
 	return found
 }
 
-// belongsTo says whether a life belongs to a shard.
-func (r *registry) belongsTo(named damsonwinch.Life, number int, layout shard.Layout) bool {
+// belongsTo reports whether a life belongs to a shard. It is false while the life's shard isn't known.
+func (r *registry) belongsTo(life damsonwinch.Life, number int, layout shard.Layout) bool {
 	if !layout.Sharded() {
 		return number == 0
 	}
-	found := r.lifeShards[named]
-	return found.known && found.shard == number
+	assignment := r.lifeShards[life]
+	return assignment.known && assignment.shard == number
 }
--- a/pkg/node/registry_test.go
+++ b/pkg/node/registry_test.go
@@ -15,7 +15,7 @@
 
 var errInvalid = errors.New("spoilt")
 
-// decodeRegistration reads an entry whose value is the endpoint's pool.
+// decodeRegistration decodes a registration whose value is the endpoint's pool, or "?" if it is invalid.
 func decodeRegistration(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
 	if string(record.Value) == "?" {
 		return damsonwinch.Endpoint{}, errInvalid
@@ -23,55 +23,57 @@
 	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key}, Pool: string(record.Value), Box: "box-" + record.Key}, nil
 }
 
+// registration returns a record that decodeRegistration decodes.
 func registration(id, pool string) damsonwinch.Record {
 	return damsonwinch.Record{Key: id, Value: []byte(pool)}
 }
 
+// lifeNames returns the lives of endpoints as text.
 func lifeNames(endpoints []damsonwinch.Endpoint) []string {
-	ids := []string{}
+	names := []string{}
 	for _, endpoint := range endpoints {
-		ids = append(ids, endpoint.Life.String())
+		names = append(names, endpoint.Life.String())
 	}
-	return ids
+	return names
 }
 
-// TestASpoiltEntryNamesNoEndpointToUse and the others hold: the one that was there before
-// under its name is used no more until it can be read again.
-func TestASpoiltEntryNamesNoEndpointToUse(t *testing.T) {
+// An invalid registration doesn't affect other endpoints. Its endpoint is not used until its registration is
+// valid again.
+func TestEndpointWithInvalidRegistrationIsNotUsed(t *testing.T) {
 	r := newRegistry(decodeRegistration)
-	one := shard.NewLayout(1, nil)
+	layout := shard.NewLayout(1, nil)
 	changed, refused := r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p"), registration("b", "?"), registration("c", "p")}})
 	assert.Assert(t, changed)
 	assert.Equal(t, len(refused), 1)
-	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"a", "c"})
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", layout)), []string{"a", "c"})
 
 	changed, refused = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", "?"), registration("b", "?")}})
 	assert.Assert(t, changed)
-	assert.Equal(t, len(refused), 1, "only what is new is told")
-	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"c"})
+	assert.Equal(t, len(refused), 1, "the error of b must not be returned again")
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", layout)), []string{"c"})
 
 	changed, refused = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", "?")}})
 	assert.Assert(t, !changed && len(refused) == 0)
 
 	changed, _ = r.apply(endpointRecords{records: []damsonwinch.Record{registration("a", "p"), registration("b", "")}})
 	assert.Assert(t, changed)
-	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"a", "c"})
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", layout)), []string{"a", "c"})
 }
 
-// TestAnEntryIsAsOldAsTheReadingThatBroughtIt, also where it tells nothing new.
-func TestAnEntryIsAsOldAsTheReadingThatBroughtIt(t *testing.T) {
+// The time of a registration is that of the read that returned it last, even if nothing in it has changed.
+func TestRegistrationIsAsOldAsItsLatestRead(t *testing.T) {
 	r := newRegistry(decodeRegistration)
-	first := time.UnixMilli(1_700_000_000_000)
-	_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p"), registration("b", "p")}, requestedAt: first})
-	changed, _ := r.apply(endpointRecords{records: []damsonwinch.Record{registration("b", "p")}, requestedAt: first.Add(time.Second)})
+	firstRead := time.UnixMilli(1_700_000_000_000)
+	_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p"), registration("b", "p")}, requestedAt: firstRead})
+	changed, _ := r.apply(endpointRecords{records: []damsonwinch.Record{registration("b", "p")}, requestedAt: firstRead.Add(time.Second)})
 	assert.Assert(t, !changed)
-	found := r.cellEndpoints("p", shard.NewLayout(1, nil))
-	assert.Equal(t, found[0].SeenAt, first)
-	assert.Equal(t, found[1].SeenAt, first.Add(time.Second))
+	endpoints := r.cellEndpoints("p", shard.NewLayout(1, nil))
+	assert.Equal(t, endpoints[0].SeenAt, firstRead)
+	assert.Equal(t, endpoints[1].SeenAt, firstRead.Add(time.Second))
 }
 
-// TestOwnersAreToldWhatIsNewOfAnEndpoint and not each time that it writes its entry.
-func TestOwnersAreToldWhatIsNewOfAnEndpoint(t *testing.T) {
+// Owners need to know every change of a registration, but not that it has been written again.
+func TestDiffersFindsEveryChangeOfARegistration(t *testing.T) {
 	before := damsonwinch.Endpoint{Life: damsonwinch.Life{ID: "a"}, Pool: "p", Address: "x", Zone: "z", Box: "b", Labels: []string{"l"}, Capacity: damsonwinch.Resources{MilliCPU: 1}}
 	for name, change := range map[string]func(*damsonwinch.Endpoint){
 		"pool": func(e *damsonwinch.Endpoint) { e.Pool = "q" }, "address": func(e *damsonwinch.Endpoint) { e.Address = "y" },
@@ -89,27 +91,28 @@
 	assert.Assert(t, !differs(before, later))
 }
 
-// orderRecord is the planner's record of an order that takes a box to a shard of a pool.
-func orderRecord(t *testing.T, box, pool, ended string, from, to int) damsonwinch.Record {
+// orderRecord returns the planner's record of an order that ends a life on a box and takes the box from one shard
+// of a pool to another.
+func orderRecord(t *testing.T, box, pool, endedLife string, fromShard, toShard int) damsonwinch.Record {
 	t.Helper()
-	value, err := json.Marshal(wire.OrderRecord{Box: box, Pool: pool, Endpoint: ended, Placement: &wire.PlacementRecord{Shard: to, Before: from}})
+	value, err := json.Marshal(wire.OrderRecord{Box: box, Pool: pool, Endpoint: endedLife, Placement: &wire.PlacementRecord{Shard: toShard, Before: fromShard}})
 	assert.NilError(t, err)
 	return damsonwinch.Record{Key: "order/" + box, Value: value}
 }
 
-// TestALifeIsSortedByPlacementsNewerThanItself: an order is in the planner's stream before the
-// life that it leads to, so that of two nodes none counts that life to the shard it came from.
-func TestALifeIsSortedByPlacementsNewerThanItself(t *testing.T) {
+// An order is in the planner's stream before the life starts to which it leads. If a life were assigned by
+// placements that are older than itself, two nodes could assign it to different shards.
+func TestLifeIsAssignedByPlacementsNewerThanItself(t *testing.T) {
 	layout := shard.NewLayout(4, []string{"p"})
-	home := layout.BoxShard("box-a")
-	away := (home + 1) % layout.Shards
+	oldShard := layout.BoxShard("box-a")
+	newShard := (oldShard + 1) % layout.Shards
 	at := func(ms int) time.Time { return time.UnixMilli(1_700_000_000_000 + int64(ms)) }
 	r, placed := newRegistry(decodeRegistration), newPlacements()
 	pools := map[string]bool{"p": true}
-	listed := func(ms int, id string) {
+	register := func(ms int, id string) {
 		_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration(id, "p")}, requestedAt: at(ms - 10), receivedAt: at(ms)})
 	}
-	cellOf := func() int {
+	assignedShard := func() int {
 		for number := range layout.Shards {
 			if len(r.cellEndpoints(shard.CellName("p", number), layout)) > 0 {
 				return number
@@ -118,40 +121,40 @@
 		return -1
 	}
 
-	listed(100, "a")
+	register(100, "a")
 	assert.Equal(t, len(placed.apply(placementRecords{snapshot: true, requestedAt: at(50)})), 0)
-	sorted, waiting := r.assignShards(layout, pools, &placed)
-	assert.Assert(t, !sorted && waiting, "the placements are older than what was first seen")
+	assigned, waiting := r.assignShards(layout, pools, &placed)
+	assert.Assert(t, !assigned && waiting, "the placements were read before the life was first seen")
 	assert.Assert(t, !r.readyForOwners(layout, &placed))
 
-	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", "", home, away)}, end: 2, requestedAt: at(120)})
-	sorted, waiting = r.assignShards(layout, pools, &placed)
-	assert.Assert(t, !sorted && waiting, "not all of the placements have been read")
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", "", oldShard, newShard)}, end: 2, requestedAt: at(120)})
+	assigned, waiting = r.assignShards(layout, pools, &placed)
+	assert.Assert(t, !assigned && waiting, "not all placements have been read")
 
 	_ = placed.apply(placementRecords{records: []damsonwinch.Record{{Key: "wave/1"}}, end: 2, requestedAt: at(130)})
-	sorted, waiting = r.assignShards(layout, pools, &placed)
-	assert.Assert(t, sorted && !waiting && r.readyForOwners(layout, &placed))
-	assert.Equal(t, cellOf(), away)
+	assigned, waiting = r.assignShards(layout, pools, &placed)
+	assert.Assert(t, assigned && !waiting && r.readyForOwners(layout, &placed))
+	assert.Equal(t, assignedShard(), newShard)
 
-	// An order that ends this life leaves it where it is, also where it is listed anew.
-	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", "a", away, home)}, end: 3, requestedAt: at(200)})
-	listed(210, "a")
+	// An order that ends this life doesn't change its shard, even if the life is listed again after it.
+	_ = placed.apply(placementRecords{records: []damsonwinch.Record{orderRecord(t, "box-a", "p", "a", newShard, oldShard)}, end: 3, requestedAt: at(200)})
+	register(210, "a")
 	_, waiting = r.assignShards(layout, pools, &placed)
 	assert.Assert(t, !waiting)
-	assert.Equal(t, cellOf(), away)
-	fresh := newRegistry(decodeRegistration)
-	r = fresh
-	listed(190, "a")
+	assert.Equal(t, assignedShard(), newShard)
+	restarted := newRegistry(decodeRegistration)
+	r = restarted
+	register(190, "a")
 	_, _ = r.assignShards(layout, pools, &placed)
-	assert.Equal(t, cellOf(), away, "for a node that sees it first after that, too")
+	assert.Equal(t, assignedShard(), newShard, "a node that first sees the life after the order must assign it to the same shard")
 }
 
-// TestAFleetInOneShardWaitsForNoPlacements.
-func TestAFleetInOneShardWaitsForNoPlacements(t *testing.T) {
+// With one shard there is nothing to assign, so owners get their endpoints without any placements.
+func TestOneShardNeedsNoPlacements(t *testing.T) {
 	r, placed := newRegistry(decodeRegistration), newPlacements()
-	one := shard.NewLayout(1, []string{"p"})
+	layout := shard.NewLayout(1, []string{"p"})
 	_, _ = r.apply(endpointRecords{snapshot: true, records: []damsonwinch.Record{registration("a", "p")}, receivedAt: time.UnixMilli(1_700_000_000_000)})
-	_, waiting := r.assignShards(one, map[string]bool{"p": true}, &placed)
-	assert.Assert(t, !waiting && r.readyForOwners(one, &placed))
-	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", one)), []string{"a"})
+	_, waiting := r.assignShards(layout, map[string]bool{"p": true}, &placed)
+	assert.Assert(t, !waiting && r.readyForOwners(layout, &placed))
+	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", layout)), []string{"a"})
 }
