--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -82,7 +82,7 @@
 	ownership  *ownership.Ownership
 	router     *intake.Router
 	callServer *call.Server
-	// relay reads the operator's stream, from the store or from other nodes. relayPeers holds the
+	// relay reads the operator's stream from the store or from other nodes. relayPeers holds the
 	// connections to those nodes.
 	relay      *relay.Relay
 	relayPeers *relay.Peers
@@ -235,8 +235,7 @@
 // viewChanged stores a new view and tells the node's task.
 func (n *Node) viewChanged(view ownership.View) {
 	n.view.Store(&view)
-	// The message is dropped if the inbox is full: one that waits there already will read the newest
-	// view.
+	// The message is dropped if the inbox is full. One that already waits there will read this view.
 	select {
 	case n.inbox <- viewChanged{}:
 	default:
@@ -257,8 +256,8 @@
 	n.send(optionsChanged{options: options})
 }
 
-// Stop gives up all cells, for a planned stop. Until Close the node still serves clients, by calling the
-// cells' new owners. Stop returns at the latest when ctx ends.
+// Stop gives up all cells, for a planned stop. It returns once the runners are being closed, or when ctx ends.
+// Until Close the node still serves clients, by calling the cells' new owners.
 func (n *Node) Stop(ctx context.Context) {
 	n.ownership.Leave(ctx)
 	done := make(chan struct{})
--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -30,8 +30,8 @@
 	known bool
 	shard int
 	// firstSeenAt is when this node first received a registration of the life. The planner records an
-	// order before the life to which it leads can start, so placements that were read after
-	// firstSeenAt include that order.
+	// order before the life to which it leads can start, so a read of placements that was sent after
+	// firstSeenAt returns that order.
 	firstSeenAt time.Time
 }
 
@@ -48,8 +48,8 @@
 }
 
 // apply applies records of registrations. It reports whether anything has changed that owners need to know, and
-// returns the errors of invalid registrations. The error of an ID is returned only when its registration
-// becomes invalid, because an endpoint writes a registration every second or two.
+// returns the errors of invalid registrations. An endpoint writes its registration every second or two, so the
+// error of an ID is returned only when its registration has become invalid.
 func (r *registry) apply(m endpointRecords) (changed bool, refused []error) {
 	if r.firstReadAt.IsZero() {
 		r.firstReadAt = m.receivedAt
@@ -102,9 +102,9 @@
 	}
 }
 
-// assignShards determines the shards of new lives in the given pools, as far as the placements were read after the
-// lives had been seen. It reports whether any shard was determined, and whether other lives wait for newer
-// placements.
+// assignShards assigns the new lives in the given pools to their shards. A life that was first seen after the
+// placements were read isn't assigned yet. assigned reports whether any life was assigned, and waiting whether
+// any life needs newer placements.
 func (r *registry) assignShards(layout shard.Layout, pools map[string]bool, boxPlacements *placements) (assigned, waiting bool) {
 	if !layout.Sharded() {
 		return false, false
--- a/pkg/owner/behind_test.go
+++ b/pkg/owner/behind_test.go
@@ -14,8 +14,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// newOwnerWithoutTask returns an owner whose goroutine doesn't run, so that a test applies the messages.
-func newOwnerWithoutTask(clock clockwork.Clock) *Owner {
+// newUnstartedOwner returns an owner whose goroutine doesn't run, so that a test applies the messages.
+func newUnstartedOwner(clock clockwork.Clock) *Owner {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	o := &Owner{
@@ -36,7 +36,7 @@
 // refused. Submissions of jobs that the cell has, and cancellations, are never refused for that.
 func TestOverloadedOwnerRefusesNewJobs(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	o, now := newOwnerWithoutTask(clock), clock.Now()
+	o, now := newUnstartedOwner(clock), clock.Now()
 	replies := make(chan wire.JobReply, 4)
 
 	submission("a", now.Add(-20*time.Millisecond), replies).apply(o, now)
@@ -61,7 +61,7 @@
 // If all refused clients retried at the same time, they would overload the owner again.
 func TestRetriesOfRefusedClientsAreSpread(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	o, now := newOwnerWithoutTask(clock), clock.Now()
+	o, now := newUnstartedOwner(clock), clock.Now()
 	seconds := map[int]int{}
 	for number := range 200 {
 		replies := make(chan wire.JobReply, 1)
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -102,7 +102,7 @@
 	o.cell.Advised(now, m.sentAt, m.request, m.permits, m.validFor, m.err)
 }
 
-// polled is the result of a poll of an endpoint. number is that of the poll.
+// polled is the result of a poll of an endpoint. number identifies the poll.
 type polled struct {
 	endpoint damsonwinch.Life
 	number   int
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -62,7 +62,7 @@
 
 func newFixture(t *testing.T, store *partialOutageStore) *ownerFixture {
 	clock := clockwork.NewFakeClock()
-	f := &ownerFixture{Owner: newOwnerWithoutTask(clock), clock: clock, store: store, replies: make(chan wire.JobReply, 4)}
+	f := &ownerFixture{Owner: newUnstartedOwner(clock), clock: clock, store: store, replies: make(chan wire.JobReply, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
 	f.group, f.ctx = errgroup.WithContext(ctx)
 	f.cancel, f.inbox = cancel, make(chan message, inboxSize)
