--- a/pkg/node/endpoints.go
+++ b/pkg/node/endpoints.go
@@ -8,93 +8,99 @@
 	"damsonwinch/pkg/owner"
 )
 
-// Times between two readings of the endpoints' entries. Each endpoint writes every
-// second or two: waiting for news would mean a call for each of them.
+// Intervals between two reads of the endpoints' registrations. Each endpoint writes its own every second or
+// two, so that a read that waits for new records would return after nearly every one of them.
 const (
-	// hurriedPause is that time while tasks wait for boxes to come: quick jobs can
-	// wait for about a second.
-	hurriedPause = 100 * time.Millisecond
-	// usualPause is that time otherwise. A draining endpoint must be known within two
-	// seconds.
-	usualPause = 300 * time.Millisecond
+	// shortReadInterval is the interval while tasks wait for capacity, which new endpoints may bring.
+	// Short jobs can wait for about a second.
+	shortReadInterval = 100 * time.Millisecond
+	// readInterval is the interval otherwise. A node must learn within 2 s that an endpoint is draining.
+	readInterval = 300 * time.Millisecond
 )
 
+// followEndpoints reads the endpoints' registrations, while this node owns a cell of a pool, until the node is
+// closed.
 func (n *Node) followEndpoints() error {
 	feed.New(n.feedDeps(), feed.Options{
-		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointPause, Wanted: n.owning.Load, Wake: n.follow,
-		OnSnapshot: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
-			n.send(endpointRecords{records: records, snapshot: true, askedAt: askedAt})
+		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointReadInterval, Wanted: n.ownsPoolCell.Load, Wake: n.wakeEndpointFeed,
+		OnSnapshot: func(records []damsonwinch.Record, _ int, requestedAt time.Time) {
+			n.send(endpointRecords{records: records, snapshot: true, requestedAt: requestedAt})
 		},
-		OnRecords: func(records []damsonwinch.Record, _ int, askedAt time.Time) {
-			n.send(endpointRecords{records: records, askedAt: askedAt})
+		OnRecords: func(records []damsonwinch.Record, _ int, requestedAt time.Time) {
+			n.send(endpointRecords{records: records, requestedAt: requestedAt})
 		},
 	}).Run(n.ctx)
 	return nil
 }
 
-func (n *Node) endpointPause() time.Duration {
-	for _, held := range *n.holdings.Load() {
-		if cellOwner, isOwner := held.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
-			return hurriedPause
+// endpointReadInterval returns the time until the next read of the registrations.
+func (n *Node) endpointReadInterval() time.Duration {
+	for _, runner := range *n.runners.Load() {
+		if cellOwner, isOwner := runner.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
+			return shortReadInterval
 		}
 	}
-	return usualPause
+	return readInterval
 }
 
-// needEndpoints has the endpoints followed while this node owns a pool. Without one
-// it forgets them: what it knows would be out of date when it takes a pool over.
-func (n *Node) needEndpoints(held map[string]holding) {
-	owning := false
-	for _, running := range held {
-		if _, isOwner := running.(*owner.Owner); isOwner {
-			owning = true
+// updateEndpointFeed makes the node follow the endpoints while one of its runners is an owner. Without an
+// owner the node drops what it knows of them, which would be out of date at its next takeover.
+func (n *Node) updateEndpointFeed(runners map[string]cellRunner) {
+	ownsPoolCell := false
+	for _, runner := range runners {
+		if _, isOwner := runner.(*owner.Owner); isOwner {
+			ownsPoolCell = true
 		}
 	}
-	if !owning {
-		n.state.registry.forget()
+	if !ownsPoolCell {
+		n.state.registry.reset()
 	}
-	n.owning.Store(owning)
-	n.readEndpoints()
-	if n.sortLives() {
-		n.tellEndpoints(func(string) bool { return true })
+	n.ownsPoolCell.Store(ownsPoolCell)
+	n.refreshEndpoints()
+	if n.assignShards() {
+		n.sendEndpoints(func(string) bool { return true })
 	}
 }
 
-// readEndpoints has the endpoints' entries read at once.
-func (n *Node) readEndpoints() {
+// refreshEndpoints makes the feed read the endpoints' registrations at once. It doesn't block.
+func (n *Node) refreshEndpoints() {
 	select {
-	case n.follow <- struct{}{}:
+	case n.wakeEndpointFeed <- struct{}{}:
 	default:
-		// It has been told already.
+		// A wake-up is already pending.
 	}
 }
 
-func (n *Node) takeEndpoints(m endpointRecords) {
-	if !n.owning.Load() {
+// applyEndpointRecords applies records of the endpoints' stream to the registry and sends the owners their
+// endpoints if something has changed for them.
+func (n *Node) applyEndpointRecords(m endpointRecords) {
+	if !n.ownsPoolCell.Load() {
 		return
 	}
-	m.takenAt = n.deps.Clock.Now()
-	changed, refused := n.state.registry.take(m)
+	m.receivedAt = n.deps.Clock.Now()
+	changed, refused := n.state.registry.apply(m)
 	for _, err := range refused {
 		n.deps.Metrics.Add("endpoint_entries_refused", 1)
-		n.deps.Logger.WithError(err).Error("endpoint not used: its entry can't be trusted")
+		n.deps.Logger.WithError(err).Error("endpoint not used: its registration is invalid")
 	}
 	if len(m.records) == 0 && !m.snapshot {
 		return
 	}
-	changed = n.sortLives() || changed
-	// Owners of endpoints that don't guard their room must know how old their word of it is.
-	n.tellEndpoints(func(cell string) bool { return changed || !n.guarded(cell) })
+	changed = n.assignShards() || changed
+	// An owner whose endpoints don't reject overload also needs to know how recent its knowledge of their
+	// capacity is.
+	n.sendEndpoints(func(cell string) bool { return changed || !n.rejectsOverload(cell) })
 }
 
-// tellEndpoints tells owners of cells that need it of the endpoints.
-func (n *Node) tellEndpoints(needs func(cell string) bool) {
-	if !n.state.registry.told(n.state.layout, &n.state.placements) {
+// sendEndpoints sends the owners for whose cells needs returns true the list of their endpoints. It does nothing
+// while the registry isn't ready for that.
+func (n *Node) sendEndpoints(needs func(cell string) bool) {
+	if !n.state.registry.readyForOwners(n.state.layout, &n.state.placements) {
 		return
 	}
-	for name, held := range *n.holdings.Load() {
-		if cellOwner, isOwner := held.(*owner.Owner); isOwner && needs(name) {
-			cellOwner.SetEndpoints(n.state.registry.of(name, n.state.layout))
+	for name, runner := range *n.runners.Load() {
+		if cellOwner, isOwner := runner.(*owner.Owner); isOwner && needs(name) {
+			cellOwner.SetEndpoints(n.state.registry.cellEndpoints(name, n.state.layout))
 		}
 	}
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one node of the system: it follows the platform's streams,
-// owns the cells that are its own and serves clients and other nodes.
+// Package node runs one node of the system. It follows the platform's streams, runs an owner for each cell
+// that this node has claimed, and serves clients and other nodes.
 package node
 
 import (
@@ -25,97 +25,104 @@
 	"damsonwinch/pkg/supply"
 )
 
-// Platform is what a node needs of the platform's adapter.
+// Platform gives a node access to the platform.
 type Platform struct {
 	Store     damsonwinch.Store
 	Endpoints damsonwinch.EndpointControl
 	Fleet     damsonwinch.Fleet
 	Advisor   damsonwinch.Advisor
-	// OperatorStream holds the operator's configuration and waves.
+	// OperatorStream holds the operator's configurations and waves.
 	OperatorStream damsonwinch.Stream
-	// DecodeOperator reads a record of it; what it doesn't hold is nil.
+	// DecodeOperator decodes a record of OperatorStream. A result is nil if the record doesn't hold it.
 	DecodeOperator func(damsonwinch.Record) (*damsonwinch.Configuration, *damsonwinch.Wave, error)
-	// EndpointStream holds the endpoints' entries.
+	// EndpointStream holds the endpoints' registrations.
 	EndpointStream damsonwinch.Stream
-	// DecodeEndpoint reads one of them; without a pool, it has gone.
+	// DecodeEndpoint decodes a record of EndpointStream. An endpoint without a pool is no longer
+	// registered.
 	DecodeEndpoint func(damsonwinch.Record) (damsonwinch.Endpoint, error)
-	// WaveReport returns the record that tells the operator of a wave.
+	// WaveReport returns a report to the operator on a wave, and the stream to append it to.
 	WaveReport func(wave int, completed bool) (damsonwinch.Stream, damsonwinch.Record)
 }
 
-// Deps are what a node works with.
+// Deps are the dependencies of a Node.
 type Deps struct {
 	Platform Platform
 	Clock    damsonwinch.Clock
 	Dial     damsonwinch.Dial
 	Logger   logrus.FieldLogger
 	Metrics  *metrics.Set
-	// SuspendedTime tells of suspensions of the machine.
+	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// CallListener takes the calls of other nodes.
+	// CallListener accepts the connections of other nodes.
 	CallListener net.Listener
-	// OnConfiguration is told each configuration that comes into force.
-	OnConfiguration func(configuration damsonwinch.Configuration, book *customer.Index)
+	// OnConfiguration is called with each configuration that comes into force, and with an index of its
+	// customers.
+	OnConfiguration func(configuration damsonwinch.Configuration, customers *customer.Index)
 }
 
-// Options say who the node is and by which times it decides.
+// Options identify a node and configure it.
 type Options struct {
-	Self          ownership.Member
-	CellOptions   cell.Options
-	Supply        supply.Options
+	Self        ownership.Member
+	CellOptions cell.Options
+	Supply      supply.Options
+	// MembershipTTL is how long the group of nodes keeps a member that is silent.
 	MembershipTTL time.Duration
-	Partitions    int
-	// MaxAppendBytes is the most that the store takes in a call.
+	// Partitions is the number of partitions of each topic of the store.
+	Partitions int
+	// MaxAppendBytes is the size of the largest append that the store accepts.
 	MaxAppendBytes int
-	FirstStart     bool
+	// FirstStart reports whether the system starts for the first time.
+	FirstStart bool
 }
 
-// Node is a running node.
+// Node is a running node. One goroutine, the node's task, handles messages and changes state.
 type Node struct {
-	deps      Deps
-	options   Options
-	ownership *ownership.Ownership
-	router    *intake.Router
-	calls     *call.Server
-	// relay is the way to the operator's stream, and peers the connections for it.
-	relay  *relay.Relay
-	peers  *relay.Peers
-	inbox  chan any
-	group  *errgroup.Group
-	ctx    context.Context // Ends with the node's tasks.
-	cancel context.CancelFunc
-	view   atomic.Pointer[ownership.View]
-	// holdings is replaced whole by the node's task and read by all calls.
-	holdings atomic.Pointer[map[string]holding]
-	// inForce is what the configuration in force says of who may call, nil before the first.
-	inForce atomic.Pointer[inForce]
-	// owning says that this node owns a pool, and follow wakes what then follows the
-	// endpoints.
-	owning atomic.Bool
-	follow chan struct{}
-	// place wakes what then follows where the planner takes boxes.
-	place chan struct{}
-	state state
-	// ended is closed once the node's own task has ended.
-	ended chan struct{}
+	deps       Deps
+	options    Options
+	ownership  *ownership.Ownership
+	router     *intake.Router
+	callServer *call.Server
+	// relay reads the operator's stream from the store or from other nodes. relayPeers holds the
+	// connections to those nodes.
+	relay      *relay.Relay
+	relayPeers *relay.Peers
+	inbox      chan any
+	group      *errgroup.Group
+	ctx        context.Context // Ends with the node's goroutines.
+	cancel     context.CancelFunc
+	view       atomic.Pointer[ownership.View]
+	// runners holds the runners of this node's cells, by cell. The node's task replaces the whole map,
+	// and any goroutine may read it.
+	runners atomic.Pointer[map[string]cellRunner]
+	// accessRules are those of the configuration in force, or nil before the first one.
+	accessRules atomic.Pointer[accessRules]
+	// ownsPoolCell is set while this node owns a cell of a pool. wakeEndpointFeed wakes the feed that
+	// follows EndpointStream meanwhile.
+	ownsPoolCell     atomic.Bool
+	wakeEndpointFeed chan struct{}
+	// wakePlacementFeed wakes the feed that follows the planner's stream for placements of boxes.
+	wakePlacementFeed chan struct{}
+	state             state
+	// done is closed once the node's task has ended.
+	done chan struct{}
 }
 
-// state is what the node's task knows.
+// state is what only the node's task reads and changes.
 type state struct {
 	configuration damsonwinch.Configuration
 	registry      registry
 	placements    placements
-	// placing says that the placements are followed.
-	placing bool
-	waves   map[int]damsonwinch.Wave
-	// layout says into how many cells each pool is cut, and boxes how many boxes there
-	// are, 0 while that is not known.
-	layout shard.Layout
-	boxes  int
-	// ended holds, by cell, the claim whose owner has ended by itself; it is not
-	// to be owned by that claim again.
-	ended    map[string]int
-	stopping bool
+	// followsPlacements is set once the feed of placements has been started.
+	followsPlacements bool
+	waves             map[int]damsonwinch.Wave
+	// layout is the division of each pool into cells. boxCount is the number of boxes of the fleet, or
+	// 0 while it isn't known.
+	layout   shard.Layout
+	boxCount int
+	// stoppedTokens holds, by cell, the token of the newest claim whose runner has stopped by itself.
+	// No runner is started again for that claim.
+	stoppedTokens map[string]int
+	stopping      bool
 }
 
 // Messages to the node's task.
@@ -125,49 +132,51 @@
 	endpointRecords struct {
 		records  []damsonwinch.Record
 		snapshot bool
-		// askedAt is when the store was asked for them, and takenAt when they had come.
-		askedAt time.Time
-		takenAt time.Time
+		// requestedAt is when the records were requested from the store, and receivedAt when this
+		// node had received them.
+		requestedAt time.Time
+		receivedAt  time.Time
 	}
-	holdingEnded struct {
-		cell string
-		held holding
+	runnerStopped struct {
+		cell   string
+		runner cellRunner
 	}
-	stopHoldings struct{ done chan<- struct{} }
-	reloaded     struct{ options Options }
+	stopRunners    struct{ done chan<- struct{} }
+	optionsChanged struct{ options Options }
 )
 
-// inboxSize lets the feeds go on while the task is at work.
+// inboxSize is how many messages can wait while the node's task is busy. A feed blocks while the inbox is
+// full.
 const inboxSize = 64
 
-// New starts a node.
+// New starts a node. Other nodes can call it when New returns.
 func New(deps Deps, options Options) (*Node, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	n := &Node{
 		deps: deps, options: options, inbox: make(chan any, inboxSize), group: group, ctx: ctx, cancel: cancel,
-		ended: make(chan struct{}), follow: make(chan struct{}, 1), place: make(chan struct{}, 1),
-		state: state{registry: newRegistry(deps.Platform.DecodeEndpoint), placements: newPlacements(), ended: map[string]int{}, waves: map[int]damsonwinch.Wave{}},
+		done: make(chan struct{}), wakeEndpointFeed: make(chan struct{}, 1), wakePlacementFeed: make(chan struct{}, 1),
+		state: state{registry: newRegistry(deps.Platform.DecodeEndpoint), placements: newPlacements(), stoppedTokens: map[string]int{}, waves: map[int]damsonwinch.Wave{}},
 	}
 	n.view.Store(&ownership.View{})
-	n.holdings.Store(&map[string]holding{})
+	n.runners.Store(&map[string]cellRunner{})
 	n.router = intake.NewRouter(intake.Deps{Cells: n, Dial: deps.Dial, Clock: deps.Clock, Metrics: deps.Metrics, Logger: deps.Logger})
 	calls, err := call.Serve(deps.CallListener, intake.ServiceName, intake.NewService(ctx, options.Self, n, deps.Clock))
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	n.calls = calls
+	n.callServer = calls
 	n.ownership = ownership.New(ownership.Deps{
 		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.viewChanged,
 		FetchClaims: n.router.Claims, SuspendedTime: deps.SuspendedTime,
 	}, ownership.Options{Self: options.Self, MembershipTTL: options.MembershipTTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
-	n.peers = relay.NewPeers(deps.Dial, deps.Clock)
+	n.relayPeers = relay.NewPeers(deps.Dial, deps.Clock)
 	n.relay = relay.New(relay.Deps{
-		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Follow: n.peers.Follow,
+		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, Follow: n.relayPeers.Follow,
 		Members: func() []ownership.Member { return n.View().Members },
 	}, options.Self, deps.Platform.OperatorStream)
-	if err := n.calls.Register(relay.ServiceName, relay.NewService(ctx, n.relay)); err != nil {
+	if err := n.callServer.Register(relay.ServiceName, relay.NewService(ctx, n.relay)); err != nil {
 		cancel()
 		return nil, errors.Join(err, n.ownership.Close())
 	}
@@ -177,17 +186,18 @@
 	return n, nil
 }
 
-// JobService takes clients' calls.
+// JobService returns the service to which clients' calls are passed.
 func (n *Node) JobService() damsonwinch.JobService {
 	return n.router
 }
 
-// Ready says whether the node should be given clients.
+// Ready reports whether clients should be sent to this node: it has a configuration, and it reaches the store
+// or owners on other nodes.
 func (n *Node) Ready() bool {
-	if n.inForce.Load() == nil {
+	if n.accessRules.Load() == nil {
 		return false
 	}
-	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < readyTime || n.router.ReachesOwners(readyTime)
+	return n.deps.Clock.Now().Sub(n.StoreAnsweredAt()) < maxReadySilence || n.router.ReachesOwners(maxReadySilence)
 }
 
 // ConfigurationConfirmedAt returns when the configuration in force was last known to be the newest.
@@ -195,12 +205,11 @@
 	return n.relay.ConfirmedAt()
 }
 
-// readyTime is how long ago the store, or an owner of a cell that could do what it
-// was asked, may have answered last. A node that is cut off from both has its
-// clients sent elsewhere, and the balancer takes two seconds to see it. The node
-// proves to the store that it lives each 300 ms; an answer that is lost costs it
-// 600 ms.
-const readyTime = 800 * time.Millisecond
+// maxReadySilence is how long ago the store, or an owner that carried out a call, may have answered last for
+// the node to be ready. Clients of a node that is cut off from both are sent to other nodes, and the load
+// balancer needs 2 s to notice. The node renews its membership at the store every 300 ms, and if an answer
+// is lost it waits 600 ms for it.
+const maxReadySilence = 800 * time.Millisecond
 
 // View implements intake.Cells.
 func (n *Node) View() ownership.View {
@@ -209,8 +218,8 @@
 
 // LocalOwner implements intake.Cells.
 func (n *Node) LocalOwner(cell string) (intake.CellOwner, bool) {
-	found, here := (*n.holdings.Load())[cell].(intake.CellOwner)
-	return found, here
+	owner, isLocal := (*n.runners.Load())[cell].(intake.CellOwner)
+	return owner, isLocal
 }
 
 // StoreAnsweredAt implements intake.Cells.
@@ -223,15 +232,17 @@
 	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
+// viewChanged stores a new view and tells the node's task.
 func (n *Node) viewChanged(view ownership.View) {
 	n.view.Store(&view)
-	// A message that is waiting already will see the newest view.
+	// The message is dropped if the inbox is full. One that already waits there will read this view.
 	select {
 	case n.inbox <- viewChanged{}:
 	default:
 	}
 }
 
+// send puts a message into the inbox. The message is dropped if the node is being closed.
 func (n *Node) send(m any) {
 	select {
 	case n.inbox <- m:
@@ -239,43 +250,44 @@
 	}
 }
 
-// Reload puts options in force for the cells that are taken over from now on. Who
-// the node is stays as it was.
+// Reload puts CellOptions and Supply of the given options in force for cells that this node takes over from
+// now on. All other options stay as they were.
 func (n *Node) Reload(options Options) {
-	n.send(reloaded{options: options})
+	n.send(optionsChanged{options: options})
 }
 
-// Stop gives the node's cells to others, for a planned stop. Clients can still be
-// served through their new owners until Close.
+// Stop gives up all cells, for a planned stop. It returns once the runners are being closed, or when ctx ends.
+// Until Close the node still serves clients, by calling the cells' new owners.
 func (n *Node) Stop(ctx context.Context) {
 	n.ownership.Leave(ctx)
 	done := make(chan struct{})
-	n.send(stopHoldings{done: done})
+	n.send(stopRunners{done: done})
 	select {
 	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// Close ends the node and waits for its tasks.
+// Close stops the node and waits for its goroutines.
 func (n *Node) Close() error {
 	n.cancel()
-	// The node's tasks wait for the ends of holdings, which come first. No new ones
-	// begin: the task that starts them has been told to end.
-	<-n.ended
+	// The runners are closed first, because goroutines of the group wait for them to stop. No runner is
+	// started any more: the node's task, which starts them, has ended.
+	<-n.done
 	var err error
-	for _, held := range *n.holdings.Load() {
-		err = errors.Join(err, held.Close())
+	for _, runner := range *n.runners.Load() {
+		err = errors.Join(err, runner.Close())
 	}
 	err = errors.Join(err, n.group.Wait(), n.ownership.Close())
-	n.calls.Close()
+	n.callServer.Close()
 	n.router.Close()
-	n.peers.Close()
+	n.relayPeers.Close()
 	return err
 }
 
+// run is the node's task. It handles messages, and brings the runners in line with the claims every second.
 func (n *Node) run() error {
-	defer close(n.ended)
+	defer close(n.done)
 	ticker := n.deps.Clock.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -283,41 +295,42 @@
 		case <-n.ctx.Done():
 			return nil
 		case m := <-n.inbox:
-			n.take(m)
+			n.handle(m)
 		case <-ticker.Chan():
-			n.manageHoldings()
+			n.updateRunners()
 		}
 	}
 }
 
-func (n *Node) take(m any) {
+func (n *Node) handle(m any) {
 	switch m := m.(type) {
 	case viewChanged:
-		n.useLayout(n.View().Layout)
-		n.decideLayout()
-		n.manageHoldings()
-		n.confirm()
+		n.applyLayout(n.View().Layout)
+		n.proposeLayout()
+		n.updateRunners()
+		n.confirmOwnership()
 	case placementRecords:
-		n.takePlacements(m)
+		n.applyPlacementRecords(m)
 	case operatorRecords:
-		n.takeOperator(m.records)
+		n.applyOperatorRecords(m.records)
 	case endpointRecords:
-		n.takeEndpoints(m)
-	case holdingEnded:
-		n.removeHolding(m.cell, m.held)
-		n.manageHoldings()
-	case boxesCounted:
-		n.state.boxes = m.boxes
-		n.decideLayout()
-	case reloaded:
+		n.applyEndpointRecords(m)
+	case runnerStopped:
+		n.removeRunner(m.cell, m.runner)
+		n.updateRunners()
+	case boxCountReceived:
+		n.state.boxCount = m.count
+		n.proposeLayout()
+	case optionsChanged:
 		n.options.CellOptions, n.options.Supply = m.options.CellOptions, m.options.Supply
-	case stopHoldings:
+	case stopRunners:
 		n.state.stopping = true
-		n.manageHoldings()
+		n.updateRunners()
 		close(m.done)
 	}
 }
 
+// feedDeps returns the dependencies of a feed that reads from the store.
 func (n *Node) feedDeps() feed.Deps {
 	return feed.Deps{
 		Store: n.deps.Platform.Store, Clock: n.deps.Clock, Logger: n.deps.Logger, Metrics: n.deps.Metrics, StoreAnsweredAt: n.ownership.StoreAnsweredAt,
