--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -2,65 +2,74 @@
 
 import "damsonwinch/pkg/wire"
 
-// Phase is a box's place in its life.
+// Phase says whether a box serves, drains or is being maintained.
 type Phase string
 
-// Phases of a box. A box that has become empty goes on at once, to its new
-// pool or to maintenance, so that empty is a record and not a phase.
+// Phases of a box. There is no phase for an empty box: the record that says that
+// a draining box is empty puts it into its target pool or into maintenance.
 const (
 	Serving     Phase = "serving"
 	Draining    Phase = "draining"
 	Maintenance Phase = "maintenance"
 )
 
-// Box is one endpoint box as the log has it.
+// Box is the state of an enrolled box, which runs an endpoint. All times are log
+// times in milliseconds since 1970.
 type Box struct {
 	Info   wire.BoxInfo `json:"info"`
 	Pool   string       `json:"pool"`
 	Phase  Phase        `json:"phase"`
 	Health wire.Health  `json:"health"`
-	// Epoch rises with each change of pool, phase or sender.
-	Epoch  int       `json:"epoch"`
+	// Epoch rises with each change of the pool, phase or sender.
+	Epoch int `json:"epoch"`
+	// Sender is the entry that sends requests to the box.
 	Sender SenderKey `json:"sender"`
-	// Target is the pool a draining box goes to; its own for maintenance only.
-	Target   string `json:"target,omitempty"`
-	Maintain bool   `json:"maintain,omitempty"`
+	// Target is the pool to which a draining box moves. It is the box's own pool
+	// if the box drains for maintenance only.
+	Target string `json:"target,omitempty"`
+	// Maintain says that a draining box goes into maintenance once it is empty.
+	Maintain bool `json:"maintain,omitempty"`
 	// Maintainer is the keeper that carries out the maintenance.
 	Maintainer KeeperKey `json:"carrier"`
-	// MaintainedAt and Since are the log's times, in milliseconds since 1970,
-	// of the end of the last maintenance and of the last change.
-	MaintainedAt   int `json:"maintained_at"`
+	// MaintainedAt is when the last maintenance ended or, if there was none, when
+	// the box was enrolled.
+	MaintainedAt int `json:"maintained_at"`
+	// EpochStartedAt is when the box reached its present epoch.
 	EpochStartedAt int `json:"since"`
-	// HealthChangedAt is the log's time of the last change of Health.
+	// HealthChangedAt is when Health last changed.
 	HealthChangedAt int `json:"health_at,omitempty"`
-	// HeldUntil is the log's time before which requests of a lost sender may
-	// still run on the box.
+	// HeldUntil is the time before which requests of a released sender may still
+	// run on the box. The box can't be reported empty before.
 	HeldUntil int `json:"held_until,omitempty"`
 	// ChangedAtOffset is the offset of the record that last changed the box.
 	ChangedAtOffset int `json:"changed_by"`
 }
 
-// KeeperKey names one incarnation of a keeper.
+// KeeperKey identifies one incarnation of a keeper.
 type KeeperKey struct {
 	Node        string `json:"node,omitempty"`
 	Incarnation int    `json:"keeper,omitempty"`
 }
 
-// Usable says whether the box counts for its pool's availability.
+// Usable says whether requests can run on the box: it serves, is up and has a
+// sender. Only usable boxes count for their pool's availability.
 func (b Box) Usable() bool {
 	return b.Phase == Serving && b.Health == wire.HealthUp && !b.Sender.IsNone()
 }
 
-// counts says whether the box isn't down. A free one needs no sender.
-func (b Box) counts() bool {
+// isAvailable says whether the box doesn't count as down in its pool. A box in
+// the free pool needs no sender for this.
+func (b Box) isAvailable() bool {
 	return b.Usable() || (b.Pool == FreePool && b.AcceptsWork())
 }
 
-// AcceptsWork says whether the box takes new work when its sender has any.
+// AcceptsWork says whether the box takes new requests, if it has a sender.
 func (b Box) AcceptsWork() bool {
 	return b.Phase == Serving && b.Health == wire.HealthUp
 }
 
+// capacity returns the slots that the box adds to the fleet's: none if it is
+// gone.
 func (b Box) capacity() int {
 	if b.Health == wire.HealthGone {
 		return 0
@@ -68,17 +77,19 @@
 	return b.Info.Slots
 }
 
-// moved returns the box one epoch on.
-func (b Box) moved(offset, at int) Box {
+// withNextEpoch returns the box with the next epoch, which starts with the
+// record at the given offset.
+func (b Box) withNextEpoch(offset, logTimeMs int) Box {
 	b.Epoch++
 	b.ChangedAtOffset = offset
-	b.EpochStartedAt = at
+	b.EpochStartedAt = logTimeMs
 	return b
 }
 
-// emptied returns the box after its drain, in its new pool or in maintenance.
-func (b Box) emptied(offset, at int) Box {
-	b = b.moved(offset, at)
+// drained returns the box after its drain has ended: in its target pool, and in
+// maintenance if it drained for that.
+func (b Box) drained(offset, logTimeMs int) Box {
+	b = b.withNextEpoch(offset, logTimeMs)
 	b.Phase = Serving
 	if b.Maintain {
 		b.Phase = Maintenance
@@ -87,9 +98,9 @@
 	return b
 }
 
-// withdrawn returns the box as it was before its drain.
-func (b Box) withdrawn(offset, at int) Box {
-	b = b.moved(offset, at)
+// drainCancelled returns the box with its drain cancelled, serving its old pool.
+func (b Box) drainCancelled(offset, logTimeMs int) Box {
+	b = b.withNextEpoch(offset, logTimeMs)
 	b.Phase, b.Target, b.Maintain = Serving, "", false
 	return b
 }
--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -8,10 +8,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// mayDrain checks a drain against the budgets of the box's pool: after it, with
-// the worst single rack lost on top, every service still has its floor and its
-// spare, and no more boxes are down than allowed.
-func (s State) mayDrain(box Box, target string, maintain bool, at int) error {
+// checkDrain checks whether a box may be drained. The pool's budget must hold
+// afterwards: even if the rack with the most slots were lost as well, every
+// service would have its floor and spare slots, and no more boxes are down than
+// allowed.
+func (s State) checkDrain(box Box, target string, maintain bool, logTimeMs int) error {
 	if box.Phase != Serving {
 		return refuse("box %s is %s already", box.Info.Name, box.Phase)
 	}
@@ -24,61 +25,65 @@
 	if box.Pool == FreePool {
 		return nil
 	}
-	if err := s.mayMoveNow(box, target, maintain, at); err != nil {
+	if err := s.checkFreezeAndWindow(box, target, maintain, logTimeMs); err != nil {
 		return err
 	}
-	return s.budgetWithout(box)
+	return s.checkBudgetWithout(box)
 }
 
-// mayMoveNow checks the table's freezes and maintenance windows.
-func (s State) mayMoveNow(box Box, target string, maintain bool, at int) error {
+// checkFreezeAndWindow checks that no service of the old or the new pool is in a
+// freeze, for a move, and that the pool is in its maintenance window, for a
+// maintenance.
+func (s State) checkFreezeAndWindow(box Box, target string, maintain bool, logTimeMs int) error {
 	if target != box.Pool {
 		for _, pool := range []string{box.Pool, target} {
-			if service := s.FrozenService(pool, at); service != "" {
-				return refuse("pool %s sees no moves now: service %s is in a freeze", pool, service)
+			if service := s.FrozenService(pool, logTimeMs); service != "" {
+				return refuse("no box may move into or out of pool %s now: service %s is in a freeze", pool, service)
 			}
 		}
 	}
-	if maintain && !s.InMaintenanceWindow(box.Pool, at) {
+	if maintain && !s.InMaintenanceWindow(box.Pool, logTimeMs) {
 		return refuse("pool %s is not in its maintenance window", box.Pool)
 	}
 	return nil
 }
 
-// budgetWithout checks a pool's budget after the loss of one of its boxes.
-func (s State) budgetWithout(box Box) error {
+// checkBudgetWithout checks whether the budget of the box's pool would hold
+// without the box.
+func (s State) checkBudgetWithout(box Box) error {
 	if !box.Usable() {
-		// It gives its services nothing now, so that draining it takes nothing.
+		// Its services can't use it now, so they lose nothing by its drain.
 		return nil
 	}
 	pool := s.Pool(box.Pool)
-	limit := s.table.MaxDown(box.Pool)
-	if limit > 0 && pool.Down+1 > limit {
-		return refuse("pool %s would have %d boxes down, its limit is %d", box.Pool, pool.Down+1, limit)
+	maxDown := s.table.MaxDown(box.Pool)
+	if maxDown > 0 && pool.Down+1 > maxDown {
+		return refuse("pool %s would have %d boxes down, its limit is %d", box.Pool, pool.Down+1, maxDown)
 	}
 	needed := s.table.NeededSlots(box.Pool)
-	slots, worst := pool.Slots-box.Info.Slots, pool.worstWithout(box)
-	if slots-worst < needed {
-		return refuse("pool %s would keep %d slots with its worst rack lost, its services need %d", box.Pool, slots-worst, needed)
+	slots, rackSlots := pool.Slots-box.Info.Slots, pool.maxRackSlotsWithout(box)
+	if slots-rackSlots < needed {
+		return refuse("pool %s would keep %d slots with its worst rack lost, its services need %d", box.Pool, slots-rackSlots, needed)
 	}
 	return nil
 }
 
-// Headroom returns the slots that a pool has above its services' floors and
-// spare with its worst rack lost. It is negative when the budget is broken.
+// Headroom returns how many slots a pool would have beyond the floors and spare
+// slots of its services if it lost the rack with the most slots. It is negative
+// if the pool's budget doesn't hold.
 func (s State) Headroom(pool string) int {
 	summary := s.Pool(pool)
 	return summary.Slots - summary.MaxRackSlots() - s.table.NeededSlots(pool)
 }
 
-// FrozenService returns a service of the pool that is in a freeze at the log's time,
-// in milliseconds since 1970, or "".
-func (s State) FrozenService(pool string, at int) string {
-	day := time.UnixMilli(int64(at)).UTC().Day()
+// FrozenService returns a service of the pool that is in a freeze at a log time,
+// in milliseconds since 1970, or "" if there is none.
+func (s State) FrozenService(pool string, logTimeMs int) string {
+	day := time.UnixMilli(int64(logTimeMs)).UTC().Day()
 	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
 		for _, freeze := range row.Freeze {
-			if inSpan(day, freeze.FirstDay, freeze.LastDay) {
+			if inDayRange(day, freeze.FirstDay, freeze.LastDay) {
 				return service
 			}
 		}
@@ -86,41 +91,47 @@
 	return ""
 }
 
-// InMaintenanceWindow says whether all services of the pool allow maintenance at the
-// log's time, in milliseconds since 1970.
-func (s State) InMaintenanceWindow(pool string, at int) bool {
-	clock := time.UnixMilli(int64(at)).UTC().Format("15:04")
+// InMaintenanceWindow says whether all services of the pool allow maintenance at
+// a log time, in milliseconds since 1970. A service without windows always does.
+func (s State) InMaintenanceWindow(pool string, logTimeMs int) bool {
+	timeOfDay := time.UnixMilli(int64(logTimeMs)).UTC().Format("15:04")
 	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
-		if len(row.Windows) > 0 && !slices.ContainsFunc(row.Windows, func(w settings.Window) bool { return inWindow(clock, w) }) {
+		if len(row.Windows) > 0 && !slices.ContainsFunc(row.Windows, func(w settings.Window) bool { return inTimeRange(timeOfDay, w) }) {
 			return false
 		}
 	}
 	return true
 }
 
-func inSpan(day, first, last int) bool {
+// inDayRange says whether a day of the month is in a range that includes both of
+// its ends. A range whose last day is before its first runs on into the next
+// month.
+func inDayRange(day, first, last int) bool {
 	if first <= last {
 		return first <= day && day <= last
 	}
 	return day >= first || day <= last
 }
 
-// inWindow compares times of day as text, which order alike.
-func inWindow(clock string, window settings.Window) bool {
+// inTimeRange says whether a time of day is in a window, which may run past
+// midnight. It compares the times as text: "15:04" texts sort in order of time.
+func inTimeRange(timeOfDay string, window settings.Window) bool {
 	if window.From <= window.To {
-		return window.From <= clock && clock < window.To
+		return window.From <= timeOfDay && timeOfDay < window.To
 	}
-	return clock >= window.From || clock < window.To
+	return timeOfDay >= window.From || timeOfDay < window.To
 }
 
-// WithDrain returns the state as it would be after a drain, for plans.
+// WithDrain returns the state after a drain of a box, if the drain were the next
+// proposal to be applied, or the error with which it would be refused. The
+// planner tries out drains with it.
 func (s State) WithDrain(name, target string, maintain bool) (State, error) {
 	box, known := s.Box(name)
 	if !known {
 		return s, refuse("box %s is not enrolled", name)
 	}
 	change := wire.BoxChange{Box: name, Epoch: box.Epoch, Pool: target, Maintain: maintain}
-	next, _, err := s.drain(box, change, step{offset: s.offset, at: s.at})
+	next, _, err := s.applyDrain(box, change, origin{offset: s.offset, logTimeMs: s.logTimeMs})
 	return next, err
 }
--- a/pkg/fold/edit.go
+++ b/pkg/fold/edit.go
@@ -7,11 +7,12 @@
 	"damsonwinch/pkg/wire"
 )
 
-func (s State) edit(proposal wire.Proposal, where step) (State, string, error) {
+// applyEdit applies an edit of the shared table.
+func (s State) applyEdit(proposal wire.Proposal, from origin) (State, string, error) {
 	if proposal.Edit == nil {
-		return s, "", refuse("an edit needs its cells")
+		return s, "", refuse("an edit proposal needs an edit")
 	}
-	next, err := s.table.Apply(*proposal.Edit, proposal.Author, where.at, s.slots)
+	next, err := s.table.Apply(*proposal.Edit, proposal.Author, from.logTimeMs, s.slots)
 	if err != nil {
 		return s, "", fmt.Errorf("edit on version %d: %w", proposal.Edit.Base, err)
 	}
@@ -19,32 +20,33 @@
 	return s, fmt.Sprintf("table is at version %d: %s", next.Version(), table.DescribeEdit(*proposal.Edit)), nil
 }
 
-// enroll takes boxes from the platform's list into the free pool; a known box
-// keeps its place and takes the new address.
-func (s State) enroll(proposal wire.Proposal, where step) (State, string, error) {
+// applyEnroll adds boxes from the platform's list to the free pool. A box that
+// is enrolled already keeps its state and gets the listed address, zone, rack
+// and slots, if it has no sender.
+func (s State) applyEnroll(proposal wire.Proposal, from origin) (State, string, error) {
 	added := 0
 	for _, info := range proposal.Boxes {
 		if info.Name == "" || info.Slots < 1 || info.Hall == "" {
-			return s, "", refuse("box %q needs a name, a hall and slots", info.Name)
+			return s, "", refuse("box %q needs a name, an availability zone and at least one slot", info.Name)
 		}
 		box, known := s.Box(info.Name)
 		if known && box.Info == info {
 			continue
 		}
 		if known && !box.Sender.IsNone() {
-			return s, "", refuse("box %s is in use by %s; its address changes after a release", info.Name, box.Sender)
+			return s, "", refuse("box %s is in use by %s; its address can change only after a release", info.Name, box.Sender)
 		}
 		if !known {
-			box = Box{Pool: FreePool, Phase: Serving, Health: wire.HealthUp, MaintainedAt: where.at}
+			box = Box{Pool: FreePool, Phase: Serving, Health: wire.HealthUp, MaintainedAt: from.logTimeMs}
 		}
 		if known {
-			s = s.withoutShare(box)
+			s = s.withoutBoxCounts(box)
 			s.boxes = s.boxes.Delete(info.Name)
 		}
-		box = box.moved(where.offset, where.at)
+		box = box.withNextEpoch(from.offset, from.logTimeMs)
 		box.Info = info
 		s.boxes = s.boxes.Set(info.Name, &box)
-		s = s.withShare(box)
+		s = s.withBoxCounts(box)
 		added++
 	}
 	if added == 0 {
--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -9,20 +9,23 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Result is what became of one proposal.
+// Result says whether a proposal was accepted, and why.
 type Result struct {
 	Proposal wire.Proposal
-	// Subject names the boxes, the node or the rows that the proposal is about,
-	// with a space between them.
+	// Subject names the boxes, the node or the table rows that the proposal is
+	// about, separated by spaces.
 	Subject  string
 	Accepted bool
-	// Reason says why it was refused, or what it did.
+	// Reason says why the proposal was refused or, if it was accepted, what it
+	// changed.
 	Reason string
-	// Author is the proposal's author, or else the batch's writer.
+	// Author is the proposal's author or, if it names none, the node that wrote
+	// the batch.
 	Author string
 }
 
-// refusal is a typed reason by which a proposal is refused.
+// refusal is the error for a proposal or a batch that is refused; its text is
+// the reason.
 type refusal string
 
 // Error returns the reason.
@@ -34,45 +37,49 @@
 	return refusal(fmt.Sprintf(format, values...))
 }
 
-// step is the place of a proposal in the log.
-type step struct {
-	offset int
-	at     int
-	batch  wire.Batch
+// origin describes the record that a proposal comes from.
+type origin struct {
+	offset    int
+	logTimeMs int // Log time of the record, in milliseconds since 1970.
+	batch     wire.Batch
 }
 
-// Apply returns the state after a record and a verdict for each of its
-// proposals. A record that can't be read is passed over by every process alike.
+// Apply returns the state after a log record, with one result for each of the
+// record's proposals. A record that can't be decoded, or whose batch is a
+// duplicate, has a single refused result and changes only the state's offset
+// and log time. This is deterministic, so that all processes skip the same
+// records.
 func (s State) Apply(record wire.Entry) (State, []Result) {
 	s.offset = record.Offset + 1
-	s.at = max(s.at, record.At)
+	s.logTimeMs = max(s.logTimeMs, record.At)
 	var batch wire.Batch
 	if err := json.Unmarshal([]byte(record.Data), &batch); err != nil {
 		return s, []Result{{Subject: "record", Reason: fmt.Sprintf("not readable: %v", err)}}
 	}
-	if err := s.checkCopy(batch); err != nil {
+	if err := s.checkDuplicate(batch); err != nil {
 		return s, []Result{{Subject: batch.Node, Reason: err.Error(), Author: batch.Node}}
 	}
-	s = s.withWriter(batch)
-	where := step{offset: record.Offset, at: s.at, batch: batch}
-	verdicts := make([]Result, 0, len(batch.Proposals))
+	s = s.withLastBatch(batch)
+	from := origin{offset: record.Offset, logTimeMs: s.logTimeMs, batch: batch}
+	results := make([]Result, 0, len(batch.Proposals))
 	for _, proposal := range batch.Proposals {
-		next, did, err := s.apply(proposal, where)
-		verdict := Result{Proposal: proposal, Subject: subject(proposal), Accepted: err == nil, Reason: did, Author: author(proposal, batch)}
+		next, effect, err := s.applyProposal(proposal, from)
+		result := Result{Proposal: proposal, Subject: subjectOf(proposal), Accepted: err == nil, Reason: effect, Author: authorOf(proposal, batch)}
 		if err != nil {
-			verdict.Reason = err.Error()
+			result.Reason = err.Error()
 		} else {
 			s = next
 		}
-		verdicts = append(verdicts, verdict)
+		results = append(results, result)
 	}
-	return s, verdicts
+	return s, results
 }
 
-// checkCopy refuses a batch that landed twice or after a later one of the same
-// keeper, which has decided on what it read in between.
-func (s State) checkCopy(batch wire.Batch) error {
-	last, known := s.writers.Get(batch.Node)
+// checkDuplicate refuses a batch that reached the log twice, or after a later
+// batch of the same keeper incarnation. The keeper decided that later batch on
+// what it had read of the log in between, which did not include this one.
+func (s State) checkDuplicate(batch wire.Batch) error {
+	last, known := s.lastBatches.Get(batch.Node)
 	if batch.Incarnation == 0 || !known || last.Incarnation != batch.Incarnation {
 		return nil
 	}
@@ -82,45 +89,51 @@
 	return nil
 }
 
-// LastBatchNumber returns the number of the newest folded batch of a keeper's
-// incarnation, 0 if there is none.
+// LastBatchNumber returns the number of the newest applied batch of a keeper
+// incarnation, or 0 if there is none.
 func (s State) LastBatchNumber(incarnation int) int {
-	for entries := s.writers.Iterator(); !entries.Done(); {
-		if _, last, _ := entries.Next(); last.Incarnation == incarnation {
+	for it := s.lastBatches.Iterator(); !it.Done(); {
+		if _, last, _ := it.Next(); last.Incarnation == incarnation {
 			return last.Number
 		}
 	}
 	return 0
 }
 
-func (s State) withWriter(batch wire.Batch) State {
+// withLastBatch records the batch as the newest of its keeper. Batches of the
+// command line have incarnation 0 and are not recorded.
+func (s State) withLastBatch(batch wire.Batch) State {
 	if batch.Incarnation != 0 {
-		s.writers = s.writers.Set(batch.Node, writer{Incarnation: batch.Incarnation, Number: batch.Number})
+		s.lastBatches = s.lastBatches.Set(batch.Node, lastBatch{Incarnation: batch.Incarnation, Number: batch.Number})
 	}
 	return s
 }
 
-func (s State) apply(proposal wire.Proposal, where step) (State, string, error) {
+// applyProposal returns the state after one proposal and a description of what
+// it changed, or an error that says why it is refused. So do the functions for
+// each kind of proposal that it calls.
+func (s State) applyProposal(proposal wire.Proposal, from origin) (State, string, error) {
 	switch proposal.Kind {
 	case wire.KindEdit:
-		return s.edit(proposal, where)
+		return s.applyEdit(proposal, from)
 	case wire.KindEnroll:
-		return s.enroll(proposal, where)
+		return s.applyEnroll(proposal, from)
 	case wire.KindRenew:
-		return s.renew(proposal, where)
+		return s.applyRenew(proposal, from)
 	case wire.KindRelease:
-		return s.release(proposal, where)
+		return s.applyRelease(proposal, from)
 	case wire.KindCheckpoint:
 		return s, "checkpoint", nil
 	}
 	if proposal.Change == nil {
 		return s, "", refuse("a %q proposal needs a change", proposal.Kind)
 	}
-	return s.change(proposal, where)
+	return s.applyBoxChange(proposal, from)
 }
 
-// change applies the proposals that are about one box at one epoch.
-func (s State) change(proposal wire.Proposal, where step) (State, string, error) {
+// applyBoxChange applies a proposal about a single box. It is refused if the
+// box is no longer at the epoch on which the proposal was decided.
+func (s State) applyBoxChange(proposal wire.Proposal, from origin) (State, string, error) {
 	change := *proposal.Change
 	box, known := s.Box(change.Box)
 	if !known {
@@ -131,26 +144,27 @@
 	}
 	switch proposal.Kind {
 	case wire.KindAssign:
-		return s.assign(box, change, where)
+		return s.applyAssign(box, change, from)
 	case wire.KindHandover:
-		return s.handover(box, change, where)
+		return s.applyHandover(box, change, from)
 	case wire.KindDrain:
-		return s.drain(box, change, where)
+		return s.applyDrain(box, change, from)
 	case wire.KindWithdraw:
-		return s.withdraw(box, where)
+		return s.applyWithdraw(box, from)
 	case wire.KindEmpty:
-		return s.empty(box, change, where)
+		return s.applyEmpty(box, change, from)
 	case wire.KindCarry:
-		return s.carry(box, where)
+		return s.applyCarry(box, from)
 	case wire.KindBack:
-		return s.back(box, where)
+		return s.applyBack(box, from)
 	case wire.KindHealth:
-		return s.health(box, change, where)
+		return s.applyHealth(box, change, from)
 	}
 	return s, "", refuse("unknown kind %q", proposal.Kind)
 }
 
-func subject(proposal wire.Proposal) string {
+// subjectOf returns the Subject of a proposal's result.
+func subjectOf(proposal wire.Proposal) string {
 	switch {
 	case proposal.Change != nil:
 		return proposal.Change.Box
@@ -166,7 +180,8 @@
 	return strings.Join(names, " ")
 }
 
-func author(proposal wire.Proposal, batch wire.Batch) string {
+// authorOf returns the Author of a proposal's result.
+func authorOf(proposal wire.Proposal, batch wire.Batch) string {
 	if proposal.Author != "" {
 		return proposal.Author
 	}
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -5,31 +5,33 @@
 	"strings"
 )
 
-// Member is a keeper's place in its hall's roster.
+// Member is a keeper that the log lists as a member of its zone. The members of a
+// zone extend the leases of its senders and release the senders that are lost.
 type Member struct {
 	Node              string `json:"node"`
 	Zone              string `json:"hall"`
 	KeeperIncarnation int    `json:"keeper"`
-	Address           string `json:"address"`
-	// JoinedOffset is the offset of the record by which this incarnation joined.
+	// Address is the IP and port of the keeper's RPC service.
+	Address string `json:"address"`
+	// JoinedOffset is the offset of the record by which this incarnation became a
+	// member.
 	JoinedOffset int `json:"joined"`
-	// RenewedAt is the log's time of its last renewal, in milliseconds since
-	// 1970.
+	// RenewedAt is the log time of the last renewal, in milliseconds since 1970.
 	RenewedAt int `json:"renewed_at"`
 }
 
-// SenderKey names one incarnation of an entry.
+// SenderKey identifies one incarnation of an entry.
 type SenderKey struct {
 	Node        string `json:"node,omitempty"`
 	Incarnation int    `json:"entry,omitempty"`
 }
 
-// IsNone says whether the key names no sender.
+// IsNone says whether the key identifies no sender.
 func (k SenderKey) IsNone() bool {
 	return k.Node == ""
 }
 
-// String returns the key as one word.
+// String returns the key as text, such as "node#17"; it is empty for no sender.
 func (k SenderKey) String() string {
 	if k.IsNone() {
 		return ""
@@ -37,27 +39,32 @@
 	return k.Node + "#" + strconv.Itoa(k.Incarnation)
 }
 
-// ParseSenderKey reads what String wrote; anything else is no sender.
+// ParseSenderKey returns the key whose text String returned, or the key of no
+// sender for any other text.
 func ParseSenderKey(text string) SenderKey {
 	node, number, found := strings.Cut(text, "#")
-	entry, err := strconv.Atoi(number)
+	incarnation, err := strconv.Atoi(number)
 	if !found || err != nil {
 		return SenderKey{}
 	}
-	return SenderKey{Node: node, Incarnation: entry}
+	return SenderKey{Node: node, Incarnation: incarnation}
 }
 
-// Sender is an entry that may hold boxes.
+// Sender is an entry that holds a lease, so that boxes can be assigned to it.
 type Sender struct {
-	Key     SenderKey `json:"key"`
-	Zone    string    `json:"hall"`
-	Address string    `json:"address"`
-	// Seq is the number of its last renewal, Folded the offset that it had
-	// folded when it issued that.
-	Seq           int  `json:"seq"`
-	AppliedOffset int  `json:"folded"`
-	RenewedAt     int  `json:"renewed_at"`
-	Leaving       bool `json:"leaving,omitempty"`
-	// Boxes counts the boxes it sends to.
+	Key  SenderKey `json:"key"`
+	Zone string    `json:"hall"`
+	// Address is the IP and port of the entry's RPC service.
+	Address string `json:"address"`
+	// Seq is the sequence number of the last renewal of the lease.
+	Seq int `json:"seq"`
+	// AppliedOffset is the offset of the next record that the sender was going to
+	// apply when it issued that renewal.
+	AppliedOffset int `json:"folded"`
+	// RenewedAt is the log time of that renewal, in milliseconds since 1970.
+	RenewedAt int `json:"renewed_at"`
+	// Leaving says that the entry is in a planned stop.
+	Leaving bool `json:"leaving,omitempty"`
+	// Boxes counts the boxes whose sender it is.
 	Boxes int `json:"boxes"`
 }
--- a/pkg/fold/pool.go
+++ b/pkg/fold/pool.go
@@ -5,79 +5,86 @@
 	"strings"
 )
 
-// Pool sums up the boxes of one pool.
+// Pool summarizes the boxes of one pool.
 type Pool struct {
-	// Boxes counts all boxes in the pool, Down those that are not usable.
+	// Boxes counts all boxes of the pool.
 	Boxes int `json:"boxes"`
-	Down  int `json:"down"`
-	// Slots counts the slots of usable boxes.
-	Slots int `json:"slots"`
-	racks []rack
+	// Down counts the boxes that are not usable; a free box needs no sender.
+	Down int `json:"down"`
+	// Slots counts the slots of the boxes that are not down.
+	Slots int    `json:"slots"`
+	racks []rack // Sorted by name.
 }
 
-// rack counts the usable slots that a pool has in one rack.
+// rack counts the slots that the pool's boxes in one rack have; boxes that are
+// down don't count.
 type rack struct {
 	name  string
 	slots int
 }
 
-// MaxRackSlots returns the most usable slots that the loss of one rack takes.
+// MaxRackSlots returns the slots of the rack that has the most: what the pool
+// loses at worst if one rack fails.
 func (p Pool) MaxRackSlots() int {
-	return p.worstWithout(Box{})
+	return p.maxRackSlotsWithout(Box{})
 }
 
-// worstWithout returns the worst rack after the loss of one box.
-func (p Pool) worstWithout(box Box) int {
-	worst := 0
+// maxRackSlotsWithout returns what MaxRackSlots would return without one box.
+func (p Pool) maxRackSlotsWithout(box Box) int {
+	most := 0
 	for _, rack := range p.racks {
 		slots := rack.slots
 		if rack.name == rackKey(box) {
 			slots -= box.Info.Slots
 		}
-		worst = max(worst, slots)
+		most = max(most, slots)
 	}
-	return worst
+	return most
 }
 
-// rackKey names a rack across halls.
+// rackKey returns a name for the box's rack that is unique in all zones.
 func rackKey(box Box) string {
 	return box.Info.Hall + "/" + box.Info.Rack
 }
 
+// with returns the summary with a box added.
 func (p Pool) with(box Box) Pool {
-	return p.changed(box, 1)
+	return p.adjusted(box, 1)
 }
 
+// without returns the summary with a box removed.
 func (p Pool) without(box Box) Pool {
-	return p.changed(box, -1)
+	return p.adjusted(box, -1)
 }
 
-func (p Pool) changed(box Box, sign int) Pool {
+// adjusted returns the summary with a box added (sign 1) or removed (sign -1).
+func (p Pool) adjusted(box Box, sign int) Pool {
 	p.Boxes += sign
-	if !box.counts() {
+	if !box.isAvailable() {
 		p.Down += sign
 		return p
 	}
 	p.Slots += sign * box.Info.Slots
-	p.racks = withRack(p.racks, rackKey(box), sign*box.Info.Slots)
+	p.racks = withRackSlots(p.racks, rackKey(box), sign*box.Info.Slots)
 	return p
 }
 
-// withRack returns a copy of the racks, in order of their names.
-func withRack(racks []rack, name string, slots int) []rack {
-	at, known := slices.BinarySearchFunc(racks, name, func(r rack, name string) int {
+// withRackSlots returns a copy of the racks with a number of slots, which may be
+// negative, added to one of them. Racks without slots are left out.
+func withRackSlots(racks []rack, name string, delta int) []rack {
+	i, known := slices.BinarySearchFunc(racks, name, func(r rack, name string) int {
 		return strings.Compare(r.name, name)
 	})
 	if !known {
 		grown := make([]rack, 0, len(racks)+1)
-		grown = append(grown, racks[:at]...)
-		grown = append(grown, rack{name: name, slots: slots})
-		return append(grown, racks[at:]...)
+		grown = append(grown, racks[:i]...)
+		grown = append(grown, rack{name: name, slots: delta})
+		return append(grown, racks[i:]...)
 	}
 	changed := slices.Clone(racks)
-	changed[at].slots += slots
-	if changed[at].slots == 0 {
-		return slices.Delete(changed, at, at+1)
+	changed[i].slots += delta
+	if changed[i].slots == 0 {
+		return slices.Delete(changed, i, i+1)
 	}
 	return changed
 }
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -71,7 +71,7 @@
 
 func randomBatch(random *rand.Rand, state State) wire.Batch {
 	node := random.IntN(4)
-	last, _ := state.writers.Get(fmt.Sprintf("n%d", node))
+	last, _ := state.lastBatches.Get(fmt.Sprintf("n%d", node))
 	batch := wire.Batch{Id: "r", Node: fmt.Sprintf("n%d", node), Incarnation: max(1, last.Incarnation+random.IntN(20)/19), Number: last.Number + 1 - random.IntN(10)/9}
 	for range 1 + random.IntN(4) {
 		batch.Proposals = append(batch.Proposals, randomProposal(random, state, batch, node))
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -7,11 +7,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// release frees the boxes of a lost sender. Who may propose it is the rule of
-// docs/design/senders-and-cuts.md.
-func (s State) release(proposal wire.Proposal, where step) (State, string, error) {
+// applyRelease removes a lost sender, whose boxes can then be assigned to other
+// senders. docs/design/senders-and-cuts.md says who may propose this.
+func (s State) applyRelease(proposal wire.Proposal, from origin) (State, string, error) {
 	if proposal.Release == nil {
-		return s, "", refuse("a release needs its sender")
+		return s, "", refuse("a release proposal needs a release")
 	}
 	release := *proposal.Release
 	key := SenderKey{Node: release.Node, Incarnation: release.Entry}
@@ -22,13 +22,13 @@
 	if sender.Seq != release.Seq {
 		return s, "", refuse("%s renewed as %d after the proposer read %d", key, sender.Seq, release.Seq)
 	}
-	if err := s.mayRelease(sender, release, where); err != nil {
+	if err := s.checkRelease(sender, release, from); err != nil {
 		return s, "", err
 	}
 	freed := 0
 	for _, box := range s.Boxes() {
 		if box.Sender == key {
-			s = s.withBox(s.freed(box, where))
+			s = s.withBox(s.withoutSender(box, from))
 			freed++
 		}
 	}
@@ -38,38 +38,43 @@
 	return s, fmt.Sprintf("%d boxes of %s are free for another sender", freed, key), nil
 }
 
-// mayRelease checks that the writer is bound by every promise that the sender
-// may still rely on.
-func (s State) mayRelease(sender Sender, release wire.Release, where step) error {
-	writer, known := s.members.Get(where.batch.Node)
-	if !known || writer.KeeperIncarnation != where.batch.Incarnation {
-		return refuse("%s incarnation %d is not in the roster", where.batch.Node, where.batch.Incarnation)
+// checkRelease checks that the keeper which proposes the release is able to know
+// that the sender no longer relies on its lease. A member of the sender's zone
+// knows it once it has waited out the lease and every extension that it granted,
+// and the keeper on the sender's node once it has seen the entry end. By the
+// platform's list a member of another zone knows it as well, but it may release
+// the sender only if the sender's zone has no other members.
+func (s State) checkRelease(sender Sender, release wire.Release, from origin) error {
+	proposer, known := s.members.Get(from.batch.Node)
+	if !known || proposer.KeeperIncarnation != from.batch.Incarnation {
+		return refuse("keeper %s incarnation %d is not a member", from.batch.Node, from.batch.Incarnation)
 	}
-	// The sender asks for extensions by the roster it folded. A writer that
-	// joined after that isn't asked, so it may not rely on its own waiting.
-	qualified := writer.Zone == sender.Zone && lease.Bound(writer.JoinedOffset, sender.AppliedOffset)
+	// The sender asks the members that it found in the log to extend its lease. It
+	// doesn't ask a keeper that joined after that, so such a keeper's own waiting
+	// proves nothing.
+	bound := proposer.Zone == sender.Zone && lease.Bound(proposer.JoinedOffset, sender.AppliedOffset)
 	switch release.How {
 	case wire.ReleaseHowTime:
-		if !qualified {
+		if !bound {
 			return refuse("%s is not bound by the promises to %s: it joined at %d, the sender had folded %d",
-				writer.Node, sender.Key, writer.JoinedOffset, sender.AppliedOffset)
+				proposer.Node, sender.Key, proposer.JoinedOffset, sender.AppliedOffset)
 		}
 		return nil
 	case wire.ReleaseHowEnded:
-		if writer.Node != sender.Key.Node {
+		if proposer.Node != sender.Key.Node {
 			return refuse("only the keeper beside %s can see it end", sender.Key)
 		}
 		return nil
 	case wire.ReleaseHowList:
-		if writer.Zone != sender.Zone && s.hasPeers(sender) {
+		if proposer.Zone != sender.Zone && s.hasPeers(sender) {
 			return refuse("hall %s has members left to release %s", sender.Zone, sender.Key)
 		}
 		return nil
 	}
-	return refuse("unknown way %q to know that %s has ended", release.How, sender.Key)
+	return refuse("unknown evidence %q that %s has ended", release.How, sender.Key)
 }
 
-// hasPeers says whether the sender's hall has members on other nodes.
+// hasPeers says whether the sender's zone has members on other nodes.
 func (s State) hasPeers(sender Sender) bool {
 	for _, member := range s.MembersInZone(sender.Zone) {
 		if member.Node != sender.Key.Node {
@@ -79,9 +84,11 @@
 	return false
 }
 
-// Releasable says whether somebody on another box of the sender's hall could
-// release it by waiting. A sender that has not yet folded its hall's roster is
-// nobody's to release; given boxes, they would stand still if it were lost.
+// Releasable says whether the sender could be released if it were lost: a member
+// on another node of its zone could do so by waiting, or there are no such
+// members. Nobody in the zone can release a sender that has not yet applied the
+// records of its zone's members. It must get no boxes before: they would stay
+// without work if it were lost.
 func (s State) Releasable(sender Sender) bool {
 	if !s.hasPeers(sender) {
 		return true
@@ -94,26 +101,27 @@
 	return false
 }
 
-// freed returns a box without its lost sender. Requests that the sender left
-// behind may run on, so the box can't be emptied before they have ended.
-func (s State) freed(box Box, where step) Box {
+// withoutSender returns a box without its lost sender, and with its drain
+// cancelled. Requests of the lost sender may still be running on the box, so it
+// can't be reported empty until the longest of them must have ended.
+func (s State) withoutSender(box Box, from origin) Box {
 	if box.Phase == Draining {
-		box = box.withdrawn(where.offset, where.at)
+		box = box.drainCancelled(from.offset, from.logTimeMs)
 	} else {
-		box = box.moved(where.offset, where.at)
+		box = box.withNextEpoch(from.offset, from.logTimeMs)
 	}
 	box.Sender = SenderKey{}
-	box.HeldUntil = where.at + s.longestRun(box.Pool)
+	box.HeldUntil = from.logTimeMs + s.maxRunMs(box.Pool)
 	return box
 }
 
-// longestRun returns the longest that one attempt runs in a pool, in
-// milliseconds.
-func (s State) longestRun(pool string) int {
-	longest := 0
+// maxRunMs returns the longest time for which one attempt at a request of the
+// pool's services may run, in milliseconds.
+func (s State) maxRunMs(pool string) int {
+	most := 0
 	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
-		longest = max(longest, row.RunMs)
+		most = max(most, row.RunMs)
 	}
-	return longest
+	return most
 }
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -1,5 +1,5 @@
-// Package fold turns the records of the fleet stream into the fleet's state.
-// It is pure and deterministic: every process that folds the same records has
+// Package fold applies the records of the fleet stream to the fleet's state. It
+// is pure and deterministic: every process that applies the same records has
 // the same state and has refused the same proposals.
 package fold
 
@@ -12,68 +12,74 @@
 // FreePool is the pool of boxes that no service uses.
 const FreePool = "free"
 
-// State is the fleet after a number of records. It never changes; Fold returns
-// a new one that shares most of its parts with the old.
+// State is the state of the fleet after a number of log records. It is
+// immutable: Apply returns a new state that shares most of its data with the
+// old one.
 type State struct {
-	offset int
-	at     int
-	table  table.Table
-	slots  int
-	// boxes holds pointers to values that never change: the map copies a node of
-	// 32 entries for each record, which whole boxes would make 13 KB.
+	offset    int // Offset of the next record to apply.
+	logTimeMs int // Log time of the newest applied record.
+	table     table.Table
+	slots     int // See Slots.
+	// boxes holds pointers to values that never change. For each record the map
+	// copies a node of 32 entries, which would take 13 KB if it held the boxes
+	// themselves.
 	boxes   *immutable.SortedMap[string, *Box]
 	pools   *immutable.SortedMap[string, Pool]
-	members *immutable.SortedMap[string, Member]
-	senders *immutable.SortedMap[string, Sender]
-	writers *immutable.SortedMap[string, writer]
-	// released holds, by node, the newest entry that was released. A released
-	// sender that is cut off doesn't know it; if a late renewal made it a sender
-	// again, its hall would extend a lease on boxes that others have by now.
+	members *immutable.SortedMap[string, Member] // By node.
+	senders *immutable.SortedMap[string, Sender] // By the text of the key.
+	// lastBatches holds the newest applied batch of each keeper, by node.
+	lastBatches *immutable.SortedMap[string, lastBatch]
+	// released holds, by node, the newest entry incarnation that was released. A
+	// released sender that is cut off doesn't know of its release. If a late
+	// renewal made it a sender again, its zone would extend its lease on boxes
+	// that have other senders by now.
 	released *immutable.SortedMap[string, int]
 }
 
-// writer remembers the newest batch of a keeper, to refuse late copies.
-type writer struct {
+// lastBatch identifies the newest applied batch of a keeper, so that duplicates
+// and late batches are refused.
+type lastBatch struct {
 	Incarnation int `json:"incarnation"`
 	Number      int `json:"number"`
 }
 
-// New returns the state before the first record. The table is the empty one.
+// New returns the state before the first record, with the given empty table.
 func New(empty table.Table) State {
 	return State{
-		table:   empty,
-		boxes:   immutable.NewSortedMap[string, *Box](nil),
-		pools:   immutable.NewSortedMap[string, Pool](nil),
-		members: immutable.NewSortedMap[string, Member](nil),
-		senders: immutable.NewSortedMap[string, Sender](nil),
-		writers: immutable.NewSortedMap[string, writer](nil),
+		table:       empty,
+		boxes:       immutable.NewSortedMap[string, *Box](nil),
+		pools:       immutable.NewSortedMap[string, Pool](nil),
+		members:     immutable.NewSortedMap[string, Member](nil),
+		senders:     immutable.NewSortedMap[string, Sender](nil),
+		lastBatches: immutable.NewSortedMap[string, lastBatch](nil),
 
 		released: immutable.NewSortedMap[string, int](nil),
 	}
 }
 
-// Offset returns the offset of the next record to fold.
+// Offset returns the offset of the next record to apply.
 func (s State) Offset() int {
 	return s.offset
 }
 
-// LogTimeMs returns the log's time of the newest folded record, in milliseconds since
-// 1970.
+// LogTimeMs returns the log time of the newest applied record, in milliseconds
+// since 1970. It never decreases.
 func (s State) LogTimeMs() int {
-	return s.at
+	return s.logTimeMs
 }
 
-// Table returns the table in force.
+// Table returns the shared table after the newest accepted edit.
 func (s State) Table() table.Table {
 	return s.table
 }
 
-// Slots returns the slots of all enrolled boxes that are not gone.
+// Slots returns the number of slots of all enrolled boxes, without those whose
+// health is gone.
 func (s State) Slots() int {
 	return s.slots
 }
 
-// Box returns a box by its name.
+// Box returns the box with a name and whether it is enrolled.
 func (s State) Box(name string) (Box, bool) {
 	box, known := s.boxes.Get(name)
 	if !known {
@@ -82,93 +88,97 @@
 	return *box, true
 }
 
-// Boxes returns all boxes in order of their names.
+// Boxes returns all enrolled boxes, sorted by name.
 func (s State) Boxes() []Box {
 	found := make([]Box, 0, s.boxes.Len())
-	for entries := s.boxes.Iterator(); !entries.Done(); {
-		_, box, _ := entries.Next()
+	for it := s.boxes.Iterator(); !it.Done(); {
+		_, box, _ := it.Next()
 		found = append(found, *box)
 	}
 	return found
 }
 
-// Pool returns the summary of a pool.
+// Pool returns the summary of a pool; it is zero if the pool has no boxes.
 func (s State) Pool(name string) Pool {
 	pool, _ := s.pools.Get(name)
 	return pool
 }
 
-// Member returns an entry box's place in the roster.
+// Member returns the keeper of a node and whether it is a member.
 func (s State) Member(node string) (Member, bool) {
 	return s.members.Get(node)
 }
 
-// Members returns the roster of all halls in order of the nodes' names.
+// Members returns the members of all zones, sorted by node.
 func (s State) Members() []Member {
 	found := make([]Member, 0, s.members.Len())
-	for entries := s.members.Iterator(); !entries.Done(); {
-		_, member, _ := entries.Next()
+	for it := s.members.Iterator(); !it.Done(); {
+		_, member, _ := it.Next()
 		found = append(found, member)
 	}
 	return found
 }
 
-// MembersInZone returns the members of one hall.
-func (s State) MembersInZone(hall string) []Member {
+// MembersInZone returns the members of one zone, sorted by node.
+func (s State) MembersInZone(zone string) []Member {
 	var found []Member
 	for _, member := range s.Members() {
-		if member.Zone == hall {
+		if member.Zone == zone {
 			found = append(found, member)
 		}
 	}
 	return found
 }
 
-// Sender returns a sender by its key.
+// Sender returns the sender with a key and whether there is one.
 func (s State) Sender(key SenderKey) (Sender, bool) {
 	return s.senders.Get(key.String())
 }
 
-// Senders returns all senders in order of their keys.
+// Senders returns all senders, sorted by the text of their keys.
 func (s State) Senders() []Sender {
 	found := make([]Sender, 0, s.senders.Len())
-	for entries := s.senders.Iterator(); !entries.Done(); {
-		_, sender, _ := entries.Next()
+	for it := s.senders.Iterator(); !it.Done(); {
+		_, sender, _ := it.Next()
 		found = append(found, sender)
 	}
 	return found
 }
 
-// withBox returns the state with a changed box and the pool summaries that
-// follow from it.
+// withBox returns the state with a new or changed box, and with the pool
+// summaries, the slots and the senders' box counts that follow from it.
 func (s State) withBox(box Box) State {
 	if old, known := s.boxes.Get(box.Info.Name); known {
-		s = s.withoutShare(*old)
+		s = s.withoutBoxCounts(*old)
 	}
 	s.boxes = s.boxes.Set(box.Info.Name, &box)
-	return s.withShare(box)
+	return s.withBoxCounts(box)
 }
 
-func (s State) withoutShare(box Box) State {
+// withoutBoxCounts subtracts a box from its pool's summary, the fleet's slots
+// and its sender's box count.
+func (s State) withoutBoxCounts(box Box) State {
 	pool, _ := s.pools.Get(box.Pool)
 	s.pools = s.pools.Set(box.Pool, pool.without(box))
 	s.slots -= box.capacity()
-	return s.withSenderBoxes(box.Sender, -1)
+	return s.withSenderBoxCount(box.Sender, -1)
 }
 
-func (s State) withShare(box Box) State {
+// withBoxCounts adds a box to its pool's summary, the fleet's slots and its
+// sender's box count.
+func (s State) withBoxCounts(box Box) State {
 	pool, _ := s.pools.Get(box.Pool)
 	s.pools = s.pools.Set(box.Pool, pool.with(box))
 	s.slots += box.capacity()
-	return s.withSenderBoxes(box.Sender, 1)
+	return s.withSenderBoxCount(box.Sender, 1)
 }
 
-func (s State) withSenderBoxes(key SenderKey, change int) State {
+func (s State) withSenderBoxCount(key SenderKey, delta int) State {
 	sender, known := s.senders.Get(key.String())
 	if !known {
 		return s
 	}
-	sender.Boxes += change
+	sender.Boxes += delta
 	s.senders = s.senders.Set(key.String(), sender)
 	return s
 }
