--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -21,24 +21,25 @@
 	return New(table.New(checker))
 }
 
-// TestScripts runs the scripts under testdata: each "record" block is one record
-// of the log, with a proposal a line, and prints what became of each.
-func TestScripts(t *testing.T) {
+// TestScriptedRecords runs the scripts in testdata. Each "record" block is one
+// record of the log with one proposal on each line; the output says for each
+// proposal whether it was accepted, and why.
+func TestScriptedRecords(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		state := emptyState(t)
-		numbers := map[string]int{}
+		lastNumbers := map[string]int{}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "record":
-				next, told := foldScript(t, state, d, numbers)
+				next, output := applyScript(t, state, d, lastNumbers)
 				state = next
-				return told
+				return output
 			case "boxes":
-				return boxTable(state)
+				return formatBoxes(state)
 			case "senders":
-				return senderTable(state)
+				return formatSenders(state)
 			case "snapshot":
-				return snapshotTwice(t, state)
+				return checkRestore(t, state)
 			}
 			t.Fatalf("unknown command %s", d.Cmd)
 			return ""
@@ -46,9 +47,11 @@
 	})
 }
 
-// foldScript folds one scripted record. Its arguments are at, node, inc and, for
-// a late copy, number.
-func foldScript(t *testing.T, state State, d *datadriven.TestData, numbers map[string]int) (State, string) {
+// applyScript applies one scripted record and returns the state after it and the
+// text of its results. The arguments of a record are at (log time), node and inc
+// (the writer and its incarnation) and number (of the batch, for duplicates and
+// late batches).
+func applyScript(t *testing.T, state State, d *datadriven.TestData, lastNumbers map[string]int) (State, string) {
 	batch := wire.Batch{Id: d.Pos, Node: "a", Incarnation: 1}
 	at := state.LogTimeMs() + 1000
 	for _, arg := range d.CmdArgs {
@@ -56,44 +59,44 @@
 		case "node":
 			batch.Node = arg.Vals[0]
 		case "inc":
-			batch.Incarnation = number(t, arg.Vals[0])
+			batch.Incarnation = parseInt(t, arg.Vals[0])
 		case "at":
-			at = number(t, arg.Vals[0])
+			at = parseInt(t, arg.Vals[0])
 		case "number":
-			batch.Number = number(t, arg.Vals[0])
+			batch.Number = parseInt(t, arg.Vals[0])
 		}
 	}
 	writer := fmt.Sprint(batch.Node, batch.Incarnation)
 	if batch.Number == 0 {
-		numbers[writer]++
-		batch.Number = numbers[writer]
+		lastNumbers[writer]++
+		batch.Number = lastNumbers[writer]
 	}
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-		batch.Proposals = append(batch.Proposals, proposalOf(t, state, line))
+		batch.Proposals = append(batch.Proposals, parseProposal(t, state, line))
 	}
 	data, err := json.Marshal(batch)
 	assert.NilError(t, err)
-	next, verdicts := state.Apply(wire.Entry{Offset: state.Offset(), At: at, Data: string(data)})
-	var told strings.Builder
-	for _, verdict := range verdicts {
-		word := "refused"
-		if verdict.Accepted {
-			word = "accepted"
+	next, results := state.Apply(wire.Entry{Offset: state.Offset(), At: at, Data: string(data)})
+	var output strings.Builder
+	for _, result := range results {
+		outcome := "refused"
+		if result.Accepted {
+			outcome = "accepted"
 		}
-		fmt.Fprintf(&told, "%s: %s\n", word, verdict.Reason)
+		fmt.Fprintf(&output, "%s: %s\n", outcome, result.Reason)
 	}
-	return next, told.String()
+	return next, output.String()
 }
 
-func number(t *testing.T, text string) int {
+func parseInt(t *testing.T, text string) int {
 	value, err := strconv.Atoi(text)
 	assert.NilError(t, err)
 	return value
 }
 
-// proposalOf reads a line such as "drain b1 pool=office maintain". The epoch is
-// the box's present one unless the line names another.
-func proposalOf(t *testing.T, state State, line string) wire.Proposal {
+// parseProposal parses a line such as "drain b1 pool=office maintain". The epoch
+// is the box's present one unless the line sets another.
+func parseProposal(t *testing.T, state State, line string) wire.Proposal {
 	words := strings.Fields(line)
 	values := map[string]string{}
 	for _, word := range words[1:] {
@@ -104,12 +107,12 @@
 		if values[key] == "" {
 			return 0
 		}
-		return number(t, values[key])
+		return parseInt(t, values[key])
 	}
 	proposal := wire.Proposal{Kind: wire.Kind(words[0]), Author: values["by"]}
 	switch proposal.Kind {
 	case wire.KindEdit:
-		proposal.Edit = &wire.Edit{Base: get("base"), Cells: cellsOf(words[1:])}
+		proposal.Edit = &wire.Edit{Base: get("base"), Cells: parseCells(words[1:])}
 	case wire.KindEnroll:
 		proposal.Boxes = []wire.BoxInfo{{Name: words[1], Hall: values["hall"], Rack: values["rack"], Address: "10.0.0.1:80", Slots: get("slots")}}
 	case wire.KindRenew:
@@ -129,9 +132,9 @@
 	return proposal
 }
 
-// cellsOf reads words such as "payslips.floor=8"; "deployment." is the line
-// without a service.
-func cellsOf(words []string) []wire.Cell {
+// parseCells parses words such as "payslips.floor=8". The row "deployment" is the
+// table's row without a service.
+func parseCells(words []string) []wire.Cell {
 	var cells []wire.Cell
 	for _, word := range words {
 		place, value, _ := strings.Cut(word, "=")
@@ -147,32 +150,33 @@
 	return cells
 }
 
-func boxTable(state State) string {
-	var told strings.Builder
+func formatBoxes(state State) string {
+	var output strings.Builder
 	for _, box := range state.Boxes() {
-		fmt.Fprintf(&told, "%s pool=%s %s %s epoch=%d sender=%s target=%s held=%d\n",
+		fmt.Fprintf(&output, "%s pool=%s %s %s epoch=%d sender=%s target=%s held=%d\n",
 			box.Info.Name, box.Pool, box.Phase, box.Health, box.Epoch, box.Sender, box.Target, box.HeldUntil)
 	}
-	return told.String()
+	return output.String()
 }
 
-func senderTable(state State) string {
-	var told strings.Builder
+func formatSenders(state State) string {
+	var output strings.Builder
 	for _, sender := range state.Senders() {
-		fmt.Fprintf(&told, "%s hall=%s seq=%d boxes=%d leaving=%v\n", sender.Key, sender.Zone, sender.Seq, sender.Boxes, sender.Leaving)
+		fmt.Fprintf(&output, "%s hall=%s seq=%d boxes=%d leaving=%v\n", sender.Key, sender.Zone, sender.Seq, sender.Boxes, sender.Leaving)
 	}
-	return told.String()
+	return output.String()
 }
 
-// snapshotTwice restores a snapshot and compares.
-func snapshotTwice(t *testing.T, state State) string {
-	first, err := state.Snapshot()
+// checkRestore restores a snapshot of the state and checks that the restored
+// state has the same snapshot and the same pool summaries.
+func checkRestore(t *testing.T, state State) string {
+	snapshot, err := state.Snapshot()
 	assert.NilError(t, err)
-	restored, err := emptyState(t).Restore(first)
+	restored, err := emptyState(t).Restore(snapshot)
 	assert.NilError(t, err)
-	second, err := restored.Snapshot()
+	restoredSnapshot, err := restored.Snapshot()
 	assert.NilError(t, err)
-	assert.Equal(t, first.Hash, second.Hash)
+	assert.Equal(t, snapshot.Hash, restoredSnapshot.Hash)
 	for _, pool := range append(state.Table().Deployment().Pools, FreePool) {
 		assert.Equal(t, fmt.Sprint(state.Pool(pool)), fmt.Sprint(restored.Pool(pool)))
 	}
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -19,32 +19,32 @@
 	randomBoxes   = 24
 )
 
-// TestRandomProposalsKeepTheInvariants folds records that any mix of honest,
-// late, stale and confused writers might append.
-func TestRandomProposalsKeepTheInvariants(t *testing.T) {
+// TestRandomProposalsKeepInvariants applies random records as a mix of correct,
+// late, stale and faulty writers might append them.
+func TestRandomProposalsKeepInvariants(t *testing.T) {
 	accepted := map[wire.Kind]int{}
 	for seed := range uint64(randomSeeds) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		state := randomFleet(t)
 		for range randomRecords {
-			was := state
+			before := state
 			batch := randomBatch(random, state)
 			data, err := json.Marshal(batch)
 			assert.NilError(t, err)
 			record := wire.Entry{Offset: state.Offset(), At: state.LogTimeMs() + random.IntN(2000), Data: string(data)}
-			next, verdicts := state.Apply(record)
+			next, results := state.Apply(record)
 			state = next
-			for _, verdict := range verdicts {
-				if verdict.Accepted {
-					accepted[verdict.Proposal.Kind]++
+			for _, result := range results {
+				if result.Accepted {
+					accepted[result.Proposal.Kind]++
 				}
 			}
-			checkState(t, seed, was, state, verdicts)
+			checkState(t, seed, before, state, results)
 		}
-		snapshotTwice(t, state)
+		checkRestore(t, state)
 	}
 	for _, kind := range []wire.Kind{wire.KindDrain, wire.KindEmpty, wire.KindBack, wire.KindRelease, wire.KindHandover, wire.KindEdit, wire.KindWithdraw} {
-		assert.Assert(t, accepted[kind] > 0, "no %s was accepted, the run shows nothing of it", kind)
+		assert.Assert(t, accepted[kind] > 0, "no proposal of kind %s was accepted, so the test does not cover it", kind)
 	}
 }
 
@@ -54,7 +54,7 @@
 	for number := range randomBoxes {
 		boxes = append(boxes, wire.BoxInfo{Name: fmt.Sprintf("b%02d", number), Hall: fmt.Sprintf("h%d", number%2), Rack: fmt.Sprintf("r%d", number/4), Slots: 4 + number%3})
 	}
-	cells := cellsOf([]string{
+	cells := parseCells([]string{
 		`deployment.pools=["one","two"]`, "deployment.moves=1", "deployment.rollout=1", "deployment.buffer=1",
 		`s.pool="one"`, "s.weight=1", "s.floor=8", "s.most=60", "s.spare=2", "s.down=4", "s.queue=5", "s.deadline_ms=900", "s.run_ms=500", "s.repeatable=true",
 		`u.pool="two"`, "u.weight=1", "u.floor=6", "u.most=60", "u.spare=0", "u.down=3", "u.queue=5", "u.deadline_ms=900", "u.run_ms=500", "u.repeatable=false",
@@ -103,9 +103,9 @@
 		seq := 1 + state.Offset()
 		return wire.Proposal{Kind: kind, Members: []wire.Member{{Node: batch.Node, Hall: fmt.Sprintf("h%d", node%2), Keeper: batch.Incarnation, Entry: 1 + random.IntN(2), Seq: seq, Folded: max(0, state.Offset()-random.IntN(20))}}}
 	case wire.KindRelease:
-		known, _ := state.Sender(SenderKey{Node: sender, Incarnation: 1})
+		lost, _ := state.Sender(SenderKey{Node: sender, Incarnation: 1})
 		how := []wire.ReleaseHow{wire.ReleaseHowTime, wire.ReleaseHowEnded, wire.ReleaseHowList}[random.IntN(3)]
-		return wire.Proposal{Kind: kind, Release: &wire.Release{Node: sender, Entry: 1, Seq: known.Seq, How: how}}
+		return wire.Proposal{Kind: kind, Release: &wire.Release{Node: sender, Entry: 1, Seq: lost.Seq, How: how}}
 	case wire.KindEdit:
 		cell := wire.Cell{Row: "s", Column: "floor", Value: fmt.Sprint(random.IntN(30))}
 		return wire.Proposal{Kind: kind, Author: "rui", Edit: &wire.Edit{Base: max(0, state.Table().Version()-random.IntN(2)), Cells: []wire.Cell{cell}}}
@@ -113,56 +113,58 @@
 	return wire.Proposal{Kind: kind, Change: change}
 }
 
-// checkState recomputes from the boxes alone what the state keeps sums of.
-func checkState(t *testing.T, seed uint64, was, state State, verdicts []Result) {
+// checkState recomputes the pool summaries and the slots from the boxes and
+// compares them with those that the state maintains.
+func checkState(t *testing.T, seed uint64, before, state State, results []Result) {
 	t.Helper()
 	total, slots := 0, 0
 	for _, pool := range []string{"one", "two", FreePool} {
-		wanted := Pool{}
+		want := Pool{}
 		for _, box := range state.Boxes() {
 			if box.Pool == pool {
-				wanted = wanted.with(box)
+				want = want.with(box)
 			}
 		}
-		kept := state.Pool(pool)
-		assert.Equal(t, fmt.Sprint(kept), fmt.Sprint(wanted), "seed %d, record %d: pool %s", seed, state.Offset()-1, pool)
-		total += kept.Boxes
+		got := state.Pool(pool)
+		assert.Equal(t, fmt.Sprint(got), fmt.Sprint(want), "seed %d, record %d: pool %s", seed, state.Offset()-1, pool)
+		total += got.Boxes
 	}
 	assert.Equal(t, total, randomBoxes, "seed %d: a box is in two pools or in none", seed)
 	for _, box := range state.Boxes() {
 		slots += box.capacity()
 	}
 	assert.Equal(t, state.Slots(), slots, "seed %d", seed)
-	assert.Assert(t, state.Table().Version() >= was.Table().Version(), "seed %d: the table went back", seed)
-	checkMoves(t, seed, was, state, verdicts)
+	assert.Assert(t, state.Table().Version() >= before.Table().Version(), "seed %d: the table version decreased", seed)
+	checkMoves(t, seed, before, state, results)
 }
 
-// checkMoves checks that a box leaves its pool only by way of empty, and that a
-// record of one drain leaves its pool its budget.
-func checkMoves(t *testing.T, seed uint64, was, state State, verdicts []Result) {
+// checkMoves checks that a box leaves its pool only by an empty proposal, and that
+// the pool's budget still holds after a record that only drains one box.
+func checkMoves(t *testing.T, seed uint64, before, state State, results []Result) {
 	t.Helper()
 	for _, box := range state.Boxes() {
-		before, _ := was.Box(box.Info.Name)
-		if before.Pool == box.Pool || before.Pool == FreePool {
+		oldBox, _ := before.Box(box.Info.Name)
+		if oldBox.Pool == box.Pool || oldBox.Pool == FreePool {
 			continue
 		}
-		emptied := false
-		for _, verdict := range verdicts {
-			emptied = emptied || (verdict.Accepted && verdict.Proposal.Kind == wire.KindEmpty && verdict.Subject == box.Info.Name)
+		reportedEmpty := false
+		for _, result := range results {
+			reportedEmpty = reportedEmpty || (result.Accepted && result.Proposal.Kind == wire.KindEmpty && result.Subject == box.Info.Name)
 		}
-		assert.Assert(t, emptied && before.Phase == Draining, "seed %d: %s went from %s to %s without having been emptied", seed, box.Info.Name, before.Pool, box.Pool)
+		assert.Assert(t, reportedEmpty && oldBox.Phase == Draining, "seed %d: %s moved from %s to %s without being reported empty", seed, box.Info.Name, oldBox.Pool, box.Pool)
 	}
-	if len(verdicts) != 1 || !verdicts[0].Accepted || verdicts[0].Proposal.Kind != wire.KindDrain {
+	if len(results) != 1 || !results[0].Accepted || results[0].Proposal.Kind != wire.KindDrain {
 		return
 	}
-	drained, _ := was.Box(verdicts[0].Subject)
+	drained, _ := before.Box(results[0].Subject)
 	if drained.Usable() && drained.Pool != FreePool {
-		assert.Assert(t, state.Headroom(drained.Pool) >= 0, "seed %d, record %d: the drain broke the budget", seed, state.Offset()-1)
+		assert.Assert(t, state.Headroom(drained.Pool) >= 0, "seed %d, record %d: the drain violated the budget", seed, state.Offset()-1)
 	}
 }
 
-// FuzzFold: no record, however broken, may stop a process or take the state back.
-func FuzzFold(f *testing.F) {
+// FuzzApply checks that no record, however malformed, makes Apply panic or fail to
+// move on to the next offset.
+func FuzzApply(f *testing.F) {
 	for _, kind := range []wire.Kind{
 		wire.KindEdit, wire.KindEnroll, wire.KindRenew, wire.KindRelease, wire.KindAssign, wire.KindHandover, wire.KindDrain,
 		wire.KindWithdraw, wire.KindEmpty, wire.KindCarry, wire.KindBack, wire.KindHealth, wire.KindCheckpoint, "unknown",
--- a/pkg/fold/release_test.go
+++ b/pkg/fold/release_test.go
@@ -9,9 +9,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestASenderIsReleasableOnceItHasFoldedItsHall: a box lost soon after its start
-// must not leave boxes behind that nobody in its hall may free.
-func TestASenderIsReleasableOnceItHasFoldedItsHall(t *testing.T) {
+// TestSenderIsReleasableOnceItHasAppliedItsZonesMembers guards against a sender
+// that gets boxes too early: if it were lost soon after its start, nobody in its
+// zone could release it and free the boxes.
+func TestSenderIsReleasableOnceItHasAppliedItsZonesMembers(t *testing.T) {
 	state := emptyState(t)
 	renew := func(members ...wire.Member) {
 		data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Proposals: []wire.Proposal{{Kind: wire.KindRenew, Members: members}}})
@@ -25,7 +26,7 @@
 	}
 	own := wire.Member{Node: "a", Hall: "north", Keeper: 1, Entry: 11, Seq: 1}
 	renew(own)
-	assert.Assert(t, releasable(), "alone in its hall it waits for nobody")
+	assert.Assert(t, releasable(), "the only node of its zone has no peers that must be able to release it")
 
 	renew(wire.Member{Node: "b", Hall: "north", Keeper: 2})
 	assert.Assert(t, !releasable())
