--- a/pkg/plan/census.go
+++ b/pkg/plan/census.go
@@ -7,78 +7,82 @@
 	"damsonwinch/pkg/wire"
 )
 
-// census counts what a pool has, will have and can't count on.
-type census struct {
-	name  string
-	boxes []fold.Box
-	// slots counts boxes that serve or will again without another move, racks
-	// and halls the same by their numbers.
-	slots  int
-	racks  []int
-	halls  []int
-	worst  int // The most slots in one rack.
-	broken []fold.Box
-	absent []fold.Box // In maintenance for too long.
+// poolCount holds the boxes and slots that a pool has once all drains and
+// maintenances that are under way have ended.
+type poolCount struct {
+	name    string
+	serving []fold.Box // Boxes that serve and are not broken.
+	// slots counts the slots of all boxes that serve the pool or will do so without
+	// another move.
+	slots        int
+	rackSlots    []int      // The same by rack number.
+	zoneSlots    []int      // The same by zone number.
+	maxRackSlots int        // The largest of rackSlots.
+	broken       []fold.Box // Boxes that are to be replaced; see isBroken.
+	overdue      []fold.Box // Boxes in maintenance for longer than the timeout.
 }
 
-func (c *census) add(box fold.Box, at place) {
+// add adds a box's slots to the pool's.
+func (c *poolCount) add(box fold.Box, at location) {
 	c.slots += box.Info.Slots
-	c.racks[at.rack] += box.Info.Slots
-	c.halls[at.hall] += box.Info.Slots
-	c.worst = max(c.worst, c.racks[at.rack])
+	c.rackSlots[at.rack] += box.Info.Slots
+	c.zoneSlots[at.zone] += box.Info.Slots
+	c.maxRackSlots = max(c.maxRackSlots, c.rackSlots[at.rack])
 }
 
-func (c *census) remove(box fold.Box, at place) {
+// remove subtracts a box's slots from the pool's.
+func (c *poolCount) remove(box fold.Box, at location) {
 	c.slots -= box.Info.Slots
-	c.racks[at.rack] -= box.Info.Slots
-	c.halls[at.hall] -= box.Info.Slots
-	c.worst = slices.Max(c.racks)
+	c.rackSlots[at.rack] -= box.Info.Slots
+	c.zoneSlots[at.zone] -= box.Info.Slots
+	c.maxRackSlots = slices.Max(c.rackSlots)
 }
 
-// place is a box's rack and hall by their numbers.
-type place struct {
+// location is the number of a box's rack and that of its zone.
+type location struct {
 	rack int
-	hall int
+	zone int
 }
 
-// atlas numbers racks and halls, so that the planner compares numbers in place of
-// names.
-type atlas struct {
-	racks map[rackName]place
-	halls map[string]int
+// locator numbers racks and zones from 0, so that the planner can compare numbers
+// in place of names.
+type locator struct {
+	racks map[rackKey]location
+	zones map[string]int
 }
 
-type rackName struct {
-	hall string
+type rackKey struct {
+	zone string
 	rack string
 }
 
-func newAtlas(boxes []fold.Box) atlas {
-	a := atlas{racks: map[rackName]place{}, halls: map[string]int{}}
+func newLocator(boxes []fold.Box) locator {
+	l := locator{racks: map[rackKey]location{}, zones: map[string]int{}}
 	for _, box := range boxes {
-		name := rackName{box.Info.Hall, box.Info.Rack}
-		if _, known := a.racks[name]; known {
+		key := rackKey{box.Info.Hall, box.Info.Rack}
+		if _, known := l.racks[key]; known {
 			continue
 		}
-		if _, known := a.halls[name.hall]; !known {
-			a.halls[name.hall] = len(a.halls)
+		if _, known := l.zones[key.zone]; !known {
+			l.zones[key.zone] = len(l.zones)
 		}
-		a.racks[name] = place{rack: len(a.racks), hall: a.halls[name.hall]}
+		l.racks[key] = location{rack: len(l.racks), zone: l.zones[key.zone]}
 	}
-	return a
+	return l
 }
 
-func (a atlas) place(box fold.Box) place {
-	return a.racks[rackName{box.Info.Hall, box.Info.Rack}]
+// locate returns the location of one of the boxes that the locator was made for.
+func (l locator) locate(box fold.Box) location {
+	return l.racks[rackKey{box.Info.Hall, box.Info.Rack}]
 }
 
-// count takes the census of every pool and shelves the free boxes.
-func (p *planner) count() {
+// countBoxes counts the boxes of every pool and collects those that are free.
+func (p *planner) countBoxes() {
 	p.boxes = p.state.Boxes()
-	p.atlas = newAtlas(p.boxes)
-	p.census = map[string]*census{}
-	p.free = newShelf(len(p.atlas.racks))
-	for _, pool := range p.measures().Pools {
+	p.locator = newLocator(p.boxes)
+	p.pools = map[string]*poolCount{}
+	p.free = newFreeBoxes(len(p.locator.racks))
+	for _, pool := range p.deployment().Pools {
 		p.pool(pool)
 	}
 	for _, box := range p.boxes {
@@ -86,21 +90,23 @@
 	}
 }
 
+// countBox counts a box in the pool that it serves or, if it is being drained for
+// a move, in its target pool.
 func (p *planner) countBox(box fold.Box) {
-	at := p.atlas.place(box)
+	at := p.locator.locate(box)
 	if box.Pool == fold.FreePool {
 		if box.Phase == fold.Serving && box.Health == wire.HealthUp {
-			p.free.put(box, at)
+			p.free.add(box, at)
 		}
 		return
 	}
-	home := p.pool(box.Pool)
-	if p.broken(box) {
-		home.broken = append(home.broken, box)
+	pool := p.pool(box.Pool)
+	if p.isBroken(box) {
+		pool.broken = append(pool.broken, box)
 		return
 	}
-	if box.Phase == fold.Maintenance && p.since(box.EpochStartedAt) > p.options.MaintenanceTimeout {
-		home.absent = append(home.absent, box)
+	if box.Phase == fold.Maintenance && p.elapsedSince(box.EpochStartedAt) > p.options.MaintenanceTimeout {
+		pool.overdue = append(pool.overdue, box)
 		return
 	}
 	if box.Phase == fold.Draining && box.Target != box.Pool {
@@ -109,31 +115,33 @@
 		}
 		return
 	}
-	home.add(box, at)
+	pool.add(box, at)
 	if box.Phase == fold.Serving {
-		home.boxes = append(home.boxes, box)
+		pool.serving = append(pool.serving, box)
 	}
 }
 
-func (p *planner) pool(name string) *census {
-	if p.census[name] == nil {
-		p.census[name] = &census{name: name, racks: make([]int, len(p.atlas.racks)), halls: make([]int, len(p.atlas.halls))}
+// pool returns the count of a pool and adds it if it is new.
+func (p *planner) pool(name string) *poolCount {
+	if p.pools[name] == nil {
+		p.pools[name] = &poolCount{name: name, rackSlots: make([]int, len(p.locator.racks)), zoneSlots: make([]int, len(p.locator.zones))}
 	}
-	return p.census[name]
+	return p.pools[name]
 }
 
-// broken says whether a box has been away for so long that it is replaced.
-func (p *planner) broken(box fold.Box) bool {
+// isBroken says whether a box is to be replaced: it is leaving or gone, or has
+// been down for as long as the timeout. A box in maintenance never is.
+func (p *planner) isBroken(box fold.Box) bool {
 	if box.Phase == fold.Maintenance || box.Health == wire.HealthUp {
 		return false
 	}
-	return box.Health != wire.HealthDown || p.since(box.HealthChangedAt) >= p.options.DownTimeout
+	return box.Health != wire.HealthDown || p.elapsedSince(box.HealthChangedAt) >= p.options.DownTimeout
 }
 
-// poolNames returns the counted pools in order.
+// poolNames returns the names of the counted pools, sorted.
 func (p *planner) poolNames() []string {
-	names := make([]string, 0, len(p.census))
-	for name := range p.census {
+	names := make([]string, 0, len(p.pools))
+	for name := range p.pools {
 		names = append(names, name)
 	}
 	slices.Sort(names)
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -8,63 +8,66 @@
 	"damsonwinch/pkg/table"
 )
 
-// evictBroken sends boxes that are lost to the free pool, so that they no
-// longer count against their pool's limit of boxes down.
+// evictBroken moves broken boxes to the free pool, where they no longer count
+// against the limit of boxes that may be down in their pool.
 func (p *planner) evictBroken() {
 	for _, name := range p.poolNames() {
-		for _, box := range p.census[name].broken {
+		for _, box := range p.pools[name].broken {
 			if box.Phase != fold.Serving {
 				continue
 			}
-			cause := fmt.Sprintf("repair: %s is %s since %d", box.Info.Name, box.Health, box.HealthChangedAt)
-			if err := p.drain(box, fold.FreePool, false, cause); err != nil {
-				p.wait(fmt.Sprintf("%s of pool %s is broken and stays: %v", box.Info.Name, name, err))
+			cause := fmt.Sprintf("repair: %s has been %s since %d", box.Info.Name, box.Health, box.HealthChangedAt)
+			if err := p.proposeDrain(box, fold.FreePool, false, cause); err != nil {
+				p.deferChange(fmt.Sprintf("%s of pool %s is broken and can't be moved out: %v", box.Info.Name, name, err))
 			}
 		}
 	}
 }
 
-// wanted returns the slots that a pool should have: what its services need, the
-// worst rack on top, and a reserve so that boxes can be maintained at all.
-func (p *planner) wanted(pool *census) int {
+// wantedSlots returns the slots that a pool should have: those that its services
+// need, plus those of the rack with the most slots, which may fail, plus a reserve
+// without which no box could be maintained.
+func (p *planner) wantedSlots(pool *poolCount) int {
 	needed := p.state.Table().NeededSlots(pool.name)
 	if needed == 0 {
 		return 0
 	}
-	return needed + pool.worst + p.reserve(pool)
+	return needed + pool.maxRackSlots + p.reserveSlots(pool)
 }
 
-// reserve returns the slots that a pool keeps so that boxes can be maintained
-// beside its budget. A larger one ends a wave in fewer rounds and holds back
-// more; the table's weights decide.
-func (p *planner) reserve(pool *census) int {
-	slots := p.boxSlots(pool)
+// reserveSlots returns the slots that a pool has beyond its budget so that its
+// boxes can be maintained. See ConcurrentMaintenance for their number.
+func (p *planner) reserveSlots(pool *poolCount) int {
+	slots := p.maxBoxSlots(pool)
 	return slots * ConcurrentMaintenance(p.state.Table(), pool.name, slots)
 }
 
-// ConcurrentMaintenance returns how many boxes of a pool should be maintained at once: more
-// end a wave in fewer rounds and hold back more slots, and the table's weights
-// say which is dearer.
-func ConcurrentMaintenance(table table.Table, pool string, slots int) int {
-	measures := table.Deployment()
-	boxes := (table.NeededSlots(pool) + slots - 1) / slots
-	best, least := 1, 0
-	for at := 1; at <= max(1, table.MaxDown(pool)); at++ {
-		rounds := (boxes + at + at) / at
-		cost := measures.Rollout*rounds + measures.Buffer*at
-		if at == 1 || cost < least {
-			best, least = at, cost
+// ConcurrentMaintenance returns how many boxes of a pool should be maintained at
+// once. The more there are, the fewer rounds it takes to maintain all boxes, and
+// the more slots the pool holds in reserve. The table's weights Rollout, for a
+// round, and Buffer, for a box in reserve, decide between the two. boxSlots is the
+// number of slots of a box.
+func ConcurrentMaintenance(table table.Table, pool string, boxSlots int) int {
+	weights := table.Deployment()
+	boxes := (table.NeededSlots(pool) + boxSlots - 1) / boxSlots
+	best, lowestCost := 1, 0
+	for count := 1; count <= max(1, table.MaxDown(pool)); count++ {
+		rounds := (boxes + count + count) / count
+		cost := weights.Rollout*rounds + weights.Buffer*count
+		if count == 1 || cost < lowestCost {
+			best, lowestCost = count, cost
 		}
 	}
 	return best
 }
 
+// defaultBoxSlots is the size of a box that is assumed for a pool without boxes.
 const defaultBoxSlots = 8
 
-// boxSlots returns the size of the pool's largest box.
-func (p *planner) boxSlots(pool *census) int {
+// maxBoxSlots returns the slots of the pool's largest serving box.
+func (p *planner) maxBoxSlots(pool *poolCount) int {
 	largest := 0
-	for _, box := range pool.boxes {
+	for _, box := range pool.serving {
 		largest = max(largest, box.Info.Slots)
 	}
 	if largest == 0 {
@@ -73,87 +76,94 @@
 	return largest
 }
 
-// growPools gives each pool below its wanted slots boxes from the free pool,
-// and when that has none, from the pool with most to spare.
+// growPools moves boxes to each pool that has fewer slots than it wants: free
+// boxes and, when there are none, boxes of the pools with the largest surplus.
 func (p *planner) growPools() {
 	for _, name := range p.byShortage() {
-		pool := p.census[name]
-		level := p.level(pool)
-		for pool.slots < p.wanted(pool) {
-			if !p.growFromFree(pool, level) && !p.growFromDonor(pool) {
-				p.wait(fmt.Sprintf("pool %s has %d slots of %d wanted and no box can be spared", name, pool.slots, p.wanted(pool)))
+		pool := p.pools[name]
+		slotLimit := p.rackSlotLimit(pool)
+		for pool.slots < p.wantedSlots(pool) {
+			if !p.growFromFree(pool, slotLimit) && !p.growFromDonor(pool) {
+				p.deferChange(fmt.Sprintf("pool %s has %d slots of %d wanted and no box can be spared", name, pool.slots, p.wantedSlots(pool)))
 				break
 			}
 		}
 	}
 }
 
-// byShortage returns the pools in order of how much they lack, worst first.
+// byShortage returns the names of the pools, the one that lacks the most slots
+// first.
 func (p *planner) byShortage() []string {
 	names := p.poolNames()
 	slices.SortStableFunc(names, func(a, b string) int {
-		return p.surplus(p.census[a]) - p.surplus(p.census[b])
+		return p.surplusSlots(p.pools[a]) - p.surplusSlots(p.pools[b])
 	})
 	return names
 }
 
-func (p *planner) surplus(pool *census) int {
-	return pool.slots - p.wanted(pool)
+// surplusSlots returns the slots that a pool has beyond those it wants; it is
+// negative for a pool that lacks slots.
+func (p *planner) surplusSlots(pool *poolCount) int {
+	return pool.slots - p.wantedSlots(pool)
 }
 
-func (p *planner) growFromFree(pool *census, level int) bool {
-	box, at, found := p.free.take(pool, level)
+// growFromFree moves a free box to a pool and says whether it did. See
+// freeBoxes.take for slotLimit.
+func (p *planner) growFromFree(pool *poolCount, slotLimit int) bool {
+	box, at, found := p.free.take(pool, slotLimit)
 	if !found {
 		return false
 	}
-	cause := fmt.Sprintf("pool %s has %d slots of %d wanted", pool.name, pool.slots, p.wanted(pool))
-	if err := p.drain(box, pool.name, p.due(box), cause); err != nil {
-		p.wait(fmt.Sprintf("%s can't go to pool %s: %v", box.Info.Name, pool.name, err))
-		return p.growFromFree(pool, level)
+	cause := fmt.Sprintf("pool %s has %d slots of %d wanted", pool.name, pool.slots, p.wantedSlots(pool))
+	if err := p.proposeDrain(box, pool.name, p.isMaintenanceDue(box), cause); err != nil {
+		p.deferChange(fmt.Sprintf("%s can't move to pool %s: %v", box.Info.Name, pool.name, err))
+		return p.growFromFree(pool, slotLimit)
 	}
 	pool.add(box, at)
 	return true
 }
 
-// growFromDonor moves a box from the pool with the largest surplus. A pool
-// gives only what it can miss with its own reserve kept, so that a box doesn't
-// come back by the next plan.
-func (p *planner) growFromDonor(pool *census) bool {
+// growFromDonor moves a box to a pool from the pool with the largest surplus that
+// can spare one, and says whether it did. A donor keeps its own reserve: otherwise
+// the next plan would move the box back.
+func (p *planner) growFromDonor(pool *poolCount) bool {
 	for _, name := range p.bySurplus() {
-		donor := p.census[name]
-		if donor == pool || p.surplus(donor) < p.boxSlots(donor) {
+		donor := p.pools[name]
+		if donor == pool || p.surplusSlots(donor) < p.maxBoxSlots(donor) {
 			continue
 		}
-		if p.moveOne(donor, pool) {
+		if p.moveBox(donor, pool) {
 			return true
 		}
 	}
 	return false
 }
 
+// bySurplus returns the names of the pools, the one with the largest surplus first.
 func (p *planner) bySurplus() []string {
 	names := p.byShortage()
 	slices.Reverse(names)
 	return names
 }
 
-// moveOne moves the donor's box that spreads the receiver best and, among
-// those, the one that needs maintenance next.
-func (p *planner) moveOne(donor, receiver *census) bool {
-	candidates := slices.Clone(donor.boxes)
+// moveBox moves one box from donor to receiver and says whether it did. It
+// prefers boxes in the racks where the receiver has the fewest slots and, among
+// those, the box that was maintained the longest time ago.
+func (p *planner) moveBox(donor, receiver *poolCount) bool {
+	candidates := slices.Clone(donor.serving)
 	slices.SortStableFunc(candidates, func(a, b fold.Box) int {
-		if difference := receiver.racks[p.atlas.place(a).rack] - receiver.racks[p.atlas.place(b).rack]; difference != 0 {
+		if difference := receiver.rackSlots[p.locator.locate(a).rack] - receiver.rackSlots[p.locator.locate(b).rack]; difference != 0 {
 			return difference
 		}
 		return a.MaintainedAt - b.MaintainedAt
 	})
 	for _, box := range candidates {
-		cause := fmt.Sprintf("pool %s has %d slots of %d wanted, pool %s can miss %d",
-			receiver.name, receiver.slots, p.wanted(receiver), donor.name, p.surplus(donor))
-		if p.drain(box, receiver.name, p.due(box) && p.state.InMaintenanceWindow(donor.name, p.state.LogTimeMs()), cause) == nil {
-			at := p.atlas.place(box)
+		cause := fmt.Sprintf("pool %s has %d slots of %d wanted, pool %s can spare %d",
+			receiver.name, receiver.slots, p.wantedSlots(receiver), donor.name, p.surplusSlots(donor))
+		if p.proposeDrain(box, receiver.name, p.isMaintenanceDue(box) && p.state.InMaintenanceWindow(donor.name, p.state.LogTimeMs()), cause) == nil {
+			at := p.locator.locate(box)
 			donor.remove(box, at)
-			donor.boxes = without(donor.boxes, box)
+			donor.serving = withoutBox(donor.serving, box)
 			receiver.add(box, at)
 			return true
 		}
@@ -161,39 +171,42 @@
 	return false
 }
 
-func without(boxes []fold.Box, gone fold.Box) []fold.Box {
-	return slices.DeleteFunc(slices.Clone(boxes), func(box fold.Box) bool { return box.Info.Name == gone.Info.Name })
+// withoutBox returns a copy of the boxes without one of them.
+func withoutBox(boxes []fold.Box, removed fold.Box) []fold.Box {
+	return slices.DeleteFunc(slices.Clone(boxes), func(box fold.Box) bool { return box.Info.Name == removed.Info.Name })
 }
 
-// returnSurplus frees boxes that a pool doesn't want, where the deployment
-// holds buffer dearer than moves. Two boxes of surplus must stand, so that a
-// small edit to and fro moves nothing.
-func (p *planner) returnSurplus() {
-	if p.measures().Buffer <= p.measures().Moves {
+// freeSurplus moves the surplus boxes of each pool to the free pool, if the table's
+// weights make a box in reserve more expensive than a move. It leaves a surplus of
+// less than two boxes alone, so that a small edit that is then undone moves no box.
+func (p *planner) freeSurplus() {
+	if p.deployment().Buffer <= p.deployment().Moves {
 		return
 	}
 	const hysteresisBoxes = 2
 	for _, name := range p.poolNames() {
-		pool := p.census[name]
-		if p.surplus(pool) < hysteresisBoxes*p.boxSlots(pool) {
+		pool := p.pools[name]
+		if p.surplusSlots(pool) < hysteresisBoxes*p.maxBoxSlots(pool) {
 			continue
 		}
-		for p.surplus(pool) >= p.boxSlots(pool) && p.freeOne(pool) {
+		for p.surplusSlots(pool) >= p.maxBoxSlots(pool) && p.freeBox(pool) {
 			continue
 		}
 	}
 }
 
-func (p *planner) freeOne(pool *census) bool {
-	candidates := slices.Clone(pool.boxes)
+// freeBox moves one box of the pool to the free pool and says whether it did. It
+// prefers boxes in the racks where the pool has the most slots.
+func (p *planner) freeBox(pool *poolCount) bool {
+	candidates := slices.Clone(pool.serving)
 	slices.SortStableFunc(candidates, func(a, b fold.Box) int {
-		return pool.racks[p.atlas.place(b).rack] - pool.racks[p.atlas.place(a).rack]
+		return pool.rackSlots[p.locator.locate(b).rack] - pool.rackSlots[p.locator.locate(a).rack]
 	})
 	for _, box := range candidates {
-		cause := fmt.Sprintf("pool %s has %d slots, %d are wanted", pool.name, pool.slots, p.wanted(pool))
-		if p.drain(box, fold.FreePool, false, cause) == nil {
-			pool.remove(box, p.atlas.place(box))
-			pool.boxes = without(pool.boxes, box)
+		cause := fmt.Sprintf("pool %s has %d slots, %d are wanted", pool.name, pool.slots, p.wantedSlots(pool))
+		if p.proposeDrain(box, fold.FreePool, false, cause) == nil {
+			pool.remove(box, p.locator.locate(box))
+			pool.serving = withoutBox(pool.serving, box)
 			return true
 		}
 	}
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -1,6 +1,7 @@
-// Package plan decides which pool has which boxes, when each is maintained and
-// which entry sends to it. It is pure: state and time in, proposals with
-// reasons out. The budgets are the fold's own; a plan only asks.
+// Package plan decides which boxes each pool has, when boxes are maintained and
+// which entry sends requests to which box. It is a pure function of the fleet's
+// state: it returns proposals with their causes. Package fold defines the pools'
+// budgets and checks each drain against them; this package only tries drains out.
 package plan
 
 import (
@@ -11,70 +12,80 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times by which the planner tells slow from lost.
 const (
-	// repairAfter is how long a box may be down before it is replaced.
-	repairAfter = 30 * time.Second
-	// backAfter is how long a maintenance may take before its wave halts.
-	backAfter = 10 * time.Minute
-	// mostHalted is the number of boxes not back that halts every wave.
-	mostHalted = 3
-	day        = 24 * time.Hour
+	// defaultDownTimeout is how long a box may be down before it is replaced.
+	defaultDownTimeout = 30 * time.Second
+	// defaultMaintenanceTimeout is how long the maintenance of a box may take
+	// before the wave in its pool, which maintains all boxes that are due, halts.
+	defaultMaintenanceTimeout = 10 * time.Minute
+	// overdueBoxesToHalt is how many boxes whose maintenance takes longer than the
+	// timeout halt the waves in all pools.
+	overdueBoxesToHalt = 3
+	day                = 24 * time.Hour
 )
 
-// Plan is what should be done next, and why some of it waits.
+// Plan lists the proposals to make next, and the changes that are deferred.
 type Plan struct {
 	Proposals []wire.Proposal
-	// Deferred says what is wanted and not proposed now, one sentence each.
+	// Deferred describes, in one sentence each, changes that are wanted but can't
+	// be proposed now.
 	Deferred []string
 }
 
-// Options are the planner's choices that differ between deployments and trials.
+// Options are the planner's timeouts, which differ between deployments and trials.
+// A timeout of 0 means the default.
 type Options struct {
-	// DownTimeout and BackAfter replace the usual times when above 0.
-	DownTimeout        time.Duration
+	// DownTimeout is how long a box may be down before it is replaced; the default
+	// is 30 s.
+	DownTimeout time.Duration
+	// MaintenanceTimeout is how long a box may be in maintenance before its pool
+	// maintains no further boxes; the default is 10 min.
 	MaintenanceTimeout time.Duration
 }
 
 func (o Options) withDefaults() Options {
 	if o.DownTimeout == 0 {
-		o.DownTimeout = repairAfter
+		o.DownTimeout = defaultDownTimeout
 	}
 	if o.MaintenanceTimeout == 0 {
-		o.MaintenanceTimeout = backAfter
+		o.MaintenanceTimeout = defaultMaintenanceTimeout
 	}
 	return o
 }
 
-// planner carries one run: the state as it would be after what is planned.
+// planner holds the data of one run of New.
 type planner struct {
-	state   fold.State
-	boxes   []fold.Box // As they stood when the run began.
-	atlas   atlas
-	census  map[string]*census
-	free    *shelf
+	state   fold.State // With the drains applied that are planned so far.
+	boxes   []fold.Box // As they were at the start of the run.
+	locator locator
+	pools   map[string]*poolCount // By name, without the free pool.
+	free    *freeBoxes
 	options Options
 	plan    Plan
 }
 
-// New returns the plan for the fleet's pools and waves.
+// New returns the plan for the fleet's pools and the maintenance of its boxes. See
+// AssignSenders for the boxes' senders.
 func New(state fold.State, options Options) Plan {
 	p := &planner{state: state, options: options.withDefaults()}
-	p.count()
-	p.withdrawDrains()
+	p.countBoxes()
+	p.cancelDrains()
 	p.evictBroken()
 	p.growPools()
-	p.returnSurplus()
-	p.maintainDue()
+	p.freeSurplus()
+	p.maintainDueBoxes()
 	return p.plan
 }
 
-func (p *planner) measures() settings.Deployment {
+// deployment returns the table's settings for the whole fleet: the pools, the
+// weights of the planner's costs and the maintenance intervals.
+func (p *planner) deployment() settings.Deployment {
 	return p.state.Table().Deployment()
 }
 
-// drain proposes a drain if the budgets allow it on top of what is planned.
-func (p *planner) drain(box fold.Box, target string, maintain bool, cause string) error {
+// proposeDrain adds a drain to the plan, or returns the reason why it would be
+// refused after the drains that are already in the plan.
+func (p *planner) proposeDrain(box fold.Box, target string, maintain bool, cause string) error {
 	next, err := p.state.WithDrain(box.Info.Name, target, maintain)
 	if err != nil {
 		return err
@@ -88,25 +99,29 @@
 	return nil
 }
 
-func (p *planner) wait(sentence string) {
+// deferChange adds a sentence to the plan's deferred changes.
+func (p *planner) deferChange(sentence string) {
 	p.plan.Deferred = append(p.plan.Deferred, sentence)
 }
 
-// due says whether a box should be maintained.
-func (p *planner) due(box fold.Box) bool {
-	every := time.Duration(p.measures().MaintainDays) * day
-	if every == 0 {
-		every = defaultMaintainDays * day
+// isMaintenanceDue says whether a box should be maintained: its last maintenance
+// was before the moment that the table sets, or a maintenance interval ago.
+func (p *planner) isMaintenanceDue(box fold.Box) bool {
+	interval := time.Duration(p.deployment().MaintainDays) * day
+	if interval == 0 {
+		interval = defaultMaintenanceDays * day
 	}
-	if box.MaintainedAt < p.measures().MaintainBefore {
+	if box.MaintainedAt < p.deployment().MaintainBefore {
 		return true
 	}
-	return p.since(box.MaintainedAt) >= every
+	return p.elapsedSince(box.MaintainedAt) >= interval
 }
 
-const defaultMaintainDays = 42
+// defaultMaintenanceDays is the maintenance interval if the table sets none.
+const defaultMaintenanceDays = 42
 
-// since returns the log's time that has passed since a moment in milliseconds.
-func (p *planner) since(moment int) time.Duration {
+// elapsedSince returns the log time since a moment, which is in milliseconds since
+// 1970.
+func (p *planner) elapsedSince(moment int) time.Duration {
 	return time.Duration(p.state.LogTimeMs()-moment) * time.Millisecond
 }
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -9,12 +9,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// AssignSenders proposes a sender for each box of a hall that has none. Live are the
-// senders that renew. When the hall has none of its own, another hall's take
-// the boxes that have stood still since before adopt, in milliseconds since
-// 1970: a hall whose entries are only starting keeps its boxes.
-func AssignSenders(state fold.State, hall string, live []fold.Sender, adopt int) []wire.Proposal {
-	candidates := inHall(live, hall)
+// AssignSenders proposes a sender for each box of a zone that has none and is not
+// in the free pool. It chooses among live, the senders that renew their leases: the
+// zone's own or, if it has none, those of all zones. Senders of other zones get only
+// boxes whose epoch started at adoptBefore or earlier, in milliseconds of log time
+// since 1970. A zone whose entries are just starting keeps its boxes that way.
+func AssignSenders(state fold.State, zone string, live []fold.Sender, adoptBefore int) []wire.Proposal {
+	candidates := stayingInZone(live, zone)
 	adopting := len(candidates) == 0
 	if adopting {
 		candidates = live
@@ -22,14 +23,14 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	held := heldBy(state)
+	counts := countSenderBoxes(state)
 	var proposals []wire.Proposal
 	for _, box := range state.Boxes() {
-		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.IsNone() || (adopting && box.EpochStartedAt > adopt) {
+		if box.Info.Hall != zone || box.Pool == fold.FreePool || !box.Sender.IsNone() || (adopting && box.EpochStartedAt > adoptBefore) {
 			continue
 		}
-		chosen := leastLoaded(candidates, held, box.Pool)
-		held.add(chosen.Key, box.Pool)
+		chosen := leastLoaded(candidates, counts, box.Pool)
+		counts.add(chosen.Key, box.Pool)
 		proposals = append(proposals, wire.Proposal{
 			Kind:   wire.KindAssign,
 			Cause:  fmt.Sprintf("%s has no sender", box.Info.Name),
@@ -39,51 +40,54 @@
 	return proposals
 }
 
-func inHall(senders []fold.Sender, hall string) []fold.Sender {
+// stayingInZone returns the senders of a zone that are not leaving.
+func stayingInZone(senders []fold.Sender, zone string) []fold.Sender {
 	var found []fold.Sender
 	for _, sender := range senders {
-		if sender.Zone == hall && !sender.Leaving {
+		if sender.Zone == zone && !sender.Leaving {
 			found = append(found, sender)
 		}
 	}
 	return found
 }
 
-// holdings counts the boxes of each sender, in all and by pool.
-type holdings struct {
-	all    map[fold.SenderKey]int
-	byPool map[poolHolding]int
+// boxCounts counts the boxes of each sender, in total and by pool.
+type boxCounts struct {
+	total  map[fold.SenderKey]int
+	byPool map[senderPool]int
 }
 
-type poolHolding struct {
+type senderPool struct {
 	key  fold.SenderKey
 	pool string
 }
 
-func heldBy(state fold.State) holdings {
-	held := holdings{all: map[fold.SenderKey]int{}, byPool: map[poolHolding]int{}}
+// countSenderBoxes counts the boxes that have a sender.
+func countSenderBoxes(state fold.State) boxCounts {
+	counts := boxCounts{total: map[fold.SenderKey]int{}, byPool: map[senderPool]int{}}
 	for _, box := range state.Boxes() {
 		if !box.Sender.IsNone() {
-			held.add(box.Sender, box.Pool)
+			counts.add(box.Sender, box.Pool)
 		}
 	}
-	return held
+	return counts
 }
 
-func (h holdings) add(key fold.SenderKey, pool string) {
-	h.all[key]++
-	h.byPool[poolHolding{key, pool}]++
+func (c boxCounts) add(key fold.SenderKey, pool string) {
+	c.total[key]++
+	c.byPool[senderPool{key, pool}]++
 }
 
-// leastLoaded prefers the sender with least of the pool, so that each pool's
-// boxes are spread over senders.
-func leastLoaded(candidates []fold.Sender, held holdings, pool string) fold.Sender {
+// leastLoaded returns the candidate with the fewest boxes of a pool, so that each
+// pool's boxes are spread over the senders. Among equals it prefers the one with
+// the fewest boxes in total, then the first by node name.
+func leastLoaded(candidates []fold.Sender, counts boxCounts, pool string) fold.Sender {
 	return slices.MinFunc(candidates, func(a, b fold.Sender) int {
-		if less := held.byPool[poolHolding{a.Key, pool}] - held.byPool[poolHolding{b.Key, pool}]; less != 0 {
-			return less
+		if difference := counts.byPool[senderPool{a.Key, pool}] - counts.byPool[senderPool{b.Key, pool}]; difference != 0 {
+			return difference
 		}
-		if less := held.all[a.Key] - held.all[b.Key]; less != 0 {
-			return less
+		if difference := counts.total[a.Key] - counts.total[b.Key]; difference != 0 {
+			return difference
 		}
 		return strings.Compare(a.Key.Node, b.Key.Node)
 	})
--- a/pkg/plan/shelf.go
+++ b/pkg/plan/shelf.go
@@ -6,37 +6,37 @@
 	"damsonwinch/pkg/fold"
 )
 
-// shelf holds free boxes by their racks.
-type shelf struct {
-	racks  [][]fold.Box
-	places []place
-	count  int
+// freeBoxes holds the free boxes by the number of their rack.
+type freeBoxes struct {
+	racks     [][]fold.Box
+	locations []location // Of each rack that has or had a free box.
+	count     int        // Number of boxes in all racks.
 }
 
-func newShelf(racks int) *shelf {
-	return &shelf{racks: make([][]fold.Box, racks), places: make([]place, racks)}
+func newFreeBoxes(racks int) *freeBoxes {
+	return &freeBoxes{racks: make([][]fold.Box, racks), locations: make([]location, racks)}
 }
 
-func (s *shelf) put(box fold.Box, at place) {
-	s.racks[at.rack] = append(s.racks[at.rack], box)
-	s.places[at.rack] = at
-	s.count++
+func (f *freeBoxes) add(box fold.Box, at location) {
+	f.racks[at.rack] = append(f.racks[at.rack], box)
+	f.locations[at.rack] = at
+	f.count++
 }
 
-// take removes and returns the free box that suits a pool best, and there the one
-// that was maintained longest ago. Level is the number of slots that the pool may
-// have in one rack without wanting more boxes for it.
-func (s *shelf) take(into *census, level int) (fold.Box, place, bool) {
+// take removes and returns a free box from the rack that suits a pool best, and
+// of that rack the box that was maintained the longest time ago. See prefersRack
+// for slotLimit. It returns false if no box is free.
+func (f *freeBoxes) take(pool *poolCount, slotLimit int) (fold.Box, location, bool) {
 	best := -1
-	for rack := range s.racks {
-		if len(s.racks[rack]) > 0 && (best < 0 || s.better(into, level, rack, best)) {
+	for rack := range f.racks {
+		if len(f.racks[rack]) > 0 && (best < 0 || f.prefersRack(pool, slotLimit, rack, best)) {
 			best = rack
 		}
 	}
 	if best < 0 {
-		return fold.Box{}, place{}, false
+		return fold.Box{}, location{}, false
 	}
-	boxes := s.racks[best]
+	boxes := f.racks[best]
 	oldest := 0
 	for i := range boxes {
 		if boxes[i].MaintainedAt < boxes[oldest].MaintainedAt {
@@ -44,52 +44,54 @@
 		}
 	}
 	taken := boxes[oldest]
-	s.racks[best] = slices.Delete(boxes, oldest, oldest+1)
-	s.count--
-	return taken, s.places[best], true
+	f.racks[best] = slices.Delete(boxes, oldest, oldest+1)
+	f.count--
+	return taken, f.locations[best], true
 }
 
-// better says whether one rack suits a pool better than another. Within the level
-// racks are alike to the pool, and it takes from those with most free boxes, so
-// that the racks with few are left to pools that can't do without them. Past the
-// level it takes from where it has least.
-func (s *shelf) better(into *census, level, rack, other int) bool {
-	within, otherWithin := into.racks[rack] < level, into.racks[other] < level
-	if within != otherWithin {
-		return within
+// prefersRack says whether a box from one rack suits a pool better than a box from
+// another. Racks in which the pool has fewer slots than slotLimit come first.
+// Among these the pool takes from the rack with the most free boxes, so that racks
+// with few of them are left to pools that need just those racks. Among the others
+// it takes from the rack in which it has the fewest slots.
+func (f *freeBoxes) prefersRack(pool *poolCount, slotLimit, rack, other int) bool {
+	below, otherBelow := pool.rackSlots[rack] < slotLimit, pool.rackSlots[other] < slotLimit
+	if below != otherBelow {
+		return below
 	}
-	if !within && into.racks[rack] != into.racks[other] {
-		return into.racks[rack] < into.racks[other]
+	if !below && pool.rackSlots[rack] != pool.rackSlots[other] {
+		return pool.rackSlots[rack] < pool.rackSlots[other]
 	}
-	if len(s.racks[rack]) != len(s.racks[other]) {
-		return len(s.racks[rack]) > len(s.racks[other])
+	if len(f.racks[rack]) != len(f.racks[other]) {
+		return len(f.racks[rack]) > len(f.racks[other])
 	}
-	if into.racks[rack] != into.racks[other] {
-		return into.racks[rack] < into.racks[other]
+	if pool.rackSlots[rack] != pool.rackSlots[other] {
+		return pool.rackSlots[rack] < pool.rackSlots[other]
 	}
-	return into.halls[s.places[rack].hall] < into.halls[s.places[other].hall]
+	return pool.zoneSlots[f.locations[rack].zone] < pool.zoneSlots[f.locations[other].zone]
 }
 
-// level returns the slots that a pool may have in one rack: with all racks used
-// alike, the number of boxes that it wants can't do with fewer.
-func (p *planner) level(pool *census) int {
+// rackSlotLimit returns how many slots a pool may have in one rack. Even if the
+// pool's boxes were spread evenly over all racks, its fullest rack would need this
+// many; up to there a fuller rack doesn't make the pool want more slots.
+func (p *planner) rackSlotLimit(pool *poolCount) int {
 	racks := 0
 	for rack := range p.free.racks {
-		if len(p.free.racks[rack]) > 0 || pool.racks[rack] > 0 {
+		if len(p.free.racks[rack]) > 0 || pool.rackSlots[rack] > 0 {
 			racks++
 		}
 	}
-	size := p.boxSlots(pool)
-	wanted := p.state.Table().NeededSlots(pool.name) + p.reserve(pool)
-	return size * boxesInWorstRack((wanted+size-1)/size, racks)
+	boxSlots := p.maxBoxSlots(pool)
+	wanted := p.state.Table().NeededSlots(pool.name) + p.reserveSlots(pool)
+	return boxSlots * fullestRackBoxes((wanted+boxSlots-1)/boxSlots, racks)
 }
 
-// boxesInWorstRack returns how many boxes the fullest rack must hold when a pool
-// keeps a number of boxes after its loss.
-func boxesInWorstRack(kept, racks int) int {
-	worst := 1
-	for worst*racks < kept+worst && worst <= kept {
-		worst++
+// fullestRackBoxes returns how many boxes the fullest rack must hold, with boxes
+// spread evenly over the racks, so that a number of boxes is left if it fails.
+func fullestRackBoxes(boxesLeft, racks int) int {
+	most := 1
+	for most*racks < boxesLeft+most && most <= boxesLeft {
+		most++
 	}
-	return worst
+	return most
 }
--- a/pkg/plan/wave.go
+++ b/pkg/plan/wave.go
@@ -9,53 +9,58 @@
 	"damsonwinch/pkg/wire"
 )
 
-// maintainDue proposes maintenance for boxes that are due, oldest first, as many
-// at once as each pool's budget allows.
-func (p *planner) maintainDue() {
-	if absent := p.absent(); len(absent) >= mostHalted {
-		p.wait("every wave is halted, these boxes did not come back: " + strings.Join(absent, ", "))
+// maintainDueBoxes proposes maintenance for the boxes that are due, as many at
+// once as each pool's budget allows. If many boxes are overdue in maintenance, it
+// proposes none in any pool.
+func (p *planner) maintainDueBoxes() {
+	if overdue := p.overdueBoxes(); len(overdue) >= overdueBoxesToHalt {
+		p.deferChange("every wave is halted, these boxes did not come back: " + strings.Join(overdue, ", "))
 		return
 	}
-	p.maintainFree()
+	p.maintainFreeBoxes()
 	for _, name := range p.poolNames() {
-		p.maintainPool(p.census[name])
+		p.maintainPool(p.pools[name])
 	}
 }
 
-func (p *planner) absent() []string {
+// overdueBoxes returns the names of the boxes of all pools whose maintenance takes
+// longer than the timeout.
+func (p *planner) overdueBoxes() []string {
 	var names []string
 	for _, pool := range p.poolNames() {
-		for _, box := range p.census[pool].absent {
+		for _, box := range p.pools[pool].overdue {
 			names = append(names, box.Info.Name)
 		}
 	}
 	return names
 }
 
-// maintainPool maintains what is due in one pool. A pool whose last box did not
-// come back waits: what broke one box may break the next.
-func (p *planner) maintainPool(pool *census) {
-	due := p.dueIn(pool)
+// maintainPool proposes maintenance for the due boxes of one pool, as long as no
+// box of the pool is overdue: what broke one box may break the next.
+func (p *planner) maintainPool(pool *poolCount) {
+	due := p.dueBoxes(pool)
 	if len(due) == 0 {
 		return
 	}
-	if len(pool.absent) > 0 {
-		p.wait(fmt.Sprintf("the wave in pool %s is halted, %s did not come back", pool.name, pool.absent[0].Info.Name))
+	if len(pool.overdue) > 0 {
+		p.deferChange(fmt.Sprintf("the wave in pool %s is halted, %s did not come back", pool.name, pool.overdue[0].Info.Name))
 		return
 	}
 	for i, box := range due {
 		cause := fmt.Sprintf("maintenance: %s was last maintained at %d", box.Info.Name, box.MaintainedAt)
-		if err := p.drain(box, pool.name, true, cause); err != nil {
-			p.wait(fmt.Sprintf("%d boxes of pool %s wait for maintenance: %v", len(due)-i, pool.name, err))
+		if err := p.proposeDrain(box, pool.name, true, cause); err != nil {
+			p.deferChange(fmt.Sprintf("%d boxes of pool %s wait for maintenance: %v", len(due)-i, pool.name, err))
 			return
 		}
 	}
 }
 
-func (p *planner) dueIn(pool *census) []fold.Box {
+// dueBoxes returns the usable boxes of a pool that are due for maintenance, the
+// one whose last maintenance is oldest first.
+func (p *planner) dueBoxes(pool *poolCount) []fold.Box {
 	var due []fold.Box
-	for _, box := range pool.boxes {
-		if box.Usable() && p.due(box) {
+	for _, box := range pool.serving {
+		if box.Usable() && p.isMaintenanceDue(box) {
 			due = append(due, box)
 		}
 	}
@@ -63,28 +68,29 @@
 	return due
 }
 
-// Free boxes are the reserve for repairs: a part of them stays out of
-// maintenance.
+// Free boxes are the reserve from which broken boxes are replaced, so most of them
+// stay out of maintenance.
 const (
-	freeParts       = 4
-	leastFreeAtOnce = 1
+	freePerMaintenance   = 4 // One in this many free boxes may be in maintenance.
+	minFreeInMaintenance = 1 // This many may be in any case.
 )
 
-func (p *planner) maintainFree() {
-	under := 0
+// maintainFreeBoxes proposes maintenance for free boxes that are due.
+func (p *planner) maintainFreeBoxes() {
+	inMaintenance := 0
 	for _, box := range p.boxes {
 		if box.Pool == fold.FreePool && box.Phase == fold.Maintenance {
-			under++
+			inMaintenance++
 		}
 	}
-	most := max(leastFreeAtOnce, p.free.count/freeParts)
+	limit := max(minFreeInMaintenance, p.free.count/freePerMaintenance)
 	for _, boxes := range p.free.racks {
 		for _, box := range boxes {
-			if under >= most {
+			if inMaintenance >= limit {
 				return
 			}
-			if box.Health == wire.HealthUp && p.due(box) && p.drain(box, fold.FreePool, true, "maintenance of a free box") == nil {
-				under++
+			if box.Health == wire.HealthUp && p.isMaintenanceDue(box) && p.proposeDrain(box, fold.FreePool, true, "maintenance of a free box") == nil {
+				inMaintenance++
 			}
 		}
 	}
--- a/pkg/plan/withdraw.go
+++ b/pkg/plan/withdraw.go
@@ -7,9 +7,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// withdrawDrains takes back drains of pools that have since fallen below their
-// floors: a failure that nobody asked for counts against the same budget.
-func (p *planner) withdrawDrains() {
+// cancelDrains proposes to cancel the drains of pools that have fallen below the
+// floors of their services since the drains were accepted: boxes that fail count
+// against the same budget as boxes that are drained.
+func (p *planner) cancelDrains() {
 	for _, box := range p.boxes {
 		if box.Phase != fold.Draining || box.Health != wire.HealthUp || box.Pool == fold.FreePool {
 			continue
@@ -21,7 +22,7 @@
 		}
 		p.plan.Proposals = append(p.plan.Proposals, wire.Proposal{
 			Kind:   wire.KindWithdraw,
-			Cause:  fmt.Sprintf("pool %s has %d slots, its floors are %d", box.Pool, slots, floor),
+			Cause:  fmt.Sprintf("pool %s has %d slots, its services' floors are %d", box.Pool, slots, floor),
 			Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch},
 		})
 	}
