--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -52,7 +52,7 @@
 	// The sender asks the members that it found in the log to extend its lease. It
 	// doesn't ask a keeper that joined after that, so such a keeper's own waiting
 	// proves nothing.
-	bound := proposer.Zone == sender.Zone && lease.Bound(proposer.JoinedOffset, sender.AppliedOffset)
+	bound := proposer.Zone == sender.Zone && lease.KnownToSender(proposer.JoinedOffset, sender.AppliedOffset)
 	switch release.How {
 	case wire.ReleaseHowTime:
 		if !bound {
@@ -94,7 +94,7 @@
 		return true
 	}
 	for _, member := range s.MembersInZone(sender.Zone) {
-		if member.Node != sender.Key.Node && lease.Bound(member.JoinedOffset, sender.AppliedOffset) {
+		if member.Node != sender.Key.Node && lease.KnownToSender(member.JoinedOffset, sender.AppliedOffset) {
 			return true
 		}
 	}
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -36,7 +36,7 @@
 	f.loop = f.newLoop()
 	f.key = fold.SenderKey{Node: "a", Incarnation: 11}
 	old := f.key
-	f.leasing.holder = f.leasing.holder.WithIssued(1, clock.Now())
+	f.leasing.holder = f.leasing.holder.WithRenewalIssued(1, clock.Now())
 	renewal := wire.Member{Node: "a", Hall: "north", Keeper: 1, Entry: 11, Seq: 1}
 	f.state = foldOne(t, fold.New(table.Table{}), wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{renewal}})
 	f.readBack()
@@ -47,6 +47,6 @@
 
 	assert.Assert(t, f.key.Incarnation > old.Incarnation)
 	assert.Assert(t, !f.covered())
-	f.takeExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Keeper: 1}, asked: clock.Now().Add(time.Millisecond), granted: true})
+	f.takeExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Incarnation: 1}, asked: clock.Now().Add(time.Millisecond), granted: true})
 	assert.Assert(t, !f.covered())
 }
--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -52,14 +52,14 @@
 	owners map[string]*fakeOwner
 }
 
-func (c *fakeCells) Local(cell string) (CellOwner, bool) {
+func (c *fakeCells) LocalOwner(cell string) (CellOwner, bool) {
 	owner, here := c.owners[cell]
 	return owner, here
 }
 
-func (c *fakeCells) View() ownership.View       { return ownership.View{Layout: c.layout} }
-func (c *fakeCells) StoreAnsweredAt() time.Time { return time.Time{} }
-func (c *fakeCells) Suspect(string, int)        {}
+func (c *fakeCells) View() ownership.View                { return ownership.View{Layout: c.layout} }
+func (c *fakeCells) StoreAnsweredAt() time.Time          { return time.Time{} }
+func (c *fakeCells) ReportRefusedConnection(string, int) {}
 
 func (c *fakeCells) Admit(context.Context, wire.JobArgs) (wire.JobReply, bool) {
 	return wire.JobReply{}, true
@@ -76,7 +76,7 @@
 func routerOf(cells Cells) *Router {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	return New(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
+	return NewRouter(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
 }
 
 func jobOf(id string, lasting bool) wire.JobArgs {
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -56,7 +56,7 @@
 	inc      int
 	read     int
 	skew     int
-	witness  Witness
+	witness  Grantor
 	restarts int
 	pending  answerModel
 }
@@ -100,14 +100,14 @@
 }
 
 func newWorld(keepers int) world {
-	terms := Terms{Length: time.Duration(searchBounds.length) * time.Second, Drift: time.Duration(searchBounds.drift) * time.Second}
-	w := world{holder: New(terms), members: map[int]member{}, roster: map[int]int{}}
+	terms := Timing{Duration: time.Duration(searchBounds.length) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
+	w := world{holder: NewHolder(terms), members: map[int]member{}, roster: map[int]int{}}
 	for k := range keepers {
-		w.keepers = append(w.keepers, keeperModel{alive: true, inc: 1, witness: NewWitness(terms)})
+		w.keepers = append(w.keepers, keeperModel{alive: true, inc: 1, witness: NewGrantor(terms)})
 		w.land(record{kind: 'j', keeper: k, inc: 1})
 	}
 	w.senderSeq = 1
-	w.holder = w.holder.WithIssued(1, at(0))
+	w.holder = w.holder.WithRenewalIssued(1, at(0))
 	w.land(record{kind: 'r', seq: 1, folded: keepers})
 	for k := range w.keepers {
 		w.readKeeper(k)
@@ -154,7 +154,7 @@
 
 func (w *world) qualified(m member) bool {
 	if searchRules.boundByFolded {
-		return Bound(m.joined, w.lastFolded)
+		return KnownToSender(m.joined, w.lastFolded)
 	}
 	return m.joined < w.lastOffset
 }
@@ -166,16 +166,16 @@
 	}
 	w.folded = len(w.log)
 	w.knows = seen.released
-	w.holder = w.holder.WithReadBack(seen.lastSeq)
+	w.holder = w.holder.WithRenewalConfirmed(seen.lastSeq)
 	w.roster = map[int]int{}
 	var roster []Peer
 	for k := range w.keepers {
 		if m, known := seen.members[k]; known {
 			w.roster[k] = m.inc
-			roster = append(roster, Peer{Node: fmt.Sprint(k), Keeper: m.inc})
+			roster = append(roster, Peer{Node: fmt.Sprint(k), Incarnation: m.inc})
 		}
 	}
-	w.holder = w.holder.WithRoster(roster)
+	w.holder = w.holder.WithPeers(roster)
 }
 
 func (w *world) readKeeper(k int) {
@@ -189,7 +189,7 @@
 		keeper.witness = keeper.witness.WithoutSender("s")
 		return
 	}
-	keeper.witness = keeper.witness.WithSeen("s", seen.lastSeq, at(w.now+keeper.skew))
+	keeper.witness = keeper.witness.WithRenewalRead("s", seen.lastSeq, at(w.now+keeper.skew))
 }
 
 // key names the state; equal keys have equal futures.
@@ -207,7 +207,7 @@
 	}
 	for k, keeper := range w.keepers {
 		for inc := range 3 {
-			peer := Peer{Node: fmt.Sprint(k), Keeper: inc}
+			peer := Peer{Node: fmt.Sprint(k), Incarnation: inc}
 			b = append(b, tickOf(w.holder.grants[peer]), flag(w.holder.ended[peer]))
 		}
 		s := keeper.witness.sights["s"]
@@ -267,7 +267,7 @@
 	if w.senderSeq < searchBounds.seqs {
 		do(func(n *world) {
 			n.senderSeq++
-			n.holder = n.holder.WithIssued(n.senderSeq, at(n.now))
+			n.holder = n.holder.WithRenewalIssued(n.senderSeq, at(n.now))
 			n.flying = append(n.flying, record{kind: 'r', seq: n.senderSeq, folded: n.folded})
 		})
 	}
@@ -302,7 +302,7 @@
 				next.alive, next.read = true, 0
 				next.restarts++
 				next.inc++
-				next.witness = NewWitness(keeper.witness.terms)
+				next.witness = NewGrantor(keeper.witness.terms)
 				n.flying = append(n.flying, record{kind: 'j', keeper: k, inc: next.inc})
 			})
 		}
@@ -317,7 +317,7 @@
 	if keeper.skew < searchBounds.drift {
 		do(func(n *world) { n.keepers[k].skew++ })
 	}
-	release := record{kind: 'x', keeper: k, inc: keeper.inc, seq: keeper.witness.Seq("s")}
+	release := record{kind: 'x', keeper: k, inc: keeper.inc, seq: keeper.witness.LastRenewal("s")}
 	// A second copy of a release is refused like a stale one.
 	proposed := slices.Contains(w.flying, release) || slices.Contains(w.log, release)
 	if !proposed && keeper.witness.MayRelease("s", at(w.now+keeper.skew)) {
@@ -325,7 +325,7 @@
 			kept := &n.keepers[k]
 			n.flying = append(n.flying, release)
 			if searchRules.denyAfterRelease {
-				kept.witness = kept.witness.WithProposed("s")
+				kept.witness = kept.witness.WithReleaseProposed("s")
 			}
 		})
 	}
@@ -350,14 +350,14 @@
 func (w *world) hear(k int) {
 	answer := w.keepers[k].pending
 	w.keepers[k].pending = answerModel{}
-	peer := Peer{Node: fmt.Sprint(k), Keeper: answer.inc}
+	peer := Peer{Node: fmt.Sprint(k), Incarnation: answer.inc}
 	switch {
 	case answer.granted:
-		w.holder = w.holder.WithGrant(peer, at(answer.asked))
+		w.holder = w.holder.WithExtension(peer, at(answer.asked))
 	case answer.ended && searchRules.endedWhileBound:
-		w.holder = w.holder.WithEnded(peer, at(w.now))
+		w.holder = w.holder.WithPeerExited(peer, at(w.now))
 	case answer.ended:
-		w.holder = w.holder.WithEnded(peer, at(-searchBounds.horizon))
+		w.holder = w.holder.WithPeerExited(peer, at(-searchBounds.horizon))
 	}
 }
 
@@ -427,7 +427,7 @@
 			}
 			w = next[random.IntN(len(next))]
 			assert.Assert(t, !w.broken(), "seed %d, step %d: two senders may send: %+v", seed, step, w)
-			if w.holder.MaySend(at(w.now)) && !w.holder.ByLog(at(w.now)) {
+			if w.holder.MaySend(at(w.now)) && !w.holder.CoveredByLog(at(w.now)) {
 				sends++
 			}
 		}
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -52,7 +52,7 @@
 	for _, stop := range effects.Stops {
 		o.stop(stop)
 	}
-	for _, pace := range effects.Paces {
+	for _, pace := range effects.SpeedChanges {
 		o.pace(pace)
 	}
 	for _, look := range effects.Polls {
@@ -84,7 +84,7 @@
 
 // commit appends to the cell's stream until that is done.
 func (o *Owner) commit(commit cell.Commit) {
-	batches := commit.Batches(o.options.CallBytes)
+	batches := commit.Batches(o.options.MaxAppendBytes)
 	fences := make([]damsonwinch.Fence, len(batches))
 	for number := range batches {
 		fences[number] = o.writer.Next()
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -67,7 +67,7 @@
 	o.move.triedAt = now
 	o.deps.Logger.WithField("stuck_ms", o.cell.CommitAge(now).Milliseconds()).Warn("the store doesn't take the cell's records; another partition is sought")
 	o.deps.Metrics.Add("moves_tried", 1)
-	o.deps.TakePartition(func(number int) { o.send(partitionTaken{number: number}) })
+	o.deps.ReservePartition(func(number int) { o.send(partitionTaken{number: number}) })
 }
 
 // turnedAway tells whether the store doesn't take the append that is on its way.
@@ -94,7 +94,7 @@
 // writeTo writes the cell's records to a partition in which nothing may stand.
 func (o *Owner) writeTo(ctx context.Context, number int, records []damsonwinch.Record) error {
 	deps := stream.Deps{Store: o.deps.Store, Clock: o.deps.Clock, Metrics: o.deps.Metrics}
-	writer := stream.New(deps, o.deps.StreamAt(number), o.options.Cell, o.options.Token)
+	writer := stream.New(deps, o.deps.PartitionStream(number), o.options.Cell, o.options.Token)
 	before, err := writer.TakeOver(ctx)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	if len(before) > 0 {
 		return errNotEmpty
 	}
-	for _, batch := range (cell.Commit{Records: records}).Batches(o.options.CallBytes) {
+	for _, batch := range (cell.Commit{Records: records}).Batches(o.options.MaxAppendBytes) {
 		if err := writer.Append(ctx, batch, writer.Next()); err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 		return
 	}
 	line.Info("cell written to another partition")
-	o.deps.Move(o.options.Cell, o.options.Token, m.number)
+	o.deps.MoveClaim(o.options.Cell, o.options.Token, m.number)
 }
 
 // endMove goes on as before, with what was withheld.
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -32,17 +32,17 @@
 	Clock     damsonwinch.Clock
 	Logger    logrus.FieldLogger
 	Metrics   *metrics.Set
-	// Slept tells of suspensions of the machine.
-	Slept damsonwinch.SuspendedTime
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
 	// StoreAnsweredAt returns when the store last answered this node.
 	StoreAnsweredAt func() time.Time
-	// TakePartition takes a partition of the store that no cell has had, StreamAt returns its
+	// ReservePartition takes a partition of the store that no cell has had, StreamAt returns its
 	// stream, and Move has the cell that is owned by a token claimed anew in it.
-	TakePartition func(take func(number int))
-	StreamAt      func(number int) damsonwinch.Stream
-	Move          func(cell string, token, number int)
-	// RoomWanted is told when tasks begin to wait for room. It must not wait.
-	RoomWanted func()
+	ReservePartition func(take func(number int))
+	PartitionStream  func(number int) damsonwinch.Stream
+	MoveClaim        func(cell string, token, number int)
+	// OnTasksWaiting is told when tasks begin to wait for room. It must not wait.
+	OnTasksWaiting func()
 }
 
 // Options say what is owned.
@@ -52,9 +52,9 @@
 	Stream damsonwinch.Stream
 	// Token is the epoch of the claim by which the cell is owned.
 	Token int
-	// CallBytes is the most that the store takes in a call.
-	CallBytes int
-	Cells     cell.Options
+	// MaxAppendBytes is the most that the store takes in a call.
+	MaxAppendBytes int
+	CellOptions    cell.Options
 }
 
 // Owner owns one cell until it is closed or deposed.
@@ -95,10 +95,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	o := &Owner{
-		deps: deps, options: options, cell: cell.New(options.Cells, options.Token), inbox: make(chan message, inboxSize),
+		deps: deps, options: options, cell: cell.New(options.CellOptions, options.Token), inbox: make(chan message, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, calling: workers.New(ctx, group), ctx: ctx, cancel: cancel, calls: map[int]chan<- wire.JobReply{},
-		ready: make(chan struct{}), done: make(chan struct{}), sleptBefore: deps.Slept.Total(),
+		ready: make(chan struct{}), done: make(chan struct{}), sleptBefore: deps.SuspendedTime.Total(),
 	}
 	group.Go(o.run)
 	return o
@@ -182,18 +182,18 @@
 // wake tells the cell for how long the machine has been suspended. It must come right before
 // orders are given: what was decided before a suspension is no longer true.
 func (o *Owner) wake() bool {
-	return o.cell.Suspended(o.deps.Slept.Total() - o.sleptBefore)
+	return o.cell.Suspended(o.deps.SuspendedTime.Total() - o.sleptBefore)
 }
 
-// Waits says whether tasks of the cell wait for room.
-func (o *Owner) Waits() bool {
+// HasWaitingTasks says whether tasks of the cell wait for room.
+func (o *Owner) HasWaitingTasks() bool {
 	return o.waits.Load()
 }
 
 func (o *Owner) noteWaits() {
 	waits := o.cell.HasWaitingTasks()
 	if o.waits.Swap(waits) != waits && waits {
-		o.deps.RoomWanted()
+		o.deps.OnTasksWaiting()
 	}
 }
 
