--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -17,80 +17,86 @@
 
 const (
 	pageRecords   = 500
-	waitMs        = 1000
+	readWaitMs    = 1000 // How long the log waits for a record before it answers a read.
 	readTimeout   = 3 * time.Second
 	appendTimeout = 2 * time.Second
-	retryPause    = 100 * time.Millisecond
-	busyTick      = 10 * time.Millisecond
-	idleTick      = time.Second
-	inboxLength   = 256
-	// spacing is the time between two appends for each entry there is, so that
-	// all of them together leave most of the log's rate to others.
-	spacing     = 20 * time.Millisecond
-	mostSpacing = 2 * time.Second
+	retryInterval = 100 * time.Millisecond
+	busyInterval  = 10 * time.Millisecond
+	idleInterval  = time.Second
+	inboxCapacity = 256
+	// appendIntervalPerEntry, times the number of entries, is the time between two
+	// appends of one entry. All entries together thus leave most of the log's append
+	// rate to other processes.
+	appendIntervalPerEntry = 20 * time.Millisecond
+	maxAppendInterval      = 2 * time.Second
 )
 
-// State is what became of a wish for a key.
+// State is the result of an attempt to claim a key.
 type State int
 
-// States of a key.
+// Results of an attempt to claim a key.
 const (
-	// Won: the request may be sent until its deadline.
+	// Won means that the request may be sent to an endpoint until its deadline.
 	Won State = iota
-	// Taken: another claim was first; its outcome, if known, is in the verdict.
+	// Taken means that another claim was first. The outcome of its request, if it is
+	// known, is in the Result.
 	Taken
-	// Mismatch: the key was used for a request with another body.
+	// Mismatch means that the key was claimed for a request with another body.
 	Mismatch
-	// Unavailable: the log has not answered in time. The request did not run.
+	// Unavailable means that the log has not answered in time. The request must not
+	// be sent.
 	Unavailable
 )
 
-// Result is the answer to a claim.
+// Result is the result of Acquire.
 type Result struct {
 	State State
-	// Owner names the claim that was won.
-	Owner   string
+	// Owner identifies the claim; it is set if State is Won.
+	Owner string
+	// Outcome and Status are the outcome and the HTTP status of the request that has
+	// the key. They are set if State is Taken and they are known.
 	Outcome wire.Outcome
 	Status  int
 }
 
-// Deps is what the claims need.
+// Deps are the dependencies and the identity of a Claimer.
 type Deps struct {
 	Log         damsonwinch.Log
 	Clock       damsonwinch.Clock
 	Node        string
-	Incarnation int
+	Incarnation int // Of the entry.
 	Metrics     *metrics.Set
-	// EntryCount returns how many entries append claims now.
+	// EntryCount returns how many entries there are that append claims.
 	EntryCount func() int
 }
 
-// Claimer claims keys for one entry. One task owns its state.
+// Claimer claims keys for one entry. A single goroutine, run, owns its state; the
+// methods send messages to it.
 type Claimer struct {
-	deps   Deps
-	inbox  chan any
-	cancel context.CancelFunc
-	group  *errgroup.Group
-	ended  chan struct{}
+	deps    Deps
+	inbox   chan any
+	cancel  context.CancelFunc
+	group   *errgroup.Group
+	stopped chan struct{} // Closed when run has ended.
 
-	// What follows is the loop's own.
-	ledger    *ledger
-	attempts  int
-	waiting   map[string]*wish
-	abandoned map[string]string // Owner by key.
-	outbox    []wire.Claim
-	inFlight  bool
-	next      time.Time
+	// The fields below are used by run only.
+	keys       *keyIndex
+	attempts   int                      // Number of the last claim.
+	pending    map[string]*pendingClaim // By key.
+	abandoned  map[string]string        // Owners of claims that were given up and may still be appended, by key.
+	outbox     []wire.Claim             // Claims and outcomes to append.
+	inFlight   bool                     // An append is under way.
+	nextAppend time.Time
 }
 
-// wish is a claim on its way.
-type wish struct {
+// pendingClaim is a claim that the log has not decided yet.
+type pendingClaim struct {
 	claim wire.Claim
-	until time.Time // When the wish is given up.
+	until time.Time // When the claim is given up.
 	reply chan<- Result
 }
 
-// Messages to the loop.
+// Messages to run.
 type (
 	acquireMessage struct {
 		key, digest string
@@ -98,7 +104,7 @@
 		deadline    time.Time
 		reply       chan<- Result
 	}
-	settleMessage struct {
+	outcomeMessage struct {
 		claim wire.Claim
 	}
 	recordsMessage struct {
@@ -110,259 +116,274 @@
 	}
 )
 
-// New starts to follow the claims stream.
+// New returns a Claimer and starts to read the claims stream.
 func New(deps Deps) *Claimer {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
-	b := &Claimer{
+	c := &Claimer{
 		deps:      deps,
-		inbox:     make(chan any, inboxLength),
+		inbox:     make(chan any, inboxCapacity),
 		cancel:    cancel,
 		group:     group,
-		ended:     make(chan struct{}),
-		ledger:    newLedger(),
-		waiting:   map[string]*wish{},
+		stopped:   make(chan struct{}),
+		keys:      newKeyIndex(),
+		pending:   map[string]*pendingClaim{},
 		abandoned: map[string]string{},
 	}
-	group.Go(func() error { return b.follow(ctx) })
-	group.Go(func() error { return b.run(ctx) })
-	return b
+	group.Go(func() error { return c.readStream(ctx) })
+	group.Go(func() error { return c.run(ctx) })
+	return c
 }
 
-// Close stops the book and waits for its goroutines.
-func (b *Claimer) Close() error {
-	b.cancel()
-	return b.group.Wait()
+// Close gives up all pending claims, stops the goroutines and waits for them.
+func (c *Claimer) Close() error {
+	c.cancel()
+	return c.group.Wait()
 }
 
-// Acquire claims a key for a request with the given digest and deadline. It
-// waits until the log has decided, at most until the given time. Both times are
-// on this process's clock.
-func (b *Claimer) Acquire(key, digest string, until, deadline time.Time) Result {
+// Acquire claims a key for a request whose body has the given digest. It returns
+// once the log has decided which claim was first, but no later than until. The
+// request may be sent until deadline. Both times are on this process's clock.
+func (c *Claimer) Acquire(key, digest string, until, deadline time.Time) Result {
 	reply := make(chan Result, 1)
 	select {
-	case b.inbox <- acquireMessage{key: key, digest: digest, until: until, deadline: deadline, reply: reply}:
-	case <-b.ended:
+	case c.inbox <- acquireMessage{key: key, digest: digest, until: until, deadline: deadline, reply: reply}:
+	case <-c.stopped:
 		return Result{State: Unavailable}
 	}
-	// The loop answers every wish by its time; a caller that left before would
-	// leave a claim behind whose owner nobody is.
+	// Wait for the reply, which run sends no later than until. If this returned
+	// before, a claim that is won later would have nobody to record its outcome.
 	select {
-	case verdict := <-reply:
-		return verdict
-	case <-b.ended:
+	case result := <-reply:
+		return result
+	case <-c.stopped:
 	}
 	select {
-	case verdict := <-reply:
-		return verdict
+	case result := <-reply:
+		return result
 	default:
 		return Result{State: Unavailable}
 	}
 }
 
-// RecordOutcome records the outcome of a claim that was won.
-func (b *Claimer) RecordOutcome(key, owner string, outcome wire.Outcome, status int) {
+// RecordOutcome appends the outcome and HTTP status of a request to the log. owner
+// is the Owner of the Result with which the request's key was won.
+func (c *Claimer) RecordOutcome(key, owner string, outcome wire.Outcome, status int) {
 	claim := wire.Claim{Key: key, Owner: owner, Outcome: outcome, Status: status}
 	select {
-	case b.inbox <- settleMessage{claim: claim}:
-	case <-b.ended:
+	case c.inbox <- outcomeMessage{claim: claim}:
+	case <-c.stopped:
 	}
 }
 
-func (b *Claimer) run(ctx context.Context) error {
-	ticker := pace.New(b.deps.Clock, busyTick, idleTick)
+// run handles the messages and gives up claims that have waited for too long.
+func (c *Claimer) run(ctx context.Context) error {
+	ticker := pace.New(c.deps.Clock, busyInterval, idleInterval)
 	defer ticker.Stop()
 	for {
-		ticker.SetBusy(len(b.waiting) > 0 || len(b.outbox) > 0)
+		ticker.SetBusy(len(c.pending) > 0 || len(c.outbox) > 0)
 		select {
 		case <-ctx.Done():
-			b.giveUpAll()
-			close(b.ended)
+			c.giveUpAll()
+			close(c.stopped)
 			return nil
-		case message := <-b.inbox:
-			b.take(message)
+		case message := <-c.inbox:
+			c.handle(message)
 		case <-ticker.Chan():
-			b.giveUpLate()
+			c.giveUpExpired()
 		}
-		b.flush(ctx)
+		c.flush(ctx)
 	}
 }
 
-func (b *Claimer) take(message any) {
+func (c *Claimer) handle(message any) {
 	switch m := message.(type) {
 	case acquireMessage:
-		b.acquire(m)
-	case settleMessage:
-		b.outbox = append(b.outbox, m.claim)
+		c.acquire(m)
+	case outcomeMessage:
+		c.outbox = append(c.outbox, m.claim)
 	case recordsMessage:
 		for _, record := range m.records {
-			b.takeRecord(record)
+			c.applyRecord(record)
 		}
 	case appendedMessage:
-		b.takeAppended(m)
+		c.handleAppended(m)
 	}
 }
 
-func (b *Claimer) acquire(m acquireMessage) {
-	if held, known := b.ledger.keys[m.key]; known && held.outcome != wire.OutcomeNotRun {
-		m.reply <- taken(held, m.digest)
+// acquire starts to claim a key, or replies at once if the key has an owner.
+func (c *Claimer) acquire(m acquireMessage) {
+	if state, known := c.keys.states[m.key]; known && state.outcome != wire.OutcomeNotRun {
+		m.reply <- takenResult(state, m.digest)
 		return
 	}
-	if b.waiting[m.key] != nil {
+	if c.pending[m.key] != nil {
 		m.reply <- Result{State: Taken}
 		return
 	}
-	b.attempts++
-	owner := b.deps.Node + "/" + strconv.Itoa(b.deps.Incarnation) + "/" + strconv.Itoa(b.attempts)
+	c.attempts++
+	owner := c.deps.Node + "/" + strconv.Itoa(c.deps.Incarnation) + "/" + strconv.Itoa(c.attempts)
 	claim := wire.Claim{Key: m.key, Owner: owner, Until: int(m.deadline.UnixMilli()), Digest: m.digest}
-	b.waiting[m.key] = &wish{claim: claim, until: m.until, reply: m.reply}
-	b.outbox = append(b.outbox, claim)
-	b.deps.Metrics.Add("claims", 1)
+	c.pending[m.key] = &pendingClaim{claim: claim, until: m.until, reply: m.reply}
+	c.outbox = append(c.outbox, claim)
+	c.deps.Metrics.Add("claims", 1)
 }
 
-func taken(held holding, digest string) Result {
-	if held.digest != digest {
+// takenResult returns the result for a request whose key has an owner.
+func takenResult(state keyState, digest string) Result {
+	if state.digest != digest {
 		return Result{State: Mismatch}
 	}
-	return Result{State: Taken, Outcome: held.outcome, Status: held.status}
+	return Result{State: Taken, Outcome: state.outcome, Status: state.status}
 }
 
-func (b *Claimer) takeRecord(record wire.Entry) {
-	claims := b.ledger.fold(record)
+// applyRecord applies a record of the stream and replies to the claims that it
+// decides.
+func (c *Claimer) applyRecord(record wire.Entry) {
+	claims := c.keys.apply(record)
 	for _, claim := range claims {
 		if claim.Outcome != "" {
-			b.deps.Metrics.Add("claim_outcomes", 1)
+			c.deps.Metrics.Add("claim_outcomes", 1)
 		}
 	}
-	b.takeClaims(claims)
+	c.resolvePending(claims)
 }
 
-// takeClaims decides the wishes for keys that a folded record names.
-func (b *Claimer) takeClaims(claims []wire.Claim) {
+// resolvePending replies to the pending claims of keys that occur in an applied
+// record.
+func (c *Claimer) resolvePending(claims []wire.Claim) {
 	for _, claim := range claims {
-		held := b.ledger.keys[claim.Key]
-		if b.abandoned[claim.Key] == held.owner && held.owner != "" && held.outcome == "" {
-			// It landed after its caller was told "not run": make that so for
-			// whoever tries the key again.
-			b.outbox = append(b.outbox, wire.Claim{Key: claim.Key, Owner: held.owner, Outcome: wire.OutcomeNotRun})
-			delete(b.abandoned, claim.Key)
+		state := c.keys.states[claim.Key]
+		if c.abandoned[claim.Key] == state.owner && state.owner != "" && state.outcome == "" {
+			// The claim reached the log after its caller got the reply that the
+			// request did not run. The outcome says so to whoever tries the key again.
+			c.outbox = append(c.outbox, wire.Claim{Key: claim.Key, Owner: state.owner, Outcome: wire.OutcomeNotRun})
+			delete(c.abandoned, claim.Key)
 		}
-		wish := b.waiting[claim.Key]
-		if wish == nil || claim.Outcome != "" {
+		pending := c.pending[claim.Key]
+		if pending == nil || claim.Outcome != "" {
 			continue
 		}
-		if held.owner == wish.claim.Owner {
-			b.answer(wish, Result{State: Won, Owner: held.owner})
+		if state.owner == pending.claim.Owner {
+			c.reply(pending, Result{State: Won, Owner: state.owner})
 			continue
 		}
-		b.answer(wish, taken(held, wish.claim.Digest))
+		c.reply(pending, takenResult(state, pending.claim.Digest))
 	}
 }
 
-func (b *Claimer) answer(wish *wish, verdict Result) {
-	delete(b.waiting, wish.claim.Key)
-	wish.reply <- verdict
+// reply sends the result of a claim, which is then no longer pending.
+func (c *Claimer) reply(pending *pendingClaim, result Result) {
+	delete(c.pending, pending.claim.Key)
+	pending.reply <- result
 }
 
-// giveUpLate answers wishes whose time is over.
-func (b *Claimer) giveUpLate() {
-	now := b.deps.Clock.Now()
-	for _, wish := range b.waiting {
-		if !now.Before(wish.until) {
-			b.giveUp(wish)
+// giveUpExpired gives up the pending claims whose time is over.
+func (c *Claimer) giveUpExpired() {
+	now := c.deps.Clock.Now()
+	for _, pending := range c.pending {
+		if !now.Before(pending.until) {
+			c.giveUp(pending)
 		}
 	}
 }
 
-func (b *Claimer) giveUpAll() {
-	for _, wish := range b.waiting {
-		b.giveUp(wish)
+// giveUpAll gives up all pending claims.
+func (c *Claimer) giveUpAll() {
+	for _, pending := range c.pending {
+		c.giveUp(pending)
 	}
 }
 
-func (b *Claimer) giveUp(wish *wish) {
-	b.abandoned[wish.claim.Key] = wish.claim.Owner
-	b.dropUnsent(wish.claim)
-	b.deps.Metrics.Add("claims_unavailable", 1)
-	b.answer(wish, Result{State: Unavailable})
+// giveUp replies that the log is unavailable. The claim may still reach the log if
+// its append has been started; see resolvePending.
+func (c *Claimer) giveUp(pending *pendingClaim) {
+	c.abandoned[pending.claim.Key] = pending.claim.Owner
+	c.dropUnsent(pending.claim)
+	c.deps.Metrics.Add("claims_unavailable", 1)
+	c.reply(pending, Result{State: Unavailable})
 }
 
-// dropUnsent takes a claim that was never appended out of the outbox.
-func (b *Claimer) dropUnsent(claim wire.Claim) {
-	for i, waiting := range b.outbox {
-		if waiting.Owner == claim.Owner && waiting.Outcome == "" {
-			b.outbox = append(b.outbox[:i], b.outbox[i+1:]...)
-			delete(b.abandoned, claim.Key)
+// dropUnsent removes a claim from the outbox if it is still there: it can't reach
+// the log any more and needs no outcome.
+func (c *Claimer) dropUnsent(claim wire.Claim) {
+	for i, queued := range c.outbox {
+		if queued.Owner == claim.Owner && queued.Outcome == "" {
+			c.outbox = append(c.outbox[:i], c.outbox[i+1:]...)
+			delete(c.abandoned, claim.Key)
 			return
 		}
 	}
 }
 
-// flush appends what waits as one record: group commit.
-func (b *Claimer) flush(ctx context.Context) {
-	now := b.deps.Clock.Now()
-	if b.inFlight || len(b.outbox) == 0 || now.Before(b.next) {
+// flush starts to append the whole outbox as one record (group commit), unless an
+// append is under way or the time for the next one has not come.
+func (c *Claimer) flush(ctx context.Context) {
+	now := c.deps.Clock.Now()
+	if c.inFlight || len(c.outbox) == 0 || now.Before(c.nextAppend) {
 		return
 	}
-	claims := b.outbox
-	b.outbox = nil
-	id := fmt.Sprintf("%s/%d/%d", b.deps.Node, b.deps.Incarnation, b.attempts)
+	claims := c.outbox
+	c.outbox = nil
+	id := fmt.Sprintf("%s/%d/%d", c.deps.Node, c.deps.Incarnation, c.attempts)
 	data, err := json.Marshal(wire.ClaimBatch{Id: id, Claims: claims})
 	if err != nil {
 		return
 	}
-	b.inFlight = true
-	b.deps.Metrics.Add("claim_appends", 1)
-	b.group.Go(func() error {
-		limited, cancel := context.WithTimeout(ctx, appendTimeout)
+	c.inFlight = true
+	c.deps.Metrics.Add("claim_appends", 1)
+	c.group.Go(func() error {
+		appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 		defer cancel()
-		_, err := b.deps.Log.Append(limited, damsonwinch.StreamClaims, string(data))
+		_, err := c.deps.Log.Append(appendCtx, damsonwinch.StreamClaims, string(data))
 		select {
-		case b.inbox <- appendedMessage{claims: claims, err: err}:
+		case c.inbox <- appendedMessage{claims: claims, err: err}:
 		case <-ctx.Done():
 		}
 		return nil
 	})
 }
 
-// takeAppended says outcomes again that may not have landed. Claims are not
-// said again: their wishes end by their own time.
-func (b *Claimer) takeAppended(m appendedMessage) {
-	b.inFlight = false
-	pause := min(mostSpacing, spacing*time.Duration(max(1, b.deps.EntryCount())))
+// handleAppended sets the time of the next append. After a failed append, whose
+// record may or may not be in the log, it queues the outcomes again. It doesn't
+// queue the claims again: they are given up when their time is over.
+func (c *Claimer) handleAppended(m appendedMessage) {
+	c.inFlight = false
+	interval := min(maxAppendInterval, appendIntervalPerEntry*time.Duration(max(1, c.deps.EntryCount())))
 	if m.err != nil {
-		b.deps.Metrics.Add("claim_append_failures", 1)
-		pause = max(pause, retryPause)
+		c.deps.Metrics.Add("claim_append_failures", 1)
+		interval = max(interval, retryInterval)
 		for _, claim := range m.claims {
 			if claim.Outcome != "" {
-				b.outbox = append(b.outbox, claim)
+				c.outbox = append(c.outbox, claim)
 			}
 		}
 	}
-	b.next = b.deps.Clock.Now().Add(pause)
+	c.nextAppend = c.deps.Clock.Now().Add(interval)
 }
 
-// follow reads the claims stream from the oldest record on.
-func (b *Claimer) follow(ctx context.Context) error {
-	from := 0
+// readStream reads the claims stream from the oldest record on, again and again
+// until the context is cancelled.
+func (c *Claimer) readStream(ctx context.Context) error {
+	next := 0
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, readTimeout)
-		page, err := b.deps.Log.Read(limited, damsonwinch.StreamClaims, from, pageRecords, waitMs)
+		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		page, err := c.deps.Log.Read(readCtx, damsonwinch.StreamClaims, next, pageRecords, readWaitMs)
 		cancel()
 		if err != nil {
 			select {
-			case <-b.deps.Clock.After(retryPause):
+			case <-c.deps.Clock.After(retryInterval):
 			case <-ctx.Done():
 			}
 			continue
 		}
-		from = max(from, page.First)
+		next = max(next, page.First)
 		if len(page.Records) == 0 {
 			continue
 		}
-		from = page.Records[len(page.Records)-1].Offset + 1
+		next = page.Records[len(page.Records)-1].Offset + 1
 		select {
-		case b.inbox <- recordsMessage{records: page.Records}:
+		case c.inbox <- recordsMessage{records: page.Records}:
 		case <-ctx.Done():
 		}
 	}
--- a/pkg/claim/ledger.go
+++ b/pkg/claim/ledger.go
@@ -1,5 +1,6 @@
-// Package claim makes a request with an idempotency key run at most once: its
-// key is claimed in the platform's log, and only the first claim may run.
+// Package claim makes sure that a request with an idempotency key runs at most
+// once: an entry claims the key in the platform's log, and only the request of the
+// first claim may run.
 package claim
 
 import (
@@ -8,62 +9,66 @@
 	"damsonwinch/pkg/wire"
 )
 
-// mostKeys bounds the keys that one process remembers, about 200 bytes each.
-const mostKeys = 100_000
+// maxKeys is how many keys a process remembers, at about 200 bytes each.
+const maxKeys = 100_000
 
-// holding is what the log says of one key.
-type holding struct {
-	owner   string
-	digest  string
+// keyState is what the log says about one key.
+type keyState struct {
+	owner   string // The first claim of the key.
+	digest  string // Of the body of the request.
 	outcome wire.Outcome
-	status  int
+	status  int // HTTP status, once there is an outcome.
 }
 
-// ledger is the fold of the claims stream.
-type ledger struct {
-	keys  map[string]holding
-	order []string
+// keyIndex holds the states of the newest keys in the claims stream.
+type keyIndex struct {
+	states map[string]keyState
+	order  []string // Keys in order of their first claims.
 }
 
-func newLedger() *ledger {
-	return &ledger{keys: map[string]holding{}}
+func newKeyIndex() *keyIndex {
+	return &keyIndex{states: map[string]keyState{}}
 }
 
-// fold takes one record; every process decides alike which claim was first.
-func (l *ledger) fold(record wire.Entry) []wire.Claim {
+// apply applies one record of the stream and returns its claims. It is
+// deterministic, so that all processes agree on which claim of a key was first.
+func (x *keyIndex) apply(record wire.Entry) []wire.Claim {
 	var batch wire.ClaimBatch
 	if json.Unmarshal([]byte(record.Data), &batch) != nil {
 		return nil
 	}
 	for _, claim := range batch.Claims {
-		l.foldClaim(claim)
+		x.applyClaim(claim)
 	}
 	return batch.Claims
 }
 
-func (l *ledger) foldClaim(claim wire.Claim) {
-	held, known := l.keys[claim.Key]
+// applyClaim records the outcome of a key's owner or, if the key is new or its
+// last request did not run, its new owner.
+func (x *keyIndex) applyClaim(claim wire.Claim) {
+	state, known := x.states[claim.Key]
 	if claim.Outcome != "" {
-		if known && held.owner == claim.Owner {
-			held.outcome, held.status = claim.Outcome, claim.Status
-			l.keys[claim.Key] = held
+		if known && state.owner == claim.Owner {
+			state.outcome, state.status = claim.Outcome, claim.Status
+			x.states[claim.Key] = state
 		}
 		return
 	}
-	if known && held.outcome != wire.OutcomeNotRun {
+	if known && state.outcome != wire.OutcomeNotRun {
 		return
 	}
 	if !known {
-		l.remember(claim.Key)
+		x.remember(claim.Key)
 	}
-	l.keys[claim.Key] = holding{owner: claim.Owner, digest: claim.Digest}
+	x.states[claim.Key] = keyState{owner: claim.Owner, digest: claim.Digest}
 }
 
-func (l *ledger) remember(key string) {
-	l.order = append(l.order, key)
-	if len(l.order) <= mostKeys {
+// remember adds a key and forgets the oldest one if there are too many.
+func (x *keyIndex) remember(key string) {
+	x.order = append(x.order, key)
+	if len(x.order) <= maxKeys {
 		return
 	}
-	delete(l.keys, l.order[0])
-	l.order = l.order[1:]
+	delete(x.states, x.order[0])
+	x.order = x.order[1:]
 }
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -52,10 +52,10 @@
 	// The sender asks the members that it found in the log to extend its lease. It
 	// doesn't ask a keeper that joined after that, so such a keeper's own waiting
 	// proves nothing.
-	bound := proposer.Zone == sender.Zone && lease.KnownToSender(proposer.JoinedOffset, sender.AppliedOffset)
+	knownToSender := proposer.Zone == sender.Zone && lease.KnownToSender(proposer.JoinedOffset, sender.AppliedOffset)
 	switch release.How {
 	case wire.ReleaseHowTime:
-		if !bound {
+		if !knownToSender {
 			return refuse("%s is not bound by the promises to %s: it joined at %d, the sender had folded %d",
 				proposer.Node, sender.Key, proposer.JoinedOffset, sender.AppliedOffset)
 		}
