--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -1,6 +1,7 @@
-// Package queue orders waiting requests: urgent work first, same-day work by
-// its deadline, fair by weights between services and between teams. It is pure;
-// the time is passed in.
+// Package queue orders the waiting requests of a pool: by rank, where urgent
+// requests come first and same-day requests last, and within a rank by weighted
+// fair queuing between services and between the customers of a service. It is
+// pure; the time is passed in.
 package queue
 
 import (
@@ -18,20 +19,21 @@
 	Class      wire.Class
 	EnqueuedAt time.Time
 	Deadline   time.Time
-	// Size is the number of slots it needs on one box.
+	// Size is the number of slots that the request needs on one box.
 	Size int
 }
 
-// Weights gives the shares of services and teams. Unknown ones weigh 1.
+// Weights returns the weights of services and, within a service, of customers. The
+// weight of an unknown one is 1.
 type Weights interface {
 	Service(service string) int
-	Customer(service, team string) int
+	Customer(service, customer string) int
 }
 
-// CanStart says whether an item may start now.
+// CanStart says whether a request may start now.
 type CanStart func(item Item) bool
 
-// ranks of waiting work, first served first.
+// Ranks of waiting requests, in the order in which they are served.
 const (
 	rankUrgent = iota
 	rankNormal
@@ -41,72 +43,81 @@
 
 // Queue holds the waiting requests of one pool.
 type Queue struct {
-	weights  Weights
-	services map[string]*line
-	places   map[string]place
-	clock    float64 // Virtual time of services.
+	weights   Weights
+	services  map[string]*serviceQueue
+	positions map[string]position // By ID of the request.
+	// virtualClock is the largest virtual time that a service had when one of its
+	// requests was started.
+	virtualClock float64
 }
 
-// line holds one service's waiting requests.
-type line struct {
-	name   string
-	used   float64 // Virtual time the service has used.
-	length int
-	ranks  [rankCount]tier
-	clock  float64 // Virtual time of teams.
+// serviceQueue holds the waiting requests of one service.
+type serviceQueue struct {
+	name string
+	// virtualTime grows by size/weight with each request that is started. The
+	// service with the smallest virtual time is served next.
+	virtualTime float64
+	length      int
+	ranks       [rankCount]rankQueue
+	// virtualClock is to the service's customers what Queue.virtualClock is to the
+	// services.
+	virtualClock float64
 }
 
-// tier holds one service's requests of one rank, by team.
-type tier struct {
-	teams map[string]*team
-	order []string
+// rankQueue holds a service's waiting requests of one rank, by customer.
+type rankQueue struct {
+	customers map[string]*customerQueue
+	order     []string // Names of the customers, in order of their arrival.
 }
 
-type team struct {
-	used  float64
-	items *list.List
+// customerQueue holds a customer's waiting requests of one service and rank, in
+// the order in which they were added. Its virtual time is as that of a service.
+type customerQueue struct {
+	virtualTime float64
+	items       *list.List
 }
 
-// place is where a waiting request stands.
-type place struct {
-	line    *line
-	rank    int
-	team    string
-	element *list.Element
+// position is the place of a waiting request in the queue.
+type position struct {
+	service  *serviceQueue
+	rank     int
+	customer string
+	element  *list.Element
 }
 
 // New returns an empty queue.
 func New(weights Weights) *Queue {
-	return &Queue{weights: weights, services: map[string]*line{}, places: map[string]place{}}
+	return &Queue{weights: weights, services: map[string]*serviceQueue{}, positions: map[string]position{}}
 }
 
 // Len returns the number of waiting requests of a service.
 func (q *Queue) Len(service string) int {
-	if line := q.services[service]; line != nil {
-		return line.length
+	if waiting := q.services[service]; waiting != nil {
+		return waiting.length
 	}
 	return 0
 }
 
-// Total returns the number of all waiting requests.
+// Total returns the number of waiting requests of all services.
 func (q *Queue) Total() int {
-	return len(q.places)
+	return len(q.positions)
 }
 
-// Push adds a request at the end of its team's line.
+// Push adds a request behind the other requests of its customer, service and rank.
 func (q *Queue) Push(item Item) {
 	service := q.services[item.Service]
 	if service == nil {
-		service = &line{name: item.Service}
+		service = &serviceQueue{name: item.Service}
 		q.services[item.Service] = service
 	}
 	if service.length == 0 {
-		// A service that was idle doesn't save up its share.
-		service.used = max(service.used, q.clock)
+		// A service gets no credit for the time in which nothing waited.
+		service.virtualTime = max(service.virtualTime, q.virtualClock)
 	}
 	q.insert(service, rankOf(item.Class), item)
 }
 
+// rankOf returns the rank of a new request.
 func rankOf(class wire.Class) int {
 	switch class {
 	case wire.ClassUrgent:
@@ -117,61 +128,65 @@
 	return rankNormal
 }
 
-func (q *Queue) insert(service *line, rank int, item Item) {
-	tier := &service.ranks[rank]
-	if tier.teams == nil {
-		tier.teams = map[string]*team{}
+// insert adds a request with a rank at the end of its customer's queue.
+func (q *Queue) insert(service *serviceQueue, rank int, item Item) {
+	ranked := &service.ranks[rank]
+	if ranked.customers == nil {
+		ranked.customers = map[string]*customerQueue{}
 	}
-	waiting := tier.teams[item.Customer]
+	waiting := ranked.customers[item.Customer]
 	if waiting == nil {
-		waiting = &team{used: service.clock, items: list.New()}
-		tier.teams[item.Customer] = waiting
-		tier.order = append(tier.order, item.Customer)
+		waiting = &customerQueue{virtualTime: service.virtualClock, items: list.New()}
+		ranked.customers[item.Customer] = waiting
+		ranked.order = append(ranked.order, item.Customer)
 	}
 	element := waiting.items.PushBack(item)
 	service.length++
-	q.places[item.ID] = place{line: service, rank: rank, team: item.Customer, element: element}
+	q.positions[item.ID] = position{service: service, rank: rank, customer: item.Customer, element: element}
 }
 
-// Remove takes a waiting request out, and says whether it was there.
+// Remove removes a waiting request and says whether it was in the queue.
 func (q *Queue) Remove(id string) bool {
-	at, waits := q.places[id]
-	if !waits {
+	at, found := q.positions[id]
+	if !found {
 		return false
 	}
 	q.unlink(at)
-	delete(q.places, id)
+	delete(q.positions, id)
 	return true
 }
 
-func (q *Queue) unlink(at place) {
-	tier := &at.line.ranks[at.rank]
-	waiting := tier.teams[at.team]
+// unlink removes the request at a position from its customer's queue, and the
+// queue if it is empty then.
+func (q *Queue) unlink(at position) {
+	ranked := &at.service.ranks[at.rank]
+	waiting := ranked.customers[at.customer]
 	waiting.items.Remove(at.element)
-	at.line.length--
+	at.service.length--
 	if waiting.items.Len() > 0 {
 		return
 	}
-	delete(tier.teams, at.team)
-	for i, name := range tier.order {
-		if name == at.team {
-			tier.order = append(tier.order[:i], tier.order[i+1:]...)
+	delete(ranked.customers, at.customer)
+	for i, name := range ranked.order {
+		if name == at.customer {
+			ranked.order = append(ranked.order[:i], ranked.order[i+1:]...)
 			return
 		}
 	}
 }
 
-// Last returns the request of a service that would be served last: the newest of
-// its lowest rank's longest line.
+// Last returns the request of a service that would be served last: the newest one
+// of the customer with the most requests in the lowest rank. It never returns an
+// urgent request.
 func (q *Queue) Last(service string) (Item, bool) {
-	line := q.services[service]
-	if line == nil {
+	queued := q.services[service]
+	if queued == nil {
 		return Item{}, false
 	}
 	for rank := rankCount - 1; rank > rankUrgent; rank-- {
-		var longest *team
-		for _, name := range line.ranks[rank].order {
-			if waiting := line.ranks[rank].teams[name]; longest == nil || waiting.items.Len() > longest.items.Len() {
+		var longest *customerQueue
+		for _, name := range queued.ranks[rank].order {
+			if waiting := queued.ranks[rank].customers[name]; longest == nil || waiting.items.Len() > longest.items.Len() {
 				longest = waiting
 			}
 		}
@@ -183,116 +198,122 @@
 }
 
 // Pop removes and returns the next request that may start.
-func (q *Queue) Pop(accepts CanStart) (Item, bool) {
+func (q *Queue) Pop(canStart CanStart) (Item, bool) {
 	for rank := range rankCount {
-		if item, found := q.popRank(rank, accepts); found {
+		if item, found := q.popRank(rank, canStart); found {
 			return item, true
 		}
 	}
 	return Item{}, false
 }
 
-// popRank serves the service that has used least of its share, and within it
-// the team that has.
-func (q *Queue) popRank(rank int, accepts CanStart) (Item, bool) {
+// popRank removes and returns the next request of a rank that may start. It tries
+// the services in order of their virtual time.
+func (q *Queue) popRank(rank int, canStart CanStart) (Item, bool) {
 	tried := map[string]bool{}
 	for {
-		service := q.leastUsed(rank, tried)
+		service := q.leastServed(rank, tried)
 		if service == nil {
 			return Item{}, false
 		}
 		tried[service.name] = true
-		item, at, found := q.first(service, rank, accepts)
+		item, at, found := q.first(service, rank, canStart)
 		if !found {
 			continue
 		}
 		q.unlink(at)
-		delete(q.places, item.ID)
+		delete(q.positions, item.ID)
 		q.charge(service, item)
 		return item, true
 	}
 }
 
-func (q *Queue) leastUsed(rank int, tried map[string]bool) *line {
-	var least *line
+// leastServed returns the service with the smallest virtual time that has waiting
+// requests of a rank and hasn't been tried, or nil if there is none.
+func (q *Queue) leastServed(rank int, tried map[string]bool) *serviceQueue {
+	var least *serviceQueue
 	for _, service := range q.services {
 		if tried[service.name] || len(service.ranks[rank].order) == 0 {
 			continue
 		}
-		if least == nil || service.used < least.used || (service.used == least.used && service.name < least.name) {
+		if least == nil || service.virtualTime < least.virtualTime || (service.virtualTime == least.virtualTime && service.name < least.name) {
 			least = service
 		}
 	}
 	return least
 }
 
-// first returns the head of the least served team whose head may start.
-func (q *Queue) first(service *line, rank int, accepts CanStart) (Item, place, bool) {
-	tier := &service.ranks[rank]
+// first returns the oldest request of the customer with the smallest virtual time,
+// among the customers whose oldest request may start.
+func (q *Queue) first(service *serviceQueue, rank int, canStart CanStart) (Item, position, bool) {
+	ranked := &service.ranks[rank]
 	best, found := "", false
-	for _, name := range tier.order {
-		head := tier.teams[name].items.Front().Value.(Item)
-		if !accepts(head) {
+	for _, name := range ranked.order {
+		oldest := ranked.customers[name].items.Front().Value.(Item)
+		if !canStart(oldest) {
 			continue
 		}
-		if !found || tier.teams[name].used < tier.teams[best].used {
+		if !found || ranked.customers[name].virtualTime < ranked.customers[best].virtualTime {
 			best, found = name, true
 		}
 	}
 	if !found {
-		return Item{}, place{}, false
+		return Item{}, position{}, false
 	}
-	element := tier.teams[best].items.Front()
-	return element.Value.(Item), place{line: service, rank: rank, team: best, element: element}, true
+	element := ranked.customers[best].items.Front()
+	return element.Value.(Item), position{service: service, rank: rank, customer: best, element: element}, true
 }
 
-// charge counts a started request against its service's and team's shares.
-func (q *Queue) charge(service *line, item Item) {
+// charge advances the virtual times of a started request's service and customer.
+func (q *Queue) charge(service *serviceQueue, item Item) {
 	size := float64(max(item.Size, 1))
-	q.clock = max(q.clock, service.used)
-	service.used += size / float64(max(q.weights.Service(item.Service), 1))
+	q.virtualClock = max(q.virtualClock, service.virtualTime)
+	service.virtualTime += size / float64(max(q.weights.Service(item.Service), 1))
 	for rank := range service.ranks {
-		if waiting := service.ranks[rank].teams[item.Customer]; waiting != nil {
-			service.clock = max(service.clock, waiting.used)
-			waiting.used += size / float64(max(q.weights.Customer(item.Service, item.Customer), 1))
+		if waiting := service.ranks[rank].customers[item.Customer]; waiting != nil {
+			service.virtualClock = max(service.virtualClock, waiting.virtualTime)
+			waiting.virtualTime += size / float64(max(q.weights.Customer(item.Service, item.Customer), 1))
 		}
 	}
 }
 
-// PopExpired removes and returns the requests whose deadline has come.
+// PopExpired removes and returns the requests whose deadline has passed.
 func (q *Queue) PopExpired(now time.Time) []Item {
-	var over []Item
-	q.each(func(item Item, _ place) {
+	var expired []Item
+	q.each(func(item Item, _ position) {
 		if !now.Before(item.Deadline) {
-			over = append(over, item)
+			expired = append(expired, item)
 		}
 	})
-	for _, item := range over {
+	for _, item := range expired {
 		q.Remove(item.ID)
 	}
-	return over
+	return expired
 }
 
-// Age moves work that has waited long one rank up, so that a stream of better
-// work can't starve it: past half of its time to normal, and to urgent when
-// only lead is left. Lead is how long its service usually runs, with a margin.
+// Age raises the rank of requests that have waited for long and returns how many
+// it raised, so that a stream of requests of higher ranks can't starve them. A
+// same-day request becomes normal when half of the time to its deadline has
+// passed. Any request becomes urgent when no more time than lead is left, which is
+// how long its service usually takes, plus a margin.
 func (q *Queue) Age(now time.Time, lead func(service string) time.Duration) int {
-	var moved []Item
+	var raised []Item
 	var ranks []int
-	q.each(func(item Item, at place) {
-		if wanted := agedRank(item, now, lead(item.Service)); wanted < at.rank {
-			moved = append(moved, item)
-			ranks = append(ranks, wanted)
+	q.each(func(item Item, at position) {
+		if rank := agedRank(item, now, lead(item.Service)); rank < at.rank {
+			raised = append(raised, item)
+			ranks = append(ranks, rank)
 		}
 	})
-	for i, item := range moved {
-		service := q.places[item.ID].line
+	for i, item := range raised {
+		service := q.positions[item.ID].service
 		q.Remove(item.ID)
 		q.insert(service, ranks[i], item)
 	}
-	return len(moved)
+	return len(raised)
 }
 
+// agedRank returns the rank that a request has at a time by Age's rules.
 func agedRank(item Item, now time.Time, lead time.Duration) int {
 	rank := rankOf(item.Class)
 	left := item.Deadline.Sub(now)
@@ -305,8 +326,9 @@
 	return rank
 }
 
-func (q *Queue) each(visit func(Item, place)) {
-	for _, at := range q.places {
+// each calls visit for every waiting request, in no particular order.
+func (q *Queue) each(visit func(Item, position)) {
+	for _, at := range q.positions {
 		visit(at.element.Value.(Item), at)
 	}
 }
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -12,20 +12,22 @@
 	"damsonwinch/pkg/wire"
 )
 
-// scripted gives the weights that a script sets; all others are 1.
-type scripted map[string]int
+// scriptedWeights holds the weights that a script sets, by the name of a service
+// or customer. All others are 1.
+type scriptedWeights map[string]int
 
-func (s scripted) Service(service string) int { return max(1, s[service]) }
+func (w scriptedWeights) Service(service string) int { return max(1, w[service]) }
 
-func (s scripted) Customer(_, team string) int { return max(1, s[team]) }
+func (w scriptedWeights) Customer(_, customer string) int { return max(1, w[customer]) }
 
-// TestOrder runs scripts that push requests and show in which order they start.
-func TestOrder(t *testing.T) {
+// TestStartOrder runs scripts that push requests; the output shows the order in
+// which they start.
+func TestStartOrder(t *testing.T) {
 	datadriven.RunTest(t, "testdata/order", func(t *testing.T, d *datadriven.TestData) string {
-		weights := scripted{}
+		weights := scriptedWeights{}
 		waiting := New(weights)
 		start := time.Unix(0, 0)
-		var told strings.Builder
+		var output strings.Builder
 		blocked := ""
 		for count, line := range strings.Split(d.Input, "\n") {
 			words := strings.Fields(line)
@@ -46,11 +48,11 @@
 			case "age":
 				at, err := time.ParseDuration(words[1])
 				assert.NilError(t, err)
-				fmt.Fprintf(&told, "aged %d\n", waiting.Age(start.Add(at), func(string) time.Duration { return time.Second }))
+				fmt.Fprintf(&output, "aged %d\n", waiting.Age(start.Add(at), func(string) time.Duration { return time.Second }))
 			case "expire":
 				at, err := time.ParseDuration(words[1])
 				assert.NilError(t, err)
-				fmt.Fprintf(&told, "expired %d\n", len(waiting.PopExpired(start.Add(at))))
+				fmt.Fprintf(&output, "expired %d\n", len(waiting.PopExpired(start.Add(at))))
 			}
 		}
 		for {
@@ -59,15 +61,15 @@
 				break
 			}
 			name, _, _ := strings.Cut(item.ID, "/")
-			told.WriteString(name + "\n")
+			output.WriteString(name + "\n")
 		}
-		fmt.Fprintf(&told, "left %d\n", waiting.Total())
-		return told.String()
+		fmt.Fprintf(&output, "left %d\n", waiting.Total())
+		return output.String()
 	})
 }
 
-func TestACancelledRequestLeavesAtOnce(t *testing.T) {
-	waiting := New(scripted{})
+func TestRemovedRequestLeavesTheQueue(t *testing.T) {
+	waiting := New(scriptedWeights{})
 	const count = 1000
 	for number := range count {
 		waiting.Push(Item{ID: fmt.Sprint(number), Service: "s", Customer: fmt.Sprint(number % 7), Class: wire.ClassNormal})
@@ -80,7 +82,7 @@
 }
 
 func BenchmarkPushPop(b *testing.B) {
-	waiting := New(scripted{})
+	waiting := New(scriptedWeights{})
 	for number := range 600 {
 		waiting.Push(Item{ID: fmt.Sprint("w", number), Service: "s", Customer: fmt.Sprint(number % 200), Class: wire.ClassNormal})
 	}
