--- a/pkg/pick/pick.go
+++ b/pkg/pick/pick.go
@@ -1,5 +1,6 @@
-// Package pick chooses an endpoint for a request by free slots and by learned
-// speed, because declared sizes are far off. It is pure.
+// Package pick chooses a box for a request by free slots and by latency. It learns
+// the latencies and how many slots each box can really use, because the declared
+// sizes are far off.
 package pick
 
 import (
@@ -7,40 +8,43 @@
 	"time"
 )
 
-// Box is what is known of one endpoint box.
+// Box describes a box that requests can be sent to.
 type Box struct {
-	Name  string
+	Name string
+	// Slots is the declared number of slots.
 	Slots int
 	// InUse counts the slots taken by requests in flight.
 	InUse int
-	// Limit is the learned number of slots that the box bears, at most Slots.
+	// Limit is the learned number of slots that the box can serve at once, at most
+	// Slots.
 	Limit int
-	// RelativeLatency is the box's time for a request against the average of its service;
-	// 1 is average, more is slower.
+	// RelativeLatency is the time that the box takes for a request, divided by the
+	// average of the request's service: 1 is average, more is slower.
 	RelativeLatency float64
 }
 
-// Free returns the slots that may be used now.
+// Free returns the number of slots that may be used now.
 func (b Box) Free() int {
 	return max(0, min(b.Slots, b.Limit)-b.InUse)
 }
 
-// Choose returns the place of the box that will likely answer first: the one
-// with the least load for its pace. Among equals chance decides, so that
-// entries don't all choose alike. It returns -1 if none has the slots.
+// Choose returns the index of the box that will probably answer first, among those
+// with size free slots, or -1 if there is none. That is the box with the lowest
+// product of load and relative latency. It chooses at random among equal boxes, so
+// that not all entries choose the same one.
 func Choose(boxes []Box, size int, random *rand.Rand) int {
-	best, least, equals := -1, 0.0, 0
+	best, lowestCost, ties := -1, 0.0, 0
 	for i, box := range boxes {
 		if box.Free() < size {
 			continue
 		}
 		cost := box.RelativeLatency * float64(box.InUse+size) / float64(min(box.Slots, box.Limit))
 		switch {
-		case best < 0 || cost < least:
-			best, least, equals = i, cost, 1
-		case cost == least:
-			equals++
-			if random.IntN(equals) == 0 {
+		case best < 0 || cost < lowestCost:
+			best, lowestCost, ties = i, cost, 1
+		case cost == lowestCost:
+			ties++
+			if random.IntN(ties) == 0 {
 				best = i
 			}
 		}
@@ -48,42 +52,43 @@
 	return best
 }
 
-// Weights of a new sample in the running averages.
 const (
-	paceWeight    = 0.1
-	averageWeight = 0.05
-	leastPace     = 0.2
-	mostPace      = 10
+	latencyWeight      = 0.1  // Of a new sample in a box's relative latency.
+	averageWeight      = 0.05 // Of a new sample in a service's average latency.
+	minRelativeLatency = 0.2
+	maxRelativeLatency = 10
 )
 
-// Learner learns paces and limits from what happens.
+// Learner learns the latencies and concurrency limits of boxes from the results of
+// requests.
 type Learner struct {
-	averages map[string]float64 // Seconds by service.
-	paces    map[string]float64 // By box.
-	limits   map[string]limit
+	averages  map[string]float64 // Average latency in seconds, by service.
+	latencies map[string]float64 // Relative latency, by box.
+	limits    map[string]limit   // By box; without one, all declared slots may be used.
 }
 
-// limit is a box's learned concurrency; it falls when the box says that it is
-// busy and rises by a slot with each run of successes.
+// limit is a box's learned concurrency limit. It is lowered when the box reports
+// that it is busy, and raised by one slot after as many successes as it has slots.
 type limit struct {
-	slots  int
-	streak int
+	slots     int
+	successes int // Since the limit last changed.
 }
 
-// New returns a learner that knows nothing.
+// New returns a Learner without any samples.
 func New() *Learner {
-	return &Learner{averages: map[string]float64{}, paces: map[string]float64{}, limits: map[string]limit{}}
+	return &Learner{averages: map[string]float64{}, latencies: map[string]float64{}, limits: map[string]limit{}}
 }
 
-// RelativeLatency returns the learned pace of a box, 1 if unknown.
+// RelativeLatency returns the learned relative latency of a box, or 1 if there are
+// no samples.
 func (l *Learner) RelativeLatency(box string) float64 {
-	if pace, known := l.paces[box]; known {
-		return pace
+	if latency, known := l.latencies[box]; known {
+		return latency
 	}
 	return 1
 }
 
-// Limit returns the learned limit of a box with the declared slots.
+// Limit returns how many of a box's declared slots may be used at once.
 func (l *Learner) Limit(box string, slots int) int {
 	if learned, known := l.limits[box]; known {
 		return min(learned.slots, slots)
@@ -91,12 +96,14 @@
 	return slots
 }
 
-// AverageLatency returns how long a request of the service takes, 0 if unknown.
+// AverageLatency returns the average time that a request of the service takes, or 0
+// if there are no samples.
 func (l *Learner) AverageLatency(service string) time.Duration {
 	return time.Duration(l.averages[service] * float64(time.Second))
 }
 
-// RecordAnswer learns from a request that was answered.
+// RecordAnswer records that a box with the given declared slots answered a request
+// of a service after the time took.
 func (l *Learner) RecordAnswer(service, box string, took time.Duration, slots int) {
 	seconds := took.Seconds()
 	average, known := l.averages[service]
@@ -105,20 +112,22 @@
 	}
 	l.averages[service] = average + averageWeight*(seconds-average)
 	if average > 0 {
-		ratio := min(mostPace, max(leastPace, seconds/average))
-		l.paces[box] = l.RelativeLatency(box) + paceWeight*(ratio-l.RelativeLatency(box))
+		ratio := min(maxRelativeLatency, max(minRelativeLatency, seconds/average))
+		l.latencies[box] = l.RelativeLatency(box) + latencyWeight*(ratio-l.RelativeLatency(box))
 	}
-	l.raise(box, slots)
+	l.raiseLimit(box, slots)
 }
 
-func (l *Learner) raise(box string, slots int) {
+// raiseLimit counts a success of a box, raises its limit if that was the last one
+// needed, and drops the limit once all declared slots may be used.
+func (l *Learner) raiseLimit(box string, slots int) {
 	learned, known := l.limits[box]
 	if !known {
 		return
 	}
-	learned.streak++
-	if learned.streak >= learned.slots {
-		learned.slots, learned.streak = learned.slots+1, 0
+	learned.successes++
+	if learned.successes >= learned.slots {
+		learned.slots, learned.successes = learned.slots+1, 0
 	}
 	if learned.slots >= slots {
 		delete(l.limits, box)
@@ -127,12 +136,13 @@
 	l.limits[box] = learned
 }
 
-// RecordBusy learns that a box refused work while it had a number of slots in use.
+// RecordBusy records that a box refused a request as busy while inUse of its slots
+// were in use, the refused request's included.
 func (l *Learner) RecordBusy(box string, inUse int) {
 	l.limits[box] = limit{slots: max(1, inUse-1)}
 }
 
-// SlowStart lets a box that returns begin with one slot.
+// SlowStart sets the limit of a box that has just come back to one slot.
 func (l *Learner) SlowStart(box string) {
 	l.limits[box] = limit{slots: 1}
 }
