--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -12,18 +12,20 @@
 	"damsonwinch/pkg/wire"
 )
 
-// clearValue takes an optional cell away.
+// clearValue is the value by which an edit removes an optional cell.
 const clearValue = "null"
 
-// CellEdit returns the edit of one cell to a number.
+// CellEdit returns an edit, based on table version base, that sets one cell to a
+// number.
 func CellEdit(base int, row, column string, value int) wire.Edit {
 	return wire.Edit{Base: base, Cells: []wire.Cell{{Row: row, Column: column, Value: strconv.Itoa(value)}}}
 }
 
-// DeploymentName stands for the table's line without a service.
+// DeploymentName is the name by which texts refer to the deployment, whose row in
+// the table has an empty name.
 const DeploymentName = "deployment"
 
-// EditedRows returns the names of the rows that an edit touches, in order.
+// EditedRows returns the names of the rows that an edit changes, sorted.
 func EditedRows(edit wire.Edit) []string {
 	names := slices.Clone(edit.Remove)
 	for _, cell := range edit.Cells {
@@ -37,9 +39,9 @@
 	return slices.Compact(names)
 }
 
-// DescribeEdit returns an edit's changes in words.
+// DescribeEdit returns a text that lists the changes of an edit.
 func DescribeEdit(edit wire.Edit) string {
-	const most = 40
+	const maxListed = 40
 	var changes []string
 	for _, cell := range edit.Cells {
 		changes = append(changes, cellName(cell.Row, cell.Column)+"="+cell.Value)
@@ -47,40 +49,40 @@
 	for _, service := range edit.Remove {
 		changes = append(changes, service+" taken away")
 	}
-	if over := len(changes) - most; over > 0 {
-		changes = append(changes[:most], fmt.Sprintf("and %d more", over))
+	if omitted := len(changes) - maxListed; omitted > 0 {
+		changes = append(changes[:maxListed], fmt.Sprintf("and %d more", omitted))
 	}
 	return strings.Join(changes, ", ")
 }
 
-// Refusal is an edit refused whole, with every reason.
+// Refusal is the error for an edit that is refused as a whole.
 type Refusal struct {
 	Reasons []string
 }
 
-// Error returns the reasons on one line.
+// Error returns all reasons on one line.
 func (r *Refusal) Error() string {
 	return strings.Join(r.Reasons, "; ")
 }
 
-// Apply returns the table after an edit, or a *Refusal with every reason.
-// Slots is the fleet's capacity in slots; 0 when it isn't known yet. At is in
-// milliseconds since 1970.
-func (t Table) Apply(edit wire.Edit, author string, at, slots int) (Table, error) {
+// Apply returns the table after an edit, or the unchanged table and a *Refusal with
+// all reasons. fleetSlots is the number of slots of the fleet, or 0 if it isn't
+// known yet. at is the log time of the edit in milliseconds since 1970.
+func (t Table) Apply(edit wire.Edit, author string, at, fleetSlots int) (Table, error) {
 	if reasons := t.conflicts(edit); len(reasons) > 0 {
 		return t, &Refusal{Reasons: reasons}
 	}
-	next := Table{checker: t.checker, version: t.version + 1, lines: maps.Clone(t.lines)}
-	if next.lines == nil {
-		next.lines = map[string]line{}
+	next := Table{checker: t.checker, version: t.version + 1, stored: maps.Clone(t.stored)}
+	if next.stored == nil {
+		next.stored = map[string]storedRow{}
 	}
-	reasons := next.set(edit, Stamp{Version: next.version, Author: author, At: at})
+	reasons := next.setCells(edit, Stamp{Version: next.version, Author: author, At: at})
 	for _, service := range edit.Remove {
-		delete(next.lines, service)
+		delete(next.stored, service)
 	}
-	reasons = append(reasons, next.decode()...)
+	reasons = append(reasons, next.decodeRows()...)
 	if len(reasons) == 0 {
-		reasons = next.impossible(slots)
+		reasons = next.checkSatisfiable(fleetSlots)
 	}
 	if len(reasons) > 0 {
 		return t, &Refusal{Reasons: reasons}
@@ -88,7 +90,8 @@
 	return next, nil
 }
 
-// conflicts names the cells that somebody else has set since the edit's base.
+// conflicts returns a reason for each cell of the edit that has been set after the
+// version on which the edit is based.
 func (t Table) conflicts(edit wire.Edit) []string {
 	if edit.Base > t.version || edit.Base < 0 {
 		return []string{fmt.Sprintf("edit is based on version %d, the table has %d", edit.Base, t.version)}
@@ -97,7 +100,7 @@
 	for _, cell := range edit.Cells {
 		stamp, known := t.LastEdit(cell.Row, cell.Column)
 		if known && stamp.Version > edit.Base {
-			reasons = append(reasons, conflict(cell.Row, cell.Column, stamp))
+			reasons = append(reasons, describeConflict(cell.Row, cell.Column, stamp))
 		}
 	}
 	for _, service := range edit.Remove {
@@ -106,18 +109,20 @@
 	return reasons
 }
 
+// rowConflicts returns a reason for each cell of a row that has been set after the
+// version base.
 func (t Table) rowConflicts(service string, base int) []string {
 	var reasons []string
-	stamps := t.lines[service].Stamps
+	stamps := t.stored[service].Stamps
 	for _, column := range slices.Sorted(maps.Keys(stamps)) {
 		if stamps[column].Version > base {
-			reasons = append(reasons, conflict(service, column, stamps[column]))
+			reasons = append(reasons, describeConflict(service, column, stamps[column]))
 		}
 	}
 	return reasons
 }
 
-func conflict(row, column string, stamp Stamp) string {
+func describeConflict(row, column string, stamp Stamp) string {
 	return fmt.Sprintf("cell %s was set by %s at %d in version %d; look at it and edit again",
 		cellName(row, column), stamp.Author, stamp.At, stamp.Version)
 }
@@ -129,8 +134,9 @@
 	return row + "." + column
 }
 
-// set writes the edit's cells into the lines, which are this table's own.
-func (t *Table) set(edit wire.Edit, stamp Stamp) []string {
+// setCells sets the edit's cells and returns what is wrong with them. It changes
+// t.stored, which must not be shared with another table.
+func (t *Table) setCells(edit wire.Edit, stamp Stamp) []string {
 	var reasons []string
 	changed := map[string]map[string]json.RawMessage{}
 	for _, cell := range edit.Cells {
@@ -144,48 +150,50 @@
 		changed[cell.Row][cell.Column] = json.RawMessage(cell.Value)
 	}
 	for _, row := range slices.Sorted(maps.Keys(changed)) {
-		if err := t.setLine(row, changed[row], stamp); err != nil {
+		if err := t.setRow(row, changed[row], stamp); err != nil {
 			reasons = append(reasons, err.Error())
 		}
 	}
 	return reasons
 }
 
-func (t *Table) setLine(row string, cells map[string]json.RawMessage, stamp Stamp) error {
-	stands := t.lines[row]
-	all := map[string]json.RawMessage{}
-	if len(stands.Text) > 0 {
-		if err := json.Unmarshal(stands.Text, &all); err != nil {
+// setRow sets cells of one row. A cell whose value is null is removed.
+func (t *Table) setRow(row string, cells map[string]json.RawMessage, stamp Stamp) error {
+	current := t.stored[row]
+	merged := map[string]json.RawMessage{}
+	if len(current.Text) > 0 {
+		if err := json.Unmarshal(current.Text, &merged); err != nil {
 			return fmt.Errorf("read row %s: %w", row, err)
 		}
 	}
-	stamps := maps.Clone(stands.Stamps)
+	stamps := maps.Clone(current.Stamps)
 	if stamps == nil {
 		stamps = map[string]Stamp{}
 	}
 	for column, value := range cells {
 		stamps[column] = stamp
 		if bytes.Equal(value, []byte(clearValue)) {
-			delete(all, column)
+			delete(merged, column)
 			continue
 		}
-		all[column] = value
+		merged[column] = value
 	}
-	text, err := json.Marshal(all)
+	text, err := json.Marshal(merged)
 	if err != nil {
 		return fmt.Errorf("write row %s: %w", row, err)
 	}
-	t.lines[row] = line{Text: text, Stamps: stamps}
+	t.stored[row] = storedRow{Text: text, Stamps: stamps}
 	return nil
 }
 
-// impossible names what no assignment of boxes could keep.
-func (t Table) impossible(slots int) []string {
+// checkSatisfiable returns a reason for each rule of the table that no assignment of
+// the fleet's boxes to pools could satisfy. fleetSlots is as for Apply.
+func (t Table) checkSatisfiable(fleetSlots int) []string {
 	var reasons []string
-	promised := 0
+	required := 0
 	for _, service := range t.names {
 		row := t.rows[service]
-		promised += row.Floor + row.Spare
+		required += row.Floor + row.Spare
 		if !slices.Contains(t.deployment.Pools, row.Pool) {
 			reasons = append(reasons, fmt.Sprintf("%s.pool: unknown pool %q; allowed: %v", service, row.Pool, t.deployment.Pools))
 		}
@@ -193,8 +201,8 @@
 			reasons = append(reasons, fmt.Sprintf("%s.spare: floor %d and spare %d are over its most %d", service, row.Floor, row.Spare, row.Most))
 		}
 	}
-	if slots > 0 && promised > slots {
-		reasons = append(reasons, fmt.Sprintf("floors and spare together are %d slots, the fleet has %d", promised, slots))
+	if fleetSlots > 0 && required > fleetSlots {
+		reasons = append(reasons, fmt.Sprintf("floors and spare together are %d slots, the fleet has %d", required, fleetSlots))
 	}
 	return reasons
 }
--- a/pkg/table/sums.go
+++ b/pkg/table/sums.go
@@ -1,39 +1,41 @@
 package table
 
-// sums is what the services of one pool ask for together.
-type sums struct {
-	floor     int
-	spare     int
-	downLimit int
+// poolTotals sums up the rows of the services of one pool.
+type poolTotals struct {
+	floorSlots int
+	spareSlots int
+	maxDown    int // The smallest of the services' limits.
 }
 
-// sumPools adds up the rows of each pool, so that a check of one drain need not.
-func (t *Table) sumPools() {
-	t.sums = map[string]sums{}
+// computeTotals sums up the rows of each pool, so that this need not be done for
+// each drain that is checked.
+func (t *Table) computeTotals() {
+	t.totals = map[string]poolTotals{}
 	for _, row := range t.rows {
-		sum := t.sums[row.Pool]
-		sum.floor += row.Floor
-		sum.spare += row.Spare
-		if sum.downLimit == 0 || row.Down < sum.downLimit {
-			sum.downLimit = row.Down
+		sum := t.totals[row.Pool]
+		sum.floorSlots += row.Floor
+		sum.spareSlots += row.Spare
+		if sum.maxDown == 0 || row.Down < sum.maxDown {
+			sum.maxDown = row.Down
 		}
-		t.sums[row.Pool] = sum
+		t.totals[row.Pool] = sum
 	}
 }
 
-// NeededSlots returns the slots that a pool must keep at every moment: the floors
-// and spare of its services.
+// NeededSlots returns how many slots a pool must have at any time: the floors and
+// the spare slots of its services.
 func (t Table) NeededSlots(pool string) int {
-	return t.sums[pool].floor + t.sums[pool].spare
+	return t.totals[pool].floorSlots + t.totals[pool].spareSlots
 }
 
-// FloorSlots returns the slots that the services of a pool keep, without spare.
+// FloorSlots returns the sum of the floors of a pool's services, without their spare
+// slots.
 func (t Table) FloorSlots(pool string) int {
-	return t.sums[pool].floor
+	return t.totals[pool].floorSlots
 }
 
-// MaxDown returns how many boxes of a pool may be down at once: the least of
-// its services' limits, or 0 if no service uses it.
+// MaxDown returns how many boxes of a pool may be down at once: the smallest limit
+// of its services, or 0 if the pool has no services.
 func (t Table) MaxDown(pool string) int {
-	return t.sums[pool].downLimit
+	return t.totals[pool].maxDown
 }
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,5 +1,6 @@
-// Package table is the shared table of weights and limits: immutable values,
-// changed cell by cell.
+// Package table implements the table of weights and limits that operators share. It
+// has a row for each service, with the service's settings as columns, and one row,
+// the deployment, for settings of the whole fleet. Operators edit it cell by cell.
 package table
 
 import (
@@ -14,56 +15,57 @@
 
 // Stamp says which edit last set a cell.
 type Stamp struct {
-	Version int    `json:"version"`
+	Version int    `json:"version"` // Of the table after the edit.
 	Author  string `json:"author"`
-	At      int    `json:"at"` // Milliseconds since 1970.
+	At      int    `json:"at"` // Log time in milliseconds since 1970.
 }
 
-// line is a row or the deployment, with the stamp of each of its cells.
-type line struct {
+// storedRow is the JSON text of a row, with the stamps of its cells by column.
+type storedRow struct {
 	Text   json.RawMessage  `json:"text"`
 	Stamps map[string]Stamp `json:"stamps"`
 }
 
-// Table is one version of the shared table. It never changes; Apply returns a
-// new one.
+// Table is one version of the shared table. It is immutable; Apply returns a new
+// one.
 type Table struct {
 	checker    *check.Checker
 	version    int
 	deployment settings.Deployment
-	rows       map[string]settings.Row
-	names      []string
-	lines      map[string]line
-	sums       map[string]sums
+	rows       map[string]settings.Row // By service, without the deployment.
+	names      []string                // Of the services, sorted.
+	stored     map[string]storedRow    // By service; the deployment is at "".
+	totals     map[string]poolTotals   // By pool.
 }
 
-// New returns the empty table, version 0.
+// New returns an empty table at version 0. The checker validates the rows of edits.
 func New(checker *check.Checker) Table {
 	return Table{checker: checker}
 }
 
-// Version counts the edits accepted so far.
+// Version returns the number of edits that have been accepted.
 func (t Table) Version() int {
 	return t.version
 }
 
-// Deployment returns the pools and the weights of the three costs.
+// Deployment returns the settings of the whole fleet: the pools, the weights of the
+// planner's costs and when boxes are due for maintenance.
 func (t Table) Deployment() settings.Deployment {
 	return t.deployment
 }
 
-// Row returns a service's row and whether it has one.
+// Row returns the row of a service and whether there is one.
 func (t Table) Row(service string) (settings.Row, bool) {
 	row, known := t.rows[service]
 	return row, known
 }
 
-// Services returns the names of all services in order.
+// Services returns the names of all services, sorted.
 func (t Table) Services() []string {
 	return t.names
 }
 
-// ServicesInPool returns the services of a pool in order.
+// ServicesInPool returns the names of the services of a pool, sorted.
 func (t Table) ServicesInPool(pool string) []string {
 	var found []string
 	for _, service := range t.names {
@@ -74,7 +76,7 @@
 	return found
 }
 
-// File returns the table as an operator's file holds it.
+// File returns the table in the form of the file that operators edit.
 func (t Table) File() settings.Table {
 	file := settings.Table{Deployment: t.deployment}
 	for _, service := range t.names {
@@ -83,75 +85,84 @@
 	return file
 }
 
-// LastEdit returns the stamp of a cell; the row is "" for the deployment.
+// LastEdit returns the stamp of a cell and whether the cell was ever set. The row is
+// "" for the deployment.
 func (t Table) LastEdit(row, column string) (Stamp, bool) {
-	stamp, known := t.lines[row].Stamps[column]
+	stamp, known := t.stored[row].Stamps[column]
 	return stamp, known
 }
 
-// saved is the table's form in a snapshot.
-type saved struct {
-	Version int             `json:"version"`
-	Lines   map[string]line `json:"lines"`
+// savedTable is the JSON form of a table.
+type savedTable struct {
+	Version int                  `json:"version"`
+	Rows    map[string]storedRow `json:"lines"`
 }
 
-// MarshalJSON writes the table with its stamps, for snapshots.
+// MarshalJSON returns the table with the stamps of its cells as JSON.
 func (t Table) MarshalJSON() ([]byte, error) {
-	return json.Marshal(saved{Version: t.version, Lines: t.lines})
+	return json.Marshal(savedTable{Version: t.version, Rows: t.stored})
 }
 
-// Restore returns the table that MarshalJSON wrote.
+// Restore returns the table from which MarshalJSON returned a text. It uses only the
+// checker of the receiver.
 func (t Table) Restore(text []byte) (Table, error) {
-	var from saved
-	if err := json.Unmarshal(text, &from); err != nil {
+	var saved savedTable
+	if err := json.Unmarshal(text, &saved); err != nil {
 		return t, err
 	}
-	next := Table{checker: t.checker, version: from.Version, lines: from.Lines}
-	if reasons := next.decode(); len(reasons) > 0 {
+	next := Table{checker: t.checker, version: saved.Version, stored: saved.Rows}
+	if reasons := next.decodeRows(); len(reasons) > 0 {
 		return t, &Refusal{Reasons: reasons}
 	}
 	return next, nil
 }
 
-// decode fills the typed rows from the lines and returns what is wrong.
-func (t *Table) decode() []string {
+// decodeRows sets the fields that follow from the stored rows, and returns what is
+// wrong with the rows.
+func (t *Table) decodeRows() []string {
 	var reasons []string
-	t.rows = make(map[string]settings.Row, len(t.lines))
+	t.rows = make(map[string]settings.Row, len(t.stored))
 	t.deployment = settings.Deployment{}
-	for _, name := range slices.Sorted(maps.Keys(t.lines)) {
-		reasons = append(reasons, t.decodeLine(name)...)
+	for _, name := range slices.Sorted(maps.Keys(t.stored)) {
+		reasons = append(reasons, t.decodeRow(name)...)
 	}
 	t.names = slices.Sorted(maps.Keys(t.rows))
-	t.sumPools()
+	t.computeTotals()
 	return reasons
 }
 
-func (t *Table) decodeLine(name string) []string {
-	text := t.lines[name].Text
+// decodeRow decodes one stored row, or the deployment if the name is "", and returns
+// what is wrong with it.
+func (t *Table) decodeRow(name string) []string {
+	text := t.stored[name].Text
 	if name == "" {
-		return words("deployment", t.checker.Decode(check.Deployment, text, &t.deployment))
+		return describeFaults("deployment", t.checker.Decode(check.Deployment, text, &t.deployment))
 	}
 	var row settings.Row
 	if faults := t.checker.Decode(check.Row, text, &row); len(faults) > 0 {
-		return words(name, faults)
+		return describeFaults(name, faults)
 	}
 	t.rows[name] = withDefaults(row)
 	return nil
 }
 
-const defaultKilobytes = 1024
+// defaultMaxBodyKB is the largest size of a request's or an answer's body, in units
+// of 1024 bytes, if the row sets none.
+const defaultMaxBodyKB = 1024
 
+// withDefaults returns a row with the defaults for the settings that it leaves out.
 func withDefaults(row settings.Row) settings.Row {
 	if row.AnswerKb == 0 {
-		row.AnswerKb = defaultKilobytes
+		row.AnswerKb = defaultMaxBodyKB
 	}
 	if row.RequestKb == 0 {
-		row.RequestKb = defaultKilobytes
+		row.RequestKb = defaultMaxBodyKB
 	}
 	return row
 }
 
-func words(row string, faults []check.Fault) []string {
+// describeFaults returns a sentence for each fault of a row.
+func describeFaults(row string, faults []check.Fault) []string {
 	reasons := make([]string, 0, len(faults))
 	for _, fault := range faults {
 		reasons = append(reasons, row+"."+fault.Field()+": "+fault.Problem)
@@ -159,16 +170,16 @@
 	return reasons
 }
 
-// Diff returns the cells by which the wanted table differs from this one.
+// Diff returns the edit that turns this table into the wanted one.
 func (t Table) Diff(wanted settings.Table) (wire.Edit, error) {
 	edit := wire.Edit{Base: t.version}
-	if err := t.addCells(&edit, "", wanted.Deployment); err != nil {
+	if err := t.addChangedCells(&edit, "", wanted.Deployment); err != nil {
 		return edit, err
 	}
 	keep := map[string]bool{}
 	for _, service := range wanted.Services {
 		keep[service.Service] = true
-		if err := t.addCells(&edit, service.Service, service.Row); err != nil {
+		if err := t.addChangedCells(&edit, service.Service, service.Row); err != nil {
 			return edit, err
 		}
 	}
@@ -180,31 +191,34 @@
 	return edit, nil
 }
 
-func (t Table) addCells(edit *wire.Edit, row string, wanted any) error {
-	cells, err := split(wanted)
+// addChangedCells adds the cells to an edit in which a row differs from wanted, a
+// settings.Row or settings.Deployment.
+func (t Table) addChangedCells(edit *wire.Edit, row string, wanted any) error {
+	wantedCells, err := toCells(wanted)
 	if err != nil {
 		return err
 	}
-	have := map[string]json.RawMessage{}
-	if stands, known := t.lines[row]; known {
-		if err := json.Unmarshal(stands.Text, &have); err != nil {
+	current := map[string]json.RawMessage{}
+	if stored, known := t.stored[row]; known {
+		if err := json.Unmarshal(stored.Text, &current); err != nil {
 			return err
 		}
 	}
-	for _, column := range slices.Sorted(maps.Keys(cells)) {
-		if string(have[column]) != string(cells[column]) {
-			edit.Cells = append(edit.Cells, wire.Cell{Row: row, Column: column, Value: string(cells[column])})
+	for _, column := range slices.Sorted(maps.Keys(wantedCells)) {
+		if string(current[column]) != string(wantedCells[column]) {
+			edit.Cells = append(edit.Cells, wire.Cell{Row: row, Column: column, Value: string(wantedCells[column])})
 		}
 	}
-	for _, column := range slices.Sorted(maps.Keys(have)) {
-		if _, still := cells[column]; !still {
+	for _, column := range slices.Sorted(maps.Keys(current)) {
+		if _, kept := wantedCells[column]; !kept {
 			edit.Cells = append(edit.Cells, wire.Cell{Row: row, Column: column, Value: clearValue})
 		}
 	}
 	return nil
 }
 
-func split(value any) (map[string]json.RawMessage, error) {
+// toCells returns the JSON of each of a struct's fields, by column.
+func toCells(value any) (map[string]json.RawMessage, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
