--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -45,7 +45,7 @@
 	Listener   net.Listener
 	Logger     logrus.FieldLogger
 	Metrics    *metrics.Set
-	Invariants *invariant.Book
+	Invariants *invariant.Checker
 	// Empty is the state before the first record.
 	Empty fold.State
 	// Plan holds the planner's choices.
@@ -126,11 +126,11 @@
 
 func (k *Keeper) start(ctx context.Context) {
 	follower := follow.New(follow.Deps{
-		Clock:      k.deps.Clock,
-		Sources:    k.sources(),
-		Invariants: k.deps.Invariants,
-		Empty:      k.deps.Empty,
-		Updates:    k.updates,
+		Clock:        k.deps.Clock,
+		Sources:      k.sources(),
+		Invariants:   k.deps.Invariants,
+		InitialState: k.deps.Empty,
+		Updates:      k.updates,
 
 		CheckpointEvery: k.deps.Settings.SnapshotEvery,
 	})
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -106,8 +106,8 @@
 
 // takeUpdate moves the keeper to a newer state.
 func (k *Keeper) takeUpdate(update follow.Update) {
-	if update.Source == follow.LogName {
-		k.logRead = update.ReadAt
+	if update.Source == follow.LogSourceName {
+		k.logRead = update.ReadStartedAt
 	}
 	if update.State.Offset() < k.state.Offset() {
 		return
@@ -116,19 +116,19 @@
 	k.changed = k.changed || update.Restored
 	for _, folded := range update.Records {
 		k.changed = k.changed || folded.ChangesFleet()
-		k.trail.Add(folded.Record, folded.Verdicts)
+		k.trail.Add(folded.Record, folded.Results)
 		k.countVerdicts(folded)
 	}
 	k.relay.take(update)
 	k.answerWaiting()
 	k.outbox.settle(k.state, update.Records)
 	k.witnessSenders()
-	k.deps.Metrics.Put("offset", k.state.Offset())
-	k.deps.Metrics.Put("table_version", k.state.Table().Version())
+	k.deps.Metrics.SetGauge("offset", k.state.Offset())
+	k.deps.Metrics.SetGauge("table_version", k.state.Table().Version())
 }
 
-func (k *Keeper) countVerdicts(folded follow.Folded) {
-	for _, verdict := range folded.Verdicts {
+func (k *Keeper) countVerdicts(folded follow.AppliedRecord) {
+	for _, verdict := range folded.Results {
 		if verdict.Accepted {
 			k.deps.Metrics.Add("accepted_"+string(verdict.Proposal.Kind), 1)
 		} else {
