--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -8,10 +8,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// checkDrain checks whether a box may be drained. The pool's budget must hold
-// afterwards: even if the rack with the most slots were lost as well, every
-// service would have its floor and spare slots, and no more boxes are down than
-// allowed.
+// checkDrain checks whether a box may be drained. The budget of its pool must hold
+// without the box: no more boxes may be down than the table allows, and even if
+// the rack with the most slots failed as well, every service must have its floor
+// and its spare slots. Boxes in the free pool may always be drained.
 func (s State) checkDrain(box Box, target string, maintain bool, logTimeMs int) error {
 	if box.Phase != Serving {
 		return refuse("box %s is %s already", box.Info.Name, box.Phase)
@@ -31,14 +31,13 @@
 	return s.checkBudgetWithout(box)
 }
 
-// checkFreezeAndWindow checks that no service of the old or the new pool is in a
-// freeze, for a move, and that the pool is in its maintenance window, for a
-// maintenance.
+// checkFreezeAndWindow refuses a move while a service of the old or the new pool
+// is in a freeze, and a maintenance outside the pool's maintenance windows.
 func (s State) checkFreezeAndWindow(box Box, target string, maintain bool, logTimeMs int) error {
 	if target != box.Pool {
 		for _, pool := range []string{box.Pool, target} {
 			if service := s.FrozenService(pool, logTimeMs); service != "" {
-				return refuse("no box may move into or out of pool %s now: service %s is in a freeze", pool, service)
+				return refuse("pool %s allows no moves now: service %s is in a freeze", pool, service)
 			}
 		}
 	}
@@ -68,9 +67,9 @@
 	return nil
 }
 
-// Headroom returns how many slots a pool would have beyond the floors and spare
-// slots of its services if it lost the rack with the most slots. It is negative
-// if the pool's budget doesn't hold.
+// Headroom returns how many slots more than its services' floors and spare slots a
+// pool would have if the rack with the most slots failed. It is negative if the
+// pool's budget doesn't hold.
 func (s State) Headroom(pool string) int {
 	summary := s.Pool(pool)
 	return summary.Slots - summary.MaxRackSlots() - s.table.NeededSlots(pool)
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -58,8 +58,8 @@
 	Address string `json:"address"`
 	// Seq is the sequence number of the last renewal of the lease.
 	Seq int `json:"seq"`
-	// AppliedOffset is the offset of the next record that the sender was going to
-	// apply when it issued that renewal.
+	// AppliedOffset is the offset up to which the sender had applied the log when it
+	// issued that renewal; the record at this offset is not included.
 	AppliedOffset int `json:"folded"`
 	// RenewedAt is the log time of that renewal, in milliseconds since 1970.
 	RenewedAt int `json:"renewed_at"`
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -15,11 +15,11 @@
 const (
 	// defaultDownTimeout is how long a box may be down before it is replaced.
 	defaultDownTimeout = 30 * time.Second
-	// defaultMaintenanceTimeout is how long the maintenance of a box may take
-	// before the wave in its pool, which maintains all boxes that are due, halts.
+	// defaultMaintenanceTimeout is how long the maintenance of a box may take. After
+	// that the wave in its pool halts: no further boxes of the pool are maintained.
 	defaultMaintenanceTimeout = 10 * time.Minute
-	// overdueBoxesToHalt is how many boxes whose maintenance takes longer than the
-	// timeout halt the waves in all pools.
+	// overdueBoxesToHalt is the number of boxes in maintenance for longer than the
+	// timeout at which the waves in all pools halt.
 	overdueBoxesToHalt = 3
 	day                = 24 * time.Hour
 )
--- a/pkg/plan/shelf.go
+++ b/pkg/plan/shelf.go
@@ -71,9 +71,9 @@
 	return pool.zoneSlots[f.locations[rack].zone] < pool.zoneSlots[f.locations[other].zone]
 }
 
-// rackSlotLimit returns how many slots a pool may have in one rack. Even if the
-// pool's boxes were spread evenly over all racks, its fullest rack would need this
-// many; up to there a fuller rack doesn't make the pool want more slots.
+// rackSlotLimit returns how many slots a pool may have in one rack before that rack
+// makes the pool want more slots: the fullest rack has that many even if the
+// pool's boxes are spread evenly over all racks.
 func (p *planner) rackSlotLimit(pool *poolCount) int {
 	racks := 0
 	for rack := range p.free.racks {
@@ -86,8 +86,8 @@
 	return boxSlots * fullestRackBoxes((wanted+boxSlots-1)/boxSlots, racks)
 }
 
-// fullestRackBoxes returns how many boxes the fullest rack must hold, with boxes
-// spread evenly over the racks, so that a number of boxes is left if it fails.
+// fullestRackBoxes returns the number of boxes in the fullest rack of a pool that is
+// spread evenly over the racks and has boxesLeft boxes left if that rack fails.
 func fullestRackBoxes(boxesLeft, racks int) int {
 	most := 1
 	for most*racks < boxesLeft+most && most <= boxesLeft {
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -39,7 +39,7 @@
 	return slices.Compact(names)
 }
 
-// DescribeEdit returns a text that lists the changes of an edit.
+// DescribeEdit returns a text that lists the changes of an edit, at most 40 of them.
 func DescribeEdit(edit wire.Edit) string {
 	const maxListed = 40
 	var changes []string
@@ -91,7 +91,7 @@
 }
 
 // conflicts returns a reason for each cell of the edit that has been set after the
-// version on which the edit is based.
+// version on which the edit is based, or one reason if there is no such version.
 func (t Table) conflicts(edit wire.Edit) []string {
 	if edit.Base > t.version || edit.Base < 0 {
 		return []string{fmt.Sprintf("edit is based on version %d, the table has %d", edit.Base, t.version)}
