--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,7 +1,8 @@
 // Package relay lets the nodes of a large fleet read a stream of large records from each other.
-// A store that reads out 80 MB/s in all needs 2.1 s to give a record of 1.15 MB to 147 nodes,
-// and serves nothing else meanwhile. Here some nodes read it from the store, and each of the
-// others from one of them, compressed to about a tenth.
+// A store that serves 80 MB/s in all needs 2.1 s to send a record of 1.15 MB to 147 nodes, and
+// serves nothing else meanwhile. With this package a few nodes, the upstream nodes, read the stream
+// from the store. Each of the others, a follower, reads it from one upstream node, compressed to
+// about a tenth.
 package relay
 
 import (
@@ -24,39 +25,40 @@
 	"damsonwinch/pkg/wire"
 )
 
-// ServiceName is the name of the calls between nodes on a stream.
+// ServiceName is the name under which net/rpc serves the calls of followers.
 const ServiceName = "Relay"
 
 const (
-	// leastMembers is how many nodes there are at least where nodes read from each other: to
-	// fewer the store reads out a megabyte in 0.8 s.
-	leastMembers = 64
-	// peerWait is the most that a node waits for news at another one: a reader that is cut off
-	// is found out by the end of it.
-	peerWait = 500 * time.Millisecond
-	// mostAge is how old the word of a reader may be. It asks the store each second.
-	mostAge = 1500 * time.Millisecond
-	// mostFailures is how many readers in a row may fail before the store itself is asked, and
-	// directTime how long then.
-	mostFailures = 2
-	directTime   = 5 * time.Second
+	// minMembers is the smallest number of nodes that read from each other. The store sends a
+	// record of one megabyte to fewer nodes within 0.8 s.
+	minMembers = 64
+	// maxPeerWait bounds how long an upstream node waits for new records before it replies, so
+	// that a follower detects within this time that its upstream node is cut off.
+	maxPeerWait = 500 * time.Millisecond
+	// maxReplyAge is how long ago the store may have confirmed the data of a reply. An upstream
+	// node asks the store once a second.
+	maxReplyAge = 1500 * time.Millisecond
+	// maxFailures is the number of consecutive failures after which a follower reads from the
+	// store, for directPeriod.
+	maxFailures  = 2
+	directPeriod = 5 * time.Second
 )
 
-// Deps are what a relay works with.
+// Deps holds the dependencies of a relay.
 type Deps struct {
-	// Store is where readers read.
+	// Store is read by upstream nodes, and by a follower whose upstream nodes fail.
 	Store   damsonwinch.Store
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// Members are the nodes that are known.
+	// Members returns the nodes that this node knows, including itself.
 	Members func() []ownership.Member
-	// Follow asks the node at an address.
+	// Follow calls the method Follow of the node at an address.
 	Follow func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error)
 }
 
-// Relay is a node's way to a stream. For that stream its methods stand for those of the store;
-// all others are the store's.
+// Relay is a damsonwinch.Store whose Read and Newest get one stream from another node where
+// possible. It passes all other calls on to the store.
 type Relay struct {
 	damsonwinch.Store
 	deps   Deps
@@ -65,14 +67,14 @@
 	tail   *tail
 
 	mutex sync.Mutex
-	// failures are those in a row, shift how many readers they have made the node pass over,
-	// and directUntil when it asks readers again.
+	// failures counts consecutive failed calls, and shift counts all of them: each makes the node
+	// choose the next upstream node. Until directUntil it reads from the store.
 	failures    int
 	shift       int
 	directUntil time.Time
 }
 
-// New returns a node's relay of a stream.
+// New returns the relay of the node self for a stream.
 func New(deps Deps, self ownership.Member, stream damsonwinch.Stream) *Relay {
 	return &Relay{Store: deps.Store, deps: deps, self: self, stream: stream, tail: newTail()}
 }
@@ -82,7 +84,7 @@
 	if stream != r.stream {
 		return r.deps.Store.Read(ctx, stream, from, wait)
 	}
-	address, relayed := r.reader()
+	address, relayed := r.upstream()
 	if !relayed {
 		page, err := r.deps.Store.Read(ctx, stream, from, wait)
 		if err == nil {
@@ -90,15 +92,15 @@
 		}
 		return page, err
 	}
-	reply, records, err := r.ask(ctx, address, wire.FollowArgs{Next: from, WaitMs: int(min(wait, peerWait).Milliseconds())})
+	reply, records, err := r.follow(ctx, address, wire.FollowArgs{Next: from, WaitMs: int(min(wait, maxPeerWait).Milliseconds())})
 	switch {
 	case err != nil:
 		return damsonwinch.Page{}, err
 	case !reply.Known:
-		// Newest is the way to what the reader has.
+		// The upstream node no longer holds these records. The caller calls Newest next.
 		return damsonwinch.Page{}, damsonwinch.ErrExpired
 	}
-	r.tail.add(from, records, reply.End, r.currentAt(reply))
+	r.tail.add(from, records, reply.End, r.confirmedAt(reply))
 	return damsonwinch.Page{Records: records, End: reply.End}, nil
 }
 
@@ -107,36 +109,37 @@
 	if stream != r.stream {
 		return r.deps.Store.Newest(ctx, stream, after)
 	}
-	address, relayed := r.reader()
+	address, relayed := r.upstream()
 	if !relayed || after != "" {
 		page, err := r.deps.Store.Newest(ctx, stream, after)
 		if err == nil && after == "" && !page.More {
-			r.tail.restart(page.Records, page.End, r.deps.Clock.Now())
+			r.tail.reset(page.Records, page.End, r.deps.Clock.Now())
 		}
 		return page, err
 	}
-	reply, records, err := r.ask(ctx, address, wire.FollowArgs{Newest: true})
+	reply, records, err := r.follow(ctx, address, wire.FollowArgs{Newest: true})
 	if err != nil {
 		return damsonwinch.KeyPage{}, err
 	}
-	r.tail.restart(records, reply.End, r.currentAt(reply))
+	r.tail.reset(records, reply.End, r.confirmedAt(reply))
 	return damsonwinch.KeyPage{Records: records, End: reply.End}, nil
 }
 
-// ConfirmedAt returns when the store last said that what this node has of the stream is all there
-// is; zero if it never did.
+// ConfirmedAt returns when the store last confirmed, directly or through an upstream node, that this
+// node has all records of the stream. It returns the zero time if the store never did.
 func (r *Relay) ConfirmedAt() time.Time {
 	r.tail.mutex.Lock()
 	defer r.tail.mutex.Unlock()
-	return r.tail.currentAt
+	return r.tail.confirmedAt
 }
 
-// reader returns the address of the node from which this one reads, if it reads from one. All
-// nodes that see the same members find the same readers: those with the largest shares of a
-// core, so many that each serves about as many nodes as the store.
-func (r *Relay) reader() (address string, relayed bool) {
+// upstream returns the address of the node from which this one reads; relayed is false if this node
+// reads from the store. All nodes that know the same members choose the same upstream nodes: those
+// with the largest shares of a core. Of n nodes the square root of n, rounded up, are upstream nodes,
+// so that each serves about as many nodes as the store does.
+func (r *Relay) upstream() (address string, relayed bool) {
 	members := slices.Clone(r.deps.Members())
-	if len(members) < leastMembers {
+	if len(members) < minMembers {
 		return "", false
 	}
 	r.mutex.Lock()
@@ -147,33 +150,33 @@
 	slices.SortFunc(members, func(a, b ownership.Member) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Node, b.Node))
 	})
-	readers := members[:int(math.Ceil(math.Sqrt(float64(len(members)))))]
-	if slices.ContainsFunc(readers, func(m ownership.Member) bool { return m.Node == r.self.Node }) {
+	upstreams := members[:int(math.Ceil(math.Sqrt(float64(len(members)))))]
+	if slices.ContainsFunc(upstreams, func(m ownership.Member) bool { return m.Node == r.self.Node }) {
 		return "", false
 	}
-	at := (xxhash.Sum64String(r.self.Node) + uint64(r.shift)) % uint64(len(readers))
-	return readers[at].Address, true
+	index := (xxhash.Sum64String(r.self.Node) + uint64(r.shift)) % uint64(len(upstreams))
+	return upstreams[index].Address, true
 }
 
-// Reasons not to take a reader's word.
+// Reasons for which a reply of an upstream node is not used.
 var (
-	errNothingKnown = errors.New("it knows nothing yet")
-	errTooOld       = errors.New("its word is too old")
-	errBehind       = errors.New("it is behind")
+	errNotReady = errors.New("the peer has read nothing yet")
+	errStale    = errors.New("the peer's records are too old")
+	errBehind   = errors.New("the peer is behind this node")
 )
 
-// ask asks a reader.
-func (r *Relay) ask(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, []damsonwinch.Record, error) {
+// follow calls an upstream node and returns its reply with the unpacked records.
+func (r *Relay) follow(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, []damsonwinch.Record, error) {
 	reply, err := r.deps.Follow(ctx, address, args)
 	if err == nil {
-		err = doubt(reply, args)
+		err = checkReply(reply, args)
 	}
 	if err != nil {
-		return reply, nil, r.failed(address, err)
+		return reply, nil, r.recordFailure(address, err)
 	}
-	records, err := recordsOf(reply)
+	records, err := unpackRecords(reply)
 	if err != nil {
-		return reply, nil, r.failed(address, err)
+		return reply, nil, r.recordFailure(address, err)
 	}
 	r.deps.Metrics.Add("relay_reads", 1)
 	r.mutex.Lock()
@@ -182,42 +185,45 @@
 	return reply, records, nil
 }
 
-// doubt returns why a reader's word isn't taken.
-func doubt(reply wire.FollowReply, args wire.FollowArgs) error {
+// checkReply returns an error if a reply of an upstream node must not be used.
+func checkReply(reply wire.FollowReply, args wire.FollowArgs) error {
 	switch {
-	case reply.AgeMs > int(mostAge.Milliseconds()):
-		return errTooOld
+	case reply.AgeMs > int(maxReplyAge.Milliseconds()):
+		return errStale
 	case !reply.Known && (args.Newest || reply.End == 0):
-		return errNothingKnown
+		return errNotReady
 	case reply.End < args.Next:
 		return errBehind
 	}
 	return nil
 }
 
-// failed has another reader asked next time, or the store itself.
-func (r *Relay) failed(address string, err error) error {
+// recordFailure makes the next call go to another upstream node, or to the store after maxFailures
+// consecutive failures. It logs err and returns it with the stream and the address.
+func (r *Relay) recordFailure(address string, err error) error {
 	r.deps.Metrics.Add("relay_failures", 1)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.failures++
 	r.shift++
-	line := r.deps.Logger.WithError(err).WithFields(logrus.Fields{"stream": r.stream.String(), "peer": address, "failures": r.failures})
-	if r.failures >= mostFailures {
-		r.failures, r.directUntil = 0, r.deps.Clock.Now().Add(directTime)
-		line.Warn("stream read from the store itself for a while")
+	logger := r.deps.Logger.WithError(err).WithFields(logrus.Fields{"stream": r.stream.String(), "peer": address, "failures": r.failures})
+	if r.failures >= maxFailures {
+		r.failures, r.directUntil = 0, r.deps.Clock.Now().Add(directPeriod)
+		logger.Warn("upstream nodes failed, stream is read from the store for a while")
 	} else {
-		line.Info("stream read from another node")
+		logger.Info("upstream node failed, stream is read from another node")
 	}
 	return fmt.Errorf("follow %s at %s: %w", r.stream, address, err)
 }
 
-// currentAt returns since when a reader's word stands.
-func (r *Relay) currentAt(reply wire.FollowReply) time.Time {
+// confirmedAt returns when the store confirmed the data of a reply, by this node's clock.
+func (r *Relay) confirmedAt(reply wire.FollowReply) time.Time {
 	return r.deps.Clock.Now().Add(-time.Duration(reply.AgeMs) * time.Millisecond)
 }
 
-func recordsOf(reply wire.FollowReply) ([]damsonwinch.Record, error) {
+// unpackRecords returns the records of a reply with their values decompressed.
+// unpackRecords returns the records of a reply with their values decompressed.
+func unpackRecords(reply wire.FollowReply) ([]damsonwinch.Record, error) {
 	records := make([]damsonwinch.Record, 0, len(reply.Records))
 	for _, followed := range reply.Records {
 		value, err := unpack(followed.Packed)
@@ -229,8 +235,8 @@
 	return records, nil
 }
 
-// Peers are connections to other nodes for their streams. They are apart from those of jobs,
-// which wouldn't want to wait behind a large record.
+// Peers holds connections to other nodes, over which their streams are read. Calls about jobs use
+// other connections, so that they don't wait behind a large record.
 type Peers struct {
 	dial  damsonwinch.Dial
 	clock damsonwinch.Clock
@@ -238,12 +244,13 @@
 	peers map[string]*call.Client
 }
 
-// NewPeers returns connections that are made when they are needed.
+// NewPeers returns Peers without connections. Follow opens them.
 func NewPeers(dial damsonwinch.Dial, clock damsonwinch.Clock) *Peers {
 	return &Peers{dial: dial, clock: clock, peers: map[string]*call.Client{}}
 }
 
-// Follow asks the node at an address.
+// Follow calls the method Follow of the node at an address, over a connection that later calls use
+// again.
 func (p *Peers) Follow(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
 	p.mutex.Lock()
 	client := p.peers[address]
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -27,41 +27,41 @@
 	errCut         = errors.New("cut off")
 )
 
-// log is a store with one keyed stream, which counts the bytes that it has given.
-type log struct {
+// fakeStore is a store with one keyed stream. It counts the bytes that are read from it.
+type fakeStore struct {
 	damsonwinch.Store
-	mutex   sync.Mutex
-	records []damsonwinch.Record
-	added   chan struct{}
-	spent   int
+	mutex     sync.Mutex
+	records   []damsonwinch.Record
+	added     chan struct{}
+	bytesRead int
 }
 
-func newLog(values ...string) *log {
-	l := &log{added: make(chan struct{})}
+func newFakeStore(values ...string) *fakeStore {
+	s := &fakeStore{added: make(chan struct{})}
 	for _, value := range values {
-		l.add(value)
+		s.add(value)
 	}
-	return l
+	return s
 }
 
-func (l *log) add(value string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.records = append(l.records, damsonwinch.Record{Key: "configuration", Value: []byte(value), Offset: len(l.records)})
-	close(l.added)
-	l.added = make(chan struct{})
+func (s *fakeStore) add(value string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.records = append(s.records, damsonwinch.Record{Key: "configuration", Value: []byte(value), Offset: len(s.records)})
+	close(s.added)
+	s.added = make(chan struct{})
 }
 
-func (l *log) Read(ctx context.Context, _ damsonwinch.Stream, from int, wait time.Duration) (damsonwinch.Page, error) {
+func (s *fakeStore) Read(ctx context.Context, _ damsonwinch.Stream, from int, wait time.Duration) (damsonwinch.Page, error) {
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		l.mutex.Lock()
-		page, added := damsonwinch.Page{Records: l.records[from:], End: len(l.records)}, l.added
+		s.mutex.Lock()
+		page, added := damsonwinch.Page{Records: s.records[from:], End: len(s.records)}, s.added
 		for _, record := range page.Records {
-			l.spent += len(record.Value)
+			s.bytesRead += len(record.Value)
 		}
-		l.mutex.Unlock()
+		s.mutex.Unlock()
 		if len(page.Records) > 0 || limited.Err() != nil {
 			return page, ctx.Err()
 		}
@@ -72,27 +72,27 @@
 	}
 }
 
-func (l *log) Newest(context.Context, damsonwinch.Stream, string) (damsonwinch.KeyPage, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	newest := l.records[len(l.records)-1]
-	l.spent += len(newest.Value)
-	return damsonwinch.KeyPage{Records: []damsonwinch.Record{newest}, End: len(l.records)}, nil
+func (s *fakeStore) Newest(context.Context, damsonwinch.Stream, string) (damsonwinch.KeyPage, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	newest := s.records[len(s.records)-1]
+	s.bytesRead += len(newest.Value)
+	return damsonwinch.KeyPage{Records: []damsonwinch.Record{newest}, End: len(s.records)}, nil
 }
 
-// fleet is nodes that see each other.
+// fleet is a set of nodes that all know each other.
 type fleet struct {
 	members []ownership.Member
 	relays  map[string]*Relay
 	clock   clockwork.Clock
-	// ask stands for the way from node to node.
-	ask func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error)
+	// follow stands for the net/rpc call from one node to another.
+	follow func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error)
 }
 
-// newFleet returns a fleet; each eighth node has a large share of a core.
+// newFleet returns a fleet in which every eighth node has a large share of a core.
 func newFleet(ctx context.Context, clock clockwork.Clock, store damsonwinch.Store, nodes int) *fleet {
 	f := &fleet{relays: map[string]*Relay{}, clock: clock}
-	f.ask = func(_ context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
+	f.follow = func(_ context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
 		var reply wire.FollowReply
 		err := NewService(ctx, f.relays[address]).Follow(args, &reply)
 		return reply, err
@@ -112,34 +112,35 @@
 			Store: store, Clock: clock, Logger: logger, Metrics: metrics.New(),
 			Members: func() []ownership.Member { return f.members },
 			Follow: func(ctx context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
-				return f.ask(ctx, address, args)
+				return f.follow(ctx, address, args)
 			},
 		}, member, operatorStream)
 	}
 	return f
 }
 
-// follower returns a node that reads from another one, and that one's name.
+// follower returns a node that reads from another one, and the name of its upstream node.
 func (f *fleet) follower(t *testing.T) (*Relay, string) {
 	t.Helper()
 	for _, member := range f.members {
-		if reader, relayed := f.relays[member.Node].reader(); relayed {
-			return f.relays[member.Node], reader
+		if upstream, relayed := f.relays[member.Node].upstream(); relayed {
+			return f.relays[member.Node], upstream
 		}
 	}
-	t.Fatal("nobody reads from another node")
+	t.Fatal("no node reads from another node")
 	return nil, ""
 }
 
-// TestALargeRecordIsReadOutToAFewNodes: 147 nodes took 1.15 MB each from a store of 80 MB/s,
-// 2.1 s in which it served nothing else.
-func TestALargeRecordIsReadOutToAFewNodes(t *testing.T) {
+// TestFewNodesReadALargeRecordFromTheStore guards against a large record that all nodes read from the
+// store: 147 nodes that read 1.15 MB each keep a store of 80 MB/s busy for 2.1 s, and it serves
+// nothing else meanwhile.
+func TestFewNodesReadALargeRecordFromTheStore(t *testing.T) {
 	const nodes, size = 147, 1_000_000
-	store := newLog("small")
+	store := newFakeStore("small")
 	ctx, cancel := context.WithCancel(t.Context())
 	f := newFleet(ctx, clockwork.NewRealClock(), store, nodes)
 	var group errgroup.Group
-	got := make(chan string, 2*nodes)
+	received := make(chan string, 2*nodes)
 	for _, r := range f.relays {
 		group.Go(func() error {
 			next := -1
@@ -159,7 +160,7 @@
 				}
 				next += len(page.Records)
 				for _, record := range page.Records {
-					got <- string(record.Value[:5])
+					received <- string(record.Value[:5])
 				}
 			}
 			return nil
@@ -170,35 +171,36 @@
 	store.add(value)
 	for served := range nodes {
 		select {
-		case what := <-got:
-			assert.Equal(t, what, "large")
+		case prefix := <-received:
+			assert.Equal(t, prefix, "large")
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%d of %d nodes have it", served, nodes)
+			t.Fatalf("%d of %d nodes have received the record", served, nodes)
 		}
 	}
 	cancel()
 	assert.NilError(t, group.Wait())
-	// The root of 147, rounded up.
-	const readers = 13
-	assert.Assert(t, store.spent <= readers*len(value)+nodes*len("small"), "%d bytes read out, the record has %d", store.spent, len(value))
+	// The square root of 147, rounded up.
+	const upstreams = 13
+	assert.Assert(t, store.bytesRead <= upstreams*len(value)+nodes*len("small"), "%d bytes read from the store, the record has %d", store.bytesRead, len(value))
 }
 
-// gated is a log that says nothing before its gate is opened.
-type gated struct {
-	*log
+// gatedStore is a store whose Newest blocks until the channel gate is closed.
+type gatedStore struct {
+	*fakeStore
 	gate chan struct{}
 }
 
-func (g gated) Newest(ctx context.Context, stream damsonwinch.Stream, after string) (damsonwinch.KeyPage, error) {
+func (g gatedStore) Newest(ctx context.Context, stream damsonwinch.Stream, after string) (damsonwinch.KeyPage, error) {
 	<-g.gate
-	return g.log.Newest(ctx, stream, after)
+	return g.fakeStore.Newest(ctx, stream, after)
 }
 
-// TestAFleetThatStartsAtOnceWaitsForItsReaders, which know nothing yet: nodes that found them so
-// twice read the store themselves, all at once.
-func TestAFleetThatStartsAtOnceWaitsForItsReaders(t *testing.T) {
+// TestFollowersWaitForUpstreamNodesAtStartup guards against followers that all read from the store
+// when the whole fleet starts. Upstream nodes have read nothing yet then; if they reply so at once,
+// each follower counts maxFailures failures and turns to the store.
+func TestFollowersWaitForUpstreamNodesAtStartup(t *testing.T) {
 	const nodes = 147
-	store := gated{log: newLog(strings.Repeat("queue", 1000)), gate: make(chan struct{})}
+	store := gatedStore{fakeStore: newFakeStore(strings.Repeat("queue", 1000)), gate: make(chan struct{})}
 	f := newFleet(t.Context(), clockwork.NewRealClock(), store, nodes)
 	var group errgroup.Group
 	for _, r := range f.relays {
@@ -216,8 +218,8 @@
 	time.Sleep(200 * time.Millisecond)
 	close(store.gate)
 	assert.NilError(t, group.Wait())
-	const readers = 13
-	assert.Equal(t, store.spent, readers*5000)
+	const upstreams = 13
+	assert.Equal(t, store.bytesRead, upstreams*5000)
 }
 
 func sleep(ctx context.Context, length time.Duration) error {
@@ -229,85 +231,88 @@
 	}
 }
 
-// TestASmallFleetReadsTheStoreItself.
-func TestASmallFleetReadsTheStoreItself(t *testing.T) {
-	f := newFleet(t.Context(), clockwork.NewFakeClock(), newLog("value"), leastMembers-1)
+// TestSmallFleetReadsFromTheStore checks that nodes of a fleet below minMembers have no upstream node.
+func TestSmallFleetReadsFromTheStore(t *testing.T) {
+	f := newFleet(t.Context(), clockwork.NewFakeClock(), newFakeStore("value"), minMembers-1)
 	for _, r := range f.relays {
-		_, relayed := r.reader()
+		_, relayed := r.upstream()
 		assert.Assert(t, !relayed)
 	}
 }
 
-// TestReadersAreThoseWithMostRoom, and the others are spread over them.
-func TestReadersAreThoseWithMostRoom(t *testing.T) {
-	f := newFleet(t.Context(), clockwork.NewFakeClock(), newLog("value"), 147)
+// TestUpstreamNodesHaveTheLargestWeights also checks that the followers are spread over the upstream
+// nodes.
+func TestUpstreamNodesHaveTheLargestWeights(t *testing.T) {
+	f := newFleet(t.Context(), clockwork.NewFakeClock(), newFakeStore("value"), 147)
 	served := map[string]int{}
 	direct := 0
 	for _, member := range f.members {
-		reader, relayed := f.relays[member.Node].reader()
+		upstream, relayed := f.relays[member.Node].upstream()
 		if !relayed {
 			assert.Equal(t, member.Weight, 800, member.Node)
 			direct++
 			continue
 		}
-		served[reader]++
+		served[upstream]++
 	}
 	assert.Equal(t, direct, 13)
 	assert.Equal(t, len(served), 13)
-	for reader, count := range served {
-		assert.Assert(t, count < 25, "%s serves %d", reader, count)
+	for upstream, count := range served {
+		assert.Assert(t, count < 25, "%s serves %d nodes", upstream, count)
 	}
 }
 
-// TestAReaderIsNotTakenAtItsWord that is cut off from the store, knows nothing or is behind:
-// another one is asked, and then the store.
-func TestAReaderIsNotTakenAtItsWord(t *testing.T) {
+// TestFollowerRejectsUnusableReplies checks that a follower turns to another upstream node, and then to
+// the store, if an upstream node can't be reached, has stale data, is behind the follower or sends
+// records that can't be unpacked.
+func TestFollowerRejectsUnusableReplies(t *testing.T) {
 	for name, answer := range map[string]func(args wire.FollowArgs) (wire.FollowReply, error){
 		"cut off": func(wire.FollowArgs) (wire.FollowReply, error) { return wire.FollowReply{}, errCut },
-		"of old word": func(args wire.FollowArgs) (wire.FollowReply, error) {
+		"stale reply": func(args wire.FollowArgs) (wire.FollowReply, error) {
 			return wire.FollowReply{Known: true, End: args.Next, AgeMs: 1501}, nil
 		},
 		"behind": func(args wire.FollowArgs) (wire.FollowReply, error) {
 			return wire.FollowReply{Known: true, End: args.Next - 1}, nil
 		},
-		"which garbles": func(args wire.FollowArgs) (wire.FollowReply, error) {
+		"corrupt record": func(args wire.FollowArgs) (wire.FollowReply, error) {
 			return wire.FollowReply{Known: true, End: args.Next + 1, Records: []wire.FollowedRecord{{Key: "k", Packed: "garbled"}}}, nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			store := newLog("one", "two")
+			store := newFakeStore("one", "two")
 			f := newFleet(t.Context(), clock, store, 100)
 			r, first := f.follower(t)
-			asked := []string{}
-			f.ask = func(_ context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
-				asked = append(asked, address)
+			calledAddresses := []string{}
+			f.follow = func(_ context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
+				calledAddresses = append(calledAddresses, address)
 				return answer(args)
 			}
-			for range mostFailures {
+			for range maxFailures {
 				_, err := r.Read(t.Context(), operatorStream, 1, 0)
 				assert.ErrorContains(t, err, "follow keyed.operator/0 at node-")
 			}
-			assert.Equal(t, asked[0], first)
-			assert.Assert(t, asked[1] != first)
+			assert.Equal(t, calledAddresses[0], first)
+			assert.Assert(t, calledAddresses[1] != first)
 			page, err := r.Read(t.Context(), operatorStream, 1, 0)
 			assert.NilError(t, err)
 			assert.Equal(t, string(page.Records[0].Value), "two")
-			assert.Equal(t, len(asked), mostFailures)
-			clock.Advance(directTime)
-			_, relayed := r.reader()
-			assert.Assert(t, relayed, "readers are asked again")
+			assert.Equal(t, len(calledAddresses), maxFailures)
+			clock.Advance(directPeriod)
+			_, relayed := r.upstream()
+			assert.Assert(t, relayed, "the node reads from an upstream node again")
 		})
 	}
 }
 
-// TestWhoIsFarBehindTakesTheNewest: a reader keeps few records.
-func TestWhoIsFarBehindTakesTheNewest(t *testing.T) {
-	store := newLog("0", "1", "2", "3", "4", "5", "6")
+// TestFollowerFarBehindReadsTheNewestRecords checks a follower that asks for records which its upstream
+// node no longer keeps: Read returns ErrExpired, and Newest returns the newest records.
+func TestFollowerFarBehindReadsTheNewestRecords(t *testing.T) {
+	store := newFakeStore("0", "1", "2", "3", "4", "5", "6")
 	f := newFleet(t.Context(), clockwork.NewFakeClock(), store, 100)
-	r, reader := f.follower(t)
+	r, upstream := f.follower(t)
 	for next := 0; next < 7; next++ {
-		f.relays[reader].tail.add(next, []damsonwinch.Record{{Key: "configuration", Value: []byte(fmt.Sprint(next)), Offset: next}}, next+1, f.clock.Now())
+		f.relays[upstream].tail.add(next, []damsonwinch.Record{{Key: "configuration", Value: []byte(fmt.Sprint(next)), Offset: next}}, next+1, f.clock.Now())
 	}
 	page, err := r.Read(t.Context(), operatorStream, 3, 0)
 	assert.NilError(t, err)
@@ -322,27 +327,29 @@
 	assert.Equal(t, newest.End, 7)
 }
 
-// TestATailIsAsOldAsTheStoresWord: of records of which more is to come, nothing is new.
-func TestATailIsAsOldAsTheStoresWord(t *testing.T) {
+// TestTailIsOnlyAsNewAsItsLastConfirmation checks that a read which doesn't reach the end of the stream
+// leaves the time of the last confirmation as it is.
+func TestTailIsOnlyAsNewAsItsLastConfirmation(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	tl := newTail()
-	reply, err := tl.answer(wire.FollowArgs{}, now)
+	reply, err := tl.replyTo(wire.FollowArgs{}, now)
 	assert.NilError(t, err)
 	assert.Assert(t, !reply.Known)
 	tl.add(0, []damsonwinch.Record{{Key: "a", Value: []byte("1")}}, 1, now)
 	tl.add(1, []damsonwinch.Record{{Key: "b", Value: []byte("2")}}, 9, now.Add(time.Second))
-	reply, err = tl.answer(wire.FollowArgs{Next: 2}, now.Add(2*time.Second))
+	reply, err = tl.replyTo(wire.FollowArgs{Next: 2}, now.Add(2*time.Second))
 	assert.NilError(t, err)
 	assert.Equal(t, reply.AgeMs, 2000)
 	assert.Equal(t, reply.End, 2)
-	// A record without a value drops its key.
+	// A record without a value deletes its key.
 	tl.add(2, []damsonwinch.Record{{Key: "a"}}, 3, now)
-	reply, err = tl.answer(wire.FollowArgs{Newest: true}, now)
+	reply, err = tl.replyTo(wire.FollowArgs{Newest: true}, now)
 	assert.NilError(t, err)
 	assert.Equal(t, len(reply.Records), 1)
 }
 
-// FuzzUnpack: what other nodes send is not trusted.
+// FuzzUnpack checks that unpack accepts any input, since replies of other nodes are not trusted, and
+// that pack reverses it.
 func FuzzUnpack(f *testing.F) {
 	for _, value := range []string{"", "a", strings.Repeat("queue", 1000)} {
 		packed, err := pack([]byte(value))
@@ -362,15 +369,15 @@
 	})
 }
 
-// TestABombIsNotUnpacked.
-func TestABombIsNotUnpacked(t *testing.T) {
-	packed, err := pack(make([]byte, mostValue+1))
+// TestUnpackLimitsTheSizeOfValues checks that a small reply can't be unpacked to a huge value.
+func TestUnpackLimitsTheSizeOfValues(t *testing.T) {
+	packed, err := pack(make([]byte, maxValueBytes+1))
 	assert.NilError(t, err)
 	_, err = unpack(packed)
 	assert.ErrorContains(t, err, "more than")
 }
 
-// BenchmarkPack packs a configuration of 5,000 queues.
+// BenchmarkPack packs a configuration with 5,000 queues and reports the packed size in percent.
 func BenchmarkPack(b *testing.B) {
 	var value bytes.Buffer
 	for number := range 5000 {
--- a/pkg/relay/service.go
+++ b/pkg/relay/service.go
@@ -7,33 +7,36 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Service answers other nodes on the stream that this one follows.
+// Service is the net/rpc service from which followers read the stream of this node's relay.
 type Service struct {
 	relay *Relay
-	// context ends the calls when the node does: net/rpc gives its methods none.
+	// context ends the calls when the node stops. It is stored here because net/rpc passes no
+	// context to methods.
 	context context.Context
 }
 
-// NewService returns the service of a node's relay, whose calls end with a context.
+// NewService returns the service of a node's relay. Its calls end when ctx does.
 func NewService(ctx context.Context, relay *Relay) *Service {
 	return &Service{relay: relay, context: ctx}
 }
 
-// Follow tells what this node has of the stream.
+// Follow replies with what this node holds of the stream. If it has nothing new for the follower it
+// first waits for a record, at most as long as the follower allows and not longer than maxPeerWait.
 func (s *Service) Follow(args wire.FollowArgs, reply *wire.FollowReply) error {
-	// One that knows nothing yet, as when the whole fleet starts, is about to.
-	next, wait := -1, peerWait
+	// A request for the newest records waits for this node's first read: when the whole fleet
+	// starts, it is about to be answered.
+	next, wait := -1, maxPeerWait
 	if !args.Newest {
-		next, wait = args.Next, min(peerWait, time.Duration(args.WaitMs)*time.Millisecond)
+		next, wait = args.Next, min(maxPeerWait, time.Duration(args.WaitMs)*time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(s.context, wait)
 	defer cancel()
-	s.relay.tail.wait(ctx, next)
-	answer, err := s.relay.tail.answer(args, s.relay.deps.Clock.Now())
+	s.relay.tail.waitFor(ctx, next)
+	result, err := s.relay.tail.replyTo(args, s.relay.deps.Clock.Now())
 	if err != nil {
 		return err
 	}
 	s.relay.deps.Metrics.Add("relay_answers", 1)
-	*reply = answer
+	*reply = result
 	return nil
 }
--- a/pkg/relay/tail.go
+++ b/pkg/relay/tail.go
@@ -16,23 +16,26 @@
 	"damsonwinch/pkg/wire"
 )
 
-// keptRecords is how many records a tail keeps: readers of it are one or two behind.
-const keptRecords = 4
+// maxRecentRecords is how many of the last records a tail keeps. Followers are one or two records
+// behind.
+const maxRecentRecords = 4
 
-// tail is what a node has of a stream: the newest record of each key, and the last records.
+// tail holds what a node has read of a stream: the newest record of each key, and the last records.
 type tail struct {
 	mutex  sync.Mutex
-	newest map[string]*entry
-	last   []*entry
-	end    int
-	// currentAt is when the store told that this is all; zero if it never did.
-	currentAt time.Time
-	// moved is closed when the next record comes.
-	moved chan struct{}
+	newest map[string]*cachedRecord
+	// recent holds the records just before end, at most maxRecentRecords.
+	recent []*cachedRecord
+	// end is the offset of the next record to read.
+	end int
+	// confirmedAt is when the store confirmed that the stream ends at end; zero if it never did.
+	confirmedAt time.Time
+	// changed is closed, and replaced, when end changes or is confirmed for the first time.
+	changed chan struct{}
 }
 
-// entry is a record, packed when somebody first asks for it.
-type entry struct {
+// cachedRecord is a record and its packed value, which is made upon the first request.
+type cachedRecord struct {
 	record damsonwinch.Record
 	once   sync.Once
 	packed string
@@ -40,113 +43,121 @@
 }
 
 func newTail() *tail {
-	return &tail{newest: map[string]*entry{}, moved: make(chan struct{})}
+	return &tail{newest: map[string]*cachedRecord{}, changed: make(chan struct{})}
 }
 
-// restart takes the newest record of each key in place of all that is known.
-func (t *tail) restart(records []damsonwinch.Record, end int, currentAt time.Time) {
+// reset replaces the contents of the tail by the newest record of each key.
+func (t *tail) reset(records []damsonwinch.Record, end int, confirmedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	clear(t.newest)
-	t.last = nil
+	t.recent = nil
 	for _, record := range records {
-		t.newest[record.Key] = &entry{record: record}
+		t.newest[record.Key] = &cachedRecord{record: record}
 	}
-	t.move(end, currentAt)
+	t.setEnd(end, confirmedAt)
 }
 
-// add takes records that follow an offset.
-func (t *tail) add(from int, records []damsonwinch.Record, end int, currentAt time.Time) {
+// add adds the records that a read at offset from returned. End is the end of the stream as of
+// confirmedAt, which may be after the last of the records.
+func (t *tail) add(from int, records []damsonwinch.Record, end int, confirmedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if from != t.end {
-		t.last = nil
+		t.recent = nil
 	}
 	for _, record := range records {
-		e := &entry{record: record}
-		t.last = append(t.last, e)
-		t.newest[record.Key] = e
+		cached := &cachedRecord{record: record}
+		t.recent = append(t.recent, cached)
+		t.newest[record.Key] = cached
 		if len(record.Value) == 0 {
 			delete(t.newest, record.Key)
 		}
 	}
-	if surplus := len(t.last) - keptRecords; surplus > 0 {
-		t.last = slices.Clone(t.last[surplus:])
+	if surplus := len(t.recent) - maxRecentRecords; surplus > 0 {
+		t.recent = slices.Clone(t.recent[surplus:])
 	}
 	if next := from + len(records); next < end {
-		// More has been read than has come; it follows at once.
-		end, currentAt = next, t.currentAt
+		// The stream has more records, which the next read returns at once. Until then the tail is
+		// not known to be complete, so the time of the last confirmation stays.
+		end, confirmedAt = next, t.confirmedAt
 	}
-	t.move(end, currentAt)
+	t.setEnd(end, confirmedAt)
 }
 
-// move tells those who wait that the stream has moved on.
-func (t *tail) move(end int, currentAt time.Time) {
-	if end != t.end || t.currentAt.IsZero() {
-		close(t.moved)
-		t.moved = make(chan struct{})
+// setEnd sets the end of the tail and wakes the callers of waitFor if it has changed.
+func (t *tail) setEnd(end int, confirmedAt time.Time) {
+	if end != t.end || t.confirmedAt.IsZero() {
+		close(t.changed)
+		t.changed = make(chan struct{})
 	}
-	t.end, t.currentAt = end, currentAt
+	t.end, t.confirmedAt = end, confirmedAt
 }
 
-// wait waits until it is known that the stream has a record at an offset, or the context ends.
-func (t *tail) wait(ctx context.Context, next int) {
+// waitFor waits until the node has read the record at an offset, or until ctx ends. With an offset of
+// -1 it waits for the first read.
+func (t *tail) waitFor(ctx context.Context, offset int) {
 	for {
 		t.mutex.Lock()
-		there, moved := !t.currentAt.IsZero() && next < t.end, t.moved
+		available, changed := !t.confirmedAt.IsZero() && offset < t.end, t.changed
 		t.mutex.Unlock()
-		if there {
+		if available {
 			return
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// answer tells what the tail has of what is asked for.
-func (t *tail) answer(args wire.FollowArgs, now time.Time) (wire.FollowReply, error) {
-	entries, reply := t.find(args, now)
-	for _, e := range entries {
-		packed, err := e.pack()
+// replyTo returns the reply to a follower's request, with packed records.
+func (t *tail) replyTo(args wire.FollowArgs, now time.Time) (wire.FollowReply, error) {
+	records, reply := t.lookUp(args, now)
+	for _, cached := range records {
+		packed, err := cached.pack()
 		if err != nil {
 			return wire.FollowReply{}, err
 		}
-		reply.Records = append(reply.Records, wire.FollowedRecord{Key: e.record.Key, Offset: e.record.Offset, Packed: packed})
+		reply.Records = append(reply.Records, wire.FollowedRecord{Key: cached.record.Key, Offset: cached.record.Offset, Packed: packed})
 	}
 	return reply, nil
 }
 
-func (t *tail) find(args wire.FollowArgs, now time.Time) ([]*entry, wire.FollowReply) {
+// lookUp returns the requested records, and the reply without them. The reply's Known is false if the
+// tail doesn't hold all of them.
+func (t *tail) lookUp(args wire.FollowArgs, now time.Time) ([]*cachedRecord, wire.FollowReply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	reply := wire.FollowReply{Known: !t.currentAt.IsZero(), End: t.end, AgeMs: int(now.Sub(t.currentAt).Milliseconds())}
+	reply := wire.FollowReply{Known: !t.confirmedAt.IsZero(), End: t.end, AgeMs: int(now.Sub(t.confirmedAt).Milliseconds())}
 	if !reply.Known {
 		return nil, wire.FollowReply{}
 	}
 	if args.Newest {
-		var entries []*entry
+		var records []*cachedRecord
 		for _, key := range slices.Sorted(maps.Keys(t.newest)) {
-			entries = append(entries, t.newest[key])
+			records = append(records, t.newest[key])
 		}
-		return entries, reply
+		return records, reply
 	}
 	behind := t.end - args.Next
-	if behind > len(t.last) {
-		// It hasn't all of them any more; the newest ones will do.
+	if behind > len(t.recent) {
+		// The oldest of these records are no longer here. The follower then asks for the newest
+		// record of each key.
 		reply.Known = false
 		return nil, reply
 	}
-	return slices.Clone(t.last[len(t.last)-max(0, behind):]), reply
+	return slices.Clone(t.recent[len(t.recent)-max(0, behind):]), reply
 }
 
-func (e *entry) pack() (string, error) {
-	e.once.Do(func() { e.packed, e.err = pack(e.record.Value) })
-	return e.packed, e.err
+// pack returns the packed value of the record. The first call makes it.
+func (c *cachedRecord) pack() (string, error) {
+	c.once.Do(func() { c.packed, c.err = pack(c.record.Value) })
+	return c.packed, c.err
 }
 
+// pack compresses a value with gzip. It returns "" for an empty value.
 func pack(value []byte) (string, error) {
 	if len(value) == 0 {
 		return "", nil
@@ -165,10 +176,12 @@
 	return packed.String(), nil
 }
 
-// mostValue is the largest record that is unpacked, in bytes: the largest that the platform's
-// client takes.
-const mostValue = 16 << 20
+// maxValueBytes is the size of the largest value that is unpacked: the largest that the platform's
+// client accepts.
+const maxValueBytes = 16 << 20
 
+// unpack reverses pack. It returns an error if packed is invalid or its value is larger than
+// maxValueBytes.
 func unpack(packed string) ([]byte, error) {
 	if packed == "" {
 		return nil, nil
@@ -178,11 +191,11 @@
 		return nil, fmt.Errorf("unpack record: %w", err)
 	}
 	var value bytes.Buffer
-	if _, err := io.Copy(&value, io.LimitReader(r, mostValue+1)); err != nil {
+	if _, err := io.Copy(&value, io.LimitReader(r, maxValueBytes+1)); err != nil {
 		return nil, fmt.Errorf("unpack record: %w", err)
 	}
-	if value.Len() > mostValue {
-		return nil, fmt.Errorf("unpack record: more than %d bytes", mostValue)
+	if value.Len() > maxValueBytes {
+		return nil, fmt.Errorf("unpack record: more than %d bytes", maxValueBytes)
 	}
 	return value.Bytes(), nil
 }
