--- a/pkg/feed/crowd_test.go
+++ b/pkg/feed/crowd_test.go
@@ -16,31 +16,31 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// crowded is a store with one record, which reads out so many bytes a second in all, in the
-// order in which it is asked, also for those who have given up. It refuses while more waits
-// than it reads out in two seconds, as the platform's pages have it.
-type crowded struct {
+// overloadedStore is a store with one record. It serves bytesPerSecond in all and reads in the order in
+// which they arrive, also those that have been given up. It refuses reads while more than two seconds
+// of work wait, as the platform's documentation says.
+type overloadedStore struct {
 	damsonwinch.Store
 	bytesPerSecond int
 	mutex          sync.Mutex
 	value          []byte
 	added          chan struct{}
 	busyUntil      time.Time
-	spent          int
+	bytesRead      int
 }
 
-func (s *crowded) Newest(ctx context.Context, _ damsonwinch.Stream, _ string) (damsonwinch.KeyPage, error) {
+func (s *overloadedStore) Newest(ctx context.Context, _ damsonwinch.Stream, _ string) (damsonwinch.KeyPage, error) {
 	s.mutex.Lock()
 	value := s.value
 	s.mutex.Unlock()
 	if value == nil {
 		return damsonwinch.KeyPage{}, nil
 	}
-	page, err := s.readOut(ctx, value)
+	page, err := s.serve(ctx, value)
 	return damsonwinch.KeyPage{Records: page.Records, End: page.End}, err
 }
 
-func (s *crowded) Read(ctx context.Context, _ damsonwinch.Stream, from int, wait time.Duration) (damsonwinch.Page, error) {
+func (s *overloadedStore) Read(ctx context.Context, _ damsonwinch.Stream, from int, wait time.Duration) (damsonwinch.Page, error) {
 	if from > 0 {
 		<-ctx.Done()
 		return damsonwinch.Page{}, ctx.Err()
@@ -52,11 +52,11 @@
 	case <-ctx.Done():
 		return damsonwinch.Page{}, ctx.Err()
 	}
-	return s.readOut(ctx, s.value)
+	return s.serve(ctx, s.value)
 }
 
-// readOut waits for its turn and for the answer.
-func (s *crowded) readOut(ctx context.Context, value []byte) (damsonwinch.Page, error) {
+// serve returns a page with the value once the store has sent it, after all earlier reads.
+func (s *overloadedStore) serve(ctx context.Context, value []byte) (damsonwinch.Page, error) {
 	s.mutex.Lock()
 	now := time.Now()
 	if s.busyUntil.Before(now) {
@@ -66,7 +66,7 @@
 		s.mutex.Unlock()
 		return damsonwinch.Page{}, damsonwinch.ErrRefused
 	}
-	s.spent += len(value)
+	s.bytesRead += len(value)
 	s.busyUntil = s.busyUntil.Add(time.Duration(len(value)) * time.Second / time.Duration(s.bytesPerSecond))
 	ready := time.Until(s.busyUntil)
 	s.mutex.Unlock()
@@ -78,33 +78,34 @@
 	}
 }
 
-// TestACrowdOfReadersIsServed. A store of 80 MB/s had to give 1.15 MB to each of 147 nodes, and
-// later in order than a reading may be silent: all gave up, asked again and were given up by the
-// store in turn, until the end of the day. In the same measure, smaller: 8 MB/s, 100 readers,
-// 240 KB, 3 s if nothing is read out twice.
-func TestACrowdOfReadersIsServed(t *testing.T) {
+// TestOverloadedStoreServesAllReaders guards against a retry storm. A store of 80 MB/s that serves
+// 1.15 MB to each of 147 nodes answers most of them after their answer timeout. If all give up and
+// read again, the store serves the reads that were given up first, and no node ever gets its answer.
+// This test has the same proportions at a smaller size: 8 MB/s, 100 readers and 240 KB, which takes
+// 3 s if nothing is read twice.
+func TestOverloadedStoreServesAllReaders(t *testing.T) {
 	const readers, size = 100, 240_000
-	store := &crowded{bytesPerSecond: 8_000_000, added: make(chan struct{})}
+	store := &overloadedStore{bytesPerSecond: 8_000_000, added: make(chan struct{})}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	got := make(chan struct{}, 10*readers)
+	received := make(chan struct{}, 10*readers)
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
 	for range readers {
 		f := New(Deps{
 			Store: store, Clock: clockwork.NewRealClock(), Logger: logger, Metrics: metrics.New(),
-			// The store answers other calls all the time.
+			// The store answers other calls of the node all the time.
 			StoreAnsweredAt: time.Now,
 		}, Options{
 			Stream: damsonwinch.Stream{Topic: "keyed.test"}, Wait: time.Second, NewestOnly: true,
 			OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) {
 				for range records {
-					got <- struct{}{}
+					received <- struct{}{}
 				}
 			},
 			OnRecords: func(records []damsonwinch.Record, _ int, _ time.Time) {
 				for range records {
-					got <- struct{}{}
+					received <- struct{}{}
 				}
 			},
 		})
@@ -116,14 +117,14 @@
 	close(store.added)
 	store.mutex.Unlock()
 
-	within := time.After(9 * time.Second)
+	timeout := time.After(9 * time.Second)
 	served := 0
 wait:
 	for served < readers {
 		select {
-		case <-got:
+		case <-received:
 			served++
-		case <-within:
+		case <-timeout:
 			break wait
 		}
 	}
@@ -131,7 +132,7 @@
 	assert.NilError(t, group.Wait())
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	t.Logf("%d of %d served, %d KB read out for %d KB", served, readers, store.spent/1000, readers*size/1000)
+	t.Logf("%d of %d readers served, %d KB read for %d KB", served, readers, store.bytesRead/1000, readers*size/1000)
 	assert.Equal(t, served, readers)
-	assert.Assert(t, store.spent <= 2*readers*size, "read out more than twice")
+	assert.Assert(t, store.bytesRead <= 2*readers*size, "the store served the record more than twice per reader")
 }
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows a keyed stream of the store: all newest records first,
-// then what is added.
+// Package feed follows a keyed stream of the store: it reads the newest record of each key first, and
+// then the records that are added.
 package feed
 
 import (
@@ -15,136 +15,136 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// Times of a feed.
 const (
-	// retryPause is the time between tries while the store doesn't answer.
-	retryPause = 200 * time.Millisecond
-	// answerMargin is how long a reading may be silent beyond its wait, and between two
-	// parts of its answer, before it is given up: the store answers in a few
-	// milliseconds, and 70 times as slow on a bad day. It bounds no whole answer: of a
-	// configuration of 870 KB a link of 10 Mbit/s brings 600 KB in this time, and 35 of
-	// 43 nodes read them over and over without ever having all.
-	answerMargin = 600 * time.Millisecond
-	// farBehind is by how many records a reader is behind that had better read the newest
-	// ones anew: those are a third larger on the way, in base64, but come once.
-	farBehind = 2
-	// reportEvery is the time between two log lines on a stream that stays lost.
-	reportEvery = 5 * time.Second
+	// initialRetryDelay is the time between two reads while the store doesn't answer.
+	initialRetryDelay = 200 * time.Millisecond
+	// defaultAnswerTimeout bounds the time until the answer to a read starts, beyond the wait that
+	// the read asks for, and the time between two parts of the answer. The store answers within a
+	// few milliseconds, and takes 70 times as long on a bad day. The whole answer has no limit: in
+	// this time a link of 10 Mbit/s carries 600 KB of a configuration of 870 KB, so with a limit
+	// 35 of 43 nodes read these 600 KB again and again and never got the rest.
+	defaultAnswerTimeout = 600 * time.Millisecond
+	// snapshotLag is the number of records by which a feed with NewestOnly must be behind to read
+	// the newest records instead. These are a third larger, since they are sent in base64, but they
+	// are sent only once.
+	snapshotLag = 2
+	// logInterval is the time between two log lines while the stream can't be read.
+	logInterval = 5 * time.Second
 )
 
-// Deps are what a feed works with.
+// Deps holds the dependencies of a feed.
 type Deps struct {
 	Store   damsonwinch.Store
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// StoreAnsweredAt tells when the store has last answered any call of this node; nil where
-	// nobody knows.
+	// StoreAnsweredAt returns when the store last answered any call of this node. It may be nil.
 	StoreAnsweredAt func() time.Time
 }
 
-// Options say what is followed, and how closely.
+// Options select the stream that a feed follows and how it is read.
 type Options struct {
 	Stream damsonwinch.Stream
-	// Wait is how long a reading waits for news at the store.
+	// Wait is how long the store waits for a new record before it answers a read.
 	Wait time.Duration
-	// Pause returns the time until the next reading, for streams that move all the
-	// time and are not needed to the millisecond; nil means none. Wake ends it.
+	// Pause returns the time until the next read. It is meant for streams that change all the time
+	// and are not needed at once; nil means no pause. Wake ends the pause.
 	Pause func() time.Duration
-	// Wanted says whether anybody needs the stream now; nil means always. While
-	// nobody does, nothing is read, and Wake ends the wait. What is then there comes
-	// as a snapshot.
+	// Wanted reports whether anybody needs the stream now; nil means always. While it returns false
+	// the feed reads nothing and waits for Wake. Afterwards it starts again with a snapshot.
 	Wanted func() bool
 	Wake   <-chan struct{}
-	// NewestOnly says that of the records of a key only the newest matters. A reader that
-	// is behind by more than one page then goes on with the newest records, not with
-	// those in between: a node with a slow link would fall ever further behind.
+	// NewestOnly means that only the newest record of a key matters. If at least snapshotLag records
+	// remain after a read, the feed then goes on with a snapshot: a node with a slow link that read
+	// all records in between would fall ever further behind.
 	NewestOnly bool
-	// OnSnapshot is given all newest records, at first and whenever the store has
-	// dropped what came after the last reading. AskedAt is when the first page was asked
-	// for: a record is as it was at that time or later.
+	// OnSnapshot is called with the newest record of each key: when the feed starts, after a time in
+	// which the stream was not wanted, when the store has dropped the next record, and as NewestOnly
+	// says. AskedAt is when the first page was requested: each record is at least as new as that.
 	OnSnapshot func(records []damsonwinch.Record, end int, askedAt time.Time)
-	// OnRecords is given what was added, in order. It may be empty: the store has
-	// answered that there is nothing new. AskedAt is when the reading was sent.
+	// OnRecords is called after each other read with the records that were added, in order. There
+	// are none if the store has answered that nothing is new. AskedAt is when the read was sent.
 	OnRecords func(records []damsonwinch.Record, end int, askedAt time.Time)
 }
 
-// Feed follows a stream.
+// Feed follows a stream and passes its records to the callbacks in Options.
 type Feed struct {
 	Deps
 	options Options
+	// started reports whether a snapshot has been read, so that next is the offset of the next read.
 	started bool
 	next    int
+	// failing reports whether the last read failed.
 	failing bool
-	// answeredAt is when the last reading was answered, and reportedAt when the log was
-	// last told that none is.
+	// answeredAt is when a read was last answered, and loggedAt when a failure was last logged.
 	answeredAt time.Time
-	reportedAt time.Time
-	// reading is the reading on its way.
-	reading atomic.Pointer[reading]
-	// scan is the reading of all newest records on its way.
-	scan     *Scan
-	patience patience
+	loggedAt   time.Time
+	// pendingRead is the read in flight, or nil.
+	pendingRead atomic.Pointer[pendingRead]
+	// scan is the unfinished scan of the newest records, or nil.
+	scan        *Scan
+	retryPolicy retryPolicy
 }
 
-// reading is a call on its way and what ends it.
-type reading struct {
-	ctx context.Context
-	end context.CancelCauseFunc
+// pendingRead is a read in flight: its context and the function that cancels it.
+type pendingRead struct {
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 }
 
-// errRefreshed ends a reading in whose place another is to be sent.
+// errRefreshed is the cause with which Refresh cancels a read.
 var errRefreshed = errors.New("read anew")
 
-// New returns a feed that reads nothing before Run.
+// New returns a feed. It reads nothing before Run is called.
 func New(deps Deps, options Options) *Feed {
-	return &Feed{Deps: deps, options: options, patience: newPatience()}
+	return &Feed{Deps: deps, options: options, retryPolicy: newRetryPolicy()}
 }
 
-// Run follows the stream until the context ends.
+// Run follows the stream until ctx ends. It calls the callbacks in Options from its own goroutine.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.options.Wanted != nil && !f.options.Wanted() {
 			f.started, f.scan = false, nil
-			f.rest(ctx)
+			f.waitUntilWanted(ctx)
 			continue
 		}
-		if err := f.step(ctx); err != nil {
-			f.report(ctx, err)
-			f.pause(ctx, f.patience.rest())
+		if err := f.readOnce(ctx); err != nil {
+			f.recordFailure(ctx, err)
+			f.sleep(ctx, f.retryPolicy.nextDelay())
 			continue
 		}
-		f.recovered()
+		f.recordSuccess()
 		if f.options.Pause != nil {
-			f.pause(ctx, f.options.Pause())
+			f.sleep(ctx, f.options.Pause())
 		}
 	}
 }
 
-// Refresh has the stream read at once, on another connection than that of the
-// reading on its way: somebody has seen that there is news. A reading whose answer is
-// coming is left alone; it may be large, and would never end if it were begun anew.
+// Refresh cancels the read in flight, so that the stream is read again at once and over another
+// connection. It is called when there is a sign of new records. A read whose answer has started to
+// arrive goes on: the answer may be large, and would never arrive if it were requested again each time.
 func (f *Feed) Refresh() {
-	if r := f.reading.Load(); r != nil && !idle.AnswerStarted(r.ctx) {
-		r.end(errRefreshed)
+	if r := f.pendingRead.Load(); r != nil && !idle.AnswerStarted(r.ctx) {
+		r.cancel(errRefreshed)
 	}
 }
 
-func (f *Feed) step(ctx context.Context) error {
+// readOnce reads a snapshot if the feed needs one, and else the next records.
+func (f *Feed) readOnce(ctx context.Context) error {
 	if !f.started {
-		return f.restart(ctx)
+		return f.readSnapshot(ctx)
 	}
 	wait := f.options.Wait
 	if f.failing {
-		// Whether the store is back is worth knowing before there is news.
+		// Don't wait for a new record: the feed must learn soon whether the store answers again.
 		wait = 0
 	}
 	askedAt := f.Clock.Now()
-	limited, end := idle.WithTimeout(ctx, f.Clock, wait+f.patience.silence, answerMargin)
-	defer end(nil)
-	f.reading.Store(&reading{ctx: limited, end: end})
+	limited, cancel := idle.WithTimeout(ctx, f.Clock, wait+f.retryPolicy.answerTimeout, defaultAnswerTimeout)
+	defer cancel(nil)
+	f.pendingRead.Store(&pendingRead{ctx: limited, cancel: cancel})
 	page, err := f.Store.Read(limited, f.options.Stream, f.next, wait)
-	f.reading.Store(nil)
+	f.pendingRead.Store(nil)
 	switch {
 	case errors.Is(err, damsonwinch.ErrExpired):
 		f.started = false
@@ -152,26 +152,27 @@
 	case err != nil && errors.Is(context.Cause(limited), errRefreshed):
 		return nil
 	case err != nil:
-		f.patience.failed(limited, err, f.storeAnswers(askedAt))
+		f.retryPolicy.recordFailure(limited, err, f.storeAnsweredSince(askedAt))
 		return err
 	}
 	f.next += len(page.Records)
 	f.options.OnRecords(page.Records, page.End, askedAt)
-	if f.options.NewestOnly && page.End-f.next >= farBehind {
+	if f.options.NewestOnly && page.End-f.next >= snapshotLag {
 		f.started = false
 	}
 	return nil
 }
 
-// restart reads the newest record of each key.
-func (f *Feed) restart(ctx context.Context) error {
+// readSnapshot reads the newest record of each key. After an error the next call goes on with the page
+// that failed.
+func (f *Feed) readSnapshot(ctx context.Context) error {
 	if f.scan == nil {
 		f.scan = NewScan(f.Store, f.Clock, f.options.Stream)
-		f.scan.alive = f.storeAnswers
+		f.scan.storeAnsweredSince = f.storeAnsweredSince
 	}
-	f.scan.patience = f.patience
+	f.scan.retryPolicy = f.retryPolicy
 	err := f.scan.Run(ctx)
-	f.patience = f.scan.patience
+	f.retryPolicy = f.scan.retryPolicy
 	if err != nil {
 		return err
 	}
@@ -181,22 +182,22 @@
 	return nil
 }
 
-// storeAnswers says whether the store has answered another call since a time.
-func (f *Feed) storeAnswers(since time.Time) bool {
+// storeAnsweredSince reports whether the store is known to have answered any call since a time.
+func (f *Feed) storeAnsweredSince(since time.Time) bool {
 	return f.StoreAnsweredAt != nil && f.StoreAnsweredAt().After(since)
 }
 
-// rest waits until somebody needs the stream.
-func (f *Feed) rest(ctx context.Context) {
+// waitUntilWanted waits for Wake or the end of ctx.
+func (f *Feed) waitUntilWanted(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-f.options.Wake:
 	}
 }
 
-// report counts a failed reading, and logs a lost dependency: at first, and while it
-// stays lost.
-func (f *Feed) report(ctx context.Context, err error) {
+// recordFailure counts a failed read and logs it: the first failure at once, and further ones every
+// logInterval.
+func (f *Feed) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -209,28 +210,29 @@
 		f.Metrics.Add("readings_unanswered", 1)
 	}
 	now := f.Clock.Now()
-	if f.failing && now.Sub(f.reportedAt) < reportEvery {
+	if f.failing && now.Sub(f.loggedAt) < logInterval {
 		return
 	}
-	what := "stream lost"
+	message := "stream lost"
 	if f.failing {
-		what = "stream still lost"
+		message = "stream still lost"
 	}
-	f.failing, f.reportedAt = true, now
-	f.line().WithError(err).WithField("received_bytes", received).Warn(what)
+	f.failing, f.loggedAt = true, now
+	f.logger().WithError(err).WithField("received_bytes", received).Warn(message)
 }
 
-func (f *Feed) recovered() {
-	f.patience.answered()
+// recordSuccess notes that a read was answered, and logs it after a failure.
+func (f *Feed) recordSuccess() {
+	f.retryPolicy.reset()
 	if f.failing {
 		f.failing = false
-		f.line().Info("stream back")
+		f.logger().Info("stream back")
 	}
 	f.answeredAt = f.Clock.Now()
 }
 
-// line begins a log line on the stream, with the age of what is known of it.
-func (f *Feed) line() logrus.FieldLogger {
+// logger returns a logger with the stream, the next offset and the time since the last answer.
+func (f *Feed) logger() logrus.FieldLogger {
 	fields := logrus.Fields{"stream": f.options.Stream.String(), "next": f.next}
 	if !f.answeredAt.IsZero() {
 		fields["answered_ms_ago"] = f.Clock.Since(f.answeredAt).Milliseconds()
@@ -238,7 +240,8 @@
 	return f.Logger.WithFields(fields)
 }
 
-func (f *Feed) pause(ctx context.Context, length time.Duration) {
+// sleep waits for a time, for Wake or for the end of ctx.
+func (f *Feed) sleep(ctx context.Context, length time.Duration) {
 	if length <= 0 {
 		return
 	}
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -16,37 +16,38 @@
 	"damsonwinch/pkg/metrics"
 )
 
-var errLost = errors.New("answer lost")
+var errAnswerLost = errors.New("answer lost")
 
-// stored is a store with one keyed stream, which reads as it is told.
-type stored struct {
+// fakeStore is a store with one keyed stream whose reads call the functions of the test.
+type fakeStore struct {
 	damsonwinch.Store
 	newest func(after string) (damsonwinch.KeyPage, error)
 	read   func(ctx context.Context, from int) (damsonwinch.Page, error)
 }
 
-func (s *stored) Newest(_ context.Context, _ damsonwinch.Stream, after string) (damsonwinch.KeyPage, error) {
+func (s *fakeStore) Newest(_ context.Context, _ damsonwinch.Stream, after string) (damsonwinch.KeyPage, error) {
 	return s.newest(after)
 }
 
-func (s *stored) Read(ctx context.Context, _ damsonwinch.Stream, from int, _ time.Duration) (damsonwinch.Page, error) {
+func (s *fakeStore) Read(ctx context.Context, _ damsonwinch.Stream, from int, _ time.Duration) (damsonwinch.Page, error) {
 	return s.read(ctx, from)
 }
 
-// follow runs a feed until its test ends, and returns the values that it has given.
-func follow(t *testing.T, store *stored, newestOnly bool) (*Feed, <-chan string) {
+// startFeed runs a feed until the test ends. It returns the feed and a channel with the values that the
+// feed passes to its callbacks.
+func startFeed(t *testing.T, store *fakeStore, newestOnly bool) (*Feed, <-chan string) {
 	logger := logrus.New()
 	logger.SetLevel(logrus.ErrorLevel)
-	given := make(chan string, 100)
-	give := func(records []damsonwinch.Record) {
+	received := make(chan string, 100)
+	receive := func(records []damsonwinch.Record) {
 		for _, record := range records {
-			given <- string(record.Value)
+			received <- string(record.Value)
 		}
 	}
 	f := New(Deps{Store: store, Clock: clockwork.NewRealClock(), Logger: logger, Metrics: metrics.New()}, Options{
 		Stream: damsonwinch.Stream{Topic: "keyed.test"}, NewestOnly: newestOnly,
-		OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { give(records) },
-		OnRecords:  func(records []damsonwinch.Record, _ int, _ time.Time) { give(records) },
+		OnSnapshot: func(records []damsonwinch.Record, _ int, _ time.Time) { receive(records) },
+		OnRecords:  func(records []damsonwinch.Record, _ int, _ time.Time) { receive(records) },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
@@ -55,24 +56,25 @@
 		cancel()
 		assert.Check(t, group.Wait())
 	})
-	return f, given
+	return f, received
 }
 
-func value(text string) []damsonwinch.Record {
+// keyRecord returns one record of the key "key".
+func keyRecord(text string) []damsonwinch.Record {
 	return []damsonwinch.Record{{Key: "key", Value: []byte(text)}}
 }
 
-// TestAScanGoesOnWithThePageThatFailed since one that began anew would read a stream of
-// many pages for ever where one page in ten is lost.
-func TestAScanGoesOnWithThePageThatFailed(t *testing.T) {
+// TestScanResumesAtTheFailedPage guards against a scan that starts again after each error: where one
+// page in ten is lost, it would never reach the end of a stream of many pages.
+func TestScanResumesAtTheFailedPage(t *testing.T) {
 	const pages = 5
-	asked := map[string]int{}
+	requests := map[string]int{}
 	end := 100
-	store := &stored{newest: func(after string) (damsonwinch.KeyPage, error) {
-		asked[after]++
+	store := &fakeStore{newest: func(after string) (damsonwinch.KeyPage, error) {
+		requests[after]++
 		end++
-		if asked[after] == 1 && after != "" {
-			return damsonwinch.KeyPage{}, errLost
+		if requests[after] == 1 && after != "" {
+			return damsonwinch.KeyPage{}, errAnswerLost
 		}
 		key := after + "k"
 		return damsonwinch.KeyPage{Records: []damsonwinch.Record{{Key: key}}, More: len(key) < pages, End: end}, nil
@@ -83,24 +85,24 @@
 	}
 	records, from, _ := scan.Records()
 	assert.Equal(t, len(records), pages)
-	assert.Equal(t, from, 101, "the first page's end: what came meanwhile is read again")
-	assert.Equal(t, asked[""], 1, "the first page is read once")
+	assert.Equal(t, from, 101, "the end that came with the first page: later records are read again")
+	assert.Equal(t, requests[""], 1, "the first page is read once")
 }
 
-// TestASnapshotIsAsOldAsItsFirstPage also where a later page came after an outage: who
-// goes by the age of what it knows, as owners of cells do, must not take it for newer.
-func TestASnapshotIsAsOldAsItsFirstPage(t *testing.T) {
+// TestSnapshotIsAsOldAsItsFirstPage checks a snapshot whose later page arrives after an outage. Owners of
+// cells rely on the age of what they have read, so the snapshot must not seem newer than its first page.
+func TestSnapshotIsAsOldAsItsFirstPage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	begun, tries := clock.Now(), 0
-	store := &stored{
+	started, tries := clock.Now(), 0
+	store := &fakeStore{
 		newest: func(after string) (damsonwinch.KeyPage, error) {
 			if after == "" {
-				return damsonwinch.KeyPage{Records: value("first"), More: true, End: 1}, nil
+				return damsonwinch.KeyPage{Records: keyRecord("first"), More: true, End: 1}, nil
 			}
 			tries++
 			clock.Advance(time.Second)
 			if tries < 5 {
-				return damsonwinch.KeyPage{}, errLost
+				return damsonwinch.KeyPage{}, errAnswerLost
 			}
 			return damsonwinch.KeyPage{Records: []damsonwinch.Record{{Key: "last"}}, End: 1}, nil
 		},
@@ -109,48 +111,49 @@
 			return damsonwinch.Page{}, ctx.Err()
 		},
 	}
-	given := make(chan time.Time, 1)
+	received := make(chan time.Time, 1)
 	f := New(Deps{Store: store, Clock: clock, Logger: logrus.New(), Metrics: metrics.New()}, Options{
-		OnSnapshot: func(_ []damsonwinch.Record, _ int, askedAt time.Time) { given <- askedAt },
+		OnSnapshot: func(_ []damsonwinch.Record, _ int, askedAt time.Time) { received <- askedAt },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	for f.step(ctx) != nil {
+	for f.readOnce(ctx) != nil {
 		assert.Assert(t, tries < 5)
 	}
-	assert.Equal(t, <-given, begun)
+	assert.Equal(t, <-received, started)
 }
 
-// TestAReaderFarBehindGoesOnWithTheNewest where only the newest record of a key matters:
-// on a slow link the versions in between took longer to read than to be written.
-func TestAReaderFarBehindGoesOnWithTheNewest(t *testing.T) {
+// TestFeedFarBehindReadsTheNewestRecords checks a feed that needs only the newest record of a key. On a
+// slow link the versions in between take longer to read than to write, so a feed that reads them all
+// never catches up.
+func TestFeedFarBehindReadsTheNewestRecords(t *testing.T) {
 	scans := 0
-	store := &stored{
+	store := &fakeStore{
 		newest: func(string) (damsonwinch.KeyPage, error) {
 			scans++
 			if scans == 1 {
-				return damsonwinch.KeyPage{Records: value("v1"), End: 1}, nil
+				return damsonwinch.KeyPage{Records: keyRecord("v1"), End: 1}, nil
 			}
-			return damsonwinch.KeyPage{Records: value("v9"), End: 9}, nil
+			return damsonwinch.KeyPage{Records: keyRecord("v9"), End: 9}, nil
 		},
 		read: func(ctx context.Context, from int) (damsonwinch.Page, error) {
 			if from == 1 {
-				return damsonwinch.Page{Records: value("v2"), End: 9}, nil
+				return damsonwinch.Page{Records: keyRecord("v2"), End: 9}, nil
 			}
 			<-ctx.Done()
 			return damsonwinch.Page{}, ctx.Err()
 		},
 	}
-	_, given := follow(t, store, true)
+	_, received := startFeed(t, store, true)
 	for _, want := range []string{"v1", "v2", "v9"} {
-		assert.Equal(t, <-given, want)
+		assert.Equal(t, <-received, want)
 	}
 }
 
-// TestRefreshLeavesAnAnswerThatIsComing and ends a reading that is silent.
-func TestRefreshLeavesAnAnswerThatIsComing(t *testing.T) {
-	begun, answer, calls := make(chan bool), make(chan struct{}), 0
-	store := &stored{
+// TestRefreshKeepsAnAnswerThatHasStarted also checks that Refresh cancels a read without any answer.
+func TestRefreshKeepsAnAnswerThatHasStarted(t *testing.T) {
+	started, answer, calls := make(chan bool), make(chan struct{}), 0
+	store := &fakeStore{
 		newest: func(string) (damsonwinch.KeyPage, error) { return damsonwinch.KeyPage{End: 1}, nil },
 		read: func(ctx context.Context, from int) (damsonwinch.Page, error) {
 			calls++
@@ -161,20 +164,20 @@
 			if calls == 2 {
 				idle.Received(ctx)
 			}
-			begun <- true
+			started <- true
 			select {
 			case <-ctx.Done():
 				return damsonwinch.Page{}, ctx.Err()
 			case <-answer:
-				return damsonwinch.Page{Records: value("large"), End: from + 1}, nil
+				return damsonwinch.Page{Records: keyRecord("large"), End: from + 1}, nil
 			}
 		},
 	}
-	f, given := follow(t, store, false)
-	<-begun
+	f, received := startFeed(t, store, false)
+	<-started
 	f.Refresh()
-	<-begun
+	<-started
 	f.Refresh()
 	answer <- struct{}{}
-	assert.Equal(t, <-given, "large")
+	assert.Equal(t, <-received, "large")
 }
--- a/pkg/feed/patience.go
+++ b/pkg/feed/patience.go
@@ -10,49 +10,53 @@
 	"damsonwinch/pkg/idle"
 )
 
-// patience is how long a feed waits for an answer to begin, and between two tries. A store that
-// has more to read out than it can is made to read it out again by each reading that is given
-// up and sent anew: 147 readers of 1.15 MB at 80 MB/s were never served again.
-type patience struct {
-	silence time.Duration
-	pause   time.Duration
+// retryPolicy holds how long a feed waits for the start of an answer, and how long it waits after a
+// failed read. Both grow while the store is overloaded: each read that is given up and sent again
+// makes the store serve the same records once more, so that 147 feeds reading 1.15 MB each from a
+// store of 80 MB/s would never be served.
+type retryPolicy struct {
+	answerTimeout time.Duration
+	retryDelay    time.Duration
 }
 
 const (
-	// crowdedSilence is how long an answer may be silent of a store that answers other calls:
-	// it refuses what would have to wait for more than two seconds.
-	crowdedSilence = 2400 * time.Millisecond
-	// mostPause bounds the time between two tries at a store that refuses them.
-	mostPause = 1600 * time.Millisecond
+	// overloadAnswerTimeout is the answer timeout for a store that answers other calls. Such a store
+	// refuses a call that would wait for more than two seconds.
+	overloadAnswerTimeout = 2400 * time.Millisecond
+	// maxRetryDelay bounds the time between two reads that the store refuses, before jitter.
+	maxRetryDelay = 1600 * time.Millisecond
 )
 
-func newPatience() patience {
-	return patience{silence: answerMargin, pause: retryPause}
+// newRetryPolicy returns the policy for a store that isn't overloaded.
+func newRetryPolicy() retryPolicy {
+	return retryPolicy{answerTimeout: defaultAnswerTimeout, retryDelay: initialRetryDelay}
 }
 
-// answered notes an answer.
-func (p *patience) answered() {
-	*p = newPatience()
+// reset returns to the initial policy after an answer.
+func (p *retryPolicy) reset() {
+	*p = newRetryPolicy()
 }
 
-// failed notes a failed reading. Alive says that the store has answered another call since it
-// was sent: then it isn't the way there, and unless the connection is dead, which the next
-// reading doesn't use, others are before this one.
-func (p *patience) failed(reading context.Context, err error, alive bool) {
+// recordFailure adapts the policy to a failed read. ReadCtx is the context of the read, and
+// answeredOthers reports whether the store has answered another call since the read was sent. If it
+// has, the network is not at fault: either the connection of the read is dead, and the next read uses
+// another one, or the store serves other reads first.
+func (p *retryPolicy) recordFailure(readCtx context.Context, err error, answeredOthers bool) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrRefused):
-		p.silence, p.pause = crowdedSilence, min(mostPause, 2*p.pause)
-	case alive && errors.Is(context.Cause(reading), idle.ErrTimeout) && !idle.AnswerStarted(reading):
-		p.silence, p.pause = crowdedSilence, retryPause
+		p.answerTimeout, p.retryDelay = overloadAnswerTimeout, min(maxRetryDelay, 2*p.retryDelay)
+	case answeredOthers && errors.Is(context.Cause(readCtx), idle.ErrTimeout) && !idle.AnswerStarted(readCtx):
+		p.answerTimeout, p.retryDelay = overloadAnswerTimeout, initialRetryDelay
 	default:
-		*p = newPatience()
+		*p = newRetryPolicy()
 	}
 }
 
-// rest returns the time until the next try. It is spread where many try at once.
-func (p *patience) rest() time.Duration {
-	if p.pause == retryPause {
-		return retryPause
+// nextDelay returns the time until the next read. Delays longer than the initial one have jitter, since
+// many feeds may retry at once.
+func (p *retryPolicy) nextDelay() time.Duration {
+	if p.retryDelay == initialRetryDelay {
+		return initialRetryDelay
 	}
-	return p.pause/2 + rand.N(p.pause)
+	return p.retryDelay/2 + rand.N(p.retryDelay)
 }
--- a/pkg/feed/scan.go
+++ b/pkg/feed/scan.go
@@ -8,64 +8,65 @@
 	"damsonwinch/pkg/idle"
 )
 
-// Scan reads the newest record of each key of a stream, page after page. After an error it
-// goes on with the page that failed: a stream of many pages would otherwise be begun anew
-// with each of them.
+// Scan reads the newest record of each key of a stream, page by page. After an error it goes on with
+// the page that failed. If it started again instead, a stream of many pages could take forever.
 type Scan struct {
 	store  damsonwinch.Store
 	clock  damsonwinch.Clock
 	stream damsonwinch.Stream
 
-	patience patience
-	// alive says whether the store has answered another call since a time; nil where nobody
-	// knows.
-	alive func(since time.Time) bool
+	retryPolicy retryPolicy
+	// storeAnsweredSince reports whether the store has answered another call since a time. It may be
+	// nil.
+	storeAnsweredSince func(since time.Time) bool
 
 	records []damsonwinch.Record
 	done    bool
-	// askedAt is when the first page that came was asked for, and end the stream's end
-	// that it told: what came later is read again, which does no harm.
+	// askedAt is when the first page was requested, and end the end of the stream that came with it.
+	// Later pages may have records from after that end. These are read twice, which does no harm.
 	askedAt time.Time
 	end     int
 }
 
 // NewScan returns a scan that has read nothing yet.
 func NewScan(store damsonwinch.Store, clock damsonwinch.Clock, stream damsonwinch.Stream) *Scan {
-	return &Scan{store: store, clock: clock, stream: stream, patience: newPatience()}
+	return &Scan{store: store, clock: clock, stream: stream, retryPolicy: newRetryPolicy()}
 }
 
-// Run reads until all pages have come.
+// Run reads all pages. After an error it may be called again and goes on with the page that failed.
 func (s *Scan) Run(ctx context.Context) error {
 	for !s.done {
-		if err := s.page(ctx); err != nil {
+		if err := s.readPage(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Records returns what has been read, and the stream's end and the time when that began.
+// Records returns the records that have been read, the offset at which to read on, and the time when
+// the first page was requested: each record is at least as new as that.
 func (s *Scan) Records() (records []damsonwinch.Record, end int, askedAt time.Time) {
 	return s.records, s.end, s.askedAt
 }
 
-func (s *Scan) page(ctx context.Context) error {
-	limited, cancel := idle.WithTimeout(ctx, s.clock, s.patience.silence, answerMargin)
+// readPage reads the page after the last record.
+func (s *Scan) readPage(ctx context.Context) error {
+	limited, cancel := idle.WithTimeout(ctx, s.clock, s.retryPolicy.answerTimeout, defaultAnswerTimeout)
 	defer cancel(nil)
 	after := ""
 	if last := len(s.records) - 1; last >= 0 {
 		after = s.records[last].Key
 	}
 	askedAt := s.clock.Now()
-	got, err := s.store.Newest(limited, s.stream, after)
+	page, err := s.store.Newest(limited, s.stream, after)
 	if err != nil {
-		s.patience.failed(limited, err, s.alive != nil && s.alive(askedAt))
+		s.retryPolicy.recordFailure(limited, err, s.storeAnsweredSince != nil && s.storeAnsweredSince(askedAt))
 		return err
 	}
 	if s.askedAt.IsZero() {
-		s.askedAt, s.end = askedAt, got.End
+		s.askedAt, s.end = askedAt, page.End
 	}
-	s.records = append(s.records, got.Records...)
-	s.done = !got.More || len(got.Records) == 0
+	s.records = append(s.records, page.Records...)
+	s.done = !page.More || len(page.Records) == 0
 	return nil
 }
