--- a/pkg/stream/hedge.go
+++ b/pkg/stream/hedge.go
@@ -9,24 +9,28 @@
 	"damsonwinch"
 )
 
-// Hedged requests (Dean and Barroso, 2013): an append that isn't answered is sent again
-// beside the first try. While three in ten answers of the store were lost, for 5 s, each
-// commit waited 0.25 s or more for the next try, and half of the jobs were late.
+// Small appends are hedged requests (Dean and Barroso, 2013): if a try isn't answered soon, the append
+// is sent again while the first try is still in flight. Without hedging, while three in ten answers of
+// the store were lost for 5 s, each commit waited 0.25 s or more for the next try, and half of the jobs
+// were late.
 const (
-	// leastHedgeTime is how long a try is waited for before there is another one: the store
-	// answers in 5 ms, and a busy node takes 20 to read it.
-	leastHedgeTime = 40 * time.Millisecond
-	// hedgeTimes is how many times as long as the last answered try that may be at least, so
-	// that a slow store gets one call more at first and none later.
-	hedgeTimes = 4
-	// mostTries bounds the tries on their way: three in a hundred are all lost then.
-	mostTries = 3
-	// mostHedgedBytes bounds the records that are sent again beside themselves. They take
-	// 60 ms on a link of 2 Mbit/s, which sending larger ones twice would fill.
-	mostHedgedBytes = 16 << 10
+	// minHedgeDelay is the shortest time between a try and the next one beside it. The store answers
+	// within 5 ms, and a busy node takes 20 ms to read the answer.
+	minHedgeDelay = 40 * time.Millisecond
+	// hedgeDelayFactor times the duration of the last answered try is the time between a try and the
+	// next one beside it, if that is longer. A store that becomes slow thus gets one more call at
+	// first and none later.
+	hedgeDelayFactor = 4
+	// maxConcurrentTries bounds the tries in flight. If three in ten answers are lost, three tries
+	// are all lost in 3 of 100 calls.
+	maxConcurrentTries = 3
+	// maxHedgedBytes bounds the size of the records of a hedged append. That many bytes take 60 ms on
+	// a link of 2 Mbit/s; larger appends that are sent twice would fill such a link.
+	maxHedgedBytes = 16 << 10
 )
 
-func bytesOf(records []damsonwinch.Record) int {
+// sizeInBytes returns the total length of the keys and values.
+func sizeInBytes(records []damsonwinch.Record) int {
 	bytes := 0
 	for _, record := range records {
 		bytes += len(record.Key) + len(record.Value)
@@ -34,46 +38,47 @@
 	return bytes
 }
 
-// hedge makes a call that may be carried out more than once, until a try is answered.
+// hedge makes a call until a try of it succeeds or the call can't succeed any more. Several tries may be
+// in flight at once, so the call must be idempotent.
 func (w *Writer) hedge(ctx context.Context, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var tries errgroup.Group
 	defer func() {
 		cancel()
 		_ = tries.Wait()
-		w.failed.Store(0)
+		w.failedTries.Store(0)
 	}()
-	took := time.Duration(w.took.Load())
-	timeout, gap, pause := min(mostTimeout, max(leastTimeout, usualTimes*took)), max(leastHedgeTime, hedgeTimes*took), leastPause
-	answers := make(chan error, mostTries)
-	next := w.deps.Clock.NewTimer(0)
-	defer next.Stop()
-	for under := 0; ; {
+	lastDuration := time.Duration(w.lastDuration.Load())
+	timeout, hedgeDelay, retryDelay := min(maxTimeout, max(minTimeout, timeoutFactor*lastDuration)), max(minHedgeDelay, hedgeDelayFactor*lastDuration), minRetryDelay
+	answers := make(chan error, maxConcurrentTries)
+	timer := w.deps.Clock.NewTimer(0)
+	defer timer.Stop()
+	for inFlight := 0; ; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-next.Chan():
-			if under > 0 {
+		case <-timer.Chan():
+			if inFlight > 0 {
 				w.deps.Metrics.Add("store_hedges", 1)
 			}
-			under++
+			inFlight++
 			limit := timeout
 			tries.Go(func() error {
 				answers <- w.try(ctx, limit, call)
 				return nil
 			})
-			timeout = min(2*timeout, mostTimeout)
-			if under < mostTries {
-				next.Reset(gap)
-				gap *= 2
+			timeout = min(2*timeout, maxTimeout)
+			if inFlight < maxConcurrentTries {
+				timer.Reset(hedgeDelay)
+				hedgeDelay *= 2
 			}
 		case err := <-answers:
-			under--
-			if over, err := w.judge(ctx, err); over {
+			inFlight--
+			if done, err := w.checkResult(ctx, err); done {
 				return err
 			}
-			next.Reset(pause)
-			pause = min(2*pause, mostPause)
+			timer.Reset(retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		}
 	}
 }
--- a/pkg/stream/hedge_test.go
+++ b/pkg/stream/hedge_test.go
@@ -11,56 +11,58 @@
 	"damsonwinch"
 )
 
-// appendTime returns how long an append takes of which the store leaves the first tries
-// unanswered.
-func appendTime(t *testing.T, store *scripted, records ...damsonwinch.Record) time.Duration {
+// appendTime returns how long an append of records to a store takes.
+func appendTime(t *testing.T, store *scriptedStore, records ...damsonwinch.Record) time.Duration {
 	t.Helper()
 	w := newWriter(store)
 	clock := clockwork.NewRealClock()
-	begun := clock.Now()
+	started := clock.Now()
 	assert.NilError(t, w.Append(context.Background(), records, w.NextFence()))
-	return clock.Since(begun)
+	return clock.Since(started)
 }
 
-// TestALostAnswerIsNotAwaited: three in ten answers were lost for 5 s, and commits that wait
-// for each other took 0.4 s in place of 5 ms.
-func TestALostAnswerIsNotAwaited(t *testing.T) {
-	store := &scripted{answers: []answer{{silent: true}, {silent: true}}}
+// TestLostAnswerIsHedged guards against appends that wait for a lost answer: while three in ten answers
+// were lost, commits that wait for each other took 0.4 s instead of 5 ms.
+func TestLostAnswerIsHedged(t *testing.T) {
+	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}, {silent: true}}}
 	took := appendTime(t, store)
-	assert.Assert(t, took >= 3*leastHedgeTime && took < leastTimeout, "%v", took)
+	assert.Assert(t, took >= 3*minHedgeDelay && took < minTimeout, "%v", took)
 	assert.Equal(t, len(store.fences), 3)
-	assert.Equal(t, store.fences[0], store.fences[2], "it counts once")
+	assert.Equal(t, store.fences[0], store.fences[2], "all tries have the same fence, so the append counts once")
 }
 
-// TestALargeAppendIsNotSentBesideItself: it fills a slow link for longer than that.
-func TestALargeAppendIsNotSentBesideItself(t *testing.T) {
-	store := &scripted{answers: []answer{{silent: true}}}
-	took := appendTime(t, store, damsonwinch.Record{Key: "job", Value: make([]byte, mostHedgedBytes)})
-	assert.Assert(t, took >= leastTimeout, "%v", took)
+// TestLargeAppendIsNotHedged checks that a large append is only retried after its timeout. On a slow
+// link it takes longer than the hedge delay, so that a second copy would only slow it down.
+func TestLargeAppendIsNotHedged(t *testing.T) {
+	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}}}
+	took := appendTime(t, store, damsonwinch.Record{Key: "job", Value: make([]byte, maxHedgedBytes)})
+	assert.Assert(t, took >= minTimeout, "%v", took)
 	assert.Equal(t, len(store.fences), 2)
 }
 
-// TestASlowStoreIsNotAskedTwice once it is known to be slow.
-func TestASlowStoreIsNotAskedTwice(t *testing.T) {
-	store := &scripted{}
+// TestSlowStoreGetsNoHedgedCalls checks that a try which takes twice as long as the last one is not
+// hedged.
+func TestSlowStoreGetsNoHedgedCalls(t *testing.T) {
+	store := &scriptedStore{}
 	w := newWriter(store)
-	w.took.Store(int64(leastHedgeTime))
-	store.answers = []answer{{after: 2 * leastHedgeTime}}
+	w.lastDuration.Store(int64(minHedgeDelay))
+	store.answers = []scriptedAnswer{{after: 2 * minHedgeDelay}}
 	assert.NilError(t, w.Append(context.Background(), nil, w.NextFence()))
 	assert.Equal(t, len(store.fences), 1)
 	assert.Equal(t, w.deps.Metrics.Count("store_hedges"), 0)
 }
 
-// TestTriesOnTheirWayAreFew however long the store is silent.
-func TestTriesOnTheirWayAreFew(t *testing.T) {
-	silent := make([]answer, 20)
-	for at := range silent {
-		silent[at].silent = true
+// TestConcurrentTriesAreLimited checks that a store which doesn't answer gets no more than
+// maxConcurrentTries tries within a timeout.
+func TestConcurrentTriesAreLimited(t *testing.T) {
+	silent := make([]scriptedAnswer, 20)
+	for i := range silent {
+		silent[i].silent = true
 	}
-	store := &scripted{answers: silent}
-	ctx, cancel := context.WithTimeout(context.Background(), leastTimeout)
+	store := &scriptedStore{answers: silent}
+	ctx, cancel := context.WithTimeout(context.Background(), minTimeout)
 	defer cancel()
 	w := newWriter(store)
 	assert.ErrorIs(t, w.Append(ctx, nil, w.NextFence()), context.DeadlineExceeded)
-	assert.Equal(t, len(store.fences), mostTries)
+	assert.Equal(t, len(store.fences), maxConcurrentTries)
 }
--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -1,5 +1,5 @@
-// Package stream writes the stream of a cell's records for the node that owns the cell.
-// The store refuses what an earlier owner still sends, and takes nothing twice.
+// Package stream writes the stream of a cell's records for the node that owns the cell. The store
+// refuses appends of earlier owners and carries out each append at most once.
 package stream
 
 import (
@@ -15,120 +15,124 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// Times of calls to the store.
 const (
-	// leastTimeout is how long a call may be silent at first, and doubled with each try:
-	// the store answers in about 5 ms, and in 70 times that on a slow day. While a call
-	// makes progress it may go on: 2 MB of records need 1.6 s on a link of 10 Mbit/s.
-	leastTimeout = 250 * time.Millisecond
-	// mostTimeout bounds it. A call that was sent while the store was silent is not
-	// answered any more when it is back, so that this is how late that is noticed.
-	mostTimeout = 800 * time.Millisecond
-	// usualTimes is how many times as long as the last call the next one may take.
-	usualTimes = 2
-	leastPause = 30 * time.Millisecond
-	mostPause  = 120 * time.Millisecond
+	// minTimeout bounds how long the first try of a call may go without progress; the limit doubles
+	// with each try. The store answers in about 5 ms, and takes 70 times as long on a slow day. A
+	// call that makes progress has no limit: 2 MB of records need 1.6 s on a link of 10 Mbit/s.
+	minTimeout = 250 * time.Millisecond
+	// maxTimeout bounds the time without progress of any try. A call that was sent during an outage
+	// of the store is never answered, so the writer may notice the end of the outage this late.
+	maxTimeout = 800 * time.Millisecond
+	// timeoutFactor times the duration of the last call is the timeout of the next one, within the
+	// limits above.
+	timeoutFactor = 2
+	// minRetryDelay is the delay after the first failed try; it doubles up to maxRetryDelay.
+	minRetryDelay = 30 * time.Millisecond
+	maxRetryDelay = 120 * time.Millisecond
 )
 
-// ErrOwnershipLost says that a newer owner has written to the stream.
+// ErrOwnershipLost means that a newer owner has written to the stream.
 var ErrOwnershipLost = errors.New("a newer owner has taken the cell over")
 
-// Deps are what a writer works with.
+// Deps holds the dependencies of a writer.
 type Deps struct {
 	Store   damsonwinch.Store
 	Clock   damsonwinch.Clock
 	Metrics *metrics.Set
 }
 
-// Writer writes one stream under the epoch of a claim. Next is called by one goroutine;
-// appends may run in others.
+// Writer writes one stream under the epoch of a claim. NextFence must be called by one goroutine;
+// Append may be called by several.
 type Writer struct {
 	deps     Deps
 	stream   damsonwinch.Stream
 	producer string
 	epoch    int
 	sequence int
-	// took is how long the last call took, in nanoseconds, and failed how many tries of the
-	// present one have not been answered, or not with yes.
-	took   atomic.Int64
-	failed atomic.Int64
+	// lastDuration is how long the last successful try took, in nanoseconds, and failedTries how many
+	// tries of the call in flight have failed.
+	lastDuration atomic.Int64
+	failedTries  atomic.Int64
 }
 
-// New returns a writer that has written nothing yet.
+// New returns a writer of a stream. Its fences carry the producer and the epoch.
 func New(deps Deps, stream damsonwinch.Stream, producer string, epoch int) *Writer {
 	return &Writer{deps: deps, stream: stream, producer: producer, epoch: epoch}
 }
 
-// TakeOver keeps earlier owners out of the stream and returns the newest record of each
-// of its keys.
+// TakeOver raises the epoch of the stream, so that the store refuses appends of earlier owners, and
+// returns the newest record of each key. Call it before the first append.
 func (w *Writer) TakeOver(ctx context.Context) ([]damsonwinch.Record, error) {
-	if err := w.Append(ctx, nil, w.fence()); err != nil {
+	if err := w.Append(ctx, nil, w.currentFence()); err != nil {
 		return nil, err
 	}
 	scan := feed.NewScan(w.deps.Store, w.deps.Clock, w.stream)
-	err := w.insist(ctx, scan.Run)
+	err := w.retry(ctx, scan.Run)
 	records, _, _ := scan.Records()
 	return records, err
 }
 
-// FailedTries returns how many tries of the call that is on its way have failed.
+// FailedTries returns how many tries of the call in flight have failed.
 func (w *Writer) FailedTries() int {
-	return int(w.failed.Load())
+	return int(w.failedTries.Load())
 }
 
-// NextFence returns the fence of the next append, which must follow the last one.
+// NextFence returns the fence of the next append. Appends must reach the store in the order of their
+// fences.
 func (w *Writer) NextFence() damsonwinch.Fence {
 	w.sequence++
-	return w.fence()
+	return w.currentFence()
 }
 
-func (w *Writer) fence() damsonwinch.Fence {
+// currentFence returns the fence with the current sequence number.
+func (w *Writer) currentFence() damsonwinch.Fence {
 	return damsonwinch.Fence{Producer: w.producer, Epoch: w.epoch, Sequence: w.sequence}
 }
 
-// Append adds records, trying again until that is done, the owner is deposed or the
-// context ends. Its fence keeps a try that was carried out from counting twice.
+// Append adds records and retries until the append succeeds, a newer owner has written to the stream
+// (ErrOwnershipLost) or ctx ends. Because of the fence the store carries out only one of the tries.
 func (w *Writer) Append(ctx context.Context, records []damsonwinch.Record, fence damsonwinch.Fence) error {
 	call := func(ctx context.Context) error {
 		_, err := w.deps.Store.Append(ctx, w.stream, records, fence)
 		return err
 	}
-	if bytesOf(records) > mostHedgedBytes {
-		return w.insist(ctx, call)
+	if sizeInBytes(records) > maxHedgedBytes {
+		return w.retry(ctx, call)
 	}
 	return w.hedge(ctx, call)
 }
 
-// insist repeats a call to the store until it is done or can't be any more.
-func (w *Writer) insist(ctx context.Context, call func(ctx context.Context) error) error {
-	timeout := min(mostTimeout, max(leastTimeout, usualTimes*time.Duration(w.took.Load())))
-	pause := leastPause
-	defer w.failed.Store(0)
+// retry makes a call, one try after the other, until it succeeds or can't succeed any more.
+func (w *Writer) retry(ctx context.Context, call func(ctx context.Context) error) error {
+	timeout := min(maxTimeout, max(minTimeout, timeoutFactor*time.Duration(w.lastDuration.Load())))
+	retryDelay := minRetryDelay
+	defer w.failedTries.Store(0)
 	for {
-		if over, err := w.judge(ctx, w.try(ctx, timeout, call)); over {
+		if done, err := w.checkResult(ctx, w.try(ctx, timeout, call)); done {
 			return err
 		}
-		if err := w.sleep(ctx, pause); err != nil {
+		if err := w.sleep(ctx, retryDelay); err != nil {
 			return err
 		}
-		timeout, pause = min(2*timeout, mostTimeout), min(2*pause, mostPause)
+		timeout, retryDelay = min(2*timeout, maxTimeout), min(2*retryDelay, maxRetryDelay)
 	}
 }
 
-// try makes a call once, for as long as it makes progress.
+// try makes a call once. It gives up if the call makes no progress for the timeout.
 func (w *Writer) try(ctx context.Context, timeout time.Duration, call func(ctx context.Context) error) error {
-	begun := w.deps.Clock.Now()
+	started := w.deps.Clock.Now()
 	limited, cancel := idle.WithTimeout(ctx, w.deps.Clock, timeout, timeout)
 	defer cancel(nil)
 	err := call(limited)
 	if err == nil {
-		w.took.Store(int64(w.deps.Clock.Since(begun)))
+		w.lastDuration.Store(int64(w.deps.Clock.Since(started)))
 	}
 	return err
 }
 
-// judge tells whether a call is over with what a try of it gave, and what it comes to.
-func (w *Writer) judge(ctx context.Context, err error) (bool, error) {
+// checkResult takes the error of a try, or nil. It reports whether the call is done, and then returns
+// the error of the call. Otherwise it counts a failed try.
+func (w *Writer) checkResult(ctx context.Context, err error) (bool, error) {
 	switch {
 	case err == nil:
 		return true, nil
@@ -137,11 +141,12 @@
 	case ctx.Err() != nil:
 		return true, ctx.Err()
 	}
-	w.failed.Add(1)
+	w.failedTries.Add(1)
 	w.deps.Metrics.Add("store_retries", 1)
 	return false, nil
 }
 
+// sleep waits for a time. It returns the error of ctx if ctx ends first.
 func (w *Writer) sleep(ctx context.Context, length time.Duration) error {
 	timer := w.deps.Clock.NewTimer(length)
 	defer timer.Stop()
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -14,23 +14,24 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// answer is what the store does with one append.
-type answer struct {
+// scriptedAnswer says how the store answers one append.
+type scriptedAnswer struct {
 	err error
-	// silent appends are not answered at all, and others after a time.
+	// silent means that the store doesn't answer. Otherwise it answers after a time.
 	silent bool
 	after  time.Duration
 }
 
-// scripted is a store that answers appends as it is told, and then well.
-type scripted struct {
+// scriptedStore is a store that takes its answers to appends from a list, and accepts all further
+// appends. It keeps the fences of all appends.
+type scriptedStore struct {
 	damsonwinch.Store
 	mutex   sync.Mutex
-	answers []answer
+	answers []scriptedAnswer
 	fences  []damsonwinch.Fence
 }
 
-func (s *scripted) Append(ctx context.Context, _ damsonwinch.Stream, _ []damsonwinch.Record, fence damsonwinch.Fence) (int, error) {
+func (s *scriptedStore) Append(ctx context.Context, _ damsonwinch.Stream, _ []damsonwinch.Record, fence damsonwinch.Fence) (int, error) {
 	next := s.next(fence)
 	if next.silent {
 		<-ctx.Done()
@@ -40,19 +41,19 @@
 	return 0, next.err
 }
 
-func (s *scripted) next(fence damsonwinch.Fence) answer {
+func (s *scriptedStore) next(fence damsonwinch.Fence) scriptedAnswer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fences = append(s.fences, fence)
 	if len(s.answers) == 0 {
-		return answer{}
+		return scriptedAnswer{}
 	}
 	next := s.answers[0]
 	s.answers = s.answers[1:]
 	return next
 }
 
-func (s *scripted) Newest(context.Context, damsonwinch.Stream, string) (damsonwinch.KeyPage, error) {
+func (s *scriptedStore) Newest(context.Context, damsonwinch.Stream, string) (damsonwinch.KeyPage, error) {
 	return damsonwinch.KeyPage{Records: []damsonwinch.Record{{Key: "job"}}, End: 1}, nil
 }
 
@@ -61,9 +62,10 @@
 	return New(deps, damsonwinch.Stream{Topic: "cells"}, "cell", 7)
 }
 
-// TestAnAppendIsRepeatedWithItsFence so that it counts once however often it arrives.
-func TestAnAppendIsRepeatedWithItsFence(t *testing.T) {
-	store := &scripted{answers: []answer{{silent: true}, {err: damsonwinch.ErrRefused}}}
+// TestAppendIsRetriedWithTheSameFence checks the fences of retries, because of which the store carries
+// out an append only once.
+func TestAppendIsRetriedWithTheSameFence(t *testing.T) {
+	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}, {err: damsonwinch.ErrRefused}}}
 	w := newWriter(store)
 	fence := w.NextFence()
 	assert.NilError(t, w.Append(context.Background(), nil, fence))
@@ -71,25 +73,25 @@
 	assert.Equal(t, w.NextFence().Sequence, fence.Sequence+1)
 }
 
-// TestASilentStoreIsAskedAgainSoon since a call that was sent while it was away is not
-// answered any more when it is back: tries of two seconds left cells idle for so long.
-func TestASilentStoreIsAskedAgainSoon(t *testing.T) {
-	silent := make([]answer, 5)
-	for at := range silent {
-		silent[at].silent = true
+// TestSilentStoreIsRetriedSoon guards against long timeouts. A call that is sent during an outage of the
+// store is never answered, so with a timeout of two seconds cells stay idle that long after the outage.
+func TestSilentStoreIsRetriedSoon(t *testing.T) {
+	silent := make([]scriptedAnswer, 5)
+	for i := range silent {
+		silent[i].silent = true
 	}
-	store := &scripted{answers: silent}
+	store := &scriptedStore{answers: silent}
 	w := newWriter(store)
 	clock := clockwork.NewRealClock()
-	begun := clock.Now()
+	started := clock.Now()
 	assert.NilError(t, w.Append(context.Background(), nil, w.NextFence()))
-	assert.Assert(t, clock.Since(begun) < 5*(mostTimeout+mostPause)+time.Second)
+	assert.Assert(t, clock.Since(started) < 5*(maxTimeout+maxRetryDelay)+time.Second)
 }
 
-// TestADeposedOwnerIsTold and tries no more.
-func TestADeposedOwnerIsTold(t *testing.T) {
+// TestFencedWriterReturnsErrOwnershipLost also checks that the writer doesn't retry.
+func TestFencedWriterReturnsErrOwnershipLost(t *testing.T) {
 	for _, refusal := range []error{damsonwinch.ErrFenced, damsonwinch.ErrOutOfSequence} {
-		store := &scripted{answers: []answer{{err: refusal}}}
+		store := &scriptedStore{answers: []scriptedAnswer{{err: refusal}}}
 		w := newWriter(store)
 		_, err := w.TakeOver(context.Background())
 		assert.Assert(t, errors.Is(err, ErrOwnershipLost))
@@ -98,9 +100,10 @@
 	}
 }
 
-// TestTakeOver raises the epoch before it reads.
-func TestTakeOver(t *testing.T) {
-	store := &scripted{}
+// TestTakeOverRaisesTheEpochFirst checks that TakeOver appends nothing but its fence, and reads the
+// records.
+func TestTakeOverRaisesTheEpochFirst(t *testing.T) {
+	store := &scriptedStore{}
 	w := newWriter(store)
 	records, err := w.TakeOver(context.Background())
 	assert.NilError(t, err)
