--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -1,5 +1,5 @@
-// Package call makes and serves calls between the system's processes: net/rpc
-// with deadlines, and errors that carry step and peer.
+// Package call makes and serves calls between the processes of the system. It adds to net/rpc deadlines,
+// detection of dead connections, and errors that name the method and the peer.
 package call
 
 import (
@@ -16,23 +16,23 @@
 	"damsonwinch"
 )
 
-// dialTimeout bounds the making of a connection, so that a peer that is cut off
-// leaves time to ask another.
+// dialTimeout bounds the time to connect, so that after a peer that can't be reached there is time left
+// to call another.
 const dialTimeout = 500 * time.Millisecond
 
-// Error is a call that failed.
+// Error is the error of a failed call.
 type Error struct {
-	// Method is the call's name.
+	// Method is the name of the service and the method, separated by a dot.
 	Method string
 	// Peer is the address of the called process.
 	Peer string
-	// MayHaveExecuted says that the call may have been carried out.
+	// MayHaveExecuted is false if the call was certainly not carried out.
 	MayHaveExecuted bool
 	// Err is the cause.
 	Err error
 }
 
-// Error returns the step, the peer and the cause.
+// Error returns the method, the peer and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s at %s: %v", e.Method, e.Peer, e.Err)
 }
@@ -42,31 +42,31 @@
 	return e.Err
 }
 
-// ConnectionRefused says whether the peer's address refused the connection, which shows
-// that its process has ended.
+// ConnectionRefused reports whether the peer's address refused the connection, which shows that the
+// peer's process has ended.
 func ConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// MayHaveExecuted says whether the failed call may have been carried out.
+// MayHaveExecuted reports whether the peer may have carried out a call that failed with err. It returns
+// true for an error that isn't an *Error.
 func MayHaveExecuted(err error) bool {
 	var failed *Error
 	return !errors.As(err, &failed) || failed.MayHaveExecuted
 }
 
-// Client calls one peer over one connection, made anew after a failure.
+// Client calls one peer over one connection. After a failure it opens another one.
 type Client struct {
 	peer  string
 	dial  damsonwinch.Dial
 	clock damsonwinch.Clock
-	// The lock guards only which connection is the present one: net/rpc's
-	// client may be used by many goroutines, and a task of its own would stand
-	// between each call and its connection.
+	// mutex guards conn only. The connection itself needs no lock, since many goroutines may use a
+	// net/rpc client at once; a goroutine that owned the connection would only delay each call.
 	mutex sync.Mutex
 	conn  *connection
 }
 
-// New returns a client that connects upon its first call.
+// New returns a client of the process at the address peer. It connects upon the first call.
 func New(peer string, dial damsonwinch.Dial, clock damsonwinch.Clock) *Client {
 	return &Client{peer: peer, dial: dial, clock: clock}
 }
@@ -76,22 +76,22 @@
 	return c.peer
 }
 
-// Do makes one call and waits for it until the context ends or the peer is silent: it
-// doesn't even answer that it is there. The reply, a pointer, is written only if there
-// is no error. A call that is given up is reported as one that may have been carried
-// out, since net/rpc can't take a call back.
+// Do makes one call. It waits for the answer until ctx ends or the peer has answered neither calls nor
+// pings for deadAfter. Reply is a pointer; it is written only if Do returns nil. All errors are of
+// type *Error. The error of a call that was given up says that the call may have been carried out, since
+// net/rpc can't cancel a call.
 func (c *Client) Do(ctx context.Context, method string, args, reply any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return &Error{Method: method, Peer: c.peer, Err: err}
 	}
-	// The answer is decoded into a value of its own: one that comes after the
-	// deadline would otherwise be written into what the caller has moved on with,
-	// perhaps the reply of another peer.
+	// The answer is decoded into a separate value. Otherwise an answer that comes after Do has
+	// returned would be written into the caller's reply, which may hold the answer of another peer by
+	// then.
 	answer := reflect.New(reflect.TypeOf(reply).Elem())
 	call := conn.client.Go(method, args, answer.Interface(), make(chan *rpc.Call, 1))
-	defer c.done(conn)
-	watch := c.clock.NewTicker(watchTime)
+	defer c.release(conn)
+	watch := c.clock.NewTicker(checkInterval)
 	defer watch.Stop()
 	for {
 		select {
@@ -99,104 +99,108 @@
 			if call.Error == nil {
 				reflect.ValueOf(reply).Elem().Set(answer.Elem())
 			}
-			conn.heard(c.clock.Now())
-			return c.finish(conn, method, call.Error)
+			conn.recordAnswer(c.clock.Now())
+			return c.result(conn, method, call.Error)
 		case <-ctx.Done():
 			return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: ctx.Err()}
 		case <-watch.Chan():
-			if !conn.lives(c.clock.Now()) {
-				c.drop(conn)
+			if !conn.checkAlive(c.clock.Now()) {
+				c.discard(conn)
 				return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: errSilent}
 			}
 		}
 	}
 }
 
-// errSilent says that a peer has answered nothing for a while.
+// errSilent means that the peer has answered neither calls nor pings for deadAfter.
 var errSilent = errors.New("the peer is silent")
 
-func (c *Client) finish(conn *connection, method string, err error) error {
+// result returns the error of Do for a call that net/rpc has finished. It discards the connection
+// unless the error came from the called method.
+func (c *Client) result(conn *connection, method string, err error) error {
 	if err == nil {
 		return nil
 	}
-	var answered rpc.ServerError
-	if !errors.As(err, &answered) {
-		c.drop(conn)
+	var serverErr rpc.ServerError
+	if !errors.As(err, &serverErr) {
+		c.discard(conn)
 	}
 	return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: err}
 }
 
-// connect returns a connection on which the caller may make one call.
+// connect returns a connection on which a call has been begun. The caller ends it with release.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
-	if conn := c.present(); conn != nil {
+	if conn := c.usableConnection(); conn != nil {
 		return conn, nil
 	}
 	limited, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	made, err := c.dial(limited, "tcp", c.peer)
+	netConn, err := c.dial(limited, "tcp", c.peer)
 	if err != nil {
 		return nil, err
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.conn != nil && c.conn.begin(c.clock.Now()) {
-		closeQuietly(made)
+	if c.conn != nil && c.conn.beginCall(c.clock.Now()) {
+		closeIgnoringError(netConn)
 		return c.conn, nil
 	}
-	c.conn = &connection{client: rpc.NewClient(made)}
-	c.conn.begin(c.clock.Now())
+	c.conn = &connection{client: rpc.NewClient(netConn)}
+	c.conn.beginCall(c.clock.Now())
 	return c.conn, nil
 }
 
-// present returns the present connection, unless it leaves calls unanswered. One
-// that a cut has killed would take this call, too, and nobody could tell any more
-// whether it has been carried out; a connection that can't be made tells that.
-func (c *Client) present() *connection {
+// usableConnection begins a call on the current connection and returns the connection. It returns nil if
+// there is none, or if the peer leaves calls on it unanswered. On a connection that a network failure
+// has killed, it would be unknown whether this call was carried out; if a new connection can't be opened,
+// it certainly wasn't.
+func (c *Client) usableConnection() *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.conn == nil {
 		return nil
 	}
-	if !c.conn.begin(c.clock.Now()) {
-		// Its calls go on; the last of them closes it.
+	if !c.conn.beginCall(c.clock.Now()) {
+		// The calls on the connection go on. The last of them closes it.
 		c.conn = nil
 		return nil
 	}
 	return c.conn
 }
 
-// done ends a call on a connection, which is closed with the last one if another
-// has taken its place.
-func (c *Client) done(conn *connection) {
+// release ends a call on a connection. After the last call it closes the connection if that is no longer
+// the current one.
+func (c *Client) release(conn *connection) {
 	c.mutex.Lock()
 	current := c.conn == conn
 	c.mutex.Unlock()
-	if last := conn.end(); last && !current {
-		// It may be closed already; there is nothing to do then.
+	if last := conn.endCall(); last && !current {
+		// Close fails if the connection is closed already, which does no harm.
 		_ = conn.client.Close()
 	}
 }
 
-func (c *Client) drop(conn *connection) {
+// discard closes a connection. Its pending calls fail.
+func (c *Client) discard(conn *connection) {
 	c.mutex.Lock()
 	if c.conn == conn {
 		c.conn = nil
 	}
 	c.mutex.Unlock()
-	// The connection may be closed already; there is nothing to do then.
+	// Close fails if the connection is closed already, which does no harm.
 	_ = conn.client.Close()
 }
 
-// Close closes the connection.
+// Close closes the current connection, so that calls on it fail. A later call opens another one.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	conn := c.conn
 	c.mutex.Unlock()
 	if conn != nil {
-		c.drop(conn)
+		c.discard(conn)
 	}
 }
 
-func closeQuietly(conn net.Conn) {
+func closeIgnoringError(conn net.Conn) {
 	_ = conn.Close()
 }
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -11,15 +11,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// gate answers a call when it is opened.
-type gate struct {
+// gateService is a net/rpc service whose calls block until the test closes the channel open.
+type gateService struct {
 	entered chan struct{}
 	open    chan struct{}
 	left    chan struct{}
 }
 
-// Ask waits for the gate if its argument is above 0, and returns the argument.
-func (g *gate) Ask(number int, reply *int) error {
+// Ask blocks if number is above 0, and replies with number.
+func (g *gateService) Ask(number int, reply *int) error {
 	if number > 0 {
 		g.entered <- struct{}{}
 		<-g.open
@@ -29,8 +29,8 @@
 	return nil
 }
 
-func serveGate(t *testing.T) (*gate, *Client, *Server) {
-	g := &gate{entered: make(chan struct{}), open: make(chan struct{}), left: make(chan struct{})}
+func serveGate(t *testing.T) (*gateService, *Client, *Server) {
+	g := &gateService{entered: make(chan struct{}), open: make(chan struct{}), left: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server, err := Serve(listener, "Gate", g)
@@ -39,17 +39,18 @@
 	return g, client, server
 }
 
-// TestALateAnswerIsNotWritten into what the caller goes on with.
-func TestALateAnswerIsNotWritten(t *testing.T) {
+// TestLateReplyIsDiscarded checks that an answer which comes after Do has returned isn't written into the
+// caller's reply.
+func TestLateReplyIsDiscarded(t *testing.T) {
 	g, client, server := serveGate(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	reply := -1
-	var asking errgroup.Group
-	asking.Go(func() error { return client.Do(ctx, "Gate.Ask", 7, &reply) })
+	var calls errgroup.Group
+	calls.Go(func() error { return client.Do(ctx, "Gate.Ask", 7, &reply) })
 	<-g.entered
 	cancel()
 
-	err := asking.Wait()
+	err := calls.Wait()
 
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	assert.Assert(t, MayHaveExecuted(err))
@@ -62,8 +63,9 @@
 	server.Close()
 }
 
-// TestARefusedConnectionWasNotSent tells an ended peer from a silent one.
-func TestARefusedConnectionWasNotSent(t *testing.T) {
+// TestRefusedConnectionExecutesNothing checks that the error of a call to a process that has ended differs
+// from that of a call to a silent peer.
+func TestRefusedConnectionExecutesNothing(t *testing.T) {
 	_, client, server := serveGate(t)
 	server.Close()
 	reply := 0
@@ -76,7 +78,7 @@
 	assert.Equal(t, failed.Peer, client.Peer())
 }
 
-// silentPeer takes connections and answers nothing, not even that it is there.
+// silentPeer returns a listener that accepts connections and answers neither calls nor pings.
 func silentPeer(t *testing.T) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -102,9 +104,10 @@
 	return listener
 }
 
-// TestASilentConnectionTakesNoNewCalls so that those are known not to be sent, and
-// those on it are given up.
-func TestASilentConnectionTakesNoNewCalls(t *testing.T) {
+// TestSilentConnectionGetsNoNewCalls checks that new calls don't use a silent connection, so that they
+// certainly aren't carried out if no other connection can be opened, and that the calls on the silent
+// connection fail.
+func TestSilentConnectionGetsNoNewCalls(t *testing.T) {
 	listener := silentPeer(t)
 	clock := clockwork.NewFakeClock()
 	dials := 0
@@ -116,33 +119,32 @@
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}, clock)
 	reply := -1
-	var asking errgroup.Group
-	var silent error
-	asking.Go(func() error {
-		silent = client.Do(context.Background(), "Gate.Ask", 7, &reply)
+	var calls errgroup.Group
+	var pendingErr error
+	calls.Go(func() error {
+		pendingErr = client.Do(context.Background(), "Gate.Ask", 7, &reply)
 		return nil
 	})
 	assert.NilError(t, clock.BlockUntilContext(context.Background(), 1))
-	clock.Advance(doubtTime + 1)
-	other := -1
+	clock.Advance(suspectAfter + 1)
+	otherReply := -1
 
-	err := client.Do(context.Background(), "Gate.Ask", 0, &other)
+	err := client.Do(context.Background(), "Gate.Ask", 0, &otherReply)
 
 	assert.ErrorContains(t, err, "cut off")
 	assert.Assert(t, !MayHaveExecuted(err))
-	clock.Advance(deadTime)
-	assert.NilError(t, asking.Wait())
-	assert.Assert(t, errors.Is(silent, errSilent))
-	assert.Assert(t, MayHaveExecuted(silent))
+	clock.Advance(deadAfter)
+	assert.NilError(t, calls.Wait())
+	assert.Assert(t, errors.Is(pendingErr, errSilent))
+	assert.Assert(t, MayHaveExecuted(pendingErr))
 	assert.Equal(t, reply, -1)
 	client.Close()
 }
 
-// TestASlowCallIsWaitedFor on the connection that it has: the peer answers that it is
-// there. Calls that waited for a slow store were given up, and each new one had a
-// connection made.
-func TestASlowCallIsWaitedFor(t *testing.T) {
-	g := &gate{entered: make(chan struct{}), open: make(chan struct{}), left: make(chan struct{})}
+// TestSlowCallKeepsItsConnection checks that a slow call is waited for as long as the peer answers pings.
+// Without pings, calls that wait for a slow store are given up, and each new call opens a connection.
+func TestSlowCallKeepsItsConnection(t *testing.T) {
+	g := &gateService{entered: make(chan struct{}), open: make(chan struct{}), left: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server, err := Serve(listener, "Gate", g)
@@ -154,14 +156,14 @@
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}, clock)
 	reply := -1
-	var asking errgroup.Group
-	asking.Go(func() error { return client.Do(context.Background(), "Gate.Ask", 7, &reply) })
+	var calls errgroup.Group
+	calls.Go(func() error { return client.Do(context.Background(), "Gate.Ask", 7, &reply) })
 	<-g.entered
-	clock.Sleep(2 * deadTime)
-	other := -1
-	assert.NilError(t, client.Do(context.Background(), "Gate.Ask", 0, &other))
+	clock.Sleep(2 * deadAfter)
+	otherReply := -1
+	assert.NilError(t, client.Do(context.Background(), "Gate.Ask", 0, &otherReply))
 	close(g.open)
-	assert.NilError(t, asking.Wait())
+	assert.NilError(t, calls.Wait())
 	assert.Equal(t, reply, 7)
 	assert.Equal(t, dials, 1)
 	client.Close()
--- a/pkg/call/connection.go
+++ b/pkg/call/connection.go
@@ -7,80 +7,80 @@
 )
 
 const (
-	// watchTime is the time between two looks at how long a connection with calls on
-	// their way has been silent, and silentTime is how long that must be for its peer
-	// to be asked whether it is there: it answers most calls within some 20 ms, but
-	// those that wait for a slow store only later. Looks may come early.
-	watchTime  = 100 * time.Millisecond
-	silentTime = watchTime / 2
-	// doubtTime is how long such a connection may be silent before new calls go
-	// elsewhere, and deadTime before those on their way are given up. A peer answers
-	// within some milliseconds that it is there; a busy one within some ten.
-	doubtTime = 200 * time.Millisecond
-	deadTime  = 600 * time.Millisecond
+	// checkInterval is the time between two checks of a connection with pending calls. If the peer
+	// has been silent for pingAfter, the check sends it a ping. A peer answers most calls within about
+	// 20 ms, but calls that wait for a slow store take longer. PingAfter is less than checkInterval
+	// since a check may come early.
+	checkInterval = 100 * time.Millisecond
+	pingAfter     = checkInterval / 2
+	// suspectAfter is how long such a connection may be silent before new calls use another one, and
+	// deadAfter how long before its pending calls fail. A peer answers a ping within a few
+	// milliseconds, and a busy peer within tens of milliseconds.
+	suspectAfter = 200 * time.Millisecond
+	deadAfter    = 600 * time.Millisecond
 )
 
-// connection is one connection to a peer and the calls that wait on it.
+// connection is one connection to a peer, with the state of its failure detector.
 type connection struct {
-	client  *rpc.Client
-	mutex   sync.Mutex
-	waiting int
-	// silentSince is when the last answer came, or when the first of the waiting
-	// calls was made, whichever is later.
+	client       *rpc.Client
+	mutex        sync.Mutex
+	pendingCalls int
+	// silentSince is when the last answer came, or when the first of the pending calls was made,
+	// whichever is later.
 	silentSince time.Time
-	// ping is the question on its way whether the peer is there.
-	ping *rpc.Call
+	// pendingPing is the ping in flight, or nil.
+	pendingPing *rpc.Call
 }
 
-// begin notes a call. It says no where earlier calls wait for an answer for so long
-// that the connection may be dead.
-func (c *connection) begin(now time.Time) bool {
+// beginCall counts a pending call. It returns false, and counts nothing, if the connection may be dead:
+// calls are pending, and the peer has been silent for more than suspectAfter.
+func (c *connection) beginCall(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.waiting == 0 {
+	if c.pendingCalls == 0 {
 		c.silentSince = now
 	}
-	if c.silentFor(now) > doubtTime {
+	if c.silence(now) > suspectAfter {
 		return false
 	}
-	c.waiting++
+	c.pendingCalls++
 	return true
 }
 
-// end notes that a call is over, and says whether it was the last.
-func (c *connection) end() bool {
+// endCall counts a call that is no longer pending. It reports whether it was the last one.
+func (c *connection) endCall() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.waiting--
-	return c.waiting == 0
+	c.pendingCalls--
+	return c.pendingCalls == 0
 }
 
-// heard notes an answer.
-func (c *connection) heard(now time.Time) {
+// recordAnswer notes the time of an answer.
+func (c *connection) recordAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.silentSince = now
 }
 
-// lives asks a peer that has been silent for a while whether it is there. It says no
-// once the peer has left that unanswered for too long.
-func (c *connection) lives(now time.Time) bool {
+// checkAlive reports whether the connection is alive, and sends a ping if the peer has been silent for
+// pingAfter. The connection is dead once the peer has been silent for deadAfter.
+func (c *connection) checkAlive(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	silent := c.silentFor(now)
-	if silent >= silentTime && c.ping == nil {
-		c.ping = c.client.Go(pingMethod, 0, new(int), make(chan *rpc.Call, 1))
+	silent := c.silence(now)
+	if silent >= pingAfter && c.pendingPing == nil {
+		c.pendingPing = c.client.Go(pingMethod, 0, new(int), make(chan *rpc.Call, 1))
 	}
-	return silent < deadTime
+	return silent < deadAfter
 }
 
-// silentFor returns how long the connection has been silent, with the answer to the
-// question whether the peer is there.
-func (c *connection) silentFor(now time.Time) time.Duration {
-	if c.ping != nil {
+// silence returns how long the peer has been silent. It takes an answer to the ping into account. The
+// caller holds the mutex.
+func (c *connection) silence(now time.Time) time.Duration {
+	if c.pendingPing != nil {
 		select {
-		case answered := <-c.ping.Done:
-			c.ping = nil
+		case answered := <-c.pendingPing.Done:
+			c.pendingPing = nil
 			if answered.Error == nil {
 				c.silentSince = now
 			}
--- a/pkg/call/server.go
+++ b/pkg/call/server.go
@@ -9,21 +9,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Names of the call that tells that a process is there.
+// Names of the call by which a client checks that a process is alive.
 const (
 	pingService = "Presence"
 	pingMethod  = pingService + ".Ping"
 )
 
-// presence answers that the process is there.
+// presence is the net/rpc service that answers pings.
 type presence struct{}
 
-// Ping answers at once.
+// Ping does nothing. Its answer shows that the process is alive.
 func (*presence) Ping(int, *int) error {
 	return nil
 }
 
-// Server serves calls on one listener.
+// Server serves net/rpc calls on one listener.
 type Server struct {
 	listener net.Listener
 	server   *rpc.Server
@@ -33,7 +33,7 @@
 	closed   bool
 }
 
-// Serve starts to serve the methods of a receiver under a name.
+// Serve starts a server that serves the methods of receiver under a name, and pings.
 func Serve(listener net.Listener, name string, receiver any) (*Server, error) {
 	server := &Server{listener: listener, server: rpc.NewServer(), conns: map[net.Conn]bool{}}
 	for named, service := range map[string]any{name: receiver, pingService: &presence{}} {
@@ -45,7 +45,7 @@
 	return server, nil
 }
 
-// Register serves the methods of another receiver under a name.
+// Register adds the methods of another receiver under a name.
 func (s *Server) Register(name string, receiver any) error {
 	if err := s.server.RegisterName(name, receiver); err != nil {
 		return fmt.Errorf("register %s: %w", name, err)
@@ -53,25 +53,27 @@
 	return nil
 }
 
+// accept serves each connection in its own goroutine until the listener is closed.
 func (s *Server) accept() error {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return nil
 		}
-		if !s.keep(conn) {
-			closeQuietly(conn)
+		if !s.addConn(conn) {
+			closeIgnoringError(conn)
 			return nil
 		}
 		s.group.Go(func() error {
 			s.server.ServeConn(conn)
-			s.forget(conn)
+			s.removeConn(conn)
 			return nil
 		})
 	}
 }
 
-func (s *Server) keep(conn net.Conn) bool {
+// addConn adds an open connection. It returns false if the server is closed.
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
@@ -81,7 +83,7 @@
 	return true
 }
 
-func (s *Server) forget(conn net.Conn) {
+func (s *Server) removeConn(conn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.conns, conn)
@@ -93,7 +95,7 @@
 	s.mutex.Lock()
 	s.closed = true
 	for conn := range s.conns {
-		closeQuietly(conn)
+		closeIgnoringError(conn)
 	}
 	s.mutex.Unlock()
 	_ = s.group.Wait()
