--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -25,39 +25,39 @@
 	// Target is the pool a draining box goes to; its own for maintenance only.
 	Target   string `json:"target,omitempty"`
 	Maintain bool   `json:"maintain,omitempty"`
-	// Carrier is the keeper that carries out the maintenance.
-	Carrier Carrier `json:"carrier"`
+	// Maintainer is the keeper that carries out the maintenance.
+	Maintainer KeeperKey `json:"carrier"`
 	// MaintainedAt and Since are the log's times, in milliseconds since 1970,
 	// of the end of the last maintenance and of the last change.
-	MaintainedAt int `json:"maintained_at"`
-	Since        int `json:"since"`
-	// HealthAt is the log's time of the last change of Health.
-	HealthAt int `json:"health_at,omitempty"`
+	MaintainedAt   int `json:"maintained_at"`
+	EpochStartedAt int `json:"since"`
+	// HealthChangedAt is the log's time of the last change of Health.
+	HealthChangedAt int `json:"health_at,omitempty"`
 	// HeldUntil is the log's time before which requests of a lost sender may
 	// still run on the box.
 	HeldUntil int `json:"held_until,omitempty"`
-	// ChangedBy is the offset of the record that last changed the box.
-	ChangedBy int `json:"changed_by"`
+	// ChangedAtOffset is the offset of the record that last changed the box.
+	ChangedAtOffset int `json:"changed_by"`
 }
 
-// Carrier names one incarnation of a keeper.
-type Carrier struct {
-	Node   string `json:"node,omitempty"`
-	Keeper int    `json:"keeper,omitempty"`
+// KeeperKey names one incarnation of a keeper.
+type KeeperKey struct {
+	Node        string `json:"node,omitempty"`
+	Incarnation int    `json:"keeper,omitempty"`
 }
 
 // Usable says whether the box counts for its pool's availability.
 func (b Box) Usable() bool {
-	return b.Phase == Serving && b.Health == wire.HealthUp && !b.Sender.None()
+	return b.Phase == Serving && b.Health == wire.HealthUp && !b.Sender.IsNone()
 }
 
 // counts says whether the box isn't down. A free one needs no sender.
 func (b Box) counts() bool {
-	return b.Usable() || (b.Pool == FreePool && b.Lent())
+	return b.Usable() || (b.Pool == FreePool && b.AcceptsWork())
 }
 
-// Lent says whether the box takes new work when its sender has any.
-func (b Box) Lent() bool {
+// AcceptsWork says whether the box takes new work when its sender has any.
+func (b Box) AcceptsWork() bool {
 	return b.Phase == Serving && b.Health == wire.HealthUp
 }
 
@@ -71,8 +71,8 @@
 // moved returns the box one epoch on.
 func (b Box) moved(offset, at int) Box {
 	b.Epoch++
-	b.ChangedBy = offset
-	b.Since = at
+	b.ChangedAtOffset = offset
+	b.EpochStartedAt = at
 	return b
 }
 
--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -50,7 +50,7 @@
 // a late copy, number.
 func foldScript(t *testing.T, state State, d *datadriven.TestData, numbers map[string]int) (State, string) {
 	batch := wire.Batch{Id: d.Pos, Node: "a", Incarnation: 1}
-	at := state.At() + 1000
+	at := state.LogTimeMs() + 1000
 	for _, arg := range d.CmdArgs {
 		switch arg.Key {
 		case "node":
@@ -73,7 +73,7 @@
 	}
 	data, err := json.Marshal(batch)
 	assert.NilError(t, err)
-	next, verdicts := state.Fold(wire.Entry{Offset: state.Offset(), At: at, Data: string(data)})
+	next, verdicts := state.Apply(wire.Entry{Offset: state.Offset(), At: at, Data: string(data)})
 	var told strings.Builder
 	for _, verdict := range verdicts {
 		word := "refused"
@@ -159,7 +159,7 @@
 func senderTable(state State) string {
 	var told strings.Builder
 	for _, sender := range state.Senders() {
-		fmt.Fprintf(&told, "%s hall=%s seq=%d boxes=%d leaving=%v\n", sender.Key, sender.Hall, sender.Seq, sender.Boxes, sender.Leaving)
+		fmt.Fprintf(&told, "%s hall=%s seq=%d boxes=%d leaving=%v\n", sender.Key, sender.Zone, sender.Seq, sender.Boxes, sender.Leaving)
 	}
 	return told.String()
 }
@@ -168,7 +168,7 @@
 func snapshotTwice(t *testing.T, state State) string {
 	first, err := state.Snapshot()
 	assert.NilError(t, err)
-	restored, err := emptyState(t).WithSnapshot(first)
+	restored, err := emptyState(t).Restore(first)
 	assert.NilError(t, err)
 	second, err := restored.Snapshot()
 	assert.NilError(t, err)
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -7,12 +7,12 @@
 
 // Member is a keeper's place in its hall's roster.
 type Member struct {
-	Node    string `json:"node"`
-	Hall    string `json:"hall"`
-	Keeper  int    `json:"keeper"`
-	Address string `json:"address"`
-	// Joined is the offset of the record by which this incarnation joined.
-	Joined int `json:"joined"`
+	Node              string `json:"node"`
+	Zone              string `json:"hall"`
+	KeeperIncarnation int    `json:"keeper"`
+	Address           string `json:"address"`
+	// JoinedOffset is the offset of the record by which this incarnation joined.
+	JoinedOffset int `json:"joined"`
 	// RenewedAt is the log's time of its last renewal, in milliseconds since
 	// 1970.
 	RenewedAt int `json:"renewed_at"`
@@ -20,21 +20,21 @@
 
 // SenderKey names one incarnation of an entry.
 type SenderKey struct {
-	Node  string `json:"node,omitempty"`
-	Entry int    `json:"entry,omitempty"`
+	Node        string `json:"node,omitempty"`
+	Incarnation int    `json:"entry,omitempty"`
 }
 
-// None says whether the key names no sender.
-func (k SenderKey) None() bool {
+// IsNone says whether the key names no sender.
+func (k SenderKey) IsNone() bool {
 	return k.Node == ""
 }
 
 // String returns the key as one word.
 func (k SenderKey) String() string {
-	if k.None() {
+	if k.IsNone() {
 		return ""
 	}
-	return k.Node + "#" + strconv.Itoa(k.Entry)
+	return k.Node + "#" + strconv.Itoa(k.Incarnation)
 }
 
 // ParseSenderKey reads what String wrote; anything else is no sender.
@@ -44,20 +44,20 @@
 	if !found || err != nil {
 		return SenderKey{}
 	}
-	return SenderKey{Node: node, Entry: entry}
+	return SenderKey{Node: node, Incarnation: entry}
 }
 
 // Sender is an entry that may hold boxes.
 type Sender struct {
 	Key     SenderKey `json:"key"`
-	Hall    string    `json:"hall"`
+	Zone    string    `json:"hall"`
 	Address string    `json:"address"`
 	// Seq is the number of its last renewal, Folded the offset that it had
 	// folded when it issued that.
-	Seq       int  `json:"seq"`
-	Folded    int  `json:"folded"`
-	RenewedAt int  `json:"renewed_at"`
-	Leaving   bool `json:"leaving,omitempty"`
+	Seq           int  `json:"seq"`
+	AppliedOffset int  `json:"folded"`
+	RenewedAt     int  `json:"renewed_at"`
+	Leaving       bool `json:"leaving,omitempty"`
 	// Boxes counts the boxes it sends to.
 	Boxes int `json:"boxes"`
 }
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -14,7 +14,7 @@
 		return s, "", refuse("a release needs its sender")
 	}
 	release := *proposal.Release
-	key := SenderKey{Node: release.Node, Entry: release.Entry}
+	key := SenderKey{Node: release.Node, Incarnation: release.Entry}
 	sender, known := s.senders.Get(key.String())
 	if !known {
 		return s, "", refuse("%s holds nothing", key)
@@ -34,7 +34,7 @@
 	}
 	s.senders = s.senders.Delete(key.String())
 	newest, _ := s.released.Get(key.Node)
-	s.released = s.released.Set(key.Node, max(newest, key.Entry))
+	s.released = s.released.Set(key.Node, max(newest, key.Incarnation))
 	return s, fmt.Sprintf("%d boxes of %s are free for another sender", freed, key), nil
 }
 
@@ -42,17 +42,17 @@
 // may still rely on.
 func (s State) mayRelease(sender Sender, release wire.Release, where step) error {
 	writer, known := s.members.Get(where.batch.Node)
-	if !known || writer.Keeper != where.batch.Incarnation {
+	if !known || writer.KeeperIncarnation != where.batch.Incarnation {
 		return refuse("%s incarnation %d is not in the roster", where.batch.Node, where.batch.Incarnation)
 	}
 	// The sender asks for extensions by the roster it folded. A writer that
 	// joined after that isn't asked, so it may not rely on its own waiting.
-	qualified := writer.Hall == sender.Hall && lease.KnownToSender(writer.Joined, sender.Folded)
+	qualified := writer.Zone == sender.Zone && lease.KnownToSender(writer.JoinedOffset, sender.AppliedOffset)
 	switch release.How {
 	case wire.ReleaseHowTime:
 		if !qualified {
 			return refuse("%s is not bound by the promises to %s: it joined at %d, the sender had folded %d",
-				writer.Node, sender.Key, writer.Joined, sender.Folded)
+				writer.Node, sender.Key, writer.JoinedOffset, sender.AppliedOffset)
 		}
 		return nil
 	case wire.ReleaseHowEnded:
@@ -61,8 +61,8 @@
 		}
 		return nil
 	case wire.ReleaseHowList:
-		if writer.Hall != sender.Hall && s.hasPeers(sender) {
-			return refuse("hall %s has members left to release %s", sender.Hall, sender.Key)
+		if writer.Zone != sender.Zone && s.hasPeers(sender) {
+			return refuse("hall %s has members left to release %s", sender.Zone, sender.Key)
 		}
 		return nil
 	}
@@ -71,7 +71,7 @@
 
 // hasPeers says whether the sender's hall has members on other nodes.
 func (s State) hasPeers(sender Sender) bool {
-	for _, member := range s.Roster(sender.Hall) {
+	for _, member := range s.MembersInZone(sender.Zone) {
 		if member.Node != sender.Key.Node {
 			return true
 		}
@@ -86,8 +86,8 @@
 	if !s.hasPeers(sender) {
 		return true
 	}
-	for _, member := range s.Roster(sender.Hall) {
-		if member.Node != sender.Key.Node && lease.KnownToSender(member.Joined, sender.Folded) {
+	for _, member := range s.MembersInZone(sender.Zone) {
+		if member.Node != sender.Key.Node && lease.KnownToSender(member.JoinedOffset, sender.AppliedOffset) {
 			return true
 		}
 	}
@@ -111,7 +111,7 @@
 // milliseconds.
 func (s State) longestRun(pool string) int {
 	longest := 0
-	for _, service := range s.table.InPool(pool) {
+	for _, service := range s.table.ServicesInPool(pool) {
 		row, _ := s.table.Row(service)
 		longest = max(longest, row.RunMs)
 	}
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -70,7 +70,7 @@
 	rpc         *call.Server
 	http        *http.Server
 	sender      *send.Client
-	claims      *claim.Book
+	claims      *claim.Claimer
 	keepers     []*call.Client
 	stopping    atomic.Bool
 	requests    atomic.Int64
@@ -111,7 +111,7 @@
 	f := &Front{
 		deps:        deps,
 		incarnation: incarnation,
-		key:         fold.SenderKey{Node: deps.Settings.Node, Entry: incarnation},
+		key:         fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
 		inbox:       make(chan any, inboxLength),
 		updates:     make(chan follow.Update),
 		ctx:         ctx,
@@ -127,7 +127,7 @@
 	}
 	f.claims = claim.New(claim.Deps{
 		Log: deps.Log, Clock: deps.Clock, Node: deps.Settings.Node, Incarnation: incarnation,
-		Metrics: deps.Metrics, Entries: func() int { return int(f.entries.Load()) },
+		Metrics: deps.Metrics, EntryCount: func() int { return int(f.entries.Load()) },
 	})
 	server, err := call.Serve(deps.Listener, ServiceName, &service{front: f})
 	if err != nil {
--- a/pkg/operator/operator.go
+++ b/pkg/operator/operator.go
@@ -76,7 +76,7 @@
 	if err := json.Unmarshal([]byte(reply.State), &snapshot); err != nil {
 		return c.empty, fmt.Errorf("read state of %s: %w", c.keeper.Peer(), err)
 	}
-	return c.empty.WithSnapshot(snapshot)
+	return c.empty.Restore(snapshot)
 }
 
 // Publish makes the table as wanted. The edit names the cells that differ from
@@ -86,7 +86,7 @@
 	if err != nil {
 		return wire.AuditLine{}, err
 	}
-	edit, err := state.Table().Edits(wanted)
+	edit, err := state.Table().Diff(wanted)
 	if err != nil {
 		return wire.AuditLine{}, err
 	}
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -16,7 +16,7 @@
 			if box.Phase != fold.Serving {
 				continue
 			}
-			cause := fmt.Sprintf("repair: %s is %s since %d", box.Info.Name, box.Health, box.HealthAt)
+			cause := fmt.Sprintf("repair: %s is %s since %d", box.Info.Name, box.Health, box.HealthChangedAt)
 			if err := p.drain(box, fold.FreePool, false, cause); err != nil {
 				p.wait(fmt.Sprintf("%s of pool %s is broken and stays: %v", box.Info.Name, name, err))
 			}
@@ -27,7 +27,7 @@
 // wanted returns the slots that a pool should have: what its services need, the
 // worst rack on top, and a reserve so that boxes can be maintained at all.
 func (p *planner) wanted(pool *census) int {
-	needed := p.state.Table().Needed(pool.name)
+	needed := p.state.Table().NeededSlots(pool.name)
 	if needed == 0 {
 		return 0
 	}
@@ -39,17 +39,17 @@
 // more; the table's weights decide.
 func (p *planner) reserve(pool *census) int {
 	slots := p.boxSlots(pool)
-	return slots * Together(p.state.Table(), pool.name, slots)
+	return slots * ConcurrentMaintenance(p.state.Table(), pool.name, slots)
 }
 
-// Together returns how many boxes of a pool should be maintained at once: more
+// ConcurrentMaintenance returns how many boxes of a pool should be maintained at once: more
 // end a wave in fewer rounds and hold back more slots, and the table's weights
 // say which is dearer.
-func Together(table table.Table, pool string, slots int) int {
+func ConcurrentMaintenance(table table.Table, pool string, slots int) int {
 	measures := table.Deployment()
-	boxes := (table.Needed(pool) + slots - 1) / slots
+	boxes := (table.NeededSlots(pool) + slots - 1) / slots
 	best, least := 1, 0
-	for at := 1; at <= max(1, table.DownLimit(pool)); at++ {
+	for at := 1; at <= max(1, table.MaxDown(pool)); at++ {
 		rounds := (boxes + at + at) / at
 		cost := measures.Rollout*rounds + measures.Buffer*at
 		if at == 1 || cost < least {
@@ -150,7 +150,7 @@
 	for _, box := range candidates {
 		cause := fmt.Sprintf("pool %s has %d slots of %d wanted, pool %s can miss %d",
 			receiver.name, receiver.slots, p.wanted(receiver), donor.name, p.surplus(donor))
-		if p.drain(box, receiver.name, p.due(box) && p.state.InWindow(donor.name, p.state.At()), cause) == nil {
+		if p.drain(box, receiver.name, p.due(box) && p.state.InMaintenanceWindow(donor.name, p.state.LogTimeMs()), cause) == nil {
 			at := p.atlas.place(box)
 			donor.remove(box, at)
 			donor.boxes = without(donor.boxes, box)
