--- a/pkg/follow/checkpoint.go
+++ b/pkg/follow/checkpoint.go
@@ -6,11 +6,12 @@
 	"damsonwinch/pkg/wire"
 )
 
-// heldCheckpoints is the number of hashes that a follower holds to compare.
-const heldCheckpoints = 8
+// keptCheckpoints is the number of checkpoints whose hashes a follower keeps for comparison.
+const keptCheckpoints = 8
 
-// takeCheckpoint notes the state's hash at offsets that all followers agree on.
-func (f *Follower) takeCheckpoint(update *Update) error {
+// recordCheckpoint takes a snapshot if the state's offset is a multiple of CheckpointEvery. It keeps the
+// hash and adds the snapshot to the update.
+func (f *Follower) recordCheckpoint(update *Update) error {
 	every, offset := f.deps.CheckpointEvery, f.state.Offset()
 	if every == 0 || offset%every != 0 {
 		return nil
@@ -20,20 +21,21 @@
 		return err
 	}
 	f.checkpoints[offset] = snapshot.Hash
-	delete(f.checkpoints, offset-heldCheckpoints*every)
+	delete(f.checkpoints, offset-keptCheckpoints*every)
 	update.Checkpoint = &snapshot
 	return nil
 }
 
-// compareCheckpoints compares the hashes that others have published with our own.
-func (f *Follower) compareCheckpoints(verdicts []fold.Result) {
-	for _, verdict := range verdicts {
-		published := verdict.Proposal.Checkpoint
-		if verdict.Proposal.Kind != wire.KindCheckpoint || published == nil {
+// compareCheckpoints checks the invariant StateDiverged: the hashes that other processes have published
+// equal the hashes of this follower at the same offsets.
+func (f *Follower) compareCheckpoints(results []fold.Result) {
+	for _, result := range results {
+		published := result.Proposal.Checkpoint
+		if result.Proposal.Kind != wire.KindCheckpoint || published == nil {
 			continue
 		}
 		own, known := f.checkpoints[published.Offset]
 		f.deps.Invariants.Check(invariant.StateDiverged, !known || own == published.Hash,
-			"%s has hash %s at offset %d, folding gave %s", verdict.Author, published.Hash, published.Offset, own)
+			"%s has hash %s at offset %d, this process has %s", result.Author, published.Hash, published.Offset, own)
 	}
 }
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps a process's copy of the fleet's state: it reads records
-// from the first source that gives them, folds them and passes the result on.
+// Package follow keeps a process's copy of the fleet's state. A follower reads records from the first
+// source that has new ones, applies them to the state and passes the result on.
 package follow
 
 import (
@@ -16,96 +16,105 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Bounds of one reading.
 const (
-	pageRecords  = 500
-	waitMs       = 500
-	readTimeout  = 2 * time.Second
-	firstSkip    = 500 * time.Millisecond
-	mostSkip     = 4 * time.Second
-	mostFailures = 8
-	firstBackoff = 20 * time.Millisecond
-	mostBackoff  = time.Second
+	maxRecordsPerRead = 500
+	// defaultWaitMs is how long a source may wait for a first record, in milliseconds.
+	defaultWaitMs = 500
+	readTimeout   = 2 * time.Second
+	// initialSkip is how long a source is skipped after a failure. The time doubles with each
+	// further failure in a row, up to maxSkip.
+	initialSkip = 500 * time.Millisecond
+	maxSkip     = 4 * time.Second
+	// maxSkipDoublings keeps the doubling from overflowing.
+	maxSkipDoublings = 8
+	// initialBackoff and maxBackoff bound the pause after a pass in which no source has answered.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// AppliedRecord is one record with its verdicts.
+// AppliedRecord is a record that has been applied, with the results of its proposals.
 type AppliedRecord struct {
 	Record  wire.Entry
 	Results []fold.Result
 }
 
-// ChangesFleet says whether the record did more than renew.
-func (f AppliedRecord) ChangesFleet() bool {
-	for _, verdict := range f.Results {
-		kind := verdict.Proposal.Kind
-		if verdict.Accepted && kind != wire.KindRenew && kind != wire.KindCheckpoint {
+// ChangesFleet reports whether the record contains an accepted proposal that isn't a renewal or a
+// checkpoint.
+func (r AppliedRecord) ChangesFleet() bool {
+	for _, result := range r.Results {
+		kind := result.Proposal.Kind
+		if result.Accepted && kind != wire.KindRenew && kind != wire.KindCheckpoint {
 			return true
 		}
 	}
 	return false
 }
 
-// Update is what a follower passes on after a reading.
+// Update is what a follower passes on after a successful read.
 type Update struct {
 	State   fold.State
 	Records []AppliedRecord
-	// Restored says that the state was taken from a snapshot, so that records
-	// in between were not seen.
+	// Restored reports whether the state was taken from a snapshot, so that the records in between
+	// are missing from Records.
 	Restored bool
-	// Checkpoint is the state's snapshot at the newest offset that is one, if the
-	// records have passed one.
+	// Checkpoint is the snapshot of the state at the newest checkpoint that the records have passed,
+	// or nil if they have passed none.
 	Checkpoint *fold.Snapshot
-	// LeavingBoxes names the boxes that the platform's list shows as leaving, if the
-	// source has read it, which AvoidKnown says.
+	// LeavingBoxes names the boxes that are leaving or gone in the platform's list. It is valid if
+	// LeavingBoxesKnown, which means that the source has read the list.
 	LeavingBoxes      []string
 	LeavingBoxesKnown bool
-	// Source names where it came from.
+	// Source is the name of the source.
 	Source string
-	// FromLog says that the records come from the log or from a keeper that
-	// reads it.
+	// FromLog reports whether the source reads the platform's log: it is the log itself or a keeper
+	// that has read the log recently.
 	FromLog bool
-	// ReadStartedAt is the follower's time at which the reading was begun.
+	// ReadStartedAt is when the read started, by the follower's clock.
 	ReadStartedAt time.Time
 }
 
-// Deps is what a follower needs.
+// Deps holds the dependencies of a follower.
 type Deps struct {
-	Clock      damsonwinch.Clock
+	Clock damsonwinch.Clock
+	// Sources are tried in this order.
 	Sources    []damsonwinch.RecordSource
 	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
 	InitialState fold.State
-	// Updates takes what the follower passes on.
+	// Updates receives an update after each successful read.
 	Updates chan<- Update
-	// CheckpointEvery is the number of records between two checkpoints, 0 for none.
+	// CheckpointEvery is the number of records between two checkpoints, or 0 for none.
 	CheckpointEvery int
-	// WaitMs is how long a reading waits for a first record, 0 for the default.
+	// WaitMs is how long a source may wait for a first record, in milliseconds. 0 means
+	// defaultWaitMs.
 	WaitMs int
 }
 
-// Follower reads one stream.
+// Follower applies the records of the fleet stream to its copy of the state.
 type Follower struct {
-	deps      Deps
-	state     fold.State
+	deps  Deps
+	state fold.State
+	// skipUntil is the time before which a source isn't read, and failures the number of its failures
+	// in a row, both by the source's index in Sources.
 	skipUntil []time.Time
 	failures  []int
-	// checkpoints holds the hashes of the newest ones by their offsets.
+	// checkpoints holds the hashes of the newest checkpoints by their offsets.
 	checkpoints map[int]string
 }
 
-// New returns a follower that starts at the empty state.
+// New returns a follower that starts with InitialState.
 func New(deps Deps) *Follower {
 	if deps.WaitMs == 0 {
-		deps.WaitMs = waitMs
+		deps.WaitMs = defaultWaitMs
 	}
 	return &Follower{deps: deps, state: deps.InitialState, skipUntil: make([]time.Time, len(deps.Sources)),
 		failures: make([]int, len(deps.Sources)), checkpoints: map[int]string{}}
 }
 
-// Run follows until the context ends.
+// Run reads and applies records until ctx ends. It returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstBackoff, mostBackoff
+	pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
 	for ctx.Err() == nil {
 		if f.readFromAny(ctx) {
 			pause.Reset()
@@ -119,25 +128,25 @@
 	return nil
 }
 
-// readFromAny reads from the first source that has something new or that reads
-// the log itself. One that failed is passed over for a while, so that a dead one
-// doesn't hold up the living; one that knows no more than we do is followed by
-// the next in the same pass, because only another may have heard more.
+// readFromAny reads from the sources in order until one has new records or reads the platform's log
+// itself. It reports whether any source has answered. A source that has failed is skipped for a while, so
+// that it doesn't delay the reads from the others. After a source without new records the next one is
+// read in the same pass, since it may have newer records.
 func (f *Follower) readFromAny(ctx context.Context) bool {
 	answered, wait := false, f.deps.WaitMs
 	for i, source := range f.deps.Sources {
-		begun := f.deps.Clock.Now()
-		if begun.Before(f.skipUntil[i]) {
+		started := f.deps.Clock.Now()
+		if started.Before(f.skipUntil[i]) {
 			continue
 		}
 		update, err := f.readFrom(ctx, source, wait)
 		if err != nil {
-			f.passOver(i)
+			f.skip(i)
 			continue
 		}
 		f.failures[i] = 0
 		answered = true
-		update.ReadStartedAt = begun
+		update.ReadStartedAt = started
 		update.Source = source.Name()
 		select {
 		case f.deps.Updates <- update:
@@ -147,33 +156,34 @@
 		if len(update.Records) > 0 || update.Restored || update.FromLog {
 			return true
 		}
-		// Only the first is waited for: a hall's members would add up to more than
-		// a change may take to be in force.
+		// Only the first source may wait for records. If all members of a zone waited, a change would
+		// take effect later than is allowed.
 		wait = 0
 	}
 	return answered
 }
 
-// passOver leaves out a source that failed, for longer each time.
-func (f *Follower) passOver(source int) {
-	pause := min(mostSkip, firstSkip<<min(f.failures[source], mostFailures))
+// skip skips a source after a failure, longer after each further failure in a row.
+func (f *Follower) skip(source int) {
+	pause := min(maxSkip, initialSkip<<min(f.failures[source], maxSkipDoublings))
 	f.failures[source]++
 	f.skipUntil[source] = f.deps.Clock.Now().Add(pause)
 }
 
+// readFrom reads from one source and applies the reply.
 func (f *Follower) readFrom(ctx context.Context, source damsonwinch.RecordSource, wait int) (Update, error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	reply, err := source.Read(limited, f.state.Offset(), pageRecords, wait)
+	reply, err := source.Read(limited, f.state.Offset(), maxRecordsPerRead, wait)
 	if err != nil {
 		return Update{}, err
 	}
-	return f.take(reply)
+	return f.applyReply(reply)
 }
 
-// take folds a reply. Records below the state's offset are known and a gap is
-// never folded over, so that the state only goes forward.
-func (f *Follower) take(reply wire.ReadReply) (Update, error) {
+// applyReply applies the records or the snapshot of a reply. It ignores records below the state's offset
+// and returns an error if records are missing, so that the offset only rises and no record is left out.
+func (f *Follower) applyReply(reply wire.ReadReply) (Update, error) {
 	update := Update{LeavingBoxes: reply.Avoid, LeavingBoxesKnown: reply.AvoidKnown, FromLog: reply.LogFresh}
 	if reply.Snapshot != "" {
 		restored, err := f.restore(reply.Snapshot)
@@ -189,15 +199,15 @@
 		if record.Offset > f.state.Offset() {
 			return update, fmt.Errorf("record %d came after %d: records are missing", record.Offset, f.state.Offset()-1)
 		}
-		was := f.state
-		next, verdicts := was.Apply(record)
-		f.deps.Invariants.Check(invariant.ConfigReverted, next.Table().Version() >= was.Table().Version() && next.Offset() > was.Offset(),
-			"record %d took the table from version %d to %d", record.Offset, was.Table().Version(), next.Table().Version())
+		previous := f.state
+		next, results := previous.Apply(record)
+		f.deps.Invariants.Check(invariant.ConfigReverted, next.Table().Version() >= previous.Table().Version() && next.Offset() > previous.Offset(),
+			"record %d took the table from version %d to %d", record.Offset, previous.Table().Version(), next.Table().Version())
 		f.state = next
-		update.Records = append(update.Records, AppliedRecord{Record: record, Results: verdicts})
-		f.checkBudgets(was, verdicts)
-		f.compareCheckpoints(verdicts)
-		if err := f.takeCheckpoint(&update); err != nil {
+		update.Records = append(update.Records, AppliedRecord{Record: record, Results: results})
+		f.checkBudgets(previous, results)
+		f.compareCheckpoints(results)
+		if err := f.recordCheckpoint(&update); err != nil {
 			return update, err
 		}
 	}
@@ -205,7 +215,7 @@
 	return update, nil
 }
 
-// restore takes a snapshot that is ahead of the state.
+// restore replaces the state by a snapshot in JSON if that is newer. It reports whether it did.
 func (f *Follower) restore(text string) (bool, error) {
 	var snapshot fold.Snapshot
 	if err := json.Unmarshal([]byte(text), &snapshot); err != nil {
@@ -224,16 +234,16 @@
 	return true, nil
 }
 
-// checkBudgets asserts that an accepted drain of a usable box leaves its pool's
-// services what they need. It looks at records with one proposal, because other
-// proposals of a record may change the pool after the drain.
-func (f *Follower) checkBudgets(was fold.State, verdicts []fold.Result) {
-	for _, verdict := range verdicts {
-		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
+// checkBudgets checks the invariant BelowFloor: an accepted drain of a usable box leaves the pool with
+// the slots that its services need. It checks only records with one proposal, since other proposals of
+// the record may change the pool after the drain.
+func (f *Follower) checkBudgets(previous fold.State, results []fold.Result) {
+	for _, result := range results {
+		if !result.Accepted || result.Proposal.Kind != wire.KindDrain {
 			continue
 		}
-		box, _ := was.Box(verdict.Proposal.Change.Box)
-		if box.Usable() && box.Pool != fold.FreePool && len(verdicts) == 1 {
+		box, _ := previous.Box(result.Proposal.Change.Box)
+		if box.Usable() && box.Pool != fold.FreePool && len(results) == 1 {
 			f.deps.Invariants.Check(invariant.BelowFloor, f.state.Headroom(box.Pool) >= 0,
 				"the drain of %s leaves pool %s a headroom of %d", box.Info.Name, box.Pool, f.state.Headroom(box.Pool))
 		}
--- a/pkg/follow/source.go
+++ b/pkg/follow/source.go
@@ -9,13 +9,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// LogSourceName is the name of the source that is the log itself.
+// LogSourceName is the name of the source that reads the platform's log.
 const LogSourceName = "log"
 
-// ReadMethod is the call by which a keeper relays records.
+// ReadMethod is the net/rpc method by which keepers supply records.
 const ReadMethod = "Keeper.Read"
 
-// LogSource reads the platform's log.
+// LogSource is a damsonwinch.RecordSource that reads the platform's log.
 type LogSource struct {
 	Log damsonwinch.Log
 }
@@ -25,8 +25,8 @@
 	return LogSourceName
 }
 
-// Read returns records of the fleet stream. When they have expired it adds the
-// newest snapshot.
+// Read returns at most maximum records of the fleet stream from an offset on, or the newest snapshot if
+// these records have expired. If there is none yet it waits at most waitMs milliseconds for the first.
 func (s LogSource) Read(ctx context.Context, from, maximum, waitMs int) (wire.ReadReply, error) {
 	page, err := s.Log.Read(ctx, damsonwinch.StreamFleet, from, maximum, waitMs)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return reply, err
 }
 
-// newestSnapshot reads the last record of the snapshot stream.
+// newestSnapshot returns the last record of the snapshot stream.
 func (s LogSource) newestSnapshot(ctx context.Context) (string, error) {
 	ends, err := s.Log.Read(ctx, damsonwinch.StreamSnapshots, 0, 1, 0)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return page.Records[len(page.Records)-1].Data, nil
 }
 
-// PeerSource reads from a keeper that relays.
+// PeerSource is a damsonwinch.RecordSource that reads from a keeper.
 type PeerSource struct {
 	Client *call.Client
 }
@@ -70,7 +70,7 @@
 	return s.Client.Peer()
 }
 
-// Read asks the keeper for records.
+// Read returns what the keeper replies to ReadMethod.
 func (s PeerSource) Read(ctx context.Context, from, maximum, waitMs int) (wire.ReadReply, error) {
 	var reply wire.ReadReply
 	err := s.Client.Do(ctx, ReadMethod, wire.ReadArgs{From: from, Max: maximum, WaitMs: waitMs}, &reply)
