--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -101,7 +101,7 @@
 	a := &t.phase.advice
 	a.inFlight = false
 	if err != nil {
-		c.logJob("call for permits failed", t.phase.job(), err.Error())
+		c.logJob("no advice", t.phase.job(), err.Error())
 		return
 	}
 	// Another call, about other endpoints, may follow at once.
