--- a/pkg/cell/arrivals_test.go
+++ b/pkg/cell/arrivals_test.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestArrivals plays jobs that arrive, slot by slot, and shows the rates that are
+// TestArrivalRates plays jobs that arrive, slot by slot, and shows the rates that are
 // taken to come.
-func TestArrivals(t *testing.T) {
+func TestArrivalRates(t *testing.T) {
 	datadriven.Walk(t, "testdata/arrivals", func(t *testing.T, path string) {
 		var known arrivals
 		now := time.UnixMilli(1_700_000_000_000)
@@ -43,8 +43,8 @@
 	})
 }
 
-// TestMeanWork is not doubled by one giant among few jobs.
-func TestMeanWork(t *testing.T) {
+// TestMeanWorkIsNotDominatedByOneJob is not doubled by one giant among few jobs.
+func TestMeanWorkIsNotDominatedByOneJob(t *testing.T) {
 	var known queueStats
 	now := time.UnixMilli(1_700_000_000_000)
 	for _, work := range []int{80_000, 110_000, 100_000, 3_000_000, 90_000} {
--- a/pkg/cell/batches_test.go
+++ b/pkg/cell/batches_test.go
@@ -10,9 +10,9 @@
 	"damsonwinch/pkg/cell"
 )
 
-// TestALargeCommitIsCutBetweenJobs since the store refuses a call of more than 2 MB each
+// TestLargeCommitIsSplitBetweenJobs since the store refuses a call of more than 2 MB each
 // time that it is tried: what piled up while the store was away could never be appended.
-func TestALargeCommitIsCutBetweenJobs(t *testing.T) {
+func TestLargeCommitIsSplitBetweenJobs(t *testing.T) {
 	const most, jobs, textBytes = 100_000, 200, 4000
 	commit := cell.Commit{Records: []damsonwinch.Record{{Key: "mark", Value: []byte("x")}}}
 	for number := range jobs {
@@ -35,7 +35,7 @@
 	assert.Assert(t, len(batches) < 10, "%d batches", len(batches))
 }
 
-func TestASmallCommitIsOneBatch(t *testing.T) {
+func TestSmallCommitIsOneBatch(t *testing.T) {
 	commit := cell.Commit{Records: []damsonwinch.Record{{Key: "a"}, {Key: "b"}}}
 	assert.DeepEqual(t, commit.Batches(1<<20), [][]damsonwinch.Record{commit.Records})
 }
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -30,7 +30,7 @@
 	listed := []damsonwinch.Endpoint{{Life: damsonwinch.Life{ID: "e1"}, Pool: "pool", Box: "b1", Zone: "z", Rack: "r1-1", Labels: []string{"r1-1"}, Capacity: damsonwinch.Resources{MilliCPU: 8000, MemoryMB: 16000}}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var spec wire.JobSpec
-		if json.Unmarshal(text, &spec) != nil || rounds(spec) > 1000 {
+		if json.Unmarshal(text, &spec) != nil || taskCount(spec) > 1000 {
 			return
 		}
 		now := time.UnixMilli(1_700_000_000_000)
@@ -68,8 +68,8 @@
 	})
 }
 
-// rounds bounds what one run of the test may take.
-func rounds(spec wire.JobSpec) int {
+// taskCount bounds what one run of the test may take.
+func taskCount(spec wire.JobSpec) int {
 	tasks := 0
 	for _, phase := range spec.Phases {
 		tasks += max(0, phase.Count)
--- a/pkg/cell/record_test.go
+++ b/pkg/cell/record_test.go
@@ -12,9 +12,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestASpoiltRecordIsNotTakenOver and says what is wrong with it: a task in the wrong state
+// TestLoadRejectsInvalidRecords and says what is wrong with it: a task in the wrong state
 // could run twice.
-func TestASpoiltRecordIsNotTakenOver(t *testing.T) {
+func TestLoadRejectsInvalidRecords(t *testing.T) {
 	for name, test := range map[string]struct{ record, want string }{
 		"a row that is cut off":       {`{"state":"running","tasks":[[0,0,1]]}`, "3 columns"},
 		"half an attempt":             {`{"state":"running","tasks":[[0,0,1,1,0,0,1]]}`, "7 columns"},
@@ -31,7 +31,7 @@
 			if test.record == "" {
 				records = []damsonwinch.Record{{Key: "j", Value: []byte(`{"state":"running"}`)}}
 			}
-			err = cell.New(simOptions(sabotage{}), 1).Load(time.UnixMilli(1_700_000_000_000), records)
+			err = cell.New(simOptions(mutation{}), 1).Load(time.UnixMilli(1_700_000_000_000), records)
 			assert.ErrorContains(t, err, test.want)
 		})
 	}
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -11,13 +11,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestStartsThatAreRefusedComeFurtherApart: an end of a run that no budget counts, as the end
+// TestRejectedStartsBackOff: an end of a run that no budget counts, as the end
 // of an endpoint was. What each endpoint refuses as invalid was ordered anew with each append,
 // 500 times in 5 s for a single task.
-func TestStartsThatAreRefusedComeFurtherApart(t *testing.T) {
+func TestRejectedStartsBackOff(t *testing.T) {
 	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate} {
 		now := time.UnixMilli(1_700_000_000_000)
-		c := cell.New(simOptions(sabotage{}), 1)
+		c := cell.New(simOptions(mutation{}), 1)
 		assert.NilError(t, c.Load(now, nil))
 		c.SetQueues(now, simQueues)
 		c.SetEndpoints(now, []damsonwinch.Endpoint{
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -18,27 +18,27 @@
 // script is a cell that a data file leads through a scenario. It answers looks only
 // when the file says so.
 type script struct {
-	t       *testing.T
-	now     time.Time
-	cell    *cell.Cell
-	ticket  int
-	listed  []damsonwinch.Endpoint
-	looks   map[string]cell.Poll
-	commit  *cell.Commit
-	ask     cell.PermitRequest
-	stream  map[string]damsonwinch.Record
-	token   int
-	queue   damsonwinch.Queue
-	options cell.Options
-	// allowed counts the planner's words on allowances.
-	allowed int
+	t             *testing.T
+	now           time.Time
+	cell          *cell.Cell
+	lastCallID    int
+	listed        []damsonwinch.Endpoint
+	polls         map[string]cell.Poll
+	commit        *cell.Commit
+	permitRequest cell.PermitRequest
+	stream        map[string]damsonwinch.Record
+	token         int
+	queue         damsonwinch.Queue
+	options       cell.Options
+	// lastAllowance counts the planner's words on allowances.
+	lastAllowance int
 }
 
 // TestScripts plays every scenario of testdata/script.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/script", func(t *testing.T, path string) {
 		s := &script{
-			t: t, now: time.UnixMilli(1_700_000_000_000), looks: map[string]cell.Poll{}, stream: map[string]damsonwinch.Record{},
+			t: t, now: time.UnixMilli(1_700_000_000_000), polls: map[string]cell.Poll{}, stream: map[string]damsonwinch.Record{},
 			queue: damsonwinch.Queue{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 2, TargetLatency: time.Second},
 			options: cell.Options{
 				MaxLease: 10 * time.Second, RenewalGrace: 5 * time.Second, MaxStopTime: 400 * time.Millisecond, MaxStartDelay: 2 * time.Second,
@@ -46,16 +46,16 @@
 				EndedJobRetention: time.Minute,
 			},
 		}
-		s.own()
+		s.newOwner()
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string { return s.run(d) })
 	})
 }
 
-// own begins a new owner, with what the stream holds.
-func (s *script) own() {
+// newOwner begins a new owner, with what the stream holds.
+func (s *script) newOwner() {
 	s.token++
 	s.cell = cell.New(s.options, s.token)
-	s.looks, s.commit = map[string]cell.Poll{}, nil
+	s.polls, s.commit = map[string]cell.Poll{}, nil
 	var records []damsonwinch.Record
 	for _, record := range s.stream {
 		records = append(records, record)
@@ -70,11 +70,11 @@
 func (s *script) run(d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "endpoint":
-		s.endpoint(d)
+		s.listEndpoint(d)
 	case "unlist":
-		s.unlist(d)
+		s.unlistEndpoint(d)
 	case "queue":
-		s.queue.MaxAttempts = number(s.t, d, "attempts", s.queue.MaxAttempts)
+		s.queue.MaxAttempts = intArg(s.t, d, "attempts", s.queue.MaxAttempts)
 		if d.HasArg("advice") {
 			s.queue.Advice = &damsonwinch.AdviceTimes{PermitTTL: 2 * time.Second}
 		}
@@ -82,35 +82,35 @@
 	case "submit":
 		s.submit(d)
 	case "cancel":
-		s.ticket++
-		s.cell.Cancel(s.now, s.caller(d), s.ticket)
+		s.lastCallID++
+		s.cell.Cancel(s.now, s.jobArgs(d), s.lastCallID)
 	case "commit":
 		return s.commitNow()
 	case "lose-owner":
-		s.own()
+		s.newOwner()
 	case "look":
-		return s.look(d)
+		return s.answerPoll(d)
 	case "started":
-		s.cell.Started(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
+		s.cell.Started(s.now, lifeArg(s.t, d), parseRun(arg(s.t, d, "run")), errorArg(d, s.t))
 	case "stopped":
-		s.cell.Stopped(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
+		s.cell.Stopped(s.now, lifeArg(s.t, d), parseRun(arg(s.t, d, "run")), errorArg(d, s.t))
 	case "acknowledged":
-		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.looks[arg(s.t, d, "at")].Request.AckedSequence)
+		return fmt.Sprintf("the look on its way acknowledges %d ends\n", s.polls[arg(s.t, d, "at")].Request.AckedSequence)
 	case "advised":
-		s.advised(d)
+		s.answerPermitRequest(d)
 	case "paced":
-		s.cell.SpeedSet(s.now, life(s.t, d), runOf(arg(s.t, d, "run")), errorOf(d, s.t))
+		s.cell.SpeedSet(s.now, lifeArg(s.t, d), parseRun(arg(s.t, d, "run")), errorArg(d, s.t))
 	case "sync":
-		s.cell.ApplySync(s.now, wire.SyncArgs{Withdraw: list(s.t, d, "withdraw"), Hurry: list(s.t, d, "hurry"), Restore: list(s.t, d, "restore"), Gone: list(s.t, d, "gone"), Due: list(s.t, d, "due")})
+		s.cell.ApplySync(s.now, wire.SyncArgs{Withdraw: listArg(s.t, d, "withdraw"), Hurry: listArg(s.t, d, "hurry"), Restore: listArg(s.t, d, "restore"), Gone: listArg(s.t, d, "gone"), Due: listArg(s.t, d, "due")})
 	case "boxes":
-		s.boxes(d)
+		s.setBoxes(d)
 	case "allow":
-		s.allow(d)
+		s.setAllowance(d)
 	case "pass":
 		// Time passes while the owner is busy with something else.
-		s.now = s.now.Add(time.Duration(number(s.t, d, "ms", 0)) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(intArg(s.t, d, "ms", 0)) * time.Millisecond)
 	case "wait":
-		s.now = s.now.Add(time.Duration(number(s.t, d, "ms", 0)) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(intArg(s.t, d, "ms", 0)) * time.Millisecond)
 		s.cell.ConfirmOwnership(s.now)
 		s.cell.Tick(s.now)
 	case "explain":
@@ -132,21 +132,21 @@
 	case "pending":
 		return fmt.Sprintf("%d\n", s.cell.Pending("queue"))
 	case "show":
-		state, known := s.cell.Show(s.caller(d))
+		state, known := s.cell.Show(s.jobArgs(d))
 		return fmt.Sprintf("%q %v\n", state, known)
 	default:
 		d.Fatalf(s.t, "unknown command")
 	}
-	return s.effects()
+	return s.effectLines()
 }
 
-func (s *script) endpoint(d *datadriven.TestData) {
+func (s *script) listEndpoint(d *datadriven.TestData) {
 	id := arg(s.t, d, "id")
 	info := damsonwinch.Endpoint{
-		Life: damsonwinch.Life{ID: id, StartedUnixMs: number(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
-			MilliCPU: number(s.t, d, "cpu", 8000), MemoryMB: number(s.t, d, "memory", 8000), GPUs: number(s.t, d, "gpu", 0),
+		Life: damsonwinch.Life{ID: id, StartedUnixMs: intArg(s.t, d, "born", 0)}, Box: "box-" + id, Address: id + ":1", Pool: "pool", Capacity: damsonwinch.Resources{
+			MilliCPU: intArg(s.t, d, "cpu", 8000), MemoryMB: intArg(s.t, d, "memory", 8000), GPUs: intArg(s.t, d, "gpu", 0),
 		},
-		Draining: d.HasArg("draining"), Labels: list(s.t, d, "labels"), Rack: option(s.t, d, "rack"),
+		Draining: d.HasArg("draining"), Labels: listArg(s.t, d, "labels"), Rack: optionalArg(s.t, d, "rack"),
 	}
 	if info.Rack != "" {
 		info.Labels = append(info.Labels, info.Rack)
@@ -161,7 +161,7 @@
 	s.cell.SetEndpoints(s.now, s.listed)
 }
 
-func (s *script) unlist(d *datadriven.TestData) {
+func (s *script) unlistEndpoint(d *datadriven.TestData) {
 	kept := s.listed[:0:0]
 	for _, other := range s.listed {
 		if other.Life.ID != arg(s.t, d, "id") {
@@ -173,9 +173,9 @@
 }
 
 // submit hands in a job, one line of the input for each phase.
-// caller returns a call on a job: by the customer that a line names, or by anybody on a queue
+// jobArgs returns a call on a job: by the customer that a line names, or by anybody on a queue
 // that asks for no key.
-func (s *script) caller(d *datadriven.TestData) wire.JobArgs {
+func (s *script) jobArgs(d *datadriven.TestData) wire.JobArgs {
 	args := wire.JobArgs{Queue: "queue", Id: arg(s.t, d, "id"), Public: !d.HasArg("customer")}
 	if !args.Public {
 		args.Customer = arg(s.t, d, "customer")
@@ -184,7 +184,7 @@
 }
 
 func (s *script) submit(d *datadriven.TestData) {
-	spec := wire.JobSpec{Text: "text", FirstMs: number(s.t, d, "first", 0), EveryMs: number(s.t, d, "every", 0), Rounds: number(s.t, d, "rounds", 0)}
+	spec := wire.JobSpec{Text: "text", FirstMs: intArg(s.t, d, "first", 0), EveryMs: intArg(s.t, d, "every", 0), Rounds: intArg(s.t, d, "rounds", 0)}
 	if spec.Rounds > 0 {
 		spec.FirstMs += int(s.now.UnixMilli())
 	}
@@ -230,10 +230,10 @@
 		}
 		spec.Phases = append(spec.Phases, phase)
 	}
-	s.ticket++
-	args := s.caller(d)
-	args.Spec, args.ReceivedMs, args.WaitMs = &spec, int(s.now.UnixMilli()), number(s.t, d, "waits", 0)
-	s.cell.Submit(s.now, args, s.ticket)
+	s.lastCallID++
+	args := s.jobArgs(d)
+	args.Spec, args.ReceivedMs, args.WaitMs = &spec, int(s.now.UnixMilli()), intArg(s.t, d, "waits", 0)
+	s.cell.Submit(s.now, args, s.lastCallID)
 }
 
 // commitNow puts the append on its way into the stream.
@@ -241,7 +241,7 @@
 	s.now = s.now.Add(s.options.MinCommitInterval)
 	if s.commit == nil {
 		s.cell.Tick(s.now)
-		s.collect()
+		s.collectEffects()
 	}
 	if s.commit == nil {
 		return "nothing to commit\n"
@@ -259,74 +259,74 @@
 	number := s.commit.Number
 	s.commit = nil
 	s.cell.Committed(s.now, number)
-	return "stream: " + strings.Join(keys, " ") + "\n" + s.effects()
+	return "stream: " + strings.Join(keys, " ") + "\n" + s.effectLines()
 }
 
-// life returns the life that a line names, with @ before the moment of its birth.
-func life(t *testing.T, d *datadriven.TestData) damsonwinch.Life {
+// lifeArg returns the lifeArg that a line names, with @ before the moment of its birth.
+func lifeArg(t *testing.T, d *datadriven.TestData) damsonwinch.Life {
 	return damsonwinch.ParseLife(arg(t, d, "at"))
 }
 
-// look answers the look at an endpoint that is on its way; the endpoint's clock
+// answerPoll answers the answerPoll at an endpoint that is on its way; the endpoint's clock
 // goes with the scenario's.
-func (s *script) look(d *datadriven.TestData) string {
+func (s *script) answerPoll(d *datadriven.TestData) string {
 	at := arg(s.t, d, "at")
-	sent, waits := s.looks[at]
+	sent, waits := s.polls[at]
 	if !waits {
 		return "no look is on its way to " + at + "\n"
 	}
-	delete(s.looks, at)
-	found := damsonwinch.PollReply{StartedUnixMs: number(s.t, d, "born", sent.Endpoint.Life.StartedUnixMs), ClockMs: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
-	for _, text := range list(s.t, d, "running") {
+	delete(s.polls, at)
+	found := damsonwinch.PollReply{StartedUnixMs: intArg(s.t, d, "born", sent.Endpoint.Life.StartedUnixMs), ClockMs: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	for _, text := range listArg(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
 		load, _ := strconv.Atoi(parts[2])
-		found.Running = append(found.Running, damsonwinch.RunProgress{Run: runOf(parts[0]), DonePercent: percent, Load: load})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: parseRun(parts[0]), DonePercent: percent, Load: load})
 	}
-	for _, text := range list(s.t, d, "ended") {
+	for _, text := range listArg(s.t, d, "ended") {
 		parts := strings.Split(text, ":")
 		count, _ := strconv.Atoi(parts[0])
-		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: count, Run: runOf(parts[1]), Ending: damsonwinch.Ending(parts[2])})
+		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: count, Run: parseRun(parts[1]), Ending: damsonwinch.Ending(parts[2])})
 	}
-	s.cell.Polled(s.now, sent.Endpoint.Life, sent.Number, found, errorOf(d, s.t))
-	return s.effects()
+	s.cell.Polled(s.now, sent.Endpoint.Life, sent.Number, found, errorArg(d, s.t))
+	return s.effectLines()
 }
 
-// advised answers the last call for permits.
-func (s *script) advised(d *datadriven.TestData) {
+// answerPermitRequest answers the last call for permits.
+func (s *script) answerPermitRequest(d *datadriven.TestData) {
 	var permits []damsonwinch.Permit
-	for _, id := range list(s.t, d, "good") {
+	for _, id := range listArg(s.t, d, "good") {
 		permits = append(permits, damsonwinch.Permit{EndpointID: id, Ticket: "ticket-" + id})
 	}
-	s.cell.Advised(s.now, s.now, s.ask, permits, s.queue.Advice.PermitTTL, errorOf(d, s.t))
+	s.cell.Advised(s.now, s.now, s.permitRequest, permits, s.queue.Advice.PermitTTL, errorArg(d, s.t))
 }
 
-// allow has the planner say what the cell may have running of a customer.
-func (s *script) allow(d *datadriven.TestData) {
-	s.allowed++
-	whole := damsonwinch.Resources{MilliCPU: number(s.t, d, "cap", 8000)}
+// setAllowance has the planner say what the cell may have running of a customer.
+func (s *script) setAllowance(d *datadriven.TestData) {
+	s.lastAllowance++
+	whole := damsonwinch.Resources{MilliCPU: intArg(s.t, d, "cap", 8000)}
 	customer := arg(s.t, d, "customer")
-	s.cell.SetCustomers(s.now, s.allowed, []damsonwinch.Customer{{Name: customer, Cap: whole}})
+	s.cell.SetCustomers(s.now, s.lastAllowance, []damsonwinch.Customer{{Name: customer, Cap: whole}})
 	s.cell.ApplySync(s.now, wire.SyncArgs{
-		Token: 1, CellToken: s.token, AllowanceNumber: s.allowed, ConfigVersion: s.allowed,
-		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: number(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.MilliCPU}}},
+		Token: 1, CellToken: s.token, AllowanceNumber: s.lastAllowance, ConfigVersion: s.lastAllowance,
+		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: intArg(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.MilliCPU}}},
 	})
 }
 
-func (s *script) boxes(d *datadriven.TestData) {
+func (s *script) setBoxes(d *datadriven.TestData) {
 	var boxes []damsonwinch.Box
-	for _, id := range list(s.t, d, "up") {
+	for _, id := range listArg(s.t, d, "up") {
 		boxes = append(boxes, damsonwinch.Box{Name: "box-" + id, State: damsonwinch.BoxUp, EndpointID: id})
 	}
 	s.cell.SetBoxes(s.now, boxes)
 }
 
-// collect keeps what is on its way and returns the rest as lines.
-func (s *script) collect() []string {
+// collectEffects keeps what is on its way and returns the rest as lines.
+func (s *script) collectEffects() []string {
 	var lines []string
 	effects := s.cell.TakeEffects()
 	for _, look := range effects.Polls {
-		s.looks[look.Endpoint.Life.String()] = look
+		s.polls[look.Endpoint.Life.String()] = look
 	}
 	if effects.Commit != nil {
 		s.commit = effects.Commit
@@ -349,7 +349,7 @@
 		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Request.Task, pace.Request.Attempt, pace.Endpoint.Life, pace.Request.SpeedPercent))
 	}
 	for _, ask := range effects.PermitRequests {
-		s.ask = ask
+		s.permitRequest = ask
 		lines = append(lines, fmt.Sprintf("ask for advice on %s.%d.%d: %s", ask.Job, ask.Round, ask.Phase, strings.Join(ask.Endpoints, " ")))
 	}
 	if effects.ListBoxes {
@@ -366,8 +366,8 @@
 	return lines
 }
 
-func (s *script) effects() string {
-	lines := s.collect()
+func (s *script) effectLines() string {
+	lines := s.collectEffects()
 	if len(lines) == 0 {
 		return "nothing\n"
 	}
@@ -380,14 +380,14 @@
 	return value
 }
 
-func option(t *testing.T, d *datadriven.TestData, name string) string {
+func optionalArg(t *testing.T, d *datadriven.TestData, name string) string {
 	if !d.HasArg(name) {
 		return ""
 	}
 	return arg(t, d, name)
 }
 
-func number(t *testing.T, d *datadriven.TestData, name string, usual int) int {
+func intArg(t *testing.T, d *datadriven.TestData, name string, usual int) int {
 	if !d.HasArg(name) {
 		return usual
 	}
@@ -396,8 +396,8 @@
 	return value
 }
 
-// list reads an argument of one or more values.
-func list(t *testing.T, d *datadriven.TestData, name string) []string {
+// listArg reads an argument of one or more values.
+func listArg(t *testing.T, d *datadriven.TestData, name string) []string {
 	for _, given := range d.CmdArgs {
 		if given.Key == name {
 			return given.Vals
@@ -406,8 +406,8 @@
 	return nil
 }
 
-// runOf reads job.round.phase.index/attempt.
-func runOf(text string) damsonwinch.Run {
+// parseRun reads job.round.phase.index/attempt.
+func parseRun(text string) damsonwinch.Run {
 	name, attempt, _ := strings.Cut(text, "/")
 	parts := strings.Split(name, ".")
 	numbers := make([]int, 0, len(parts))
@@ -419,9 +419,9 @@
 	return damsonwinch.Run{Task: damsonwinch.TaskID{Job: parts[0], Round: numbers[0], Phase: numbers[1], Index: numbers[2]}, Attempt: count}
 }
 
-// errorOf reads an error by its short name.
-func errorOf(d *datadriven.TestData, t *testing.T) error {
-	switch name := option(t, d, "error"); name {
+// errorArg reads an error by its short name.
+func errorArg(d *datadriven.TestData, t *testing.T) error {
+	switch name := optionalArg(t, d, "error"); name {
 	case "":
 		return nil
 	case "room":
--- a/pkg/cell/sim_client_test.go
+++ b/pkg/cell/sim_client_test.go
@@ -16,18 +16,18 @@
 	queue    string
 	spec     wire.JobSpec
 	accepted bool
-	// refused counts the tries that were told that the job will never run, and
+	// unsentSubmits counts the tries that were told that the job will never run, and
 	// open those whose outcome nobody knows.
-	refused    int
-	open       int
-	cancelling bool
-	cancelled  bool
-	state      wire.JobState
+	unsentSubmits   int
+	unknownSubmits  int
+	cancelRequested bool
+	cancelled       bool
+	state           wire.JobState
 }
 
-func (w *world) addClient(id string, spec wire.JobSpec, behaviour simTask) *simClient {
+func (w *world) addClient(id string, spec wire.JobSpec, behaviour taskBehaviour) *simClient {
 	c := &simClient{world: w, id: id, spec: spec, queue: simQueues[0].Name}
-	w.tasks[id] = behaviour
+	w.behaviours[id] = behaviour
 	w.clients = append(w.clients, c)
 	c.submit(0)
 	return c
@@ -35,32 +35,34 @@
 
 // customer is whose the job is, in runs with a capped customer.
 func (c *simClient) customer() string {
-	if c.world.caps == nil || c.world.sabotage.uncapped {
+	if c.world.planner == nil || c.world.mutation.uncapped {
 		return ""
 	}
 	return cappedCustomer
 }
 
-// owner returns the owner that a node believes in: usually the newest.
-func (w *world) owner() *simOwner {
+// pickOwner returns the pickOwner that a node believes in: usually the newest.
+func (w *world) pickOwner() *simOwner {
 	for i := len(w.owners) - 1; i >= 0; i-- {
 		o := w.owners[i]
-		if !o.dead && o.ready && (i == len(w.owners)-1 || !w.chance(0.5)) {
+		if !o.exited && o.ready && (i == len(w.owners)-1 || !w.chance(0.5)) {
 			return o
 		}
 	}
 	return nil
 }
 
-const simTries = 40
+const maxSubmitTries = 40
 
 func (c *simClient) submit(try int) {
 	w := c.world
-	again := func() { w.after(w.between(50*time.Millisecond, 400*time.Millisecond), func() { c.submit(try + 1) }) }
-	o := w.owner()
+	again := func() {
+		w.after(w.randomDuration(50*time.Millisecond, 400*time.Millisecond), func() { c.submit(try + 1) })
+	}
+	o := w.pickOwner()
 	if o == nil {
-		c.refused++
-		if try < simTries {
+		c.unsentSubmits++
+		if try < maxSubmitTries {
 			again()
 		}
 		return
@@ -77,7 +79,7 @@
 				again()
 			}
 		default:
-			c.open++
+			c.unknownSubmits++
 			again()
 		}
 	})
@@ -85,8 +87,8 @@
 
 func (c *simClient) cancel() {
 	w := c.world
-	c.cancelling = true
-	o := w.owner()
+	c.cancelRequested = true
+	o := w.pickOwner()
 	if o == nil {
 		w.after(200*time.Millisecond, c.cancel)
 		return
@@ -105,36 +107,36 @@
 
 func (c *simClient) call(o *simOwner, cancel bool, done func(wire.JobReply)) {
 	w := c.world
-	w.after(w.between(time.Millisecond, 10*time.Millisecond), func() {
-		if o.dead {
+	w.after(w.randomDuration(time.Millisecond, 10*time.Millisecond), func() {
+		if o.exited {
 			done(wire.JobReply{Outcome: wire.JobOutcomeUnknown})
 			return
 		}
-		o.whenAwake(func() {
-			o.ticket++
-			if o.calls != nil {
-				o.calls[o.ticket] = done
+		o.whenRunning(func() {
+			o.lastCallID++
+			if o.pendingCalls != nil {
+				o.pendingCalls[o.lastCallID] = done
 			}
 			if cancel {
-				o.cell.Cancel(o.now(), wire.JobArgs{Queue: c.queue, Id: c.id, Customer: c.customer()}, o.ticket)
+				o.cell.Cancel(o.now(), wire.JobArgs{Queue: c.queue, Id: c.id, Customer: c.customer()}, o.lastCallID)
 				return
 			}
 			spec := c.spec
-			o.cell.Submit(o.now(), wire.JobArgs{Queue: c.queue, Id: c.id, Customer: c.customer(), Spec: &spec, ReceivedMs: int(w.now.UnixMilli())}, o.ticket)
+			o.cell.Submit(o.now(), wire.JobArgs{Queue: c.queue, Id: c.id, Customer: c.customer(), Spec: &spec, ReceivedMs: int(w.now.UnixMilli())}, o.lastCallID)
 		})
 	})
 }
 
-// watch asks for the job's state from time to time.
-func (c *simClient) watch() {
-	defer c.world.after(c.world.between(50*time.Millisecond, 300*time.Millisecond), c.watch)
-	c.look()
+// watchState asks for the job's state from time to time.
+func (c *simClient) watchState() {
+	defer c.world.after(c.world.randomDuration(50*time.Millisecond, 300*time.Millisecond), c.watchState)
+	c.checkState()
 }
 
-// look asks for the job's state.
-func (c *simClient) look() {
+// checkState asks for the job's state.
+func (c *simClient) checkState() {
 	w := c.world
-	o := w.owner()
+	o := w.pickOwner()
 	if o == nil || w.now.Before(o.pausedUntil) {
 		return
 	}
@@ -146,15 +148,15 @@
 		}
 		return
 	}
-	w.rules.shown(o, c, state)
+	w.rules.checkShown(o, c, state)
 	c.state = state
 }
 
-// taskColumns is how many columns of a task's row stand before those of its attempts.
-const taskColumns = 6
+// columnsBeforeRuns is how many columns of a task's row stand before those of its attempts.
+const columnsBeforeRuns = 6
 
-// without takes something out of jobs' records.
-func without(records []damsonwinch.Record, drop func(*wire.JobRecord)) []damsonwinch.Record {
+// editJobRecords takes something out of jobs' records.
+func editJobRecords(records []damsonwinch.Record, drop func(*wire.JobRecord)) []damsonwinch.Record {
 	var kept []damsonwinch.Record
 	for _, record := range records {
 		var job wire.JobRecord
@@ -175,7 +177,7 @@
 // unfinished tells whether the client's job was accepted, comes to an end by itself and
 // hasn't yet.
 func (c *simClient) unfinished() bool {
-	if !c.accepted || c.cancelling || c.spec.Phases[0].Lasting {
+	if !c.accepted || c.cancelRequested || c.spec.Phases[0].Lasting {
 		return false
 	}
 	return c.state != wire.JobStateCompleted && c.state != wire.JobStateFailed
--- a/pkg/cell/sim_crash_test.go
+++ b/pkg/cell/sim_crash_test.go
@@ -18,59 +18,59 @@
 	crashBoxes   = 10
 	crashJobs    = 40
 	crashingJobs = 2
-	// latestCrash is how long after its start a task crashes its endpoint at the latest.
-	latestCrash = 800 * time.Millisecond
+	// maxCrashDelay is how long after its start a task crashes its endpoint at the latest.
+	maxCrashDelay = 800 * time.Millisecond
 )
 
-// playCrashing plays one run of a seed in which two jobs have a task that crashes each
+// simulateCrashingTasks plays one run of a seed in which two jobs have a task that crashes each
 // endpoint that starts it, among many that don't, beside all other trouble.
-func playCrashing(seed uint64, broken sabotage) *world {
+func simulateCrashingTasks(seed uint64, broken mutation) *world {
 	w := newWorld(seed, broken)
 	w.boxCount = crashBoxes
-	w.attentive = true
-	w.resets = w.random.Float64() < 0.7
-	w.begin(crashJobs)
+	w.promptPolls = true
+	w.resetsOnExit = w.random.Float64() < 0.7
+	w.setUp(crashJobs)
 	for number := range crashingJobs {
-		w.after(w.between(0, simTrouble*3/4), func() { w.crashingClient(fmt.Sprintf("crashing%d", number)) })
+		w.after(w.randomDuration(0, simFaultTime*3/4), func() { w.addCrashingClient(fmt.Sprintf("crashing%d", number)) })
 	}
-	w.finish()
+	w.runToEnd()
 	return w
 }
 
-// crashingClient adds a client with a job whose first task crashes its endpoints: mostly
+// addCrashingClient adds a client with a job whose first task crashes its endpoints: mostly
 // some milliseconds after its start, at times much later.
-func (w *world) crashingClient(id string) {
-	behaviour := simTask{
-		need: damsonwinch.Resources{MilliCPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, length: w.between(500*time.Millisecond, 1500*time.Millisecond),
+func (w *world) addCrashingClient(id string) {
+	behaviour := taskBehaviour{
+		need: damsonwinch.Resources{MilliCPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, duration: w.randomDuration(500*time.Millisecond, 1500*time.Millisecond),
 		crashes: true, crashAfter: 10 * time.Millisecond,
 	}
 	if w.random.Float64() < 0.3 {
-		behaviour.crashAfter = w.between(time.Millisecond, min(behaviour.length, latestCrash)-time.Millisecond)
+		behaviour.crashAfter = w.randomDuration(time.Millisecond, min(behaviour.duration, maxCrashDelay)-time.Millisecond)
 	}
 	phase := wire.Phase{Count: 1 + w.random.IntN(4), Cpu: behaviour.need.MilliCPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 300}
 	switch draw := w.random.Float64(); {
 	case draw < 0.2:
-		behaviour.lasting, behaviour.need.MilliCPU = true, 300
+		behaviour.longRunning, behaviour.need.MilliCPU = true, 300
 		phase.Lasting, phase.AwayAtMost, phase.Cpu = true, 1, 300
 	case draw < 0.4:
 		phase.Copies = true
 	}
 	c := w.addClient(id, simSpec(phase), behaviour)
-	w.after(300*time.Millisecond, c.watch)
+	w.after(300*time.Millisecond, c.watchState)
 }
 
-// TestARunFollowsFromItsSeed, so that a seed that shows a fault shows it again.
-func TestARunFollowsFromItsSeed(t *testing.T) {
+// TestSimulationIsDeterministic, so that a seed that shows a fault shows it again.
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
-		first, second := playCrashing(seed, sabotage{}), playCrashing(seed, sabotage{})
+		first, second := simulateCrashingTasks(seed, mutation{}), simulateCrashingTasks(seed, mutation{})
 		assert.DeepEqual(t, first.log, second.log)
 	}
 }
 
-// crashSeeds are kept with what they found: 6583, an end that was heard of 0.2 s late seemed to
+// failedCrashSeeds are kept with what they found: 6583, an end that was heard of 0.2 s late seemed to
 // be that of a task which had outlived what was held against it; 10685 and 11009, an owner that
 // woke from a freeze took the moment for that of all it heard then.
-var crashSeeds = []uint64{6583, 10685, 11009}
+var failedCrashSeeds = []uint64{6583, 10685, 11009}
 
 // TestTasksThatCrashTheirEndpointsAreGivenUp tells an incident. Two tasks ended each
 // endpoint 10 ms after it had started them, with some twenty other tasks; they were made
@@ -84,91 +84,91 @@
 // endpoints; both jobs must end, a lasting one must go on with its other tasks; and of the others, whose tasks lose their places again and
 // again, at most one in a thousand may be given up.
 func TestTasksThatCrashTheirEndpointsAreGivenUp(t *testing.T) {
-	seeds := append(slices.Clone(crashSeeds), freshSeeds(300)...)
-	sum := playCrashingSeeds(seeds, sabotage{})
-	if sum.broken != "" {
-		t.Fatal(sum.broken)
+	seeds := append(slices.Clone(failedCrashSeeds), testSeeds(300)...)
+	sum := simulateCrashingSeeds(seeds, mutation{})
+	if sum.violation != "" {
+		t.Fatal(sum.violation)
 	}
-	t.Logf("%d seeds, %d starts, %d of %d sound jobs given up, their runs lost %d times", len(seeds), sum.starts, sum.givenUp, sum.jobs, sum.lost)
+	t.Logf("%d seeds, %d starts, %d of %d sound jobs given up, their runs lost %d times", len(seeds), sum.starts, sum.givenUp, sum.soundJobs, sum.lostRuns)
 	if sum.tooManyGivenUp() {
-		t.Fatalf("%d of %d sound jobs were given up", sum.givenUp, sum.jobs)
+		t.Fatalf("%d of %d sound jobs were given up", sum.givenUp, sum.soundJobs)
 	}
 }
 
-// crashSum sums up runs with tasks that crash their endpoints.
-type crashSum struct {
-	broken string
-	starts int
-	// jobs counts sound jobs, givenUp those that were given up, and lost the runs of theirs
+// crashTotals sums up runs with tasks that crash their endpoints.
+type crashTotals struct {
+	violation string
+	starts    int
+	// soundJobs counts sound soundJobs, givenUp those that were given up, and lost the runs of theirs
 	// that went with their endpoints.
-	jobs    int
-	givenUp int
-	lost    int
+	soundJobs int
+	givenUp   int
+	lostRuns  int
 }
 
-func (s crashSum) tooManyGivenUp() bool {
-	return s.givenUp*1000 > s.jobs
+func (s crashTotals) tooManyGivenUp() bool {
+	return s.givenUp*1000 > s.soundJobs
 }
 
-// playCrashingSeeds plays seeds until a rule is broken.
-func playCrashingSeeds(seeds []uint64, broken sabotage) crashSum {
-	var sum crashSum
+// simulateCrashingSeeds plays seeds until a rule is broken.
+func simulateCrashingSeeds(seeds []uint64, broken mutation) crashTotals {
+	var sum crashTotals
 	for _, seed := range seeds {
-		w := playCrashing(seed, broken)
-		if w.rules.broken != "" {
-			sum.broken = fmt.Sprintf("seed %d: %s\n%s", seed, w.rules.broken, strings.Join(w.log, "\n"))
+		w := simulateCrashingTasks(seed, broken)
+		if w.rules.violation != "" {
+			sum.violation = fmt.Sprintf("seed %d: %s\n%s", seed, w.rules.violation, strings.Join(w.log, "\n"))
 			return sum
 		}
-		sum.starts += w.rules.starts
-		sum.jobs += crashJobs
+		sum.starts += w.rules.startCount
+		sum.soundJobs += crashJobs
 		sum.givenUp += len(w.rules.givenUp)
-		for task, count := range w.rules.lostUnder {
-			if !w.tasks[task.Job].crashes {
-				sum.lost += count
+		for task, count := range w.rules.lossCounts {
+			if !w.behaviours[task.Job].crashes {
+				sum.lostRuns += count
 			}
 		}
 	}
 	return sum
 }
 
-// TestRulesOfCrashesSeeWhatIsMissing takes out one mechanism after the other: some seed
+// TestCrashRulesDetectDisabledMechanisms takes out one mechanism after the other: some seed
 // must find that.
-func TestRulesOfCrashesSeeWhatIsMissing(t *testing.T) {
-	for name, broken := range map[string]sabotage{
-		"no blame":                {blameNobody: true},
-		"blame by count alone":    {blameByCount: true},
+func TestCrashRulesDetectDisabledMechanisms(t *testing.T) {
+	for name, broken := range map[string]mutation{
+		"no blame":                {ignoreLosses: true},
+		"blame by count alone":    {giveUpByCount: true},
 		"records without crashes": {dropCrashes: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			sum := playCrashingSeeds(freshSeeds(100), broken)
-			if sum.broken == "" && !sum.tooManyGivenUp() {
-				t.Fatalf("no seed found that the mechanism is missing; %d of %d sound jobs given up", sum.givenUp, sum.jobs)
+			sum := simulateCrashingSeeds(testSeeds(100), broken)
+			if sum.violation == "" && !sum.tooManyGivenUp() {
+				t.Fatalf("no seed found that the mechanism is missing; %d of %d sound jobs given up", sum.givenUp, sum.soundJobs)
 			}
-			rule, _, _ := strings.Cut(sum.broken, "\n")
-			t.Logf("%s; %d of %d sound jobs given up", rule, sum.givenUp, sum.jobs)
+			rule, _, _ := strings.Cut(sum.violation, "\n")
+			t.Logf("%s; %d of %d sound jobs given up", rule, sum.givenUp, sum.soundJobs)
 		})
 	}
 }
 
-// seriesGap is the time between two crashes in a series of them.
-const seriesGap = 800 * time.Millisecond
+// crashInterval is the time between two crashes in a series of them.
+const crashInterval = 800 * time.Millisecond
 
-// TestCrashesInSeriesBlameNobody: no task crashes its endpoint here, but one of ten endpoints
+// TestFrequentUnrelatedCrashesGiveUpNoTasks: no task crashes its endpoint here, but one of ten endpoints
 // ends each 0.8 s, so that a task loses its place again and again, also where it is on trial.
 // When each end weighed the same, seven of 870 sound jobs were given up on such a day, lasting
 // ones among them, whose other tasks were stopped.
-func TestCrashesInSeriesBlameNobody(t *testing.T) {
-	seeds := freshSeeds(150)
+func TestFrequentUnrelatedCrashesGiveUpNoTasks(t *testing.T) {
+	seeds := testSeeds(150)
 	jobs, givenUp := 0, 0
 	for _, seed := range seeds {
-		w := newWorld(seed, sabotage{})
-		w.boxCount, w.resets, w.attentive = crashBoxes, true, true
-		w.beginCalm(crashJobs)
-		for at := seriesGap; at < simTrouble; at += seriesGap {
-			w.after(at, func() { w.crash(fmt.Sprintf("box-%d", w.random.IntN(crashBoxes))) })
+		w := newWorld(seed, mutation{})
+		w.boxCount, w.resetsOnExit, w.promptPolls = crashBoxes, true, true
+		w.setUpWithoutFaults(crashJobs)
+		for at := crashInterval; at < simFaultTime; at += crashInterval {
+			w.after(at, func() { w.crashBox(fmt.Sprintf("box-%d", w.random.IntN(crashBoxes))) })
 		}
-		w.finish()
-		assert.Equal(t, w.rules.broken, "", "seed %d:\n%s", seed, strings.Join(w.log, "\n"))
+		w.runToEnd()
+		assert.Equal(t, w.rules.violation, "", "seed %d:\n%s", seed, strings.Join(w.log, "\n"))
 		jobs += crashJobs
 		givenUp += len(w.rules.givenUp)
 	}
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -13,50 +13,50 @@
 	world *world
 	info  damsonwinch.Endpoint
 	// drift is the speed of its steady clock.
-	drift    float64
-	bornAt   time.Time
-	entryLag time.Duration // Until its entry is in the registry.
-	token    int
-	until    int // End of the lease of all that runs, on its clock.
-	runs     map[damsonwinch.Run]*simRun
-	highest  map[damsonwinch.TaskID]int // Highest attempt stopped or ended here.
-	finished []damsonwinch.RunResult
-	number   int
-	dead     bool
-	misled   bool // It answers a look that is meant for an earlier life.
-	// waiting are looks that wait for an end, and breaking the connections that break when
+	drift             float64
+	startedAt         time.Time
+	registrationDelay time.Duration // Until its entry is in the registry.
+	token             int
+	leaseUntilMs      int // End of the lease of all that runs, on its clock.
+	runs              map[damsonwinch.Run]*simRun
+	lastAttempts      map[damsonwinch.TaskID]int // Highest attempt stopped or ended here.
+	finished          []damsonwinch.RunResult
+	lastSequence      int
+	exited            bool
+	misaddressed      bool // It answers a look that is meant for an earlier life.
+	// onResult are looks that wait for an end, and breaking the connections that break when
 	// the life ends.
-	waiting  []func()
-	breaking []func()
-	// before are the rooms that it has had.
-	before []roomBefore
+	onResult []func()
+	onExit   []func()
+	// pastCapacities are the rooms that it has had.
+	pastCapacities []pastCapacity
 }
 
 // simRun is a run on an endpoint.
 type simRun struct {
-	order   damsonwinch.StartRequest
-	need    damsonwinch.Resources
-	startAt time.Time
-	endAt   time.Time
-	how     damsonwinch.Ending
-	stopped bool
+	request   damsonwinch.StartRequest
+	need      damsonwinch.Resources
+	startedAt time.Time
+	endsAt    time.Time
+	ending    damsonwinch.Ending
+	stopping  bool
 }
 
-func (e *simEndpoint) clock() int {
-	return 1000 + int(float64(e.world.now.Sub(e.bornAt).Milliseconds())*e.drift)
+func (e *simEndpoint) clockMs() int {
+	return 1000 + int(float64(e.world.now.Sub(e.startedAt).Milliseconds())*e.drift)
 }
 
-// born is when it was born, as it tells it.
-func (e *simEndpoint) born() int {
-	if e.world.sabotage.idsAlone {
+// reportedStartMs is when it was reportedStartMs, as it tells it.
+func (e *simEndpoint) reportedStartMs() int {
+	if e.world.mutation.hideStartTimes {
 		return 0
 	}
 	return e.info.Life.StartedUnixMs
 }
 
-// take keeps out orders of older owners.
-func (e *simEndpoint) take(token int) bool {
-	if e.world.sabotage.noFencing {
+// acceptToken keeps out orders of older owners.
+func (e *simEndpoint) acceptToken(token int) bool {
+	if e.world.mutation.noFencing {
 		return true
 	}
 	if token < e.token {
@@ -76,155 +76,155 @@
 
 func (e *simEndpoint) start(order damsonwinch.StartRequest) error {
 	switch {
-	case !e.take(order.Token):
+	case !e.acceptToken(order.Token):
 		return damsonwinch.ErrStaleToken
-	case order.Attempt <= e.highest[order.Task]:
-		e.prolong(order.LeaseUntilMs)
+	case order.Attempt <= e.lastAttempts[order.Task]:
+		e.renewLease(order.LeaseUntilMs)
 		return damsonwinch.ErrStaleRun
-	case order.LeaseUntilMs <= e.clock():
+	case order.LeaseUntilMs <= e.clockMs():
 		return damsonwinch.ErrTooLate
 	case e.runs[order.Run] != nil:
 		return nil
 	}
-	e.prolong(order.LeaseUntilMs)
-	task := e.world.task(order.Task)
+	e.renewLease(order.LeaseUntilMs)
+	task := e.world.behaviourOf(order.Task)
 	need := task.need
-	if e.world.room != nil {
-		e.world.rules.fills(e, order, need)
+	if e.world.registry != nil {
+		e.world.rules.checkCapacity(e, order, need)
 	} else if !e.info.Capacity.Minus(e.used()).Holds(need) {
 		return damsonwinch.ErrNoCapacity
 	}
-	e.world.rules.started(e, order)
-	r := &simRun{order: order, need: need, startAt: e.world.now, how: damsonwinch.EndedDone}
-	if e.world.random.Float64() < task.failing {
-		r.how = damsonwinch.EndedFailed
+	e.world.rules.checkStart(e, order)
+	r := &simRun{request: order, need: need, startedAt: e.world.now, ending: damsonwinch.EndedDone}
+	if e.world.random.Float64() < task.failureRate {
+		r.ending = damsonwinch.EndedFailed
 	}
-	r.endAt = e.world.now.Add(task.length)
-	if task.lasting {
-		r.endAt = e.world.now.Add(time.Hour)
+	r.endsAt = e.world.now.Add(task.duration)
+	if task.longRunning {
+		r.endsAt = e.world.now.Add(time.Hour)
 	}
 	e.runs[order.Run] = r
-	if e.world.caps != nil {
-		e.world.rules.capped(need.MilliCPU)
+	if e.world.planner != nil {
+		e.world.rules.checkCap(need.MilliCPU)
 	}
-	e.world.at(r.endAt, func() { e.end(r, r.how) })
+	e.world.at(r.endsAt, func() { e.endRun(r, r.ending) })
 	if task.crashes && order.Task.Phase == 0 && order.Task.Index == task.crashIndex {
 		e.world.after(task.crashAfter, func() { e.crashUnder(order.Run) })
 	}
 	return nil
 }
 
-func (e *simEndpoint) end(r *simRun, how damsonwinch.Ending) {
-	if e.dead || e.runs[r.order.Run] != r {
+func (e *simEndpoint) endRun(r *simRun, how damsonwinch.Ending) {
+	if e.exited || e.runs[r.request.Run] != r {
 		return
 	}
-	delete(e.runs, r.order.Run)
-	e.highest[r.order.Task] = max(e.highest[r.order.Task], r.order.Attempt)
-	e.number++
-	e.finished = append(e.finished, damsonwinch.RunResult{Run: r.order.Run, Sequence: e.number, Ending: how})
-	e.world.rules.ended(e, r, how)
-	waiting := e.waiting
-	e.waiting, e.breaking = nil, nil
+	delete(e.runs, r.request.Run)
+	e.lastAttempts[r.request.Task] = max(e.lastAttempts[r.request.Task], r.request.Attempt)
+	e.lastSequence++
+	e.finished = append(e.finished, damsonwinch.RunResult{Run: r.request.Run, Sequence: e.lastSequence, Ending: how})
+	e.world.rules.runEnded(e, r, how)
+	waiting := e.onResult
+	e.onResult, e.onExit = nil, nil
 	for _, answer := range waiting {
 		answer()
 	}
 }
 
 func (e *simEndpoint) stop(order damsonwinch.StopRequest) error {
-	if !e.take(order.Token) {
+	if !e.acceptToken(order.Token) {
 		return damsonwinch.ErrStaleToken
 	}
-	e.highest[order.Task] = max(e.highest[order.Task], order.Attempt)
-	if r := e.runs[order.Run]; r != nil && !r.stopped {
-		r.stopped = true
-		e.world.after(e.world.between(0, 300*time.Millisecond), func() { e.end(r, damsonwinch.EndedStopped) })
+	e.lastAttempts[order.Task] = max(e.lastAttempts[order.Task], order.Attempt)
+	if r := e.runs[order.Run]; r != nil && !r.stopping {
+		r.stopping = true
+		e.world.after(e.world.randomDuration(0, 300*time.Millisecond), func() { e.endRun(r, damsonwinch.EndedStopped) })
 	}
 	return nil
 }
 
-func (e *simEndpoint) prolong(until int) {
-	until = min(until, e.clock()+int(simLease.Milliseconds()))
-	if until > e.until {
-		e.until = until
-		e.world.after(time.Duration(float64(until-e.clock())/e.drift)*time.Millisecond+time.Millisecond, e.lapse)
+func (e *simEndpoint) renewLease(until int) {
+	until = min(until, e.clockMs()+int(simMaxLease.Milliseconds()))
+	if until > e.leaseUntilMs {
+		e.leaseUntilMs = until
+		e.world.after(time.Duration(float64(until-e.clockMs())/e.drift)*time.Millisecond+time.Millisecond, e.expireLease)
 	}
 }
 
-// lapse kills everything once the lease is over.
-func (e *simEndpoint) lapse() {
-	if e.dead || e.clock() < e.until {
+// expireLease kills everything once the lease is over.
+func (e *simEndpoint) expireLease() {
+	if e.exited || e.clockMs() < e.leaseUntilMs {
 		return
 	}
-	for _, r := range e.sorted() {
-		e.end(r, damsonwinch.EndedLapsed)
+	for _, r := range e.sortedRuns() {
+		e.endRun(r, damsonwinch.EndedLapsed)
 	}
 }
 
-func (e *simEndpoint) sorted() []*simRun {
+func (e *simEndpoint) sortedRuns() []*simRun {
 	var found []*simRun
 	for _, r := range e.runs {
 		found = append(found, r)
 	}
-	slices.SortFunc(found, func(a, b *simRun) int { return cmp.Compare(a.order.Task.String(), b.order.Task.String()) })
+	slices.SortFunc(found, func(a, b *simRun) int { return cmp.Compare(a.request.Task.String(), b.request.Task.String()) })
 	return found
 }
 
-// lookFor answers a look that is meant for a life. Where that is an earlier one, what the look
+// pollAddressedTo answers a look that is meant for a life. Where that is an earlier one, what the look
 // acknowledges may be ends of this one, which nobody has taken note of: nothing in the call tells
 // them apart.
-func (e *simEndpoint) lookFor(life damsonwinch.Life, order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
-	e.misled = !life.MayBeSame(e.info.Life)
-	defer func() { e.misled = false }()
-	return e.look(order)
+func (e *simEndpoint) pollAddressedTo(life damsonwinch.Life, order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
+	e.misaddressed = !life.MayBeSame(e.info.Life)
+	defer func() { e.misaddressed = false }()
+	return e.poll(order)
 }
 
-// look answers at once; the world makes it wait where it should.
-func (e *simEndpoint) look(order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
-	if !e.take(order.Token) {
+// poll answers at once; the world makes it wait where it should.
+func (e *simEndpoint) poll(order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
+	if !e.acceptToken(order.Token) {
 		return damsonwinch.PollReply{}, damsonwinch.ErrStaleToken
 	}
 	for len(e.finished) > 0 && e.finished[0].Sequence <= order.AckedSequence {
-		if !e.misled {
-			e.world.rules.noted(e, e.finished[0])
+		if !e.misaddressed {
+			e.world.rules.resultAcked(e, e.finished[0])
 		}
 		e.finished = e.finished[1:]
 	}
 	if order.LeaseUntilMs > 0 {
-		e.prolong(order.LeaseUntilMs)
+		e.renewLease(order.LeaseUntilMs)
 	}
-	found := damsonwinch.PollReply{StartedUnixMs: e.born(), ClockMs: e.clock(), Finished: append([]damsonwinch.RunResult{}, e.finished...)}
-	for _, r := range e.sorted() {
+	found := damsonwinch.PollReply{StartedUnixMs: e.reportedStartMs(), ClockMs: e.clockMs(), Finished: append([]damsonwinch.RunResult{}, e.finished...)}
+	for _, r := range e.sortedRuns() {
 		percent := 100
-		if r.how == damsonwinch.EndedDone && !e.world.task(r.order.Task).lasting {
-			percent = int(100 * e.world.now.Sub(r.startAt) / r.endAt.Sub(r.startAt))
+		if r.ending == damsonwinch.EndedDone && !e.world.behaviourOf(r.request.Task).longRunning {
+			percent = int(100 * e.world.now.Sub(r.startedAt) / r.endsAt.Sub(r.startedAt))
 		}
-		found.Running = append(found.Running, damsonwinch.RunProgress{Run: r.order.Run, DonePercent: percent})
+		found.Running = append(found.Running, damsonwinch.RunProgress{Run: r.request.Run, DonePercent: percent})
 	}
 	return found, nil
 }
 
 // crashUnder ends the life since it runs a task that it can't bear; another comes.
 func (e *simEndpoint) crashUnder(which damsonwinch.Run) {
-	if e.dead || e.runs[which] == nil {
+	if e.exited || e.runs[which] == nil {
 		return
 	}
 	w := e.world
 	w.logf("%s crashes under %s", e.info.Life, which.Task)
-	w.rules.crashedUnder[which.Task]++
-	e.die()
-	w.after(w.between(2*time.Second, 4*time.Second), func() { w.addEndpoint(e.info.Box) })
+	w.rules.crashCounts[which.Task]++
+	e.exit()
+	w.after(w.randomDuration(2*time.Second, 4*time.Second), func() { w.addEndpoint(e.info.Box) })
 }
 
-// die ends the life with all that runs there.
-func (e *simEndpoint) die() {
-	e.dead = true
-	for _, broken := range e.breaking {
+// exit ends the life with all that runs there.
+func (e *simEndpoint) exit() {
+	e.exited = true
+	for _, broken := range e.onExit {
 		broken()
 	}
-	e.breaking = nil
-	for _, r := range e.sorted() {
-		delete(e.runs, r.order.Run)
-		e.world.rules.vanished(e, r)
+	e.onExit = nil
+	for _, r := range e.sortedRuns() {
+		delete(e.runs, r.request.Run)
+		e.world.rules.runLost(e, r)
 	}
-	e.waiting = nil
+	e.onResult = nil
 }
--- a/pkg/cell/sim_test.go
+++ b/pkg/cell/sim_test.go
@@ -13,70 +13,70 @@
 	"damsonwinch/pkg/wire"
 )
 
-// play plays one run of a seed and returns its world.
-func play(seed uint64, broken sabotage) *world {
+// simulateFaults plays one run of a seed and returns its world.
+func simulateFaults(seed uint64, broken mutation) *world {
 	w := newWorld(seed, broken)
-	w.begin(usualJobs)
-	w.finish()
+	w.setUp(defaultJobs)
+	w.runToEnd()
 	return w
 }
 
 // Numbers of jobs and of things that go wrong in a run.
 const (
-	usualJobs = 8
-	mishaps   = 14
+	defaultJobs  = 8
+	faultsPerRun = 14
 )
 
-// begin sets up boxes, an owner, clients and what goes wrong.
-func (w *world) begin(jobs int) {
-	w.beginCalm(jobs)
-	for range mishaps {
-		w.after(w.between(0, simTrouble), w.mishap)
+// setUp sets up boxes, an owner, clients and what goes wrong.
+func (w *world) setUp(jobs int) {
+	w.setUpWithoutFaults(jobs)
+	for range faultsPerRun {
+		w.after(w.randomDuration(0, simFaultTime), w.injectFault)
 	}
 }
 
-// beginCalm sets up boxes, an owner and clients.
-func (w *world) beginCalm(jobs int) {
+// setUpWithoutFaults sets up boxes, an owner and clients.
+func (w *world) setUpWithoutFaults(jobs int) {
 	for box := range w.boxCount {
 		w.addEndpoint(fmt.Sprintf("box-%d", box))
 	}
 	w.addOwner()
 	for number := range jobs {
-		w.after(w.between(0, simTrouble*3/4), func() { w.client(fmt.Sprintf("job%d", number)) })
+		w.after(w.randomDuration(0, simFaultTime*3/4), func() { w.addRandomClient(fmt.Sprintf("job%d", number)) })
 	}
 }
 
-// finish lets a run happen and judges its end.
-func (w *world) finish() {
+// runToEnd lets a run happen and judges its end.
+func (w *world) runToEnd() {
 	begin := w.now
-	w.at(begin.Add(simTrouble), w.heal)
-	w.at(begin.Add(simTrouble+time.Second), w.supply)
-	end := begin.Add(simTrouble + simCalm)
+	w.at(begin.Add(simFaultTime), w.endFaults)
+	w.at(begin.Add(simFaultTime+time.Second), w.addBoxIfNeeded)
+	end := begin.Add(simFaultTime + simRecoveryTime)
 	w.run(end)
-	for w.worksOn() && w.now.Before(end.Add(simCalm)) {
-		w.run(w.now.Add(simStep))
+	for w.isMakingProgress() && w.now.Before(end.Add(simRecoveryTime)) {
+		w.run(w.now.Add(simExtensionStep))
 	}
-	if w.rules.broken == "" {
-		w.rules.finished()
+	if w.rules.violation == "" {
+		w.rules.checkEnd()
 	}
 }
 
-// worksOn tells whether jobs are left and tasks still end one after the other: lasting jobs
+// isMakingProgress tells whether jobs are left and tasks still end one after the other: lasting jobs
 // may leave so little room that a run's work is longer than the calm.
-func (w *world) worksOn() bool {
-	if w.rules.broken != "" || w.now.Sub(w.rules.doneAt) > max(simStep, w.lastingWork) {
+func (w *world) isMakingProgress() bool {
+	if w.rules.violation != "" || w.now.Sub(w.rules.lastDoneAt) > max(simExtensionStep, w.maxCompletionGap) {
 		return false
 	}
 	return slices.ContainsFunc(w.clients, func(c *simClient) bool { return c.unfinished() })
 }
 
-// client adds a client with a job drawn at random.
-func (w *world) client(id string) {
-	behaviour := simTask{
-		need: damsonwinch.Resources{MilliCPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, length: w.between(50*time.Millisecond, w.longest),
+// addRandomClient adds a addRandomClient with a job drawn at random.
+func (w *world) addRandomClient(id string) {
+	behaviour := taskBehaviour{
+		need: damsonwinch.Resources{MilliCPU: 1000 + w.random.IntN(3000), MemoryMB: 500}, duration: w.randomDuration(50*time.Millisecond, w.maxTaskTime),
 	}
 	if w.random.Float64() < 0.15 {
-		behaviour.failing = 0.4
+		behaviour.failureRate = 0.4
 	}
 	phase := wire.Phase{Count: 1 + w.random.IntN(4), Cpu: behaviour.need.MilliCPU, MemoryMb: behaviour.need.MemoryMB, EstimateMs: 300}
 	phase.Copies = w.random.Float64() < 0.2
@@ -84,7 +84,7 @@
 	switch {
 	case w.random.Float64() < 0.15:
 		// Small, so that there is room for the others for good.
-		behaviour.lasting, behaviour.failing, behaviour.need.MilliCPU = true, 0, 300
+		behaviour.longRunning, behaviour.failureRate, behaviour.need.MilliCPU = true, 0, 300
 		phases[0].Lasting, phases[0].Copies, phases[0].AwayAtMost, phases[0].Cpu = true, false, 1, 300
 	case w.random.Float64() < 0.5:
 		second := phase
@@ -92,37 +92,37 @@
 		phases = append(phases, second)
 	}
 	c := w.addClient(id, simSpec(phases...), behaviour)
-	w.after(300*time.Millisecond, c.watch)
+	w.after(300*time.Millisecond, c.watchState)
 	if w.random.Float64() < 0.15 {
-		w.after(w.between(100*time.Millisecond, 3*time.Second), c.cancel)
+		w.after(w.randomDuration(100*time.Millisecond, 3*time.Second), c.cancel)
 	}
 }
 
-func (w *world) anyBox() string {
+func (w *world) randomBox() string {
 	return fmt.Sprintf("box-%d", w.random.IntN(w.boxCount))
 }
 
-// mishap is one thing that goes wrong.
-func (w *world) mishap() {
-	if !w.trouble {
+// injectFault is one thing that goes wrong.
+func (w *world) injectFault() {
+	if !w.faultsOn {
 		return
 	}
 	newest := w.owners[len(w.owners)-1]
-	box := w.anyBox()
+	box := w.randomBox()
 	switch w.random.IntN(9) {
 	case 0:
 		w.logf("owner %s is killed", newest.name)
-		newest.die("killed")
-		w.after(w.between(10*time.Millisecond, time.Second), func() { w.addOwner() })
+		newest.exit("killed")
+		w.after(w.randomDuration(10*time.Millisecond, time.Second), func() { w.addOwner() })
 	case 1:
 		w.logf("owner %s freezes", newest.name)
-		newest.pausedUntil = w.now.Add(w.between(500*time.Millisecond, 4*time.Second))
+		newest.pausedUntil = w.now.Add(w.randomDuration(500*time.Millisecond, 4*time.Second))
 		w.after(time.Second, func() { w.addOwner() })
 	case 2:
 		w.logf("owner %s loses the store", newest.name)
-		newest.cutFromStore = true
+		newest.cutOffFromStore = true
 		w.after(time.Second, func() { w.addOwner() })
-		w.after(w.between(time.Second, 4*time.Second), func() { newest.cutFromStore = false })
+		w.after(w.randomDuration(time.Second, 4*time.Second), func() { newest.cutOffFromStore = false })
 	case 3:
 		w.logf("a claim for no reason")
 		w.addOwner()
@@ -131,62 +131,62 @@
 	case 6:
 		// Cut from those to come: the next owner can't reach what this one can.
 		w.cut(string(rune('A'+len(w.owners)%26)), box)
-		w.after(w.between(0, 500*time.Millisecond), func() { w.addOwner() })
+		w.after(w.randomDuration(0, 500*time.Millisecond), func() { w.addOwner() })
 	case 7:
-		w.crash(box)
+		w.crashBox(box)
 	case 8:
 		stream := len(w.streams) - 1
 		w.logf("stream %d is out", stream)
-		w.out[stream] = true
-		w.after(w.between(100*time.Millisecond, 5*time.Second), func() { delete(w.out, stream) })
+		w.streamDown[stream] = true
+		w.after(w.randomDuration(100*time.Millisecond, 5*time.Second), func() { delete(w.streamDown, stream) })
 	}
 }
 
 func (w *world) cut(owner, box string) {
 	w.logf("cut between %s and %s", owner, box)
 	w.cuts[owner+box] = true
-	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { delete(w.cuts, owner+box) })
+	w.after(w.randomDuration(500*time.Millisecond, 6*time.Second), func() { delete(w.cuts, owner+box) })
 }
 
-// crash ends the life on a box; a new one comes.
-func (w *world) crash(box string) {
+// crashBox ends the life on a box; a new one comes.
+func (w *world) crashBox(box string) {
 	for _, e := range w.endpoints {
-		if e.info.Box == box && !e.dead {
+		if e.info.Box == box && !e.exited {
 			w.logf("%s on %s crashes", e.info.Life, box)
-			e.die()
-			w.after(w.between(100*time.Millisecond, 2*time.Second), func() { w.addEndpoint(box) })
+			e.exit()
+			w.after(w.randomDuration(100*time.Millisecond, 2*time.Second), func() { w.addEndpoint(box) })
 		}
 	}
 }
 
-// heal ends all trouble, with an owner that can do its work.
-func (w *world) heal() {
+// endFaults ends all trouble, with an owner that can do its work.
+func (w *world) endFaults() {
 	w.logf("calm from here on")
-	w.trouble = false
+	w.faultsOn = false
 	clear(w.cuts)
-	clear(w.out)
+	clear(w.streamDown)
 	for _, o := range w.owners {
-		o.cutFromStore = false
+		o.cutOffFromStore = false
 	}
 	w.after(100*time.Millisecond, func() { w.addOwner() })
 }
 
-// supply brings another box where a newest owner reports tasks that are too large for the
+// addBoxIfNeeded brings another box where a newest owner reports tasks that are too large for the
 // room beside lasting ones, as the fleet planner does.
-func (w *world) supply() {
+func (w *world) addBoxIfNeeded() {
 	newest := w.owners[len(w.owners)-1]
-	if newest.ready && !newest.dead {
+	if newest.ready && !newest.exited {
 		report := newest.cell.Report(w.now)
-		if report.WholeBoxes+report.WholeLateBoxes > 0 && w.boxesInUse() <= report.LastingBoxes {
+		if report.WholeBoxes+report.WholeLateBoxes > 0 && w.countListed() <= report.LastingBoxes {
 			w.logf("another box")
-			w.addEndpoint(fmt.Sprintf("box-%d", w.lives+1))
+			w.addEndpoint(fmt.Sprintf("box-%d", w.lifeCount+1))
 		}
 	}
-	w.after(time.Second, w.supply)
+	w.after(time.Second, w.addBoxIfNeeded)
 }
 
-func (w *world) boxesInUse() int {
-	return len(w.listed())
+func (w *world) countListed() int {
+	return len(w.listedEndpoints())
 }
 
 // failedSeeds are kept with what they found: 10946, lasting tasks on every box left room in
@@ -196,9 +196,9 @@
 // places, on which the last of 17 tasks in a row ended 0.2 s before the end of the calm.
 var failedSeeds = []uint64{10946, 14538, 128421}
 
-// freshSeeds returns the seeds that a test plays, so many unless the environment says
+// testSeeds returns the seeds that a test plays, so many unless the environment says
 // otherwise.
-func freshSeeds(usual uint64) []uint64 {
+func testSeeds(usual uint64) []uint64 {
 	first, count := uint64(1), usual
 	if text := os.Getenv("DAMSONWINCH_SEEDS"); text != "" {
 		count, _ = strconv.ParseUint(text, 10, 64)
@@ -213,37 +213,37 @@
 	return seeds
 }
 
-// TestRandomTrouble plays seeds: owners are killed, frozen, cut and replaced, calls
+// TestRulesHoldUnderRandomFaults plays seeds: owners are killed, frozen, cut and replaced, calls
 // are lost, done and unanswered, or done late, endpoints crash and are cut off.
 // DAMSONWINCH_SEEDS sets how many fresh ones are played, and DAMSONWINCH_FIRST_SEED
 // where they begin.
-func TestRandomTrouble(t *testing.T) {
-	seeds := append(slices.Clone(failedSeeds), freshSeeds(600)...)
+func TestRulesHoldUnderRandomFaults(t *testing.T) {
+	seeds := append(slices.Clone(failedSeeds), testSeeds(600)...)
 	starts := 0
 	for _, seed := range seeds {
-		w := play(seed, sabotage{})
-		starts += w.rules.starts
-		if w.rules.broken != "" {
-			t.Fatalf("seed %d: %s\n%s", seed, w.rules.broken, strings.Join(w.log, "\n"))
+		w := simulateFaults(seed, mutation{})
+		starts += w.rules.startCount
+		if w.rules.violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, w.rules.violation, strings.Join(w.log, "\n"))
 		}
 	}
 	t.Logf("%d seeds, %d starts", len(seeds), starts)
 }
 
-// TestRulesSeeWhatIsMissing takes out one mechanism after the other: some seed must
+// TestRulesDetectDisabledMechanisms takes out one mechanism after the other: some seed must
 // find that.
-func TestRulesSeeWhatIsMissing(t *testing.T) {
-	for name, broken := range map[string]sabotage{
+func TestRulesDetectDisabledMechanisms(t *testing.T) {
+	for name, broken := range map[string]mutation{
 		"starts before their record": {startBeforeRecord: true},
-		"ends forgotten early":       {forgetEarly: true},
+		"ends forgotten early":       {ackUnrecorded: true},
 		"no fencing":                 {noFencing: true},
 		"records without runs":       {dropRuns: true},
-		"leases over at once":        {impatient: true},
-		"commits after a snapshot":   {moveAndCommit: true},
+		"leases over at once":        {expireLeasesEarly: true},
+		"commits after a snapshot":   {commitAfterMove: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed < 2000; seed++ {
-				if found := play(seed, broken).rules.broken; found != "" {
+				if found := simulateFaults(seed, broken).rules.violation; found != "" {
 					t.Logf("seed %d: %s", seed, found)
 					return
 				}
