--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -20,7 +20,7 @@
 		if !k.leadsHall(hall) {
 			continue
 		}
-		k.propose(plan.Senders(k.state, hall, k.liveSenders(), k.state.At()-k.liveFor())...)
+		k.propose(plan.AssignSenders(k.state, hall, k.liveSenders(), k.state.LogTimeMs()-k.liveFor())...)
 		k.maintain(hall)
 	}
 }
@@ -28,7 +28,7 @@
 func (k *Keeper) liveSenders() []fold.Sender {
 	var live []fold.Sender
 	for _, sender := range k.state.Senders() {
-		if sender.RenewedAt >= k.state.At()-k.liveFor() && !sender.Leaving && k.state.Releasable(sender) {
+		if sender.RenewedAt >= k.state.LogTimeMs()-k.liveFor() && !sender.Leaving && k.state.Releasable(sender) {
 			live = append(live, sender)
 		}
 	}
@@ -50,7 +50,7 @@
 		if box.Info.Hall != hall || box.Phase != fold.Maintenance {
 			continue
 		}
-		if member, known := k.state.Member(box.Carrier.Node); !known || member.Keeper != box.Carrier.Keeper {
+		if member, known := k.state.Member(box.Maintainer.Node); !known || member.KeeperIncarnation != box.Maintainer.Incarnation {
 			k.proposeStep(wire.KindCarry, box, "it is empty for maintenance")
 		}
 	}
@@ -61,7 +61,7 @@
 func (k *Keeper) carryOut(ctx context.Context) {
 	mine := map[string]bool{}
 	for _, box := range k.state.Boxes() {
-		if box.Phase != fold.Maintenance || box.Carrier != k.carrier() {
+		if box.Phase != fold.Maintenance || box.Maintainer != k.carrier() {
 			continue
 		}
 		name := box.Info.Name
@@ -82,8 +82,8 @@
 	}
 }
 
-func (k *Keeper) carrier() fold.Carrier {
-	return fold.Carrier{Node: k.node(), Keeper: k.incarnation}
+func (k *Keeper) carrier() fold.KeeperKey {
+	return fold.KeeperKey{Node: k.node(), Incarnation: k.incarnation}
 }
 
 func (k *Keeper) proposeStep(kind wire.Kind, box fold.Box, cause string) {
@@ -138,7 +138,7 @@
 	}
 	if args.WithPlan {
 		made := plan.New(k.state, k.deps.Plan)
-		reply.Planned, reply.Waits = made.Proposals, made.Waits
+		reply.Planned, reply.Waits = made.Proposals, made.Deferred
 	}
 	if !args.WithState {
 		return reply
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -9,11 +9,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Senders proposes a sender for each box of a hall that has none. Live are the
+// AssignSenders proposes a sender for each box of a hall that has none. Live are the
 // senders that renew. When the hall has none of its own, another hall's take
 // the boxes that have stood still since before adopt, in milliseconds since
 // 1970: a hall whose entries are only starting keeps its boxes.
-func Senders(state fold.State, hall string, live []fold.Sender, adopt int) []wire.Proposal {
+func AssignSenders(state fold.State, hall string, live []fold.Sender, adopt int) []wire.Proposal {
 	candidates := inHall(live, hall)
 	adopting := len(candidates) == 0
 	if adopting {
@@ -25,7 +25,7 @@
 	held := heldBy(state)
 	var proposals []wire.Proposal
 	for _, box := range state.Boxes() {
-		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.None() || (adopting && box.Since > adopt) {
+		if box.Info.Hall != hall || box.Pool == fold.FreePool || !box.Sender.IsNone() || (adopting && box.EpochStartedAt > adopt) {
 			continue
 		}
 		chosen := leastLoaded(candidates, held, box.Pool)
@@ -33,7 +33,7 @@
 		proposals = append(proposals, wire.Proposal{
 			Kind:   wire.KindAssign,
 			Cause:  fmt.Sprintf("%s has no sender", box.Info.Name),
-			Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: chosen.Key.Node, Entry: chosen.Key.Entry},
+			Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: chosen.Key.Node, Entry: chosen.Key.Incarnation},
 		})
 	}
 	return proposals
@@ -42,7 +42,7 @@
 func inHall(senders []fold.Sender, hall string) []fold.Sender {
 	var found []fold.Sender
 	for _, sender := range senders {
-		if sender.Hall == hall && !sender.Leaving {
+		if sender.Zone == hall && !sender.Leaving {
 			found = append(found, sender)
 		}
 	}
@@ -63,7 +63,7 @@
 func heldBy(state fold.State) holdings {
 	held := holdings{all: map[fold.SenderKey]int{}, byPool: map[poolHolding]int{}}
 	for _, box := range state.Boxes() {
-		if !box.Sender.None() {
+		if !box.Sender.IsNone() {
 			held.add(box.Sender, box.Pool)
 		}
 	}
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -33,7 +33,7 @@
 func (b *bench) renew() {
 	var members []wire.Member
 	for _, sender := range b.state.Senders() {
-		members = append(members, b.member(sender.Hall))
+		members = append(members, b.member(sender.Zone))
 	}
 	b.append(wire.Proposal{Kind: wire.KindRenew, Members: members})
 }
@@ -42,9 +42,9 @@
 	live := b.state.Senders()
 	seen := map[string]bool{}
 	for _, sender := range live {
-		if !seen[sender.Hall] {
-			seen[sender.Hall] = true
-			b.append(plan.Senders(b.state, sender.Hall, live, b.at)...)
+		if !seen[sender.Zone] {
+			seen[sender.Zone] = true
+			b.append(plan.AssignSenders(b.state, sender.Zone, live, b.at)...)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	var proposals []wire.Proposal
 	for _, box := range b.state.Boxes() {
 		if box.Phase == phase {
-			change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: box.Sender.Node, Entry: box.Sender.Entry}
+			change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: box.Sender.Node, Entry: box.Sender.Incarnation}
 			proposals = append(proposals, wire.Proposal{Kind: kind, Change: change})
 		}
 	}
@@ -63,7 +63,7 @@
 
 // countMoves counts boxes that leave a pool. A box that has failed must leave, so
 // that the bound counts it too.
-func (b *bench) countMoves(verdicts []fold.Verdict) {
+func (b *bench) countMoves(verdicts []fold.Result) {
 	for _, verdict := range verdicts {
 		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
 			continue
