--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -21,13 +21,13 @@
 
 // Headers of callers' requests and of their answers.
 const (
-	HeaderOutcome  = "Damsonwinch-Outcome"
-	HeaderClass    = "Damsonwinch-Class"
-	HeaderCustomer     = "Damsonwinch-Team"
-	HeaderDeadline = "Damsonwinch-Deadline-Ms"
-	HeaderSize     = "Damsonwinch-Size"
-	HeaderRequestID       = "Damsonwinch-Request"
-	HeaderIdempotencyKey      = "Idempotency-Key"
+	HeaderOutcome        = "Damsonwinch-Outcome"
+	HeaderClass          = "Damsonwinch-Class"
+	HeaderCustomer       = "Damsonwinch-Team"
+	HeaderDeadline       = "Damsonwinch-Deadline-Ms"
+	HeaderSize           = "Damsonwinch-Size"
+	HeaderRequestID      = "Damsonwinch-Request"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
--- a/pkg/send/send.go
+++ b/pkg/send/send.go
@@ -22,7 +22,7 @@
 	// HeaderRequestID carries the request's id; the endpoint repeats it in its
 	// answer, so that another request's answer is never taken for this one's.
 	HeaderRequestID = "Damsonwinch-Request"
-	headerType    = "Content-Type"
+	headerType      = "Content-Type"
 )
 
 const (
