--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -46,8 +46,8 @@
 	Logger     logrus.FieldLogger
 	Metrics    *metrics.Set
 	Invariants *invariant.Checker
-	// Empty is the state before the first record.
-	Empty fold.State
+	// InitialState is the state before the first record.
+	InitialState fold.State
 	// Plan holds the planner's choices.
 	Plan plan.Options
 }
@@ -94,7 +94,7 @@
 		cancel:      cancel,
 		group:       group,
 		peers:       map[string]*call.Client{},
-		state:       deps.Empty,
+		state:       deps.InitialState,
 		trail:       audit.New(auditLines),
 		witness:     lease.NewGrantor(terms(deps.Settings)),
 		carrying:    map[string]carried{},
@@ -129,7 +129,7 @@
 		Clock:        k.deps.Clock,
 		Sources:      k.sources(),
 		Invariants:   k.deps.Invariants,
-		InitialState: k.deps.Empty,
+		InitialState: k.deps.InitialState,
 		Updates:      k.updates,
 
 		CheckpointEvery: k.deps.Settings.SnapshotEvery,
