--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -118,7 +118,7 @@
 	if !k.leadsFleet() || k.state.Table().Version() == 0 {
 		return
 	}
-	made := plan.New(k.state, k.deps.Plan)
+	made := plan.New(k.state, k.deps.PlanOptions)
 	k.deps.Metrics.Add("plans", 1)
 	k.propose(made.Proposals...)
 }
@@ -137,7 +137,7 @@
 		reply.Audit = k.trail.From(args.AuditFrom)
 	}
 	if args.WithPlan {
-		made := plan.New(k.state, k.deps.Plan)
+		made := plan.New(k.state, k.deps.PlanOptions)
 		reply.Planned, reply.Waits = made.Proposals, made.Deferred
 	}
 	if !args.WithState {
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -48,8 +48,8 @@
 	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
 	InitialState fold.State
-	// Plan holds the planner's choices.
-	Plan plan.Options
+	// PlanOptions holds the planner's choices.
+	PlanOptions plan.Options
 }
 
 // Keeper is one keeper process's task.
--- a/pkg/process/keeper.go
+++ b/pkg/process/keeper.go
@@ -43,7 +43,7 @@
 	client := platform.New(config.Platform, env.Dial)
 	started, err := keeper.New(keeper.Deps{
 		Settings: keeperWithDefaults(config), Clock: env.Clock, Log: client, List: client, Boxes: client, Dial: env.Dial,
-		Listener: listeners[0], Logger: env.Logger.WithField("keeper", config.Node), Metrics: set, Invariants: book, InitialState: empty, Plan: options,
+		Listener: listeners[0], Logger: env.Logger.WithField("keeper", config.Node), Metrics: set, Invariants: book, InitialState: empty, PlanOptions: options,
 	})
 	if err != nil {
 		return nil, err
