--- a/pkg/check/check_test.go
+++ b/pkg/check/check_test.go
@@ -21,7 +21,7 @@
 		name := filepath.Join(t.TempDir(), "file")
 		assert.NilError(t, os.WriteFile(name, []byte(d.Input), 0o600))
 		into := map[string]any{Keeper: &settings.Keeper{}, Entry: &settings.Entry{}, Table: &settings.Table{}, Fleet: &settings.Fleet{}}
-		err := checker.File(d.Cmd, name, into[d.Cmd])
+		err := checker.LoadFile(d.Cmd, name, into[d.Cmd])
 		if err == nil {
 			return "no fault\n"
 		}
@@ -48,6 +48,6 @@
 		case strings.HasPrefix(base, "fleet"):
 			definition, into = Fleet, &settings.Fleet{}
 		}
-		assert.NilError(t, checker.File(definition, file, into))
+		assert.NilError(t, checker.LoadFile(definition, file, into))
 	}
 }
--- a/pkg/check/file.go
+++ b/pkg/check/file.go
@@ -25,10 +25,10 @@
 	return strings.Join(e.Lines, "\n")
 }
 
-// File reads a settings file, JSON with comments, checks it against a
+// LoadFile reads a settings file, JSON with comments, checks it against a
 // definition and decodes it. The error is a *FileError when the file can be
 // read but is wrong.
-func (c *Checker) File(definition, name string, into any) error {
+func (c *Checker) LoadFile(definition, name string, into any) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
--- a/pkg/command/settings.go
+++ b/pkg/command/settings.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return err
 	}
-	if err := checker.File(definition, file, into); err != nil {
+	if err := checker.LoadFile(definition, file, into); err != nil {
 		return usage(err)
 	}
 	return nil
