--- a/pkg/check/check.go
+++ b/pkg/check/check.go
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// JSON checks JSON text against a definition and returns every fault.
-func (c *Checker) JSON(definition string, text []byte) []Fault {
+// CheckJSON checks CheckJSON text against a definition and returns every fault.
+func (c *Checker) CheckJSON(definition string, text []byte) []Fault {
 	value, err := jsonschema.UnmarshalJSON(strings.NewReader(string(text)))
 	if err != nil {
 		return []Fault{{Problem: fmt.Sprintf("not JSON: %v", err)}}
@@ -146,7 +146,7 @@
 // Decode checks JSON text and decodes what can be decoded of it. The value is
 // whole only if there is no fault.
 func (c *Checker) Decode(definition string, text []byte, into any) []Fault {
-	faults := c.JSON(definition, text)
+	faults := c.CheckJSON(definition, text)
 	if err := json.Unmarshal(text, into); err != nil && len(faults) == 0 {
 		return []Fault{{Problem: err.Error()}}
 	}
