--- a/pkg/check/file.go
+++ b/pkg/check/file.go
@@ -114,8 +114,8 @@
 	return found
 }
 
-// Text returns a value as indented JSON, for the command line's answers.
-func Text(value any) (string, error) {
+// IndentedJSON returns a value as indented JSON, for the command line's answers.
+func IndentedJSON(value any) (string, error) {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return "", fmt.Errorf("write JSON: %w", err)
--- a/pkg/command/control_table.go
+++ b/pkg/command/control_table.go
@@ -140,7 +140,7 @@
 				if err != nil {
 					return err
 				}
-				text, err := check.Text(state.Table().File())
+				text, err := check.IndentedJSON(state.Table().File())
 				if err != nil {
 					return err
 				}
