--- a/pkg/settings/doc.go
+++ b/pkg/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings holds the settings files and the table file. All but this
-// file is generated from schema/settings.json.
+// Package settings holds the types of the settings files and of the table file.
+// They are generated from schema/settings.json by schema/generate.sh.
 package settings
--- a/pkg/settings/settings.gen.go
+++ b/pkg/settings/settings.gen.go
@@ -2,355 +2,419 @@
 
 package settings
 
-// Bounds are the platform's times that the node decides by.
+// Bounds holds time limits of the platform on which the node bases its decisions.
 type Bounds struct {
-	// Time in which a cancelled job must be gone.
+	// Time within which a cancelled job must have ended, in milliseconds. From 1 to
+	// 600000; the default is 3000.
 	CancelMs int `json:"cancel_ms,omitempty,omitzero"`
 
-	// How soon a draining endpoint must get no more work.
+	// Time after which a draining endpoint must get no more work, in milliseconds.
+	// From 1 to 600000.
 	DrainMs int `json:"drain_ms"`
 
-	// How many times as long a task takes away from its data.
+	// Factor by which a task takes longer if it runs away from its data. From 1 to
+	// 100; the default is 1.
 	Far float64 `json:"far,omitempty,omitzero"`
 
-	// Time for which a gang's member waits for the others.
+	// How long a task of a gang waits for the gang's other tasks, in milliseconds.
+	// From 1 to 600000; the default is 3000.
 	GangMs int `json:"gang_ms,omitempty,omitzero"`
 
-	// Time between being told to stop and being killed.
+	// Time between the signal that tells the process to stop and the one that kills
+	// it, in seconds. From 0.1 to 3600.
 	GraceS float64 `json:"grace_s"`
 
-	// How long a serving task may stay over its target.
+	// How long a serving task may exceed its target latency, in milliseconds. From 1
+	// to 600000; the default is 4000.
 	HarmMs int `json:"harm_ms,omitempty,omitzero"`
 
-	// Time that must pass between the orders of two holders for one box.
+	// Minimum time between an order of one planner on a box and an order of its
+	// successor on the same box, in milliseconds. From 0 to 600000; the default is
+	// 3000.
 	HolderMs int `json:"holder_ms,omitempty,omitzero"`
 
-	// How long an ended job can still be asked for.
+	// How long the state of an ended job remains available, in seconds. From 1 to
+	// 86400.
 	KeepEndedS int `json:"keep_ended_s"`
 
-	// Longest lease that an endpoint grants.
+	// Longest lease that an endpoint grants, in milliseconds. From 100 to 600000.
 	LeaseMostMs int `json:"lease_most_ms"`
 
-	// Time that the maintenance of a box takes.
+	// Time that the maintenance of a box takes, in seconds. From 0 to 3600; the
+	// default is 2.
 	MaintainS float64 `json:"maintain_s,omitempty,omitzero"`
 
-	// Time that a box takes to change its pool.
+	// Time that a box takes to change to another pool, in seconds. From 0 to 3600;
+	// the default is 1.5.
 	MoveS float64 `json:"move_s,omitempty,omitzero"`
 
-	// How long a serving task must be away to count as away.
+	// How long a serving task must be unavailable to count as unavailable, in
+	// milliseconds. From 1 to 600000; the default is 4500.
 	NoticeMs int `json:"notice_ms,omitempty,omitzero"`
 
-	// Time that a task takes to go on from a checkpoint.
+	// Time that a task takes to resume from a checkpoint, in milliseconds. From 0 to
+	// 600000; the default is 0.
 	RestoreMs int `json:"restore_ms,omitempty,omitzero"`
 
-	// A node without word of the configuration for that time refuses calls that need
-	// a key; otherwise it goes on by what it knows last.
+	// Whether a node refuses calls that need a key if the configuration has not been
+	// confirmed for revoke_ms. Otherwise it goes on accepting the keys that it knows.
+	// The default is false.
 	RevokeFailClosed bool `json:"revoke_fail_closed,omitempty,omitzero"`
 
-	// How long a node without word of the configuration goes on by the keys that it
-	// knows, where it must refuse calls then.
+	// How long a node accepts the customers' keys that it knows after the
+	// configuration was last confirmed, in milliseconds. It has an effect only with
+	// revoke_fail_closed. From 1 to 600000; the default is 5000.
 	RevokeMs int `json:"revoke_ms,omitempty,omitzero"`
 
-	// Work between two checkpoints, in seconds.
+	// Work of a task between two of its checkpoints, in seconds. From 0 to 3600; the
+	// default is 0.
 	SaveS float64 `json:"save_s,omitempty,omitzero"`
 
-	// Longest time that a stopped task takes to end.
+	// Longest time that a task takes to end after it was told to stop, in
+	// milliseconds. From 0 to 600000.
 	StopMs int `json:"stop_ms"`
 }
 
-// Deployment is the table line without a service: its pools and the weights of the
-// three costs.
+// Deployment is the row of the table with the settings of the whole fleet. Moves,
+// rollout and buffer are weights by which the planner compares costs.
 type Deployment struct {
-	// Buffer corresponds to the JSON schema field "buffer".
+	// Weight of one box that a pool holds in reserve. From 0 to 1000.
 	Buffer int `json:"buffer"`
 
-	// Boxes last maintained before this moment, in milliseconds since 1970, are due:
-	// set it to ask for a wave.
+	// Time in milliseconds since 1970. Boxes that were last maintained before it are
+	// due for maintenance, so that setting it to the present time starts a wave. At
+	// least 0; the default is 0.
 	MaintainBefore int `json:"maintain_before,omitempty,omitzero"`
 
-	// Days between two maintenances of a box.
+	// Number of days after which a box is due for maintenance again. From 1 to 3650;
+	// the default is 42.
 	MaintainDays int `json:"maintain_days,omitempty,omitzero"`
 
-	// Moves corresponds to the JSON schema field "moves".
+	// Weight of moving a box to another pool. A pool's surplus boxes are moved to the
+	// free pool only if buffer is greater than moves. From 0 to 1000.
 	Moves int `json:"moves"`
 
-	// Pools that services may name.
+	// Names of the pools that services may use.
 	Pools []string `json:"pools"`
 
-	// Rollout corresponds to the JSON schema field "rollout".
+	// Weight of one round of a maintenance of all boxes of a pool. Fewer rounds need
+	// more boxes in reserve. From 0 to 1000.
 	Rollout int `json:"rollout"`
 }
 
-// Entry is the settings file of dw-entry.
+// Entry is the settings file of a dw-entry process.
 type Entry struct {
-	// Address corresponds to the JSON schema field "address".
+	// IP and port on which the entry serves the RPC calls of other entries.
 	Address string `json:"address"`
 
-	// DebugAddress corresponds to the JSON schema field "debug_address".
+	// IP and port on which the entry serves its metrics over HTTP, at /debug/vars.
 	DebugAddress string `json:"debug_address"`
 
-	// Hall corresponds to the JSON schema field "hall".
+	// Availability zone of the entry, which must be one of halls.
 	Hall string `json:"hall"`
 
-	// Halls corresponds to the JSON schema field "halls".
+	// All availability zones of the deployment.
 	Halls []string `json:"halls"`
 
-	// HttpAddress corresponds to the JSON schema field "http_address".
+	// IP and port on which the entry serves the clients' HTTP requests.
 	HttpAddress string `json:"http_address"`
 
-	// Keepers to follow, the entry box's own first.
+	// Keepers from which the entry reads records and to which it sends renewals and
+	// proposals, in the order in which it tries them. The one on the entry's own box
+	// must be the first.
 	Keepers []Peer `json:"keepers"`
 
-	// LeaseMs corresponds to the JSON schema field "lease_ms".
+	// How long the entry may send requests after its last renewal, in milliseconds.
+	// It must be the same for all keepers and entries of a deployment. From 200 to
+	// 120000; the default is 12000.
 	LeaseMs int `json:"lease_ms,omitempty,omitzero"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the box on which the entry runs, unique in the deployment. The keeper
+	// on this box has the same name.
 	Node string `json:"node"`
 
-	// Platform corresponds to the JSON schema field "platform".
+	// IP and port of the platform's API, of which the entry uses the log.
 	Platform string `json:"platform"`
 
-	// Bytes of waiting and running requests and answers held at most.
+	// Largest total size of the bodies of the requests that wait or run, in units of
+	// 1024 bytes. Further requests are refused. From 64 to 1048576; the default is
+	// 32768.
 	QueueKb int `json:"queue_kb,omitempty,omitzero"`
 
-	// RenewMs corresponds to the JSON schema field "renew_ms".
+	// Time between two renewals of the entry's lease, in milliseconds. From 20 to
+	// 60000; the default is 4000.
 	RenewMs int `json:"renew_ms,omitempty,omitzero"`
 
-	// Time between telling the balancer and refusing connections in a planned stop.
+	// How long the entry reports that it is not ready, at the start of a planned
+	// stop, before it hands over its boxes and refuses connections, in milliseconds.
+	// The load balancer must notice within this time. From 0 to 600000; the default
+	// is 2000.
 	StopMs int `json:"stop_ms,omitempty,omitzero"`
 }
 
-// Fleet describes the stand-in platform and endpoints of dw-trial.
+// Fleet is the settings file of the stand-in platform and the stand-in endpoints
+// that dw-trial runs.
 type Fleet struct {
-	// BoxSlots corresponds to the JSON schema field "box_slots".
+	// Number of requests that a box can run at once. From 1 to 1000.
 	BoxSlots int `json:"box_slots"`
 
-	// Address of the first endpoint; the others take the ports above it.
+	// IP and port on which the first stand-in endpoint listens. The others use the
+	// ports above it.
 	Endpoints string `json:"endpoints"`
 
-	// Halls corresponds to the JSON schema field "halls".
+	// Availability zones of the fleet.
 	Halls []Hall `json:"halls"`
 
-	// Platform corresponds to the JSON schema field "platform".
+	// IP and port on which the stand-in platform listens.
 	Platform string `json:"platform"`
 
-	// RackBoxes corresponds to the JSON schema field "rack_boxes".
+	// Number of boxes in a rack. From 1 to 100.
 	RackBoxes int `json:"rack_boxes"`
 }
 
-// Freeze is a span of days of the month on which a service's pool sees no moves.
+// Freeze is a range of days of every month, in UTC, on which no box moves into or
+// out of a service's pool.
 type Freeze struct {
-	// FirstDay corresponds to the JSON schema field "first_day".
+	// First day of the range. If it is after last_day, the range runs on into the
+	// next month. From 1 to 31.
 	FirstDay int `json:"first_day"`
 
-	// LastDay corresponds to the JSON schema field "last_day".
+	// Last day of the range; it is part of it. From 1 to 31.
 	LastDay int `json:"last_day"`
 }
 
-// Hall is one availability zone of the stand-in platform.
+// Hall is an availability zone of the stand-in platform.
 type Hall struct {
-	// Boxes corresponds to the JSON schema field "boxes".
+	// Number of boxes in the zone that run an endpoint. From 1 to 10000.
 	Boxes int `json:"boxes"`
 
-	// Entries corresponds to the JSON schema field "entries".
+	// Number of boxes in the zone that run an entry and a keeper. From 1 to 100.
 	Entries int `json:"entries"`
 
-	// Name corresponds to the JSON schema field "name".
+	// Name of the zone.
 	Name string `json:"name"`
 }
 
-// Keeper is the settings file of dw-keeper.
+// Keeper is the settings file of a dw-keeper process.
 type Keeper struct {
-	// Address corresponds to the JSON schema field "address".
+	// IP and port on which the keeper serves RPC calls.
 	Address string `json:"address"`
 
-	// DebugAddress corresponds to the JSON schema field "debug_address".
+	// IP and port on which the keeper serves its metrics over HTTP, at /debug/vars.
 	DebugAddress string `json:"debug_address"`
 
-	// Added to the lease before a lost sender is released.
+	// Time in milliseconds that a keeper waits after the end of a lease before it may
+	// release a lost sender. The clocks of two boxes must not drift apart by more
+	// than this during a lease. From 10 to 30000; the default is 500.
 	DriftMs int `json:"drift_ms,omitempty,omitzero"`
 
-	// Hall corresponds to the JSON schema field "hall".
+	// Availability zone of the keeper, which must be one of halls.
 	Hall string `json:"hall"`
 
-	// Every hall of the deployment.
+	// All availability zones of the deployment.
 	Halls []string `json:"halls"`
 
-	// How long a sender may go on after its last renewal.
+	// How long a sender may send requests after its last renewal, in milliseconds. It
+	// must be the same for all keepers and entries of a deployment. From 200 to
+	// 120000; the default is 12000.
 	LeaseMs int `json:"lease_ms,omitempty,omitzero"`
 
-	// Time between readings of the platform's list.
+	// Time between two reads of the platform's list of boxes, in milliseconds. From
+	// 20 to 60000; the default is 500.
 	ListMs int `json:"list_ms,omitempty,omitzero"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the box on which the keeper runs, unique in the deployment. The entry
+	// on this box has the same name.
 	Node string `json:"node"`
 
-	// Peers corresponds to the JSON schema field "peers".
+	// The other keepers. This keeper reads records from them when the log does not
+	// answer, first from those of its own zone.
 	Peers []Peer `json:"peers"`
 
-	// Platform corresponds to the JSON schema field "platform".
+	// IP and port of the platform's API: the log, the list of boxes and the control
+	// of boxes.
 	Platform string `json:"platform"`
 
-	// Time between a hall's renewals.
+	// Time between two renewals by the keeper, in milliseconds. From 20 to 60000; the
+	// default is 4000.
 	RenewMs int `json:"renew_ms,omitempty,omitzero"`
 
-	// Records between snapshots.
+	// Number of log records between two snapshots of the state. From 10 to 1000000;
+	// the default is 2000.
 	SnapshotEvery int `json:"snapshot_every,omitempty,omitzero"`
 }
 
-// NamedRow is a row with its service's name.
+// NamedRow is the row of a service, with the service's name.
 type NamedRow struct {
-	// Row corresponds to the JSON schema field "row".
+	// Settings of the service.
 	Row Row `json:"row"`
 
-	// Service corresponds to the JSON schema field "service".
+	// Name of the service.
 	Service string `json:"service"`
 }
 
-// Node is the settings file of dw-node.
+// Node is the settings file of a dw-node process.
 type Node struct {
-	// The advice service; empty where no queue needs it.
+	// IP and port of the advice service; empty if no queue uses it.
 	Advice string `json:"advice,omitempty,omitzero"`
 
-	// Bounds corresponds to the JSON schema field "bounds".
+	// Time limits of the platform.
 	Bounds Bounds `json:"bounds"`
 
-	// The platform's control of boxes.
+	// IP and port of the platform's control of boxes.
 	Boxes string `json:"boxes"`
 
-	// Where other nodes call.
+	// IP and port on which the node serves the RPC calls of other nodes.
 	CallAddress string `json:"call_address"`
 
-	// Where clients hand in jobs.
+	// IP and port on which the node serves the clients' HTTP requests.
 	ClientAddress string `json:"client_address"`
 
-	// Share of a core that this node has.
+	// Number of processor cores that the node may use; it may be a fraction. From
+	// 0.01 to 1024.
 	CoreShare float64 `json:"core_share"`
 
-	// Counters at /debug/vars.
+	// IP and port on which the node serves its metrics over HTTP, at /debug/vars.
 	DebugAddress string `json:"debug_address"`
 
-	// The whole system starts for the very first time.
+	// Whether the whole system is started for the first time. The default is false.
 	FirstStart bool `json:"first_start,omitempty,omitzero"`
 
-	// Shortest time for which the log keeps a silent member of a group.
+	// Shortest time for which the log keeps a silent member in a group, in
+	// milliseconds. From 100 to 60000; the default is 1000.
 	GroupTtlMs int `json:"group_ttl_ms,omitempty,omitzero"`
 
-	// Speed of this node's link, in megabits a second. A slow one owns cells only
-	// where there is no other.
+	// Speed of the node's network link, in Mbit/s. A node with a slow link owns cells
+	// only where there is no other node. From 0.1 to 1000000; the default is 1000.
 	LinkMbps float64 `json:"link_mbps,omitempty,omitzero"`
 
-	// Log lines a second at most; what is left out is counted by kind.
+	// Largest number of log lines per second. The lines left out are counted by kind.
+	// From 1 to 100000; the default is 200.
 	LogLines int `json:"log_lines,omitempty,omitzero"`
 
-	// Memory that this process may use, in mebibytes.
+	// Memory that the process may use, in mebibytes. From 16 to 1048576.
 	MemoryMb int `json:"memory_mb"`
 
-	// Name of this node, unique in the deployment.
+	// Name of the node, unique in the deployment.
 	Node string `json:"node"`
 
-	// Partitions of a topic of the log.
+	// Number of partitions of each topic of the log. From 1 to 10000; the default is
+	// 24.
 	Partitions int `json:"partitions,omitempty,omitzero"`
 
-	// Where the balancer asks whether the node takes clients.
+	// IP and port on which the node answers the load balancer's readiness checks.
 	ReadyAddress string `json:"ready_address"`
 
-	// The platform's log.
+	// IP and port of the platform's log.
 	Store string `json:"store"`
 
-	// Most bytes that the log takes in a call; larger appends are cut.
+	// Largest number of bytes that the log takes in one call. Larger appends are
+	// split. From 65536 to 1073741824; the default is 2097152.
 	StoreCallBytes int `json:"store_call_bytes,omitempty,omitzero"`
 
-	// Availability zone it stands in.
+	// Availability zone of the node.
 	Zone string `json:"zone"`
 }
 
-// Peer is another keeper that relays records.
+// Peer tells a keeper or an entry how to call a keeper.
 type Peer struct {
-	// Address corresponds to the JSON schema field "address".
+	// IP and port of the keeper's RPC service.
 	Address string `json:"address"`
 
-	// Hall corresponds to the JSON schema field "hall".
+	// Availability zone of the keeper.
 	Hall string `json:"hall"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the box on which the keeper runs.
 	Node string `json:"node"`
 }
 
-// Quota is what one team may have of a service.
+// Quota limits what one customer may use of a service.
 type Quota struct {
-	// Requests waiting and running at once.
+	// Largest number of the customer's requests that may wait or run at once, on all
+	// entries together. From 1 to 1000000.
 	Most int `json:"most"`
 
-	// Team corresponds to the JSON schema field "team".
+	// Name of the customer.
 	Team string `json:"team"`
 
-	// Weight corresponds to the JSON schema field "weight".
+	// The customer's share of the service, relative to the weights of the service's
+	// other customers. A customer without a quota has the weight 1. From 1 to 1000.
 	Weight int `json:"weight"`
 }
 
-// Row is one service's line of the table.
+// Row holds the settings of one service in the table.
 type Row struct {
-	// AnswerKb corresponds to the JSON schema field "answer_kb".
+	// Largest size of the body of a response, in units of 1024 bytes. From 1 to
+	// 65536; the default is 1024.
 	AnswerKb int `json:"answer_kb,omitempty,omitzero"`
 
-	// Longest deadline, and the one used when a caller names none.
+	// Longest time from a request's arrival to its deadline, in milliseconds. It is
+	// also the time for a request that sets no deadline. From 1 to 86400000.
 	DeadlineMs int `json:"deadline_ms"`
 
-	// Boxes of its pool that may be down at once.
+	// Largest number of boxes of the pool that may be down at once. The smallest
+	// number of the pool's services counts. From 1 to 10000.
 	Down int `json:"down"`
 
-	// Slots the service keeps at every moment.
+	// Number of slots that the pool must have for the service at any time. From 0 to
+	// 1000000.
 	Floor int `json:"floor"`
 
-	// Freeze corresponds to the JSON schema field "freeze".
+	// Days of the month on which no box moves into or out of the pool.
 	Freeze []Freeze `json:"freeze,omitempty,omitzero"`
 
-	// Slots it may use at once.
+	// Largest number of slots that the service may use at once. From 1 to 1000000.
 	Most int `json:"most"`
 
-	// Pool corresponds to the JSON schema field "pool".
+	// Pool whose boxes run the service's requests.
 	Pool string `json:"pool"`
 
-	// Requests that may wait at once.
+	// Largest number of the service's requests that may wait at once, on all entries
+	// together. From 0 to 1000000.
 	Queue int `json:"queue"`
 
-	// Quotas corresponds to the JSON schema field "quotas".
+	// Weights and limits of single customers. A customer without a quota has no limit
+	// of its own.
 	Quotas []Quota `json:"quotas,omitempty,omitzero"`
 
-	// Whether a request may be sent again after an unknown outcome.
+	// Whether a request may be sent again after an attempt with an unknown outcome.
 	Repeatable bool `json:"repeatable"`
 
-	// RequestKb corresponds to the JSON schema field "request_kb".
+	// Largest size of the body of a request, in units of 1024 bytes. From 1 to 65536;
+	// the default is 1024.
 	RequestKb int `json:"request_kb,omitempty,omitzero"`
 
-	// Longest that one attempt may run on an endpoint.
+	// Longest time that one attempt at a request may run on an endpoint, in
+	// milliseconds. From 1 to 86400000.
 	RunMs int `json:"run_ms"`
 
-	// Slots held free above the floor.
+	// Number of slots that the pool must have for the service in addition to the
+	// floor. Both together must not exceed most. From 0 to 1000000.
 	Spare int `json:"spare"`
 
-	// Share of the pool beside its other services.
+	// The service's share of its pool, relative to the weights of the pool's other
+	// services. From 1 to 1000.
 	Weight int `json:"weight"`
 
-	// When its pool's boxes may be maintained; empty for always.
+	// Times of day at which the boxes of the pool may be maintained. If there are
+	// none, they may be maintained at any time.
 	Windows []Window `json:"windows,omitempty,omitzero"`
 }
 
-// Table is the table file that operators edit.
+// Table is the table in the form of the file that operators edit.
 type Table struct {
-	// Deployment corresponds to the JSON schema field "deployment".
+	// Settings of the whole fleet.
 	Deployment Deployment `json:"deployment"`
 
-	// Services corresponds to the JSON schema field "services".
+	// Rows of the services, one for each service.
 	Services []NamedRow `json:"services"`
 }
 
-// Window is a span of the day in UTC.
+// Window is a time range of every day, in UTC. It may run past midnight.
 type Window struct {
-	// From corresponds to the JSON schema field "from".
+	// Start of the window, as HH:MM.
 	From string `json:"from"`
 
-	// To corresponds to the JSON schema field "to".
+	// End of the window, as HH:MM; this minute is not part of it.
 	To string `json:"to"`
 }
--- a/pkg/wire/doc.go
+++ b/pkg/wire/doc.go
@@ -1,3 +1,4 @@
-// Package wire holds the records of the log and the messages between the
-// system's processes. All but this file is generated from schema/wire.json.
+// Package wire holds the types of the log's records and of the messages between
+// the system's processes. They are generated from schema/wire.json by
+// schema/generate.sh.
 package wire
--- a/pkg/wire/wire.gen.go
+++ b/pkg/wire/wire.gen.go
@@ -2,300 +2,311 @@
 
 package wire
 
-// AcceptedJob is what was handed in of a job and does not change, in its cell's
-// stream under the job's id and a suffix until nothing of it can run any more.
+// AcceptedJob is the part of a job that never changes after its submission. It is
+// a record of the cell's stream, under the job's ID and a suffix, until nothing of
+// the job can run any more.
 type AcceptedJob struct {
-	// When its first submission arrived, in milliseconds since 1970.
+	// When the job's first submission arrived, in milliseconds since 1970.
 	AcceptedMs int `json:"accepted_ms"`
 
-	// Customer whose key handed it in; empty for a job of a public queue.
+	// Customer whose key the submission had; empty for a job of a public queue.
 	Customer string `json:"customer,omitempty,omitzero"`
 
-	// When it should be done, in milliseconds since 1970.
+	// When the job should be done, in milliseconds since 1970.
 	DueMs int `json:"due_ms,omitempty,omitzero"`
 
-	// Failed attempts at a task that fail the job, as its queue had it.
+	// Number of failed attempts at one task with which the job fails, as the queue
+	// had it when the job was accepted.
 	MostAttempts int `json:"most_attempts,omitempty,omitzero"`
 
-	// Priority of its queue when it was accepted; 0 comes first.
+	// Priority that the queue had when the job was accepted; 0 is the highest.
 	Priority int `json:"priority,omitempty,omitzero"`
 
-	// Queue corresponds to the JSON schema field "queue".
+	// Queue that the job was submitted to.
 	Queue string `json:"queue"`
 
-	// Spec corresponds to the JSON schema field "spec".
+	// The job as it was submitted.
 	Spec JobSpec `json:"spec"`
 }
 
-// AllottedRecord is the most that each cell may have running of a customer, in the
-// planner's stream; it is there before a cell is told of more.
+// AllottedRecord holds the most that each cell may have running of one customer.
+// It is a record of the planner's stream, which is appended before any cell is
+// sent a higher allowance.
 type AllottedRecord struct {
-	// Cap corresponds to the JSON schema field "cap".
+	// The customer's cap. For a kind of resource without a limit it is 0.
 	Cap Amount `json:"cap"`
 
-	// Limits corresponds to the JSON schema field "limits".
+	// Limits of the cells.
 	Limits []CellLimit `json:"limits"`
 }
 
-// AllowanceRow is what a cell may have running of a customer.
+// AllowanceRow is the allowance of a customer in a cell: the most that the
+// customer may have running there.
 type AllowanceRow struct {
-	// Amount corresponds to the JSON schema field "amount".
+	// The allowance.
 	Amount Amount `json:"amount"`
 
-	// The whole cap of which it is a part; 0 is no limit.
+	// The customer's cap, of which the allowance is a part. For a kind of resource
+	// without a limit it is 0.
 	Cap Amount `json:"cap"`
 
-	// Customer corresponds to the JSON schema field "customer".
+	// Name of the customer.
 	Customer string `json:"customer"`
 }
 
-// AllowancesRecord is what a cell may have running by customer, in the cell's
-// stream: a later owner goes by no more.
+// AllowancesRecord holds the allowances of a cell. It is a record of the cell's
+// stream, so that a later owner does not go by higher allowances.
 type AllowancesRecord struct {
-	// Allowances corresponds to the JSON schema field "allowances".
+	// Allowances by customer.
 	Allowances []AllowanceRow `json:"allowances,omitempty,omitzero"`
 
-	// Configuration by which it was dealt.
+	// Version of the configuration by which the allowances were allocated.
 	ConfigVersion int `json:"config_version,omitempty,omitzero"`
 }
 
-// Amount is room of each kind.
+// Amount is an amount of each kind of resource.
 type Amount struct {
-	// In thousandths of a core.
+	// CPU in thousandths of a core.
 	Cpu int `json:"cpu,omitempty,omitzero"`
 
-	// Gpu corresponds to the JSON schema field "gpu".
+	// Number of accelerators.
 	Gpu int `json:"gpu,omitempty,omitzero"`
 
-	// MemoryMb corresponds to the JSON schema field "memory_mb".
+	// Memory in mebibytes.
 	MemoryMb int `json:"memory_mb,omitempty,omitzero"`
 }
 
-// AppendReply is the log's answer to an append.
+// AppendReply is the log's reply to an append.
 type AppendReply struct {
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset of the appended record.
 	Offset int `json:"offset"`
 }
 
-// AuditLine is one accepted or refused proposal.
+// AuditLine describes one proposal and its result in the audit trail.
 type AuditLine struct {
-	// Accepted corresponds to the JSON schema field "accepted".
+	// Whether the proposal was accepted.
 	Accepted bool `json:"accepted"`
 
-	// Milliseconds since 1970.
+	// When the log took the record, in milliseconds since 1970.
 	At int `json:"at"`
 
-	// Author corresponds to the JSON schema field "author".
+	// Author of the proposal or, if it names none, the node that wrote the batch.
 	Author string `json:"author"`
 
-	// Why the author wanted it.
+	// Why the author wanted the change.
 	Cause string `json:"cause"`
 
-	// The proposal's id, if its author gave one.
+	// ID of the proposal; empty if it has none.
 	Id string `json:"id,omitempty,omitzero"`
 
-	// Index corresponds to the JSON schema field "index".
+	// Index of the proposal in its batch, from 0.
 	Index int `json:"index"`
 
-	// Kind corresponds to the JSON schema field "kind".
+	// Kind of the proposal.
 	Kind string `json:"kind"`
 
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset of the record that holds the proposal.
 	Offset int `json:"offset"`
 
-	// Why it was refused, or what it did.
+	// Why the proposal was refused or, if it was accepted, what it changed.
 	Reason string `json:"reason"`
 
-	// Box, node or service the proposal is about.
+	// Boxes, node or table rows that the proposal is about, separated by spaces.
 	Subject string `json:"subject"`
 }
 
-// Batch is one append to the fleet stream: everything its author had to say at
-// that moment.
+// Batch is the content of one record of the fleet stream: proposals that one
+// author appends together.
 type Batch struct {
-	// Unique for each append attempt; a second copy is refused by the fold.
+	// ID of the batch, unique for each append.
 	Id string `json:"id"`
 
-	// Incarnation of the writing keeper; 0 for the command line.
+	// Incarnation of the keeper that wrote the batch; 0 for the command line.
 	Incarnation int `json:"incarnation"`
 
-	// Node whose keeper, or operator whose command line, wrote the batch.
+	// Node of the keeper, or name of the operator, that wrote the batch.
 	Node string `json:"node"`
 
-	// Rises with each batch of one incarnation; a copy that lands late has a lower
-	// one.
+	// Number of the batch, which rises with each batch of one incarnation. A batch is
+	// refused if its number is not higher than the last one applied: it is a
+	// duplicate, or reached the log late.
 	Number int `json:"number,omitempty,omitzero"`
 
-	// Proposals corresponds to the JSON schema field "proposals".
+	// Proposals, in the order in which they are applied.
 	Proposals []Proposal `json:"proposals"`
 }
 
-// BoxChange asks for one step of a box's life; it names the epoch it was decided
-// on.
+// BoxChange is a change of the state of one box. It is refused if the box is no
+// longer at the epoch on which the change was decided.
 type BoxChange struct {
-	// Box corresponds to the JSON schema field "box".
+	// Name of the box.
 	Box string `json:"box"`
 
-	// Incarnation of the sender that speaks.
+	// Incarnation of the sender that node names.
 	Entry int `json:"entry,omitempty,omitzero"`
 
-	// Epoch corresponds to the JSON schema field "epoch".
+	// Epoch of the box on which the change was decided.
 	Epoch int `json:"epoch"`
 
-	// Health corresponds to the JSON schema field "health".
+	// New health of the box.
 	Health Health `json:"health,omitempty,omitzero"`
 
-	// Maintain corresponds to the JSON schema field "maintain".
+	// Whether the box goes into maintenance after its drain.
 	Maintain bool `json:"maintain,omitempty,omitzero"`
 
-	// Sender assigned, or sender that speaks.
+	// Node of the sender that the box is assigned to, or of the sender that proposes
+	// the change.
 	Node string `json:"node,omitempty,omitzero"`
 
-	// Target pool of a drain; empty for the present one.
+	// Pool to which the box moves after its drain; empty for its present pool.
 	Pool string `json:"pool,omitempty,omitzero"`
 
-	// Incarnation of the sender that a handover names.
+	// Incarnation of the sender that the box is handed over to.
 	ToEntry int `json:"to_entry,omitempty,omitzero"`
 
-	// Sender that a handover names.
+	// Node of the sender that the box is handed over to; empty for none.
 	ToNode string `json:"to_node,omitempty,omitzero"`
 }
 
-// BoxInfo is what the platform's list declares of an endpoint box.
+// BoxInfo describes a box as the platform's list does.
 type BoxInfo struct {
-	// Accelerators corresponds to the JSON schema field "accelerators".
+	// Number of accelerators of the box.
 	Accelerators int `json:"accelerators,omitempty,omitzero"`
 
-	// IP and port of its endpoint.
+	// IP and port of the box's endpoint.
 	Address string `json:"address"`
 
-	// Hall corresponds to the JSON schema field "hall".
+	// Availability zone of the box.
 	Hall string `json:"hall"`
 
-	// Name corresponds to the JSON schema field "name".
+	// Name of the box.
 	Name string `json:"name"`
 
-	// Rack corresponds to the JSON schema field "rack".
+	// Rack of the box.
 	Rack string `json:"rack"`
 
-	// Requests it may run at once.
+	// Number of requests that the box can run at once.
 	Slots int `json:"slots"`
 }
 
-// Cell is one value of the table: the row is a service, or the empty name for the
-// deployment's own weights.
+// Cell is a cell of the table with its new value.
 type Cell struct {
-	// Column corresponds to the JSON schema field "column".
+	// Name of the setting.
 	Column string `json:"column"`
 
-	// Row corresponds to the JSON schema field "row".
+	// Name of the service that the row belongs to; empty for the row of the
+	// deployment.
 	Row string `json:"row"`
 
-	// JSON text of the new value.
+	// New value as JSON text; null removes an optional value.
 	Value string `json:"value"`
 }
 
-// CellClaim is the record by which a node becomes the owner of a cell; its offset
-// in the stream of claims gives the epoch.
+// CellClaim is the record by which a node becomes the owner of a cell. Its offset
+// in the stream of claims gives the owner's fencing token.
 type CellClaim struct {
-	// IP and port of the node's calls.
+	// IP and port of the node's RPC service.
 	Address string `json:"address"`
 
-	// Cell corresponds to the JSON schema field "cell".
+	// Name of the cell.
 	Cell string `json:"cell"`
 
-	// Tells the lives of a node apart.
+	// Incarnation of the node, which tells the runs of its process apart.
 	Incarnation int `json:"incarnation"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the node.
 	Node string `json:"node"`
 
-	// Partition of the cell's stream; a cell keeps the one of its first claim.
+	// Number of the partition that holds the cell's stream. The cell keeps it with
+	// each new owner, until an owner claims the cell again with another partition.
 	Partition int `json:"partition"`
 
-	// The owner has given the cell up in a planned stop or handover.
+	// Whether the owner has released the cell, in a planned stop or a handover.
 	Released bool `json:"released,omitempty,omitzero"`
 
-	// Number of topics over which the claimant spreads the group of nodes, so that
-	// each node is listed.
+	// Number of topics over which the claimant spreads the members of the group of
+	// nodes, so that each node is listed.
 	Topics int `json:"topics,omitempty,omitzero"`
 }
 
-// CellLimit is the most that a cell may have running.
+// CellLimit is the most that a cell may have running of a customer.
 type CellLimit struct {
-	// Amount corresponds to the JSON schema field "amount".
+	// The limit.
 	Amount Amount `json:"amount"`
 
-	// Cell corresponds to the JSON schema field "cell".
+	// Name of the cell.
 	Cell string `json:"cell"`
 }
 
-// Checkpoint says what hash the state has at an offset, so that whoever folded
-// alike can compare.
+// Checkpoint is the hash of the state at an offset, with which all processes that
+// have applied the same records compare their own.
 type Checkpoint struct {
-	// Hash corresponds to the JSON schema field "hash".
+	// 64-bit xxHash of the state, in hexadecimal.
 	Hash string `json:"hash"`
 
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset of the next record to apply to the state.
 	Offset int `json:"offset"`
 }
 
-// Claim is one record of the claims stream: a key taken by an entry, or the
-// outcome of a taken key.
+// Claim is the claim of an idempotency key by an entry, or the outcome of the
+// request for which a key was claimed.
 type Claim struct {
-	// Digest of the request's body, so that a key is not used for two requests.
+	// Digest of the request's body, which shows whether a key is used for two
+	// different requests.
 	Digest string `json:"digest,omitempty,omitzero"`
 
-	// Key corresponds to the JSON schema field "key".
+	// Service and idempotency key, with a slash between them.
 	Key string `json:"key"`
 
-	// Outcome corresponds to the JSON schema field "outcome".
+	// Outcome of the request; empty in the claim itself.
 	Outcome Outcome `json:"outcome,omitempty,omitzero"`
 
-	// Node, incarnation and number of the attempt.
+	// Identifies the claim by the node and incarnation of the entry and the number of
+	// its attempt to claim a key.
 	Owner string `json:"owner"`
 
-	// Status corresponds to the JSON schema field "status".
+	// HTTP status of the outcome; 0 in the claim itself.
 	Status int `json:"status,omitempty,omitzero"`
 
-	// Milliseconds since 1970 after which the owner may no longer send.
+	// Time after which the owner may no longer send the request, in milliseconds
+	// since 1970.
 	Until int `json:"until"`
 }
 
-// ClaimBatch is one append to the claims stream.
+// ClaimBatch is the content of one record of the claims stream.
 type ClaimBatch struct {
-	// Claims corresponds to the JSON schema field "claims".
+	// Claims and outcomes, in the order in which they are applied.
 	Claims []Claim `json:"claims"`
 
-	// Id corresponds to the JSON schema field "id".
+	// ID of the batch, which names the entry and its newest claim.
 	Id string `json:"id"`
 }
 
 // ClaimsArgs asks a node for the claims that it knows.
 type ClaimsArgs struct {
-	// Who asks.
+	// Name of the node that asks.
 	Node string `json:"node,omitempty,omitzero"`
 }
 
-// ClaimsReply is who a node is and what it knows of the claims, for one that has
-// lost the store or sight of it.
+// ClaimsReply says who a node is and which claims it knows, for a node that has
+// lost its connection to the store or does not know whether the other one has.
 type ClaimsReply struct {
-	// How long ago the store confirmed them.
+	// How long ago the store confirmed the claims, in milliseconds.
 	AgeMs int `json:"age_ms,omitempty,omitzero"`
 
-	// Claims corresponds to the JSON schema field "claims".
+	// Newest claim of each cell.
 	Claims []HeardClaim `json:"claims,omitempty,omitzero"`
 
-	// Tells the lives of a node apart.
+	// Incarnation of the node, which tells the runs of its process apart.
 	Incarnation int `json:"incarnation,omitempty,omitzero"`
 
-	// Layout corresponds to the JSON schema field "layout".
+	// Layout of the cells; missing if the node knows none.
 	Layout *Layout `json:"layout,omitempty,omitzero"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the node.
 	Node string `json:"node,omitempty,omitzero"`
 
-	// How long ago the store last answered the node.
+	// How long ago the store last answered the node, in milliseconds.
 	StoreAgeMs int `json:"store_age_ms,omitempty,omitzero"`
 }
 
@@ -305,215 +316,226 @@
 const ClassSameDay Class = "same-day"
 const ClassUrgent Class = "urgent"
 
-// CustomerReport tells of a customer that wants more than its allowance in a cell
-// holds, or has more running.
+// CustomerReport describes a customer that needs more than its allowance in a
+// cell, or uses more.
 type CustomerReport struct {
-	// Customer corresponds to the JSON schema field "customer".
+	// Name of the customer.
 	Customer string `json:"customer"`
 
-	// Most that a single task asks for of what waits.
+	// Largest need of a single waiting task, for each kind of resource.
 	Largest Amount `json:"largest"`
 
-	// What of that runs until it is stopped.
+	// Resources of the long-running tasks that may be running.
 	Lasting Amount `json:"lasting"`
 
-	// What may be running.
+	// Resources of the tasks that may be running.
 	Used Amount `json:"used"`
 
-	// What waits and could start by now.
+	// Resources of the tasks that wait and could start by now.
 	Wanted Amount `json:"wanted"`
 }
 
-// Edit changes cells of the table, based on a version of it.
+// Edit changes cells of the table. It is refused if another edit has changed the
+// same cells since the version on which it is based.
 type Edit struct {
-	// Table version the author saw; 0 before the first table.
+	// Version of the table that the author saw; 0 before the first edit.
 	Base int `json:"base"`
 
-	// Cells corresponds to the JSON schema field "cells".
+	// Cells that get new values.
 	Cells []Cell `json:"cells"`
 
-	// Services whose rows are taken away.
+	// Services whose rows are removed.
 	Remove []string `json:"remove,omitempty,omitzero"`
 }
 
-// EndpointRecord is what must outlive an owner about an endpoint, in its cell's
-// stream.
+// EndpointRecord is what the next owner of a cell must know about an endpoint. It
+// is a record of the cell's stream.
 type EndpointRecord struct {
-	// When that was decided, in milliseconds since 1970.
+	// When the endpoint was withdrawn, in milliseconds since 1970.
 	AtMs int `json:"at_ms,omitempty,omitzero"`
 
-	// It was handed to the fleet planner for a move or maintenance and gets no more
-	// work.
+	// Whether the endpoint was withdrawn, so that the fleet planner can move or
+	// maintain its box. It gets no more work.
 	Withdrawn bool `json:"withdrawn"`
 }
 
-// EndpointReport is what the owner of a cell knows of an endpoint.
+// EndpointReport describes an endpoint to the fleet planner, as the owner of its
+// cell knows it.
 type EndpointReport struct {
-	// Box corresponds to the JSON schema field "box".
+	// Box on which the endpoint runs.
 	Box string `json:"box"`
 
-	// When the tasks that run there will have ended, probably, in milliseconds from
-	// now; lasting ones not counted.
+	// Estimated time until the tasks that run there have ended, in milliseconds,
+	// without long-running tasks.
 	EmptyMs int `json:"empty_ms,omitempty,omitzero"`
 
-	// Endpoint corresponds to the JSON schema field "endpoint".
+	// Life of the endpoint.
 	Endpoint string `json:"endpoint"`
 
-	// How long nothing has run there.
+	// How long nothing has been running there, in milliseconds.
 	IdleMs int `json:"idle_ms,omitempty,omitzero"`
 
-	// Those of them that last until their job is cancelled.
+	// Number of attempts of long-running tasks that may be running there.
 	Lasting int `json:"lasting,omitempty,omitzero"`
 
-	// Attempts that may be running there.
+	// Number of attempts that may be running there.
 	Runs int `json:"runs,omitempty,omitzero"`
 
-	// It does not answer.
+	// Whether the endpoint does not answer.
 	Silent bool `json:"silent,omitempty,omitzero"`
 
-	// New work may be ordered there.
+	// Whether new tasks may be started there.
 	Usable bool `json:"usable,omitempty,omitzero"`
 
-	// Thousandths of a core that are taken.
+	// CPU in use, in thousandths of a core.
 	UsedCpu int `json:"used_cpu,omitempty,omitzero"`
 
-	// It is empty for good, and that is recorded.
+	// Whether the endpoint is withdrawn: nothing runs there any more, and the cell's
+	// stream says so.
 	Withdrawn bool `json:"withdrawn,omitempty,omitzero"`
 }
 
-// Entry is one record of a stream as a peer relays it.
+// Entry is a record of a stream of the platform's log.
 type Entry struct {
-	// Milliseconds since 1970 at which the log took it.
+	// When the log took the record, in milliseconds since 1970.
 	At int `json:"at"`
 
-	// Data corresponds to the JSON schema field "data".
+	// Content of the record, as JSON text.
 	Data string `json:"data"`
 
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset of the record in its stream.
 	Offset int `json:"offset"`
 }
 
-// ExtendArgs asks a hall peer for a lease extension.
+// ExtendArgs asks a keeper of the sender's availability zone to extend the
+// sender's lease.
 type ExtendArgs struct {
-	// Entry corresponds to the JSON schema field "entry".
+	// Incarnation of the sender.
 	Entry int `json:"entry"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Node of the sender.
 	Node string `json:"node"`
 
-	// Seq corresponds to the JSON schema field "seq".
+	// Unused: senders leave it 0, and keepers ignore it.
 	Seq int `json:"seq"`
 }
 
-// ExtendReply grants or denies an extension; the answering keeper names its
-// incarnation.
+// ExtendReply says whether the keeper extends the lease.
 type ExtendReply struct {
-	// Granted corresponds to the JSON schema field "granted".
+	// Whether the lease is extended.
 	Granted bool `json:"granted"`
 
-	// Keeper corresponds to the JSON schema field "keeper".
+	// Incarnation of the keeper that replies. If the sender expected another one,
+	// that one has exited.
 	Keeper int `json:"keeper"`
 
-	// LogFresh corresponds to the JSON schema field "log_fresh".
+	// Whether the keeper itself, and not only through other keepers, has read the
+	// platform's log within the last three renewal intervals plus one second.
 	LogFresh bool `json:"log_fresh,omitempty,omitzero"`
 }
 
-// FollowArgs asks a node that reads a stream from the store for what it has of it.
+// FollowArgs asks a node that reads a stream from the store for the records that
+// it has.
 type FollowArgs struct {
-	// Asks for the newest record of each key, in place of the records from an offset
-	// on.
+	// Whether the newest record of each key is requested, instead of the records from
+	// an offset on.
 	Newest bool `json:"newest,omitempty,omitzero"`
 
-	// Offset of the first record asked for; at the stream's end, the answer waits for
-	// it.
+	// Offset of the first requested record. At the end of the stream the reply waits
+	// for this record.
 	Next int `json:"next,omitempty,omitzero"`
 
-	// How long the answer may wait for news.
+	// How long the reply may wait for a record, in milliseconds.
 	WaitMs int `json:"wait_ms,omitempty,omitzero"`
 }
 
-// FollowReply is a stretch of a stream, as a node has it.
+// FollowReply holds records of a stream, as far as the node has read it.
 type FollowReply struct {
-	// How long ago the store told the node so.
+	// How long ago the store confirmed that the stream ends at this end, in
+	// milliseconds.
 	AgeMs int `json:"age_ms,omitempty,omitzero"`
 
-	// Offset that the stream's next record will get, as far as the node knows.
+	// Offset that the next record of the stream will get, as far as the node knows.
 	End int `json:"end,omitempty,omitzero"`
 
-	// The node has what is asked for.
+	// Whether the node has what was requested.
 	Known bool `json:"known,omitempty,omitzero"`
 
-	// Records corresponds to the JSON schema field "records".
+	// Requested records, sorted by offset, or by key if the newest record of each key
+	// was requested.
 	Records []FollowedRecord `json:"records,omitempty,omitzero"`
 }
 
-// FollowedRecord is a record on its way from one node to another.
+// FollowedRecord is a record of a stream that one node passes to another.
 type FollowedRecord struct {
-	// Key corresponds to the JSON schema field "key".
+	// Key of the record.
 	Key string `json:"key"`
 
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset of the record.
 	Offset int `json:"offset"`
 
-	// Value, compressed by gzip; empty where the record drops its key.
+	// Value of the record, compressed with gzip; empty if the record deletes its key.
 	Packed string `json:"packed,omitempty,omitzero"`
 }
 
-// ForwardArgs carries a caller's request to the entry that sends to its pool's
-// boxes.
+// ForwardArgs passes a client's request on to an entry that sends to boxes of the
+// service's pool.
 type ForwardArgs struct {
-	// The request's bytes.
+	// Body of the request.
 	Body string `json:"body"`
 
-	// Time left until the request's deadline.
+	// Time left until the request's deadline, in milliseconds.
 	BudgetMs int `json:"budget_ms"`
 
-	// Caller corresponds to the JSON schema field "caller".
+	// Network address of the client.
 	Caller string `json:"caller,omitempty,omitzero"`
 
-	// Class corresponds to the JSON schema field "class".
+	// Class of the request.
 	Class Class `json:"class"`
 
-	// Id corresponds to the JSON schema field "id".
+	// ID of the request.
 	Id string `json:"id"`
 
-	// Service corresponds to the JSON schema field "service".
+	// Service that the request is for.
 	Service string `json:"service"`
 
-	// Slots the request needs at once on one box.
+	// Number of slots that the request needs at once on one box; 0 counts as 1.
 	Size int `json:"size,omitempty,omitzero"`
 
-	// Team corresponds to the JSON schema field "team".
+	// Customer that the request belongs to; empty if the client names none.
 	Team string `json:"team,omitempty,omitzero"`
 }
 
-// ForwardReply is a request's outcome as the sending entry saw it.
+// ForwardReply is the outcome of a request that was forwarded.
 type ForwardReply struct {
-	// Body corresponds to the JSON schema field "body".
+	// Body of the endpoint's response.
 	Body string `json:"body"`
 
-	// Box corresponds to the JSON schema field "box".
+	// Box that the request was sent to; empty if it was not sent.
 	Box string `json:"box,omitempty,omitzero"`
 
-	// ContentType corresponds to the JSON schema field "content_type".
+	// Content type of the endpoint's response.
 	ContentType string `json:"content_type,omitempty,omitzero"`
 
-	// Free slots the sender has in the pool after this request.
+	// Number of free slots that the replying entry has in the pool after this
+	// request.
 	Free int `json:"free,omitempty,omitzero"`
 
-	// The request's id, so that no other request's outcome is taken for it.
+	// ID of the request, so that the outcome of another request is not taken for this
+	// one's.
 	Id string `json:"id,omitempty,omitzero"`
 
-	// Outcome corresponds to the JSON schema field "outcome".
+	// Whether the request was answered, did not run or may have run.
 	Outcome Outcome `json:"outcome"`
 
-	// Reason corresponds to the JSON schema field "reason".
+	// Why no response of an endpoint is passed on; empty if one is.
 	Reason string `json:"reason"`
 
-	// RetryAfterMs corresponds to the JSON schema field "retry_after_ms".
+	// Time after which the client may try again, in milliseconds; 0 if there is no
+	// advice.
 	RetryAfterMs int `json:"retry_after_ms,omitempty,omitzero"`
 
-	// Status corresponds to the JSON schema field "status".
+	// HTTP status for the client.
 	Status int `json:"status"`
 }
 
@@ -524,49 +546,50 @@
 const HealthLeaving Health = "leaving"
 const HealthUp Health = "up"
 
-// HeardClaim is a claim with the epoch that it gives.
+// HeardClaim is a claim of a cell with its fencing token.
 type HeardClaim struct {
-	// Claim corresponds to the JSON schema field "claim".
+	// Newest claim of the cell.
 	Claim CellClaim `json:"claim"`
 
-	// Token corresponds to the JSON schema field "token".
+	// Fencing token that the claim gives its owner.
 	Token int `json:"token"`
 }
 
-// JobArgs is a client's call on a job, for the owner of a cell.
+// JobArgs is a client's call on a job or a queue, as it is passed to the owner of
+// a cell.
 type JobArgs struct {
-	// Cell whose owner is called.
+	// Cell whose owner is called; empty until it is chosen.
 	Cell string `json:"cell,omitempty,omitzero"`
 
-	// Configuration by which the calling node chose the cell.
+	// Version of the configuration by which the calling node chose the cell.
 	ConfigVersion int `json:"config_version,omitempty,omitzero"`
 
-	// Customer whose key the call brought; empty on a public queue without one.
+	// Customer whose key the call has; empty for a call without a key on a public
+	// queue.
 	Customer string `json:"customer,omitempty,omitzero"`
 
-	// Id corresponds to the JSON schema field "id".
+	// ID of the job; empty for a call about the queue.
 	Id string `json:"id,omitempty,omitzero"`
 
-	// Digest of that key, by which the owner's node finds the customer itself.
+	// Digest of the key, by which the owner's node finds the customer itself.
 	Key string `json:"key,omitempty,omitzero"`
 
-	// Pool whose boxes run the job, until the cell has been chosen.
+	// Pool whose boxes run the job. It is used to choose the cell.
 	Pool string `json:"pool,omitempty,omitzero"`
 
-	// The queue asks nobody for a key.
+	// Whether calls on the queue need no key.
 	Public bool `json:"public,omitempty,omitzero"`
 
-	// Queue corresponds to the JSON schema field "queue".
+	// Queue that the call is about.
 	Queue string `json:"queue"`
 
 	// When the call arrived, in milliseconds since 1970.
 	ReceivedMs int `json:"received_ms,omitempty,omitzero"`
 
-	// Spec corresponds to the JSON schema field "spec".
+	// Job to submit; missing in other calls.
 	Spec *JobSpec `json:"spec,omitempty,omitzero"`
 
-	// How long the caller waits for the answer, in milliseconds; 0 if it does not
-	// tell.
+	// How long the caller waits for the reply, in milliseconds; 0 if it does not say.
 	WaitMs int `json:"wait_ms,omitempty,omitzero"`
 }
 
@@ -582,78 +605,83 @@
 const JobOutcomeUnknown JobOutcome = "unknown"
 const JobOutcomeUnknownQueue JobOutcome = "unknown_queue"
 
-// JobRecord is the state of a job in its cell's stream, under the job's id. It is
-// written each time that a task begins or ends, and so holds no names of fields
-// for each task.
+// JobRecord is the changing part of a job. It is a record of the cell's stream,
+// under the job's ID. Because it is written each time a task starts or ends, its
+// rows have no field names, which saves space.
 type JobRecord struct {
-	// Tasks under which endpoints have ended: the place of the task's row, how many,
-	// on how many of them it certainly ran, how many of the last in a row were alike,
-	// between which ages in milliseconds, the weight of the evidence of its trials,
-	// and how often it was started since there were many.
+	// Tasks under which endpoints were lost. The columns are the index of the task's
+	// row in tasks, the number of losses, the number of those where the task
+	// certainly ran, the number of the last losses in a row at which the task may
+	// have had the same age, the lower and upper bound of that age in milliseconds,
+	// the weight of the evidence of the task's probations, and the number of starts
+	// since the task had too many losses.
 	Crashed [][]int `json:"crashed,omitempty,omitzero"`
 
-	// Customer whose key handed it in, once the record of what was handed in has
-	// gone.
+	// Customer whose key the submission had. It is set only when there is no
+	// AcceptedJob record of the job any more.
 	Customer string `json:"customer,omitempty,omitzero"`
 
-	// When it was completed, failed or cancelled, in milliseconds since 1970; 0
+	// When the job was completed, failed or cancelled, in milliseconds since 1970; 0
 	// before.
 	EndedMs int `json:"ended_ms,omitempty,omitzero"`
 
-	// Lives that were asked to run the attempts.
+	// Lives of the endpoints on which attempts were started.
 	Endpoints []string `json:"endpoints,omitempty,omitzero"`
 
-	// Attempts on endpoints out of reach whose leases must have run out, and whose
-	// ends are not known: the place of the task's row, the attempt, and the place of
-	// its endpoint.
+	// Attempts on unreachable endpoints whose leases have certainly expired and whose
+	// results are unknown. The columns are the index of the task's row in tasks, the
+	// number of the attempt and the index of its endpoint in endpoints.
 	Lapsed [][]int `json:"lapsed,omitempty,omitzero"`
 
-	// Saved corresponds to the JSON schema field "saved".
+	// Newest checkpoints of the tasks that are not done.
 	Saved []SavedTask `json:"saved,omitempty,omitzero"`
 
-	// State corresponds to the JSON schema field "state".
+	// State of the job.
 	State JobState `json:"state"`
 
-	// A row for each task that has been begun: round, phase, index, highest attempt
-	// that may have been ordered, failed attempts, 1 if it is done, and then for each
-	// attempt that may be running its number and the place of its endpoint among the
-	// endpoints.
+	// A row for each task that has been started. Its columns are the round, the
+	// phase, the index of the task in its phase, the highest attempt that may have
+	// been started, the number of failed attempts, 1 if the task is done, and then,
+	// for each attempt that may be running, its number and the index of its endpoint
+	// in endpoints.
 	Tasks [][]int `json:"tasks,omitempty,omitzero"`
 }
 
-// JobReply answers a call on a job.
+// JobReply is the reply to a call on a job or a queue.
 type JobReply struct {
-	// Outcome corresponds to the JSON schema field "outcome".
+	// Result of the call.
 	Outcome JobOutcome `json:"outcome"`
 
-	// Accepted jobs of the queue none of whose tasks has begun.
+	// Number of accepted jobs of the queue of which no task has been started, if the
+	// call asked for it.
 	Pending int `json:"pending,omitempty,omitzero"`
 
-	// Reason corresponds to the JSON schema field "reason".
+	// Why the call was refused or is invalid, or why its outcome is unknown.
 	Reason string `json:"reason,omitempty,omitzero"`
 
-	// RetryAfterMs corresponds to the JSON schema field "retry_after_ms".
+	// Time after which the client may try again, in milliseconds; 0 if there is no
+	// advice.
 	RetryAfterMs int `json:"retry_after_ms,omitempty,omitzero"`
 
-	// State corresponds to the JSON schema field "state".
+	// State of the job, if the call asked for it.
 	State JobState `json:"state,omitempty,omitzero"`
 }
 
-// JobSpec is what a client submits.
+// JobSpec is a job as its client submits it.
 type JobSpec struct {
-	// Milliseconds between the due times of rounds.
+	// Time between the due times of two rounds, in milliseconds.
 	EveryMs int `json:"every_ms,omitempty,omitzero"`
 
-	// When round 0 falls due, in milliseconds since 1970; 0 for at once.
+	// When round 0 is due, in milliseconds since 1970; 0 for at once.
 	FirstMs int `json:"first_ms,omitempty,omitzero"`
 
-	// Phases corresponds to the JSON schema field "phases".
+	// Phases of the job.
 	Phases []Phase `json:"phases"`
 
-	// How often the phases run; 0 for once, at once.
+	// How many times the phases run; 0 for once and at once.
 	Rounds int `json:"rounds,omitempty,omitzero"`
 
-	// The text that each task is started with.
+	// Text that each task is started with.
 	Text string `json:"text"`
 }
 
@@ -681,94 +709,98 @@
 const KindRenew Kind = "renew"
 const KindWithdraw Kind = "withdraw"
 
-// Layout is into how many cells each pool is cut, in the stream of claims; it is
-// decided once.
+// Layout says into how many cells each pool is divided. It is a record of the
+// stream of claims, which is decided once.
 type Layout struct {
-	// The pools of the configuration then in force, in order of their names: lasting
-	// jobs of the n-th run in its n-th cell.
+	// Pools of the configuration that was in force when the layout was decided,
+	// sorted by name. Long-running jobs of the n-th pool run in its n-th cell.
 	Pools []string `json:"pools,omitempty,omitzero"`
 
-	// Cells of each pool.
+	// Number of cells of each pool.
 	Shards int `json:"shards"`
 }
 
-// ListedBox is one line of the platform's lagging list.
+// ListedBox is a box in the platform's list. The list lags behind the boxes'
+// actual state.
 type ListedBox struct {
-	// It is one of the system's own boxes.
+	// Whether the box runs an entry and a keeper instead of an endpoint.
 	EntryBox bool `json:"entry_box"`
 
-	// Info corresponds to the JSON schema field "info".
+	// Description of the box.
 	Info BoxInfo `json:"info"`
 
-	// Leaving corresponds to the JSON schema field "leaving".
+	// Whether the box is about to leave the fleet.
 	Leaving bool `json:"leaving"`
 }
 
-// LogPage is the log's answer to a read.
+// LogPage is the log's reply to a read.
 type LogPage struct {
-	// Oldest offset still kept.
+	// Offset of the oldest record that has not expired.
 	First int `json:"first"`
 
-	// Offset the next append gets.
+	// Offset that the next appended record will get.
 	Next int `json:"next"`
 
-	// Records corresponds to the JSON schema field "records".
+	// Records from the requested offset on.
 	Records []Entry `json:"records"`
 }
 
-// Member is an entry box's place in its hall's roster and the renewal of its
-// lease.
+// Member renews the membership of a keeper in its availability zone and the lease
+// of the entry on the same box.
 type Member struct {
-	// Incarnation of its entry, 0 while it has none.
+	// Incarnation of the entry; 0 if the keeper knows none.
 	Entry int `json:"entry"`
 
-	// IP and port of its entry's calls.
+	// IP and port of the entry's RPC service.
 	EntryAddress string `json:"entry_address,omitempty,omitzero"`
 
-	// Offset the entry had folded when it issued this renewal.
+	// Offset up to which the entry had applied the log when it issued the renewal;
+	// the record at this offset is not included.
 	Folded int `json:"folded"`
 
-	// Empty, like the addresses, where the log has it already.
+	// Availability zone of the box. It is empty, like the addresses, if the log has
+	// it already.
 	Hall string `json:"hall,omitempty,omitzero"`
 
-	// Incarnation of its keeper.
+	// Incarnation of the keeper.
 	Keeper int `json:"keeper"`
 
-	// IP and port of its keeper's calls.
+	// IP and port of the keeper's RPC service.
 	KeeperAddress string `json:"keeper_address,omitempty,omitzero"`
 
-	// The entry is in a planned stop.
+	// Whether the entry is in a planned stop.
 	Leaving bool `json:"leaving,omitempty,omitzero"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the box.
 	Node string `json:"node"`
 
-	// Number of the entry's renewal, rising within one incarnation.
+	// Sequence number of the lease renewal, which rises within one incarnation of the
+	// entry.
 	Seq int `json:"seq"`
 }
 
-// OrderRecord is an order on a box that the fleet planner is about to give, in the
-// planner's stream under the box's name.
+// OrderRecord is an order that the fleet planner is about to give for a box. It is
+// a record of the planner's stream, under the name of the box.
 type OrderRecord struct {
-	// When it was decided, in milliseconds since 1970.
+	// When the order was decided, in milliseconds since 1970.
 	AtMs int `json:"at_ms"`
 
-	// Box corresponds to the JSON schema field "box".
+	// Name of the box.
 	Box string `json:"box"`
 
-	// Why, for the audit trail.
+	// Why the order is given, for the audit trail.
 	Cause string `json:"cause,omitempty,omitzero"`
 
-	// Life that ran on the box then; empty for none.
+	// Life that ran on the box when the order was decided; empty for none.
 	Endpoint string `json:"endpoint,omitempty,omitzero"`
 
-	// Placement corresponds to the JSON schema field "placement".
+	// Shard that the order takes the box to.
 	Placement *PlacementRecord `json:"placement,omitempty,omitzero"`
 
-	// Pool that it moves to; empty for maintenance.
+	// Pool that the box moves to; empty for maintenance.
 	Pool string `json:"pool,omitempty,omitzero"`
 
-	// Wave that it is maintained for; 0 for a move.
+	// Number of the wave that the box is maintained in; 0 for a move.
 	Wave int `json:"wave,omitempty,omitzero"`
 }
 
@@ -778,212 +810,231 @@
 const OutcomeNotRun Outcome = "not-run"
 const OutcomeUnknown Outcome = "unknown"
 
-// Partitions is how many partitions cells have had, in the stream of claims. One
-// that a cell has left is not used again: it holds records of that cell.
+// Partitions says how many partitions have been reserved for cells. It is a record
+// of the stream of claims. A partition that a cell has left is not used again,
+// because it holds records of that cell.
 type Partitions struct {
-	// Taken corresponds to the JSON schema field "taken".
+	// Number of partitions that have been reserved.
 	Taken int `json:"taken"`
 }
 
-// Phase is a set of like tasks of a job.
+// Phase is a set of similar tasks of a job.
 type Phase struct {
-	// Numbers, from 0, of earlier phases that must be done first.
+	// Numbers of earlier phases, from 0, that must be done before this phase starts.
 	After []int `json:"after,omitempty,omitzero"`
 
-	// Lasting tasks that the system may have away at once; negative when nothing was
-	// said.
+	// Largest number of the phase's long-running tasks that may be unavailable at
+	// once when the system stops one to move it. If it is 0 or negative, the system
+	// moves none.
 	AwayAtMost int `json:"away_at_most,omitempty,omitzero"`
 
-	// The tasks save their progress now and then.
+	// Whether the tasks save checkpoints from time to time.
 	Checkpoints bool `json:"checkpoints,omitempty,omitzero"`
 
-	// Several attempts at one task may run at once; the first end counts.
+	// Whether several attempts at a task may run at once (speculative execution). The
+	// first one to end counts.
 	Copies bool `json:"copies,omitempty,omitzero"`
 
 	// Number of tasks.
 	Count int `json:"count"`
 
-	// Thousandths of a core that a task asks for.
+	// CPU that a task needs, in thousandths of a core.
 	Cpu int `json:"cpu,omitempty,omitzero"`
 
-	// Rough guess of the time one task takes.
+	// Rough estimate of the time that a task takes, in milliseconds.
 	EstimateMs int `json:"estimate_ms,omitempty,omitzero"`
 
-	// The tasks use what others leave of the processor; their CPU takes no room.
+	// Whether the tasks are filler tasks: they use the CPU that other tasks on the
+	// box leave over, so that their own CPU needs no free capacity.
 	Fills bool `json:"fills,omitempty,omitzero"`
 
-	// The tasks run only together and end together.
+	// Whether the tasks form a gang: they run only together and end together.
 	Gang bool `json:"gang,omitempty,omitzero"`
 
-	// Accelerators that a task asks for.
+	// Number of accelerators that a task needs.
 	Gpu int `json:"gpu,omitempty,omitzero"`
 
-	// Names what the tasks run; tasks of one image behave alike.
+	// Name of the program that the tasks run. Tasks with the same image behave alike.
 	Image string `json:"image,omitempty,omitzero"`
 
-	// Label that an endpoint must have; empty for any.
+	// Label that an endpoint must have to run the tasks; empty if any endpoint can.
 	Label string `json:"label,omitempty,omitzero"`
 
-	// The tasks run until the job is cancelled and are started again when they end.
+	// Whether the tasks are long-running: they run until their job is cancelled, and
+	// are started again if they end.
 	Lasting bool `json:"lasting,omitempty,omitzero"`
 
-	// Mebibytes that a task asks for.
+	// Memory that a task needs, in mebibytes.
 	MemoryMb int `json:"memory_mb,omitempty,omitzero"`
 
-	// Tasks of a round that one box may run at once; 0 for any number.
+	// Largest number of the phase's tasks of one round that a box may run at once; 0
+	// for no limit.
 	MostPerBox int `json:"most_per_box,omitempty,omitzero"`
 
-	// Rack where the data lies; a task runs much slower elsewhere.
+	// Rack that holds the data of the tasks; empty for none. A task is much slower in
+	// another rack.
 	Rack string `json:"rack,omitempty,omitzero"`
 
-	// The gang is much slower when spread over racks.
+	// Whether the gang is much slower if its tasks run in several racks.
 	SameRack bool `json:"same_rack,omitempty,omitzero"`
 
-	// Tail latency that a lasting task owes its own users, in milliseconds; 0 for
-	// none.
+	// Tail latency that a long-running task must keep for its own users, in
+	// milliseconds; 0 if it has no such target.
 	TargetMs int `json:"target_ms,omitempty,omitzero"`
 }
 
-// PlacementRecord is to which shard an order takes a box.
+// PlacementRecord says to which shard an order takes a box.
 type PlacementRecord struct {
-	// Its shard until then.
+	// Number of the shard of the box until then.
 	Before int `json:"before"`
 
-	// Shard of the box's next life.
+	// Number of the shard of the box's next life.
 	Shard int `json:"shard"`
 }
 
-// Proposal asks for one change; the fold accepts it or refuses it with a reason.
+// Proposal asks for one change of the fleet's state. When a process applies it, it
+// accepts it or refuses it with a reason.
 type Proposal struct {
-	// Author corresponds to the JSON schema field "author".
+	// Who wants the change; empty for the keeper that wrote the batch.
 	Author string `json:"author,omitempty,omitzero"`
 
-	// Boxes corresponds to the JSON schema field "boxes".
+	// Boxes that are added or changed, for the kind enroll.
 	Boxes []BoxInfo `json:"boxes,omitempty,omitzero"`
 
 	// Why the author wants the change, for the audit trail.
 	Cause string `json:"cause,omitempty,omitzero"`
 
-	// Change corresponds to the JSON schema field "change".
+	// Change of a box, for the kinds that concern a single box.
 	Change *BoxChange `json:"change,omitempty,omitzero"`
 
-	// Checkpoint corresponds to the JSON schema field "checkpoint".
+	// Hash of the state, for the kind checkpoint.
 	Checkpoint *Checkpoint `json:"checkpoint,omitempty,omitzero"`
 
-	// Edit corresponds to the JSON schema field "edit".
+	// Change of the table, for the kind edit.
 	Edit *Edit `json:"edit,omitempty,omitzero"`
 
-	// Names the proposal, so that its author finds what became of it.
+	// ID of the proposal, by which its author finds the result; empty if the author
+	// needs none.
 	Id string `json:"id,omitempty,omitzero"`
 
-	// Kind corresponds to the JSON schema field "kind".
+	// Kind of the change, which determines which of the other fields are set.
 	Kind Kind `json:"kind"`
 
-	// Roster places and renewals of one hall.
+	// Memberships and lease renewals of one availability zone, for the kind renew.
 	Members []Member `json:"members,omitempty,omitzero"`
 
-	// Release corresponds to the JSON schema field "release".
+	// Release of a lost sender, for the kind release.
 	Release *Release `json:"release,omitempty,omitzero"`
 }
 
-// ProposeArgs hands proposals of an entry to its keeper for the next append.
+// ProposeArgs hands proposals to a keeper, which appends them to the log with its
+// next batch.
 type ProposeArgs struct {
-	// Proposals corresponds to the JSON schema field "proposals".
+	// Proposals of an entry or an operator.
 	Proposals []Proposal `json:"proposals"`
 }
 
-// ProposeReply says that the proposals are queued, not that they are folded.
+// ProposeReply says that the keeper has queued the proposals. They may still be
+// lost, or refused when they are applied.
 type ProposeReply struct {
-	// Queued corresponds to the JSON schema field "queued".
+	// Whether the proposals are queued.
 	Queued bool `json:"queued"`
 }
 
-// QueueRecord is what an owner has learned of a queue, for its successors; it is
-// written now and then.
+// QueueRecord holds an owner's statistics on a queue for later owners. It is
+// written from time to time.
 type QueueRecord struct {
-	// Actual corresponds to the JSON schema field "actual".
+	// Logarithms of the times that tasks took.
 	Actual Spread `json:"actual"`
 
-	// Mean time that a job takes when nothing waits, in milliseconds.
+	// Mean time that a job takes if none of its tasks waits, in milliseconds.
 	ChainMs float64 `json:"chain_ms,omitempty,omitzero"`
 
-	// Error corresponds to the JSON schema field "error".
+	// Logarithms of the ratios of the times that tasks took and their estimates.
 	Error Spread `json:"error"`
 
-	// Jobs that were counted.
+	// Number of jobs in the statistics.
 	Jobs int `json:"jobs,omitempty,omitzero"`
 
-	// Mean time of a task in milliseconds.
+	// Mean time that a task takes, in milliseconds.
 	MeanMs float64 `json:"mean_ms,omitempty,omitzero"`
 
-	// Queue corresponds to the JSON schema field "queue".
+	// Name of the queue.
 	Queue string `json:"queue"`
 
-	// Mean time that a job can wait, in milliseconds.
+	// Mean time that a job can wait and still be done in time, in milliseconds.
 	SlackMs float64 `json:"slack_ms,omitempty,omitzero"`
 
-	// Logarithms of its jobs' work, in thousandths of a core times milliseconds.
+	// Logarithms of the jobs' work, in thousandths of a core times milliseconds.
 	Work Spread `json:"work"`
 }
 
-// ReadArgs asks a keeper for records from an offset on.
+// ReadArgs asks a keeper for records of the fleet stream.
 type ReadArgs struct {
-	// From corresponds to the JSON schema field "from".
+	// Offset of the first requested record.
 	From int `json:"from"`
 
-	// Max corresponds to the JSON schema field "max".
+	// Largest number of records to return.
 	Max int `json:"max"`
 
-	// How long to wait for a first record.
+	// How long the keeper may wait for the first record if there is none yet, in
+	// milliseconds.
 	WaitMs int `json:"wait_ms"`
 }
 
-// ReadReply carries records in offset order, or a snapshot when they have expired.
+// ReadReply holds records in the order of their offsets, or a snapshot if the
+// requested records are no longer available.
 type ReadReply struct {
-	// Boxes the platform's list shows as leaving or gone.
+	// Names of the endpoint boxes that the platform's list shows as leaving. They
+	// must get no new requests.
 	Avoid []string `json:"avoid,omitempty,omitzero"`
 
-	// The keeper has read the list, so that an empty avoid says that no box leaves:
-	// the codec can't tell an empty list from none.
+	// Whether the keeper has read the platform's list, so that an empty avoid means
+	// that no box is leaving. The codec makes no difference between an empty list and
+	// a missing one.
 	AvoidKnown bool `json:"avoid_known,omitempty,omitzero"`
 
-	// Entries corresponds to the JSON schema field "entries".
+	// Records from the requested offset on.
 	Entries []Entry `json:"entries"`
 
-	// The keeper has read the platform's log within the last renewal interval.
+	// Whether the keeper itself, and not only through other keepers, has read the
+	// platform's log within the last three renewal intervals plus one second.
 	LogFresh bool `json:"log_fresh"`
 
-	// Snapshot corresponds to the JSON schema field "snapshot".
+	// Snapshot of the state, as JSON text; empty if the records are available.
 	Snapshot string `json:"snapshot"`
 }
 
-// Refusal is the body of every answer that did not come from an endpoint.
+// Refusal is the body of each HTTP response that an entry gives itself, instead of
+// passing on that of an endpoint.
 type Refusal struct {
-	// Outcome corresponds to the JSON schema field "outcome".
+	// Whether the request was answered, did not run or may have run.
 	Outcome Outcome `json:"outcome"`
 
-	// Reason corresponds to the JSON schema field "reason".
+	// Why there is no response of an endpoint.
 	Reason string `json:"reason"`
 
-	// RequestId corresponds to the JSON schema field "request_id".
+	// ID of the request.
 	RequestId string `json:"request_id,omitempty,omitzero"`
 
-	// RetryAfterMs corresponds to the JSON schema field "retry_after_ms".
+	// Time after which the client may try again, in milliseconds; 0 if there is no
+	// advice.
 	RetryAfterMs int `json:"retry_after_ms,omitempty,omitzero"`
 }
 
-// Release frees the boxes of a lost sender.
+// Release removes a lost sender, so that its boxes can get other senders.
 type Release struct {
-	// Entry corresponds to the JSON schema field "entry".
+	// Incarnation of the sender.
 	Entry int `json:"entry"`
 
-	// How corresponds to the JSON schema field "how".
+	// How the proposer knows that the sender no longer sends.
 	How ReleaseHow `json:"how"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Node of the sender.
 	Node string `json:"node"`
 
-	// The lost sender's last renewal, as the proposer read it.
+	// Sequence number of the sender's last renewal that the proposer has read. If the
+	// sender has renewed its lease since, the release is refused.
 	Seq int `json:"seq"`
 }
 
@@ -993,209 +1044,225 @@
 const ReleaseHowList ReleaseHow = "list"
 const ReleaseHowTime ReleaseHow = "time"
 
-// RenewArgs hands an entry's renewal to a keeper.
+// RenewArgs hands a renewal to a keeper, which appends it to the log.
 type RenewArgs struct {
-	// Member corresponds to the JSON schema field "member".
+	// Renewal of an entry, or of another keeper together with its entry.
 	Member Member `json:"member"`
 }
 
-// RenewReply says whether the keeper will carry the renewal to the log.
+// RenewReply says whether the keeper will append the renewal to the log.
 type RenewReply struct {
-	// Accepted corresponds to the JSON schema field "accepted".
+	// Whether the keeper will append the renewal. It refuses if it has not read the
+	// log lately.
 	Accepted bool `json:"accepted"`
 }
 
 // SavedTask is the newest known checkpoint of a task that is not done.
 type SavedTask struct {
-	// Checkpoint corresponds to the JSON schema field "checkpoint".
+	// Checkpoint as the endpoint reported it.
 	Checkpoint string `json:"checkpoint"`
 
-	// The task's place among the rows of its job.
+	// Index of the task's row in JobRecord.tasks.
 	Row int `json:"row"`
 }
 
 // Spread is a running mean and variance.
 type Spread struct {
-	// Count corresponds to the JSON schema field "count".
+	// Number of values.
 	Count int `json:"count"`
 
-	// Mean corresponds to the JSON schema field "mean".
+	// Mean of the values.
 	Mean float64 `json:"mean"`
 
-	// Variance corresponds to the JSON schema field "variance".
+	// Variance of the values.
 	Variance float64 `json:"variance"`
 }
 
-// StatusArgs asks a process for its present standing.
+// StatusArgs asks a keeper for its status.
 type StatusArgs struct {
-	// First offset of audit lines wanted; negative for none.
+	// Offset of the first record whose audit lines are requested; negative for none.
 	AuditFrom int `json:"audit_from,omitempty,omitzero"`
 
-	// Whether a plan on the present state is wanted.
+	// Whether a plan for the present state is requested.
 	WithPlan bool `json:"with_plan,omitempty,omitzero"`
 
-	// Whether the folded state is wanted.
+	// Whether the state is requested.
 	WithState bool `json:"with_state,omitempty,omitzero"`
 }
 
-// StatusReply is what a keeper has in force.
+// StatusReply is the status of a keeper.
 type StatusReply struct {
-	// Audit corresponds to the JSON schema field "audit".
+	// Requested audit lines, in the order of their records.
 	Audit []AuditLine `json:"audit,omitempty,omitzero"`
 
-	// Hall corresponds to the JSON schema field "hall".
+	// Availability zone of the keeper.
 	Hall string `json:"hall"`
 
-	// Incarnation corresponds to the JSON schema field "incarnation".
+	// Incarnation of the keeper.
 	Incarnation int `json:"incarnation,omitempty,omitzero"`
 
-	// LogFresh corresponds to the JSON schema field "log_fresh".
+	// Whether the keeper itself, and not only through other keepers, has read the
+	// platform's log within the last three renewal intervals plus one second.
 	LogFresh bool `json:"log_fresh"`
 
-	// Node corresponds to the JSON schema field "node".
+	// Name of the keeper's box.
 	Node string `json:"node"`
 
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset of the next record to apply.
 	Offset int `json:"offset"`
 
-	// What a plan on the present state proposes.
+	// Proposals of the plan.
 	Planned []Proposal `json:"planned,omitempty,omitzero"`
 
-	// JSON text of the folded state.
+	// Snapshot of the state, as JSON text; empty if it was not requested.
 	State string `json:"state"`
 
-	// TableVersion corresponds to the JSON schema field "table_version".
+	// Version of the table in force.
 	TableVersion int `json:"table_version"`
 
-	// What the plan wants and doesn't propose now.
+	// Changes that the plan wants but does not propose now, each as a sentence with
+	// the reason.
 	Waits []string `json:"waits,omitempty,omitzero"`
 }
 
-// SyncArgs tells the owner of a cell what the fleet planner wants of its
-// endpoints, and asks how the cell is.
+// SyncArgs is a call of the fleet planner to the owner of a cell. It says what the
+// planner wants of the cell's endpoints, brings the cell's allowances and asks for
+// a report.
 type SyncArgs struct {
-	// Number of this word on allowances among those to that owner.
+	// Number of this allowance update among those to the same owner.
 	AllowanceNumber int `json:"allowance_number,omitempty,omitzero"`
 
-	// What is new of them, or not confirmed yet.
+	// Allowances that are new to the owner or that it has not confirmed.
 	Allowances []AllowanceRow `json:"allowances,omitempty,omitzero"`
 
-	// Cell corresponds to the JSON schema field "cell".
+	// Name of the cell.
 	Cell string `json:"cell"`
 
-	// Epoch of the owner for whom the allowances are; 0 for none.
+	// Fencing token of the owner that the allowances are for; 0 if there are none.
 	CellToken int `json:"cell_token,omitempty,omitzero"`
 
-	// Configuration by which the allowances that the owner has been told of were
-	// dealt.
+	// Version of the configuration by which all allowances that the owner was sent
+	// were allocated.
 	ConfigVersion int `json:"config_version,omitempty,omitzero"`
 
-	// Endpoints whose boxes are still to be maintained in a wave: a lasting task that
-	// starts there has to move once more.
+	// Endpoints whose boxes are due for maintenance in a wave. A long-running task
+	// that is started there must move once more.
 	Due []string `json:"due,omitempty,omitzero"`
 
-	// Endpoints that have ended for certain, by a list of boxes that was asked for
-	// after the cell had reported them.
+	// Endpoints that have certainly exited, according to a list of boxes that was
+	// requested after the cell had reported them.
 	Gone []string `json:"gone,omitempty,omitzero"`
 
-	// Those of them whose tasks are to be stopped and run elsewhere instead of being
-	// waited for.
+	// Endpoints to withdraw urgently: their tasks should be stopped and run
+	// elsewhere, if possible, instead of being waited for.
 	Hurry []string `json:"hurry,omitempty,omitzero"`
 
 	// Withdrawn endpoints that may be used again.
 	Restore []string `json:"restore,omitempty,omitzero"`
 
-	// Epoch of the planner's claim; an older planner is not heard.
+	// Fencing token of the planner. Calls of planners with lower tokens are ignored.
 	Token int `json:"token"`
 
-	// Endpoints that are to be emptied and get no more work.
+	// Endpoints to withdraw: they get no more work and become empty, so that their
+	// boxes can be moved or maintained.
 	Withdraw []string `json:"withdraw,omitempty,omitzero"`
 }
 
-// SyncReply tells how a cell is.
+// SyncReply is the report of a cell's owner to the fleet planner.
 type SyncReply struct {
-	// Epoch of the newest planner whose word on allowances was heard.
+	// Fencing token of the newest planner from which the owner has received
+	// allowances.
 	AllotterToken int `json:"allotter_token,omitempty,omitzero"`
 
-	// Number of its newest word that holds for later owners as well.
+	// Number of the newest allowance update of that planner that is recorded in the
+	// cell's stream, so that later owners keep to it.
 	AllowanceNumber int `json:"allowance_number,omitempty,omitzero"`
 
-	// Customers corresponds to the JSON schema field "customers".
+	// Customers that need more than their allowances, or use more.
 	Customers []CustomerReport `json:"customers,omitempty,omitzero"`
 
-	// Endpoints corresponds to the JSON schema field "endpoints".
+	// Endpoints of the cell.
 	Endpoints []EndpointReport `json:"endpoints,omitempty,omitzero"`
 
-	// This node owns the cell and has loaded it.
+	// Whether this node owns the cell and has loaded its records. If not, the reply
+	// says nothing else.
 	Known bool `json:"known"`
 
-	// Boxes on which lasting tasks run.
+	// Number of boxes on which long-running tasks run.
 	LastingBoxes int `json:"lasting_boxes,omitempty,omitzero"`
 
-	// Thousandths of a core that lasting tasks take or ask for.
+	// CPU that long-running tasks use or wait for, in thousandths of a core.
 	LastingCpu int `json:"lasting_cpu,omitempty,omitzero"`
 
-	// Thousandths of a core that ready tasks of jobs wait for that can no longer be
-	// done in time.
+	// CPU that ready tasks wait for whose jobs can no longer be done in time, in
+	// thousandths of a core.
 	LateCpu int `json:"late_cpu,omitempty,omitzero"`
 
-	// Room that running and waiting tasks need of memory, in thousandths of a usual
-	// box.
+	// Memory that running and waiting tasks need, in thousandths of the memory of the
+	// cell's largest box.
 	MemoryShare int `json:"memory_share,omitempty,omitzero"`
 
-	// Core-thousandths of work that arrives, each second.
+	// CPU that the arriving jobs will need if the present trend of their rate
+	// continues, in thousandths of a core.
 	OfferedCpu int `json:"offered_cpu,omitempty,omitzero"`
 
-	// Thousandths of a core that other tasks take whose jobs could be in time when
-	// they were started.
+	// CPU that other tasks use whose jobs could still be done in time when the tasks
+	// were started, in thousandths of a core.
 	RunningCpu int `json:"running_cpu,omitempty,omitzero"`
 
-	// Thousandths of a core that tasks take whose jobs couldn't be in time any more
-	// when they were started.
+	// CPU that other tasks use whose jobs could no longer be done in time when the
+	// tasks were started, in thousandths of a core.
 	RunningLateCpu int `json:"running_late_cpu,omitempty,omitzero"`
 
-	// Time, in milliseconds, that the jobs that arrive can usually wait and still be
-	// done in time.
+	// Mean time that arriving jobs can wait and still be done in time, in
+	// milliseconds.
 	SlackMs int `json:"slack_ms,omitempty,omitzero"`
 
-	// Boxes that lasting tasks need so as not to share one.
+	// Number of boxes that long-running tasks need so that no box runs too many tasks
+	// of one phase.
 	Spread int `json:"spread,omitempty,omitzero"`
 
-	// Thousandths of a core that one ready task of each late job takes of which
-	// nothing runs.
+	// CPU of one ready task of each late job of which nothing runs, in thousandths of
+	// a core.
 	StalledCpu int `json:"stalled_cpu,omitempty,omitzero"`
 
-	// The same without the rise that is expected to go on.
+	// CPU that the arriving jobs need at their present rate, in thousandths of a
+	// core.
 	SteadyCpu int `json:"steady_cpu,omitempty,omitzero"`
 
-	// Usual time of a task in milliseconds.
+	// Mean time that a task takes, in milliseconds.
 	TaskMs int `json:"task_ms,omitempty,omitzero"`
 
-	// Epoch by which the cell is owned.
+	// Fencing token of the owner.
 	Token int `json:"token,omitempty,omitzero"`
 
-	// Thousandths of a core that ready tasks wait for.
+	// CPU that ready tasks wait for whose jobs can be done in time, in thousandths of
+	// a core.
 	WaitingCpu int `json:"waiting_cpu,omitempty,omitzero"`
 
-	// Boxes that tasks take or wait for, in thousandths, which are too large for the
-	// room beside any lasting task, and whose jobs can be in time.
+	// Boxes that tasks of jobs that can be done in time use or wait for because they
+	// are too large to fit beside a long-running task, in thousandths of a box.
 	WholeBoxes int `json:"whole_boxes,omitempty,omitzero"`
 
-	// The same for those of late jobs.
+	// Boxes that tasks of jobs that can no longer be done in time use or wait for
+	// because they are too large to fit beside a long-running task, in thousandths of
+	// a box.
 	WholeLateBoxes int `json:"whole_late_boxes,omitempty,omitzero"`
 }
 
-// WaveRecord is how far a wave is, in the planner's stream.
+// WaveRecord is the progress of a maintenance wave. It is a record of the
+// planner's stream.
 type WaveRecord struct {
-	// When the planner first saw it, in milliseconds since 1970.
+	// When a planner first saw the wave, in milliseconds since 1970.
 	BegunMs int `json:"begun_ms,omitempty,omitzero"`
 
-	// All boxes that stay are done, and the operator has been told.
+	// Whether all boxes that stay in the fleet are done, and the operator has been
+	// told.
 	Completed bool `json:"completed,omitempty,omitzero"`
 
-	// Boxes whose maintenance has begun.
+	// Boxes whose maintenance has been ordered.
 	Done []string `json:"done"`
 
-	// Wave corresponds to the JSON schema field "wave".
+	// Number of the wave.
 	Wave int `json:"wave"`
 }
