--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -79,7 +79,7 @@
 	advice := platform.NewAdvice(config.Advice, deps)
 	n := &Node{env: env, Metrics: set, closers: []func(){store.Close, endpoints.Close, fleet.Close, advice.Close}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	var clients atomic.Pointer[platform.Clients]
+	var clients atomic.Pointer[platform.ClientHandler]
 	running, err := node.New(node.Deps{
 		Platform: node.Platform{
 			Store: store, Endpoints: endpoints, Fleet: fleet, Advisor: advice,
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	n.node = running
-	handler := platform.NewClients(running.JobService(), env.Clock, set, platform.ClientOptions{Logger: env.Logger, KeyTime: keyTime(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
+	handler := platform.NewClientHandler(running.JobService(), env.Clock, set, platform.ClientHandlerOptions{Logger: env.Logger, KeyTime: keyTime(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
 	clients.Store(handler)
 	n.clients = n.serve(listeners[1], handler, env.Logger)
 	n.ready = n.serve(listeners[2], http.HandlerFunc(n.answerReady), env.Logger)
