--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	n.node = running
-	handler := platform.NewClientHandler(running.JobService(), env.Clock, set, platform.ClientHandlerOptions{Logger: env.Logger, KeyTime: keyTime(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
+	handler := platform.NewClientHandler(running.JobService(), env.Clock, set, platform.ClientHandlerOptions{Logger: env.Logger, MaxKeyAge: keyTime(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
 	clients.Store(handler)
 	n.clients = n.serve(listeners[1], handler, env.Logger)
 	n.ready = n.serve(listeners[2], http.HandlerFunc(n.answerReady), env.Logger)
