--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -120,7 +120,7 @@
 }
 
 func decodeOperator(record damsonwinch.Record) (*damsonwinch.Configuration, *damsonwinch.Wave, error) {
-	decoded, err := platform.DecodeOperator(record)
+	decoded, err := platform.DecodeOperatorRecord(record)
 	return decoded.Configuration, decoded.Wave, err
 }
 
