--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -76,7 +76,7 @@
 	store := platform.NewStore(config.Store, deps)
 	endpoints := platform.NewEndpoints(deps)
 	fleet := platform.NewFleet(config.Boxes, deps)
-	advice := platform.NewAdvice(config.Advice, deps)
+	advice := platform.NewAdvisor(config.Advice, deps)
 	n := &Node{env: env, Metrics: set, closers: []func(){store.Close, endpoints.Close, fleet.Close, advice.Close}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	var clients atomic.Pointer[platform.ClientHandler]
