--- a/pkg/command/command.go
+++ b/pkg/command/command.go
@@ -21,11 +21,11 @@
 
 // Exit codes of all programs.
 const (
-	ExitOK      = 0
-	ExitFailed  = 1
-	ExitUsage   = 2 // A command line or a settings file is wrong; nothing was started.
-	ExitRefused = 3 // The fleet refused an edit.
-	ExitHarm    = 4 // A trial counted harm.
+	ExitOK         = 0
+	ExitFailed     = 1
+	ExitUsage      = 2 // A command line or a settings file is wrong; nothing was started.
+	ExitRefused    = 3 // The fleet refused an edit.
+	ExitViolations = 4 // A trial counted harm.
 )
 
 const quietLevel = logrus.ErrorLevel
--- a/pkg/command/trial.go
+++ b/pkg/command/trial.go
@@ -48,7 +48,7 @@
 				return err
 			}
 			if report.Harm() > 0 {
-				return &ExitError{Code: ExitHarm, Err: fmt.Errorf("%d counts of harm", report.Harm())}
+				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d counts of harm", report.Harm())}
 			}
 			return nil
 		},
