--- a/pkg/audit/audit.go
+++ b/pkg/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit keeps the trail of accepted and refused changes that a process
-// has folded, bounded in length. The log itself is the whole trail.
+// Package audit keeps the newest of the accepted and refused changes that a process has applied. The
+// complete audit trail is the platform's log.
 package audit
 
 import (
@@ -7,47 +7,47 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Trail is the newest audit lines.
+// Trail holds the newest audit lines.
 type Trail struct {
-	lines []wire.AuditLine
-	most  int
+	lines    []wire.AuditLine
+	maxLines int
 }
 
-// New returns a trail that keeps a number of lines.
-func New(most int) *Trail {
-	return &Trail{most: most}
+// New returns a trail that keeps the newest maxLines lines, and at times up to a quarter more.
+func New(maxLines int) *Trail {
+	return &Trail{maxLines: maxLines}
 }
 
-// Add notes the verdicts of one record. Accepted renewals and
-// checkpoints are left out: they change nothing that an operator asks about.
-func (t *Trail) Add(record wire.Entry, verdicts []fold.Result) {
-	for i, verdict := range verdicts {
-		if kind := verdict.Proposal.Kind; verdict.Accepted && (kind == wire.KindRenew || kind == wire.KindCheckpoint) {
+// Add adds a line for each result of a record. It leaves out accepted renewals and checkpoints, which
+// change nothing that an operator asks about.
+func (t *Trail) Add(record wire.Entry, results []fold.Result) {
+	for i, result := range results {
+		if kind := result.Proposal.Kind; result.Accepted && (kind == wire.KindRenew || kind == wire.KindCheckpoint) {
 			continue
 		}
-		t.lines = append(t.lines, line(record, i, verdict))
+		t.lines = append(t.lines, line(record, i, result))
 	}
-	if over := len(t.lines) - t.most; over > t.most/4 {
-		t.lines = append([]wire.AuditLine{}, t.lines[over:]...)
+	if surplus := len(t.lines) - t.maxLines; surplus > t.maxLines/4 {
+		t.lines = append([]wire.AuditLine{}, t.lines[surplus:]...)
 	}
 }
 
-func line(record wire.Entry, index int, verdict fold.Result) wire.AuditLine {
+func line(record wire.Entry, index int, result fold.Result) wire.AuditLine {
 	return wire.AuditLine{
 		Offset:   record.Offset,
 		Index:    index,
 		At:       record.At,
-		Id:       verdict.Proposal.Id,
-		Kind:     string(verdict.Proposal.Kind),
-		Author:   verdict.Author,
-		Subject:  verdict.Subject,
-		Accepted: verdict.Accepted,
-		Reason:   verdict.Reason,
-		Cause:    verdict.Proposal.Cause,
+		Id:       result.Proposal.Id,
+		Kind:     string(result.Proposal.Kind),
+		Author:   result.Author,
+		Subject:  result.Subject,
+		Accepted: result.Accepted,
+		Reason:   result.Reason,
+		Cause:    result.Proposal.Cause,
 	}
 }
 
-// From returns the lines at and after an offset.
+// From returns the lines of records at an offset and after it.
 func (t *Trail) From(offset int) []wire.AuditLine {
 	for i, line := range t.lines {
 		if line.Offset >= offset {
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant counts breaches of what must always hold. Each is a named
-// counter; tests and randomised runs make a breach fatal.
+// Package invariant counts violations of the invariants of the system. Each invariant has a counter. Tests
+// and randomised runs fail upon a violation.
 package invariant
 
 import (
@@ -8,31 +8,31 @@
 	"sync"
 )
 
-// Names of the invariants, as they stand at /debug/vars.
+// Names of the invariants and of their counters at /debug/vars.
 const (
-	// PoolOverlap: a box was in two pools, or got work for another pool's
-	// service.
+	// PoolOverlap means that a box was in two pools, or got work for a service of another pool.
 	PoolOverlap = "pool_overlap"
-	// BelowFloor: the fold accepted a drain that left a service below its floor.
+	// BelowFloor means that a drain was accepted that left a service below its floor.
 	BelowFloor = "below_floor"
-	// ConfigReverted: an older configuration replaced a newer one.
+	// ConfigReverted means that an older configuration replaced a newer one.
 	ConfigReverted = "config_reverted"
-	// StateDiverged: two processes folded the same records to different states.
+	// StateDiverged means that two processes applied the same records and got different states.
 	StateDiverged = "state_diverged"
-	// WrongAnswer: an answer reached a caller whose request it doesn't belong to.
+	// WrongAnswer means that a client got the answer to another request.
 	WrongAnswer = "wrong_answer"
-	// NotRunButSent: a request was told "not run" after bytes of it were sent.
+	// NotRunButSent means that a request was reported as "not run" after bytes of it had been sent to a box.
 	NotRunButSent = "not_run_but_sent"
-	// SentTwice: a request that is not repeatable was sent a second time.
+	// SentTwice means that a request that is not idempotent was sent a second time.
 	SentTwice = "sent_twice"
-	// SentWithoutLease: a request was sent outside the sender's lease.
+	// SentWithoutLease means that a request was sent outside the sender's lease.
 	SentWithoutLease = "sent_without_lease"
-	// SentToLeaving: a box got new work long after it was known to leave.
+	// SentToLeaving means that a box got new work long after it was known to be leaving.
 	SentToLeaving = "sent_to_leaving"
-	// CutInFlight: a planned stop or drain cut a request in flight.
+	// CutInFlight means that a planned stop or drain cut off a request in flight.
 	CutInFlight = "cut_in_flight"
 )
 
+// names returns the names of all invariants.
 func names() []string {
 	return []string{
 		PoolOverlap, BelowFloor, ConfigReverted, StateDiverged, WrongAnswer,
@@ -40,8 +40,8 @@
 	}
 }
 
-// Checker counts breaches. Its zero counters stand in the metrics from the start,
-// so that a dashboard can tell "none" from "not measured".
+// Checker counts violations. All counters exist from the start with the value 0, so that a dashboard can
+// tell "none" from "not measured".
 type Checker struct {
 	counters *expvar.Map
 	report   func(name, detail string)
@@ -49,44 +49,45 @@
 	reported map[string]bool
 }
 
-// New returns a book. Report is called upon the first breach of each invariant;
-// tests make it fail the test.
+// New returns a checker. It calls report upon the first violation of each invariant. Tests pass a function
+// that fails the test.
 func New(report func(name, detail string)) *Checker {
-	book := &Checker{counters: new(expvar.Map).Init(), report: report, reported: map[string]bool{}}
+	checker := &Checker{counters: new(expvar.Map).Init(), report: report, reported: map[string]bool{}}
 	for _, name := range names() {
-		book.counters.Add(name, 0)
+		checker.counters.Add(name, 0)
 	}
-	return book
+	return checker
 }
 
-// Check counts a breach of the named invariant unless it holds.
-func (b *Checker) Check(name string, holds bool, detail string, values ...any) {
+// Check counts a violation of the named invariant unless it holds. Detail is a format for values.
+func (c *Checker) Check(name string, holds bool, detail string, values ...any) {
 	if holds {
 		return
 	}
-	b.counters.Add(name, 1)
-	if b.first(name) {
-		b.report(name, fmt.Sprintf(detail, values...))
+	c.counters.Add(name, 1)
+	if c.isFirst(name) {
+		c.report(name, fmt.Sprintf(detail, values...))
 	}
 }
 
-func (b *Checker) first(name string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	first := !b.reported[name]
-	b.reported[name] = true
-	return first
+// isFirst reports whether this is the first violation of an invariant, and notes that there was one.
+func (c *Checker) isFirst(name string) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	isFirst := !c.reported[name]
+	c.reported[name] = true
+	return isFirst
 }
 
-// Counters returns the counters for /debug/vars.
-func (b *Checker) Counters() *expvar.Map {
-	return b.counters
+// Counters returns the counters of all invariants for /debug/vars.
+func (c *Checker) Counters() *expvar.Map {
+	return c.counters
 }
 
-// Total returns the number of all breaches.
-func (b *Checker) Total() int {
+// Total returns the number of violations of all invariants.
+func (c *Checker) Total() int {
 	total := 0
-	b.counters.Do(func(pair expvar.KeyValue) {
+	c.counters.Do(func(pair expvar.KeyValue) {
 		if count, isInt := pair.Value.(*expvar.Int); isInt {
 			total += int(count.Value())
 		}
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging writes a process's log lines without ever holding up its work:
-// lines go through a bounded queue to a task of their own, and a budget of lines a
-// second bounds the volume. What is left out is counted by kind.
+// Package logging writes the log lines of a process without ever blocking its work. Lines go through a
+// bounded queue to a goroutine that writes them, and a limit of lines a second bounds the volume. Lines
+// that are left out are counted by message.
 package logging
 
 import (
@@ -19,21 +19,19 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// Sizes of the queue and the budget.
 const (
-	// queueLines wait for the output at most; a line has about 300 bytes.
-	queueLines = 1024
-	// DefaultLinesPerSecond is the usual budget of lines a second. A node writes about 15 a
-	// second on a day without load.
+	// maxQueuedLines bounds the queue. A line has about 300 bytes.
+	maxQueuedLines = 1024
+	// DefaultLinesPerSecond is the default limit. A node writes about 15 lines a second on a day
+	// without load.
 	DefaultLinesPerSecond = 200
-	// minorShare is the part of the budget, in percent, that lines below the
-	// level "info" may take.
-	minorShare = 50
-	// closeTime bounds the wait for an output that takes nothing any more.
-	closeTime = 200 * time.Millisecond
+	// debugSharePercent is the part of the limit that lines below the level "info" may use.
+	debugSharePercent = 50
+	// closeTimeout is how long Close waits for an output that blocks.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Logger is a logger with its queue.
+// Logger is a logrus.Logger that writes through a queue.
 type Logger struct {
 	*logrus.Logger
 	queue chan []byte
@@ -42,66 +40,66 @@
 	clock damsonwinch.Clock
 }
 
-// Deps are what a log works with.
+// Deps holds the dependencies and settings of a logger.
 type Deps struct {
 	Output io.Writer
 	Clock  damsonwinch.Clock
-	// Metrics counts the lines left out.
+	// Metrics counts the lines that are left out.
 	Metrics *metrics.Set
-	// LinesPerSecond is the budget of lines a second; 0 for the usual one.
+	// LinesPerSecond is the limit of lines a second. 0 means DefaultLinesPerSecond.
 	LinesPerSecond int
 }
 
-// New returns a log that writes JSON lines.
+// New returns a logger that writes JSON lines. It must be closed.
 func New(deps Deps) *Logger {
-	l := &Logger{Logger: logrus.New(), queue: make(chan []byte, queueLines), done: make(chan struct{}), clock: deps.Clock}
-	lines := deps.LinesPerSecond
-	if lines == 0 {
-		lines = DefaultLinesPerSecond
+	l := &Logger{Logger: logrus.New(), queue: make(chan []byte, maxQueuedLines), done: make(chan struct{}), clock: deps.Clock}
+	linesPerSecond := deps.LinesPerSecond
+	if linesPerSecond == 0 {
+		linesPerSecond = DefaultLinesPerSecond
 	}
 	l.SetLevel(logrus.DebugLevel)
-	l.SetFormatter(&budget{
-		inner: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}, clock: deps.Clock, metrics: deps.Metrics, lines: lines, left: map[string]int{},
+	l.SetFormatter(&limitedFormatter{
+		inner: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}, clock: deps.Clock, metrics: deps.Metrics, linesPerSecond: linesPerSecond, leftOut: map[string]int{},
 	})
 	l.SetOutput(queueWriter{queue: l.queue, metrics: deps.Metrics})
-	l.group.Go(func() error { return l.drain(deps.Output) })
+	l.group.Go(func() error { return l.writeQueue(deps.Output) })
 	return l
 }
 
-// drain writes the queued lines until the log is closed and the queue is empty.
-func (l *Logger) drain(output io.Writer) error {
+// writeQueue writes the queued lines until the logger is closed and the queue is empty.
+func (l *Logger) writeQueue(output io.Writer) error {
 	defer close(l.done)
 	for line := range l.queue {
 		if _, err := output.Write(line); err != nil {
-			// Nobody reads any more; there is no better place to say so.
+			// Nobody reads the output any more. Close returns this error.
 			return fmt.Errorf("write log: %w", err)
 		}
 	}
 	return nil
 }
 
-// Close writes what is queued and ends the log. It waits, but not for an output
-// that takes nothing.
+// Close writes the queued lines and closes the logger. If the output blocks it returns an error after
+// closeTimeout.
 func (l *Logger) Close() error {
 	l.SetOutput(io.Discard)
 	close(l.queue)
-	timer := l.clock.NewTimer(closeTime)
+	timer := l.clock.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-l.done:
 		return l.group.Wait()
 	case <-timer.Chan():
-		return fmt.Errorf("the log's output has taken nothing for %v", closeTime)
+		return fmt.Errorf("the log's output has taken nothing for %v", closeTimeout)
 	}
 }
 
-// queueWriter puts lines into the queue, or leaves them out when it is full.
+// queueWriter is an io.Writer that puts lines into the queue. It leaves them out if the queue is full.
 type queueWriter struct {
 	queue   chan []byte
 	metrics *metrics.Set
 }
 
-// Write implements io.Writer. Empty lines are those that the budget left out.
+// Write implements io.Writer. It ignores empty lines, which stand for lines that the formatter left out.
 func (w queueWriter) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil
@@ -114,70 +112,70 @@
 	return len(line), nil
 }
 
-// budget formats lines as long as there is room for them in the second.
-type budget struct {
-	inner   logrus.Formatter
-	clock   damsonwinch.Clock
-	metrics *metrics.Set
-	lines   int
-	// The lock guards the second's counts: logrus formats in the goroutines that
-	// log.
-	mutex  sync.Mutex
-	second int64
-	used   int
-	minor  int
-	left   map[string]int
+// limitedFormatter is a logrus.Formatter that leaves out the lines beyond a limit of lines a second.
+type limitedFormatter struct {
+	inner          logrus.Formatter
+	clock          damsonwinch.Clock
+	metrics        *metrics.Set
+	linesPerSecond int
+	// mutex guards the counts below: logrus formats lines in the goroutines that log them.
+	mutex          sync.Mutex
+	currentSecond  int64
+	linesUsed      int
+	debugLinesUsed int
+	// leftOut counts the lines left out since the last summary, by message.
+	leftOut map[string]int
 }
 
-// Format implements logrus.Formatter. It returns nothing for a line that the
-// budget leaves out.
-func (b *budget) Format(entry *logrus.Entry) ([]byte, error) {
-	summary, fits := b.admit(entry)
-	if !fits {
-		b.metrics.Add("log_lines_left_out", 1)
+// Format implements logrus.Formatter. It returns no bytes for a line that is left out. Before the first
+// line of a second it puts a line with a summary of what was left out before.
+func (f *limitedFormatter) Format(entry *logrus.Entry) ([]byte, error) {
+	summary, admitted := f.admit(entry)
+	if !admitted {
+		f.metrics.Add("log_lines_left_out", 1)
 		return nil, nil
 	}
-	line, err := b.inner.Format(entry)
+	line, err := f.inner.Format(entry)
 	if err != nil || summary == "" {
 		return line, err
 	}
-	missing := entry.WithField("left_out", summary)
-	missing.Level, missing.Message, missing.Time = logrus.WarnLevel, "log lines left out", entry.Time
-	head, err := b.inner.Format(missing)
-	return append(head, line...), err
+	summaryEntry := entry.WithField("left_out", summary)
+	summaryEntry.Level, summaryEntry.Message, summaryEntry.Time = logrus.WarnLevel, "log lines left out", entry.Time
+	summaryLine, err := f.inner.Format(summaryEntry)
+	return append(summaryLine, line...), err
 }
 
-// admit says whether a line fits the second, and sums up what was left out of the
-// one before.
-func (b *budget) admit(entry *logrus.Entry) (string, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// admit reports whether a line is within the limit of the current second. With the first line of a second
+// it returns a summary of the lines left out before, or "" if there are none.
+func (f *limitedFormatter) admit(entry *logrus.Entry) (string, bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	summary := ""
-	if second := b.clock.Now().Unix(); second != b.second {
-		b.second, b.used, b.minor = second, 0, 0
-		summary = b.sumUp()
+	if second := f.clock.Now().Unix(); second != f.currentSecond {
+		f.currentSecond, f.linesUsed, f.debugLinesUsed = second, 0, 0
+		summary = f.takeSummary()
 	}
-	minor := entry.Level > logrus.InfoLevel
-	if b.used >= b.lines || (minor && b.minor >= b.lines*minorShare/100) {
-		b.left[entry.Message]++
+	debugLine := entry.Level > logrus.InfoLevel
+	if f.linesUsed >= f.linesPerSecond || (debugLine && f.debugLinesUsed >= f.linesPerSecond*debugSharePercent/100) {
+		f.leftOut[entry.Message]++
 		return "", false
 	}
-	b.used++
-	if minor {
-		b.minor++
+	f.linesUsed++
+	if debugLine {
+		f.debugLinesUsed++
 	}
 	return summary, true
 }
 
-// sumUp says how many lines of which kind were left out, and forgets them.
-func (b *budget) sumUp() string {
-	if len(b.left) == 0 {
+// takeSummary returns how many lines of each message were left out, and resets the counts.
+func (f *limitedFormatter) takeSummary() string {
+	if len(f.leftOut) == 0 {
 		return ""
 	}
-	parts := make([]string, 0, len(b.left))
-	for _, kind := range slices.Sorted(maps.Keys(b.left)) {
-		parts = append(parts, fmt.Sprintf("%d of %q", b.left[kind], kind))
+	parts := make([]string, 0, len(f.leftOut))
+	for _, message := range slices.Sorted(maps.Keys(f.leftOut)) {
+		parts = append(parts, fmt.Sprintf("%d of %q", f.leftOut[message], message))
 	}
-	clear(b.left)
+	clear(f.leftOut)
 	return strings.Join(parts, ", ")
 }
--- a/pkg/logging/logging_test.go
+++ b/pkg/logging/logging_test.go
@@ -14,25 +14,26 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// TestABlockedOutputHoldsNothingUp writes into a pipe that nobody reads.
-func TestABlockedOutputHoldsNothingUp(t *testing.T) {
+// TestBlockedOutputDoesNotBlockLogging logs to a pipe that nobody reads.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	reader, writer := io.Pipe()
 	clock, set := clockwork.NewRealClock(), metrics.New()
-	log := New(Deps{Output: writer, Clock: clock, Metrics: set, LinesPerSecond: 10 * queueLines})
+	log := New(Deps{Output: writer, Clock: clock, Metrics: set, LinesPerSecond: 10 * maxQueuedLines})
 
-	begun := clock.Now()
-	for range 3 * queueLines {
+	started := clock.Now()
+	for range 3 * maxQueuedLines {
 		log.Info("decision")
 	}
 
-	assert.Assert(t, clock.Since(begun) < 5*time.Second, "logging took %v", clock.Since(begun))
-	assert.Assert(t, set.Count("log_lines_not_queued") >= queueLines, "%d left out", set.Count("log_lines_not_queued"))
+	assert.Assert(t, clock.Since(started) < 5*time.Second, "logging took %v", clock.Since(started))
+	assert.Assert(t, set.Count("log_lines_not_queued") >= maxQueuedLines, "%d left out", set.Count("log_lines_not_queued"))
 	assert.ErrorContains(t, log.Close(), "has taken nothing")
 	assert.NilError(t, reader.Close())
 }
 
-// TestTheBudgetHoldsAndTells leaves lines out and says how many of which kind.
-func TestTheBudgetHoldsAndTells(t *testing.T) {
+// TestLinesBeyondTheLimitAreCounted checks that lines beyond the limit are left out, and that a summary
+// counts them by message.
+func TestLinesBeyondTheLimitAreCounted(t *testing.T) {
 	var output bytes.Buffer
 	clock, set := clockwork.NewFakeClock(), metrics.New()
 	log := New(Deps{Output: &output, Clock: clock, Metrics: set, LinesPerSecond: 10})
@@ -62,7 +63,7 @@
 	assert.Equal(t, set.Count("log_lines_left_out"), 10)
 }
 
-// BenchmarkLine measures what a line costs its caller, and one that is left out.
+// BenchmarkLine measures the time that the caller spends on a line that is written or left out.
 func BenchmarkLine(b *testing.B) {
 	for name, lines := range map[string]int{"written": 1 << 30, "left-out": 1} {
 		b.Run(name, func(b *testing.B) {
--- a/pkg/metrics/histogram.go
+++ b/pkg/metrics/histogram.go
@@ -8,22 +8,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms: from 10 us, less than any call takes, to
-// 5 minutes, more than any is waited for, to two digits.
+// Range and precision of the histograms. No call takes less than 10 us, and none is waited for longer than
+// 5 minutes.
 const (
-	leastMicros = 10
-	mostMicros  = int64(5 * 60 * 1_000_000)
-	digits      = 2
+	minMicros         = 10
+	maxMicros         = int64(5 * 60 * 1_000_000)
+	significantDigits = 2
 )
 
-// histogram is a histogram of times, shown at the metrics address.
+// histogram is a histogram of durations. It implements expvar.Var.
 type histogram struct {
-	// The lock guards the counts: calls of many goroutines are measured.
+	// mutex guards counts, since many goroutines record durations.
 	mutex  sync.Mutex
 	counts *hdrhistogram.Histogram
 }
 
-// summary is what the metrics address shows of a histogram, in milliseconds.
+// summary is the JSON form of a histogram: the number of durations, their quantiles and their maximum in
+// milliseconds.
 type summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -32,7 +33,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// String implements expvar.Var.
+// String implements expvar.Var. It returns the summary in JSON.
 func (h *histogram) String() string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -47,25 +48,26 @@
 	return string(text)
 }
 
-// Observe adds a time to a histogram, which is made by the first one.
+// Observe adds a duration to a histogram. The first call with a name makes the histogram.
 func (s *Set) Observe(name string, took time.Duration) {
 	h := s.histogram(name)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	// A time beyond the range counts as the longest.
-	_ = h.counts.RecordValue(min(max(took.Microseconds(), leastMicros), mostMicros))
+	// A duration outside the range counts as the nearest one in the range.
+	_ = h.counts.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros))
 }
 
+// histogram returns the histogram with a name, and makes it if there is none.
 func (s *Set) histogram(name string) *histogram {
-	if known, isHistogram := s.vars.Get(name).(*histogram); isHistogram {
-		return known
+	if existing, isHistogram := s.vars.Get(name).(*histogram); isHistogram {
+		return existing
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if known, isHistogram := s.vars.Get(name).(*histogram); isHistogram {
-		return known
+	if existing, isHistogram := s.vars.Get(name).(*histogram); isHistogram {
+		return existing
 	}
-	made := &histogram{counts: hdrhistogram.New(leastMicros, mostMicros, digits)}
-	s.vars.Set(name, made)
-	return made
+	created := &histogram{counts: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+	s.vars.Set(name, created)
+	return created
 }
--- a/pkg/metrics/metrics.go
+++ b/pkg/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics holds one process's counters and serves them as expvar does.
-// Each process has its own set, so that several can run in one test.
+// Package metrics holds the counters, gauges and histograms of one process and serves them in the format
+// of expvar. Each process has its own set, unlike with expvar, so that several processes can run in one
+// test.
 package metrics
 
 import (
@@ -9,10 +10,10 @@
 	"sync"
 )
 
-// Set is the counters and gauges of one process.
+// Set holds the counters, gauges and histograms of one process.
 type Set struct {
 	vars *expvar.Map
-	// The lock keeps two histograms of one name from being made.
+	// mutex guards the making of histograms, so that there is only one with each name.
 	mutex sync.Mutex
 }
 
@@ -21,24 +22,24 @@
 	return &Set{vars: new(expvar.Map).Init()}
 }
 
-// Add adds to a counter.
-func (s *Set) Add(name string, by int) {
-	s.vars.Add(name, int64(by))
+// Add adds delta to a counter. The first call with a name makes the counter.
+func (s *Set) Add(name string, delta int) {
+	s.vars.Add(name, int64(delta))
 }
 
-// SetGauge sets a gauge.
+// SetGauge sets the value of a gauge.
 func (s *Set) SetGauge(name string, value int) {
 	number := new(expvar.Int)
 	number.Set(int64(value))
 	s.vars.Set(name, number)
 }
 
-// Include shows another map of counters under a name.
+// Include adds another map of counters under a name.
 func (s *Set) Include(name string, vars *expvar.Map) {
 	s.vars.Set(name, vars)
 }
 
-// Count returns a counter's value.
+// Count returns the value of a counter or gauge, or 0 if there is none with that name.
 func (s *Set) Count(name string) int {
 	number, isInt := s.vars.Get(name).(*expvar.Int)
 	if !isInt {
@@ -47,7 +48,7 @@
 	return int(number.Value())
 }
 
-// Counters returns the values of all counters and gauges.
+// Counters returns the values of all counters and gauges by their names.
 func (s *Set) Counters() map[string]int {
 	values := map[string]int{}
 	s.vars.Do(func(entry expvar.KeyValue) {
@@ -58,9 +59,9 @@
 	return values
 }
 
-// ServeHTTP writes all counters as one JSON object.
+// ServeHTTP writes the whole set as one JSON object.
 func (s *Set) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	// A reader that has gone away needs no counters.
+	// The write fails if the client has gone away, which does no harm.
 	_, _ = fmt.Fprintf(w, "{\"damsonwinch\": %s}\n", s.vars.String())
 }
