--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestRefreshKeepsAnAnswerThatHasStarted also checks that Refresh cancels a read without any answer.
+// TestRefreshKeepsAnAnswerThatHasStarted checks that Refresh cancels only a read without any answer.
 func TestRefreshKeepsAnAnswerThatHasStarted(t *testing.T) {
 	started, answer, calls := make(chan bool), make(chan struct{}), 0
 	store := &fakeStore{
--- a/pkg/stream/hedge.go
+++ b/pkg/stream/hedge.go
@@ -14,12 +14,11 @@
 // the store were lost for 5 s, each commit waited 0.25 s or more for the next try, and half of the jobs
 // were late.
 const (
-	// minHedgeDelay is the shortest time between a try and the next one beside it. The store answers
-	// within 5 ms, and a busy node takes 20 ms to read the answer.
+	// minHedgeDelay is the shortest time from a try to the next one while none has been answered. The
+	// store answers within 5 ms, and a busy node takes 20 ms to read the answer.
 	minHedgeDelay = 40 * time.Millisecond
-	// hedgeDelayFactor times the duration of the last answered try is the time between a try and the
-	// next one beside it, if that is longer. A store that becomes slow thus gets one more call at
-	// first and none later.
+	// hedgeDelayFactor times the duration of the last successful try replaces minHedgeDelay if it is
+	// longer. A store that becomes slow thus gets one more call at first and none later.
 	hedgeDelayFactor = 4
 	// maxConcurrentTries bounds the tries in flight. If three in ten answers are lost, three tries
 	// are all lost in 3 of 100 calls.
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestTakeOverRaisesTheEpochFirst checks that TakeOver appends nothing but its fence, and reads the
-// records.
-func TestTakeOverRaisesTheEpochFirst(t *testing.T) {
+// TestTakeOverRaisesTheEpochAndReads checks that TakeOver makes one append, which raises the epoch, and
+// returns the newest records.
+func TestTakeOverRaisesTheEpochAndReads(t *testing.T) {
 	store := &scriptedStore{}
 	w := newWriter(store)
 	records, err := w.TakeOver(context.Background())
