--- a/pkg/lease/bound.go
+++ b/pkg/lease/bound.go
@@ -1,9 +1,13 @@
 package lease
 
-// KnownToSender says whether a member of the sender's hall is bound by the promises that
-// the sender relies on, so that it may propose a release after waiting: it
-// joined before what the sender had folded when it issued its last renewal. The
-// sender asks every member of the roster it folded, hence also this one.
-func KnownToSender(joined, folded int) bool {
-	return joined < folded
+// KnownToSender reports whether a sender knew a member of its zone when it issued its last renewal:
+// whether the member joined within the log records that the sender had applied by then. A sender that
+// is cut off from the log asks every member that it knows for extensions. Such a member may propose
+// the sender's release once its own extensions have run out. A member that the sender doesn't know is
+// asked for none, so its waiting proves nothing.
+//
+// joined is the offset of the record by which the member joined. applied is the next offset that the
+// sender had to apply.
+func KnownToSender(joined, applied int) bool {
+	return joined < applied
 }
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -11,248 +11,263 @@
 	"gotest.tools/v3/assert"
 )
 
-// The search below tries every order of events of a small hall: one sender and
-// the keepers that may release it, over one log that takes appends late, loses
-// their answers or never takes them. A cut in any direction is a read or a
-// question that does not happen; a pause is a process that does nothing for a
-// while.
-
-// bounds are the ticks of a lease, of its drift and of the whole search, and the
-// renewals that the sender issues.
+// The search below tries every order of events for one sender and the keepers of its zone, which may
+// release it. They share a log that accepts appends late, loses the answers to them or never accepts
+// them. A network partition in any direction is a read or a request that doesn't happen. A suspended
+// process is one that does nothing for a time.
+
+// bounds limit the search: a lease's duration, the clock drift and the end of the search, all in ticks,
+// the number of renewals that the sender issues, and the number of restarts of each keeper.
 type bounds struct {
-	length, drift, horizon, seqs, restarts int
+	duration, drift, horizon, renewals, restarts int
 }
 
-var searchBounds = bounds{length: 1, drift: 0, horizon: 4, seqs: 2, restarts: 1}
+var searchBounds = bounds{duration: 1, drift: 0, horizon: 4, renewals: 2, restarts: 1}
 
+// searchEpoch is the Unix time of tick 0, in seconds.
 const searchEpoch = 1000
 
-// rules are the parts of the rule that the search can leave out, to show that it
-// finds the hole that each of them closes.
-type rules struct {
-	boundByFolded    bool // Qualify by what the sender had folded, not by its record.
-	endedWhileBound  bool // Take an ended peer as harmless only while it was bound.
-	denyAfterRelease bool // Deny extensions while a release may still land.
-	denyUnknown      bool // Deny extensions to a sender that the log doesn't show.
-	stayReleased     bool // A late renewal doesn't make a released sender anew.
+// ruleSet holds the rules that the search can leave out, to show that it finds the fault that each of
+// them prevents.
+type ruleSet struct {
+	mustBeKnown       bool // A member qualifies by what the sender had applied, not by the offset of the renewal.
+	exitedWhileBound  bool // An exited peer counts only if it exited before it could propose a release.
+	denyAfterProposal bool // No extensions while a release may still be accepted.
+	denyUnlisted      bool // No extensions for a sender that the log doesn't list.
+	stayReleased      bool // A late renewal doesn't register a released sender again.
 }
 
-func wholeRule() rules {
-	return rules{boundByFolded: true, endedWhileBound: true, denyAfterRelease: true, denyUnknown: true, stayReleased: true}
+// allRules returns the rules as they are in use.
+func allRules() ruleSet {
+	return ruleSet{mustBeKnown: true, exitedWhileBound: true, denyAfterProposal: true, denyUnlisted: true, stayReleased: true}
 }
 
-// record is one entry of the log, or of the appends still on their way.
+// record is a record of the log, or of an append that is in flight.
 type record struct {
-	kind   byte // 'j' join, 'r' renew, 'x' release.
-	keeper int
-	inc    int
-	seq    int
-	folded int
+	kind          byte // 'j' join, 'r' renew, 'x' release.
+	keeper        int
+	incarnation   int
+	renewal       int
+	senderApplied int
 }
 
-// keeperModel is one keeper of the hall.
+// keeperModel is a keeper of the zone.
 type keeperModel struct {
-	alive    bool
-	inc      int
-	read     int
-	skew     int
-	witness  Grantor
-	restarts int
-	pending  answerModel
+	alive       bool
+	incarnation int
+	applied     int
+	skew        int
+	grantor     Grantor
+	restarts    int
+	reply       replyModel
 }
 
-// answerModel is an answer to the sender's question that is on its way.
-type answerModel struct {
-	waits   bool
-	ended   bool
-	granted bool
-	asked   int
-	inc     int
+// replyModel is the reply to the sender's request for an extension that is in flight.
+type replyModel struct {
+	pending     bool
+	exited      bool
+	granted     bool
+	askedAt     int
+	incarnation int
 }
 
-// world is one state of the search.
+// world is a state of the search.
 type world struct {
-	now       int
-	holder    Holder
-	senderSeq int
-	folded    int
-	knows     bool // The sender has folded its release.
-	roster    map[int]int
-	log       []record
-	flying    []record
-	keepers   []keeperModel
-	// What the fold makes of the log.
-	lastSeq    int
-	lastFolded int
-	lastOffset int
-	members    map[int]member
-	released   bool
-	listed     bool // The log shows the sender.
+	now           int
+	holder        Holder
+	newestRenewal int
+	senderApplied int
+	senderKnows   bool // The sender has applied its release.
+	senderMembers map[int]int
+	log           []record
+	inFlight      []record
+	keepers       []keeperModel
+	// The state that results from applying the log.
+	lastRenewal int
+	lastApplied int
+	lastOffset  int
+	members     map[int]member
+	released    bool
+	listed      bool // The log lists the sender.
 }
 
+// member is a keeper as the log lists it, with the offset at which it joined.
 type member struct {
-	inc    int
-	joined int
+	incarnation int
+	joined      int
 }
 
+// at returns the time of a tick.
 func at(tick int) time.Time {
 	return time.Unix(int64(tick)+searchEpoch, 0)
 }
 
+// newWorld returns the first state: all keepers have joined, and the sender's first renewal has been read
+// by all.
 func newWorld(keepers int) world {
-	terms := Timing{Duration: time.Duration(searchBounds.length) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
-	w := world{holder: NewHolder(terms), members: map[int]member{}, roster: map[int]int{}}
+	timing := Timing{Duration: time.Duration(searchBounds.duration) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
+	w := world{holder: NewHolder(timing), members: map[int]member{}, senderMembers: map[int]int{}}
 	for k := range keepers {
-		w.keepers = append(w.keepers, keeperModel{alive: true, inc: 1, witness: NewGrantor(terms)})
-		w.land(record{kind: 'j', keeper: k, inc: 1})
+		w.keepers = append(w.keepers, keeperModel{alive: true, incarnation: 1, grantor: NewGrantor(timing)})
+		w.apply(record{kind: 'j', keeper: k, incarnation: 1})
 	}
-	w.senderSeq = 1
+	w.newestRenewal = 1
 	w.holder = w.holder.WithRenewalIssued(1, at(0))
-	w.land(record{kind: 'r', seq: 1, folded: keepers})
+	w.apply(record{kind: 'r', renewal: 1, senderApplied: keepers})
 	for k := range w.keepers {
-		w.readKeeper(k)
+		w.readByKeeper(k)
 	}
-	w.readSender()
+	w.readBySender()
 	return w
 }
 
+// clone returns a copy that shares no changeable data with the original.
 func (w world) clone() world {
 	w.log = append([]record{}, w.log...)
-	w.flying = append([]record{}, w.flying...)
+	w.inFlight = append([]record{}, w.inFlight...)
 	w.keepers = append([]keeperModel{}, w.keepers...)
-	members, roster := map[int]member{}, map[int]int{}
+	members, senderMembers := map[int]member{}, map[int]int{}
 	for k, m := range w.members {
 		members[k] = m
 	}
-	for k, inc := range w.roster {
-		roster[k] = inc
+	for k, incarnation := range w.senderMembers {
+		senderMembers[k] = incarnation
 	}
-	w.members, w.roster = members, roster
+	w.members, w.senderMembers = members, senderMembers
 	return w
 }
 
-// land folds one record, as pkg/fold does.
-func (w *world) land(r record) {
+// apply appends a record to the log and applies it, as pkg/fold does.
+func (w *world) apply(r record) {
 	offset := len(w.log)
 	w.log = append(w.log, r)
 	switch r.kind {
 	case 'j':
-		w.members[r.keeper] = member{inc: r.inc, joined: offset}
+		w.members[r.keeper] = member{incarnation: r.incarnation, joined: offset}
 	case 'r':
-		if (!w.released || !searchRules.stayReleased) && r.seq > w.lastSeq {
+		if (!w.released || !activeRules.stayReleased) && r.renewal > w.lastRenewal {
 			w.listed = true
-			w.lastSeq, w.lastFolded, w.lastOffset = r.seq, r.folded, offset
+			w.lastRenewal, w.lastApplied, w.lastOffset = r.renewal, r.senderApplied, offset
 		}
 	case 'x':
-		if m := w.members[r.keeper]; m.inc == r.inc && r.seq == w.lastSeq && w.qualified(m) {
+		if m := w.members[r.keeper]; m.incarnation == r.incarnation && r.renewal == w.lastRenewal && w.qualified(m) {
 			w.released, w.listed = true, false
 		}
 	}
 }
 
-var searchRules = wholeRule()
+// activeRules are the rules that the search uses.
+var activeRules = allRules()
 
+// qualified reports whether a member may propose the sender's release.
 func (w *world) qualified(m member) bool {
-	if searchRules.boundByFolded {
-		return KnownToSender(m.joined, w.lastFolded)
+	if activeRules.mustBeKnown {
+		return KnownToSender(m.joined, w.lastApplied)
 	}
 	return m.joined < w.lastOffset
 }
 
-func (w *world) readSender() {
-	seen := world{members: map[int]member{}}
+// readBySender has the sender read and apply the whole log.
+func (w *world) readBySender() {
+	applied := world{members: map[int]member{}}
 	for _, r := range w.log {
-		seen.land(r)
+		applied.apply(r)
 	}
-	w.folded = len(w.log)
-	w.knows = seen.released
-	w.holder = w.holder.WithRenewalConfirmed(seen.lastSeq)
-	w.roster = map[int]int{}
-	var roster []Peer
+	w.senderApplied = len(w.log)
+	w.senderKnows = applied.released
+	w.holder = w.holder.WithRenewalConfirmed(applied.lastRenewal)
+	w.senderMembers = map[int]int{}
+	var peers []Peer
 	for k := range w.keepers {
-		if m, known := seen.members[k]; known {
-			w.roster[k] = m.inc
-			roster = append(roster, Peer{Node: fmt.Sprint(k), Incarnation: m.inc})
+		if m, known := applied.members[k]; known {
+			w.senderMembers[k] = m.incarnation
+			peers = append(peers, Peer{Node: fmt.Sprint(k), Incarnation: m.incarnation})
 		}
 	}
-	w.holder = w.holder.WithPeers(roster)
+	w.holder = w.holder.WithPeers(peers)
 }
 
-func (w *world) readKeeper(k int) {
-	seen := world{members: map[int]member{}}
+// readByKeeper has a keeper read and apply the whole log.
+func (w *world) readByKeeper(k int) {
+	applied := world{members: map[int]member{}}
 	for _, r := range w.log {
-		seen.land(r)
+		applied.apply(r)
 	}
 	keeper := &w.keepers[k]
-	keeper.read = len(w.log)
-	if !seen.listed {
-		keeper.witness = keeper.witness.WithoutSender("s")
+	keeper.applied = len(w.log)
+	if !applied.listed {
+		keeper.grantor = keeper.grantor.WithoutSender("s")
 		return
 	}
-	keeper.witness = keeper.witness.WithRenewalRead("s", seen.lastSeq, at(w.now+keeper.skew))
+	keeper.grantor = keeper.grantor.WithRenewalRead("s", applied.lastRenewal, at(w.now+keeper.skew))
 }
 
-// key names the state; equal keys have equal futures.
+// key encodes the state. States with equal keys have the same successors.
 func (w world) key() string {
 	b := make([]byte, 0, 128)
-	b = add(b, w.now, w.senderSeq, w.folded, w.lastSeq, w.lastFolded, w.lastOffset, len(w.log), len(w.flying))
-	b = append(b, flag(w.knows), flag(w.released), flag(w.listed))
-	flying := slices.SortedFunc(slices.Values(w.flying), func(a, b record) int { return cmp.Compare(a.weight(), b.weight()) })
-	for _, r := range append(append([]record{}, w.log...), flying...) {
-		b = add(append(b, r.kind), r.keeper, r.inc, r.seq, r.folded)
+	b = appendBytes(b, w.now, w.newestRenewal, w.senderApplied, w.lastRenewal, w.lastApplied, w.lastOffset, len(w.log), len(w.inFlight))
+	b = append(b, boolByte(w.senderKnows), boolByte(w.released), boolByte(w.listed))
+	inFlight := slices.SortedFunc(slices.Values(w.inFlight), func(a, b record) int { return cmp.Compare(a.sortKey(), b.sortKey()) })
+	for _, r := range append(append([]record{}, w.log...), inFlight...) {
+		b = appendBytes(append(b, r.kind), r.keeper, r.incarnation, r.renewal, r.senderApplied)
 	}
-	b = append(b, tickOf(w.holder.until))
-	for seq := range searchBounds.seqs + 1 {
-		b = append(b, tickOf(w.holder.issued[seq]))
+	b = append(b, tickByte(w.holder.logLeaseUntil))
+	for renewal := range searchBounds.renewals + 1 {
+		b = append(b, tickByte(w.holder.issuedAt[renewal]))
 	}
 	for k, keeper := range w.keepers {
-		for inc := range 3 {
-			peer := Peer{Node: fmt.Sprint(k), Incarnation: inc}
-			b = append(b, tickOf(w.holder.grants[peer]), flag(w.holder.ended[peer]))
+		for incarnation := range 3 {
+			peer := Peer{Node: fmt.Sprint(k), Incarnation: incarnation}
+			b = append(b, tickByte(w.holder.extendedUntil[peer]), boolByte(w.holder.exited[peer]))
 		}
-		s := keeper.witness.sights["s"]
-		b = add(b, w.roster[k], keeper.inc, keeper.read, keeper.skew, keeper.restarts, s.seq, s.proposed)
-		b = append(b, tickOf(s.read), tickOf(s.promised), flag(keeper.alive))
-		b = add(b, keeper.pending.asked, keeper.pending.inc)
-		b = append(b, flag(keeper.pending.waits), flag(keeper.pending.ended), flag(keeper.pending.granted))
+		sender := keeper.grantor.senders["s"]
+		b = appendBytes(b, w.senderMembers[k], keeper.incarnation, keeper.applied, keeper.skew, keeper.restarts, sender.lastRenewal, sender.proposedRenewal)
+		b = append(b, tickByte(sender.readAt), tickByte(sender.extendedUntil), boolByte(keeper.alive))
+		b = appendBytes(b, keeper.reply.askedAt, keeper.reply.incarnation)
+		b = append(b, boolByte(keeper.reply.pending), boolByte(keeper.reply.exited), boolByte(keeper.reply.granted))
 	}
 	return string(b)
 }
 
-// weight orders records; the order of appends on their way doesn't matter.
-func (r record) weight() int {
-	return int(r.kind)<<16 + r.keeper<<12 + r.inc<<8 + r.seq<<4 + r.folded
+// sortKey returns a number by which key sorts the appends in flight, whose order doesn't matter.
+func (r record) sortKey() int {
+	return int(r.kind)<<16 + r.keeper<<12 + r.incarnation<<8 + r.renewal<<4 + r.senderApplied
 }
 
-func add(b []byte, numbers ...int) []byte {
+// appendBytes appends numbers, one byte each.
+func appendBytes(b []byte, numbers ...int) []byte {
 	for _, number := range numbers {
 		b = append(b, byte(number))
 	}
 	return b
 }
 
-func flag(set bool) byte {
-	if set {
+// boolByte returns 1 for true and 0 for false.
+func boolByte(value bool) byte {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-func tickOf(moment time.Time) byte {
-	if moment.IsZero() {
+// tickByte returns the tick of a time, or 255 for the zero time.
+func tickByte(at time.Time) byte {
+	if at.IsZero() {
 		return 255
 	}
-	return byte(moment.Unix() - searchEpoch)
+	return byte(at.Unix() - searchEpoch)
 }
 
-func (w world) broken() bool {
-	return w.released && !w.knows && w.holder.MaySend(at(w.now))
+// violated reports whether the sender may send although it has been released. Another sender may have
+// its boxes by then.
+func (w world) violated() bool {
+	return w.released && !w.senderKnows && w.holder.MaySend(at(w.now))
 }
 
-// next returns every state that one event can lead to.
-func (w world) next() []world {
-	if w.knows {
-		// The sender has stopped for good: nothing can go wrong any more.
+// successors returns all states to which one event can lead.
+func (w world) successors() []world {
+	if w.senderKnows {
+		// The sender has stopped for good, so no later state can violate the rule.
 		return nil
 	}
 	var all []world
@@ -264,52 +279,53 @@
 	if w.now < searchBounds.horizon {
 		do(func(n *world) { n.now++ })
 	}
-	if w.senderSeq < searchBounds.seqs {
+	if w.newestRenewal < searchBounds.renewals {
 		do(func(n *world) {
-			n.senderSeq++
-			n.holder = n.holder.WithRenewalIssued(n.senderSeq, at(n.now))
-			n.flying = append(n.flying, record{kind: 'r', seq: n.senderSeq, folded: n.folded})
+			n.newestRenewal++
+			n.holder = n.holder.WithRenewalIssued(n.newestRenewal, at(n.now))
+			n.inFlight = append(n.inFlight, record{kind: 'r', renewal: n.newestRenewal, senderApplied: n.senderApplied})
 		})
 	}
-	for i := range w.flying {
+	for i := range w.inFlight {
 		do(func(n *world) {
-			r := n.flying[i]
-			n.flying = append(n.flying[:i:i], n.flying[i+1:]...)
-			n.land(r)
+			r := n.inFlight[i]
+			n.inFlight = append(n.inFlight[:i:i], n.inFlight[i+1:]...)
+			n.apply(r)
 		})
 	}
-	if w.folded < len(w.log) {
-		do(func(n *world) { n.readSender() })
+	if w.senderApplied < len(w.log) {
+		do(func(n *world) { n.readBySender() })
 	}
 	for k := range w.keepers {
-		all = append(all, w.nextKeeper(k, do)...)
+		all = append(all, w.keeperSuccessors(k, do)...)
 	}
 	return all
 }
 
-func (w world) nextKeeper(k int, do func(func(n *world))) []world {
+// keeperSuccessors passes to do each event that involves a keeper. It returns no states itself.
+func (w world) keeperSuccessors(k int, do func(func(n *world))) []world {
 	keeper := w.keepers[k]
-	if inc, listed := w.roster[k]; listed && !keeper.pending.waits {
-		do(func(n *world) { n.ask(k, inc) })
+	if incarnation, listed := w.senderMembers[k]; listed && !keeper.reply.pending {
+		do(func(n *world) { n.requestExtension(k, incarnation) })
 	}
-	if keeper.pending.waits {
-		do(func(n *world) { n.hear(k) })
+	if keeper.reply.pending {
+		do(func(n *world) { n.receiveReply(k) })
 	}
 	if !keeper.alive {
 		if keeper.restarts < searchBounds.restarts {
 			do(func(n *world) {
-				next := &n.keepers[k]
-				next.alive, next.read = true, 0
-				next.restarts++
-				next.inc++
-				next.witness = NewGrantor(keeper.witness.terms)
-				n.flying = append(n.flying, record{kind: 'j', keeper: k, inc: next.inc})
+				restarted := &n.keepers[k]
+				restarted.alive, restarted.applied = true, 0
+				restarted.restarts++
+				restarted.incarnation++
+				restarted.grantor = NewGrantor(keeper.grantor.timing)
+				n.inFlight = append(n.inFlight, record{kind: 'j', keeper: k, incarnation: restarted.incarnation})
 			})
 		}
 		return nil
 	}
-	if keeper.read < len(w.log) {
-		do(func(n *world) { n.readKeeper(k) })
+	if keeper.applied < len(w.log) {
+		do(func(n *world) { n.readByKeeper(k) })
 	}
 	if keeper.restarts < searchBounds.restarts {
 		do(func(n *world) { n.keepers[k].alive = false })
@@ -317,124 +333,129 @@
 	if keeper.skew < searchBounds.drift {
 		do(func(n *world) { n.keepers[k].skew++ })
 	}
-	release := record{kind: 'x', keeper: k, inc: keeper.inc, seq: keeper.witness.LastRenewal("s")}
-	// A second copy of a release is refused like a stale one.
-	proposed := slices.Contains(w.flying, release) || slices.Contains(w.log, release)
-	if !proposed && keeper.witness.MayRelease("s", at(w.now+keeper.skew)) {
+	release := record{kind: 'x', keeper: k, incarnation: keeper.incarnation, renewal: keeper.grantor.LastRenewal("s")}
+	// The log would refuse a second copy of a release, as it refuses an outdated one.
+	proposed := slices.Contains(w.inFlight, release) || slices.Contains(w.log, release)
+	if !proposed && keeper.grantor.MayRelease("s", at(w.now+keeper.skew)) {
 		do(func(n *world) {
-			kept := &n.keepers[k]
-			n.flying = append(n.flying, release)
-			if searchRules.denyAfterRelease {
-				kept.witness = kept.witness.WithReleaseProposed("s")
+			proposer := &n.keepers[k]
+			n.inFlight = append(n.inFlight, release)
+			if activeRules.denyAfterProposal {
+				proposer.grantor = proposer.grantor.WithReleaseProposed("s")
 			}
 		})
 	}
 	return nil
 }
 
-// ask is the sender's question; the answer may arrive at any later time.
-func (w *world) ask(k, inc int) {
+// requestExtension has the sender request an extension from an incarnation of a keeper. The reply may
+// arrive at any later time.
+func (w *world) requestExtension(k, incarnation int) {
 	keeper := &w.keepers[k]
-	answer := answerModel{waits: true, asked: w.now, inc: inc}
+	reply := replyModel{pending: true, askedAt: w.now, incarnation: incarnation}
 	switch {
-	case !keeper.alive || keeper.inc != inc:
-		answer.ended = true
-	case len(keeper.witness.sights) == 0 && !searchRules.denyUnknown:
-		answer.granted = true
+	case !keeper.alive || keeper.incarnation != incarnation:
+		reply.exited = true
+	case len(keeper.grantor.senders) == 0 && !activeRules.denyUnlisted:
+		reply.granted = true
 	default:
-		keeper.witness, answer.granted = keeper.witness.Extend("s", at(w.now+keeper.skew))
+		keeper.grantor, reply.granted = keeper.grantor.Extend("s", at(w.now+keeper.skew))
 	}
-	keeper.pending = answer
+	keeper.reply = reply
 }
 
-func (w *world) hear(k int) {
-	answer := w.keepers[k].pending
-	w.keepers[k].pending = answerModel{}
-	peer := Peer{Node: fmt.Sprint(k), Incarnation: answer.inc}
+// receiveReply has the sender receive the reply of a keeper.
+func (w *world) receiveReply(k int) {
+	reply := w.keepers[k].reply
+	w.keepers[k].reply = replyModel{}
+	peer := Peer{Node: fmt.Sprint(k), Incarnation: reply.incarnation}
 	switch {
-	case answer.granted:
-		w.holder = w.holder.WithExtension(peer, at(answer.asked))
-	case answer.ended && searchRules.endedWhileBound:
+	case reply.granted:
+		w.holder = w.holder.WithExtension(peer, at(reply.askedAt))
+	case reply.exited && activeRules.exitedWhileBound:
 		w.holder = w.holder.WithPeerExited(peer, at(w.now))
-	case answer.ended:
+	case reply.exited:
 		w.holder = w.holder.WithPeerExited(peer, at(-searchBounds.horizon))
 	}
 }
 
-// search visits every state and returns how many there are, and a state in which
-// two senders may send.
-func search(keepers, mostStates int) (int, *world) {
+// searchStates visits all states, up to a number, and returns how many it has seen and a state in which
+// the sender may send although it has been released, if it finds one.
+func searchStates(keepers, maxStates int) (int, *world) {
 	start := newWorld(keepers)
-	seen := map[string]bool{start.key(): true}
+	visited := map[string]bool{start.key(): true}
 	queue := []world{start}
-	for len(queue) > 0 && len(seen) < mostStates {
+	for len(queue) > 0 && len(visited) < maxStates {
 		w := queue[0]
 		queue = queue[1:]
-		if w.broken() {
-			return len(seen), &w
+		if w.violated() {
+			return len(visited), &w
 		}
-		for _, n := range w.next() {
-			if key := n.key(); !seen[key] {
-				seen[key] = true
+		for _, n := range w.successors() {
+			if key := n.key(); !visited[key] {
+				visited[key] = true
 				queue = append(queue, n)
 			}
 		}
 	}
-	return len(seen), nil
+	return len(visited), nil
 }
 
-func TestNoScheduleLetsTwoSendersSend(t *testing.T) {
-	const everything = 4_000_000
-	states, found := search(1, everything)
+// TestNoScheduleLetsReleasedSenderSend visits all states with one keeper.
+func TestNoScheduleLetsReleasedSenderSend(t *testing.T) {
+	const maxStates = 4_000_000
+	states, found := searchStates(1, maxStates)
 	t.Logf("one keeper: %d states", states)
-	assert.Assert(t, found == nil, "two senders may send: %+v", found)
-	assert.Assert(t, states < everything, "the search was cut short")
+	assert.Assert(t, found == nil, "a released sender may send: %+v", found)
+	assert.Assert(t, states < maxStates, "the search has not visited all states")
 }
 
-func TestEachPartOfTheRuleClosesAHole(t *testing.T) {
-	const most = 400_000
-	for name, leaveOut := range map[string]func(*rules){
-		"a member that joined late":                  func(r *rules) { r.boundByFolded = false },
-		"a peer that ended after its promise":        func(r *rules) { r.endedWhileBound = false },
-		"a promise beside a release that is landing": func(r *rules) { r.denyAfterRelease = false },
-		"a promise to a sender already released":     func(r *rules) { r.denyUnknown = false },
-		"a late renewal of a released sender":        func(r *rules) { r.stayReleased = false },
+// TestSearchFindsFaultWithoutEachRule leaves out one rule at a time. The search must then find the fault
+// that the rule prevents, which the case is named after.
+func TestSearchFindsFaultWithoutEachRule(t *testing.T) {
+	const maxStates = 400_000
+	for name, leaveOut := range map[string]func(*ruleSet){
+		"release by a member that the sender does not know": func(r *ruleSet) { r.mustBeKnown = false },
+		"peer exited after it could propose a release":      func(r *ruleSet) { r.exitedWhileBound = false },
+		"extension while a release is in flight":            func(r *ruleSet) { r.denyAfterProposal = false },
+		"extension for a released sender":                   func(r *ruleSet) { r.denyUnlisted = false },
+		"late renewal of a released sender":                 func(r *ruleSet) { r.stayReleased = false },
 	} {
 		t.Run(name, func(t *testing.T) {
-			leaveOut(&searchRules)
-			defer func() { searchRules = wholeRule() }()
-			states, found := search(1, most)
+			leaveOut(&activeRules)
+			defer func() { activeRules = allRules() }()
+			states, found := searchStates(1, maxStates)
 			t.Logf("%d states", states)
-			assert.Assert(t, found != nil, "the hole was not found")
+			assert.Assert(t, found != nil, "the fault was not found")
 		})
 	}
 }
 
-// TestLongRandomSchedules walks a larger hall for longer than the search can:
-// two keepers, a drift, more renewals and restarts. The seed names the walk.
-func TestLongRandomSchedules(t *testing.T) {
-	const walks, mostSteps = 4000, 120
-	searchBounds = bounds{length: 2, drift: 1, horizon: 16, seqs: 7, restarts: 3}
-	defer func() { searchBounds = bounds{length: 1, drift: 0, horizon: 4, seqs: 2, restarts: 1} }()
-	releases, sends := 0, 0
+// TestRandomSchedulesLetNoReleasedSenderSend takes random walks through a larger zone for longer than
+// the search can: two keepers, clock drift, more renewals and restarts. The seed identifies a walk.
+func TestRandomSchedulesLetNoReleasedSenderSend(t *testing.T) {
+	const walks, maxSteps = 4000, 120
+	searchBounds = bounds{duration: 2, drift: 1, horizon: 16, renewals: 7, restarts: 3}
+	defer func() { searchBounds = bounds{duration: 1, drift: 0, horizon: 4, renewals: 2, restarts: 1} }()
+	releases, extendedStates := 0, 0
 	for seed := range uint64(walks) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		w := newWorld(2)
-		for step := range mostSteps {
-			next := w.next()
-			if len(next) == 0 {
+		for step := range maxSteps {
+			successors := w.successors()
+			if len(successors) == 0 {
 				break
 			}
-			w = next[random.IntN(len(next))]
-			assert.Assert(t, !w.broken(), "seed %d, step %d: two senders may send: %+v", seed, step, w)
+			w = successors[random.IntN(len(successors))]
+			assert.Assert(t, !w.violated(), "seed %d, step %d: a released sender may send: %+v", seed, step, w)
 			if w.holder.MaySend(at(w.now)) && !w.holder.CoveredByLog(at(w.now)) {
-				sends++
+				extendedStates++
 			}
 		}
 		if w.released {
 			releases++
 		}
 	}
-	t.Logf("%d walks: %d released, %d states in which the sender went on by its hall", walks, releases, sends)
-	assert.Assert(t, releases > 0 && sends > 0, "the walks showed nothing: %d releases, %d sends by the hall", releases, sends)
+	t.Logf("%d walks: %d released, %d states in which the sender relied on extensions", walks, releases, extendedStates)
+	assert.Assert(t, releases > 0 && extendedStates > 0, "the walks showed nothing: %d releases, %d states with extensions", releases, extendedStates)
 }
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -1,6 +1,11 @@
-// Package lease decides when a sender may send and when a lost one may be
-// released. Both sides are pure values; time and messages are passed in. The
-// argument stands in docs/design/senders-and-cuts.md.
+// Package lease decides when a sender may send requests to boxes, and when a lost sender may be
+// released so that others get its boxes. Holder is the sender's side, Grantor that of the keepers in
+// the sender's zone. Both are immutable values that do no I/O and read no clock.
+//
+// A sender holds a lease from the log, which it renews by appending to the log. While it is cut off
+// from the log, it goes on with extensions that the keepers of its zone grant. A keeper may propose
+// the release of a sender only after the lease and all extensions that the keeper granted have run
+// out. docs/design/senders-and-cuts.md shows why a released sender can't send.
 package lease
 
 import (
@@ -8,144 +13,154 @@
 	"time"
 )
 
-// Timing are the times that all processes of a deployment share.
+// Timing holds the times that all processes of a deployment must agree on.
 type Timing struct {
-	// Duration is how long a sender goes on after a renewal or a grant.
+	// Duration is how long a renewal or an extension lasts.
 	Duration time.Duration
-	// MaxDrift is the margin by which two clocks may differ over one Length.
+	// MaxDrift is by how much two clocks may drift apart during one Duration.
 	MaxDrift time.Duration
 }
 
-// Peer is a hall member whose grant a cut-off sender needs.
+// Peer is a keeper of the sender's zone. A sender that is cut off from the log needs extensions from
+// all of them.
 type Peer struct {
-	Node        string
-	Incarnation int // Incarnation.
+	// Node is the name of the keeper's node.
+	Node string
+	// Incarnation is the run of the keeper's process.
+	Incarnation int
 }
 
-// Holder is the sender's side of its lease. It never changes; its With methods
-// return a new one.
+// Holder is the sender's side of its lease. It is immutable: its With methods return a new one.
 type Holder struct {
-	terms  Timing
-	issued map[int]time.Time
-	until  time.Time
-	grants map[Peer]time.Time
-	ended  map[Peer]bool
-	roster []Peer
+	timing Timing
+	// issuedAt holds when the renewals that aren't confirmed were issued, by number.
+	issuedAt map[int]time.Time
+	// logLeaseUntil is when the lease from the log ends.
+	logLeaseUntil time.Time
+	// extendedUntil holds when the newest extension of each peer ends.
+	extendedUntil map[Peer]time.Time
+	// exited holds the peers that count as exited.
+	exited map[Peer]bool
+	peers  []Peer
 }
 
 // NewHolder returns a holder that has no lease yet.
-func NewHolder(terms Timing) Holder {
-	return Holder{terms: terms, issued: map[int]time.Time{}, grants: map[Peer]time.Time{}, ended: map[Peer]bool{}}
+func NewHolder(timing Timing) Holder {
+	return Holder{timing: timing, issuedAt: map[int]time.Time{}, extendedUntil: map[Peer]time.Time{}, exited: map[Peer]bool{}}
 }
 
-// WithRenewalIssued notes that renewal seq was issued at a time on the sender's clock.
-func (h Holder) WithRenewalIssued(seq int, at time.Time) Holder {
-	h.issued = maps.Clone(h.issued)
-	h.issued[seq] = at
-	delete(h.issued, seq-mostIssued)
+// WithRenewalIssued returns the holder after the sender issued a numbered renewal at a time on its
+// clock.
+func (h Holder) WithRenewalIssued(renewal int, at time.Time) Holder {
+	h.issuedAt = maps.Clone(h.issuedAt)
+	h.issuedAt[renewal] = at
+	delete(h.issuedAt, renewal-maxIssuedRenewals)
 	return h
 }
 
-// mostIssued bounds the renewals that are remembered while the log takes none.
-// To forget an old one only shortens the lease.
-const mostIssued = 64
+// maxIssuedRenewals is the number of renewals that are remembered while the log accepts none.
+// Forgetting an old one only makes the lease shorter.
+const maxIssuedRenewals = 64
 
-// WithRenewalConfirmed notes that renewal seq was read back from the log, by the
-// sender itself or through a peer.
-func (h Holder) WithRenewalConfirmed(seq int) Holder {
-	at, known := h.issued[seq]
+// WithRenewalConfirmed returns the holder after a renewal was read back from the log, by the sender
+// itself or through a peer. The lease lasts for Duration from the time at which the renewal was issued.
+func (h Holder) WithRenewalConfirmed(renewal int) Holder {
+	at, known := h.issuedAt[renewal]
 	if !known {
 		return h
 	}
-	if until := at.Add(h.terms.Duration); until.After(h.until) {
-		h.until = until
+	if until := at.Add(h.timing.Duration); until.After(h.logLeaseUntil) {
+		h.logLeaseUntil = until
 	}
-	h.issued = maps.Clone(h.issued)
-	maps.DeleteFunc(h.issued, func(older int, _ time.Time) bool { return older <= seq })
+	h.issuedAt = maps.Clone(h.issuedAt)
+	maps.DeleteFunc(h.issuedAt, func(older int, _ time.Time) bool { return older <= renewal })
 	return h
 }
 
-// WithPeers notes the members of the sender's hall as last folded.
-func (h Holder) WithPeers(roster []Peer) Holder {
-	h.roster = roster
+// WithPeers returns the holder with the keepers of the sender's zone, as the sender's applied state
+// lists them.
+func (h Holder) WithPeers(peers []Peer) Holder {
+	h.peers = peers
 	return h
 }
 
-// WithExtension notes an extension that was asked for at a time on the sender's
-// clock.
-func (h Holder) WithExtension(peer Peer, asked time.Time) Holder {
-	if until := asked.Add(h.terms.Duration); until.After(h.grants[peer]) {
-		h.grants = maps.Clone(h.grants)
-		h.grants[peer] = until
+// WithExtension returns the holder after a peer granted an extension that was requested at a time on
+// the sender's clock.
+func (h Holder) WithExtension(peer Peer, requestedAt time.Time) Holder {
+	if until := requestedAt.Add(h.timing.Duration); until.After(h.extendedUntil[peer]) {
+		h.extendedUntil = maps.Clone(h.extendedUntil)
+		h.extendedUntil[peer] = until
 	}
 	return h
 }
 
-// WithPeerExited notes that a peer was seen to have ended: its address refuses
-// connections or answers as another incarnation.
+// WithPeerExited returns the holder after the sender saw, at a time on its clock, that a peer has
+// exited: the peer's address refuses connections or answers as another incarnation.
 //
-// It counts only while the peer was still bound by the log's lease or by its
-// own grant. Once that has run out the peer may have proposed a release before
-// it ended, and the log may take that proposal long after.
-func (h Holder) WithPeerExited(peer Peer, seen time.Time) Holder {
-	if !seen.Before(h.boundUntil(peer)) {
+// The exit counts only if it was seen before the lease from the log or the peer's own extension ran
+// out. After that the peer may have proposed a release before it exited, and the log may accept the
+// proposal long after.
+func (h Holder) WithPeerExited(peer Peer, seenAt time.Time) Holder {
+	if !seenAt.Before(h.earliestRelease(peer)) {
 		return h
 	}
-	h.ended = maps.Clone(h.ended)
-	h.ended[peer] = true
+	h.exited = maps.Clone(h.exited)
+	h.exited[peer] = true
 	return h
 }
 
-// boundUntil returns the time before which a peer can't have proposed a release.
-func (h Holder) boundUntil(peer Peer) time.Time {
-	if granted := h.grants[peer]; granted.After(h.until) {
-		return granted
+// earliestRelease returns the earliest time at which a peer may propose the sender's release.
+func (h Holder) earliestRelease(peer Peer) time.Time {
+	if extended := h.extendedUntil[peer]; extended.After(h.logLeaseUntil) {
+		return extended
 	}
-	return h.until
+	return h.logLeaseUntil
 }
 
-// MaySend says whether the sender may send at a time on its own clock.
+// MaySend reports whether the sender may send at a time on its clock.
 func (h Holder) MaySend(now time.Time) bool {
 	return now.Before(h.ValidUntil(now))
 }
 
-// ValidUntil returns the time at which the present right to send ends, or the zero
-// time when there is none.
+// ValidUntil returns when the sender must stop sending unless the lease is renewed or extended. It
+// returns the zero time if there has been no lease.
 func (h Holder) ValidUntil(now time.Time) time.Time {
-	if h.until.IsZero() {
+	if h.logLeaseUntil.IsZero() {
 		return time.Time{}
 	}
-	if len(h.roster) == 0 {
-		return h.until
+	if len(h.peers) == 0 {
+		return h.logLeaseUntil
 	}
-	var least time.Time
-	for _, peer := range h.roster {
-		if h.ended[peer] {
+	var earliest time.Time
+	for _, peer := range h.peers {
+		if h.exited[peer] {
 			continue
 		}
-		if bound := h.boundUntil(peer); least.IsZero() || bound.Before(least) {
-			least = bound
+		if release := h.earliestRelease(peer); earliest.IsZero() || release.Before(earliest) {
+			earliest = release
 		}
 	}
-	if least.IsZero() {
-		// Every peer has ended while it was bound: nobody is left to propose.
-		return now.Add(h.terms.Duration)
+	if earliest.IsZero() {
+		// All peers exited before they could propose a release, so there is none to come.
+		return now.Add(h.timing.Duration)
 	}
-	return least
+	return earliest
 }
 
-// CoveredByLog says whether the log's own lease covers a time on the sender's clock.
+// CoveredByLog reports whether the lease from the log covers a time on the sender's clock, without
+// extensions.
 func (h Holder) CoveredByLog(now time.Time) bool {
-	return now.Before(h.until)
+	return now.Before(h.logLeaseUntil)
 }
 
-// PeersExpiringBefore returns the peers whose grant would run out before a time.
-func (h Holder) PeersExpiringBefore(before time.Time) []Peer {
-	var wanted []Peer
-	for _, peer := range h.roster {
-		if !h.ended[peer] && h.boundUntil(peer).Before(before) {
-			wanted = append(wanted, peer)
+// PeersExpiringBefore returns the peers that may propose a release before a given time, so that the
+// sender needs extensions from them.
+func (h Holder) PeersExpiringBefore(limit time.Time) []Peer {
+	var expiring []Peer
+	for _, peer := range h.peers {
+		if !h.exited[peer] && h.earliestRelease(peer).Before(limit) {
+			expiring = append(expiring, peer)
 		}
 	}
-	return wanted
+	return expiring
 }
--- a/pkg/lease/witness.go
+++ b/pkg/lease/witness.go
@@ -5,98 +5,101 @@
 	"time"
 )
 
-// sight is what a witness knows of one sender.
-type sight struct {
-	seq      int
-	read     time.Time
-	promised time.Time
-	// proposed is the renewal upon which the witness has proposed a release;
-	// the proposal may land in the log at any later time.
-	proposed int
+// senderState is what a grantor knows of one sender.
+type senderState struct {
+	// lastRenewal is the number of the newest renewal that was read from the log, and readAt when that
+	// was.
+	lastRenewal int
+	readAt      time.Time
+	// extendedUntil is when the newest extension ends that was granted to the sender.
+	extendedUntil time.Time
+	// proposedRenewal is the newest renewal at the time of the grantor's last proposal to release the
+	// sender, or 0. The proposal may be appended to the log at any later time.
+	proposedRenewal int
 }
 
-// Grantor is a keeper's side: what it has promised to senders of its hall, and
-// when it may propose their release. It never changes; its With methods return
-// a new one.
+// Grantor is a keeper's side of the leases of its zone's senders: which extensions it has granted, and
+// when it may propose a sender's release. It is immutable: its With methods and Extend return a new one.
 type Grantor struct {
-	terms  Timing
-	sights map[string]sight
+	timing  Timing
+	senders map[string]senderState
 }
 
-// NewGrantor returns a witness that has seen nothing. It is not named New
-// because a package has one of those and the holder is the first part.
-func NewGrantor(terms Timing) Grantor {
-	return Grantor{terms: terms, sights: map[string]sight{}}
+// NewGrantor returns a grantor that knows no sender.
+func NewGrantor(timing Timing) Grantor {
+	return Grantor{timing: timing, senders: map[string]senderState{}}
 }
 
-// WithRenewalRead notes that renewal seq of a sender was read from the log at a time on
-// the witness's clock.
-func (w Grantor) WithRenewalRead(sender string, seq int, at time.Time) Grantor {
-	known, seen := w.sights[sender]
-	if seen && seq <= known.seq {
-		return w
+// WithRenewalRead returns the grantor after a sender's numbered renewal was read from the log at a time
+// on the grantor's clock. Renewals that aren't newer than the last one change nothing.
+func (g Grantor) WithRenewalRead(sender string, renewal int, at time.Time) Grantor {
+	state, known := g.senders[sender]
+	if known && renewal <= state.lastRenewal {
+		return g
 	}
-	known.seq, known.read = seq, at
-	return w.with(sender, known)
+	state.lastRenewal, state.readAt = renewal, at
+	return g.withSender(sender, state)
 }
 
-// WithoutSender forgets a sender that the log has released.
-func (w Grantor) WithoutSender(sender string) Grantor {
-	if _, known := w.sights[sender]; !known {
-		return w
+// WithoutSender returns the grantor without a sender that the log has released.
+func (g Grantor) WithoutSender(sender string) Grantor {
+	if _, known := g.senders[sender]; !known {
+		return g
 	}
-	w.sights = maps.Clone(w.sights)
-	delete(w.sights, sender)
-	return w
+	g.senders = maps.Clone(g.senders)
+	delete(g.senders, sender)
+	return g
 }
 
-// Senders returns the names of the senders that the witness has seen.
-func (w Grantor) Senders() []string {
-	names := make([]string, 0, len(w.sights))
-	for name := range w.sights {
+// Senders returns the names of the senders that the grantor knows.
+func (g Grantor) Senders() []string {
+	names := make([]string, 0, len(g.senders))
+	for name := range g.senders {
 		names = append(names, name)
 	}
 	return names
 }
 
-// Extend answers a sender's wish for an extension. It is denied while a release
-// proposal upon the sender's last known renewal may still land, and to a sender
-// that the log doesn't show: it may have been released without knowing it.
-func (w Grantor) Extend(sender string, now time.Time) (Grantor, bool) {
-	known, seen := w.sights[sender]
-	if !seen || known.proposed != 0 && known.proposed >= known.seq {
-		return w, false
+// Extend handles a sender's request for an extension, and reports whether the extension is granted. It
+// is denied while a proposal to release the sender as of its last known renewal may still be accepted.
+// It is also denied to a sender that the log doesn't list, which may have been released without
+// knowing it.
+func (g Grantor) Extend(sender string, now time.Time) (Grantor, bool) {
+	state, known := g.senders[sender]
+	if !known || state.proposedRenewal != 0 && state.proposedRenewal >= state.lastRenewal {
+		return g, false
 	}
-	known.promised = now.Add(w.terms.Duration)
-	return w.with(sender, known), true
+	state.extendedUntil = now.Add(g.timing.Duration)
+	return g.withSender(sender, state), true
 }
 
-// MayRelease says whether the witness has waited out the sender's last renewal
-// and every extension it granted.
-func (w Grantor) MayRelease(sender string, now time.Time) bool {
-	known, seen := w.sights[sender]
-	if !seen || known.read.IsZero() {
+// MayRelease reports whether the grantor may propose the release of a sender: the sender's last renewal
+// and every extension that the grantor granted have run out, with a margin for clock drift.
+func (g Grantor) MayRelease(sender string, now time.Time) bool {
+	state, known := g.senders[sender]
+	if !known || state.readAt.IsZero() {
 		return false
 	}
-	waited := known.read.Add(w.terms.Duration + w.terms.MaxDrift)
-	return now.After(waited) && now.After(known.promised.Add(w.terms.MaxDrift))
+	expiry := state.readAt.Add(g.timing.Duration + g.timing.MaxDrift)
+	return now.After(expiry) && now.After(state.extendedUntil.Add(g.timing.MaxDrift))
 }
 
-// WithReleaseProposed notes that a release upon the sender's last known renewal is on
-// its way to the log.
-func (w Grantor) WithReleaseProposed(sender string) Grantor {
-	known := w.sights[sender]
-	known.proposed = known.seq
-	return w.with(sender, known)
+// WithReleaseProposed returns the grantor after it proposed the release of a sender as of the sender's
+// last known renewal.
+func (g Grantor) WithReleaseProposed(sender string) Grantor {
+	state := g.senders[sender]
+	state.proposedRenewal = state.lastRenewal
+	return g.withSender(sender, state)
 }
 
-// LastRenewal returns the sender's last renewal that the witness has read.
-func (w Grantor) LastRenewal(sender string) int {
-	return w.sights[sender].seq
+// LastRenewal returns the number of a sender's newest renewal that the grantor has read.
+func (g Grantor) LastRenewal(sender string) int {
+	return g.senders[sender].lastRenewal
 }
 
-func (w Grantor) with(sender string, known sight) Grantor {
-	w.sights = maps.Clone(w.sights)
-	w.sights[sender] = known
-	return w
+// withSender returns the grantor with another state of a sender.
+func (g Grantor) withSender(sender string, state senderState) Grantor {
+	g.senders = maps.Clone(g.senders)
+	g.senders[sender] = state
+	return g
 }
