--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -71,8 +71,8 @@
 	o.publishView()
 }
 
-// reclaimNextCell claims the first cell that an earlier incarnation of this node owned. That this
-// incarnation has exited is certain, even while the group still lists it.
+// reclaimNextCell claims the first cell that an earlier incarnation of this node owned. The earlier
+// incarnation has certainly exited, even if the group still lists it.
 func (o *Ownership) reclaimNextCell() {
 	for _, cell := range o.state.cells {
 		if claim, known := o.state.claims[cell]; known && o.byEarlierIncarnation(claim) {
@@ -151,22 +151,21 @@
 	}
 }
 
-// appendClaim appends a claim to the stream of claims if the stream ends at an offset.
-func (o *Ownership) appendClaim(claim wire.CellClaim, at int) error {
+// appendClaim appends a claim to the stream of claims if end is the stream's end offset.
+func (o *Ownership) appendClaim(claim wire.CellClaim, end int) error {
 	value, err := json.Marshal(claim)
 	if err != nil {
 		return err
 	}
-	return o.appendRecord(damsonwinch.Record{Key: claim.Cell, Value: value}, at)
+	return o.appendRecord(damsonwinch.Record{Key: claim.Cell, Value: value}, end)
 }
 
-// appendRecord appends a record to the stream of claims if the stream ends at an offset. With the
-// end of what has been read as the offset, the append fails if there are records that this node
-// hasn't read.
-func (o *Ownership) appendRecord(record damsonwinch.Record, at int) error {
+// appendRecord appends a record to the stream of claims if end is the stream's end offset. With the end
+// of what has been read, the append fails if there are records that this node hasn't read.
+func (o *Ownership) appendRecord(record damsonwinch.Record, end int) error {
 	ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 	defer cancel()
-	return o.deps.Store.AppendAt(ctx, damsonwinch.Stream{Topic: claimTopic}, []damsonwinch.Record{record}, at)
+	return o.deps.Store.AppendAt(ctx, damsonwinch.Stream{Topic: claimTopic}, []damsonwinch.Record{record}, end)
 }
 
 // noConflict is the value of state.conflictEnd after no conflict. It is not a valid offset.
--- a/pkg/ownership/group.go
+++ b/pkg/ownership/group.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// handleMembersRead handles the result of reading the members. If no read had been answered for
-// longer than usual, the members may have lost their membership and need time to join again.
+// handleMembersRead handles an answered read of the members. If the read before was answered much longer
+// ago than usual, members may have been dropped meanwhile and need time to join again.
 func (o *Ownership) handleMembersRead(m membersRead) {
 	s := &o.state
 	if !s.membersReadAt.IsZero() && m.sentAt.Sub(s.membersReadAt) > o.memberReadInterval()+callTimeout {
@@ -93,9 +93,9 @@
 // fastMemberReadInterval, because several nodes may be lost at once.
 const spareSuccessors = 3
 
-// memberReadInterval returns the time between two reads of the members. A node that comes after
-// enough others as the successor of any cell reads less often: 147 nodes that all read at the fast
-// interval receive 3.5 MB/s of lists.
+// memberReadInterval returns the time between two reads of the members. A node reads less often if
+// enough stronger members would take over cells before it: 147 nodes that all read at the fast interval
+// receive 3.5 MB/s of lists.
 func (o *Ownership) memberReadInterval() time.Duration {
 	if o.state.unassigned {
 		// The node has to learn how many topics the group uses by now.
--- a/pkg/ownership/handover.go
+++ b/pkg/ownership/handover.go
@@ -12,9 +12,10 @@
 	// over to it. A takeover stops all starts of the cell's tasks for about 0.1 s, and a node that
 	// comes and goes must not cost two of them.
 	handOverDelay = 3 * time.Second
-	// minHandOverRatio is how many times as lightly loaded for its weight another node must be to be
-	// given a cell. A cell takes up to about 0.1 of a core. The weakest nodes that users run have a
-	// fortieth of the weight of the strongest, and make no progress once they own a cell.
+	// minHandOverRatio is the least factor by which another node's load per weight must be smaller than
+	// this node's for a cell to be handed over. A cell takes up to about 0.1 of a core. The weakest
+	// nodes that users run have a fortieth of the weight of the strongest, and make no progress once
+	// they own a cell.
 	minHandOverRatio = 4
 )
 
--- a/pkg/ownership/layout.go
+++ b/pkg/ownership/layout.go
@@ -16,8 +16,8 @@
 
 // memberCountStableTime is how long the number of members must not have changed for their list to be
 // taken for complete. Until the group uses enough topics, each read shows more members than the one
-// before. Of 147 nodes 95 were listed for a second, without four of the eighteen strongest ones, and
-// the layout was chosen for 60 owners.
+// before. The list of 147 nodes once stayed at 95 for a second, without four of the eighteen strongest
+// nodes, and the layout was chosen for 60 owners.
 const memberCountStableTime = 2 * time.Second
 
 // layoutProposed asks run to put a layout in force.
@@ -50,13 +50,13 @@
 	})
 }
 
-// appendLayout appends a layout to the stream of claims if the stream ends at an offset.
-func (o *Ownership) appendLayout(layout shard.Layout, at int) error {
+// appendLayout appends a layout to the stream of claims if end is the stream's end offset.
+func (o *Ownership) appendLayout(layout shard.Layout, end int) error {
 	value, err := json.Marshal(wire.Layout{Shards: layout.Shards, Pools: layout.Pools})
 	if err != nil {
 		return err
 	}
-	return o.appendRecord(damsonwinch.Record{Key: layoutKey, Value: value}, at)
+	return o.appendRecord(damsonwinch.Record{Key: layoutKey, Value: value}, end)
 }
 
 // handleLayoutAppended handles the result of appending a layout.
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -49,7 +49,8 @@
 	// claimReadWait is how long a read of the claims waits for new records. Each answer, even an
 	// empty one, also confirms that the node's own claims are still the newest.
 	claimReadWait = time.Second
-	tickInterval  = 100 * time.Millisecond
+	// tickInterval is the longest time after which run checks again which calls are due.
+	tickInterval = 100 * time.Millisecond
 	// minMembershipTTL is the least time for which the group keeps a member that sends no heartbeat.
 	// Options may ask for more.
 	minMembershipTTL = time.Second
@@ -80,8 +81,8 @@
 	MembersComplete bool
 	// Layout is the division of the pools into cells.
 	Layout shard.Layout
-	// ConfirmedAt is when the newest answered read of the claims was sent. At that time Claims were
-	// the newest claims.
+	// ConfirmedAt is when the newest answered read of the claims was sent. At that time no newer claims
+	// existed than those in Claims. It is zero before the first answer and after a suspension.
 	ConfirmedAt time.Time
 }
 
@@ -110,7 +111,7 @@
 	options Options
 	inbox   chan any
 	group   *errgroup.Group
-	ctx     context.Context // Ends with run.
+	ctx     context.Context // Canceled by Close.
 	cancel  context.CancelFunc
 	state   state
 	feed    *feed.Feed
@@ -135,7 +136,7 @@
 		members []Member
 		// topicCount is the number of topics of which the group has assigned partitions.
 		topicCount int
-		// nearlyFull is the result of nearlyFull for the group's assignments.
+		// nearlyFull reports whether the list may lack members, because hardly any partition is spare.
 		nearlyFull bool
 		sentAt     time.Time
 		err        error
