--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -8,30 +8,41 @@
 	"damsonwinch"
 )
 
-// simEndpoint is a life of an endpoint, as the platform's protocol has it.
+// simEndpoint is one life of an endpoint. It follows the platform's protocol for endpoints.
 type simEndpoint struct {
 	world *world
 	info  damsonwinch.Endpoint
-	// drift is the speed of its steady clock.
-	drift             float64
-	startedAt         time.Time
-	registrationDelay time.Duration // Until its entry is in the registry.
-	token             int
-	leaseUntilMs      int // End of the lease of all that runs, on its clock.
-	runs              map[damsonwinch.Run]*simRun
-	lastAttempts      map[damsonwinch.TaskID]int // Highest attempt stopped or ended here.
-	finished          []damsonwinch.RunResult
-	lastSequence      int
-	exited            bool
-	misaddressed      bool // It answers a look that is meant for an earlier life.
-	// onResult are looks that wait for an end, and breaking the connections that break when
-	// the life ends.
+	// clockRate is how fast the endpoint's monotonic clock runs, relative to the true time.
+	clockRate float64
+	startedAt time.Time
+	// registrationDelay is the time from the start until the registry lists the life, if lives share
+	// IDs.
+	registrationDelay time.Duration
+	// token is the highest fencing token that the endpoint has seen.
+	token int
+	// leaseUntilMs is when the lease of all runs expires, on the endpoint's clock.
+	leaseUntilMs int
+	runs         map[damsonwinch.Run]*simRun
+	// lastAttempts holds, by task, the highest attempt that was stopped or has ended here. The
+	// endpoint starts only later ones.
+	lastAttempts map[damsonwinch.TaskID]int
+	// finished holds the results that have not been acknowledged.
+	finished     []damsonwinch.RunResult
+	lastSequence int
+	exited       bool
+	// misaddressed is set while the endpoint handles a poll that is meant for an earlier life.
+	misaddressed bool
+	// onResult holds what answers the polls that are being held, once a run ends, and onExit what
+	// breaks their connections if the life ends before that.
 	onResult []func()
 	onExit   []func()
-	// pastCapacities are the rooms that it has had.
+	// pastCapacities holds the capacities that the endpoint had before the present one.
 	pastCapacities []pastCapacity
 }
 
+// simRun is a run on an endpoint. Unless it is stopped or its lease expires, it ends at endsAt with
+// the given ending.
+
 // simRun is a run on an endpoint.
 type simRun struct {
 	request   damsonwinch.StartRequest
@@ -42,11 +53,12 @@
 	stopping  bool
 }
 
+// clockMs returns the time on the endpoint's monotonic clock in milliseconds.
 func (e *simEndpoint) clockMs() int {
-	return 1000 + int(float64(e.world.now.Sub(e.startedAt).Milliseconds())*e.drift)
+	return 1000 + int(float64(e.world.now.Sub(e.startedAt).Milliseconds())*e.clockRate)
 }
 
-// reportedStartMs is when it was reportedStartMs, as it tells it.
+// reportedStartMs returns the start time that the endpoint reports in replies to polls.
 func (e *simEndpoint) reportedStartMs() int {
 	if e.world.mutation.hideStartTimes {
 		return 0
@@ -54,7 +66,8 @@
 	return e.info.Life.StartedUnixMs
 }
 
-// acceptToken keeps out orders of older owners.
+// acceptToken reports whether a request with the given fencing token is accepted. Those of earlier
+// owners are not.
 func (e *simEndpoint) acceptToken(token int) bool {
 	if e.world.mutation.noFencing {
 		return true
@@ -66,6 +79,7 @@
 	return true
 }
 
+// used returns the resources that the runs occupy.
 func (e *simEndpoint) used() damsonwinch.Resources {
 	var sum damsonwinch.Resources
 	for _, r := range e.runs {
@@ -74,83 +88,88 @@
 	return sum
 }
 
-func (e *simEndpoint) start(order damsonwinch.StartRequest) error {
+// start handles a start request.
+func (e *simEndpoint) start(request damsonwinch.StartRequest) error {
 	switch {
-	case !e.acceptToken(order.Token):
+	case !e.acceptToken(request.Token):
 		return damsonwinch.ErrStaleToken
-	case order.Attempt <= e.lastAttempts[order.Task]:
-		e.renewLease(order.LeaseUntilMs)
+	case request.Attempt <= e.lastAttempts[request.Task]:
+		e.renewLease(request.LeaseUntilMs)
 		return damsonwinch.ErrStaleRun
-	case order.LeaseUntilMs <= e.clockMs():
+	case request.LeaseUntilMs <= e.clockMs():
 		return damsonwinch.ErrTooLate
-	case e.runs[order.Run] != nil:
+	case e.runs[request.Run] != nil:
 		return nil
 	}
-	e.renewLease(order.LeaseUntilMs)
-	task := e.world.behaviourOf(order.Task)
-	need := task.need
+	e.renewLease(request.LeaseUntilMs)
+	behaviour := e.world.behaviourOf(request.Task)
+	need := behaviour.need
 	if e.world.registry != nil {
-		e.world.rules.checkCapacity(e, order, need)
+		e.world.rules.checkCapacity(e, request, need)
 	} else if !e.info.Capacity.Minus(e.used()).Holds(need) {
 		return damsonwinch.ErrNoCapacity
 	}
-	e.world.rules.checkStart(e, order)
-	r := &simRun{request: order, need: need, startedAt: e.world.now, ending: damsonwinch.EndedDone}
-	if e.world.random.Float64() < task.failureRate {
+	e.world.rules.checkStart(e, request)
+	r := &simRun{request: request, need: need, startedAt: e.world.now, ending: damsonwinch.EndedDone}
+	if e.world.random.Float64() < behaviour.failureRate {
 		r.ending = damsonwinch.EndedFailed
 	}
-	r.endsAt = e.world.now.Add(task.duration)
-	if task.longRunning {
+	r.endsAt = e.world.now.Add(behaviour.duration)
+	if behaviour.longRunning {
 		r.endsAt = e.world.now.Add(time.Hour)
 	}
-	e.runs[order.Run] = r
+	e.runs[request.Run] = r
 	if e.world.planner != nil {
 		e.world.rules.checkCap(need.MilliCPU)
 	}
 	e.world.at(r.endsAt, func() { e.endRun(r, r.ending) })
-	if task.crashes && order.Task.Phase == 0 && order.Task.Index == task.crashIndex {
-		e.world.after(task.crashAfter, func() { e.crashUnder(order.Run) })
+	if behaviour.crashes && request.Task.Phase == 0 && request.Task.Index == behaviour.crashIndex {
+		e.world.after(behaviour.crashAfter, func() { e.crashUnder(request.Run) })
 	}
 	return nil
 }
 
-func (e *simEndpoint) endRun(r *simRun, how damsonwinch.Ending) {
+// endRun ends a run, unless it has ended already, and answers the polls that are being held.
+func (e *simEndpoint) endRun(r *simRun, ending damsonwinch.Ending) {
 	if e.exited || e.runs[r.request.Run] != r {
 		return
 	}
 	delete(e.runs, r.request.Run)
 	e.lastAttempts[r.request.Task] = max(e.lastAttempts[r.request.Task], r.request.Attempt)
 	e.lastSequence++
-	e.finished = append(e.finished, damsonwinch.RunResult{Run: r.request.Run, Sequence: e.lastSequence, Ending: how})
-	e.world.rules.runEnded(e, r, how)
-	waiting := e.onResult
+	e.finished = append(e.finished, damsonwinch.RunResult{Run: r.request.Run, Sequence: e.lastSequence, Ending: ending})
+	e.world.rules.runEnded(e, r, ending)
+	callbacks := e.onResult
 	e.onResult, e.onExit = nil, nil
-	for _, answer := range waiting {
-		answer()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-func (e *simEndpoint) stop(order damsonwinch.StopRequest) error {
-	if !e.acceptToken(order.Token) {
+// stop handles a stop request. The run ends up to 300 ms later.
+func (e *simEndpoint) stop(request damsonwinch.StopRequest) error {
+	if !e.acceptToken(request.Token) {
 		return damsonwinch.ErrStaleToken
 	}
-	e.lastAttempts[order.Task] = max(e.lastAttempts[order.Task], order.Attempt)
-	if r := e.runs[order.Run]; r != nil && !r.stopping {
+	e.lastAttempts[request.Task] = max(e.lastAttempts[request.Task], request.Attempt)
+	if r := e.runs[request.Run]; r != nil && !r.stopping {
 		r.stopping = true
 		e.world.after(e.world.randomDuration(0, 300*time.Millisecond), func() { e.endRun(r, damsonwinch.EndedStopped) })
 	}
 	return nil
 }
 
-func (e *simEndpoint) renewLease(until int) {
-	until = min(until, e.clockMs()+int(simMaxLease.Milliseconds()))
-	if until > e.leaseUntilMs {
-		e.leaseUntilMs = until
-		e.world.after(time.Duration(float64(until-e.clockMs())/e.drift)*time.Millisecond+time.Millisecond, e.expireLease)
+// renewLease extends the lease of all runs to the given time on the endpoint's clock, but not
+// beyond simMaxLease from now.
+func (e *simEndpoint) renewLease(untilMs int) {
+	untilMs = min(untilMs, e.clockMs()+int(simMaxLease.Milliseconds()))
+	if untilMs > e.leaseUntilMs {
+		e.leaseUntilMs = untilMs
+		e.world.after(time.Duration(float64(untilMs-e.clockMs())/e.clockRate)*time.Millisecond+time.Millisecond, e.expireLease)
 	}
 }
 
-// expireLease kills everything once the lease is over.
+// expireLease ends all runs if their lease has expired.
 func (e *simEndpoint) expireLease() {
 	if e.exited || e.clockMs() < e.leaseUntilMs {
 		return
@@ -160,66 +179,68 @@
 	}
 }
 
+// sortedRuns returns the runs, sorted by task.
 func (e *simEndpoint) sortedRuns() []*simRun {
-	var found []*simRun
+	var runs []*simRun
 	for _, r := range e.runs {
-		found = append(found, r)
+		runs = append(runs, r)
 	}
-	slices.SortFunc(found, func(a, b *simRun) int { return cmp.Compare(a.request.Task.String(), b.request.Task.String()) })
-	return found
+	slices.SortFunc(runs, func(a, b *simRun) int { return cmp.Compare(a.request.Task.String(), b.request.Task.String()) })
+	return runs
 }
 
-// pollAddressedTo answers a look that is meant for a life. Where that is an earlier one, what the look
-// acknowledges may be ends of this one, which nobody has taken note of: nothing in the call tells
-// them apart.
-func (e *simEndpoint) pollAddressedTo(life damsonwinch.Life, order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
+// pollAddressedTo answers a poll that is meant for the given life. If that is an earlier life, the
+// results that the poll acknowledges may be those of this life, which no owner has seen: nothing in
+// the request tells the lives apart.
+func (e *simEndpoint) pollAddressedTo(life damsonwinch.Life, request damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
 	e.misaddressed = !life.MayBeSame(e.info.Life)
 	defer func() { e.misaddressed = false }()
-	return e.poll(order)
+	return e.poll(request)
 }
 
-// poll answers at once; the world makes it wait where it should.
-func (e *simEndpoint) poll(order damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
-	if !e.acceptToken(order.Token) {
+// poll answers a poll at once. holdPoll and sendPoll delay the reply where the endpoint would hold it.
+func (e *simEndpoint) poll(request damsonwinch.PollRequest) (damsonwinch.PollReply, error) {
+	if !e.acceptToken(request.Token) {
 		return damsonwinch.PollReply{}, damsonwinch.ErrStaleToken
 	}
-	for len(e.finished) > 0 && e.finished[0].Sequence <= order.AckedSequence {
+	for len(e.finished) > 0 && e.finished[0].Sequence <= request.AckedSequence {
 		if !e.misaddressed {
 			e.world.rules.resultAcked(e, e.finished[0])
 		}
 		e.finished = e.finished[1:]
 	}
-	if order.LeaseUntilMs > 0 {
-		e.renewLease(order.LeaseUntilMs)
+	if request.LeaseUntilMs > 0 {
+		e.renewLease(request.LeaseUntilMs)
 	}
-	found := damsonwinch.PollReply{StartedUnixMs: e.reportedStartMs(), ClockMs: e.clockMs(), Finished: append([]damsonwinch.RunResult{}, e.finished...)}
+	reply := damsonwinch.PollReply{StartedUnixMs: e.reportedStartMs(), ClockMs: e.clockMs(), Finished: append([]damsonwinch.RunResult{}, e.finished...)}
 	for _, r := range e.sortedRuns() {
 		percent := 100
 		if r.ending == damsonwinch.EndedDone && !e.world.behaviourOf(r.request.Task).longRunning {
 			percent = int(100 * e.world.now.Sub(r.startedAt) / r.endsAt.Sub(r.startedAt))
 		}
-		found.Running = append(found.Running, damsonwinch.RunProgress{Run: r.request.Run, DonePercent: percent})
+		reply.Running = append(reply.Running, damsonwinch.RunProgress{Run: r.request.Run, DonePercent: percent})
 	}
-	return found, nil
+	return reply, nil
 }
 
-// crashUnder ends the life since it runs a task that it can't bear; another comes.
-func (e *simEndpoint) crashUnder(which damsonwinch.Run) {
-	if e.exited || e.runs[which] == nil {
+// crashUnder ends the life because of a run that crashes it, if that run is still here. A new life
+// starts on the box some seconds later.
+func (e *simEndpoint) crashUnder(run damsonwinch.Run) {
+	if e.exited || e.runs[run] == nil {
 		return
 	}
 	w := e.world
-	w.logf("%s crashes under %s", e.info.Life, which.Task)
-	w.rules.crashCounts[which.Task]++
+	w.logf("%s crashes under %s", e.info.Life, run.Task)
+	w.rules.crashCounts[run.Task]++
 	e.exit()
 	w.after(w.randomDuration(2*time.Second, 4*time.Second), func() { w.addEndpoint(e.info.Box) })
 }
 
-// exit ends the life with all that runs there.
+// exit ends the life and all its runs.
 func (e *simEndpoint) exit() {
 	e.exited = true
-	for _, broken := range e.onExit {
-		broken()
+	for _, callback := range e.onExit {
+		callback()
 	}
 	e.onExit = nil
 	for _, r := range e.sortedRuns() {
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -14,31 +14,38 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// simOwner is an owner of the cell, with the calls that it makes.
+// simOwner is an owner of the cell and its connections to the store and the endpoints.
 type simOwner struct {
 	world *world
 	name  string
 	token int
-	// stream is the place of the cell's stream among the world's. A moving owner gives no
-	// orders that hang on its records any more.
-	stream       int
-	moving       bool
-	cell         *cell.Cell
+	// stream is the index of the cell's stream in world.streams. moving is set once the owner has
+	// begun to move the cell to a new stream; records that are appended to the old one after that
+	// must have no effects.
+	stream int
+	moving bool
+	cell   *cell.Cell
+	// lastSequence is the sequence number of the last append.
 	lastSequence int
-	ready        bool
-	exited       bool
-	// pausedUntil is when it goes on after a freeze.
+	// ready is set once the cell has been loaded.
+	ready  bool
+	exited bool
+	// pausedUntil is when the owner's process continues after a pause.
 	pausedUntil time.Time
-	// suspendedTime is for how long its machine has been suspended: its clock doesn't count that.
+	// suspendedTime is the total time for which the owner's machine was suspended. The owner's clock
+	// does not count it.
 	suspendedTime time.Duration
-	// nextClaimCheck is when it next reads the claims.
+	// nextClaimCheck is when the owner next reads the claims.
 	nextClaimCheck time.Time
-	// cutOffFromStore says that its calls to the store get no answer.
+	// cutOffFromStore is set while the owner's calls to the store get no reply.
 	cutOffFromStore bool
-	lastCallID      int
-	pendingCalls    map[int]func(wire.JobReply)
+	// pendingCalls holds, by call ID, what to do with the replies to clients' calls.
+	lastCallID   int
+	pendingCalls map[int]func(wire.JobReply)
 }
 
+// addOwner adds an owner that claims the cell. Earlier owners do not notice that at once.
+
 // addOwner lets a new owner claim the cell. Earlier ones may not know.
 func (w *world) addOwner() *simOwner {
 	w.lastToken++
@@ -50,7 +57,7 @@
 	return o
 }
 
-// takeOver raises the epoch and loads, as often as it takes.
+// takeOver raises the stream's epoch and loads the cell. It tries again until that succeeds.
 func (o *simOwner) takeOver() {
 	w := o.world
 	if o.exited {
@@ -89,39 +96,41 @@
 	})
 }
 
-// now is the time by its clock.
+// now returns the time on the owner's clock.
 func (o *simOwner) now() time.Time {
 	return o.world.now.Add(-o.suspendedTime)
 }
 
-func (o *simOwner) exit(why string) {
+// exit ends the owner's process. Clients whose calls it has not answered do not learn the outcome.
+func (o *simOwner) exit(reason string) {
 	if o.exited {
 		return
 	}
 	o.exited = true
-	o.world.logf("owner %s ends: %s", o.name, why)
-	for _, ticket := range slices.Sorted(maps.Keys(o.pendingCalls)) {
-		o.pendingCalls[ticket](wire.JobReply{Outcome: wire.JobOutcomeUnknown})
+	o.world.logf("owner %s exits: %s", o.name, reason)
+	for _, callID := range slices.Sorted(maps.Keys(o.pendingCalls)) {
+		o.pendingCalls[callID](wire.JobReply{Outcome: wire.JobOutcomeUnknown})
 	}
 	o.pendingCalls = nil
 }
 
-// whenRunning runs something now, or once a freeze is over.
-func (o *simOwner) whenRunning(do func()) {
+// whenRunning runs an action, an event of the cell, now or at the end of the owner's pause.
+func (o *simOwner) whenRunning(action func()) {
 	if o.exited {
 		return
 	}
 	if o.world.now.Before(o.pausedUntil) {
-		o.world.at(o.pausedUntil, func() { o.whenRunning(do) })
+		o.world.at(o.pausedUntil, func() { o.whenRunning(action) })
 		return
 	}
-	do()
+	action()
 	if !o.world.mutation.hideSuspensions {
 		o.cell.Suspended(o.suspendedTime)
 	}
 	o.performEffects()
 }
 
+// tick checks the claim, reads the registry and ticks the cell, every 50 ms.
 func (o *simOwner) tick() {
 	o.whenRunning(func() {
 		if !o.cutOffFromStore && !o.world.now.Before(o.nextClaimCheck) {
@@ -142,7 +151,7 @@
 	})
 }
 
-// performEffects carries the cell's effects out.
+// performEffects performs the effects of the cell's events.
 func (o *simOwner) performEffects() {
 	if o.exited || !o.ready {
 		return
@@ -150,12 +159,12 @@
 	w := o.world
 	effects := o.cell.TakeEffects()
 	if effects.OwnershipLost {
-		o.exit("deposed by an endpoint")
+		o.exit("has lost its ownership")
 		return
 	}
-	for _, note := range effects.LogLines {
-		if note.Message == "run lost" || strings.HasPrefix(note.Message, "job failed") {
-			w.logf("%s: %s %s %s: %s", o.name, note.Message, note.Task, note.Job, note.Reason)
+	for _, line := range effects.LogLines {
+		if line.Message == "run lost" || strings.HasPrefix(line.Message, "job failed") {
+			w.logf("%s: %s %s %s: %s", o.name, line.Message, line.Task, line.Job, line.Reason)
 		}
 	}
 	for _, reply := range effects.Replies {
@@ -166,7 +175,7 @@
 	}
 	if effects.Commit != nil {
 		o.lastSequence++
-		o.append(*effects.Commit, o.lastSequence)
+		o.appendCommit(*effects.Commit, o.lastSequence)
 	}
 	for _, start := range effects.Starts {
 		o.sendStart(start)
@@ -174,8 +183,8 @@
 	for _, stop := range effects.Stops {
 		o.sendStop(stop)
 	}
-	for _, look := range effects.Polls {
-		o.sendPoll(look)
+	for _, poll := range effects.Polls {
+		o.sendPoll(poll)
 	}
 	if effects.ListBoxes {
 		w.after(w.randomDuration(5*time.Millisecond, 50*time.Millisecond), func() {
@@ -185,8 +194,8 @@
 	}
 }
 
-// append repeats an append until it is answered.
-func (o *simOwner) append(commit cell.Commit, sequence int) {
+// appendCommit sends an append to the store until it is answered.
+func (o *simOwner) appendCommit(commit cell.Commit, sequence int) {
 	w := o.world
 	if w.mutation.dropRuns {
 		commit.Records = editJobRecords(commit.Records, func(job *wire.JobRecord) {
@@ -199,26 +208,26 @@
 		commit.Records = editJobRecords(commit.Records, func(job *wire.JobRecord) { job.Crashed = nil })
 	}
 	if w.mutation.startBeforeRecord || w.mutation.replyBeforeRecord {
-		// The owner goes on as if the record were there; it comes much later.
+		// The owner goes on as if the records were in the stream, where they arrive much later.
 		o.whenRunningSoon(func() { o.cell.Committed(o.now(), commit.Number) })
 		w.after(400*time.Millisecond, func() { _ = w.streams[o.stream].append(o.token, sequence, commit.Records) })
 		return
 	}
-	var try func()
-	try = func() {
+	var send func()
+	send = func() {
 		if o.exited {
 			return
 		}
 		if o.cutOffFromStore || w.streamDown[o.stream] || w.chance(0.05) {
-			// The call is lost on its way there, or turned away.
-			w.after(250*time.Millisecond, try)
+			// The call gets lost on its way, or the store rejects it.
+			w.after(250*time.Millisecond, send)
 			return
 		}
 		w.after(w.randomDuration(2*time.Millisecond, 15*time.Millisecond), func() {
 			err := w.streams[o.stream].append(o.token, sequence, commit.Records)
 			if w.chance(0.05) {
-				// It was done, and the answer is lost.
-				w.after(250*time.Millisecond, try)
+				// The append was done, and the reply gets lost.
+				w.after(250*time.Millisecond, send)
 				return
 			}
 			if err != nil {
@@ -232,14 +241,15 @@
 			})
 		})
 	}
-	try()
+	send()
 }
 
-// simMaxCommitAge is how long an append may be stuck until its owner moves its cell.
+// simMaxCommitAge is how long an append may be in flight before its owner moves the cell to another
+// stream.
 const simMaxCommitAge = 300 * time.Millisecond
 
-// moveCell goes on with the cell in a new stream: a snapshot first, then the claim that names
-// it. Others may claim the cell in between, and the snapshot may come to nothing.
+// moveCell moves the cell to a new stream: it writes a snapshot there, then a claim that names the
+// new stream. Another owner may claim the cell in between; then the snapshot is not used.
 func (o *simOwner) moveCell() {
 	w := o.world
 	if o.moving {
@@ -252,8 +262,8 @@
 		if o.exited {
 			return
 		}
-		fresh := newSimStream()
-		if fresh.append(o.token, 1, snapshot) != nil {
+		next := newSimStream()
+		if next.append(o.token, 1, snapshot) != nil {
 			return
 		}
 		w.after(w.randomDuration(5*time.Millisecond, 400*time.Millisecond), func() {
@@ -262,27 +272,30 @@
 				o.exit("sees a newer claim")
 				return
 			}
-			w.streams = append(w.streams, fresh)
+			w.streams = append(w.streams, next)
 			w.addOwner()
 			o.exit("has moved its cell")
 		})
 	})
 }
 
-func (o *simOwner) whenRunningSoon(do func()) {
-	o.world.after(time.Millisecond, func() { o.whenRunning(do) })
+// whenRunningSoon calls whenRunning after 1 ms.
+func (o *simOwner) whenRunningSoon(action func()) {
+	o.world.after(time.Millisecond, func() { o.whenRunning(action) })
 }
 
-// call calls an endpoint. Do runs there; done gets the answer or an error. Orders
-// may be lost, answered late or not, or carried out much later.
-func (o *simOwner) call(id string, do func(e *simEndpoint) func() error, done func(err error)) {
+// call sends a request to the endpoint with the given ID. handle is called there and returns a
+// function for the error in its reply; done is called with that error when the reply arrives, or
+// with the error of the call. A request may get lost, its reply may get lost or arrive late, and a
+// request whose call has timed out may be handled seconds later.
+func (o *simOwner) call(id string, handle func(e *simEndpoint) func() error, done func(err error)) {
 	w := o.world
 	e := w.newestLife(id)
 	switch {
 	case e != nil && !e.exited:
-		o.callLife(e, do, done)
+		o.callLife(e, handle, done)
 	case w.sharedIDs:
-		o.callSharedID(id, do, done)
+		o.callSharedID(id, handle, done)
 	case w.resetsOnExit:
 		w.after(3*time.Millisecond, func() { done(damsonwinch.ErrNotSent) })
 	default:
@@ -290,12 +303,12 @@
 	}
 }
 
-// callTimeout is how long a call waits for its answer.
+// callTimeout is how long a call waits for its reply.
 const callTimeout = 200 * time.Millisecond
 
-// callSharedID calls an ID under which no life is now: none answers, or one that comes while the
-// call still waits for its connection.
-func (o *simOwner) callSharedID(id string, do func(e *simEndpoint) func() error, done func(err error)) {
+// callSharedID sends a request to an ID whose newest life has exited. Nothing answers, or a new life
+// that starts while the call still waits for its connection.
+func (o *simOwner) callSharedID(id string, handle func(e *simEndpoint) func() error, done func(err error)) {
 	w := o.world
 	if w.resetsOnExit {
 		w.after(3*time.Millisecond, func() { done(damsonwinch.ErrNotSent) })
@@ -303,49 +316,50 @@
 	}
 	w.after(w.randomDuration(time.Millisecond, callTimeout), func() {
 		if e := w.newestLife(id); !e.exited {
-			o.callLife(e, do, done)
+			o.callLife(e, handle, done)
 			return
 		}
 		done(errNoAnswer)
 	})
 }
 
-// callLife makes a call over a connection with one life: an order that is late is carried out
-// by that one or not at all.
-func (o *simOwner) callLife(e *simEndpoint, do func(e *simEndpoint) func() error, done func(err error)) {
+// callLife sends a request over a connection to one life. If the request is delayed, this life
+// handles it or none.
+func (o *simOwner) callLife(e *simEndpoint, handle func(e *simEndpoint) func() error, done func(err error)) {
 	w := o.world
-	cut := w.cuts[o.name+e.info.Box]
-	if cut || w.chance(0.02) {
+	unreachable := w.cuts[o.name+e.info.Box]
+	if unreachable || w.chance(0.02) {
 		w.after(callTimeout, func() { done(errNoAnswer) })
 		return
 	}
-	late := w.chance(0.03)
+	delayed := w.chance(0.03)
 	delay := w.randomDuration(time.Millisecond, 20*time.Millisecond)
-	if late {
+	if delayed {
 		delay = w.randomDuration(300*time.Millisecond, 3*time.Second)
 		w.after(callTimeout, func() { done(errNoAnswer) })
 	}
 	w.after(delay, func() {
 		if e.exited {
-			if !late {
+			if !delayed {
 				done(errNoAnswer)
 			}
 			return
 		}
-		w.requestDelayed = late
-		answer := do(e)
+		w.requestDelayed = delayed
+		result := handle(e)
 		w.requestDelayed = false
-		if late {
+		if delayed {
 			return
 		}
 		if w.chance(0.02) {
 			w.after(callTimeout, func() { done(errNoAnswer) })
 			return
 		}
-		w.after(w.randomDuration(time.Millisecond, 20*time.Millisecond), func() { done(answer()) })
+		w.after(w.randomDuration(time.Millisecond, 20*time.Millisecond), func() { done(result()) })
 	})
 }
 
+// sendStart sends a start request and passes the reply to the cell.
 func (o *simOwner) sendStart(start cell.Start) {
 	o.call(start.Endpoint.Life.ID, func(e *simEndpoint) func() error {
 		err := e.start(start.Request)
@@ -355,6 +369,7 @@
 	})
 }
 
+// sendStop sends a stop request and passes the reply to the cell.
 func (o *simOwner) sendStop(stop cell.Stop) {
 	o.call(stop.Endpoint.Life.ID, func(e *simEndpoint) func() error {
 		err := e.stop(stop.Request)
@@ -364,72 +379,73 @@
 	})
 }
 
-func (o *simOwner) sendPoll(look cell.Poll) {
+// sendPoll sends a poll and passes the reply to the cell, after the time that the endpoint holds it.
+func (o *simOwner) sendPoll(poll cell.Poll) {
 	w := o.world
-	order := look.Request
+	request := poll.Request
 	if w.mutation.ackUnrecorded {
-		order.AckedSequence = 1 << 30
+		request.AckedSequence = 1 << 30
 	}
-	var found damsonwinch.PollReply
-	var there *simEndpoint
-	o.call(look.Endpoint.Life.ID, func(e *simEndpoint) func() error {
-		there = e
-		answer, err := e.pollAddressedTo(look.Endpoint.Life, order)
-		found = answer
+	var reply damsonwinch.PollReply
+	var receiver *simEndpoint
+	o.call(poll.Endpoint.Life.ID, func(e *simEndpoint) func() error {
+		receiver = e
+		pollReply, err := e.pollAddressedTo(poll.Endpoint.Life, request)
+		reply = pollReply
 		return func() error { return err }
 	}, func(err error) {
-		if w.promptPolls && err == nil && len(found.Finished) == 0 && order.MaxWait > 0 {
-			o.holdPoll(look, order, there)
+		if w.promptPolls && err == nil && len(reply.Finished) == 0 && request.MaxWait > 0 {
+			o.holdPoll(poll, request, receiver)
 			return
 		}
 		wait := time.Duration(0)
-		if err == nil && len(found.Finished) == 0 {
-			// It waits for an end; what it shows is as old as that.
-			wait = order.MaxWait
+		if err == nil && len(reply.Finished) == 0 {
+			// The endpoint holds the poll for MaxWait, and the reply holds what was true before.
+			wait = request.MaxWait
 		}
 		w.after(wait, func() {
-			o.whenRunning(func() { o.cell.Polled(o.now(), look.Endpoint.Life, look.Number, found, err) })
+			o.whenRunning(func() { o.cell.Polled(o.now(), poll.Endpoint.Life, poll.Number, reply, err) })
 		})
 	})
 }
 
-// holdPoll has a look wait at its endpoint: for an end, its time, or the end of the life.
-func (o *simOwner) holdPoll(look cell.Poll, order damsonwinch.PollRequest, e *simEndpoint) {
+// holdPoll holds a poll at its endpoint until a run ends, MaxWait has passed or the endpoint exits.
+func (o *simOwner) holdPoll(poll cell.Poll, request damsonwinch.PollRequest, e *simEndpoint) {
 	w := o.world
-	answered := false
-	answer := func(delay time.Duration, broken error) {
-		if answered {
+	responded := false
+	respond := func(delay time.Duration, callErr error) {
+		if responded {
 			return
 		}
-		answered = true
-		var found damsonwinch.PollReply
-		err := broken
+		responded = true
+		var reply damsonwinch.PollReply
+		err := callErr
 		if err == nil {
-			found, err = e.pollAddressedTo(look.Endpoint.Life, order)
+			reply, err = e.pollAddressedTo(poll.Endpoint.Life, request)
 		}
 		w.after(delay, func() {
-			o.whenRunning(func() { o.cell.Polled(o.now(), look.Endpoint.Life, look.Number, found, err) })
+			o.whenRunning(func() { o.cell.Polled(o.now(), poll.Endpoint.Life, poll.Number, reply, err) })
 		})
 	}
-	ended := func() { answer(w.randomDuration(time.Millisecond, 10*time.Millisecond), nil) }
-	broke := func() {
+	answer := func() { respond(w.randomDuration(time.Millisecond, 10*time.Millisecond), nil) }
+	breakConnection := func() {
 		if w.resetsOnExit {
-			answer(2*time.Millisecond, errNoAnswer)
+			respond(2*time.Millisecond, errNoAnswer)
 		} else {
-			answer(order.MaxWait+200*time.Millisecond, errNoAnswer)
+			respond(request.MaxWait+200*time.Millisecond, errNoAnswer)
 		}
 	}
 	switch {
 	case e.exited:
-		broke()
-	case len(e.finished) > 0 && e.finished[len(e.finished)-1].Sequence > order.AckedSequence:
-		ended()
+		breakConnection()
+	case len(e.finished) > 0 && e.finished[len(e.finished)-1].Sequence > request.AckedSequence:
+		answer()
 	default:
-		e.onResult = append(e.onResult, ended)
-		e.onExit = append(e.onExit, broke)
-		w.after(order.MaxWait, func() {
+		e.onResult = append(e.onResult, answer)
+		e.onExit = append(e.onExit, breakConnection)
+		w.after(request.MaxWait, func() {
 			if !e.exited {
-				ended()
+				answer()
 			}
 		})
 	}
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -15,105 +15,110 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of the simulation.
+// Limits of the simulated cell, and durations of a simulation.
 const (
 	simMaxLease     = 4 * time.Second
 	simRenewalGrace = 1500 * time.Millisecond
 	simMaxStopTime  = 400 * time.Millisecond
-	// simFaultTime is how long things go wrong, and simCalm how long they go right
-	// afterwards, until everything must be done. Where work is left and some of it is done
-	// in each simStep, the calm goes on, at most for as long again.
+	// simFaultTime is how long faults are injected. simRecoveryTime is how long the simulation goes
+	// on without faults after that; then all work must be done. If work is left and some of it gets
+	// done in each simExtensionStep, the recovery time is extended, to at most twice its length.
 	simFaultTime     = 12 * time.Second
 	simRecoveryTime  = 25 * time.Second
 	simExtensionStep = 3 * time.Second
 )
 
-// defaultBoxes is the number of boxes of most runs.
+// defaultBoxes is the number of boxes in most simulations.
 const defaultBoxes = 3
 
-// mutation takes out a mechanism, to show that the rules see it missing.
+// mutation disables mechanisms, to show that the rules detect their absence.
 type mutation struct {
-	startBeforeRecord bool // Starts are ordered before their record is there.
-	ackUnrecorded     bool // Endpoints forget ends that are not recorded.
-	noFencing         bool // Endpoints follow old owners.
-	dropRuns          bool // Records don't say where attempts run.
-	replyBeforeRecord bool // Clients are answered before the record is there.
-	expireLeasesEarly bool // Leases are taken to be over at once.
-	commitAfterMove   bool // An owner goes on with its old stream after a snapshot for a new one.
-	dropCrashes       bool // Records don't say how many endpoints have ended under a task.
-	ignoreLosses      bool // The ends of endpoints count against nobody.
-	giveUpByCount     bool // A task is given up with the second end, without a trial.
-	hideSuspensions   bool // An owner isn't told for how long its machine was suspended.
-	uncapped          bool // Jobs aren't counted against their customer's cap.
-	hideStartTimes    bool // Endpoints don't say when they were born.
-	staleCapacity     bool // What was known of an endpoint's room counts however old it is.
+	startBeforeRecord bool // Start requests are sent before the start is recorded.
+	ackUnrecorded     bool // Polls acknowledge results that are not recorded.
+	noFencing         bool // Endpoints accept requests with stale tokens.
+	dropRuns          bool // Records do not say where attempts run.
+	replyBeforeRecord bool // Clients get replies before the change is recorded.
+	expireLeasesEarly bool // Owners assume that a lease lasts only 50 ms.
+	commitAfterMove   bool // An owner still commits to its old stream after the snapshot for a new one.
+	dropCrashes       bool // Records do not say how many endpoints were lost under a task.
+	ignoreLosses      bool // The loss of an endpoint counts against no task.
+	giveUpByCount     bool // A task is given up after the second loss, without probation.
+	hideSuspensions   bool // Owners are not told for how long their machines were suspended.
+	uncapped          bool // Jobs do not count against their customer's cap.
+	hideStartTimes    bool // Endpoints do not report when they started.
+	staleCapacity     bool // The capacity of an endpoint is trusted however old the report is.
 }
 
-// world is one run of owners, a stream, endpoints and clients on a fake clock and
-// a fake network. Everything that happens follows from its seed.
+// world is a simulation of owners, a store, endpoints and clients on a fake clock and a fake
+// network. Everything that happens follows from its seed.
 type world struct {
 	random   *rand.Rand
 	now      time.Time
 	agenda   agenda.Queue
 	mutation mutation
 	rules    *rules
-	// streams are those that the cell has had, the newest last, and out says of which the
-	// store turns calls away.
+	// streams holds the cell's streams, of which the newest, the last, is in use. streamDown says,
+	// by index, for which of them the store rejects calls.
 	streams    []*simStream
 	streamDown map[int]bool
-	endpoints  []*simEndpoint
-	lifeCount  int
-	owners     []*simOwner
-	lastToken  int
-	clients    []*simClient
-	behaviours map[string]taskBehaviour // By job.
+	// endpoints holds all lives of endpoints, and owners all owners, both in order of their starts.
+	endpoints []*simEndpoint
+	lifeCount int
+	owners    []*simOwner
+	// lastToken is the fencing token of the newest owner.
+	lastToken int
+	clients   []*simClient
+	// behaviours holds, by job ID, how the job's tasks behave.
+	behaviours map[string]taskBehaviour
 	// boxCount is the number of boxes at the start.
 	boxCount int
-	// maxTaskTime is the time of the maxTaskTime tasks.
+	// maxTaskTime is the longest run time of a task in the default jobs.
 	maxTaskTime time.Duration
-	// maxCompletionGap is how long a task may take with its attempts where that is long.
+	// maxCompletionGap is how long the simulation may go on after the last task was done while jobs
+	// are unfinished. It is set where tasks and their retries take longer than simExtensionStep.
 	maxCompletionGap time.Duration
-	// resetsOnExit says that connections to an endpoint that ends break at once, as those to a
-	// program that crashes do; otherwise nothing tells.
+	// resetsOnExit makes connections to an endpoint break as soon as it exits, as they do if only
+	// the program crashes. Otherwise nothing tells the other side.
 	resetsOnExit bool
-	// promptPolls says that a look that waits tells of an end at once; otherwise it shows what
-	// was when it began to wait.
+	// promptPolls makes a waiting poll return as soon as a run ends. Otherwise it always waits for
+	// MaxWait and returns what was true when it began to wait.
 	promptPolls bool
-	// registry is the registry where boxes change their registry, and endpoints start whatever they
-	// are told; nil in other runs.
+	// registry is set in simulations in which the capacity of boxes changes and endpoints start
+	// whatever they are told to. It is nil in all others.
 	registry *simRegistry
-	// planner deals a customer's cap, in runs with one.
+	// planner allocates a customer's cap. It is nil in simulations without a cap.
 	planner *simPlanner
-	// sharedIDs says that the lives on a box share an ID.
+	// sharedIDs gives all lives on a box the same ID.
 	sharedIDs bool
 	startedAt time.Time
-	// requestDelayed says that the order being carried out comes long after it was sent.
+	// requestDelayed is set while a request is handled long after it was sent.
 	requestDelayed bool
-	// faultsOn says that things may go wrong.
+	// faultsOn is set while faults may occur.
 	faultsOn bool
-	// boxMilliCPU is the room of a box: in some runs there is little.
+	// boxMilliCPU is the CPU of each box. In some simulations there is little.
 	boxMilliCPU int
-	// cutAt tells, by owner and box, whether they can't reach each other.
+	// cuts holds the pairs of an owner and a box that can't reach each other, each as the
+	// concatenation of their names.
 	cuts map[string]bool
 	log  []string
 }
 
-// taskBehaviour is how the tasks of a job behave.
+// taskBehaviour says how the tasks of a job behave.
 type taskBehaviour struct {
 	need        damsonwinch.Resources
 	duration    time.Duration
 	failureRate float64
 	longRunning bool
-	// crashes says that each endpoint that starts one of its tasks, one of the first phase,
-	// ends so long after that.
+	// crashes is set if the task with index crashIndex in the first phase crashes each endpoint that
+	// starts it, crashAfter after the start.
 	crashes    bool
 	crashIndex int
 	crashAfter time.Duration
 }
 
-func newWorld(seed uint64, broken mutation) *world {
+func newWorld(seed uint64, m mutation) *world {
 	w := &world{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.UnixMilli(1_700_000_000_000), mutation: broken,
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.UnixMilli(1_700_000_000_000), mutation: m,
 		streams: []*simStream{newSimStream()}, streamDown: map[int]bool{}, behaviours: map[string]taskBehaviour{}, faultsOn: true, cuts: map[string]bool{},
 		boxCount: defaultBoxes, maxTaskTime: 1500 * time.Millisecond,
 	}
@@ -122,58 +127,64 @@
 	return w
 }
 
-func (w *world) at(at time.Time, do func()) {
-	w.agenda.Schedule(at, do)
+// at schedules an action at the given time.
+func (w *world) at(at time.Time, action func()) {
+	w.agenda.Schedule(at, action)
 }
 
-func (w *world) after(length time.Duration, do func()) {
-	w.at(w.now.Add(length), do)
+// after schedules an action after a delay.
+func (w *world) after(delay time.Duration, action func()) {
+	w.at(w.now.Add(delay), action)
 }
 
+// randomDuration returns a random duration from low to high.
 func (w *world) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-func (w *world) chance(part float64) bool {
-	return w.faultsOn && w.random.Float64() < part
+// chance returns true with the given probability while faults may occur, and false otherwise.
+func (w *world) chance(probability float64) bool {
+	return w.faultsOn && w.random.Float64() < probability
 }
 
 func (w *world) behaviourOf(id damsonwinch.TaskID) taskBehaviour {
 	return w.behaviours[id.Job]
 }
 
+// logf adds a line to the log, with the time since the start in seconds.
 func (w *world) logf(format string, args ...any) {
 	w.log = append(w.log, fmt.Sprintf("%7.3f ", w.now.Sub(time.UnixMilli(1_700_000_000_000)).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// run lets events happen until a moment or until a rule is broken.
+// run runs the events up to the given time, or until a rule is violated.
 func (w *world) run(until time.Time) {
 	for w.rules.violation == "" {
-		at, do, found := w.agenda.PopUntil(until)
+		at, action, found := w.agenda.PopUntil(until)
 		if !found {
 			break
 		}
 		w.now = at
-		do()
+		action()
 	}
 	w.now = until
 }
 
-// addEndpoint starts a new life on a box.
+// addEndpoint starts a new life on a box. In simulations with shared IDs the registry lists it only
+// after a delay, unless the simulation is just starting.
 func (w *world) addEndpoint(box string) {
 	w.lifeCount++
 	life := damsonwinch.Life{ID: fmt.Sprintf("life-%d", w.lifeCount)}
 	address := fmt.Sprintf("addr-%d", w.lifeCount)
 	if w.sharedIDs {
-		// Boxes' clocks are set back as well as forth.
+		// A box's clock may also be set back, so later lives may have earlier start times.
 		life, address = damsonwinch.Life{ID: "on-" + box, StartedUnixMs: 1 + w.random.IntN(math.MaxInt32)}, "addr-"+box
 	}
-	lag := time.Duration(0)
+	delay := time.Duration(0)
 	if w.sharedIDs && w.now.After(w.startedAt) {
-		lag = w.randomDuration(0, maxRegistrationDelay)
+		delay = w.randomDuration(0, maxRegistrationDelay)
 	}
 	w.endpoints = append(w.endpoints, &simEndpoint{
-		world: w, registrationDelay: lag, drift: 0.98 + 0.04*w.random.Float64(), startedAt: w.now, runs: map[damsonwinch.Run]*simRun{}, lastAttempts: map[damsonwinch.TaskID]int{},
+		world: w, registrationDelay: delay, clockRate: 0.98 + 0.04*w.random.Float64(), startedAt: w.now, runs: map[damsonwinch.Run]*simRun{}, lastAttempts: map[damsonwinch.TaskID]int{},
 		info: damsonwinch.Endpoint{
 			Life: life, Box: box, Address: address, Pool: "pool",
 			Capacity: damsonwinch.Resources{MilliCPU: w.boxMilliCPU, MemoryMB: 8000},
@@ -184,7 +195,7 @@
 	}
 }
 
-// newestLife returns what answers under a life's ID: the newest life that it names.
+// newestLife returns the newest life with the given ID, or nil. Calls to that ID reach it.
 func (w *world) newestLife(id string) *simEndpoint {
 	for _, e := range slices.Backward(w.endpoints) {
 		if e.info.Life.ID == id {
@@ -194,7 +205,7 @@
 	return nil
 }
 
-// listedEndpoints are the endpoints that the registry shows.
+// listedEndpoints returns the endpoints that the registry lists.
 func (w *world) listedEndpoints() []damsonwinch.Endpoint {
 	if w.registry != nil {
 		return w.registeredEndpoints()
@@ -202,38 +213,40 @@
 	if w.sharedIDs {
 		return w.registeredLives()
 	}
-	var found []damsonwinch.Endpoint
+	var listed []damsonwinch.Endpoint
 	for _, e := range w.endpoints {
 		if !e.exited {
-			found = append(found, e.info)
+			listed = append(listed, e.info)
 		}
 	}
-	return found
+	return listed
 }
 
-// boxList is the platform's list of boxList.
+// boxList returns the platform's list of boxes, without those that are down.
 func (w *world) boxList() []damsonwinch.Box {
-	var found []damsonwinch.Box
+	var boxes []damsonwinch.Box
 	for _, e := range w.endpoints {
 		if !e.exited {
-			found = append(found, damsonwinch.Box{Name: e.info.Box, State: damsonwinch.BoxUp, EndpointID: e.info.Life.ID})
+			boxes = append(boxes, damsonwinch.Box{Name: e.info.Box, State: damsonwinch.BoxUp, EndpointID: e.info.Life.ID})
 		}
 	}
-	return found
+	return boxes
 }
 
-// simStream is a stream of the store.
+// simStream is a stream of the store. It holds the newest record of each key.
 type simStream struct {
-	newest       map[string][]byte
-	epoch        int
-	lastSequence int // Highest sequence that counted in this epoch.
+	newest map[string][]byte
+	epoch  int
+	// lastSequence is the highest sequence number that was appended in this epoch.
+	lastSequence int
 }
 
 func newSimStream() *simStream {
 	return &simStream{newest: map[string][]byte{}}
 }
 
-// append is as the store has it: all or nothing, fenced, each sequence once.
+// append works as in the store: it appends all records or none, rejects earlier epochs, and appends
+// each sequence number once.
 func (s *simStream) append(epoch, sequence int, records []damsonwinch.Record) error {
 	switch {
 	case epoch < s.epoch:
@@ -257,27 +270,29 @@
 	return nil
 }
 
+// records returns the newest record of each key, sorted by key.
 func (s *simStream) records() []damsonwinch.Record {
-	var found []damsonwinch.Record
+	var records []damsonwinch.Record
 	for key, value := range s.newest {
-		found = append(found, damsonwinch.Record{Key: key, Value: value})
+		records = append(records, damsonwinch.Record{Key: key, Value: value})
 	}
-	slices.SortFunc(found, func(a, b damsonwinch.Record) int { return cmp.Compare(a.Key, b.Key) })
-	return found
+	slices.SortFunc(records, func(a, b damsonwinch.Record) int { return cmp.Compare(a.Key, b.Key) })
+	return records
 }
 
-func simOptions(broken mutation) cell.Options {
+// simOptions returns the options of the simulated cell, changed as the mutation demands.
+func simOptions(m mutation) cell.Options {
 	options := cell.Options{
 		MaxLease: simMaxLease, RenewalGrace: simRenewalGrace, MaxStopTime: simMaxStopTime, MaxStartDelay: time.Second, MinCommitInterval: 10 * time.Millisecond,
 		PollWait: 300 * time.Millisecond, IdlePollInterval: time.Second, PollRetryInterval: 200 * time.Millisecond, EndedJobRetention: time.Minute,
 	}
-	if broken.expireLeasesEarly {
+	if m.expireLeasesEarly {
 		options.MaxLease, options.RenewalGrace = 50*time.Millisecond, 0
 	}
 	switch {
-	case broken.ignoreLosses:
+	case m.ignoreLosses:
 		options.CrashRules = crash.Rules{SuspectAge: -1, ProofWeight: math.MaxInt, MaxLosses: math.MaxInt}
-	case broken.giveUpByCount:
+	case m.giveUpByCount:
 		options.CrashRules = crash.Rules{SuspectAge: -1, MaxCrashAge: time.Hour, ProofWeight: math.MaxInt, MaxLosses: 2}
 	}
 	return options
