--- a/pkg/cell/arrivals_test.go
+++ b/pkg/cell/arrivals_test.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestArrivalRates plays jobs that arrive, slot by slot, and shows the rates that are
-// taken to come.
+// TestArrivalRates replays jobs that arrive, slot by slot, and prints the rates that are estimated from
+// them.
 func TestArrivalRates(t *testing.T) {
 	datadriven.Walk(t, "testdata/arrivals", func(t *testing.T, path string) {
-		var known arrivals
+		var counts arrivals
 		now := time.UnixMilli(1_700_000_000_000)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
@@ -26,16 +26,16 @@
 					}
 					now = now.Add(arrivalSlot)
 					for range jobs {
-						known.add(now)
+						counts.add(now)
 					}
 				}
-				known.advance(now)
+				counts.advance(now)
 				return "arrived"
 			case "rates":
 				ahead := 0
 				d.MaybeScanArgs(t, "ahead_ms", &ahead)
-				found := known.rates(now, time.Duration(ahead)*time.Millisecond)
-				return fmt.Sprintf("steady %.1f, expected %.1f a second", found.steady, found.expected)
+				result := counts.rates(now, time.Duration(ahead)*time.Millisecond)
+				return fmt.Sprintf("steady %.1f, expected %.1f a second", result.steady, result.expected)
 			}
 			t.Fatalf("unknown command %s", d.Cmd)
 			return ""
@@ -43,14 +43,14 @@
 	})
 }
 
-// TestMeanWorkIsNotDominatedByOneJob is not doubled by one giant among few jobs.
+// TestMeanWorkIsNotDominatedByOneJob checks the mean work of a queue with one very large job among few.
 func TestMeanWorkIsNotDominatedByOneJob(t *testing.T) {
-	var known queueStats
+	var stats queueStats
 	now := time.UnixMilli(1_700_000_000_000)
 	for _, work := range []int{80_000, 110_000, 100_000, 3_000_000, 90_000} {
-		known.addJob(now, work, 1000, 1000)
+		stats.addJob(now, work, 1000, 1000)
 	}
-	if mean := known.meanWork(); mean < 100_000 || mean > 300_000 {
-		t.Errorf("mean work %.0f, want that of the usual jobs", mean)
+	if mean := stats.meanWork(); mean < 100_000 || mean > 300_000 {
+		t.Errorf("mean work %.0f, want that of the usual jobs, 100000 to 300000", mean)
 	}
 }
--- a/pkg/cell/batches_test.go
+++ b/pkg/cell/batches_test.go
@@ -10,10 +10,10 @@
 	"damsonwinch/pkg/cell"
 )
 
-// TestLargeCommitIsSplitBetweenJobs since the store refuses a call of more than 2 MB each
-// time that it is tried: what piled up while the store was away could never be appended.
+// TestLargeCommitIsSplitBetweenJobs guards against a commit that can never be appended. The store always
+// rejects a call of more than 2 MB, and the changes that accumulate while it is down may be larger.
 func TestLargeCommitIsSplitBetweenJobs(t *testing.T) {
-	const most, jobs, textBytes = 100_000, 200, 4000
+	const maxBytes, jobs, textBytes = 100_000, 200, 4000
 	commit := cell.Commit{Records: []damsonwinch.Record{{Key: "mark", Value: []byte("x")}}}
 	for number := range jobs {
 		job := fmt.Sprintf("%016x", number)
@@ -21,14 +21,14 @@
 			damsonwinch.Record{Key: job + "/spec", Value: make([]byte, textBytes)}, damsonwinch.Record{Key: job, Value: make([]byte, 100)})
 	}
 	var joined []damsonwinch.Record
-	batches := commit.Batches(most)
+	batches := commit.Batches(maxBytes)
 	for _, batch := range batches {
 		bytes := 0
 		for _, record := range batch {
 			bytes += len(record.Key) + len(record.Value)
 		}
-		assert.Assert(t, bytes <= most)
-		assert.Assert(t, len(batch[len(batch)-1].Value) != textBytes, "a job's text and its state are appended together")
+		assert.Assert(t, bytes <= maxBytes)
+		assert.Assert(t, len(batch[len(batch)-1].Value) != textBytes, "a job's specification and its state must be in the same batch")
 		joined = append(joined, batch...)
 	}
 	assert.DeepEqual(t, joined, commit.Records)
--- a/pkg/cell/decode_test.go
+++ b/pkg/cell/decode_test.go
@@ -10,8 +10,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// FuzzSubmit hands in whatever clients may send, on a cell with an endpoint, and has the
-// next owner read what was recorded.
+// FuzzSubmit submits whatever clients may send to a cell with one endpoint, and lets the next owner load
+// what was recorded.
 func FuzzSubmit(f *testing.F) {
 	for _, spec := range []wire.JobSpec{
 		{Text: "text", Phases: []wire.Phase{{Count: 3, Cpu: 1000, MemoryMb: 10, EstimateMs: 500}, {Count: 1, After: []int{0}}}},
@@ -43,8 +43,8 @@
 			now = now.Add(100 * time.Millisecond)
 			c.Tick(now)
 			effects := c.TakeEffects()
-			for _, look := range effects.Polls {
-				c.Polled(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{}, nil)
+			for _, poll := range effects.Polls {
+				c.Polled(now, poll.Endpoint.Life, poll.Number, damsonwinch.PollReply{}, nil)
 			}
 			if effects.Commit != nil {
 				records = append(records, effects.Commit.Records...)
@@ -58,17 +58,18 @@
 				delete(newest, record.Key)
 			}
 		}
-		left := make([]damsonwinch.Record, 0, len(newest))
+		remaining := make([]damsonwinch.Record, 0, len(newest))
 		for _, record := range newest {
-			left = append(left, record)
+			remaining = append(remaining, record)
 		}
-		if err := cell.New(options, 2).Load(now, left); err != nil {
-			t.Errorf("the next owner can't read what was recorded: %v", err)
+		if err := cell.New(options, 2).Load(now, remaining); err != nil {
+			t.Errorf("the next owner can't load what was recorded: %v", err)
 		}
 	})
 }
 
-// taskCount bounds what one run of the test may take.
+// taskCount returns the number of tasks in all rounds of a job, at least 1. FuzzSubmit skips jobs that
+// would take too long.
 func taskCount(spec wire.JobSpec) int {
 	tasks := 0
 	for _, phase := range spec.Phases {
--- a/pkg/cell/place_bench_test.go
+++ b/pkg/cell/place_bench_test.go
@@ -10,17 +10,19 @@
 	"damsonwinch/pkg/wire"
 )
 
-// benchmark is a cell whose endpoints are full and for which 10,000 tasks wait. An
-// endpoint answers its look with an end, so that one task can start.
+// benchmark holds a cell whose endpoints are full and for which 10,000 tasks wait. When an endpoint
+// answers its poll with a result, one more task can start.
 type benchmark struct {
-	cell          *cell.Cell
-	now           time.Time
+	cell *cell.Cell
+	now  time.Time
+	// polls holds the polls that have not been answered, runs the runs in the order of their starts, and
+	// lastSequences the sequence number of the last result, each by endpoint ID.
 	polls         map[string]cell.Poll
 	runs          map[string][]damsonwinch.Run
 	lastSequences map[string]int
 	endpointIDs   []string
 	jobCount      int
-	// recordedBytes counts what was recorded.
+	// recordedBytes is the total size of the keys and values of all records.
 	recordedBytes int
 }
 
@@ -32,6 +34,7 @@
 	benchCallID      = 1
 )
 
+// newBenchmark returns a benchmark with that many endpoints.
 func newBenchmark(endpoints int) *benchmark {
 	m := &benchmark{now: time.UnixMilli(1_700_000_000_000), polls: map[string]cell.Poll{}, runs: map[string][]damsonwinch.Run{}, lastSequences: map[string]int{}}
 	m.cell = cell.New(cell.Options{
@@ -40,8 +43,8 @@
 	}, 1)
 	m.cell.SetQueues(m.now, []damsonwinch.Queue{{Name: "queue", Pool: "pool", MaxAttempts: 3, DeadlineFactor: 20, TargetLatency: time.Minute}})
 	var listed []damsonwinch.Endpoint
-	for at := range endpoints {
-		id := fmt.Sprintf("endpoint-%04d", at)
+	for number := range endpoints {
+		id := fmt.Sprintf("endpoint-%04d", number)
 		m.endpointIDs = append(m.endpointIDs, id)
 		listed = append(listed, damsonwinch.Endpoint{
 			Life: damsonwinch.Life{ID: id}, Address: "10.0.0.1:80", Box: "box-" + id, Pool: "pool", Zone: "zone",
@@ -59,6 +62,7 @@
 	return m
 }
 
+// submit submits a job of tasksPerJob tasks.
 func (m *benchmark) submit() {
 	m.jobCount++
 	m.cell.Submit(m.now, wire.JobArgs{
@@ -68,15 +72,15 @@
 	m.performEffects()
 }
 
-// performEffects carries out the cell's effects at once, but for looks, which wait.
+// performEffects performs the cell's effects at once, but leaves the polls unanswered.
 func (m *benchmark) performEffects() {
 	for {
 		effects := m.cell.TakeEffects()
 		if effects.Commit == nil && len(effects.Starts) == 0 && len(effects.Polls) == 0 {
 			return
 		}
-		for _, look := range effects.Polls {
-			m.polls[look.Endpoint.Life.ID] = look
+		for _, poll := range effects.Polls {
+			m.polls[poll.Endpoint.Life.ID] = poll
 		}
 		for _, start := range effects.Starts {
 			m.runs[start.Endpoint.Life.ID] = append(m.runs[start.Endpoint.Life.ID], start.Request.Run)
@@ -91,53 +95,54 @@
 	}
 }
 
-// answerPoll answers an endpoint's look: its oldest run is done, if there is one.
+// answerPoll answers the poll of an endpoint, if there is one, with the results of the runs that are
+// done.
 func (m *benchmark) answerPoll(id string, ended []damsonwinch.Run) {
-	look, asked := m.polls[id]
-	if !asked {
+	poll, exists := m.polls[id]
+	if !exists {
 		return
 	}
 	delete(m.polls, id)
-	found := damsonwinch.PollReply{ClockMs: int(m.now.UnixMilli() % 1_000_000_000)}
+	reply := damsonwinch.PollReply{ClockMs: int(m.now.UnixMilli() % 1_000_000_000)}
 	for _, run := range ended {
 		m.lastSequences[id]++
-		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: m.lastSequences[id], Run: run, Ending: damsonwinch.EndedDone})
+		reply.Finished = append(reply.Finished, damsonwinch.RunResult{Sequence: m.lastSequences[id], Run: run, Ending: damsonwinch.EndedDone})
 	}
 	for _, run := range m.runs[id] {
-		found.Running = append(found.Running, damsonwinch.RunProgress{Run: run, DonePercent: 100})
+		reply.Running = append(reply.Running, damsonwinch.RunProgress{Run: run, DonePercent: 100})
 	}
-	m.cell.Polled(m.now, look.Endpoint.Life, look.Number, found, nil)
+	m.cell.Polled(m.now, poll.Endpoint.Life, poll.Number, reply, nil)
 	m.performEffects()
 }
 
-// endTask ends one task, which lets another one start, and submits a job when one's
-// worth of tasks has gone.
-func (m *benchmark) endTask(number int) {
+// endTask ends the oldest run on an endpoint, so that another task can start. The endpoints take turns.
+// After every tasksPerJob tasks it submits a job.
+func (m *benchmark) endTask(index int) {
 	m.now = m.now.Add(time.Millisecond)
-	id := m.endpointIDs[number%len(m.endpointIDs)]
+	id := m.endpointIDs[index%len(m.endpointIDs)]
 	if runs := m.runs[id]; len(runs) > 0 {
 		m.runs[id] = runs[1:]
 		m.answerPoll(id, runs[:1])
 	}
-	if number%tasksPerJob == 0 {
+	if index%tasksPerJob == 0 {
 		m.submit()
 	}
 }
 
-// BenchmarkStart measures all that the cell decides for one task, from the end
-// that makes room to the start's record, while 10,000 tasks wait, and the bytes that it
-// records when nothing shares a record.
+// BenchmarkStart measures everything that the cell decides for one task, from the result that frees
+// capacity to the record of the task's start, while 10,000 tasks wait. It also reports the bytes that
+// are recorded per start when each start has an append of its own.
 func BenchmarkStart(b *testing.B) {
 	for _, endpoints := range []int{50, 350, 5800} {
 		b.Run(fmt.Sprintf("boxes=%d", endpoints), func(b *testing.B) {
 			m := newBenchmark(endpoints)
-			before, recorded := m.cell.Stats().Starts, m.recordedBytes
-			for number := 0; b.Loop(); number++ {
-				m.endTask(number)
+			startsBefore, bytesBefore := m.cell.Stats().Starts, m.recordedBytes
+			for index := 0; b.Loop(); index++ {
+				m.endTask(index)
 			}
-			starts := float64(m.cell.Stats().Starts - before)
+			starts := float64(m.cell.Stats().Starts - startsBefore)
 			b.ReportMetric(starts/float64(b.N), "starts/op")
-			b.ReportMetric(float64(m.recordedBytes-recorded)/starts, "B/start")
+			b.ReportMetric(float64(m.recordedBytes-bytesBefore)/starts, "B/start")
 		})
 	}
 }
--- a/pkg/cell/record_test.go
+++ b/pkg/cell/record_test.go
@@ -12,17 +12,17 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestLoadRejectsInvalidRecords and says what is wrong with it: a task in the wrong state
-// could run twice.
+// TestLoadRejectsInvalidRecords checks that an owner does not load an invalid record and that the error
+// says what is wrong with it. A task with a wrong state could run twice.
 func TestLoadRejectsInvalidRecords(t *testing.T) {
 	for name, test := range map[string]struct{ record, want string }{
-		"a row that is cut off":       {`{"state":"running","tasks":[[0,0,1]]}`, "3 columns"},
-		"half an attempt":             {`{"state":"running","tasks":[[0,0,1,1,0,0,1]]}`, "7 columns"},
-		"an endpoint that isn't here": {`{"state":"running","tasks":[[0,0,1,1,0,0,1,1]],"endpoints":["e"]}`, "endpoint 1 of 1"},
-		"a task that isn't there":     {`{"state":"running","tasks":[[0,0,7,1,0,0]]}`, "no task"},
-		"a round that isn't there":    {`{"state":"running","tasks":[[1000000000,0,0,1,0,0]]}`, "round 1000000000 of 1"},
-		"a checkpoint of no task":     {`{"state":"running","saved":[{"row":3,"checkpoint":"x"}]}`, "checkpoint for row 3"},
-		"no text":                     {``, "no specification"},
+		"row too short":         {`{"state":"running","tasks":[[0,0,1]]}`, "3 columns"},
+		"incomplete attempt":    {`{"state":"running","tasks":[[0,0,1,1,0,0,1]]}`, "7 columns"},
+		"missing endpoint":      {`{"state":"running","tasks":[[0,0,1,1,0,0,1,1]],"endpoints":["e"]}`, "endpoint 1 of 1"},
+		"missing task":          {`{"state":"running","tasks":[[0,0,7,1,0,0]]}`, "no task"},
+		"missing round":         {`{"state":"running","tasks":[[1000000000,0,0,1,0,0]]}`, "round 1000000000 of 1"},
+		"checkpoint of no task": {`{"state":"running","saved":[{"row":3,"checkpoint":"x"}]}`, "checkpoint for row 3"},
+		"no specification":      {``, "no specification"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			accepted, err := json.Marshal(wire.AcceptedJob{Queue: "queue", Spec: simSpec(wire.Phase{Count: 2, Cpu: 1000})})
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -11,10 +11,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestRejectedStartsBackOff: an end of a run that no budget counts, as the end
-// of an endpoint was. What each endpoint refuses as invalid was ordered anew with each append,
-// 500 times in 5 s for a single task.
-func TestRejectedStartsBackOff(t *testing.T) {
+// TestRefusedStartsBackOff guards against endless starts of a task that every endpoint refuses. A refused
+// start counts against no limit, as the loss of an endpoint once did not. So a task that endpoints refuse
+// as invalid was started again with each append, 500 times in 5 s.
+func TestRefusedStartsBackOff(t *testing.T) {
 	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate} {
 		now := time.UnixMilli(1_700_000_000_000)
 		c := cell.New(simOptions(mutation{}), 1)
@@ -34,14 +34,14 @@
 			if effects.Commit != nil {
 				c.Committed(now, effects.Commit.Number)
 			}
-			for _, look := range effects.Polls {
-				c.Polled(now, look.Endpoint.Life, look.Number, damsonwinch.PollReply{ClockMs: int(now.UnixMilli())}, nil)
+			for _, poll := range effects.Polls {
+				c.Polled(now, poll.Endpoint.Life, poll.Number, damsonwinch.PollReply{ClockMs: int(now.UnixMilli())}, nil)
 			}
 			for _, start := range append(effects.Starts, c.TakeEffects().Starts...) {
 				starts++
 				c.Started(now, start.Endpoint.Life, start.Request.Run, refusal)
 			}
 		}
-		assert.Assert(t, starts >= 3 && starts <= 8, "%d starts in 5 s: %v", starts, refusal)
+		assert.Assert(t, starts >= 3 && starts <= 8, "%d starts in 5 s, each refused with: %v", starts, refusal)
 	}
 }
--- a/pkg/cell/script_test.go
+++ b/pkg/cell/script_test.go
@@ -15,26 +15,34 @@
 	"damsonwinch/pkg/wire"
 )
 
-// script is a cell that a data file leads through a scenario. It answers looks only
-// when the file says so.
+// script runs a scenario from a data file on a cell. Start requests, polls and the other calls are
+// answered only when the file says so.
+//
+// The data files have their own words: a look is a poll, an end is a run's result, a pace is a speed
+// change, lasting tasks are long-running, an owner that is deposed has lost its ownership, a note is a
+// log line, and born is when a life started.
 type script struct {
-	t             *testing.T
-	now           time.Time
-	cell          *cell.Cell
-	lastCallID    int
-	listed        []damsonwinch.Endpoint
+	t          *testing.T
+	now        time.Time
+	cell       *cell.Cell
+	lastCallID int
+	// listed holds the endpoints that the registry lists.
+	listed []damsonwinch.Endpoint
+	// polls holds, by life, the last poll that has not been answered. commit is the append in flight, or
+	// nil, and permitRequest the last call for permits.
 	polls         map[string]cell.Poll
 	commit        *cell.Commit
 	permitRequest cell.PermitRequest
-	stream        map[string]damsonwinch.Record
-	token         int
-	queue         damsonwinch.Queue
-	options       cell.Options
-	// lastAllowance counts the planner's words on allowances.
+	// stream holds the newest record of each key in the cell's stream.
+	stream  map[string]damsonwinch.Record
+	token   int
+	queue   damsonwinch.Queue
+	options cell.Options
+	// lastAllowance is the number of the last allowance that the planner has sent.
 	lastAllowance int
 }
 
-// TestScripts plays every scenario of testdata/script.
+// TestScripts runs all scenarios in testdata/script.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/script", func(t *testing.T, path string) {
 		s := &script{
@@ -51,7 +59,7 @@
 	})
 }
 
-// newOwner begins a new owner, with what the stream holds.
+// newOwner replaces the owner by one that loads the records in the stream.
 func (s *script) newOwner() {
 	s.token++
 	s.cell = cell.New(s.options, s.token)
@@ -67,6 +75,7 @@
 	s.cell.SetEndpoints(s.now, s.listed)
 }
 
+// run runs a command of the data file and returns its output.
 func (s *script) run(d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "endpoint":
@@ -107,7 +116,7 @@
 	case "allow":
 		s.setAllowance(d)
 	case "pass":
-		// Time passes while the owner is busy with something else.
+		// Time passes while the owner is busy with something else, so there is no tick.
 		s.now = s.now.Add(time.Duration(intArg(s.t, d, "ms", 0)) * time.Millisecond)
 	case "wait":
 		s.now = s.now.Add(time.Duration(intArg(s.t, d, "ms", 0)) * time.Millisecond)
@@ -123,8 +132,8 @@
 		return fmt.Sprintf("lasting on %d boxes, whole boxes %d, late %d, stalled %d\n", report.LastingBoxes, report.WholeBoxes, report.WholeLateBoxes, report.StalledCpu)
 	case "reported":
 		var lives []string
-		for _, entry := range s.cell.Report(s.now).Endpoints {
-			lives = append(lives, entry.Endpoint)
+		for _, reported := range s.cell.Report(s.now).Endpoints {
+			lives = append(lives, reported.Endpoint)
 		}
 		return strings.Join(lives, " ") + "\n"
 	case "wake":
@@ -132,14 +141,15 @@
 	case "pending":
 		return fmt.Sprintf("%d\n", s.cell.Pending("queue"))
 	case "show":
-		state, known := s.cell.Show(s.jobArgs(d))
-		return fmt.Sprintf("%q %v\n", state, known)
+		state, visible := s.cell.Show(s.jobArgs(d))
+		return fmt.Sprintf("%q %v\n", state, visible)
 	default:
 		d.Fatalf(s.t, "unknown command")
 	}
 	return s.effectLines()
 }
 
+// listEndpoint adds an endpoint to the registry, in place of any other with the same ID.
 func (s *script) listEndpoint(d *datadriven.TestData) {
 	id := arg(s.t, d, "id")
 	info := damsonwinch.Endpoint{
@@ -161,6 +171,7 @@
 	s.cell.SetEndpoints(s.now, s.listed)
 }
 
+// unlistEndpoint removes an endpoint from the registry.
 func (s *script) unlistEndpoint(d *datadriven.TestData) {
 	kept := s.listed[:0:0]
 	for _, other := range s.listed {
@@ -172,9 +183,8 @@
 	s.cell.SetEndpoints(s.now, s.listed)
 }
 
-// submit hands in a job, one line of the input for each phase.
-// jobArgs returns a call on a job: by the customer that a line names, or by anybody on a queue
-// that asks for no key.
+// jobArgs returns the arguments of a call about a job, as the customer that the command names would make
+// it, or as any client would if the queue is public.
 func (s *script) jobArgs(d *datadriven.TestData) wire.JobArgs {
 	args := wire.JobArgs{Queue: "queue", Id: arg(s.t, d, "id"), Public: !d.HasArg("customer")}
 	if !args.Public {
@@ -183,6 +193,7 @@
 	return args
 }
 
+// submit submits a job. Each line of the input describes a phase.
 func (s *script) submit(d *datadriven.TestData) {
 	spec := wire.JobSpec{Text: "text", FirstMs: intArg(s.t, d, "first", 0), EveryMs: intArg(s.t, d, "every", 0), Rounds: intArg(s.t, d, "rounds", 0)}
 	if spec.Rounds > 0 {
@@ -190,8 +201,8 @@
 	}
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 		phase := wire.Phase{Count: 1, Cpu: 1000, MemoryMb: 500, EstimateMs: 500}
-		for _, word := range strings.Fields(line) {
-			name, value, _ := strings.Cut(word, "=")
+		for _, field := range strings.Fields(line) {
+			name, value, _ := strings.Cut(field, "=")
 			count, _ := strconv.Atoi(value)
 			switch name {
 			case "count":
@@ -225,7 +236,7 @@
 			case "checkpoints":
 				phase.Checkpoints = true
 			default:
-				d.Fatalf(s.t, "unknown word %s", word)
+				d.Fatalf(s.t, "unknown word %s", field)
 			}
 		}
 		spec.Phases = append(spec.Phases, phase)
@@ -236,7 +247,8 @@
 	s.cell.Submit(s.now, args, s.lastCallID)
 }
 
-// commitNow puts the append on its way into the stream.
+// commitNow lets MinCommitInterval pass and puts the records of the append in flight into the stream. If
+// no append is in flight, it ticks first, so that the cell can begin one.
 func (s *script) commitNow() string {
 	s.now = s.now.Add(s.options.MinCommitInterval)
 	if s.commit == nil {
@@ -262,37 +274,39 @@
 	return "stream: " + strings.Join(keys, " ") + "\n" + s.effectLines()
 }
 
-// lifeArg returns the lifeArg that a line names, with @ before the moment of its birth.
+// lifeArg returns the life in the argument at, which may have the form ID@start.
 func lifeArg(t *testing.T, d *datadriven.TestData) damsonwinch.Life {
 	return damsonwinch.ParseLife(arg(t, d, "at"))
 }
 
-// answerPoll answers the answerPoll at an endpoint that is on its way; the endpoint's clock
-// goes with the scenario's.
+// answerPoll answers the poll of an endpoint. The argument running lists runs as run:percent:load, of
+// which percent and load may be left out, and the argument ended lists results as sequence:run:ending.
+// The endpoint's clock is 5 s ahead of the time since the scenario began.
 func (s *script) answerPoll(d *datadriven.TestData) string {
 	at := arg(s.t, d, "at")
-	sent, waits := s.polls[at]
-	if !waits {
+	sent, exists := s.polls[at]
+	if !exists {
 		return "no look is on its way to " + at + "\n"
 	}
 	delete(s.polls, at)
-	found := damsonwinch.PollReply{StartedUnixMs: intArg(s.t, d, "born", sent.Endpoint.Life.StartedUnixMs), ClockMs: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
+	reply := damsonwinch.PollReply{StartedUnixMs: intArg(s.t, d, "born", sent.Endpoint.Life.StartedUnixMs), ClockMs: int(s.now.UnixMilli() - 1_700_000_000_000 + 5000)}
 	for _, text := range listArg(s.t, d, "running") {
 		parts := strings.Split(text+":0:0", ":")
 		percent, _ := strconv.Atoi(parts[1])
 		load, _ := strconv.Atoi(parts[2])
-		found.Running = append(found.Running, damsonwinch.RunProgress{Run: parseRun(parts[0]), DonePercent: percent, Load: load})
+		reply.Running = append(reply.Running, damsonwinch.RunProgress{Run: parseRun(parts[0]), DonePercent: percent, Load: load})
 	}
 	for _, text := range listArg(s.t, d, "ended") {
 		parts := strings.Split(text, ":")
-		count, _ := strconv.Atoi(parts[0])
-		found.Finished = append(found.Finished, damsonwinch.RunResult{Sequence: count, Run: parseRun(parts[1]), Ending: damsonwinch.Ending(parts[2])})
+		sequence, _ := strconv.Atoi(parts[0])
+		reply.Finished = append(reply.Finished, damsonwinch.RunResult{Sequence: sequence, Run: parseRun(parts[1]), Ending: damsonwinch.Ending(parts[2])})
 	}
-	s.cell.Polled(s.now, sent.Endpoint.Life, sent.Number, found, errorArg(d, s.t))
+	s.cell.Polled(s.now, sent.Endpoint.Life, sent.Number, reply, errorArg(d, s.t))
 	return s.effectLines()
 }
 
-// answerPermitRequest answers the last call for permits.
+// answerPermitRequest answers the last call for permits, with permits for the endpoints in the argument
+// good.
 func (s *script) answerPermitRequest(d *datadriven.TestData) {
 	var permits []damsonwinch.Permit
 	for _, id := range listArg(s.t, d, "good") {
@@ -301,18 +315,19 @@
 	s.cell.Advised(s.now, s.now, s.permitRequest, permits, s.queue.Advice.PermitTTL, errorArg(d, s.t))
 }
 
-// setAllowance has the planner say what the cell may have running of a customer.
+// setAllowance has the planner send the allowance of a customer in this cell.
 func (s *script) setAllowance(d *datadriven.TestData) {
 	s.lastAllowance++
-	whole := damsonwinch.Resources{MilliCPU: intArg(s.t, d, "cap", 8000)}
+	limit := damsonwinch.Resources{MilliCPU: intArg(s.t, d, "cap", 8000)}
 	customer := arg(s.t, d, "customer")
-	s.cell.SetCustomers(s.now, s.lastAllowance, []damsonwinch.Customer{{Name: customer, Cap: whole}})
+	s.cell.SetCustomers(s.now, s.lastAllowance, []damsonwinch.Customer{{Name: customer, Cap: limit}})
 	s.cell.ApplySync(s.now, wire.SyncArgs{
 		Token: 1, CellToken: s.token, AllowanceNumber: s.lastAllowance, ConfigVersion: s.lastAllowance,
-		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: intArg(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: whole.MilliCPU}}},
+		Allowances: []wire.AllowanceRow{{Customer: customer, Amount: wire.Amount{Cpu: intArg(s.t, d, "cpu", 0)}, Cap: wire.Amount{Cpu: limit.MilliCPU}}},
 	})
 }
 
+// setBoxes passes the platform's list of boxes to the cell.
 func (s *script) setBoxes(d *datadriven.TestData) {
 	var boxes []damsonwinch.Box
 	for _, id := range listArg(s.t, d, "up") {
@@ -321,12 +336,14 @@
 	s.cell.SetBoxes(s.now, boxes)
 }
 
-// collectEffects keeps what is on its way and returns the rest as lines.
+// collectEffects takes the cell's effects. It keeps the polls, the append and the last call for permits,
+// and returns lines of output: one for each effect except polls, and of the log lines those about jobs
+// and endpoints that the scenarios check.
 func (s *script) collectEffects() []string {
 	var lines []string
 	effects := s.cell.TakeEffects()
-	for _, look := range effects.Polls {
-		s.polls[look.Endpoint.Life.String()] = look
+	for _, poll := range effects.Polls {
+		s.polls[poll.Endpoint.Life.String()] = poll
 	}
 	if effects.Commit != nil {
 		s.commit = effects.Commit
@@ -336,21 +353,21 @@
 		lines = append(lines, fmt.Sprintf("reply %d: %s %s", reply.CallID, reply.Reply.Outcome, reply.Reply.Reason))
 	}
 	for _, start := range effects.Starts {
-		line := fmt.Sprintf("start %s attempt %d on %s", start.Request.Task, start.Request.Attempt, start.Endpoint.Life)
+		text := fmt.Sprintf("start %s attempt %d on %s", start.Request.Task, start.Request.Attempt, start.Endpoint.Life)
 		if start.Request.Ticket != "" {
-			line += " with " + start.Request.Ticket
+			text += " with " + start.Request.Ticket
 		}
-		lines = append(lines, line)
+		lines = append(lines, text)
 	}
 	for _, stop := range effects.Stops {
 		lines = append(lines, fmt.Sprintf("stop %s attempt %d on %s", stop.Request.Task, stop.Request.Attempt, stop.Endpoint.Life))
 	}
-	for _, pace := range effects.SpeedChanges {
-		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", pace.Request.Task, pace.Request.Attempt, pace.Endpoint.Life, pace.Request.SpeedPercent))
+	for _, change := range effects.SpeedChanges {
+		lines = append(lines, fmt.Sprintf("pace %s attempt %d on %s: %d%%", change.Request.Task, change.Request.Attempt, change.Endpoint.Life, change.Request.SpeedPercent))
 	}
-	for _, ask := range effects.PermitRequests {
-		s.permitRequest = ask
-		lines = append(lines, fmt.Sprintf("ask for advice on %s.%d.%d: %s", ask.Job, ask.Round, ask.Phase, strings.Join(ask.Endpoints, " ")))
+	for _, request := range effects.PermitRequests {
+		s.permitRequest = request
+		lines = append(lines, fmt.Sprintf("ask for advice on %s.%d.%d: %s", request.Job, request.Round, request.Phase, strings.Join(request.Endpoints, " ")))
 	}
 	if effects.ListBoxes {
 		lines = append(lines, "ask for the list of boxes")
@@ -358,14 +375,15 @@
 	if effects.OwnershipLost {
 		lines = append(lines, "deposed")
 	}
-	for _, note := range effects.LogLines {
-		if (strings.HasPrefix(note.Message, "job ") || note.Message == "task given up") && note.Message != "job accepted" || strings.HasPrefix(note.Message, "endpoint ") && note.Message != "endpoint listed" && note.Message != "endpoint attached" {
-			lines = append(lines, strings.TrimSpace(fmt.Sprintf("note: %s %s%s: %s", note.Message, note.Job, note.Endpoint, note.Reason)))
+	for _, line := range effects.LogLines {
+		if (strings.HasPrefix(line.Message, "job ") || line.Message == "task given up") && line.Message != "job accepted" || strings.HasPrefix(line.Message, "endpoint ") && line.Message != "endpoint listed" && line.Message != "endpoint attached" {
+			lines = append(lines, strings.TrimSpace(fmt.Sprintf("note: %s %s%s: %s", line.Message, line.Job, line.Endpoint, line.Reason)))
 		}
 	}
 	return lines
 }
 
+// effectLines returns the output of a command: the lines of collectEffects.
 func (s *script) effectLines() string {
 	lines := s.collectEffects()
 	if len(lines) == 0 {
@@ -374,12 +392,14 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
+// arg returns an argument of the command.
 func arg(t *testing.T, d *datadriven.TestData, name string) string {
 	var value string
 	d.ScanArgs(t, name, &value)
 	return value
 }
 
+// optionalArg returns an argument of the command, or an empty string if it is missing.
 func optionalArg(t *testing.T, d *datadriven.TestData, name string) string {
 	if !d.HasArg(name) {
 		return ""
@@ -387,39 +407,40 @@
 	return arg(t, d, name)
 }
 
-func intArg(t *testing.T, d *datadriven.TestData, name string, usual int) int {
+// intArg returns an argument of the command as a number, or defaultValue if it is missing.
+func intArg(t *testing.T, d *datadriven.TestData, name string, defaultValue int) int {
 	if !d.HasArg(name) {
-		return usual
+		return defaultValue
 	}
 	var value int
 	d.ScanArgs(t, name, &value)
 	return value
 }
 
-// listArg reads an argument of one or more values.
+// listArg returns the values of an argument, or nil if it is missing.
 func listArg(t *testing.T, d *datadriven.TestData, name string) []string {
-	for _, given := range d.CmdArgs {
-		if given.Key == name {
-			return given.Vals
+	for _, candidate := range d.CmdArgs {
+		if candidate.Key == name {
+			return candidate.Vals
 		}
 	}
 	return nil
 }
 
-// parseRun reads job.round.phase.index/attempt.
+// parseRun parses a run in the form job.round.phase.index/attempt.
 func parseRun(text string) damsonwinch.Run {
 	name, attempt, _ := strings.Cut(text, "/")
 	parts := strings.Split(name, ".")
 	numbers := make([]int, 0, len(parts))
 	for _, part := range parts[1:] {
-		count, _ := strconv.Atoi(part)
-		numbers = append(numbers, count)
+		number, _ := strconv.Atoi(part)
+		numbers = append(numbers, number)
 	}
-	count, _ := strconv.Atoi(attempt)
-	return damsonwinch.Run{Task: damsonwinch.TaskID{Job: parts[0], Round: numbers[0], Phase: numbers[1], Index: numbers[2]}, Attempt: count}
+	number, _ := strconv.Atoi(attempt)
+	return damsonwinch.Run{Task: damsonwinch.TaskID{Job: parts[0], Round: numbers[0], Phase: numbers[1], Index: numbers[2]}, Attempt: number}
 }
 
-// errorArg reads an error by its short name.
+// errorArg returns the error that the argument error names, or nil if it is missing.
 func errorArg(d *datadriven.TestData, t *testing.T) error {
 	switch name := optionalArg(t, d, "error"); name {
 	case "":
