--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -30,7 +30,7 @@
 )
 
 // executeEffects carries out what the cell has decided since the last call. It returns true if the cell
-// may have a newer owner; it then writes nothing and sends no requests.
+// may have a newer owner. It then appends no records and sends no requests.
 func (o *Owner) executeEffects() bool {
 	effects := o.cell.TakeEffects()
 	for _, line := range effects.LogLines {
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -88,7 +88,7 @@
 // waitUntilRejected lets the append fail for so long and so often that the cell may move.
 func (f *ownerFixture) waitUntilRejected(t *testing.T) {
 	clock := clockwork.NewRealClock()
-	for f.writer.FailedTries() < minFailedAttempts {
+	for f.writer.FailedTries() < minFailedTries {
 		assert.NilError(t, t.Context().Err())
 		clock.Sleep(time.Millisecond)
 	}
