--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -51,14 +51,14 @@
 	Logger       logrus.FieldLogger
 	Metrics      *metrics.Set
 	Invariants   *invariant.Checker
-	// Empty is the state before the first record.
-	Empty fold.State
+	// InitialState is the state before the first record.
+	InitialState fold.State
 	// Seed starts the choices that chance makes.
 	Seed uint64
 }
 
-// Front is one entry process's task.
-type Front struct {
+// Entry is one entry process's task.
+type Entry struct {
 	deps        Deps
 	incarnation int
 	key         fold.SenderKey
@@ -104,11 +104,11 @@
 
 // New starts an entry. Its incarnation is its start time, so that a later
 // process on the same box has a higher one.
-func New(deps Deps) (*Front, error) {
+func New(deps Deps) (*Entry, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	incarnation := int(deps.Clock.Now().UnixNano())
-	f := &Front{
+	f := &Entry{
 		deps:        deps,
 		incarnation: incarnation,
 		key:         fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
@@ -120,7 +120,7 @@
 		sender:      send.New(deps.Dial),
 	}
 	f.loop = f.newLoop()
-	f.inForce.Store(&deps.Empty)
+	f.inForce.Store(&deps.InitialState)
 	f.sendUntil.Store(&time.Time{})
 	for _, keeper := range deps.Settings.Keepers {
 		f.keepers = append(f.keepers, call.New(keeper.Address, deps.Dial, deps.Clock))
@@ -139,9 +139,9 @@
 	return f, nil
 }
 
-func (f *Front) newLoop() loop {
+func (f *Entry) newLoop() loop {
 	return loop{
-		state:   f.deps.Empty,
+		state:   f.deps.InitialState,
 		boxes:   map[string]*ownBox{},
 		routes:  map[string][]route{},
 		queues:  map[string]*queue.Queue{},
@@ -163,13 +163,13 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-func (f *Front) start(ctx context.Context) {
+func (f *Entry) start(ctx context.Context) {
 	sources := make([]damsonwinch.RecordSource, 0, len(f.keepers))
 	for _, keeper := range f.keepers {
 		sources = append(sources, follow.PeerSource{Client: keeper})
 	}
 	follower := follow.New(follow.Deps{
-		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.Empty, Updates: f.updates,
+		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.InitialState, Updates: f.updates,
 	})
 	f.group.Go(func() error { return follower.Run(ctx) })
 	f.group.Go(func() error { return f.run(ctx) })
@@ -182,13 +182,13 @@
 }
 
 // Incarnation returns the number of this process among those of its box.
-func (f *Front) Incarnation() int {
+func (f *Entry) Incarnation() int {
 	return f.incarnation
 }
 
 // Close stops the entry at once, without a hand-over, and returns once all of
 // its goroutines have ended. Stop is the planned way.
-func (f *Front) Close() error {
+func (f *Entry) Close() error {
 	_ = f.http.Close()
 	f.cancel()
 	err := f.group.Wait()
@@ -204,12 +204,12 @@
 	return err
 }
 
-func (f *Front) now() time.Time {
+func (f *Entry) now() time.Time {
 	return f.deps.Clock.Now()
 }
 
 // post passes a message to the task unless the entry has stopped.
-func (f *Front) post(message any) bool {
+func (f *Entry) post(message any) bool {
 	select {
 	case f.inbox <- message:
 		return true
