--- a/pkg/front/cache.go
+++ b/pkg/front/cache.go
@@ -18,44 +18,44 @@
 	return cache{boxes: map[string][]*ownBox{}, slots: map[string]int{}, shares: map[shareKey]int{}}
 }
 
-// inPool returns this entry's boxes of a pool.
-func (f *Entry) inPool(pool string) []*ownBox {
-	known, cached := f.cache.boxes[pool]
+// ownBoxes returns this entry's boxes of a pool.
+func (e *Entry) ownBoxes(pool string) []*ownBox {
+	known, cached := e.cache.boxes[pool]
 	if cached {
 		return known
 	}
-	for _, box := range f.boxes {
+	for _, box := range e.boxes {
 		if box.Pool == pool {
 			known = append(known, box)
 		}
 	}
-	f.cache.boxes[pool] = known
+	e.cache.boxes[pool] = known
 	return known
 }
 
 // ownSlots returns the slots that this entry has in a pool.
-func (f *Entry) ownSlots(pool string) int {
-	slots, cached := f.cache.slots[pool]
+func (e *Entry) ownSlots(pool string) int {
+	slots, cached := e.cache.slots[pool]
 	if cached {
 		return slots
 	}
-	for _, box := range f.inPool(pool) {
+	for _, box := range e.ownBoxes(pool) {
 		if box.AcceptsWork() {
 			slots += box.Info.Slots
 		}
 	}
-	f.cache.slots[pool] = slots
+	e.cache.slots[pool] = slots
 	return slots
 }
 
-// shareOf returns this entry's part of a limit on a pool, by the slots that each
+// limitShare returns this entry's part of a limit on a pool, by the slots that each
 // sender has there.
-func (f *Entry) shareOf(total int, pool string) int {
+func (e *Entry) limitShare(total int, pool string) int {
 	key := shareKey{total: total, pool: pool}
-	share, cached := f.cache.shares[key]
+	share, cached := e.cache.shares[key]
 	if !cached {
-		share = f.computeShare(total, pool)
-		f.cache.shares[key] = share
+		share = e.computeLimitShare(total, pool)
+		e.cache.shares[key] = share
 	}
 	return share
 }
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -14,34 +14,34 @@
 	"damsonwinch/pkg/wire"
 )
 
-// report is what a request tells of the box that it was granted.
-type report struct {
+// attemptReport is what a request tells of the box that it was granted.
+type attemptReport struct {
 	kind send.Kind
 	// failed says that the answer, or its absence, speaks against the box.
 	failed bool
-	// refused says that the box had no room.
-	refused bool
-	took    time.Duration
+	// busy says that the box had no room.
+	busy bool
+	took time.Duration
 	// unused says that nothing was sent.
 	unused bool
 	// last says that the request is tried no more.
 	last bool
 }
 
-// weights gives the queue the table's shares.
-type weights struct {
-	front *Entry
+// tableWeights gives the queue the table's shares.
+type tableWeights struct {
+	entry *Entry
 }
 
 // Service returns a service's share of its pool.
-func (w weights) Service(service string) int {
-	row, _ := w.front.state.Table().Row(service)
+func (w tableWeights) Service(service string) int {
+	row, _ := w.entry.state.Table().Row(service)
 	return row.Weight
 }
 
 // Customer returns a team's share of a service.
-func (w weights) Customer(service, team string) int {
-	row, _ := w.front.state.Table().Row(service)
+func (w tableWeights) Customer(service, team string) int {
+	row, _ := w.entry.state.Table().Row(service)
 	for _, quota := range row.Quotas {
 		if quota.Team == team {
 			return quota.Weight
@@ -50,68 +50,68 @@
 	return 1
 }
 
-func (f *Entry) queue(pool string) *queue.Queue {
-	if f.queues[pool] == nil {
-		f.queues[pool] = queue.New(weights{front: f})
+func (e *Entry) queue(pool string) *queue.Queue {
+	if e.queues[pool] == nil {
+		e.queues[pool] = queue.New(tableWeights{entry: e})
 	}
-	return f.queues[pool]
+	return e.queues[pool]
 }
 
-func (f *Entry) dispatchAll() {
-	for pool, waiting := range f.queues {
+func (e *Entry) dispatchAll() {
+	for pool, waiting := range e.queues {
 		if waiting.Total() > 0 {
-			f.dispatch(pool)
+			e.dispatch(pool)
 		}
 	}
 }
 
 // dispatch starts waiting requests of a pool while boxes have room for them.
-func (f *Entry) dispatch(pool string) {
-	now := f.now()
-	if !f.leasing.holder.MaySend(now) {
+func (e *Entry) dispatch(pool string) {
+	now := e.now()
+	if !e.lease.holder.MaySend(now) {
 		return
 	}
-	waiting := f.queue(pool)
+	waiting := e.queue(pool)
 	for waiting.Total() > 0 {
-		views := f.views(pool)
-		free := totalFree(views)
-		if free == 0 && !f.anyOnTrial(pool, now) {
+		views := e.candidates(pool)
+		free := totalFreeSlots(views)
+		if free == 0 && !e.mayProbeAny(pool, now) {
 			return
 		}
 		choices := map[string]string{}
 		item, found := waiting.Pop(func(item queue.Item) bool {
-			choices[item.ID] = f.choose(item, pool, views, free)
+			choices[item.ID] = e.chooseBox(item, pool, views, free)
 			return choices[item.ID] != ""
 		})
 		if !found {
 			return
 		}
-		f.startItem(item, choices[item.ID])
+		e.grantBox(item, choices[item.ID])
 	}
 }
 
-// view returns what the picker sees of a box.
-func (f *Entry) view(box *ownBox) pick.Box {
+// candidate returns what the picker sees of a box.
+func (e *Entry) candidate(box *ownBox) pick.Box {
 	name := box.Info.Name
 	return pick.Box{
 		Name: name, Slots: box.Info.Slots, InUse: box.inUse,
-		Limit: f.learner.Limit(name, box.Info.Slots), RelativeLatency: f.learner.RelativeLatency(name),
+		Limit: e.learner.Limit(name, box.Info.Slots), RelativeLatency: e.learner.RelativeLatency(name),
 	}
 }
 
-// views returns the boxes of a pool that take new work from anybody.
-func (f *Entry) views(pool string) []pick.Box {
-	boxes := f.inPool(pool)
+// candidates returns the boxes of a pool that take new work from anybody.
+func (e *Entry) candidates(pool string) []pick.Box {
+	boxes := e.ownBoxes(pool)
 	views := make([]pick.Box, 0, len(boxes))
 	for _, box := range boxes {
-		if f.open(box, false) {
-			views = append(views, f.view(box))
+		if e.mayStartOn(box, false) {
+			views = append(views, e.candidate(box))
 		}
 	}
 	return views
 }
 
-func totalFree(views []pick.Box) int {
+func totalFreeSlots(views []pick.Box) int {
 	free := 0
 	for _, view := range views {
 		free += view.Free()
@@ -120,180 +120,180 @@
 }
 
 const (
-	urgentMemory      = time.Minute
-	slotsAReserved    = 16
-	leastReservedFrom = 4
+	urgentReservePeriod  = time.Minute
+	slotsPerReservedSlot = 16
+	minSlotsToReserve    = 4
 )
 
-// reserve returns the slots kept free for urgent work of a pool that has seen
+// reservedSlots returns the slots kept free for urgent work of a pool that has seen
 // some lately.
-func (f *Entry) reserve(pool string) int {
-	seen, known := f.urgent[pool]
-	slots := f.ownSlots(pool)
-	if !known || f.now().Sub(seen) > urgentMemory || slots < leastReservedFrom {
+func (e *Entry) reservedSlots(pool string) int {
+	seen, known := e.lastUrgent[pool]
+	slots := e.ownSlots(pool)
+	if !known || e.now().Sub(seen) > urgentReservePeriod || slots < minSlotsToReserve {
 		return 0
 	}
-	return 1 + slots/slotsAReserved
+	return 1 + slots/slotsPerReservedSlot
 }
 
-// choose returns the box on which an item may start now, or "".
-func (f *Entry) choose(item queue.Item, pool string, views []pick.Box, free int) string {
-	row, known := f.state.Table().Row(item.Service)
-	if !known || f.usage(item.Service).slots+item.Size > max(1, f.shareOf(row.Most, pool)) {
+// chooseBox returns the box on which an item may start now, or "".
+func (e *Entry) chooseBox(item queue.Item, pool string, views []pick.Box, free int) string {
+	row, known := e.state.Table().Row(item.Service)
+	if !known || e.usage(item.Service).slots+item.Size > max(1, e.limitShare(row.Most, pool)) {
 		return ""
 	}
-	if onTrial := f.trialFor(item, pool, row); onTrial != "" {
+	if onTrial := e.boxToProbe(item, pool, row); onTrial != "" {
 		return onTrial
 	}
 	if item.Class == wire.ClassUrgent {
-		f.urgent[pool] = f.now()
-	} else if free-item.Size < f.reserve(pool) {
+		e.lastUrgent[pool] = e.now()
+	} else if free-item.Size < e.reservedSlots(pool) {
 		return ""
 	}
-	tried := f.jobs[item.ID].tried
+	tried := e.requests[item.ID].tried
 	if len(tried) > 0 {
 		views = slices.DeleteFunc(slices.Clone(views), func(view pick.Box) bool { return tried[view.Name] })
 	}
-	at := pick.Choose(views, item.Size, f.random)
+	at := pick.Choose(views, item.Size, e.random)
 	if at < 0 {
 		return ""
 	}
 	return views[at].Name
 }
 
-// trialFor returns an ejected box that this repeatable request may try.
-func (f *Entry) trialFor(item queue.Item, pool string, row settings.Row) string {
-	if !row.Repeatable || item.Class == wire.ClassUrgent || len(f.jobs[item.ID].tried) > 0 {
+// boxToProbe returns an ejected box that this repeatable request may try.
+func (e *Entry) boxToProbe(item queue.Item, pool string, row settings.Row) string {
+	if !row.Repeatable || item.Class == wire.ClassUrgent || len(e.requests[item.ID].tried) > 0 {
 		return ""
 	}
-	for _, box := range f.inPool(pool) {
+	for _, box := range e.ownBoxes(pool) {
 		name := box.Info.Name
-		if f.book.IsEjected(name) && f.open(box, true) && item.Size <= box.Info.Slots {
+		if e.ejections.IsEjected(name) && e.mayStartOn(box, true) && item.Size <= box.Info.Slots {
 			return name
 		}
 	}
 	return ""
 }
 
-func (f *Entry) anyOnTrial(pool string, now time.Time) bool {
-	for _, box := range f.inPool(pool) {
-		if box.inUse == 0 && f.book.MayProbe(box.Info.Name, now) {
+func (e *Entry) mayProbeAny(pool string, now time.Time) bool {
+	for _, box := range e.ownBoxes(pool) {
+		if box.inUse == 0 && e.ejections.MayProbe(box.Info.Name, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// startItem grants an item its box.
-func (f *Entry) startItem(item queue.Item, name string) {
-	row, _ := f.state.Table().Row(item.Service)
-	box := f.boxes[name]
-	f.checkLeaving(box)
-	f.deps.Invariants.Check(invariant.SentWithoutLease, f.leasing.holder.MaySend(f.now()), "request %s got box %s outside the lease", item.ID, name)
+// grantBox grants an item its box.
+func (e *Entry) grantBox(item queue.Item, name string) {
+	row, _ := e.state.Table().Row(item.Service)
+	box := e.boxes[name]
+	e.checkNotLeaving(box)
+	e.deps.Invariants.Check(invariant.SentWithoutLease, e.lease.holder.MaySend(e.now()), "request %s got box %s outside the lease", item.ID, name)
 	box.inUse += item.Size
-	f.usage(item.Service).slots += item.Size
-	granted := f.jobs[item.ID]
-	granted.box, granted.begun = name, f.now()
+	e.usage(item.Service).slots += item.Size
+	granted := e.requests[item.ID]
+	granted.box, granted.startedAt = name, e.now()
 	granted.reply <- grant{box: name, address: box.Info.Address, row: row}
 }
 
 // finish takes back a grant and learns from what became of it.
-func (f *Entry) finish(m finishMessage) {
-	done := f.jobs[m.id]
+func (e *Entry) finish(m finishMessage) {
+	done := e.requests[m.id]
 	if done == nil {
 		return
 	}
-	f.forget(done)
-	f.usage(done.item.Service).slots -= done.item.Size
-	box := f.boxes[done.box]
+	e.forget(done)
+	e.usage(done.item.Service).slots -= done.item.Size
+	box := e.boxes[done.box]
 	if box != nil {
 		box.inUse -= done.item.Size
-		f.learn(done, box, m.report)
+		e.recordAttempt(done, box, m.report)
 	}
 	if m.report.last {
-		f.book.ForgetRequest(m.id)
+		e.ejections.ForgetRequest(m.id)
 	}
 	if box != nil && box.Phase == fold.Draining && box.inUse == 0 {
-		f.endDrains(f.ctx)
+		e.proposeBoxChanges(e.ctx)
 	}
-	f.dispatch(done.pool)
+	e.dispatch(done.pool)
 }
 
-func (f *Entry) learn(done *job, box *ownBox, report report) {
+func (e *Entry) recordAttempt(done *requestState, box *ownBox, report attemptReport) {
 	name := box.Info.Name
-	if report.kind == send.Broken {
-		row, _ := f.state.Table().Row(done.item.Service)
-		box.mayRunUntil = f.now().Add(milliseconds(row.RunMs) - report.took)
+	if report.kind == send.Unanswered {
+		row, _ := e.state.Table().Row(done.item.Service)
+		box.mayRunUntil = e.now().Add(milliseconds(row.RunMs) - report.took)
 	}
 	switch {
 	case report.unused:
-	case report.refused:
-		f.learner.RecordBusy(name, box.inUse+done.item.Size)
-	case report.kind == send.Broken && !report.failed:
+	case report.busy:
+		e.learner.RecordBusy(name, box.inUse+done.item.Size)
+	case report.kind == send.Unanswered && !report.failed:
 		// Its caller left or its time was short: that says nothing of the box.
 	case report.failed:
-		if f.book.IsEjected(name) {
-			f.book.Eject(name, f.now())
+		if e.ejections.IsEjected(name) {
+			e.ejections.Eject(name, e.now())
 			return
 		}
-		f.book.AddFailure(done.item.ID, name, f.now())
+		e.ejections.AddFailure(done.item.ID, name, e.now())
 	default:
-		f.learner.RecordAnswer(done.item.Service, name, report.took, box.Info.Slots)
-		f.book.AddSuccess(done.item.ID, name)
-		if f.book.IsEjected(name) {
-			f.book.Reinstate(name)
-			f.learner.SlowStart(name)
+		e.learner.RecordAnswer(done.item.Service, name, report.took, box.Info.Slots)
+		e.ejections.AddSuccess(done.item.ID, name)
+		if e.ejections.IsEjected(name) {
+			e.ejections.Reinstate(name)
+			e.learner.SlowStart(name)
 		}
 	}
 }
 
 // cancelWaiting takes a request out of its queue; one that has been granted a
 // box is given back by its own goroutine.
-func (f *Entry) cancelWaiting(id string) {
-	waiting := f.jobs[id]
+func (e *Entry) cancelWaiting(id string) {
+	waiting := e.requests[id]
 	if waiting == nil || waiting.box != "" {
 		return
 	}
-	f.queue(waiting.pool).Remove(id)
-	f.deps.Metrics.Add("cancelled_waiting", 1)
-	f.refuseJob(waiting, refuse(statusCallerGone, neverRetry, "the caller has gone"))
+	e.queue(waiting.pool).Remove(id)
+	e.deps.Metrics.Add("cancelled_waiting", 1)
+	e.refuseWaiting(waiting, newRefusal(statusClientClosedRequest, noRetryAfter, "the caller has gone"))
 }
 
-// expire refuses waiting requests whose deadline has come.
-func (f *Entry) expire() {
-	now := f.now()
-	for pool, waiting := range f.queues {
+// refuseExpired refuses waiting requests whose deadline has come.
+func (e *Entry) refuseExpired() {
+	now := e.now()
+	for pool, waiting := range e.queues {
 		for _, item := range waiting.PopExpired(now) {
-			f.refuseJob(f.jobs[item.ID], refuse(http.StatusServiceUnavailable, f.retryAfter(item.Service, pool),
+			e.refuseWaiting(e.requests[item.ID], newRefusal(http.StatusServiceUnavailable, e.estimateRetryAfter(item.Service, pool),
 				"its deadline came while it waited in the queue of pool %s", pool))
 		}
 	}
 }
 
-const leadRuns = 2
+const agingLeadRuns = 2
 
-// age lifts work that has waited long.
-func (f *Entry) age() {
-	now := f.now()
-	for _, waiting := range f.queues {
-		aged := waiting.Age(now, func(service string) time.Duration { return leadRuns * f.learner.AverageLatency(service) })
-		f.deps.Metrics.Add("aged", aged)
+// ageQueues lifts work that has waited long.
+func (e *Entry) ageQueues() {
+	now := e.now()
+	for _, waiting := range e.queues {
+		aged := waiting.Age(now, func(service string) time.Duration { return agingLeadRuns * e.learner.AverageLatency(service) })
+		e.deps.Metrics.Add("aged", aged)
 	}
 }
 
-// requeue moves waiting requests whose service has changed its pool.
-func (f *Entry) requeue() {
-	for id, waiting := range f.jobs {
-		pool := poolOf(f.state, waiting.item.Service)
+// requeueMoved moves waiting requests whose service has changed its pool.
+func (e *Entry) requeueMoved() {
+	for id, waiting := range e.requests {
+		pool := poolOf(e.state, waiting.item.Service)
 		if waiting.box != "" || pool == waiting.pool {
 			continue
 		}
-		f.queue(waiting.pool).Remove(id)
+		e.queue(waiting.pool).Remove(id)
 		if pool == "" {
-			f.refuseJob(waiting, refuse(http.StatusNotFound, neverRetry, "service %q is no longer in the table", waiting.item.Service))
+			e.refuseWaiting(waiting, newRefusal(http.StatusNotFound, noRetryAfter, "service %q is no longer in the table", waiting.item.Service))
 			continue
 		}
 		waiting.pool = pool
-		f.queue(pool).Push(waiting.item)
+		e.queue(pool).Push(waiting.item)
 	}
 }
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -34,10 +34,10 @@
 const ServiceName = "Entry"
 
 const (
-	inboxLength       = 1024
+	inboxCapacity     = 1024
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
-	bytesAKilobyte    = 1024
+	bytesPerKilobyte  = 1024
 )
 
 // Deps is what an entry needs.
@@ -59,47 +59,47 @@
 
 // Entry is one entry process's task.
 type Entry struct {
-	deps        Deps
-	incarnation int
-	key         fold.SenderKey
-	inbox       chan any
-	updates     chan follow.Update
-	ctx         context.Context //nolint:containedctx // The life of the process, for work that outlives a caller.
-	cancel      context.CancelFunc
-	group       *errgroup.Group
-	rpc         *call.Server
-	http        *http.Server
-	sender      *send.Client
-	claims      *claim.Claimer
-	keepers     []*call.Client
-	stopping    atomic.Bool
-	requests    atomic.Int64
-	held        atomic.Int64 // Bytes of requests and answers.
-	entries     atomic.Int64 // Entries that append claims.
-	inForce     atomic.Pointer[fold.State]
-	sendUntil   atomic.Pointer[time.Time]
-
-	loop
+	deps            Deps
+	incarnation     int
+	key             fold.SenderKey
+	inbox           chan any
+	updates         chan follow.Update
+	ctx             context.Context //nolint:containedctx // The life of the process, for work that outlives a caller.
+	cancel          context.CancelFunc
+	group           *errgroup.Group
+	rpcServer       *call.Server
+	httpServer      *http.Server
+	endpointClient  *send.Client
+	claimer         *claim.Claimer
+	keepers         []*call.Client
+	stopping        atomic.Bool
+	requestCount    atomic.Int64
+	heldBytes       atomic.Int64 // Bytes of requests and answers.
+	entryCount      atomic.Int64 // Entries that append claims.
+	currentState    atomic.Pointer[fold.State]
+	leaseValidUntil atomic.Pointer[time.Time]
+
+	loopState
 }
 
-// loop is what only the task touches.
-type loop struct {
-	state   fold.State
-	boxes   map[string]*ownBox
-	routes  map[string][]route
-	queues  map[string]*queue.Queue
-	running map[string]*usage
-	learner *pick.Learner
-	book    *eject.Tracker
-	random  *rand.Rand
-	avoid   map[string]time.Time
-	leasing leasing
-	jobs    map[string]*job
-	leaving bool
-	budgets map[string]float64
-	peers   map[string]*call.Client
-	urgent  map[string]time.Time
-	cache   cache
+// loopState is what only the task touches.
+type loopState struct {
+	state        fold.State
+	boxes        map[string]*ownBox
+	routes       map[string][]route
+	queues       map[string]*queue.Queue
+	usages       map[string]*usage
+	learner      *pick.Learner
+	ejections    *eject.Tracker
+	random       *rand.Rand
+	leavingSince map[string]time.Time
+	lease        leaseState
+	requests     map[string]*requestState
+	leaving      bool
+	retryBudgets map[string]float64
+	peerClients  map[string]*call.Client
+	lastUrgent   map[string]time.Time
+	cache        cache
 }
 
 // New starts an entry. Its incarnation is its start time, so that a later
@@ -108,54 +108,54 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	incarnation := int(deps.Clock.Now().UnixNano())
-	f := &Entry{
-		deps:        deps,
-		incarnation: incarnation,
-		key:         fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
-		inbox:       make(chan any, inboxLength),
-		updates:     make(chan follow.Update),
-		ctx:         ctx,
-		cancel:      cancel,
-		group:       group,
-		sender:      send.New(deps.Dial),
+	e := &Entry{
+		deps:           deps,
+		incarnation:    incarnation,
+		key:            fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
+		inbox:          make(chan any, inboxCapacity),
+		updates:        make(chan follow.Update),
+		ctx:            ctx,
+		cancel:         cancel,
+		group:          group,
+		endpointClient: send.New(deps.Dial),
 	}
-	f.loop = f.newLoop()
-	f.inForce.Store(&deps.InitialState)
-	f.sendUntil.Store(&time.Time{})
+	e.loopState = e.newLoopState()
+	e.currentState.Store(&deps.InitialState)
+	e.leaseValidUntil.Store(&time.Time{})
 	for _, keeper := range deps.Settings.Keepers {
-		f.keepers = append(f.keepers, call.New(keeper.Address, deps.Dial, deps.Clock))
+		e.keepers = append(e.keepers, call.New(keeper.Address, deps.Dial, deps.Clock))
 	}
-	f.claims = claim.New(claim.Deps{
+	e.claimer = claim.New(claim.Deps{
 		Log: deps.Log, Clock: deps.Clock, Node: deps.Settings.Node, Incarnation: incarnation,
-		Metrics: deps.Metrics, EntryCount: func() int { return int(f.entries.Load()) },
+		Metrics: deps.Metrics, EntryCount: func() int { return int(e.entryCount.Load()) },
 	})
-	server, err := call.Serve(deps.Listener, ServiceName, &service{front: f})
+	server, err := call.Serve(deps.Listener, ServiceName, &service{entry: e})
 	if err != nil {
 		cancel()
 		return nil, fmt.Errorf("serve entry %s: %w", deps.Settings.Node, err)
 	}
-	f.rpc = server
-	f.start(ctx)
-	return f, nil
+	e.rpcServer = server
+	e.start(ctx)
+	return e, nil
 }
 
-func (f *Entry) newLoop() loop {
-	return loop{
-		state:   f.deps.InitialState,
-		boxes:   map[string]*ownBox{},
-		routes:  map[string][]route{},
-		queues:  map[string]*queue.Queue{},
-		running: map[string]*usage{},
-		learner: pick.New(),
-		book:    eject.New(),
-		random:  rand.New(rand.NewPCG(f.deps.Seed, uint64(f.incarnation))),
-		avoid:   map[string]time.Time{},
-		leasing: newLeasing(lease.Timing{Duration: milliseconds(f.deps.Settings.LeaseMs)}),
-		jobs:    map[string]*job{},
-		budgets: map[string]float64{},
-		peers:   map[string]*call.Client{},
-		urgent:  map[string]time.Time{},
-		cache:   newCache(),
+func (e *Entry) newLoopState() loopState {
+	return loopState{
+		state:        e.deps.InitialState,
+		boxes:        map[string]*ownBox{},
+		routes:       map[string][]route{},
+		queues:       map[string]*queue.Queue{},
+		usages:       map[string]*usage{},
+		learner:      pick.New(),
+		ejections:    eject.New(),
+		random:       rand.New(rand.NewPCG(e.deps.Seed, uint64(e.incarnation))),
+		leavingSince: map[string]time.Time{},
+		lease:        newLeaseState(lease.Timing{Duration: milliseconds(e.deps.Settings.LeaseMs)}),
+		requests:     map[string]*requestState{},
+		retryBudgets: map[string]float64{},
+		peerClients:  map[string]*call.Client{},
+		lastUrgent:   map[string]time.Time{},
+		cache:        newCache(),
 	}
 }
 
@@ -163,57 +163,57 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-func (f *Entry) start(ctx context.Context) {
-	sources := make([]damsonwinch.RecordSource, 0, len(f.keepers))
-	for _, keeper := range f.keepers {
+func (e *Entry) start(ctx context.Context) {
+	sources := make([]damsonwinch.RecordSource, 0, len(e.keepers))
+	for _, keeper := range e.keepers {
 		sources = append(sources, follow.PeerSource{Client: keeper})
 	}
 	follower := follow.New(follow.Deps{
-		Clock: f.deps.Clock, Sources: sources, Invariants: f.deps.Invariants, InitialState: f.deps.InitialState, Updates: f.updates,
+		Clock: e.deps.Clock, Sources: sources, Invariants: e.deps.Invariants, InitialState: e.deps.InitialState, Updates: e.updates,
 	})
-	f.group.Go(func() error { return follower.Run(ctx) })
-	f.group.Go(func() error { return f.run(ctx) })
-	f.http = &http.Server{Handler: f.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
-	f.group.Go(func() error {
+	e.group.Go(func() error { return follower.Run(ctx) })
+	e.group.Go(func() error { return e.run(ctx) })
+	e.httpServer = &http.Server{Handler: e.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
+	e.group.Go(func() error {
 		// Serve ends when the server is shut down, in Close.
-		_ = f.http.Serve(f.deps.HTTPListener)
+		_ = e.httpServer.Serve(e.deps.HTTPListener)
 		return nil
 	})
 }
 
 // Incarnation returns the number of this process among those of its box.
-func (f *Entry) Incarnation() int {
-	return f.incarnation
+func (e *Entry) Incarnation() int {
+	return e.incarnation
 }
 
 // Close stops the entry at once, without a hand-over, and returns once all of
 // its goroutines have ended. Stop is the planned way.
-func (f *Entry) Close() error {
-	_ = f.http.Close()
-	f.cancel()
-	err := f.group.Wait()
-	_ = f.claims.Close()
-	f.rpc.Close()
-	f.sender.Close()
-	for _, keeper := range f.keepers {
+func (e *Entry) Close() error {
+	_ = e.httpServer.Close()
+	e.cancel()
+	err := e.group.Wait()
+	_ = e.claimer.Close()
+	e.rpcServer.Close()
+	e.endpointClient.Close()
+	for _, keeper := range e.keepers {
 		keeper.Close()
 	}
-	for _, peer := range f.peers {
+	for _, peer := range e.peerClients {
 		peer.Close()
 	}
 	return err
 }
 
-func (f *Entry) now() time.Time {
-	return f.deps.Clock.Now()
+func (e *Entry) now() time.Time {
+	return e.deps.Clock.Now()
 }
 
 // post passes a message to the task unless the entry has stopped.
-func (f *Entry) post(message any) bool {
+func (e *Entry) post(message any) bool {
 	select {
-	case f.inbox <- message:
+	case e.inbox <- message:
 		return true
-	case <-f.ctx.Done():
+	case <-e.ctx.Done():
 		return false
 	}
 }
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -10,64 +10,64 @@
 	"damsonwinch/pkg/wire"
 )
 
-const callTimeout = time.Second
-
-// leasing is the entry's right to send.
-type leasing struct {
-	holder   lease.Holder
-	seq      int
-	next     time.Time
-	renewing bool
+const keeperCallTimeout = time.Second
+
+// leaseState is the entry's right to send.
+type leaseState struct {
+	holder      lease.Holder
+	lastSeq     int
+	nextRenewal time.Time
+	renewing    bool
 	// registered says that the log has shown this sender.
-	registered bool
-	asking     map[lease.Peer]bool
+	registered        bool
+	extensionsPending map[lease.Peer]bool
 }
 
-func newLeasing(terms lease.Timing) leasing {
-	return leasing{holder: lease.NewHolder(terms), asking: map[lease.Peer]bool{}}
+func newLeaseState(terms lease.Timing) leaseState {
+	return leaseState{holder: lease.NewHolder(terms), extensionsPending: map[lease.Peer]bool{}}
 }
 
 // renew issues the next renewal when it is time, and asks the hall's members
 // for extensions when the log's lease runs low.
-func (f *Entry) renew(ctx context.Context) {
-	now := f.now()
-	f.publishLease(now)
-	if now.Before(f.leasing.next) {
+func (e *Entry) renew(ctx context.Context) {
+	now := e.now()
+	e.publishLease(now)
+	if now.Before(e.lease.nextRenewal) {
 		return
 	}
-	f.leasing.next = now.Add(milliseconds(f.deps.Settings.RenewMs))
-	f.extend(ctx, now)
-	if f.leasing.renewing {
+	e.lease.nextRenewal = now.Add(milliseconds(e.deps.Settings.RenewMs))
+	e.requestExtensions(ctx, now)
+	if e.lease.renewing {
 		return
 	}
-	f.leasing.seq++
-	f.leasing.holder = f.leasing.holder.WithRenewalIssued(f.leasing.seq, now)
-	f.leasing.renewing = true
-	member := f.member()
-	f.group.Go(func() error {
+	e.lease.lastSeq++
+	e.lease.holder = e.lease.holder.WithRenewalIssued(e.lease.lastSeq, now)
+	e.lease.renewing = true
+	member := e.membership()
+	e.group.Go(func() error {
 		var reply wire.RenewReply
-		accepted := f.askKeepers(ctx, "Keeper.Renew", wire.RenewArgs{Member: member}, &reply, func() bool { return reply.Accepted })
-		f.post(renewedMessage{accepted: accepted})
+		accepted := e.callKeepers(ctx, "Keeper.Renew", wire.RenewArgs{Member: member}, &reply, func() bool { return reply.Accepted })
+		e.post(renewedMessage{accepted: accepted})
 		return nil
 	})
 }
 
-func (f *Entry) member() wire.Member {
+func (e *Entry) membership() wire.Member {
 	return wire.Member{
-		Node:         f.key.Node,
-		Hall:         f.deps.Settings.Hall,
-		Entry:        f.key.Incarnation,
-		EntryAddress: f.deps.Settings.Address,
-		Seq:          f.leasing.seq,
-		Folded:       f.state.Offset(),
-		Leaving:      f.leaving,
+		Node:         e.key.Node,
+		Hall:         e.deps.Settings.Hall,
+		Entry:        e.key.Incarnation,
+		EntryAddress: e.deps.Settings.Address,
+		Seq:          e.lease.lastSeq,
+		Folded:       e.state.Offset(),
+		Leaving:      e.leaving,
 	}
 }
 
-// askKeepers calls one keeper after another until one is satisfied.
-func (f *Entry) askKeepers(ctx context.Context, method string, args, reply any, satisfied func() bool) bool {
-	for _, keeper := range f.keepers {
-		limited, cancel := context.WithTimeout(ctx, callTimeout)
+// callKeepers calls one keeper after another until one is satisfied.
+func (e *Entry) callKeepers(ctx context.Context, method string, args, reply any, satisfied func() bool) bool {
+	for _, keeper := range e.keepers {
+		limited, cancel := context.WithTimeout(ctx, keeperCallTimeout)
 		err := keeper.Do(limited, method, args, reply)
 		cancel()
 		if err == nil && satisfied() {
@@ -77,107 +77,107 @@
 	return false
 }
 
-// readBack takes the lease that the folded state shows, and the hall's roster.
-func (f *Entry) readBack() {
-	sender, known := f.state.Sender(f.key)
+// updateLease takes the lease that the folded state shows, and the hall's roster.
+func (e *Entry) updateLease() {
+	sender, known := e.state.Sender(e.key)
 	switch {
 	case known:
-		if !f.leasing.registered {
+		if !e.lease.registered {
 			// The next renewal says that the hall's roster is folded: only then is
 			// this sender given boxes.
-			f.leasing.next = time.Time{}
+			e.lease.nextRenewal = time.Time{}
 		}
-		f.leasing.registered = true
-		f.leasing.holder = f.leasing.holder.WithRenewalConfirmed(sender.Seq)
-	case f.leasing.registered:
-		f.rejoin()
+		e.lease.registered = true
+		e.lease.holder = e.lease.holder.WithRenewalConfirmed(sender.Seq)
+	case e.lease.registered:
+		e.rejoin()
 	}
 	var roster []lease.Peer
-	for _, member := range f.state.MembersInZone(f.deps.Settings.Hall) {
+	for _, member := range e.state.MembersInZone(e.deps.Settings.Hall) {
 		roster = append(roster, lease.Peer{Node: member.Node, Incarnation: member.KeeperIncarnation})
 	}
-	f.leasing.holder = f.leasing.holder.WithPeers(roster)
-	f.publishLease(f.now())
+	e.lease.holder = e.lease.holder.WithPeers(roster)
+	e.publishLease(e.now())
 }
 
 // rejoin makes the entry a new sender after its release: the old one's boxes are
 // others' now, and its lease must never be extended again.
-func (f *Entry) rejoin() {
-	f.deps.Logger.WithField("entry", f.key.Incarnation).Warn("this sender was released; the entry comes back as another")
-	f.deps.Metrics.Add("rejoined", 1)
-	f.key.Incarnation = max(f.key.Incarnation+1, int(f.now().UnixNano()))
-	f.leasing = newLeasing(lease.Timing{Duration: milliseconds(f.deps.Settings.LeaseMs)})
+func (e *Entry) rejoin() {
+	e.deps.Logger.WithField("entry", e.key.Incarnation).Warn("this sender was released; the entry comes back as another")
+	e.deps.Metrics.Add("rejoined", 1)
+	e.key.Incarnation = max(e.key.Incarnation+1, int(e.now().UnixNano()))
+	e.lease = newLeaseState(lease.Timing{Duration: milliseconds(e.deps.Settings.LeaseMs)})
 }
 
 // publishLease lets requests read the clock against the lease directly before
 // each send.
-func (f *Entry) publishLease(now time.Time) {
-	until := f.leasing.holder.ValidUntil(now)
-	f.sendUntil.Store(&until)
+func (e *Entry) publishLease(now time.Time) {
+	until := e.lease.holder.ValidUntil(now)
+	e.leaseValidUntil.Store(&until)
 }
 
-// covered says whether the lease holds at this very moment.
-func (f *Entry) covered() bool {
-	return f.now().Before(*f.sendUntil.Load())
+// leaseValid says whether the lease holds at this very moment.
+func (e *Entry) leaseValid() bool {
+	return e.now().Before(*e.leaseValidUntil.Load())
 }
 
-// extend asks the members of the hall whose promise would run out soon.
-func (f *Entry) extend(ctx context.Context, now time.Time) {
-	half := milliseconds(f.deps.Settings.LeaseMs) / 2
-	if f.leasing.holder.CoveredByLog(now.Add(half)) {
+// requestExtensions asks the members of the hall whose promise would run out soon.
+func (e *Entry) requestExtensions(ctx context.Context, now time.Time) {
+	half := milliseconds(e.deps.Settings.LeaseMs) / 2
+	if e.lease.holder.CoveredByLog(now.Add(half)) {
 		return
 	}
-	for _, peer := range f.leasing.holder.PeersExpiringBefore(now.Add(half)) {
-		member, known := f.state.Member(peer.Node)
-		if f.leasing.asking[peer] || !known {
+	for _, peer := range e.lease.holder.PeersExpiringBefore(now.Add(half)) {
+		member, known := e.state.Member(peer.Node)
+		if e.lease.extensionsPending[peer] || !known {
 			continue
 		}
-		f.leasing.asking[peer] = true
-		client, key := f.peer(member.Address), f.key
-		f.group.Go(func() error {
-			f.post(askExtension(ctx, client, peer, key, now))
+		e.lease.extensionsPending[peer] = true
+		client, key := e.peerClient(member.Address), e.key
+		e.group.Go(func() error {
+			e.post(requestExtension(ctx, client, peer, key, now))
 			return nil
 		})
 	}
 }
 
-func askExtension(ctx context.Context, client *call.Client, peer lease.Peer, key fold.SenderKey, asked time.Time) extendedMessage {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+func requestExtension(ctx context.Context, client *call.Client, peer lease.Peer, key fold.SenderKey, asked time.Time) extendedMessage {
+	limited, cancel := context.WithTimeout(ctx, keeperCallTimeout)
 	defer cancel()
 	var reply wire.ExtendReply
 	err := client.Do(limited, "Keeper.Extend", wire.ExtendArgs{Node: key.Node, Entry: key.Incarnation}, &reply)
-	message := extendedMessage{key: key, peer: peer, asked: asked}
+	message := extendedMessage{key: key, peer: peer, requestedAt: asked}
 	switch {
 	case err != nil:
-		message.ended = call.ConnectionRefused(err)
+		message.exited = call.ConnectionRefused(err)
 	case reply.Keeper != peer.Incarnation:
-		message.ended = true
+		message.exited = true
 	default:
 		message.granted = reply.Granted
 	}
 	return message
 }
 
-func (f *Entry) takeExtended(m extendedMessage) {
-	if m.key != f.key {
+func (e *Entry) handleExtended(m extendedMessage) {
+	if m.key != e.key {
 		// It was granted to the sender that this entry was before its release.
 		return
 	}
-	delete(f.leasing.asking, m.peer)
+	delete(e.lease.extensionsPending, m.peer)
 	switch {
 	case m.granted:
-		f.leasing.holder = f.leasing.holder.WithExtension(m.peer, m.asked)
-		f.deps.Metrics.Add("extensions", 1)
-	case m.ended:
-		f.leasing.holder = f.leasing.holder.WithPeerExited(m.peer, f.now())
+		e.lease.holder = e.lease.holder.WithExtension(m.peer, m.requestedAt)
+		e.deps.Metrics.Add("extensions", 1)
+	case m.exited:
+		e.lease.holder = e.lease.holder.WithPeerExited(m.peer, e.now())
 	}
-	f.publishLease(f.now())
+	e.publishLease(e.now())
 }
 
-// peer returns the client for an address.
-func (f *Entry) peer(address string) *call.Client {
-	if f.peers[address] == nil {
-		f.peers[address] = call.New(address, f.deps.Dial, f.deps.Clock)
+// peerClient returns the client for an address.
+func (e *Entry) peerClient(address string) *call.Client {
+	if e.peerClients[address] == nil {
+		e.peerClients[address] = call.New(address, e.deps.Dial, e.deps.Clock)
 	}
-	return f.peers[address]
+	return e.peerClients[address]
 }
--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -18,7 +18,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-func foldOne(t *testing.T, state fold.State, proposal wire.Proposal) fold.State {
+func applyOne(t *testing.T, state fold.State, proposal wire.Proposal) fold.State {
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: 1, Number: state.Offset() + 1, Proposals: []wire.Proposal{proposal}})
 	assert.NilError(t, err)
 	next, verdicts := state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
@@ -32,21 +32,21 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	clock := clockwork.NewFakeClock()
-	f := &Entry{deps: Deps{Clock: clock, Metrics: metrics.New(), Logger: logger, Settings: settings.Entry{Node: "a", Hall: "north", LeaseMs: 1000}}}
-	f.loop = f.newLoop()
-	f.key = fold.SenderKey{Node: "a", Incarnation: 11}
-	old := f.key
-	f.leasing.holder = f.leasing.holder.WithRenewalIssued(1, clock.Now())
+	e := &Entry{deps: Deps{Clock: clock, Metrics: metrics.New(), Logger: logger, Settings: settings.Entry{Node: "a", Hall: "north", LeaseMs: 1000}}}
+	e.loopState = e.newLoopState()
+	e.key = fold.SenderKey{Node: "a", Incarnation: 11}
+	old := e.key
+	e.lease.holder = e.lease.holder.WithRenewalIssued(1, clock.Now())
 	renewal := wire.Member{Node: "a", Hall: "north", Keeper: 1, Entry: 11, Seq: 1}
-	f.state = foldOne(t, fold.New(table.Table{}), wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{renewal}})
-	f.readBack()
-	assert.Assert(t, f.covered())
+	e.state = applyOne(t, fold.New(table.Table{}), wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{renewal}})
+	e.updateLease()
+	assert.Assert(t, e.leaseValid())
 
-	f.state = foldOne(t, f.state, wire.Proposal{Kind: wire.KindRelease, Release: &wire.Release{Node: "a", Entry: 11, Seq: 1, How: wire.ReleaseHowEnded}})
-	f.readBack()
+	e.state = applyOne(t, e.state, wire.Proposal{Kind: wire.KindRelease, Release: &wire.Release{Node: "a", Entry: 11, Seq: 1, How: wire.ReleaseHowEnded}})
+	e.updateLease()
 
-	assert.Assert(t, f.key.Incarnation > old.Incarnation)
-	assert.Assert(t, !f.covered())
-	f.takeExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Incarnation: 1}, asked: clock.Now().Add(time.Millisecond), granted: true})
-	assert.Assert(t, !f.covered())
+	assert.Assert(t, e.key.Incarnation > old.Incarnation)
+	assert.Assert(t, !e.leaseValid())
+	e.handleExtended(extendedMessage{key: old, peer: lease.Peer{Node: "a", Incarnation: 1}, requestedAt: clock.Now().Add(time.Millisecond), granted: true})
+	assert.Assert(t, !e.leaseValid())
 }
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -17,10 +17,10 @@
 type (
 	// acquireMessage asks for a grant; the reply gets exactly one.
 	acquireMessage struct {
-		item  queue.Item
-		hop   bool
-		tried map[string]bool
-		reply chan<- grant
+		item      queue.Item
+		forwarded bool
+		tried     map[string]bool
+		reply     chan<- grant
 	}
 	// cancelMessage takes back a wish that may still wait.
 	cancelMessage struct {
@@ -29,15 +29,15 @@
 	// finishMessage gives back what a grant gave.
 	finishMessage struct {
 		id     string
-		report report
+		report attemptReport
 	}
 	// forwardedMessage tells how busy a peer said it was, or that it gave no
 	// answer.
 	forwardedMessage struct {
-		peer fold.SenderKey
-		pool string
-		busy bool
-		lost bool
+		peer       fold.SenderKey
+		pool       string
+		busy       bool
+		unanswered bool
 	}
 	// retryMessage asks whether the service's budget bears a retry.
 	retryMessage struct {
@@ -50,54 +50,54 @@
 	}
 	// extendedMessage is a hall peer's answer, or that it has ended.
 	extendedMessage struct {
-		key     fold.SenderKey
-		peer    lease.Peer
-		asked   time.Time
-		granted bool
-		ended   bool
-	}
-	// peerMessage asks for the client of an address.
-	peerMessage struct {
+		key         fold.SenderKey
+		peer        lease.Peer
+		requestedAt time.Time
+		granted     bool
+		exited      bool
+	}
+	// peerClientMessage asks for the client of an address.
+	peerClientMessage struct {
 		address string
 		reply   chan<- *call.Client
 	}
-	// freeMessage asks for the free slots in a service's pool.
-	freeMessage struct {
+	// freeSlotsMessage asks for the free slots in a service's pool.
+	freeSlotsMessage struct {
 		service string
 		reply   chan<- int
 	}
 	// leaveMessage begins a planned stop.
 	leaveMessage struct{}
-	// standingMessage asks for a summary.
-	standingMessage struct {
-		reply chan<- standing
+	// summaryMessage asks for a summary.
+	summaryMessage struct {
+		reply chan<- summary
 	}
 )
 
-// standing sums up an entry, for its planned stop and for tests.
-type standing struct {
+// summary sums up an entry, for its planned stop and for tests.
+type summary struct {
 	boxes   int
 	inUse   int
 	waiting int
 	maySend bool
-	// heirs counts the senders that could take its boxes.
-	heirs int
+	// successors counts the senders that could take its boxes.
+	successors int
 }
 
 const (
-	busyTick          = 20 * time.Millisecond
-	idleTicksARenewal = 8
-	ageEvery          = 5  // Ticks.
-	tidyEvery         = 50 // Ticks.
+	busyTickInterval    = 20 * time.Millisecond
+	idleTicksPerRenewal = 8
+	ticksPerAging       = 5  // Ticks.
+	ticksPerCleanup     = 50 // Ticks.
 )
 
-// busy says whether something waits for time to pass.
-func (f *Entry) busy() bool {
-	if len(f.jobs) > 0 || f.leaving {
+// hasTimedWork says whether something waits for time to pass.
+func (e *Entry) hasTimedWork() bool {
+	if len(e.requests) > 0 || e.leaving {
 		return true
 	}
-	for _, box := range f.boxes {
-		if box.Phase == fold.Draining || box.givenUp || f.book.IsEjected(box.Info.Name) {
+	for _, box := range e.boxes {
+		if box.Phase == fold.Draining || box.handoverPending || e.ejections.IsEjected(box.Info.Name) {
 			return true
 		}
 	}
@@ -105,105 +105,105 @@
 }
 
 // run is the task that owns the entry's state.
-func (f *Entry) run(ctx context.Context) error {
-	ticker := pace.New(f.deps.Clock, busyTick, milliseconds(f.deps.Settings.RenewMs)/idleTicksARenewal)
+func (e *Entry) run(ctx context.Context) error {
+	ticker := pace.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
 	defer ticker.Stop()
 	for ticks := 0; ; {
-		ticker.SetBusy(f.busy())
+		ticker.SetBusy(e.hasTimedWork())
 		select {
 		case <-ctx.Done():
-			f.refuseAll()
+			e.refuseAllWaiting()
 			return nil
-		case update := <-f.updates:
-			f.takeUpdate(update)
-		case message := <-f.inbox:
-			f.take(message)
+		case update := <-e.updates:
+			e.handleUpdate(update)
+		case message := <-e.inbox:
+			e.handleMessage(message)
 		case <-ticker.Chan():
 			ticks++
-			f.takeTick(ctx, ticks)
+			e.handleTick(ctx, ticks)
 		}
 	}
 }
 
-func (f *Entry) take(message any) {
+func (e *Entry) handleMessage(message any) {
 	switch m := message.(type) {
 	case acquireMessage:
-		f.acquire(m)
+		e.admit(m)
 	case cancelMessage:
-		f.cancelWaiting(m.id)
+		e.cancelWaiting(m.id)
 	case finishMessage:
-		f.finish(m)
+		e.finish(m)
 	case forwardedMessage:
-		f.takeForwarded(m)
+		e.handleForwarded(m)
 	case retryMessage:
-		m.reply <- f.spendRetry(m.service)
+		m.reply <- e.spendRetry(m.service)
 	case renewedMessage:
-		f.leasing.renewing = false
+		e.lease.renewing = false
 	case extendedMessage:
-		f.takeExtended(m)
-	case peerMessage:
-		m.reply <- f.peer(m.address)
-	case freeMessage:
-		m.reply <- totalFree(f.views(poolOf(f.state, m.service)))
+		e.handleExtended(m)
+	case peerClientMessage:
+		m.reply <- e.peerClient(m.address)
+	case freeSlotsMessage:
+		m.reply <- totalFreeSlots(e.candidates(poolOf(e.state, m.service)))
 	case leaveMessage:
-		f.leaving = true
-		f.leasing.next = time.Time{}
-	case standingMessage:
-		m.reply <- f.standing()
+		e.leaving = true
+		e.lease.nextRenewal = time.Time{}
+	case summaryMessage:
+		m.reply <- e.summarize()
 	}
 }
 
-// takeUpdate moves the entry to a newer state.
-func (f *Entry) takeUpdate(update follow.Update) {
+// handleUpdate moves the entry to a newer state.
+func (e *Entry) handleUpdate(update follow.Update) {
 	if update.LeavingBoxesKnown {
-		f.takeAvoid(update.LeavingBoxes)
+		e.updateLeaving(update.LeavingBoxes)
 	}
-	if update.State.Offset() < f.state.Offset() {
+	if update.State.Offset() < e.state.Offset() {
 		return
 	}
-	old := f.state
-	f.state = update.State
-	f.inForce.Store(&update.State)
-	f.readBack()
+	old := e.state
+	e.state = update.State
+	e.currentState.Store(&update.State)
+	e.updateLease()
 	if update.Restored || slices.ContainsFunc(update.Records, follow.AppliedRecord.ChangesFleet) {
-		f.takeFleet(old)
-		f.endDrains(f.ctx)
+		e.updateFleet(old)
+		e.proposeBoxChanges(e.ctx)
 	}
-	f.deps.Metrics.SetGauge("offset", f.state.Offset())
-	f.deps.Metrics.SetGauge("table_version", f.state.Table().Version())
-	f.dispatchAll()
+	e.deps.Metrics.SetGauge("offset", e.state.Offset())
+	e.deps.Metrics.SetGauge("table_version", e.state.Table().Version())
+	e.dispatchAll()
 }
 
-func (f *Entry) takeTick(ctx context.Context, ticks int) {
-	f.renew(ctx)
-	f.expire()
-	f.reroute()
-	if ticks%ageEvery == 0 || !f.busy() {
-		f.age()
-		f.endDrains(ctx)
-		f.judgeBoxes(ctx)
-	}
-	if ticks%tidyEvery == 0 {
-		f.book.ForgetOldFailures(f.now())
-		f.gauges()
-	}
-	f.dispatchAll()
+func (e *Entry) handleTick(ctx context.Context, ticks int) {
+	e.renew(ctx)
+	e.refuseExpired()
+	e.reroute()
+	if ticks%ticksPerAging == 0 || !e.hasTimedWork() {
+		e.ageQueues()
+		e.proposeBoxChanges(ctx)
+		e.updateBoxHealth(ctx)
+	}
+	if ticks%ticksPerCleanup == 0 {
+		e.ejections.ForgetOldFailures(e.now())
+		e.setGauges()
+	}
+	e.dispatchAll()
 }
 
-func (f *Entry) gauges() {
-	standing := f.standing()
-	f.deps.Metrics.SetGauge("boxes", standing.boxes)
-	f.deps.Metrics.SetGauge("slots_in_use", standing.inUse)
-	f.deps.Metrics.SetGauge("waiting", standing.waiting)
-	f.deps.Metrics.SetGauge("held_bytes", int(f.held.Load()))
+func (e *Entry) setGauges() {
+	standing := e.summarize()
+	e.deps.Metrics.SetGauge("boxes", standing.boxes)
+	e.deps.Metrics.SetGauge("slots_in_use", standing.inUse)
+	e.deps.Metrics.SetGauge("waiting", standing.waiting)
+	e.deps.Metrics.SetGauge("held_bytes", int(e.heldBytes.Load()))
 }
 
-func (f *Entry) standing() standing {
-	summary := standing{boxes: len(f.boxes), maySend: f.leasing.holder.MaySend(f.now()), heirs: len(f.heirs())}
-	for _, box := range f.boxes {
+func (e *Entry) summarize() summary {
+	summary := summary{boxes: len(e.boxes), maySend: e.lease.holder.MaySend(e.now()), successors: len(e.successors())}
+	for _, box := range e.boxes {
 		summary.inUse += box.inUse
 	}
-	for _, waiting := range f.queues {
+	for _, waiting := range e.queues {
 		summary.waiting += waiting.Total()
 	}
 	return summary
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -16,29 +16,29 @@
 	"damsonwinch/pkg/wire"
 )
 
-// statusCallerGone is what a caller that has gone would be told.
-const statusCallerGone = 499
+// statusClientClosedRequest is what a caller that has gone would be told.
+const statusClientClosedRequest = 499
 
-// mostAttempts bounds the boxes and senders that one request tries.
-const mostAttempts = 4
+// maxAttempts bounds the boxes and senders that one request tries.
+const maxAttempts = 4
 
 // Request is a caller's request, whole in memory.
 type Request struct {
-	ID       string
-	Service  string
-	Team     string
-	Caller   string
-	Class    wire.Class
-	Deadline time.Time
+	ID            string
+	Service       string
+	Customer      string
+	ClientAddress string
+	Class         wire.Class
+	Deadline      time.Time
 	// Size is the number of slots it needs on one box.
 	Size int
 	Body []byte
-	// Hop says that another entry has sent it on.
-	Hop bool
+	// Forwarded says that another entry has sent it on.
+	Forwarded bool
 }
 
-// Outcome is what the caller is told.
-type Outcome struct {
+// Response is what the caller is told.
+type Response struct {
 	Outcome     wire.Outcome
 	Status      int
 	Reason      string
@@ -48,161 +48,161 @@
 	RetryAfter  time.Duration
 }
 
-// trip is one request's way through its attempts.
-type trip struct {
-	front   *Entry
+// execution is one request's way through its attempts.
+type execution struct {
+	entry   *Entry
 	request Request
 	tried   map[string]bool
-	// sent says that bytes of the request may have reached an endpoint.
-	sent bool
-	// sends counts the attempts that did.
-	sends int
-	// last is what the last endpoint said, when it was a failure.
-	last *Outcome
+	// maybeSent says that bytes of the request may have reached an endpoint.
+	maybeSent bool
+	// sendCount counts the attempts that did.
+	sendCount int
+	// lastFailure is what the lastFailure endpoint said, when it was a failure.
+	lastFailure *Response
 }
 
-// Run takes a request to an endpoint and returns its outcome. It returns by the
+// RunRequest takes a request to an endpoint and returns its outcome. It returns by the
 // request's deadline.
-func (f *Entry) Run(ctx context.Context, request Request) Outcome {
+func (e *Entry) RunRequest(ctx context.Context, request Request) Response {
 	limited, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	t := &trip{front: f, request: request, tried: map[string]bool{}}
-	outcome := t.honest(t.run(limited))
-	f.deps.Invariants.Check(invariant.NotRunButSent, outcome.Outcome != wire.OutcomeNotRun || !t.sent,
+	x := &execution{entry: e, request: request, tried: map[string]bool{}}
+	outcome := x.withEarlierSends(x.run(limited))
+	e.deps.Invariants.Check(invariant.NotRunButSent, outcome.Outcome != wire.OutcomeNotRun || !x.maybeSent,
 		"request %s of service %s was sent and told not run", request.ID, request.Service)
-	f.deps.Metrics.Add("outcome_"+string(outcome.Outcome), 1)
+	e.deps.Metrics.Add("outcome_"+string(outcome.Outcome), 1)
 	return outcome
 }
 
-func (t *trip) run(ctx context.Context) Outcome {
-	for range mostAttempts {
-		granted := t.acquire(ctx)
+func (x *execution) run(ctx context.Context) Response {
+	for range maxAttempts {
+		granted := x.waitForGrant(ctx)
 		if granted.refusal != nil {
-			return t.refused(*granted.refusal)
+			return x.refusedResponse(*granted.refusal)
 		}
-		outcome, final := t.attempt(ctx, granted)
+		outcome, final := x.attempt(ctx, granted)
 		if final {
 			return outcome
 		}
-		t.last = &outcome
+		x.lastFailure = &outcome
 	}
-	return *t.last
+	return *x.lastFailure
 }
 
-// honest keeps a later attempt's "not run" from hiding an earlier one that was
+// withEarlierSends keeps a later attempt's "not run" from hiding an earlier one that was
 // sent: another sender's refusal says nothing of what this entry sent before.
-func (t *trip) honest(outcome Outcome) Outcome {
-	if !t.sent || outcome.Outcome != wire.OutcomeNotRun {
+func (x *execution) withEarlierSends(outcome Response) Response {
+	if !x.maybeSent || outcome.Outcome != wire.OutcomeNotRun {
 		return outcome
 	}
 	outcome.Outcome, outcome.Status = wire.OutcomeUnknown, http.StatusBadGateway
 	return outcome
 }
 
-// acquire waits for a grant. It leaves the queue at once when the caller goes or
+// waitForGrant waits for a grant. It leaves the queue at once when the caller goes or
 // the deadline comes.
-func (t *trip) acquire(ctx context.Context) grant {
+func (x *execution) waitForGrant(ctx context.Context) grant {
 	reply := make(chan grant, 1)
-	message := acquireMessage{item: t.item(), hop: t.request.Hop, tried: t.tried, reply: reply}
-	if !t.front.post(message) {
-		return grant{refusal: refuse(http.StatusServiceUnavailable, noSenderRetry, "this entry has stopped")}
+	message := acquireMessage{item: x.queueItem(), forwarded: x.request.Forwarded, tried: x.tried, reply: reply}
+	if !x.entry.post(message) {
+		return grant{refusal: newRefusal(http.StatusServiceUnavailable, unavailableRetryAfter, "this entry has stopped")}
 	}
 	select {
 	case granted := <-reply:
 		return granted
 	case <-ctx.Done():
-	case <-t.front.ctx.Done():
+	case <-x.entry.ctx.Done():
 	}
-	t.front.post(cancelMessage{id: t.request.ID})
+	x.entry.post(cancelMessage{id: x.request.ID})
 	select {
 	case granted := <-reply:
 		return granted
-	case <-t.front.ctx.Done():
-		return grant{refusal: refuse(http.StatusServiceUnavailable, noSenderRetry, "this entry has stopped")}
+	case <-x.entry.ctx.Done():
+		return grant{refusal: newRefusal(http.StatusServiceUnavailable, unavailableRetryAfter, "this entry has stopped")}
 	}
 }
 
-func (t *trip) item() queue.Item {
+func (x *execution) queueItem() queue.Item {
 	return queue.Item{
-		ID: t.request.ID, Service: t.request.Service, Customer: t.request.Team, Class: t.request.Class,
-		EnqueuedAt: t.front.now(), Deadline: t.request.Deadline, Size: max(1, t.request.Size),
+		ID: x.request.ID, Service: x.request.Service, Customer: x.request.Customer, Class: x.request.Class,
+		EnqueuedAt: x.entry.now(), Deadline: x.request.Deadline, Size: max(1, x.request.Size),
 	}
 }
 
 // attempt uses one grant. It returns the outcome and whether that is final.
-func (t *trip) attempt(ctx context.Context, granted grant) (Outcome, bool) {
+func (x *execution) attempt(ctx context.Context, granted grant) (Response, bool) {
 	if granted.box == "" {
-		return t.forward(ctx, granted)
+		return x.forward(ctx, granted)
 	}
-	if ctx.Err() != nil || !t.front.covered() {
-		t.finish(report{unused: true})
-		return t.outOfTime(), ctx.Err() != nil
+	if ctx.Err() != nil || !x.entry.leaseValid() {
+		x.finish(attemptReport{unused: true})
+		return x.tooLateResponse(), ctx.Err() != nil
 	}
-	t.tried[granted.box] = true
-	t.front.deps.Invariants.Check(invariant.SentTwice, granted.row.Repeatable || t.sends == 0,
-		"request %s of service %s is not repeatable and was sent before", t.request.ID, t.request.Service)
-	begun := t.front.now()
-	result := t.send(ctx, granted)
-	took := t.front.now().Sub(begun)
+	x.tried[granted.box] = true
+	x.entry.deps.Invariants.Check(invariant.SentTwice, granted.row.Repeatable || x.sendCount == 0,
+		"request %s of service %s is not repeatable and was sent before", x.request.ID, x.request.Service)
+	begun := x.entry.now()
+	result := x.send(ctx, granted)
+	took := x.entry.now().Sub(begun)
 	if result.Kind != send.NotSent {
-		t.sent = true
-		t.sends++
+		x.maybeSent = true
+		x.sendCount++
 	}
-	return t.judge(ctx, granted, result, took)
+	return x.evaluate(ctx, granted, result, took)
 }
 
 // send makes one attempt within the service's time for a run.
-func (t *trip) send(ctx context.Context, granted grant) send.Result {
+func (x *execution) send(ctx context.Context, granted grant) send.Result {
 	limited, cancel := context.WithTimeout(ctx, milliseconds(granted.row.RunMs))
 	defer cancel()
-	return t.front.sender.Do(limited, send.Attempt{
-		ID: t.request.ID, Service: t.request.Service, Address: granted.address,
-		Body: t.request.Body, MostAnswer: granted.row.AnswerKb * bytesAKilobyte,
+	return x.entry.endpointClient.Do(limited, send.Attempt{
+		ID: x.request.ID, Service: x.request.Service, Address: granted.address,
+		Body: x.request.Body, MaxResponseBytes: granted.row.AnswerKb * bytesPerKilobyte,
 	})
 }
 
-// judge decides whether a result is final or the request is tried again.
-func (t *trip) judge(ctx context.Context, granted grant, result send.Result, took time.Duration) (Outcome, bool) {
-	told := report{kind: result.Kind, took: took, failed: failed(ctx, granted, result, took), refused: busy(result)}
-	outcome := outcomeOf(result, granted)
-	again := told.failed || told.refused
+// evaluate decides whether a result is final or the request is tried again.
+func (x *execution) evaluate(ctx context.Context, granted grant, result send.Result, took time.Duration) (Response, bool) {
+	told := attemptReport{kind: result.Kind, took: took, failed: countsAgainstBox(ctx, granted, result, took), busy: isBusy(result)}
+	outcome := responseOf(result, granted)
+	again := told.failed || told.busy
 	if again && result.Kind != send.NotSent {
-		again = granted.row.Repeatable && t.mayRetry(ctx)
+		again = granted.row.Repeatable && x.takeRetry(ctx)
 	}
 	told.last = !again
-	t.finish(told)
+	x.finish(told)
 	return outcome, !again
 }
 
-// failed says whether a result speaks against its box. A caller that goes away
+// countsAgainstBox says whether a result speaks against its box. A caller that goes away
 // doesn't, nor does a deadline that left little time.
-func failed(ctx context.Context, granted grant, result send.Result, took time.Duration) bool {
+func countsAgainstBox(ctx context.Context, granted grant, result send.Result, took time.Duration) bool {
 	const enough = 2
 	if ctx.Err() != nil && result.Kind != send.Answered {
 		return errors.Is(ctx.Err(), context.DeadlineExceeded) && enough*took >= milliseconds(granted.row.RunMs)
 	}
-	return result.Kind != send.Answered || (result.Status >= http.StatusInternalServerError && !busy(result))
+	return result.Kind != send.Answered || (result.Status >= http.StatusInternalServerError && !isBusy(result))
 }
 
-// busy says whether the endpoint had no room.
-func busy(result send.Result) bool {
+// isBusy says whether the endpoint had no room.
+func isBusy(result send.Result) bool {
 	return result.Kind == send.Answered &&
 		slices.Contains([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, result.Status)
 }
 
-func outcomeOf(result send.Result, granted grant) Outcome {
+func responseOf(result send.Result, granted grant) Response {
 	switch result.Kind {
 	case send.Answered:
-		return Outcome{Outcome: wire.OutcomeAnswered, Status: result.Status, ContentType: result.ContentType, Body: result.Body,
-			Box: granted.box, RetryAfter: retryAfterOf(result)}
+		return Response{Outcome: wire.OutcomeAnswered, Status: result.Status, ContentType: result.ContentType, Body: result.Body,
+			Box: granted.box, RetryAfter: parseRetryAfter(result)}
 	case send.NotSent:
-		return Outcome{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, Reason: result.Err.Error(), Box: granted.box,
-			RetryAfter: noSenderRetry}
+		return Response{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, Reason: result.Err.Error(), Box: granted.box,
+			RetryAfter: unavailableRetryAfter}
 	}
-	return Outcome{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: result.Err.Error(), Box: granted.box}
+	return Response{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: result.Err.Error(), Box: granted.box}
 }
 
-func retryAfterOf(result send.Result) time.Duration {
+func parseRetryAfter(result send.Result) time.Duration {
 	seconds, err := strconv.Atoi(result.RetryAfter)
 	if err != nil {
 		return 0
@@ -210,97 +210,97 @@
 	return time.Duration(seconds) * time.Second
 }
 
-func (t *trip) mayRetry(ctx context.Context) bool {
+func (x *execution) takeRetry(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	reply := make(chan bool, 1)
-	if !t.front.post(retryMessage{service: t.request.Service, reply: reply}) {
+	if !x.entry.post(retryMessage{service: x.request.Service, reply: reply}) {
 		return false
 	}
 	select {
 	case allowed := <-reply:
 		return allowed
-	case <-t.front.ctx.Done():
+	case <-x.entry.ctx.Done():
 		return false
 	}
 }
 
-func (t *trip) finish(told report) {
-	t.front.post(finishMessage{id: t.request.ID, report: told})
+func (x *execution) finish(told attemptReport) {
+	x.entry.post(finishMessage{id: x.request.ID, report: told})
 }
 
 // forward hands the request to the entry that sends to its pool's boxes.
-func (t *trip) forward(ctx context.Context, granted grant) (Outcome, bool) {
-	t.tried[granted.forward.String()] = true
-	left := t.request.Deadline.Sub(t.front.now())
+func (x *execution) forward(ctx context.Context, granted grant) (Response, bool) {
+	x.tried[granted.forwardTo.String()] = true
+	left := x.request.Deadline.Sub(x.entry.now())
 	args := wire.ForwardArgs{
-		Id: t.request.ID, Service: t.request.Service, Class: t.request.Class, Team: t.request.Team, Caller: t.request.Caller,
-		BudgetMs: int(left.Milliseconds()), Size: t.request.Size, Body: string(t.request.Body),
+		Id: x.request.ID, Service: x.request.Service, Class: x.request.Class, Team: x.request.Customer, Caller: x.request.ClientAddress,
+		BudgetMs: int(left.Milliseconds()), Size: x.request.Size, Body: string(x.request.Body),
 	}
 	var reply wire.ForwardReply
-	err := t.front.callPeer(ctx, granted.address, args, &reply)
-	t.front.post(forwardedMessage{peer: granted.forward, pool: granted.row.Pool, busy: reply.Free == 0, lost: err != nil})
-	if err == nil && reply.Id != t.request.ID {
-		t.front.deps.Invariants.Check(invariant.WrongAnswer, false, "%s answered %q to request %s", granted.address, reply.Id, t.request.ID)
-		err = &call.Error{Method: ServiceName + ".Forward", Peer: granted.address, MayHaveExecuted: true, Err: send.ErrOther}
+	err := x.entry.callPeer(ctx, granted.address, args, &reply)
+	x.entry.post(forwardedMessage{peer: granted.forwardTo, pool: granted.row.Pool, busy: reply.Free == 0, unanswered: err != nil})
+	if err == nil && reply.Id != x.request.ID {
+		x.entry.deps.Invariants.Check(invariant.WrongAnswer, false, "%s answered %q to request %s", granted.address, reply.Id, x.request.ID)
+		err = &call.Error{Method: ServiceName + ".Forward", Peer: granted.address, MayHaveExecuted: true, Err: send.ErrWrongRequestID}
 	}
 	if err != nil {
-		return t.forwardFailed(ctx, granted, err)
+		return x.forwardFailed(ctx, granted, err)
 	}
-	outcome := Outcome{
+	outcome := Response{
 		Outcome: reply.Outcome, Status: reply.Status, Reason: reply.Reason, ContentType: reply.ContentType,
 		Body: []byte(reply.Body), Box: reply.Box, RetryAfter: milliseconds(reply.RetryAfterMs),
 	}
 	if outcome.Outcome != wire.OutcomeNotRun {
-		t.sent = true
+		x.maybeSent = true
 		return outcome, true
 	}
-	return outcome, !passing(outcome.Status)
+	return outcome, !mayPassElsewhere(outcome.Status)
 }
 
-// passing says whether another sender may take what this one refused.
-func passing(status int) bool {
+// mayPassElsewhere says whether another sender may take what this one refused.
+func mayPassElsewhere(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-func (t *trip) forwardFailed(ctx context.Context, granted grant, err error) (Outcome, bool) {
+func (x *execution) forwardFailed(ctx context.Context, granted grant, err error) (Response, bool) {
 	if !call.MayHaveExecuted(err) {
-		return Outcome{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, Reason: err.Error(), RetryAfter: noSenderRetry}, ctx.Err() != nil
+		return Response{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, Reason: err.Error(), RetryAfter: unavailableRetryAfter}, ctx.Err() != nil
 	}
-	t.sent = true
-	t.sends++
-	outcome := Outcome{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: err.Error()}
-	return outcome, !granted.row.Repeatable || !t.mayRetry(ctx)
+	x.maybeSent = true
+	x.sendCount++
+	outcome := Response{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: err.Error()}
+	return outcome, !granted.row.Repeatable || !x.takeRetry(ctx)
 }
 
-func (f *Entry) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
+func (e *Entry) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
 	client := make(chan *call.Client, 1)
-	if !f.post(peerMessage{address: address, reply: client}) {
+	if !e.post(peerClientMessage{address: address, reply: client}) {
 		return &call.Error{Method: "Entry.Forward", Peer: address, Err: context.Canceled}
 	}
 	select {
 	case peer := <-client:
 		return peer.Do(ctx, ServiceName+".Forward", args, reply)
-	case <-f.ctx.Done():
+	case <-e.ctx.Done():
 		return &call.Error{Method: "Entry.Forward", Peer: address, Err: context.Canceled}
 	}
 }
 
-// refused words the outcome of a request that gets no grant.
-func (t *trip) refused(why refusal) Outcome {
-	if t.last != nil && (t.sent || t.last.Outcome == wire.OutcomeAnswered) {
-		return *t.last
+// refusedResponse words the outcome of a request that gets no grant.
+func (x *execution) refusedResponse(why refusal) Response {
+	if x.lastFailure != nil && (x.maybeSent || x.lastFailure.Outcome == wire.OutcomeAnswered) {
+		return *x.lastFailure
 	}
-	return Outcome{Outcome: wire.OutcomeNotRun, Status: why.status, Reason: why.reason, RetryAfter: why.retryAfter}
+	return Response{Outcome: wire.OutcomeNotRun, Status: why.status, Reason: why.reason, RetryAfter: why.retryAfter}
 }
 
-// outOfTime is the outcome of a grant that came too late to be used.
-func (t *trip) outOfTime() Outcome {
-	return t.refused(refusal{status: http.StatusServiceUnavailable, reason: "the right to send or the deadline ran out first", retryAfter: noSenderRetry})
+// tooLateResponse is the outcome of a grant that came too late to be used.
+func (x *execution) tooLateResponse() Response {
+	return x.refusedResponse(refusal{status: http.StatusServiceUnavailable, reason: "the right to send or the deadline ran out first", retryAfter: unavailableRetryAfter})
 }
 
-// rowOf returns the row of a service in force.
-func (f *Entry) rowOf(service string) (settings.Row, bool) {
-	return f.inForce.Load().Table().Row(service)
+// currentRow returns the row of a service in force.
+func (e *Entry) currentRow(service string) (settings.Row, bool) {
+	return e.currentState.Load().Table().Row(service)
 }
--- a/pkg/front/request_test.go
+++ b/pkg/front/request_test.go
@@ -18,14 +18,14 @@
 // TestALaterRefusalDoesNotHideAnEarlierSend: a repeatable request was sent, broke
 // off, and its second try was refused. It may have run.
 func TestALaterRefusalDoesNotHideAnEarlierSend(t *testing.T) {
-	refused := Outcome{Outcome: wire.OutcomeNotRun, Status: http.StatusUnprocessableEntity, Reason: "refused elsewhere"}
-	sent, unsent := &trip{sent: true}, &trip{}
+	refused := Response{Outcome: wire.OutcomeNotRun, Status: http.StatusUnprocessableEntity, Reason: "refused elsewhere"}
+	sent, unsent := &execution{maybeSent: true}, &execution{}
 
-	assert.Equal(t, sent.honest(refused).Outcome, wire.OutcomeUnknown)
-	assert.Equal(t, sent.honest(refused).Status, http.StatusBadGateway)
-	assert.Equal(t, unsent.honest(refused).Outcome, wire.OutcomeNotRun)
-	answered := Outcome{Outcome: wire.OutcomeAnswered, Status: http.StatusOK}
-	assert.Equal(t, sent.honest(answered).Outcome, wire.OutcomeAnswered)
+	assert.Equal(t, sent.withEarlierSends(refused).Outcome, wire.OutcomeUnknown)
+	assert.Equal(t, sent.withEarlierSends(refused).Status, http.StatusBadGateway)
+	assert.Equal(t, unsent.withEarlierSends(refused).Outcome, wire.OutcomeNotRun)
+	answered := Response{Outcome: wire.OutcomeAnswered, Status: http.StatusOK}
+	assert.Equal(t, sent.withEarlierSends(answered).Outcome, wire.OutcomeAnswered)
 }
 
 // TestAPauseBetweenGrantAndSend: the process stood still after it was granted a
@@ -34,11 +34,11 @@
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f := &Entry{deps: Deps{Clock: clock, Invariants: invariant.New(func(name, detail string) { t.Fatal(name, detail) })}, ctx: ctx, inbox: make(chan any, 1)}
+	e := &Entry{deps: Deps{Clock: clock, Invariants: invariant.New(func(name, detail string) { t.Fatal(name, detail) })}, ctx: ctx, inbox: make(chan any, 1)}
 	until := clock.Now().Add(time.Second)
-	f.sendUntil.Store(&until)
-	waiting := &trip{front: f, request: Request{ID: "r", Deadline: clock.Now().Add(time.Minute)}, tried: map[string]bool{}}
-	assert.Assert(t, f.covered())
+	e.leaseValidUntil.Store(&until)
+	waiting := &execution{entry: e, request: Request{ID: "r", Deadline: clock.Now().Add(time.Minute)}, tried: map[string]bool{}}
+	assert.Assert(t, e.leaseValid())
 	clock.Advance(time.Second)
 
 	// Without the check this would panic: the entry has nothing to send with.
@@ -46,8 +46,8 @@
 
 	assert.Equal(t, outcome.Outcome, wire.OutcomeNotRun)
 	assert.Assert(t, !final, "another sender may still take it")
-	assert.Assert(t, !waiting.sent)
-	given := (<-f.inbox).(finishMessage)
+	assert.Assert(t, !waiting.maybeSent)
+	given := (<-e.inbox).(finishMessage)
 	assert.Assert(t, given.report.unused)
 }
 
@@ -55,16 +55,16 @@
 // is room again.
 func TestMemoryIsBounded(t *testing.T) {
 	const kilobytes = 64
-	f := &Entry{deps: Deps{Settings: settings.Entry{QueueKb: kilobytes}, Metrics: metrics.New()}}
-	release, refused := f.hold(kilobytes*bytesAKilobyte - 10)
+	e := &Entry{deps: Deps{Settings: settings.Entry{QueueKb: kilobytes}, Metrics: metrics.New()}}
+	release, refused := e.reserveMemory(kilobytes*bytesPerKilobyte - 10)
 	assert.Assert(t, refused == nil)
 
-	_, refused = f.hold(11)
+	_, refused = e.reserveMemory(11)
 
 	assert.Equal(t, refused.status, http.StatusTooManyRequests)
 	assert.Assert(t, refused.retryAfter > 0)
-	assert.Equal(t, f.held.Load(), int64(kilobytes*bytesAKilobyte-10))
+	assert.Equal(t, e.heldBytes.Load(), int64(kilobytes*bytesPerKilobyte-10))
 	release()
-	_, refused = f.hold(11)
+	_, refused = e.reserveMemory(11)
 	assert.Assert(t, refused == nil)
 }
--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -14,55 +14,55 @@
 
 const testPool = "pool"
 
-// waitingAt returns an entry that has a waiting request and no box for it, and
+// entryWithWaitingRequest returns an entry that has a waiting request and no box for it, and
 // where the request's answer goes. Another sender may have boxes of the pool.
-func waitingAt(hop bool, others ...route) (*Entry, chan grant) {
-	f := &Entry{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
-	f.loop = f.newLoop()
-	f.routes[testPool] = others
+func entryWithWaitingRequest(hop bool, others ...route) (*Entry, chan grant) {
+	e := &Entry{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
+	e.loopState = e.newLoopState()
+	e.routes[testPool] = others
 	reply := make(chan grant, 1)
 	item := queue.Item{ID: "r", Service: "s", Customer: "t", Size: 1}
-	f.jobs[item.ID] = &job{item: item, hop: hop, pool: testPool, reply: reply}
-	f.usage(item.Service).teams[item.Customer]++
-	f.queue(testPool).Push(item)
-	return f, reply
+	e.requests[item.ID] = &requestState{item: item, forwarded: hop, pool: testPool, reply: reply}
+	e.usage(item.Service).requestsByCustomer[item.Customer]++
+	e.queue(testPool).Push(item)
+	return e, reply
 }
 
-func another() route {
+func otherEntry() route {
 	return route{key: fold.SenderKey{Node: "other", Incarnation: 1}, address: "127.0.0.1:1", slots: 8}
 }
 
 // TestWaitingRequestsGoWhereTheBoxesWent: the entry's boxes were handed over
 // while requests waited for them.
 func TestWaitingRequestsGoWhereTheBoxesWent(t *testing.T) {
-	f, reply := waitingAt(false, another())
+	e, reply := entryWithWaitingRequest(false, otherEntry())
 
-	f.reroute()
+	e.reroute()
 
-	assert.Equal(t, (<-reply).forward, another().key)
-	assert.Equal(t, f.queue(testPool).Total(), 0)
-	assert.Equal(t, len(f.jobs)+len(f.usage("s").teams), 0)
+	assert.Equal(t, (<-reply).forwardTo, otherEntry().key)
+	assert.Equal(t, e.queue(testPool).Total(), 0)
+	assert.Equal(t, len(e.requests)+len(e.usage("s").requestsByCustomer), 0)
 }
 
 // TestARequestIsSentOnOnlyOnce: one that came from another entry goes back there,
 // not run.
 func TestARequestIsSentOnOnlyOnce(t *testing.T) {
-	f, reply := waitingAt(true, another())
+	e, reply := entryWithWaitingRequest(true, otherEntry())
 
-	f.reroute()
+	e.reroute()
 
 	granted := <-reply
-	assert.Assert(t, granted.forward.IsNone())
+	assert.Assert(t, granted.forwardTo.IsNone())
 	assert.Equal(t, granted.refusal.status, http.StatusServiceUnavailable)
-	assert.Equal(t, f.queue(testPool).Total(), 0)
+	assert.Equal(t, e.queue(testPool).Total(), 0)
 }
 
 // TestWithoutAnotherSenderRequestsWait for a box to come back.
 func TestWithoutAnotherSenderRequestsWait(t *testing.T) {
-	f, reply := waitingAt(false)
+	e, reply := entryWithWaitingRequest(false)
 
-	f.reroute()
+	e.reroute()
 
 	assert.Equal(t, len(reply), 0)
-	assert.Equal(t, f.queue(testPool).Total(), 1)
+	assert.Equal(t, e.queue(testPool).Total(), 1)
 }
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -21,24 +21,24 @@
 
 // Limits of the platform's answers, so that a broken one can't take the memory.
 const (
-	mostAnswerBytes = 64 << 20
-	mostErrorBytes  = 4 << 10
-	idleConns       = 8
-	idleTimeout     = 30 * time.Second
+	maxResponseBytes = 64 << 20
+	maxErrorBytes    = 4 << 10
+	idleConns        = 8
+	idleTimeout      = 30 * time.Second
 )
 
 // Client is one process's access to the platform.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 	// The lock guards the lists as last read, which are values.
 	mutex sync.Mutex
-	lists map[string]listing
+	lists map[string]cachedList
 }
 
-// listing is a hall's list as last read.
-type listing struct {
-	tag   string
+// cachedList is a hall's list as last read.
+type cachedList struct {
+	etag  string
 	boxes []wire.ListedBox
 }
 
@@ -51,7 +51,7 @@
 // New returns a client of the platform at an address.
 func New(address string, dial damsonwinch.Dial) *Client {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idleConns, IdleConnTimeout: idleTimeout}
-	return &Client{base: "http://" + address, http: &http.Client{Transport: transport}, lists: map[string]listing{}}
+	return &Client{baseURL: "http://" + address, http: &http.Client{Transport: transport}, lists: map[string]cachedList{}}
 }
 
 // Close closes the idle connections.
@@ -81,13 +81,13 @@
 // the last reading isn't sent again: thousands of boxes twice a second would be
 // most of what control costs a node.
 func (c *Client) Boxes(ctx context.Context, hall string) ([]wire.ListedBox, error) {
-	known := c.listed(hall)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/list?hall="+url.QueryEscape(hall), nil)
+	known := c.cachedListOf(hall)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/v1/list?hall="+url.QueryEscape(hall), nil)
 	if err != nil {
-		return nil, fmt.Errorf("read list at %s: %w", c.base, err)
+		return nil, fmt.Errorf("read list at %s: %w", c.baseURL, err)
 	}
-	if known.tag != "" {
-		request.Header.Set("If-None-Match", known.tag)
+	if known.etag != "" {
+		request.Header.Set("If-None-Match", known.etag)
 	}
 	var boxes []wire.ListedBox
 	tag, err := c.send("read list", request, &boxes)
@@ -97,17 +97,17 @@
 	if err != nil {
 		return nil, err
 	}
-	c.keepListed(hall, listing{tag: tag, boxes: boxes})
+	c.cacheList(hall, cachedList{etag: tag, boxes: boxes})
 	return boxes, nil
 }
 
-func (c *Client) listed(hall string) listing {
+func (c *Client) cachedListOf(hall string) cachedList {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lists[hall]
 }
 
-func (c *Client) keepListed(hall string, read listing) {
+func (c *Client) cacheList(hall string, read cachedList) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lists[hall] = read
@@ -120,9 +120,9 @@
 }
 
 func (c *Client) do(ctx context.Context, step, method, path string, body io.Reader, into any) error {
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
-		return fmt.Errorf("%s at %s: %w", step, c.base, err)
+		return fmt.Errorf("%s at %s: %w", step, c.baseURL, err)
 	}
 	_, err = c.send(step, request, into)
 	return err
@@ -135,19 +135,19 @@
 func (c *Client) send(step string, request *http.Request, into any) (string, error) {
 	response, err := c.http.Do(request)
 	if err != nil {
-		return "", fmt.Errorf("%s at %s: %w", step, c.base, err)
+		return "", fmt.Errorf("%s at %s: %w", step, c.baseURL, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode == http.StatusNotModified {
 		return "", errNotModified
 	}
 	if response.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(response.Body, mostErrorBytes))
-		return "", fmt.Errorf("%s at %s: status %d: %s", step, c.base, response.StatusCode, text)
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+		return "", fmt.Errorf("%s at %s: status %d: %s", step, c.baseURL, response.StatusCode, text)
 	}
-	decoder := json.NewDecoder(io.LimitReader(response.Body, mostAnswerBytes))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes))
 	if err := decoder.Decode(into); err != nil {
-		return "", fmt.Errorf("%s at %s: %w", step, c.base, err)
+		return "", fmt.Errorf("%s at %s: %w", step, c.baseURL, err)
 	}
 	return response.Header.Get("ETag"), nil
 }
--- a/pkg/send/send.go
+++ b/pkg/send/send.go
@@ -21,14 +21,14 @@
 const (
 	// HeaderRequestID carries the request's id; the endpoint repeats it in its
 	// answer, so that another request's answer is never taken for this one's.
-	HeaderRequestID = "Damsonwinch-Request"
-	headerType    = "Content-Type"
+	HeaderRequestID   = "Damsonwinch-Request"
+	headerContentType = "Content-Type"
 )
 
 const (
-	idleConnsABox = 32
-	idleTimeout   = 30 * time.Second
-	dialTimeout   = time.Second
+	idleConnsPerBox = 32
+	idleTimeout     = 30 * time.Second
+	dialTimeout     = time.Second
 )
 
 // Kind is how far a request got.
@@ -40,8 +40,8 @@
 	Answered Kind = iota
 	// NotSent: no byte of the request reached the endpoint.
 	NotSent
-	// Broken: the request was sent and has no whole answer; it may have run.
-	Broken
+	// Unanswered: the request was sent and has no whole answer; it may have run.
+	Unanswered
 )
 
 // Result is what became of one attempt.
@@ -62,14 +62,14 @@
 	Service string
 	Address string
 	Body    []byte
-	// MostAnswer bounds the answer, in bytes.
-	MostAnswer int
+	// MaxResponseBytes bounds the answer, in bytes.
+	MaxResponseBytes int
 }
 
 // Errors of an answer.
 var (
-	ErrTooLarge = errors.New("the answer is larger than the service's limit")
-	ErrOther    = errors.New("the answer belongs to another request")
+	ErrResponseTooLarge = errors.New("the answer is larger than the service's limit")
+	ErrWrongRequestID   = errors.New("the answer belongs to another request")
 )
 
 // Client sends to endpoints.
@@ -80,17 +80,17 @@
 // New returns a client.
 func New(dial damsonwinch.Dial) *Client {
 	transport := &http.Transport{
-		DialContext:         within(dial),
-		MaxIdleConnsPerHost: idleConnsABox,
+		DialContext:         withDialTimeout(dial),
+		MaxIdleConnsPerHost: idleConnsPerBox,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: transport, CheckRedirect: takeAsAnswer}}
+	return &Client{http: &http.Client{Transport: transport, CheckRedirect: doNotFollowRedirect}}
 }
 
-// within bounds the time of a connection's making, so that a box without an
+// withDialTimeout bounds the time of a connection's making, so that a box without an
 // answer leaves time to try another.
-func within(dial damsonwinch.Dial) damsonwinch.Dial {
+func withDialTimeout(dial damsonwinch.Dial) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		limited, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
@@ -98,8 +98,8 @@
 	}
 }
 
-// takeAsAnswer keeps the client from sending a request again by itself.
-func takeAsAnswer(*http.Request, []*http.Request) error {
+// doNotFollowRedirect keeps the client from sending a request again by itself.
+func doNotFollowRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
@@ -125,36 +125,36 @@
 	if err != nil {
 		kind := NotSent
 		if sent.Load() {
-			kind = Broken
+			kind = Unanswered
 		}
 		return Result{Kind: kind, Err: fmt.Errorf("send to %s: %w", attempt.Address, err)}
 	}
 	defer func() { _ = response.Body.Close() }()
-	return take(response, attempt)
+	return readResponse(response, attempt)
 }
 
-// take reads the whole answer before anything of it goes to the caller.
-func take(response *http.Response, attempt Attempt) Result {
+// readResponse reads the whole answer before anything of it goes to the caller.
+func readResponse(response *http.Response, attempt Attempt) Result {
 	broken := func(err error) Result {
-		return Result{Kind: Broken, Err: fmt.Errorf("answer of %s: %w", attempt.Address, err)}
+		return Result{Kind: Unanswered, Err: fmt.Errorf("answer of %s: %w", attempt.Address, err)}
 	}
 	if response.Header.Get(HeaderRequestID) != attempt.ID {
-		return broken(ErrOther)
+		return broken(ErrWrongRequestID)
 	}
-	if response.ContentLength > int64(attempt.MostAnswer) {
-		return broken(ErrTooLarge)
+	if response.ContentLength > int64(attempt.MaxResponseBytes) {
+		return broken(ErrResponseTooLarge)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, int64(attempt.MostAnswer)+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(attempt.MaxResponseBytes)+1))
 	if err != nil {
 		return broken(err)
 	}
-	if len(body) > attempt.MostAnswer {
-		return broken(ErrTooLarge)
+	if len(body) > attempt.MaxResponseBytes {
+		return broken(ErrResponseTooLarge)
 	}
 	return Result{
 		Kind:        Answered,
 		Status:      response.StatusCode,
-		ContentType: response.Header.Get(headerType),
+		ContentType: response.Header.Get(headerContentType),
 		RetryAfter:  response.Header.Get("Retry-After"),
 		Body:        body,
 	}
