--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -8,131 +8,134 @@
 	"damsonwinch/pkg/shard"
 )
 
-// registry is the endpoints that the platform lists.
+// registry holds the registrations of endpoints, as read from the platform's stream, and the shards of the
+// endpoints' lives.
 type registry struct {
 	decode func(damsonwinch.Record) (damsonwinch.Endpoint, error)
-	// endpoints holds those that may be used, by their IDs.
+	// endpoints holds the endpoints with a valid registration, by ID.
 	endpoints map[string]damsonwinch.Endpoint
-	// spoilt holds the IDs of entries that name no endpoint to use.
-	spoilt map[string]bool
-	// lives holds to which shard each life that has been listed belongs.
-	lives map[damsonwinch.Life]life
-	// complete says that all that are listed have been read.
+	// invalid holds the IDs whose registration is invalid.
+	invalid map[string]bool
+	// lifeShards holds the shard of each registered life.
+	lifeShards map[damsonwinch.Life]lifeShard
+	// complete is set once all registrations have been read.
 	complete bool
-	// readAt is when the first reading had come, zero before.
-	readAt time.Time
+	// firstReadAt is when the first records had been received, or zero before that.
+	firstReadAt time.Time
 }
 
-// life is a life of an endpoint's, which belongs to one shard to its end.
-type life struct {
-	// sorted says that its shard is known.
-	sorted bool
-	shard  int
-	// seenAt is when it was first seen: orders that led to it are in the planner's stream
-	// since before.
-	seenAt time.Time
+// lifeShard is the shard to which a life of an endpoint belongs until the endpoint exits.
+type lifeShard struct {
+	// known reports whether the shard has been determined.
+	known bool
+	shard int
+	// firstSeenAt is when this node first received a registration of the life. The planner records an
+	// order before the life to which it leads can start, so a read of placements that was sent after
+	// firstSeenAt returns that order.
+	firstSeenAt time.Time
 }
 
 func newRegistry(decode func(damsonwinch.Record) (damsonwinch.Endpoint, error)) registry {
-	return registry{decode: decode, endpoints: map[string]damsonwinch.Endpoint{}, spoilt: map[string]bool{}, lives: map[damsonwinch.Life]life{}}
+	return registry{decode: decode, endpoints: map[string]damsonwinch.Endpoint{}, invalid: map[string]bool{}, lifeShards: map[damsonwinch.Life]lifeShard{}}
 }
 
-// forget drops all that is known.
-func (r *registry) forget() {
+// reset drops everything that has been read.
+func (r *registry) reset() {
 	clear(r.endpoints)
-	clear(r.spoilt)
-	clear(r.lives)
-	r.complete, r.readAt = false, time.Time{}
+	clear(r.invalid)
+	clear(r.lifeShards)
+	r.complete, r.firstReadAt = false, time.Time{}
 }
 
-// take takes records of entries. It says whether owners have something new to learn of the
-// endpoints, and returns why entries were refused that were not before: an endpoint writes
-// one each second or two.
-func (r *registry) take(m endpointRecords) (changed bool, refused []error) {
-	if r.readAt.IsZero() {
-		r.readAt = m.takenAt
+// apply applies records of registrations. It reports whether anything has changed that owners need to know, and
+// returns the errors of invalid registrations. An endpoint writes its registration every second or two, so the
+// error of an ID is returned only when its registration has become invalid.
+func (r *registry) apply(m endpointRecords) (changed bool, refused []error) {
+	if r.firstReadAt.IsZero() {
+		r.firstReadAt = m.receivedAt
 	}
 	if m.snapshot {
 		clear(r.endpoints)
-		clear(r.spoilt)
+		clear(r.invalid)
 		r.complete, changed = true, true
-		defer r.dropLives()
+		defer r.dropUnlistedLives()
 	}
 	for _, record := range m.records {
-		before, known := r.endpoints[record.Key]
+		before, existed := r.endpoints[record.Key]
 		after, err := r.decode(record)
 		if err != nil || after.Pool == "" {
 			delete(r.endpoints, record.Key)
-			changed = changed || known
+			changed = changed || existed
 		}
 		switch {
 		case err != nil:
-			if !r.spoilt[record.Key] {
+			if !r.invalid[record.Key] {
 				refused = append(refused, err)
 			}
-			r.spoilt[record.Key] = true
+			r.invalid[record.Key] = true
 			continue
 		case after.Pool != "":
-			after.SeenAt = m.askedAt
+			after.SeenAt = m.requestedAt
 			r.endpoints[record.Key] = after
-			if _, seen := r.lives[after.Life]; !seen {
-				r.lives[after.Life] = life{seenAt: m.takenAt}
+			if _, seen := r.lifeShards[after.Life]; !seen {
+				r.lifeShards[after.Life] = lifeShard{firstSeenAt: m.receivedAt}
 			}
-			changed = changed || !known || differs(before, after)
+			changed = changed || !existed || differs(before, after)
 		}
-		delete(r.spoilt, record.Key)
+		delete(r.invalid, record.Key)
 	}
 	return changed, refused
 }
 
-// differs says whether an entry tells owners something new.
+// differs reports whether two registrations of an endpoint differ in anything that owners need to know.
 func differs(before, after damsonwinch.Endpoint) bool {
 	return before.Life != after.Life || before.Draining != after.Draining || before.Address != after.Address || before.Pool != after.Pool || before.Zone != after.Zone ||
 		before.Box != after.Box || before.Capacity != after.Capacity || !slices.Equal(before.Labels, after.Labels)
 }
 
-// dropLives forgets the lives that aren't listed any more.
-func (r *registry) dropLives() {
-	for named := range r.lives {
-		if r.endpoints[named.ID].Life != named && !r.spoilt[named.ID] {
-			delete(r.lives, named)
+// dropUnlistedLives drops the shards of lives that are no longer registered.
+func (r *registry) dropUnlistedLives() {
+	for life := range r.lifeShards {
+		if r.endpoints[life.ID].Life != life && !r.invalid[life.ID] {
+			delete(r.lifeShards, life)
 		}
 	}
 }
 
-// sort sorts the lives in some pools by their shards, those for which the placements read are
-// new enough. It says whether any were, and whether others wait for newer placements.
-func (r *registry) sort(layout shard.Layout, pools map[string]bool, placed *placements) (sorted, waiting bool) {
+// assignShards assigns the new lives in the given pools to their shards. A life that was first seen after the
+// placements were read isn't assigned yet. assigned reports whether any life was assigned, and waiting whether
+// any life needs newer placements.
+func (r *registry) assignShards(layout shard.Layout, pools map[string]bool, boxPlacements *placements) (assigned, waiting bool) {
 	if !layout.Sharded() {
 		return false, false
 	}
-	for named, l := range r.lives {
-		endpoint := r.endpoints[named.ID]
+	for life, assignment := range r.lifeShards {
+		endpoint := r.endpoints[life.ID]
 		switch {
-		case l.sorted || endpoint.Life != named || !pools[endpoint.Pool]:
-		case placed.readAt.Before(l.seenAt):
+		case assignment.known || endpoint.Life != life || !pools[endpoint.Pool]:
+		case boxPlacements.upToDateAt.Before(assignment.firstSeenAt):
 			waiting = true
 		default:
-			l.sorted, l.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, named, placed.of(endpoint.Box))
-			r.lives[named] = l
-			sorted = true
+			assignment.known, assignment.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, life, boxPlacements.find(endpoint.Box))
+			r.lifeShards[life] = assignment
+			assigned = true
 		}
 	}
-	return sorted, waiting
+	return assigned, waiting
 }
 
-// told says whether owners can be told of the endpoints: those that were listed at first have
-// been sorted, so that no owner takes the others for all there are.
-func (r *registry) told(layout shard.Layout, placed *placements) bool {
-	return !layout.Sharded() || !r.readAt.IsZero() && !placed.readAt.Before(r.readAt)
+// readyForOwners reports whether owners may be sent their endpoints: all lives that were listed at first have a
+// shard. Otherwise an owner would take the endpoints that have one for all endpoints of its cell.
+func (r *registry) readyForOwners(layout shard.Layout, boxPlacements *placements) bool {
+	return !layout.Sharded() || !r.firstReadAt.IsZero() && !boxPlacements.upToDateAt.Before(r.firstReadAt)
 }
 
-// of returns the endpoints of a cell.
-func (r *registry) of(cell string, layout shard.Layout) []damsonwinch.Endpoint {
+// cellEndpoints returns the endpoints of a cell, in the order of their lives.
+func (r *registry) cellEndpoints(cell string, layout shard.Layout) []damsonwinch.Endpoint {
 	var found []damsonwinch.Endpoint
 	pool, number := shard.ParseCellName(cell)
 	for _, endpoint := range r.endpoints {
-		if endpoint.Pool == pool && r.isIn(endpoint.Life, number, layout) {
+		if endpoint.Pool == pool && r.belongsTo(endpoint.Life, number, layout) {
 			found = append(found, endpoint)
 		}
 	}
@@ -140,11 +143,11 @@
 	return found
 }
 
-// isIn says whether a life belongs to a shard.
-func (r *registry) isIn(named damsonwinch.Life, number int, layout shard.Layout) bool {
+// belongsTo reports whether a life belongs to a shard. It is false while the life's shard isn't known.
+func (r *registry) belongsTo(life damsonwinch.Life, number int, layout shard.Layout) bool {
 	if !layout.Sharded() {
 		return number == 0
 	}
-	found := r.lives[named]
-	return found.sorted && found.shard == number
+	assignment := r.lifeShards[life]
+	return assignment.known && assignment.shard == number
 }
--- a/pkg/send/send.go
+++ b/pkg/send/send.go
@@ -21,7 +21,7 @@
 const (
 	// HeaderRequestID carries the request's id; the endpoint repeats it in its
 	// answer, so that another request's answer is never taken for this one's.
-	HeaderRequestID   = "Damsonwinch-Request"
+	HeaderRequestID = "Damsonwinch-Request"
 	headerContentType = "Content-Type"
 )
 
