--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform speaks the platform's protocol, HTTP with JSON: its log, its
-// list of boxes and its control of boxes.
+// Package platform is a client of the platform's log, list of boxes and box control. Its protocol is
+// HTTP with JSON.
 package platform
 
 import (
@@ -19,24 +19,26 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Limits of the platform's answers, so that a broken one can't take the memory.
 const (
+	// maxResponseBytes and maxErrorBytes bound what is read of a response, so that a faulty platform
+	// can't make the process run out of memory.
 	maxResponseBytes = 64 << 20
 	maxErrorBytes    = 4 << 10
 	idleConns        = 8
 	idleTimeout      = 30 * time.Second
 )
 
-// Client is one process's access to the platform.
+// Client calls the platform. It may be used by several goroutines at once.
 type Client struct {
 	baseURL string
 	http    *http.Client
-	// The lock guards the lists as last read, which are values.
-	mutex sync.Mutex
+	mutex   sync.Mutex
+	// lists holds each zone's list of boxes as last read; mutex guards it.
 	lists map[string]cachedList
 }
 
-// cachedList is a hall's list as last read.
+// cachedList is a zone's list of boxes as last read, with the ETag of the response. It is not changed
+// once it is in the cache.
 type cachedList struct {
 	etag  string
 	boxes []wire.ListedBox
@@ -48,7 +50,7 @@
 	_ damsonwinch.BoxControl = (*Client)(nil)
 )
 
-// New returns a client of the platform at an address.
+// New returns a client of the platform at address, a host and port. It connects with dial.
 func New(address string, dial damsonwinch.Dial) *Client {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idleConns, IdleConnTimeout: idleTimeout}
 	return &Client{baseURL: "http://" + address, http: &http.Client{Transport: transport}, lists: map[string]cachedList{}}
@@ -59,14 +61,16 @@
 	c.http.CloseIdleConnections()
 }
 
-// Append adds one record to a stream and returns its offset.
+// Append appends one record to a stream of the log and returns the record's offset. After an error
+// the record may be in the log all the same.
 func (c *Client) Append(ctx context.Context, stream, data string) (int, error) {
 	var reply wire.AppendReply
 	err := c.do(ctx, "append to "+stream, http.MethodPost, "/v1/log/"+url.PathEscape(stream), strings.NewReader(data), &reply)
 	return reply.Offset, err
 }
 
-// Read returns a page of a stream.
+// Read returns a page of a stream of the log: at most maximum records, from the offset from on. If
+// there are none yet, the platform waits up to waitMs milliseconds for one.
 func (c *Client) Read(ctx context.Context, stream string, from, maximum, waitMs int) (wire.LogPage, error) {
 	query := url.Values{}
 	query.Set("from", strconv.Itoa(from))
@@ -77,65 +81,68 @@
 	return page, err
 }
 
-// Boxes returns the platform's list of a hall. A list that has not changed since
-// the last reading isn't sent again: thousands of boxes twice a second would be
-// most of what control costs a node.
-func (c *Client) Boxes(ctx context.Context, hall string) ([]wire.ListedBox, error) {
-	known := c.cachedListOf(hall)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/v1/list?hall="+url.QueryEscape(hall), nil)
+// Boxes returns the platform's list of a zone's boxes. The caller must not change the list. If the
+// list has not changed since the last call, the platform doesn't send it again: to transfer and decode
+// thousands of boxes twice a second would be most of what control costs a node.
+func (c *Client) Boxes(ctx context.Context, zone string) ([]wire.ListedBox, error) {
+	cached := c.cachedListOf(zone)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/v1/list?hall="+url.QueryEscape(zone), nil)
 	if err != nil {
 		return nil, fmt.Errorf("read list at %s: %w", c.baseURL, err)
 	}
-	if known.etag != "" {
-		request.Header.Set("If-None-Match", known.etag)
+	if cached.etag != "" {
+		request.Header.Set("If-None-Match", cached.etag)
 	}
 	var boxes []wire.ListedBox
-	tag, err := c.send("read list", request, &boxes)
+	etag, err := c.send("read list", request, &boxes)
 	if errors.Is(err, errNotModified) {
-		return known.boxes, nil
+		return cached.boxes, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	c.cacheList(hall, cachedList{etag: tag, boxes: boxes})
+	c.cacheList(zone, cachedList{etag: etag, boxes: boxes})
 	return boxes, nil
 }
 
-func (c *Client) cachedListOf(hall string) cachedList {
+func (c *Client) cachedListOf(zone string) cachedList {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lists[hall]
+	return c.lists[zone]
 }
 
-func (c *Client) cacheList(hall string, read cachedList) {
+func (c *Client) cacheList(zone string, list cachedList) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lists[hall] = read
+	c.lists[zone] = list
 }
 
 // Maintain reboots a box and returns once it serves again.
 func (c *Client) Maintain(ctx context.Context, box string) error {
-	var done struct{}
-	return c.do(ctx, "maintain "+box, http.MethodPost, "/v1/boxes/"+url.PathEscape(box)+"/maintain", nil, &done)
+	var empty struct{}
+	return c.do(ctx, "maintain "+box, http.MethodPost, "/v1/boxes/"+url.PathEscape(box)+"/maintain", nil, &empty)
 }
 
-func (c *Client) do(ctx context.Context, step, method, path string, body io.Reader, into any) error {
+// do sends a request with the given HTTP method, path and body and decodes the response into target.
+// Errors begin with operation.
+func (c *Client) do(ctx context.Context, operation, method, path string, body io.Reader, target any) error {
 	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
-		return fmt.Errorf("%s at %s: %w", step, c.baseURL, err)
+		return fmt.Errorf("%s at %s: %w", operation, c.baseURL, err)
 	}
-	_, err = c.send(step, request, into)
+	_, err = c.send(operation, request, target)
 	return err
 }
 
-// errNotModified says that what was asked for is as it was.
+// errNotModified says that the platform answered a conditional request with HTTP status 304.
 var errNotModified = errors.New("not modified")
 
-// send makes a request and decodes its answer. It returns the answer's tag.
-func (c *Client) send(step string, request *http.Request, into any) (string, error) {
+// send sends a request, decodes the response's JSON body into target and returns the response's ETag.
+// Errors begin with operation.
+func (c *Client) send(operation string, request *http.Request, target any) (string, error) {
 	response, err := c.http.Do(request)
 	if err != nil {
-		return "", fmt.Errorf("%s at %s: %w", step, c.baseURL, err)
+		return "", fmt.Errorf("%s at %s: %w", operation, c.baseURL, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode == http.StatusNotModified {
@@ -143,11 +150,11 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-		return "", fmt.Errorf("%s at %s: status %d: %s", step, c.baseURL, response.StatusCode, text)
+		return "", fmt.Errorf("%s at %s: status %d: %s", operation, c.baseURL, response.StatusCode, text)
 	}
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes))
-	if err := decoder.Decode(into); err != nil {
-		return "", fmt.Errorf("%s at %s: %w", step, c.baseURL, err)
+	if err := decoder.Decode(target); err != nil {
+		return "", fmt.Errorf("%s at %s: %w", operation, c.baseURL, err)
 	}
 	return response.Header.Get("ETag"), nil
 }
--- a/pkg/send/send.go
+++ b/pkg/send/send.go
@@ -1,5 +1,5 @@
-// Package send carries one request to one endpoint and tells exactly how far it
-// got.
+// Package send makes one attempt to run a request on one endpoint over HTTP and reports whether the
+// endpoint may have run it.
 package send
 
 import (
@@ -19,9 +19,9 @@
 
 // Headers between entries and endpoints.
 const (
-	// HeaderRequestID carries the request's id; the endpoint repeats it in its
-	// answer, so that another request's answer is never taken for this one's.
-	HeaderRequestID = "Damsonwinch-Request"
+	// HeaderRequestID carries the request's ID. The endpoint repeats it in its response, so that the
+	// response to another request is never taken for the response to this one.
+	HeaderRequestID   = "Damsonwinch-Request"
 	headerContentType = "Content-Type"
 )
 
@@ -31,53 +31,56 @@
 	dialTimeout     = time.Second
 )
 
-// Kind is how far a request got.
+// Kind is the kind of an attempt's result: whether the request reached the endpoint and was answered.
 type Kind int
 
 // Kinds of results.
 const (
-	// Answered: the endpoint gave a whole answer to this request.
+	// Answered: the endpoint sent a complete response to this request, with any HTTP status.
 	Answered Kind = iota
 	// NotSent: no byte of the request reached the endpoint.
 	NotSent
-	// Unanswered: the request was sent and has no whole answer; it may have run.
+	// Unanswered: the request was sent, but no complete and valid response came. The request may have
+	// run.
 	Unanswered
 )
 
-// Result is what became of one attempt.
+// Result is the result of one attempt. Unless Kind is Answered, only Kind and Err are set.
 type Result struct {
 	Kind        Kind
 	Status      int
 	ContentType string
 	Body        []byte
-	// RetryAfter is what the endpoint asked for, as it wrote it.
+	// RetryAfter is the response's Retry-After header, unparsed.
 	RetryAfter string
-	// Err says why the kind is not Answered.
+	// Err says why Kind is not Answered.
 	Err error
 }
 
-// Attempt is one try of a request on one endpoint.
+// Attempt describes one attempt to run a request on one endpoint.
 type Attempt struct {
+	// ID is the request's ID.
 	ID      string
 	Service string
+	// Address is the endpoint's host and port.
 	Address string
 	Body    []byte
-	// MaxResponseBytes bounds the answer, in bytes.
+	// MaxResponseBytes is the largest response body that is accepted.
 	MaxResponseBytes int
 }
 
-// Errors of an answer.
+// Errors for a response that is not accepted.
 var (
-	ErrResponseTooLarge = errors.New("the answer is larger than the service's limit")
-	ErrWrongRequestID   = errors.New("the answer belongs to another request")
+	ErrResponseTooLarge = errors.New("the response is larger than the service's limit")
+	ErrWrongRequestID   = errors.New("the response belongs to another request")
 )
 
-// Client sends to endpoints.
+// Client sends requests to endpoints. It may be used by several goroutines at once.
 type Client struct {
 	http *http.Client
 }
 
-// New returns a client.
+// New returns a client that connects to endpoints with dial.
 func New(dial damsonwinch.Dial) *Client {
 	transport := &http.Transport{
 		DialContext:         withDialTimeout(dial),
@@ -88,8 +91,8 @@
 	return &Client{http: &http.Client{Transport: transport, CheckRedirect: doNotFollowRedirect}}
 }
 
-// withDialTimeout bounds the time of a connection's making, so that a box without an
-// answer leaves time to try another.
+// withDialTimeout returns a dial that gives up after dialTimeout, so that there is time left for an
+// attempt on another box if a box doesn't accept the connection.
 func withDialTimeout(dial damsonwinch.Dial) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		limited, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -98,7 +101,8 @@
 	}
 }
 
-// doNotFollowRedirect keeps the client from sending a request again by itself.
+// doNotFollowRedirect makes the HTTP client return a redirect as the response, so that it never sends
+// a request a second time by itself.
 func doNotFollowRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
@@ -108,8 +112,9 @@
 	c.http.CloseIdleConnections()
 }
 
-// Do sends a request once. It holds the attempt for sent from the moment a
-// connection is at hand, which errs on the safe side.
+// Do sends a request once and waits for the complete response, until ctx ends. It counts the request
+// as sent from the moment when a connection is available: a request that was in fact not sent is then
+// reported as Unanswered, which is the safe error.
 func (c *Client) Do(ctx context.Context, attempt Attempt) Result {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
@@ -118,7 +123,7 @@
 	if err != nil {
 		return Result{Kind: NotSent, Err: fmt.Errorf("send to %s: %w", attempt.Address, err)}
 	}
-	// Without GetBody the transport can't send a body a second time by itself.
+	// Without GetBody the transport can't send the body a second time by itself.
 	request.GetBody = nil
 	request.Header.Set(HeaderRequestID, attempt.ID)
 	response, err := c.http.Do(request)
@@ -133,23 +138,24 @@
 	return readResponse(response, attempt)
 }
 
-// readResponse reads the whole answer before anything of it goes to the caller.
+// readResponse checks a response and reads its whole body before any of it is passed on: an
+// incomplete response is Unanswered.
 func readResponse(response *http.Response, attempt Attempt) Result {
-	broken := func(err error) Result {
-		return Result{Kind: Unanswered, Err: fmt.Errorf("answer of %s: %w", attempt.Address, err)}
+	unanswered := func(err error) Result {
+		return Result{Kind: Unanswered, Err: fmt.Errorf("response of %s: %w", attempt.Address, err)}
 	}
 	if response.Header.Get(HeaderRequestID) != attempt.ID {
-		return broken(ErrWrongRequestID)
+		return unanswered(ErrWrongRequestID)
 	}
 	if response.ContentLength > int64(attempt.MaxResponseBytes) {
-		return broken(ErrResponseTooLarge)
+		return unanswered(ErrResponseTooLarge)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(attempt.MaxResponseBytes)+1))
 	if err != nil {
-		return broken(err)
+		return unanswered(err)
 	}
 	if len(body) > attempt.MaxResponseBytes {
-		return broken(ErrResponseTooLarge)
+		return unanswered(ErrResponseTooLarge)
 	}
 	return Result{
 		Kind:        Answered,
