--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -131,19 +131,19 @@
 func (e *Entry) updateLeaving(names []string) {
 	avoid := make(map[string]time.Time, len(names))
 	for _, name := range names {
-		since, known := e.leavingSince[name]
+		since, known := e.boxLeavingSince[name]
 		if !known {
 			since = e.now()
 		}
 		avoid[name] = since
 	}
-	e.leavingSince = avoid
+	e.boxLeavingSince = avoid
 }
 
 // mayStartOn says whether a box takes new work from an item.
 func (e *Entry) mayStartOn(box *ownBox, repeatable bool) bool {
 	name := box.Info.Name
-	if _, leaving := e.leavingSince[name]; leaving || box.handoverPending || box.Phase != fold.Serving {
+	if _, leaving := e.boxLeavingSince[name]; leaving || box.handoverPending || box.Phase != fold.Serving {
 		return false
 	}
 	if e.ejections.IsEjected(name) {
@@ -154,7 +154,7 @@
 
 // checkNotLeaving asserts that a box which gets work isn't known to leave.
 func (e *Entry) checkNotLeaving(box *ownBox) {
-	since, leaving := e.leavingSince[box.Info.Name]
+	since, leaving := e.boxLeavingSince[box.Info.Name]
 	e.deps.Invariants.Check(invariant.SentToLeaving, !leaving || e.now().Sub(since) < leavingGrace,
 		"box %s got work while it is leaving", box.Info.Name)
 }
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -197,8 +197,8 @@
 	granted.reply <- grant{box: name, address: box.Info.Address, row: row}
 }
 
-// finish takes back a grant and learns from what became of it.
-func (e *Entry) finish(m finishMessage) {
+// handleFinish takes back a grant and learns from what became of it.
+func (e *Entry) handleFinish(m finishMessage) {
 	done := e.requests[m.id]
 	if done == nil {
 		return
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -1,6 +1,8 @@
-// Package front is the entry: it takes callers' requests, admits and queues
-// them, sends them to endpoints and answers. One task owns its queues, its boxes
-// and its lease; each request waits for that task's grants.
+// Package front implements the entry, the process that accepts clients' requests over HTTP. An entry
+// admits and queues requests, sends each to an endpoint on one of its boxes, or forwards it to another
+// entry that has boxes of the pool, and returns the response. One goroutine, the loop, owns the queues,
+// the boxes and the lease; each request has a goroutine of its own, which waits for the loop to grant
+// it a box.
 package front
 
 import (
@@ -30,7 +32,7 @@
 	"damsonwinch/pkg/settings"
 )
 
-// ServiceName is the name under which an entry serves calls.
+// ServiceName is the name of the net/rpc service that an entry serves to other entries.
 const ServiceName = "Entry"
 
 const (
@@ -40,70 +42,75 @@
 	bytesPerKilobyte  = 1024
 )
 
-// Deps is what an entry needs.
+// Deps holds what an entry needs.
 type Deps struct {
-	Settings     settings.Entry
-	Clock        damsonwinch.Clock
-	Log          damsonwinch.Log
-	Dial         damsonwinch.Dial
+	Settings settings.Entry
+	Clock    damsonwinch.Clock
+	// Log is the platform's log, to which the entry appends claims of idempotency keys.
+	Log  damsonwinch.Log
+	Dial damsonwinch.Dial
+	// Listener accepts calls from other entries, HTTPListener the requests of clients.
 	Listener     net.Listener
 	HTTPListener net.Listener
 	Logger       logrus.FieldLogger
 	Metrics      *metrics.Set
 	Invariants   *invariant.Checker
-	// InitialState is the state before the first record.
+	// InitialState is the state before the first log record.
 	InitialState fold.State
-	// Seed starts the choices that chance makes.
+	// Seed seeds the random choices of boxes and of entries to forward to.
 	Seed uint64
 }
 
-// Entry is one entry process's task.
+// Entry is a running entry. New starts it, Stop and Close stop it.
 type Entry struct {
-	deps            Deps
-	incarnation     int
-	key             fold.SenderKey
-	inbox           chan any
-	updates         chan follow.Update
-	ctx             context.Context //nolint:containedctx // The life of the process, for work that outlives a caller.
-	cancel          context.CancelFunc
-	group           *errgroup.Group
-	rpcServer       *call.Server
-	httpServer      *http.Server
-	endpointClient  *send.Client
-	claimer         *claim.Claimer
-	keepers         []*call.Client
-	stopping        atomic.Bool
-	requestCount    atomic.Int64
-	heldBytes       atomic.Int64 // Bytes of requests and answers.
-	entryCount      atomic.Int64 // Entries that append claims.
+	deps Deps
+	// incarnation is the process's. key names the sender as which the log knows the entry: its
+	// incarnation is higher than the process's once rejoin has been called, and only the loop uses it.
+	incarnation    int
+	key            fold.SenderKey
+	inbox          chan any
+	updates        chan follow.Update
+	ctx            context.Context //nolint:containedctx // Ends with the entry, for work that outlives a client's request.
+	cancel         context.CancelFunc
+	group          *errgroup.Group
+	rpcServer      *call.Server
+	httpServer     *http.Server
+	endpointClient *send.Client
+	claimer        *claim.Claimer
+	keepers        []*call.Client
+	stopping       atomic.Bool // A planned stop has begun.
+	requestCount   atomic.Int64
+	heldBytes      atomic.Int64 // Total size of the request bodies in memory.
+	entryCount     atomic.Int64 // Entries that append claims, as the log lists them.
+	// currentState and leaseValidUntil are copies of the loop's state for other goroutines.
 	currentState    atomic.Pointer[fold.State]
 	leaseValidUntil atomic.Pointer[time.Time]
 
 	loopState
 }
 
-// loopState is what only the task touches.
+// loopState is the state that only the loop, the goroutine of run, reads and writes.
 type loopState struct {
-	state        fold.State
-	boxes        map[string]*ownBox
-	routes       map[string][]route
-	queues       map[string]*queue.Queue
-	usages       map[string]*usage
-	learner      *pick.Learner
-	ejections    *eject.Tracker
-	random       *rand.Rand
-	leavingSince map[string]time.Time
-	lease        leaseState
-	requests     map[string]*requestState
-	leaving      bool
-	retryBudgets map[string]float64
-	peerClients  map[string]*call.Client
-	lastUrgent   map[string]time.Time
-	cache        cache
+	state           fold.State
+	boxes           map[string]*ownBox      // The boxes that this entry sends to, by name.
+	routes          map[string][]route      // The other entries that send to boxes of a pool, by pool.
+	queues          map[string]*queue.Queue // By pool.
+	usages          map[string]*usage       // By service.
+	learner         *pick.Learner
+	ejections       *eject.Tracker
+	random          *rand.Rand
+	boxLeavingSince map[string]time.Time // When a box was first read as leaving, for those that still are.
+	lease           leaseState
+	requests        map[string]*requestState // Requests that wait or have a grant, by ID.
+	leaving         bool                     // In a planned stop: the entry hands over its boxes.
+	retryBudgets    map[string]float64       // Retries that may be made now, by service.
+	peerClients     map[string]*call.Client  // By address.
+	lastUrgent      map[string]time.Time     // When an urgent request last looked for a box, by pool.
+	cache           cache
 }
 
-// New starts an entry. Its incarnation is its start time, so that a later
-// process on the same box has a higher one.
+// New starts an entry. Its incarnation is its start time in nanoseconds, so that a later process on the
+// same box has a higher one.
 func New(deps Deps) (*Entry, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
@@ -141,21 +148,21 @@
 
 func (e *Entry) newLoopState() loopState {
 	return loopState{
-		state:        e.deps.InitialState,
-		boxes:        map[string]*ownBox{},
-		routes:       map[string][]route{},
-		queues:       map[string]*queue.Queue{},
-		usages:       map[string]*usage{},
-		learner:      pick.New(),
-		ejections:    eject.New(),
-		random:       rand.New(rand.NewPCG(e.deps.Seed, uint64(e.incarnation))),
-		leavingSince: map[string]time.Time{},
-		lease:        newLeaseState(lease.Timing{Duration: milliseconds(e.deps.Settings.LeaseMs)}),
-		requests:     map[string]*requestState{},
-		retryBudgets: map[string]float64{},
-		peerClients:  map[string]*call.Client{},
-		lastUrgent:   map[string]time.Time{},
-		cache:        newCache(),
+		state:           e.deps.InitialState,
+		boxes:           map[string]*ownBox{},
+		routes:          map[string][]route{},
+		queues:          map[string]*queue.Queue{},
+		usages:          map[string]*usage{},
+		learner:         pick.New(),
+		ejections:       eject.New(),
+		random:          rand.New(rand.NewPCG(e.deps.Seed, uint64(e.incarnation))),
+		boxLeavingSince: map[string]time.Time{},
+		lease:           newLeaseState(lease.Timing{Duration: milliseconds(e.deps.Settings.LeaseMs)}),
+		requests:        map[string]*requestState{},
+		retryBudgets:    map[string]float64{},
+		peerClients:     map[string]*call.Client{},
+		lastUrgent:      map[string]time.Time{},
+		cache:           newCache(),
 	}
 }
 
@@ -163,6 +170,7 @@
 	return time.Duration(count) * time.Millisecond
 }
 
+// start starts the goroutines that follow the log, run the loop and serve HTTP.
 func (e *Entry) start(ctx context.Context) {
 	sources := make([]damsonwinch.RecordSource, 0, len(e.keepers))
 	for _, keeper := range e.keepers {
@@ -175,19 +183,19 @@
 	e.group.Go(func() error { return e.run(ctx) })
 	e.httpServer = &http.Server{Handler: e.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	e.group.Go(func() error {
-		// Serve ends when the server is shut down, in Close.
+		// Serve returns an error once Stop or Close has shut the server down.
 		_ = e.httpServer.Serve(e.deps.HTTPListener)
 		return nil
 	})
 }
 
-// Incarnation returns the number of this process among those of its box.
+// Incarnation returns the process's incarnation, its start time in nanoseconds since 1970.
 func (e *Entry) Incarnation() int {
 	return e.incarnation
 }
 
-// Close stops the entry at once, without a hand-over, and returns once all of
-// its goroutines have ended. Stop is the planned way.
+// Close stops the entry at once and returns after all of its goroutines have ended. Its boxes are not
+// handed over and requests in flight are cut off; Stop avoids both.
 func (e *Entry) Close() error {
 	_ = e.httpServer.Close()
 	e.cancel()
@@ -208,7 +216,7 @@
 	return e.deps.Clock.Now()
 }
 
-// post passes a message to the task unless the entry has stopped.
+// post sends a message to the loop. It returns false if the entry has stopped.
 func (e *Entry) post(message any) bool {
 	select {
 	case e.inbox <- message:
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -13,85 +13,92 @@
 	"damsonwinch/pkg/queue"
 )
 
-// Messages to the task.
+// Messages to the loop.
 type (
-	// acquireMessage asks for a grant; the reply gets exactly one.
+	// acquireMessage asks for a grant. The loop sends exactly one to reply.
 	acquireMessage struct {
-		item      queue.Item
+		item queue.Item
+		// forwarded says that another entry has forwarded the request to this one.
 		forwarded bool
-		tried     map[string]bool
-		reply     chan<- grant
+		// tried holds the names of the boxes and the sender keys of the entries that were tried.
+		tried map[string]bool
+		reply chan<- grant
 	}
-	// cancelMessage takes back a wish that may still wait.
+	// cancelMessage withdraws a request that may still be waiting for its grant.
 	cancelMessage struct {
 		id string
 	}
-	// finishMessage gives back what a grant gave.
+	// finishMessage returns the slots of a grant and reports the attempt that was made with it.
 	finishMessage struct {
 		id     string
 		report attemptReport
 	}
-	// forwardedMessage tells how busy a peer said it was, or that it gave no
-	// answer.
+	// forwardedMessage reports that another entry, to which a request was forwarded, replied whether it
+	// has free slots, or did not reply.
 	forwardedMessage struct {
 		peer       fold.SenderKey
 		pool       string
 		busy       bool
 		unanswered bool
 	}
-	// retryMessage asks whether the service's budget bears a retry.
+	// retryMessage asks for a retry from the service's retry budget.
 	retryMessage struct {
 		service string
 		reply   chan<- bool
 	}
-	// renewedMessage ends an attempt to renew.
+	// renewedMessage reports that an attempt to renew the lease has ended.
 	renewedMessage struct {
 		accepted bool
 	}
-	// extendedMessage is a hall peer's answer, or that it has ended.
+	// extendedMessage reports the outcome of a request for an extension of the lease to a keeper of the
+	// zone: the keeper granted it, is found to have exited, or neither.
 	extendedMessage struct {
+		// key names the sender that the extension is for.
 		key         fold.SenderKey
 		peer        lease.Peer
 		requestedAt time.Time
 		granted     bool
 		exited      bool
 	}
-	// peerClientMessage asks for the client of an address.
+	// peerClientMessage asks for the RPC client for an address.
 	peerClientMessage struct {
 		address string
 		reply   chan<- *call.Client
 	}
-	// freeSlotsMessage asks for the free slots in a service's pool.
+	// freeSlotsMessage asks for the number of free slots on this entry's boxes of a service's pool.
 	freeSlotsMessage struct {
 		service string
 		reply   chan<- int
 	}
-	// leaveMessage begins a planned stop.
+	// leaveMessage begins the handover of the entry's boxes in a planned stop.
 	leaveMessage struct{}
-	// summaryMessage asks for a summary.
+	// summaryMessage asks for a summary of the entry.
 	summaryMessage struct {
 		reply chan<- summary
 	}
 )
 
-// summary sums up an entry, for its planned stop and for tests.
+// summary holds what a planned stop waits for and what the gauges show.
 type summary struct {
-	boxes   int
-	inUse   int
+	boxes int
+	// inUse is the number of slots in use on the entry's boxes.
+	inUse int
+	// waiting is the number of requests in the queues.
 	waiting int
 	maySend bool
-	// successors counts the senders that could take its boxes.
+	// successors is the number of senders that could take over the entry's boxes.
 	successors int
 }
 
 const (
 	busyTickInterval    = 20 * time.Millisecond
 	idleTicksPerRenewal = 8
-	ticksPerAging       = 5  // Ticks.
-	ticksPerCleanup     = 50 // Ticks.
+	ticksPerAging       = 5
+	ticksPerCleanup     = 50
 )
 
-// hasTimedWork says whether something waits for time to pass.
+// hasTimedWork reports whether the loop has work that depends on the time, so that it has to tick
+// often.
 func (e *Entry) hasTimedWork() bool {
 	if len(e.requests) > 0 || e.leaving {
 		return true
@@ -104,7 +111,7 @@
 	return false
 }
 
-// run is the task that owns the entry's state.
+// run is the loop: it handles messages, updates of the log's state and ticks one by one, until ctx ends.
 func (e *Entry) run(ctx context.Context) error {
 	ticker := pace.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
 	defer ticker.Stop()
@@ -132,7 +139,7 @@
 	case cancelMessage:
 		e.cancelWaiting(m.id)
 	case finishMessage:
-		e.finish(m)
+		e.handleFinish(m)
 	case forwardedMessage:
 		e.handleForwarded(m)
 	case retryMessage:
@@ -153,7 +160,7 @@
 	}
 }
 
-// handleUpdate moves the entry to a newer state.
+// handleUpdate takes over a newer state of the log, and the platform's list of leaving boxes.
 func (e *Entry) handleUpdate(update follow.Update) {
 	if update.LeavingBoxesKnown {
 		e.updateLeaving(update.LeavingBoxes)
@@ -191,20 +198,20 @@
 }
 
 func (e *Entry) setGauges() {
-	standing := e.summarize()
-	e.deps.Metrics.SetGauge("boxes", standing.boxes)
-	e.deps.Metrics.SetGauge("slots_in_use", standing.inUse)
-	e.deps.Metrics.SetGauge("waiting", standing.waiting)
+	current := e.summarize()
+	e.deps.Metrics.SetGauge("boxes", current.boxes)
+	e.deps.Metrics.SetGauge("slots_in_use", current.inUse)
+	e.deps.Metrics.SetGauge("waiting", current.waiting)
 	e.deps.Metrics.SetGauge("held_bytes", int(e.heldBytes.Load()))
 }
 
 func (e *Entry) summarize() summary {
-	summary := summary{boxes: len(e.boxes), maySend: e.lease.holder.MaySend(e.now()), successors: len(e.successors())}
+	s := summary{boxes: len(e.boxes), maySend: e.lease.holder.MaySend(e.now()), successors: len(e.successors())}
 	for _, box := range e.boxes {
-		summary.inUse += box.inUse
+		s.inUse += box.inUse
 	}
-	for _, waiting := range e.queues {
-		summary.waiting += waiting.Total()
+	for _, q := range e.queues {
+		s.waiting += q.Total()
 	}
-	return summary
+	return s
 }
