--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -19,24 +19,34 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Headers of callers' requests and of their answers.
+// HTTP headers of clients' requests and of the responses to them.
 const (
-	HeaderOutcome        = "Damsonwinch-Outcome"
-	HeaderClass          = "Damsonwinch-Class"
-	HeaderCustomer       = "Damsonwinch-Team"
-	HeaderDeadline       = "Damsonwinch-Deadline-Ms"
-	HeaderSize           = "Damsonwinch-Size"
-	HeaderRequestID      = "Damsonwinch-Request"
+	// HeaderOutcome says in a response whether the request was answered or not run, or that this is
+	// unknown.
+	HeaderOutcome = "Damsonwinch-Outcome"
+	// HeaderClass is the request's class: urgent, normal or same-day.
+	HeaderClass = "Damsonwinch-Class"
+	// HeaderCustomer names the customer who sends the request.
+	HeaderCustomer = "Damsonwinch-Team"
+	// HeaderDeadline is the time within which the client wants the response, in milliseconds.
+	HeaderDeadline = "Damsonwinch-Deadline-Ms"
+	// HeaderSize is the number of slots that the request needs on one box.
+	HeaderSize = "Damsonwinch-Size"
+	// HeaderRequestID carries the ID that the entry gave the request, in a response.
+	HeaderRequestID = "Damsonwinch-Request"
+	// HeaderIdempotencyKey carries a key under which a request runs at most once. It has an effect only
+	// for services whose requests may not be repeated.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
 	maxKeyBytes      = 200
 	maxCustomerBytes = 64
-	// maxClaimWait bounds the wait for the log's decision on a key.
+	// maxClaimWait bounds the wait until the log shows which request has claimed a key.
 	maxClaimWait = 2 * time.Second
 )
 
+// handler returns the handler of clients' requests and of the load balancer's readiness checks.
 func (e *Entry) handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/run/{service}", e.handleRun).Methods(http.MethodPost)
@@ -44,7 +54,8 @@
 	return router
 }
 
-// handleReady tells the balancer whether to send callers here.
+// handleReady tells the load balancer whether to send requests to this entry: not during a planned
+// stop, nor before the entry has read the table from the log.
 func (e *Entry) handleReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case e.stopping.Load():
@@ -56,6 +67,7 @@
 	}
 }
 
+// handleRun runs a client's request and writes the response.
 func (e *Entry) handleRun(w http.ResponseWriter, r *http.Request) {
 	e.deps.Metrics.Add("requests", 1)
 	id := fmt.Sprintf("%s-%x-%d", e.key.Node, e.incarnation, e.requestCount.Add(1))
@@ -84,7 +96,7 @@
 	e.writeResponse(w, id, e.claimAndRun(r.Context(), request, row, r.Header.Get(HeaderIdempotencyKey)))
 }
 
-// readRequest checks a request's headers and takes its whole body.
+// readRequest checks a request's headers and reads its whole body.
 func (e *Entry) readRequest(r *http.Request, id, service string, row settings.Row) (Request, *refusal) {
 	request := Request{ID: id, Service: service, Customer: r.Header.Get(HeaderCustomer), ClientAddress: r.RemoteAddr}
 	class, refused := parseClass(r.Header.Get(HeaderClass))
@@ -110,6 +122,7 @@
 
 const maxRequestSlots = 1_000_000
 
+// parseClass returns the class that a header names, or the normal class if the header is missing.
 func parseClass(text string) (wire.Class, *refusal) {
 	switch class := wire.Class(text); class {
 	case "":
@@ -120,42 +133,46 @@
 	return "", newRefusal(http.StatusBadRequest, noRetryAfter, "%s is %q; allowed: urgent, normal, same-day", HeaderClass, text)
 }
 
-// parseIntHeader reads a header that holds a whole parseIntHeader from 1 to most.
-func parseIntHeader(header http.Header, name string, usual, most int) (int, *refusal) {
+// parseIntHeader returns the value of a header that holds a whole number from 1 to maximum, or
+// defaultValue if the header is missing.
+func parseIntHeader(header http.Header, name string, defaultValue, maximum int) (int, *refusal) {
 	text := header.Get(name)
 	if text == "" {
-		return usual, nil
+		return defaultValue, nil
 	}
 	value, err := strconv.Atoi(text)
-	if err != nil || value < 1 || value > most {
-		return 0, newRefusal(http.StatusBadRequest, noRetryAfter, "%s is %q; allowed: a whole number from 1 to %d", name, text, most)
+	if err != nil || value < 1 || value > maximum {
+		return 0, newRefusal(http.StatusBadRequest, noRetryAfter, "%s is %q; allowed: a whole number from 1 to %d", name, text, maximum)
 	}
 	return value, nil
 }
 
+// readBody reads the request's body, up to the service's limit.
 func (e *Entry) readBody(r *http.Request, row settings.Row) ([]byte, *refusal) {
-	most := int64(row.RequestKb) * bytesPerKilobyte
-	tooLarge := newRefusal(http.StatusRequestEntityTooLarge, noRetryAfter, "the request is larger than the service's %d bytes", most)
-	if r.ContentLength > most {
+	limit := int64(row.RequestKb) * bytesPerKilobyte
+	tooLarge := newRefusal(http.StatusRequestEntityTooLarge, noRetryAfter, "the request is larger than the service's %d bytes", limit)
+	if r.ContentLength > limit {
 		return nil, tooLarge
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
 		return nil, tooLarge
 	case err != nil:
-		return nil, newRefusal(http.StatusBadRequest, noRetryAfter, "the request's body broke off: %v", err)
+		return nil, newRefusal(http.StatusBadRequest, noRetryAfter, "the request's body could not be read: %v", err)
 	}
 	return body, nil
 }
 
-// claimAndRun runs a request, first claiming its key when it must not run twice.
+// claimAndRun runs a request. If the service's requests may not be repeated and the request has an
+// idempotency key, it claims the key first and records the outcome under it afterwards.
 func (e *Entry) claimAndRun(ctx context.Context, request Request, row settings.Row, key string) Response {
 	if row.Repeatable {
 		return e.RunRequest(ctx, request)
 	}
-	// Its outcome matters also when its caller has gone.
+	// A request that may not be repeated is not cut off when its client disconnects: its outcome is
+	// still needed.
 	ctx = context.WithoutCancel(ctx)
 	if key == "" {
 		return e.RunRequest(ctx, request)
@@ -165,23 +182,25 @@
 	if request.Deadline.Before(until) {
 		until = request.Deadline
 	}
-	verdict := e.claimer.Acquire(key, bodyHash(request.Body), until, request.Deadline)
-	if verdict.State != claim.Won {
+	result := e.claimer.Acquire(key, bodyHash(request.Body), until, request.Deadline)
+	if result.State != claim.Won {
 		e.deps.Metrics.Add("claims_lost", 1)
-		return claimFailedResponse(verdict)
+		return claimFailedResponse(result)
 	}
-	outcome := e.RunRequest(ctx, request)
-	e.claimer.RecordOutcome(key, verdict.Owner, outcome.Outcome, outcome.Status)
-	return outcome
+	response := e.RunRequest(ctx, request)
+	e.claimer.RecordOutcome(key, result.Owner, response.Outcome, response.Status)
+	return response
 }
 
+// bodyHash returns the hash by which a claim tells apart requests with the same key.
 func bodyHash(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
-// claimFailedResponse words what is known of a key that another request holds.
-func claimFailedResponse(verdict claim.Result) Response {
-	switch verdict.State {
+// claimFailedResponse returns the response for a request whose key could not be claimed, with what is
+// known of the request that has claimed it.
+func claimFailedResponse(result claim.Result) Response {
+	switch result.State {
 	case claim.Mismatch:
 		return Response{Outcome: wire.OutcomeNotRun, Status: http.StatusUnprocessableEntity,
 			Reason: "this key was used for a request with another body; use a new key"}
@@ -189,39 +208,41 @@
 		return Response{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, RetryAfter: unavailableRetryAfter,
 			Reason: "the key could not be claimed in the platform's log; try again with the same key"}
 	}
-	if verdict.Outcome == wire.OutcomeAnswered {
+	if result.Outcome == wire.OutcomeAnswered {
 		return Response{Outcome: wire.OutcomeAnswered, Status: http.StatusConflict,
-			Reason: fmt.Sprintf("a request with this key was answered with status %d; its answer is not kept", verdict.Status)}
+			Reason: fmt.Sprintf("a request with this key was answered with status %d; the response is not stored", result.Status)}
 	}
 	return Response{Outcome: wire.OutcomeUnknown, Status: http.StatusConflict, RetryAfter: unavailableRetryAfter,
-		Reason: "a request with this key is running, or its outcome is not known; look before you send it under a new key"}
+		Reason: "a request with this key is running, or its outcome is not known; check whether it took effect before you send it with a new key"}
 }
 
-// writeResponse gives the caller the whole answer, or a refusal's body.
-func (e *Entry) writeResponse(w http.ResponseWriter, id string, outcome Response) {
-	w.Header().Set(HeaderOutcome, string(outcome.Outcome))
-	setRetryAfter(w.Header(), outcome.RetryAfter)
-	if outcome.Reason != "" {
-		writeRefusalBody(w, outcome.Status, wire.Refusal{
-			Outcome: outcome.Outcome, Reason: outcome.Reason, RequestId: id, RetryAfterMs: int(outcome.RetryAfter.Milliseconds()),
+// writeResponse writes an endpoint's response, or a refusal as JSON if the response has a reason.
+func (e *Entry) writeResponse(w http.ResponseWriter, id string, response Response) {
+	w.Header().Set(HeaderOutcome, string(response.Outcome))
+	setRetryAfter(w.Header(), response.RetryAfter)
+	if response.Reason != "" {
+		writeRefusalBody(w, response.Status, wire.Refusal{
+			Outcome: response.Outcome, Reason: response.Reason, RequestId: id, RetryAfterMs: int(response.RetryAfter.Milliseconds()),
 		})
 		return
 	}
-	if outcome.ContentType != "" {
-		w.Header().Set("Content-Type", outcome.ContentType)
+	if response.ContentType != "" {
+		w.Header().Set("Content-Type", response.ContentType)
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(outcome.Body)))
-	w.WriteHeader(outcome.Status)
-	// A caller that has gone needs no answer.
-	_, _ = w.Write(outcome.Body)
+	w.Header().Set("Content-Length", strconv.Itoa(len(response.Body)))
+	w.WriteHeader(response.Status)
+	// An error means that the client has disconnected and needs no response.
+	_, _ = w.Write(response.Body)
 }
 
-func (e *Entry) writeRefusal(w http.ResponseWriter, id string, why *refusal) {
-	e.deps.Metrics.Add("refused_"+strconv.Itoa(why.status), 1)
-	e.writeResponse(w, id, Response{Outcome: wire.OutcomeNotRun, Status: why.status, Reason: why.reason, RetryAfter: why.retryAfter})
+// writeRefusal writes and counts the refusal of a request that was not passed to RunRequest.
+func (e *Entry) writeRefusal(w http.ResponseWriter, id string, refused *refusal) {
+	e.deps.Metrics.Add("refused_"+strconv.Itoa(refused.status), 1)
+	e.writeResponse(w, id, Response{Outcome: wire.OutcomeNotRun, Status: refused.status, Reason: refused.reason, RetryAfter: refused.retryAfter})
 }
 
-// setRetryAfter tells when to come back, in whole seconds as the header has it.
+// setRetryAfter sets the Retry-After header, which holds whole seconds, to wait rounded up. It sets
+// nothing if wait is 0.
 func setRetryAfter(header http.Header, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -230,6 +251,7 @@
 	header.Set("Retry-After", strconv.Itoa(seconds))
 }
 
+// writeRefusalBody writes a refusal as JSON.
 func writeRefusalBody(w http.ResponseWriter, status int, body wire.Refusal) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -16,13 +16,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// statusClientClosedRequest is what a caller that has gone would be told.
+// statusClientClosedRequest is the HTTP status of a request whose client has disconnected.
 const statusClientClosedRequest = 499
 
-// maxAttempts bounds the boxes and senders that one request tries.
+// maxAttempts bounds the boxes and other entries that one request tries.
 const maxAttempts = 4
 
-// Request is a caller's request, whole in memory.
+// Request is a client's request with its whole body.
 type Request struct {
 	ID            string
 	Service       string
@@ -30,77 +30,84 @@
 	ClientAddress string
 	Class         wire.Class
 	Deadline      time.Time
-	// Size is the number of slots it needs on one box.
+	// Size is the number of slots that the request needs on one box.
 	Size int
 	Body []byte
-	// Forwarded says that another entry has sent it on.
+	// Forwarded says that another entry has forwarded the request to this one.
 	Forwarded bool
 }
 
-// Response is what the caller is told.
+// Response is what the client gets for a request: an endpoint's response, or a refusal with a reason.
 type Response struct {
-	Outcome     wire.Outcome
-	Status      int
+	// Outcome says whether an endpoint answered the request, it was not run, or that is unknown.
+	Outcome wire.Outcome
+	// Status is an HTTP status.
+	Status int
+	// Reason says why there is no response of an endpoint. It is empty if there is one.
 	Reason      string
 	ContentType string
 	Body        []byte
-	Box         string
-	RetryAfter  time.Duration
+	// Box is the name of the box that was tried last, if that is known.
+	Box        string
+	RetryAfter time.Duration
 }
 
-// execution is one request's way through its attempts.
+// execution is the state of one request through its attempts. It belongs to the request's goroutine.
 type execution struct {
 	entry   *Entry
 	request Request
-	tried   map[string]bool
+	// tried holds the names of the boxes and the sender keys of the entries that were tried.
+	tried map[string]bool
 	// maybeSent says that bytes of the request may have reached an endpoint.
 	maybeSent bool
-	// sendCount counts the attempts that did.
+	// sendCount is the number of attempts on this entry's boxes that may have reached an endpoint, and
+	// of calls to other entries that failed and may have.
 	sendCount int
-	// lastFailure is what the lastFailure endpoint said, when it was a failure.
+	// lastFailure is the response of the last attempt that was not final.
 	lastFailure *Response
 }
 
-// RunRequest takes a request to an endpoint and returns its outcome. It returns by the
-// request's deadline.
+// RunRequest runs a request on an endpoint, retrying as the service allows, and returns the response
+// for the client. It returns by the request's deadline.
 func (e *Entry) RunRequest(ctx context.Context, request Request) Response {
 	limited, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	x := &execution{entry: e, request: request, tried: map[string]bool{}}
-	outcome := x.withEarlierSends(x.run(limited))
-	e.deps.Invariants.Check(invariant.NotRunButSent, outcome.Outcome != wire.OutcomeNotRun || !x.maybeSent,
-		"request %s of service %s was sent and told not run", request.ID, request.Service)
-	e.deps.Metrics.Add("outcome_"+string(outcome.Outcome), 1)
-	return outcome
+	response := x.accountForEarlierSends(x.run(limited))
+	e.deps.Invariants.Check(invariant.NotRunButSent, response.Outcome != wire.OutcomeNotRun || !x.maybeSent,
+		"request %s of service %s was sent, but is reported as not run", request.ID, request.Service)
+	e.deps.Metrics.Add("outcome_"+string(response.Outcome), 1)
+	return response
 }
 
+// run makes up to maxAttempts attempts, each on a box or through another entry.
 func (x *execution) run(ctx context.Context) Response {
 	for range maxAttempts {
 		granted := x.waitForGrant(ctx)
 		if granted.refusal != nil {
 			return x.refusedResponse(*granted.refusal)
 		}
-		outcome, final := x.attempt(ctx, granted)
+		response, final := x.attempt(ctx, granted)
 		if final {
-			return outcome
+			return response
 		}
-		x.lastFailure = &outcome
+		x.lastFailure = &response
 	}
 	return *x.lastFailure
 }
 
-// withEarlierSends keeps a later attempt's "not run" from hiding an earlier one that was
-// sent: another sender's refusal says nothing of what this entry sent before.
-func (x *execution) withEarlierSends(outcome Response) Response {
-	if !x.maybeSent || outcome.Outcome != wire.OutcomeNotRun {
-		return outcome
+// accountForEarlierSends turns the outcome "not run" into "unknown" if an earlier attempt may have
+// reached an endpoint: a refusal of the last attempt says nothing about the earlier ones.
+func (x *execution) accountForEarlierSends(response Response) Response {
+	if !x.maybeSent || response.Outcome != wire.OutcomeNotRun {
+		return response
 	}
-	outcome.Outcome, outcome.Status = wire.OutcomeUnknown, http.StatusBadGateway
-	return outcome
+	response.Outcome, response.Status = wire.OutcomeUnknown, http.StatusBadGateway
+	return response
 }
 
-// waitForGrant waits for a grant. It leaves the queue at once when the caller goes or
-// the deadline comes.
+// waitForGrant asks the loop for a grant and waits for it. The request leaves the queue at once when
+// its client disconnects or its deadline passes.
 func (x *execution) waitForGrant(ctx context.Context) grant {
 	reply := make(chan grant, 1)
 	message := acquireMessage{item: x.queueItem(), forwarded: x.request.Forwarded, tried: x.tried, reply: reply}
@@ -129,7 +136,9 @@
 	}
 }
 
-// attempt uses one grant. It returns the outcome and whether that is final.
+// attempt makes one attempt with a grant. It returns the response and whether that is final. The lease
+// and the deadline are checked again here, because the process may have been suspended since the loop
+// made the grant.
 func (x *execution) attempt(ctx context.Context, granted grant) (Response, bool) {
 	if granted.box == "" {
 		return x.forward(ctx, granted)
@@ -141,9 +150,9 @@
 	x.tried[granted.box] = true
 	x.entry.deps.Invariants.Check(invariant.SentTwice, granted.row.Repeatable || x.sendCount == 0,
 		"request %s of service %s is not repeatable and was sent before", x.request.ID, x.request.Service)
-	begun := x.entry.now()
+	start := x.entry.now()
 	result := x.send(ctx, granted)
-	took := x.entry.now().Sub(begun)
+	took := x.entry.now().Sub(start)
 	if result.Kind != send.NotSent {
 		x.maybeSent = true
 		x.sendCount++
@@ -151,7 +160,7 @@
 	return x.evaluate(ctx, granted, result, took)
 }
 
-// send makes one attempt within the service's time for a run.
+// send sends the request to the granted box and waits at most the service's longest run time.
 func (x *execution) send(ctx context.Context, granted grant) send.Result {
 	limited, cancel := context.WithTimeout(ctx, milliseconds(granted.row.RunMs))
 	defer cancel()
@@ -161,21 +170,24 @@
 	})
 }
 
-// evaluate decides whether a result is final or the request is tried again.
+// evaluate returns the response for a result and whether it is final, and reports the attempt to the
+// loop. A request that failed or found the box busy is tried again if it was not sent, or if its
+// service allows repeated runs and has a retry left.
 func (x *execution) evaluate(ctx context.Context, granted grant, result send.Result, took time.Duration) (Response, bool) {
-	told := attemptReport{kind: result.Kind, took: took, failed: countsAgainstBox(ctx, granted, result, took), busy: isBusy(result)}
-	outcome := responseOf(result, granted)
-	again := told.failed || told.busy
-	if again && result.Kind != send.NotSent {
-		again = granted.row.Repeatable && x.takeRetry(ctx)
+	report := attemptReport{kind: result.Kind, took: took, failed: countsAgainstBox(ctx, granted, result, took), busy: isBusy(result)}
+	response := responseOf(result, granted)
+	retry := report.failed || report.busy
+	if retry && result.Kind != send.NotSent {
+		retry = granted.row.Repeatable && x.takeRetry(ctx)
 	}
-	told.last = !again
-	x.finish(told)
-	return outcome, !again
+	report.last = !retry
+	x.finish(report)
+	return response, !retry
 }
 
-// countsAgainstBox says whether a result speaks against its box. A caller that goes away
-// doesn't, nor does a deadline that left little time.
+// countsAgainstBox reports whether a result counts as a failure of the box. If the client disconnects
+// before the response, it doesn't. If the deadline passes, it counts only if the attempt had at least
+// half of the service's longest run time.
 func countsAgainstBox(ctx context.Context, granted grant, result send.Result, took time.Duration) bool {
 	const enough = 2
 	if ctx.Err() != nil && result.Kind != send.Answered {
@@ -184,12 +196,13 @@
 	return result.Kind != send.Answered || (result.Status >= http.StatusInternalServerError && !isBusy(result))
 }
 
-// isBusy says whether the endpoint had no room.
+// isBusy reports whether the endpoint answered that it has no free capacity.
 func isBusy(result send.Result) bool {
 	return result.Kind == send.Answered &&
 		slices.Contains([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, result.Status)
 }
 
+// responseOf returns the response for the client after an attempt with the given result.
 func responseOf(result send.Result, granted grant) Response {
 	switch result.Kind {
 	case send.Answered:
@@ -202,6 +215,7 @@
 	return Response{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: result.Err.Error(), Box: granted.box}
 }
 
+// parseRetryAfter returns the endpoint's Retry-After, or 0 if it is not a number of seconds.
 func parseRetryAfter(result send.Result) time.Duration {
 	seconds, err := strconv.Atoi(result.RetryAfter)
 	if err != nil {
@@ -210,6 +224,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
+// takeRetry takes a retry from the service's retry budget and reports whether there was one.
 func (x *execution) takeRetry(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -226,11 +241,13 @@
 	}
 }
 
-func (x *execution) finish(told attemptReport) {
-	x.entry.post(finishMessage{id: x.request.ID, report: told})
+// finish returns the grant's slots and reports the attempt to the loop.
+func (x *execution) finish(report attemptReport) {
+	x.entry.post(finishMessage{id: x.request.ID, report: report})
 }
 
-// forward hands the request to the entry that sends to its pool's boxes.
+// forward forwards the request to the entry that the grant names and waits for its reply. It returns
+// the response and whether that is final.
 func (x *execution) forward(ctx context.Context, granted grant) (Response, bool) {
 	x.tried[granted.forwardTo.String()] = true
 	left := x.request.Deadline.Sub(x.entry.now())
@@ -248,32 +265,35 @@
 	if err != nil {
 		return x.forwardFailed(ctx, granted, err)
 	}
-	outcome := Response{
+	response := Response{
 		Outcome: reply.Outcome, Status: reply.Status, Reason: reply.Reason, ContentType: reply.ContentType,
 		Body: []byte(reply.Body), Box: reply.Box, RetryAfter: milliseconds(reply.RetryAfterMs),
 	}
-	if outcome.Outcome != wire.OutcomeNotRun {
+	if response.Outcome != wire.OutcomeNotRun {
 		x.maybeSent = true
-		return outcome, true
+		return response, true
 	}
-	return outcome, !mayPassElsewhere(outcome.Status)
+	return response, !mayBeAcceptedElsewhere(response.Status)
 }
 
-// mayPassElsewhere says whether another sender may take what this one refused.
-func mayPassElsewhere(status int) bool {
+// mayBeAcceptedElsewhere reports whether another entry may accept a request that one refused with the
+// given HTTP status.
+func mayBeAcceptedElsewhere(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
+// forwardFailed returns the response after a failed call to another entry and whether it is final.
 func (x *execution) forwardFailed(ctx context.Context, granted grant, err error) (Response, bool) {
 	if !call.MayHaveExecuted(err) {
 		return Response{Outcome: wire.OutcomeNotRun, Status: http.StatusServiceUnavailable, Reason: err.Error(), RetryAfter: unavailableRetryAfter}, ctx.Err() != nil
 	}
 	x.maybeSent = true
 	x.sendCount++
-	outcome := Response{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: err.Error()}
-	return outcome, !granted.row.Repeatable || !x.takeRetry(ctx)
+	response := Response{Outcome: wire.OutcomeUnknown, Status: http.StatusBadGateway, Reason: err.Error()}
+	return response, !granted.row.Repeatable || !x.takeRetry(ctx)
 }
 
+// callPeer calls Forward of the entry at the given address.
 func (e *Entry) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
 	client := make(chan *call.Client, 1)
 	if !e.post(peerClientMessage{address: address, reply: client}) {
@@ -287,7 +307,8 @@
 	}
 }
 
-// refusedResponse words the outcome of a request that gets no grant.
+// refusedResponse returns the response for a request that gets no further grant: the last attempt's if
+// that was answered or may have run, else the refusal.
 func (x *execution) refusedResponse(why refusal) Response {
 	if x.lastFailure != nil && (x.maybeSent || x.lastFailure.Outcome == wire.OutcomeAnswered) {
 		return *x.lastFailure
@@ -295,12 +316,12 @@
 	return Response{Outcome: wire.OutcomeNotRun, Status: why.status, Reason: why.reason, RetryAfter: why.retryAfter}
 }
 
-// tooLateResponse is the outcome of a grant that came too late to be used.
+// tooLateResponse returns the response for a request whose grant came too late to be used.
 func (x *execution) tooLateResponse() Response {
-	return x.refusedResponse(refusal{status: http.StatusServiceUnavailable, reason: "the right to send or the deadline ran out first", retryAfter: unavailableRetryAfter})
+	return x.refusedResponse(refusal{status: http.StatusServiceUnavailable, reason: "this entry's lease or the request's deadline ended before the request was sent", retryAfter: unavailableRetryAfter})
 }
 
-// currentRow returns the row of a service in force.
+// currentRow returns a service's row of the newest table, and whether it has one.
 func (e *Entry) currentRow(service string) (settings.Row, bool) {
 	return e.currentState.Load().Table().Row(service)
 }
--- a/pkg/front/request_test.go
+++ b/pkg/front/request_test.go
@@ -21,11 +21,11 @@
 	refused := Response{Outcome: wire.OutcomeNotRun, Status: http.StatusUnprocessableEntity, Reason: "refused elsewhere"}
 	sent, unsent := &execution{maybeSent: true}, &execution{}
 
-	assert.Equal(t, sent.withEarlierSends(refused).Outcome, wire.OutcomeUnknown)
-	assert.Equal(t, sent.withEarlierSends(refused).Status, http.StatusBadGateway)
-	assert.Equal(t, unsent.withEarlierSends(refused).Outcome, wire.OutcomeNotRun)
+	assert.Equal(t, sent.accountForEarlierSends(refused).Outcome, wire.OutcomeUnknown)
+	assert.Equal(t, sent.accountForEarlierSends(refused).Status, http.StatusBadGateway)
+	assert.Equal(t, unsent.accountForEarlierSends(refused).Outcome, wire.OutcomeNotRun)
 	answered := Response{Outcome: wire.OutcomeAnswered, Status: http.StatusOK}
-	assert.Equal(t, sent.withEarlierSends(answered).Outcome, wire.OutcomeAnswered)
+	assert.Equal(t, sent.accountForEarlierSends(answered).Outcome, wire.OutcomeAnswered)
 }
 
 // TestAPauseBetweenGrantAndSend: the process stood still after it was granted a
