--- a/pkg/front/admit.go
+++ b/pkg/front/admit.go
@@ -12,53 +12,65 @@
 	"damsonwinch/pkg/wire"
 )
 
-// refusal is why a request is not run.
+// refusal says why a request is not run.
 type refusal struct {
-	status     int
-	reason     string
+	// status is an HTTP status.
+	status int
+	reason string
+	// retryAfter is the time after which the client may try again, or noRetryAfter.
 	retryAfter time.Duration
 }
 
+// newRefusal returns a refusal whose reason is formatted with values.
 func newRefusal(status int, retryAfter time.Duration, reason string, values ...any) *refusal {
 	return &refusal{status: status, retryAfter: retryAfter, reason: fmt.Sprintf(reason, values...)}
 }
 
-// grant is the right to send one request: to a box, or to another sender.
+// grant is the loop's reply to a request that asks for a box. It is one of three: a refusal, a box with
+// the address of its endpoint, or another entry to forward the request to, with that entry's RPC address.
 type grant struct {
 	refusal *refusal
 	box     string
 	address string
-	row     settings.Row
-	// forwardTo names the other sender; its address is then a call's.
+	// row is the row of the request's service.
+	row       settings.Row
 	forwardTo fold.SenderKey
 }
 
-// requestState is a waiting or running request as the task sees it.
+// requestState is what the loop keeps of a request that waits in a queue or has been granted a box.
 type requestState struct {
-	item      queue.Item
-	tried     map[string]bool
+	item queue.Item
+	// tried holds the names of the boxes and the sender keys of the entries that were tried.
+	tried map[string]bool
+	// forwarded says that another entry has forwarded the request to this one.
 	forwarded bool
 	reply     chan<- grant
-	box       string // Empty while it waits.
+	box       string // Empty while the request waits.
 	pool      string
 	startedAt time.Time
 }
 
-// usage counts what a service and its teams hold at this entry.
+// usage counts what a service uses at this entry.
 type usage struct {
-	slots              int
+	// slots is the number of slots that the service's requests use on this entry's boxes.
+	slots int
+	// requestsByCustomer is the number of the service's requests, waiting or running, by customer.
 	requestsByCustomer map[string]int
 }
 
+// Times after which refused clients may try again.
 const (
-	minRetryAfter         = 100 * time.Millisecond
-	maxRetryAfter         = 30 * time.Second
+	// minRetryAfter and maxRetryAfter bound the estimate for a client that finds a queue full.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	// unavailableRetryAfter is the time if nothing is known of when the request could run.
 	unavailableRetryAfter = time.Second
-	noRetryAfter          = 0
+	// noRetryAfter says that a new try of the same request would be refused as well.
+	noRetryAfter = 0
 )
 
-// admit admits a request: refuses it, sends it on, queues it or grants it a
-// box at once.
+// admit decides on a request: it refuses it, forwards it to another entry, grants it a box at once or
+// puts it into the queue of its pool.
 func (e *Entry) admit(m acquireMessage) {
 	row, known := e.state.Table().Row(m.item.Service)
 	if !known {
@@ -67,7 +79,7 @@
 	}
 	if largest := e.maxBoxSlots(row.Pool); largest > 0 && m.item.Size > largest {
 		m.reply <- grant{refusal: newRefusal(http.StatusUnprocessableEntity, noRetryAfter,
-			"it needs %d slots at once, the largest box of pool %s has %d", m.item.Size, row.Pool, largest)}
+			"the request needs %d slots at once; the largest box of pool %s has %d", m.item.Size, row.Pool, largest)}
 		return
 	}
 	if len(m.tried) == 0 {
@@ -85,7 +97,8 @@
 	e.refuseIfQueueFull(m.item.ID, row)
 }
 
-// checkLimits checks the limits that hold before a request may wait.
+// checkLimits refuses a request if this entry can't send to its pool, or if its customer has as many
+// requests here as this entry's share of the customer's quota allows.
 func (e *Entry) checkLimits(item queue.Item, row settings.Row) *refusal {
 	if !e.canSendTo(row.Pool) {
 		return e.noBoxRefusal(row.Pool)
@@ -97,17 +110,18 @@
 		share := max(1, e.limitShare(quota.Most, row.Pool))
 		if e.usage(item.Service).requestsByCustomer[item.Customer] >= share {
 			return newRefusal(http.StatusTooManyRequests, e.estimateRetryAfter(item.Service, row.Pool),
-				"team %s has %d requests here, its share of the quota of %d is %d", item.Customer, share, quota.Most, share)
+				"customer %s has %d requests at this entry, whose share of the quota of %d is %d", item.Customer, share, quota.Most, share)
 		}
 	}
 	return nil
 }
 
+// noBoxRefusal returns the refusal of a request for a pool to which this entry can't send.
 func (e *Entry) noBoxRefusal(pool string) *refusal {
-	return newRefusal(http.StatusServiceUnavailable, unavailableRetryAfter, "no box of pool %s can be sent to from here now", pool)
+	return newRefusal(http.StatusServiceUnavailable, unavailableRetryAfter, "this entry can't send to any box of pool %s now", pool)
 }
 
-// canSendTo says whether this entry sends to a box of the pool and may.
+// canSendTo reports whether this entry holds its lease and has a serving box of the pool.
 func (e *Entry) canSendTo(pool string) bool {
 	if !e.lease.holder.MaySend(e.now()) {
 		return false
@@ -120,7 +134,8 @@
 	return false
 }
 
-// maxBoxSlots returns the slots of the pool's maxBoxSlots box, at any sender.
+// maxBoxSlots returns the slots of the largest of this entry's boxes of the pool, or of the pool's
+// largest box if the entry has none.
 func (e *Entry) maxBoxSlots(pool string) int {
 	largest := 0
 	for _, box := range e.ownBoxes(pool) {
@@ -137,6 +152,8 @@
 	return largest
 }
 
+// computeLimitShare divides a limit on a pool among the entries that have boxes of the pool, by their
+// slots there, and returns this entry's share.
 func (e *Entry) computeLimitShare(total int, pool string) int {
 	weights := []int{e.ownSlots(pool)}
 	index := 0
@@ -158,6 +175,7 @@
 	return limit.Share(total, weights, index)
 }
 
+// usage returns the usage of a service, which it creates if there is none.
 func (e *Entry) usage(service string) *usage {
 	if e.usages[service] == nil {
 		e.usages[service] = &usage{requestsByCustomer: map[string]int{}}
@@ -165,52 +183,54 @@
 	return e.usages[service]
 }
 
+// enqueue puts a request into the queue of its service's pool.
 func (e *Entry) enqueue(m acquireMessage, row settings.Row) {
 	e.requests[m.item.ID] = &requestState{item: m.item, tried: m.tried, forwarded: m.forwarded, reply: m.reply, pool: row.Pool}
 	e.usage(m.item.Service).requestsByCustomer[m.item.Customer]++
 	e.queue(row.Pool).Push(m.item)
 }
 
-// refuseIfQueueFull refuses a request that couldn't start at once and finds the
-// queue full.
+// refuseIfQueueFull refuses a request that was enqueued, could not start at once, and exceeds this
+// entry's share of the limit on its service's queue. For an urgent request, it refuses instead the
+// request that would be served last.
 func (e *Entry) refuseIfQueueFull(id string, row settings.Row) {
 	waiting := e.requests[id]
 	if waiting == nil || waiting.box != "" {
 		return
 	}
-	room := e.limitShare(row.Queue, row.Pool)
+	maxWaiting := e.limitShare(row.Queue, row.Pool)
 	if row.Queue > 0 {
-		room = max(1, room)
+		maxWaiting = max(1, maxWaiting)
 	}
-	if e.queue(row.Pool).Len(waiting.item.Service) <= room {
+	if e.queue(row.Pool).Len(waiting.item.Service) <= maxWaiting {
 		return
 	}
 	if last, found := e.queue(row.Pool).Last(waiting.item.Service); found && last.ID != id && waiting.item.Class == wire.ClassUrgent {
-		// Urgent work takes the place of the work that would be served last.
 		e.deps.Metrics.Add("displaced", 1)
 		waiting = e.requests[last.ID]
 	}
 	e.queue(row.Pool).Remove(waiting.item.ID)
 	e.refuseWaiting(waiting, newRefusal(http.StatusTooManyRequests, e.estimateRetryAfter(waiting.item.Service, row.Pool),
-		"%d requests of service %s wait here already, its share of the limit of %d", room, waiting.item.Service, row.Queue))
+		"%d requests of service %s wait at this entry, its share of the limit of %d", maxWaiting, waiting.item.Service, row.Queue))
 }
 
-// refuseWaiting answers a waiting job that will not run.
-func (e *Entry) refuseWaiting(waiting *requestState, why *refusal) {
+// refuseWaiting refuses a request that waits and is no longer in a queue.
+func (e *Entry) refuseWaiting(waiting *requestState, refused *refusal) {
 	e.forget(waiting)
-	waiting.reply <- grant{refusal: why}
+	waiting.reply <- grant{refusal: refused}
 }
 
-func (e *Entry) forget(known *requestState) {
-	delete(e.requests, known.item.ID)
-	teams := e.usage(known.item.Service).requestsByCustomer
-	teams[known.item.Customer]--
-	if teams[known.item.Customer] <= 0 {
-		delete(teams, known.item.Customer)
+// forget removes a request from the requests that the loop keeps, and from its customer's count.
+func (e *Entry) forget(request *requestState) {
+	delete(e.requests, request.item.ID)
+	counts := e.usage(request.item.Service).requestsByCustomer
+	counts[request.item.Customer]--
+	if counts[request.item.Customer] <= 0 {
+		delete(counts, request.item.Customer)
 	}
 }
 
-// estimateRetryAfter estimates when the present queue will have gone by.
+// estimateRetryAfter estimates how long the requests that wait for the pool and one more will take.
 func (e *Entry) estimateRetryAfter(service, pool string) time.Duration {
 	average := e.learner.AverageLatency(service)
 	slots := max(1, e.ownSlots(pool))
@@ -219,7 +239,8 @@
 	return min(maxRetryAfter, max(minRetryAfter, estimate))
 }
 
-// refuseAllWaiting answers every waiting request when the entry ends.
+// refuseAllWaiting refuses every waiting request when the entry stops. The requests stay in their
+// queues, which are not used any more.
 func (e *Entry) refuseAllWaiting() {
 	for _, waiting := range e.requests {
 		if waiting.box == "" {
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -12,37 +12,42 @@
 // ownBox is a box that this entry sends to.
 type ownBox struct {
 	fold.Box
+	// inUse is the number of slots that this entry's requests use.
 	inUse int
-	// mayRunUntil is when the last attempt that broke off has surely ended on
-	// the endpoint.
-	mayRunUntil time.Time
-	// handoverPending says that a hand-over may be on its way. The box gets no new work
-	// until its epoch changes: the log may take the hand-over at any later time,
-	// and the heir would drain a box on which requests of ours still run.
+	// mayStillRunUntil is the time until which the last request that was sent and not answered may still
+	// run on the endpoint.
+	mayStillRunUntil time.Time
+	// handoverPending says that a proposal to hand the box over may still reach the log. The box gets no
+	// new work until its epoch changes: the log may accept the handover at any later time, and the new
+	// sender would then drain the box without knowing of requests of this entry that still run there.
 	handoverPending bool
 	// proposedAt is when a record about the box was last proposed.
 	proposedAt time.Time
 }
 
-// route is another sender's part of a pool.
+// route is another entry that sends to boxes of a pool, so that requests for the pool can be forwarded
+// to it.
 type route struct {
-	key     fold.SenderKey
+	key fold.SenderKey
+	// address is the host and port for RPC calls to the entry.
 	address string
-	slots   int
-	// busyUntil is when the sender may have free slots again.
+	// slots is the number of slots on its boxes of the pool that accept work.
+	slots int
+	// busyUntil is when the entry is assumed to have free slots again.
 	busyUntil time.Time
 }
 
-// leavingGrace is how long a leaving box may still get work.
+// leavingGrace is how long a box may still get work after the entry has read that it is leaving.
 const leavingGrace = 2 * time.Second
 
-// proposalRetryDelay is the time after which a proposal that wasn't folded is repeated.
+// proposalRetryDelay is the time after which a proposal that the log doesn't show is repeated.
 const proposalRetryDelay = time.Second
 
-// updateFleet takes the boxes and routes of the present state.
+// updateFleet takes over the boxes, the routes and the number of entries of the current state. old is
+// the state before.
 func (e *Entry) updateFleet(old fold.State) {
 	routes := map[string][]route{}
-	mine := map[string]bool{}
+	own := map[string]bool{}
 	entries := 0
 	for _, sender := range e.state.Senders() {
 		if sender.Seq > 0 {
@@ -53,14 +58,14 @@
 	for _, box := range e.state.Boxes() {
 		switch {
 		case box.Sender == e.key:
-			mine[box.Info.Name] = true
+			own[box.Info.Name] = true
 			e.updateOwnBox(box)
 		case box.AcceptsWork() && box.Pool != fold.FreePool && !box.Sender.IsNone():
 			e.addRoute(routes, box)
 		}
 	}
 	for name := range e.boxes {
-		if !mine[name] {
+		if !own[name] {
 			e.removeOwnBox(name)
 		}
 	}
@@ -72,6 +77,7 @@
 	}
 }
 
+// updateOwnBox takes over the state of one of this entry's boxes.
 func (e *Entry) updateOwnBox(box fold.Box) {
 	own := e.boxes[box.Info.Name]
 	if own == nil {
@@ -87,7 +93,8 @@
 		own.proposedAt, own.handoverPending = time.Time{}, false
 	}
 	if own.Health != wire.HealthUp && box.Health == wire.HealthUp && e.ejections.IsEjected(box.Info.Name) {
-		// It was maintained, or another judged it: begin slowly.
+		// The log says that the box is up again, after maintenance or because another sender found so.
+		// It starts with little load.
 		e.ejections.Reinstate(box.Info.Name)
 		e.learner.SlowStart(box.Info.Name)
 	}
@@ -101,6 +108,7 @@
 	delete(e.boxes, name)
 }
 
+// addRoute adds the slots of another entry's box to that entry's route.
 func (e *Entry) addRoute(routes map[string][]route, box fold.Box) {
 	for i := range routes[box.Pool] {
 		if routes[box.Pool][i].key == box.Sender {
@@ -115,60 +123,63 @@
 	routes[box.Pool] = append(routes[box.Pool], route{key: box.Sender, address: sender.Address, slots: box.Info.Slots})
 }
 
+// keepBusyUntil copies busyUntil from the entry's present routes to the same ones in routes.
 func (e *Entry) keepBusyUntil(routes map[string][]route) {
-	for pool, old := range e.routes {
-		for _, was := range old {
+	for pool, oldRoutes := range e.routes {
+		for _, old := range oldRoutes {
 			for i := range routes[pool] {
-				if routes[pool][i].key == was.key {
-					routes[pool][i].busyUntil = was.busyUntil
+				if routes[pool][i].key == old.key {
+					routes[pool][i].busyUntil = old.busyUntil
 				}
 			}
 		}
 	}
 }
 
-// updateLeaving notes which boxes the platform's list shows as leaving.
+// updateLeaving takes over which boxes the platform's list shows as leaving, and keeps since when.
 func (e *Entry) updateLeaving(names []string) {
-	avoid := make(map[string]time.Time, len(names))
+	leaving := make(map[string]time.Time, len(names))
 	for _, name := range names {
 		since, known := e.boxLeavingSince[name]
 		if !known {
 			since = e.now()
 		}
-		avoid[name] = since
+		leaving[name] = since
 	}
-	e.boxLeavingSince = avoid
+	e.boxLeavingSince = leaving
 }
 
-// mayStartOn says whether a box takes new work from an item.
-func (e *Entry) mayStartOn(box *ownBox, repeatable bool) bool {
+// mayStartOn reports whether a new request may be sent to a box. An ejected box takes one request at a
+// time, as a probe, and only if mayProbe is set and the time of its ejection is over.
+func (e *Entry) mayStartOn(box *ownBox, mayProbe bool) bool {
 	name := box.Info.Name
 	if _, leaving := e.boxLeavingSince[name]; leaving || box.handoverPending || box.Phase != fold.Serving {
 		return false
 	}
 	if e.ejections.IsEjected(name) {
-		return repeatable && box.inUse == 0 && e.ejections.MayProbe(name, e.now()) && box.Health != wire.HealthLeaving && box.Health != wire.HealthGone
+		return mayProbe && box.inUse == 0 && e.ejections.MayProbe(name, e.now()) && box.Health != wire.HealthLeaving && box.Health != wire.HealthGone
 	}
 	return box.Health == wire.HealthUp
 }
 
-// checkNotLeaving asserts that a box which gets work isn't known to leave.
+// checkNotLeaving checks the invariant that a box which gets work has not been leaving for longer than
+// leavingGrace, as far as this entry knows.
 func (e *Entry) checkNotLeaving(box *ownBox) {
 	since, leaving := e.boxLeavingSince[box.Info.Name]
 	e.deps.Invariants.Check(invariant.SentToLeaving, !leaving || e.now().Sub(since) < leavingGrace,
 		"box %s got work while it is leaving", box.Info.Name)
 }
 
-// proposeBoxChanges says which draining boxes have become empty, and in a planned stop
-// hands over boxes that have nothing in flight.
-func (e *Entry) proposeBoxChanges(ctx context.Context) {
+// proposeDrainedAndHandovers proposes to the log which draining boxes have become empty, and which
+// boxes are handed over to other entries.
+func (e *Entry) proposeDrainedAndHandovers(ctx context.Context) {
 	now := e.now()
 	var proposals []wire.Proposal
 	for _, box := range e.boxes {
 		if now.Sub(box.proposedAt) < proposalRetryDelay {
 			continue
 		}
-		if box.inUse > 0 || now.Before(box.mayRunUntil) {
+		if box.inUse > 0 || now.Before(box.mayStillRunUntil) {
 			continue
 		}
 		if box.Phase == fold.Draining && e.state.LogTimeMs() >= box.HeldUntil {
@@ -180,6 +191,8 @@
 	e.propose(ctx, proposals)
 }
 
+// newProposal returns a proposal to change a box, made in the name of this entry and valid for the box's
+// current epoch.
 func (e *Entry) newProposal(kind wire.Kind, box *ownBox, cause string) wire.Proposal {
 	return wire.Proposal{
 		Kind:   kind,
@@ -189,8 +202,8 @@
 	}
 }
 
-// propose hands proposals to the first keeper that takes them. What is lost on
-// the way is proposed again from the state.
+// propose sends proposals to the first keeper that queues them, in a goroutine. Lost proposals need no
+// handling here: they are made again as long as the log's state doesn't show them.
 func (e *Entry) propose(ctx context.Context, proposals []wire.Proposal) {
 	if len(proposals) == 0 {
 		return
--- a/pkg/front/cache.go
+++ b/pkg/front/cache.go
@@ -1,14 +1,14 @@
 package front
 
-// cache holds what follows from the folded state alone and is asked for with
-// every request. It is emptied whenever the fleet changes.
+// cache holds values that are computed from the log's state alone and are needed for every request. It
+// is replaced by an empty one whenever the fleet changes.
 type cache struct {
-	boxes  map[string][]*ownBox
-	slots  map[string]int
+	boxes  map[string][]*ownBox // By pool.
+	slots  map[string]int       // By pool.
 	shares map[shareKey]int
 }
 
-// shareKey names this entry's part of a limit on a pool.
+// shareKey identifies this entry's share of a limit, total, on a pool.
 type shareKey struct {
 	total int
 	pool  string
@@ -20,20 +20,20 @@
 
 // ownBoxes returns this entry's boxes of a pool.
 func (e *Entry) ownBoxes(pool string) []*ownBox {
-	known, cached := e.cache.boxes[pool]
+	boxes, cached := e.cache.boxes[pool]
 	if cached {
-		return known
+		return boxes
 	}
 	for _, box := range e.boxes {
 		if box.Pool == pool {
-			known = append(known, box)
+			boxes = append(boxes, box)
 		}
 	}
-	e.cache.boxes[pool] = known
-	return known
+	e.cache.boxes[pool] = boxes
+	return boxes
 }
 
-// ownSlots returns the slots that this entry has in a pool.
+// ownSlots returns the number of slots on this entry's boxes of a pool that accept work.
 func (e *Entry) ownSlots(pool string) int {
 	slots, cached := e.cache.slots[pool]
 	if cached {
@@ -48,8 +48,8 @@
 	return slots
 }
 
-// limitShare returns this entry's part of a limit on a pool, by the slots that each
-// sender has there.
+// limitShare returns this entry's share of a limit on a pool. A limit is divided among the entries by
+// their slots in the pool.
 func (e *Entry) limitShare(total int, pool string) int {
 	key := shareKey{total: total, pool: pool}
 	share, cached := e.cache.shares[key]
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -214,7 +214,7 @@
 		e.ejections.ForgetRequest(m.id)
 	}
 	if box != nil && box.Phase == fold.Draining && box.inUse == 0 {
-		e.proposeBoxChanges(e.ctx)
+		e.proposeDrainedAndHandovers(e.ctx)
 	}
 	e.dispatch(done.pool)
 }
@@ -223,7 +223,7 @@
 	name := box.Info.Name
 	if report.kind == send.Unanswered {
 		row, _ := e.state.Table().Row(done.item.Service)
-		box.mayRunUntil = e.now().Add(milliseconds(row.RunMs) - report.took)
+		box.mayStillRunUntil = e.now().Add(milliseconds(row.RunMs) - report.took)
 	}
 	switch {
 	case report.unused:
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -64,7 +64,7 @@
 		if len(proposals) >= most {
 			break
 		}
-		if !wanted(box) || box.inUse > 0 || now.Before(box.mayRunUntil) || now.Sub(box.proposedAt) < proposalRetryDelay || box.Phase == fold.Draining {
+		if !wanted(box) || box.inUse > 0 || now.Before(box.mayStillRunUntil) || now.Sub(box.proposedAt) < proposalRetryDelay || box.Phase == fold.Draining {
 			continue
 		}
 		proposals = append(proposals, e.newHandover(box, successorFor(box, heirs, len(proposals)), now))
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -174,7 +174,7 @@
 	e.updateLease()
 	if update.Restored || slices.ContainsFunc(update.Records, follow.AppliedRecord.ChangesFleet) {
 		e.updateFleet(old)
-		e.proposeBoxChanges(e.ctx)
+		e.proposeDrainedAndHandovers(e.ctx)
 	}
 	e.deps.Metrics.SetGauge("offset", e.state.Offset())
 	e.deps.Metrics.SetGauge("table_version", e.state.Table().Version())
@@ -187,7 +187,7 @@
 	e.reroute()
 	if ticks%ticksPerAging == 0 || !e.hasTimedWork() {
 		e.ageQueues()
-		e.proposeBoxChanges(ctx)
+		e.proposeDrainedAndHandovers(ctx)
 		e.updateBoxHealth(ctx)
 	}
 	if ticks%ticksPerCleanup == 0 {
