--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -14,42 +14,43 @@
 	"damsonwinch/pkg/wire"
 )
 
-// attemptReport is what a request tells of the box that it was granted.
+// attemptReport is the result of an attempt with a granted box, for the loop.
 type attemptReport struct {
 	kind send.Kind
-	// failed says that the answer, or its absence, speaks against the box.
+	// failed says that the attempt counts as a failure of the box.
 	failed bool
-	// busy says that the box had no room.
+	// busy says that the endpoint answered that it has no free capacity.
 	busy bool
 	took time.Duration
-	// unused says that nothing was sent.
+	// unused says that no attempt was made.
 	unused bool
-	// last says that the request is tried no more.
+	// last says that the request is not tried again.
 	last bool
 }
 
-// tableWeights gives the queue the table's shares.
+// tableWeights takes the weights for a queue from the table.
 type tableWeights struct {
 	entry *Entry
 }
 
-// Service returns a service's share of its pool.
+// Service returns the weight of a service among those of its pool.
 func (w tableWeights) Service(service string) int {
 	row, _ := w.entry.state.Table().Row(service)
 	return row.Weight
 }
 
-// Customer returns a team's share of a service.
-func (w tableWeights) Customer(service, team string) int {
+// Customer returns the weight of a customer among those of a service, 1 if the customer has no quota.
+func (w tableWeights) Customer(service, customer string) int {
 	row, _ := w.entry.state.Table().Row(service)
 	for _, quota := range row.Quotas {
-		if quota.Team == team {
+		if quota.Team == customer {
 			return quota.Weight
 		}
 	}
 	return 1
 }
 
+// queue returns the queue of a pool, which it creates if there is none.
 func (e *Entry) queue(pool string) *queue.Queue {
 	if e.queues[pool] == nil {
 		e.queues[pool] = queue.New(tableWeights{entry: e})
@@ -57,30 +58,31 @@
 	return e.queues[pool]
 }
 
+// dispatchAll starts waiting requests of all pools.
 func (e *Entry) dispatchAll() {
-	for pool, waiting := range e.queues {
-		if waiting.Total() > 0 {
+	for pool, q := range e.queues {
+		if q.Total() > 0 {
 			e.dispatch(pool)
 		}
 	}
 }
 
-// dispatch starts waiting requests of a pool while boxes have room for them.
+// dispatch starts waiting requests of a pool while its boxes have free slots.
 func (e *Entry) dispatch(pool string) {
 	now := e.now()
 	if !e.lease.holder.MaySend(now) {
 		return
 	}
-	waiting := e.queue(pool)
-	for waiting.Total() > 0 {
-		views := e.candidates(pool)
-		free := totalFreeSlots(views)
+	q := e.queue(pool)
+	for q.Total() > 0 {
+		candidates := e.candidates(pool)
+		free := totalFreeSlots(candidates)
 		if free == 0 && !e.mayProbeAny(pool, now) {
 			return
 		}
 		choices := map[string]string{}
-		item, found := waiting.Pop(func(item queue.Item) bool {
-			choices[item.ID] = e.chooseBox(item, pool, views, free)
+		item, found := q.Pop(func(item queue.Item) bool {
+			choices[item.ID] = e.chooseBox(item, pool, candidates, free)
 			return choices[item.ID] != ""
 		})
 		if !found {
@@ -90,7 +92,7 @@
 	}
 }
 
-// candidate returns what the picker sees of a box.
+// candidate returns a box as package pick sees it.
 func (e *Entry) candidate(box *ownBox) pick.Box {
 	name := box.Info.Name
 	return pick.Box{
@@ -99,51 +101,57 @@
 	}
 }
 
-// candidates returns the boxes of a pool that take new work from anybody.
+// candidates returns this entry's boxes of a pool that take new work, without those that may only be
+// probed.
 func (e *Entry) candidates(pool string) []pick.Box {
 	boxes := e.ownBoxes(pool)
-	views := make([]pick.Box, 0, len(boxes))
+	candidates := make([]pick.Box, 0, len(boxes))
 	for _, box := range boxes {
 		if e.mayStartOn(box, false) {
-			views = append(views, e.candidate(box))
+			candidates = append(candidates, e.candidate(box))
 		}
 	}
-	return views
+	return candidates
 }
 
-func totalFreeSlots(views []pick.Box) int {
+// totalFreeSlots returns the number of free slots on all candidates.
+func totalFreeSlots(candidates []pick.Box) int {
 	free := 0
-	for _, view := range views {
-		free += view.Free()
+	for _, candidate := range candidates {
+		free += candidate.Free()
 	}
 	return free
 }
 
 const (
-	urgentReservePeriod  = time.Minute
+	// urgentReservePeriod is how long slots stay reserved after the last urgent request.
+	urgentReservePeriod = time.Minute
+	// slotsPerReservedSlot is the number of slots for which one more is reserved.
 	slotsPerReservedSlot = 16
-	minSlotsToReserve    = 4
+	// minSlotsToReserve is the number of slots in a pool below which none is reserved.
+	minSlotsToReserve = 4
 )
 
-// reservedSlots returns the slots kept free for urgent work of a pool that has seen
-// some lately.
+// reservedSlots returns how many of this entry's slots in a pool are kept free for urgent requests: 0
+// if there was none lately.
 func (e *Entry) reservedSlots(pool string) int {
-	seen, known := e.lastUrgent[pool]
+	last, known := e.lastUrgent[pool]
 	slots := e.ownSlots(pool)
-	if !known || e.now().Sub(seen) > urgentReservePeriod || slots < minSlotsToReserve {
+	if !known || e.now().Sub(last) > urgentReservePeriod || slots < minSlotsToReserve {
 		return 0
 	}
 	return 1 + slots/slotsPerReservedSlot
 }
 
-// chooseBox returns the box on which an item may start now, or "".
-func (e *Entry) chooseBox(item queue.Item, pool string, views []pick.Box, free int) string {
+// chooseBox returns the name of the box on which a request may start now, or "" if there is none. free
+// is the number of free slots on all candidates.
+func (e *Entry) chooseBox(item queue.Item, pool string, candidates []pick.Box, free int) string {
 	row, known := e.state.Table().Row(item.Service)
 	if !known || e.usage(item.Service).slots+item.Size > max(1, e.limitShare(row.Most, pool)) {
 		return ""
 	}
-	if onTrial := e.boxToProbe(item, pool, row); onTrial != "" {
-		return onTrial
+	if probed := e.boxToProbe(item, pool, row); probed != "" {
+		return probed
 	}
 	if item.Class == wire.ClassUrgent {
 		e.lastUrgent[pool] = e.now()
@@ -152,16 +160,17 @@
 	}
 	tried := e.requests[item.ID].tried
 	if len(tried) > 0 {
-		views = slices.DeleteFunc(slices.Clone(views), func(view pick.Box) bool { return tried[view.Name] })
+		candidates = slices.DeleteFunc(slices.Clone(candidates), func(candidate pick.Box) bool { return tried[candidate.Name] })
 	}
-	at := pick.Choose(views, item.Size, e.random)
-	if at < 0 {
+	i := pick.Choose(candidates, item.Size, e.random)
+	if i < 0 {
 		return ""
 	}
-	return views[at].Name
+	return candidates[i].Name
 }
 
-// boxToProbe returns an ejected box that this repeatable request may try.
+// boxToProbe returns the name of an ejected box that the request may probe, or "". A request probes a
+// box only in its first attempt, if it may be repeated and is not urgent.
 func (e *Entry) boxToProbe(item queue.Item, pool string, row settings.Row) string {
 	if !row.Repeatable || item.Class == wire.ClassUrgent || len(e.requests[item.ID].tried) > 0 {
 		return ""
@@ -175,6 +184,7 @@
 	return ""
 }
 
+// mayProbeAny reports whether the time of an ejected box of the pool is over, so that it may be probed.
 func (e *Entry) mayProbeAny(pool string, now time.Time) bool {
 	for _, box := range e.ownBoxes(pool) {
 		if box.inUse == 0 && e.ejections.MayProbe(box.Info.Name, now) {
@@ -184,31 +194,31 @@
 	return false
 }
 
-// grantBox grants an item its box.
+// grantBox takes the slots of a request on a box and sends it the grant.
 func (e *Entry) grantBox(item queue.Item, name string) {
 	row, _ := e.state.Table().Row(item.Service)
 	box := e.boxes[name]
 	e.checkNotLeaving(box)
-	e.deps.Invariants.Check(invariant.SentWithoutLease, e.lease.holder.MaySend(e.now()), "request %s got box %s outside the lease", item.ID, name)
+	e.deps.Invariants.Check(invariant.SentWithoutLease, e.lease.holder.MaySend(e.now()), "request %s got box %s without a valid lease", item.ID, name)
 	box.inUse += item.Size
 	e.usage(item.Service).slots += item.Size
-	granted := e.requests[item.ID]
-	granted.box, granted.startedAt = name, e.now()
-	granted.reply <- grant{box: name, address: box.Info.Address, row: row}
+	request := e.requests[item.ID]
+	request.box, request.startedAt = name, e.now()
+	request.reply <- grant{box: name, address: box.Info.Address, row: row}
 }
 
-// handleFinish takes back a grant and learns from what became of it.
+// handleFinish takes back the slots of a grant and records the attempt that was made with it.
 func (e *Entry) handleFinish(m finishMessage) {
-	done := e.requests[m.id]
-	if done == nil {
+	request := e.requests[m.id]
+	if request == nil {
 		return
 	}
-	e.forget(done)
-	e.usage(done.item.Service).slots -= done.item.Size
-	box := e.boxes[done.box]
+	e.forget(request)
+	e.usage(request.item.Service).slots -= request.item.Size
+	box := e.boxes[request.box]
 	if box != nil {
-		box.inUse -= done.item.Size
-		e.recordAttempt(done, box, m.report)
+		box.inUse -= request.item.Size
+		e.recordAttempt(request, box, m.report)
 	}
 	if m.report.last {
 		e.ejections.ForgetRequest(m.id)
@@ -216,30 +226,32 @@
 	if box != nil && box.Phase == fold.Draining && box.inUse == 0 {
 		e.proposeDrainedAndHandovers(e.ctx)
 	}
-	e.dispatch(done.pool)
+	e.dispatch(request.pool)
 }
 
-func (e *Entry) recordAttempt(done *requestState, box *ownBox, report attemptReport) {
+// recordAttempt updates the learned speed and limit of a box, its failures and its ejection after an
+// attempt on it.
+func (e *Entry) recordAttempt(request *requestState, box *ownBox, report attemptReport) {
 	name := box.Info.Name
 	if report.kind == send.Unanswered {
-		row, _ := e.state.Table().Row(done.item.Service)
+		row, _ := e.state.Table().Row(request.item.Service)
 		box.mayStillRunUntil = e.now().Add(milliseconds(row.RunMs) - report.took)
 	}
 	switch {
 	case report.unused:
 	case report.busy:
-		e.learner.RecordBusy(name, box.inUse+done.item.Size)
+		e.learner.RecordBusy(name, box.inUse+request.item.Size)
 	case report.kind == send.Unanswered && !report.failed:
-		// Its caller left or its time was short: that says nothing of the box.
+		// The client disconnected, or the deadline left little time: that says nothing about the box.
 	case report.failed:
 		if e.ejections.IsEjected(name) {
 			e.ejections.Eject(name, e.now())
 			return
 		}
-		e.ejections.AddFailure(done.item.ID, name, e.now())
+		e.ejections.AddFailure(request.item.ID, name, e.now())
 	default:
-		e.learner.RecordAnswer(done.item.Service, name, report.took, box.Info.Slots)
-		e.ejections.AddSuccess(done.item.ID, name)
+		e.learner.RecordAnswer(request.item.Service, name, report.took, box.Info.Slots)
+		e.ejections.AddSuccess(request.item.ID, name)
 		if e.ejections.IsEjected(name) {
 			e.ejections.Reinstate(name)
 			e.learner.SlowStart(name)
@@ -247,8 +259,8 @@
 	}
 }
 
-// cancelWaiting takes a request out of its queue; one that has been granted a
-// box is given back by its own goroutine.
+// cancelWaiting removes a request from its queue. If the request has been granted a box meanwhile, its
+// own goroutine returns the grant.
 func (e *Entry) cancelWaiting(id string) {
 	waiting := e.requests[id]
 	if waiting == nil || waiting.box != "" {
@@ -256,32 +268,35 @@
 	}
 	e.queue(waiting.pool).Remove(id)
 	e.deps.Metrics.Add("cancelled_waiting", 1)
-	e.refuseWaiting(waiting, newRefusal(statusClientClosedRequest, noRetryAfter, "the caller has gone"))
+	e.refuseWaiting(waiting, newRefusal(statusClientClosedRequest, noRetryAfter, "the client disconnected or the deadline passed while the request waited"))
 }
 
-// refuseExpired refuses waiting requests whose deadline has come.
+// refuseExpired refuses waiting requests whose deadline has passed.
 func (e *Entry) refuseExpired() {
 	now := e.now()
-	for pool, waiting := range e.queues {
-		for _, item := range waiting.PopExpired(now) {
+	for pool, q := range e.queues {
+		for _, item := range q.PopExpired(now) {
 			e.refuseWaiting(e.requests[item.ID], newRefusal(http.StatusServiceUnavailable, e.estimateRetryAfter(item.Service, pool),
-				"its deadline came while it waited in the queue of pool %s", pool))
+				"the deadline passed while the request waited in the queue of pool %s", pool))
 		}
 	}
 }
 
+// agingLeadRuns is the time before its deadline at which a waiting request becomes as urgent as any, as
+// a multiple of the average run time of its service.
 const agingLeadRuns = 2
 
-// ageQueues lifts work that has waited long.
+// ageQueues raises the rank of requests that have waited long.
 func (e *Entry) ageQueues() {
 	now := e.now()
-	for _, waiting := range e.queues {
-		aged := waiting.Age(now, func(service string) time.Duration { return agingLeadRuns * e.learner.AverageLatency(service) })
+	for _, q := range e.queues {
+		aged := q.Age(now, func(service string) time.Duration { return agingLeadRuns * e.learner.AverageLatency(service) })
 		e.deps.Metrics.Add("aged", aged)
 	}
 }
 
-// requeueMoved moves waiting requests whose service has changed its pool.
+// requeueMoved moves waiting requests whose service is in another pool now to that pool's queue, and
+// refuses those whose service is no longer in the table.
 func (e *Entry) requeueMoved() {
 	for id, waiting := range e.requests {
 		pool := poolOf(e.state, waiting.item.Service)
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -9,119 +9,125 @@
 )
 
 const (
-	// handoverDivisor is the part of its boxes that an entry hands over at once, so
-	// that their pools keep most of their slots.
+	// handoverDivisor limits how many boxes an entry hands over at once, to about this fraction of its
+	// boxes, so that the pools keep most of their slots.
 	handoverDivisor = 4
-	// minImbalance is the difference of boxes between two senders of a hall from
-	// which on the one with more hands over.
+	// minImbalance is the difference in boxes between two entries of a zone from which on the one with
+	// more hands boxes over.
 	minImbalance = 2
 )
 
-// handoverProposals proposes to pass boxes to other senders: all of them in a planned
-// stop, otherwise those of other halls that have senders of their own, and as
-// many as make the hall's senders even.
+// handoverProposals returns proposals to hand boxes over to other entries: all of them in a planned
+// stop, otherwise those of other zones that have entries of their own, and as many as balance the
+// entries of this entry's zone.
 func (e *Entry) handoverProposals(now time.Time) []wire.Proposal {
-	heirs := e.successors()
-	if again := e.repeatHandovers(heirs, now); len(again) > 0 {
-		return again
+	successors := e.successors()
+	if repeated := e.repeatHandovers(successors, now); len(repeated) > 0 {
+		return repeated
 	}
-	if len(heirs) == 0 {
+	if len(successors) == 0 {
 		return nil
 	}
 	if e.leaving {
-		return e.handOverBoxes(heirs, len(e.boxes), now, func(*ownBox) bool { return true })
+		return e.handOverBoxes(successors, len(e.boxes), now, func(*ownBox) bool { return true })
 	}
-	misplaced := e.handOverBoxes(heirs, len(e.boxes), now, func(box *ownBox) bool {
-		return box.Info.Hall != e.deps.Settings.Hall && len(sendersInZone(heirs, box.Info.Hall)) > 0
+	misplaced := e.handOverBoxes(successors, len(e.boxes), now, func(box *ownBox) bool {
+		return box.Info.Hall != e.deps.Settings.Hall && len(sendersInZone(successors, box.Info.Hall)) > 0
 	})
 	if len(misplaced) > 0 {
 		return misplaced
 	}
-	return e.rebalance(heirs, now)
+	return e.rebalance(successors, now)
 }
 
-// rebalance passes boxes to the hall's sender that has least.
-func (e *Entry) rebalance(heirs []fold.Sender, now time.Time) []wire.Proposal {
-	near := sendersInZone(heirs, e.deps.Settings.Hall)
-	if len(near) == 0 {
+// rebalance returns proposals to hand half of the difference in boxes over to the entry of this zone
+// that has the fewest.
+func (e *Entry) rebalance(successors []fold.Sender, now time.Time) []wire.Proposal {
+	inZone := sendersInZone(successors, e.deps.Settings.Hall)
+	if len(inZone) == 0 {
 		return nil
 	}
-	least := slices.MinFunc(near, func(a, b fold.Sender) int { return a.Boxes - b.Boxes })
-	more := len(e.boxes) - least.Boxes
-	if more < minImbalance {
+	least := slices.MinFunc(inZone, func(a, b fold.Sender) int { return a.Boxes - b.Boxes })
+	surplus := len(e.boxes) - least.Boxes
+	if surplus < minImbalance {
 		return nil
 	}
-	return e.handOverBoxes([]fold.Sender{least}, more/2, now, func(*ownBox) bool { return true })
+	return e.handOverBoxes([]fold.Sender{least}, surplus/2, now, func(*ownBox) bool { return true })
 }
 
-// handOverBoxes proposes to pass wanted boxes with nothing in flight to heirs in
-// turn, those of the box's hall first, and at most a part of all boxes at once.
-// A box that is picked gets no new work until the log has decided.
-func (e *Entry) handOverBoxes(heirs []fold.Sender, most int, now time.Time, wanted func(*ownBox) bool) []wire.Proposal {
-	most = min(most, 1+len(e.boxes)/handoverDivisor)
+// handOverBoxes returns proposals to hand eligible boxes without requests in flight over to successors,
+// at most maxBoxes and a part of all boxes at once. Such a box gets no new work until the log has
+// accepted or superseded the handover.
+func (e *Entry) handOverBoxes(successors []fold.Sender, maxBoxes int, now time.Time, eligible func(*ownBox) bool) []wire.Proposal {
+	maxBoxes = min(maxBoxes, 1+len(e.boxes)/handoverDivisor)
 	var proposals []wire.Proposal
 	for _, box := range e.boxes {
-		if len(proposals) >= most {
+		if len(proposals) >= maxBoxes {
 			break
 		}
-		if !wanted(box) || box.inUse > 0 || now.Before(box.mayStillRunUntil) || now.Sub(box.proposedAt) < proposalRetryDelay || box.Phase == fold.Draining {
+		if !eligible(box) || box.inUse > 0 || now.Before(box.mayStillRunUntil) || now.Sub(box.proposedAt) < proposalRetryDelay || box.Phase == fold.Draining {
 			continue
 		}
-		proposals = append(proposals, e.newHandover(box, successorFor(box, heirs, len(proposals)), now))
+		proposals = append(proposals, e.newHandover(box, successorFor(box, successors, len(proposals)), now))
 	}
 	return proposals
 }
 
-// successorFor returns a sender of the box's hall, or else any.
-func successorFor(box *ownBox, heirs []fold.Sender, turn int) fold.SenderKey {
-	if near := sendersInZone(heirs, box.Info.Hall); len(near) > 0 {
-		heirs = near
+// successorFor returns a successor in the box's zone, or any if there is none. turn selects one, so that
+// the boxes are spread over the successors.
+func successorFor(box *ownBox, successors []fold.Sender, turn int) fold.SenderKey {
+	if inZone := sendersInZone(successors, box.Info.Hall); len(inZone) > 0 {
+		successors = inZone
 	}
-	return heirs[turn%len(heirs)].Key
+	return successors[turn%len(successors)].Key
 }
 
-func sendersInZone(senders []fold.Sender, hall string) []fold.Sender {
+// sendersInZone returns those of the senders that are in a zone.
+func sendersInZone(senders []fold.Sender, zone string) []fold.Sender {
 	var found []fold.Sender
 	for _, sender := range senders {
-		if sender.Zone == hall {
+		if sender.Zone == zone {
 			found = append(found, sender)
 		}
 	}
 	return found
 }
 
-func (e *Entry) newHandover(box *ownBox, heir fold.SenderKey, now time.Time) wire.Proposal {
+// newHandover returns a proposal to hand a box over and marks the box accordingly.
+func (e *Entry) newHandover(box *ownBox, successor fold.SenderKey, now time.Time) wire.Proposal {
 	box.proposedAt, box.handoverPending = now, true
 	proposal := e.newProposal(wire.KindHandover, box, "its sender stops as planned, or has more boxes than others")
-	proposal.Change.ToNode, proposal.Change.ToEntry = heir.Node, heir.Incarnation
+	proposal.Change.ToNode, proposal.Change.ToEntry = successor.Node, successor.Incarnation
 	return proposal
 }
 
-// repeatHandovers repeats hand-overs that the log has not decided. Without an heir
-// the box goes to this entry itself, which settles it just as well.
-func (e *Entry) repeatHandovers(heirs []fold.Sender, now time.Time) []wire.Proposal {
+// repeatHandovers returns new proposals for handovers that the log has not decided on. If there is no
+// successor any more, the box is handed over to this entry itself: that starts a new epoch, in which the
+// earlier proposals are no longer valid.
+func (e *Entry) repeatHandovers(successors []fold.Sender, now time.Time) []wire.Proposal {
 	var proposals []wire.Proposal
 	for _, box := range e.boxes {
 		if !box.handoverPending || now.Sub(box.proposedAt) < proposalRetryDelay {
 			continue
 		}
-		heir := e.key
-		if len(heirs) > 0 {
-			heir = successorFor(box, heirs, len(proposals))
+		successor := e.key
+		if len(successors) > 0 {
+			successor = successorFor(box, successors, len(proposals))
 		}
-		proposals = append(proposals, e.newHandover(box, heir, now))
+		proposals = append(proposals, e.newHandover(box, successor, now))
 	}
 	return proposals
 }
 
-// successors returns the other senders that renew.
+// successors returns the entries that can take over boxes: those that renew their leases, are not in a
+// planned stop themselves, and whose boxes could be released in turn if they were lost.
 func (e *Entry) successors() []fold.Sender {
-	var heirs []fold.Sender
+	var successors []fold.Sender
 	for _, sender := range e.state.Senders() {
 		fresh := sender.RenewedAt >= e.state.LogTimeMs()-e.deps.Settings.LeaseMs
 		if sender.Key != e.key && !sender.Leaving && fresh && e.state.Releasable(sender) {
-			heirs = append(heirs, sender)
+			successors = append(successors, sender)
 		}
 	}
-	return heirs
+	return successors
 }
