--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -7,15 +7,15 @@
 	"damsonwinch/pkg/wire"
 )
 
-// retriesPerRequest is the part of requests that may be retried, and maxRetryBudget what a
-// service may save up.
 const (
+	// retriesPerRequest is the number of retries that each new request adds to its service's budget.
 	retriesPerRequest = 0.2
-	maxRetryBudget    = 50
+	// maxRetryBudget is the largest number of retries in a service's budget, and the number at first.
+	maxRetryBudget = 50
 )
 
-// spendRetry takes one retry from a service's budget, so that retries can't
-// multiply the load of a failing pool.
+// spendRetry takes one retry from a service's budget and reports whether there was one. The budget
+// keeps retries from multiplying the load of a failing pool.
 func (e *Entry) spendRetry(service string) bool {
 	left, known := e.retryBudgets[service]
 	if !known {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// earnRetry adds to the budget with each new request.
+// earnRetry adds to a service's retry budget for a new request.
 func (e *Entry) earnRetry(service string) {
 	left, known := e.retryBudgets[service]
 	if !known {
@@ -39,8 +39,8 @@
 	e.retryBudgets[service] = min(maxRetryBudget, left+retriesPerRequest)
 }
 
-// updateBoxHealth ejects boxes that fail and records what it finds, so that budgets
-// count them.
+// updateBoxHealth ejects boxes that fail and proposes to the log which of this entry's boxes are up and
+// down, so that the limits on boxes that may be down at once count the ejected ones.
 func (e *Entry) updateBoxHealth(ctx context.Context) {
 	now := e.now()
 	var proposals []wire.Proposal
@@ -48,34 +48,34 @@
 		if e.ejections.ShouldEject(name) && e.mayEject(box) {
 			e.ejections.Eject(name, now)
 			e.deps.Metrics.Add("ejections", 1)
-			e.deps.Logger.WithField("box", name).Warn("box is ejected: requests that failed on it passed elsewhere")
+			e.deps.Logger.WithField("box", name).Warn("box is ejected: requests failed on it several times in a row, or failed on it and succeeded on other boxes")
 		}
-		wanted := wire.HealthUp
+		health := wire.HealthUp
 		if e.ejections.IsEjected(name) {
-			wanted = wire.HealthDown
+			health = wire.HealthDown
 		}
-		if !e.mayReportHealth(box, wanted) || now.Sub(box.proposedAt) < proposalRetryDelay {
+		if !e.mayReportHealth(box, health) || now.Sub(box.proposedAt) < proposalRetryDelay {
 			continue
 		}
 		box.proposedAt = now
 		proposal := e.newProposal(wire.KindHealth, box, "what requests on it have come to")
-		proposal.Change.Health = wanted
+		proposal.Change.Health = health
 		proposals = append(proposals, proposal)
 	}
 	e.propose(ctx, proposals)
 }
 
-// mayReportHealth says whether the log should hear of a box's health. Leaving and gone
-// is the platform's to say.
-func (e *Entry) mayReportHealth(box *ownBox, wanted wire.Health) bool {
-	if box.Phase == fold.Maintenance || box.Health == wanted {
+// mayReportHealth reports whether this entry may propose a health for a box. Only the platform says
+// that a box is leaving or gone, so the entry doesn't change those.
+func (e *Entry) mayReportHealth(box *ownBox, health wire.Health) bool {
+	if box.Phase == fold.Maintenance || box.Health == health {
 		return false
 	}
 	return box.Health == wire.HealthUp || box.Health == wire.HealthDown
 }
 
-// mayEject keeps the pool at its floor: a box that answers some requests is
-// better than none.
+// mayEject reports whether the pool keeps its floor of usable slots if a box is ejected. Below the floor,
+// a box that answers some requests is better than none.
 func (e *Entry) mayEject(box *ownBox) bool {
 	if box.Pool == fold.FreePool {
 		return false
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -10,25 +10,28 @@
 	"damsonwinch/pkg/wire"
 )
 
+// keeperCallTimeout bounds each call to a keeper.
 const keeperCallTimeout = time.Second
 
-// leaseState is the entry's right to send.
+// leaseState is the state of the entry's lease, during which it may send to its boxes. The entry renews
+// the lease in the log, through a keeper. While the log is out of reach, the keepers of the zone can
+// extend it.
 type leaseState struct {
 	holder      lease.Holder
-	lastSeq     int
+	lastSeq     int // The number of the last renewal that was issued.
 	nextRenewal time.Time
-	renewing    bool
-	// registered says that the log has shown this sender.
+	renewing    bool // A renewal is on its way to a keeper.
+	// registered says that the log's state has shown this sender.
 	registered        bool
-	extensionsPending map[lease.Peer]bool
+	extensionsPending map[lease.Peer]bool // The keepers that have been asked and have not replied.
 }
 
-func newLeaseState(terms lease.Timing) leaseState {
-	return leaseState{holder: lease.NewHolder(terms), extensionsPending: map[lease.Peer]bool{}}
+func newLeaseState(timing lease.Timing) leaseState {
+	return leaseState{holder: lease.NewHolder(timing), extensionsPending: map[lease.Peer]bool{}}
 }
 
-// renew issues the next renewal when it is time, and asks the hall's members
-// for extensions when the log's lease runs low.
+// renew issues the next renewal when it is due, and asks for extensions if the log's lease runs out
+// soon.
 func (e *Entry) renew(ctx context.Context) {
 	now := e.now()
 	e.publishLease(now)
@@ -52,6 +55,7 @@
 	})
 }
 
+// membership returns what the next renewal says of this entry.
 func (e *Entry) membership() wire.Member {
 	return wire.Member{
 		Node:         e.key.Node,
@@ -64,7 +68,8 @@
 	}
 }
 
-// callKeepers calls one keeper after another until one is satisfied.
+// callKeepers calls one keeper after another until one replies and satisfied, which looks at the reply,
+// returns true. It reports whether one did.
 func (e *Entry) callKeepers(ctx context.Context, method string, args, reply any, satisfied func() bool) bool {
 	for _, keeper := range e.keepers {
 		limited, cancel := context.WithTimeout(ctx, keeperCallTimeout)
@@ -77,14 +82,14 @@
 	return false
 }
 
-// updateLease takes the lease that the folded state shows, and the hall's roster.
+// updateLease takes over the last renewal that the log's state shows, and the members of the zone.
 func (e *Entry) updateLease() {
 	sender, known := e.state.Sender(e.key)
 	switch {
 	case known:
 		if !e.lease.registered {
-			// The next renewal says that the hall's roster is folded: only then is
-			// this sender given boxes.
+			// Renew at once: this sender gets boxes only after a renewal that says that it has applied the
+			// records of the zone's members.
 			e.lease.nextRenewal = time.Time{}
 		}
 		e.lease.registered = true
@@ -92,36 +97,37 @@
 	case e.lease.registered:
 		e.rejoin()
 	}
-	var roster []lease.Peer
+	var members []lease.Peer
 	for _, member := range e.state.MembersInZone(e.deps.Settings.Hall) {
-		roster = append(roster, lease.Peer{Node: member.Node, Incarnation: member.KeeperIncarnation})
+		members = append(members, lease.Peer{Node: member.Node, Incarnation: member.KeeperIncarnation})
 	}
-	e.lease.holder = e.lease.holder.WithPeers(roster)
+	e.lease.holder = e.lease.holder.WithPeers(members)
 	e.publishLease(e.now())
 }
 
-// rejoin makes the entry a new sender after its release: the old one's boxes are
-// others' now, and its lease must never be extended again.
+// rejoin makes the entry a sender with a new incarnation after the log has released the old one: the
+// old sender's boxes belong to others now, and its lease must never be extended again.
 func (e *Entry) rejoin() {
-	e.deps.Logger.WithField("entry", e.key.Incarnation).Warn("this sender was released; the entry comes back as another")
+	e.deps.Logger.WithField("entry", e.key.Incarnation).Warn("this sender was released; the entry rejoins with a new incarnation")
 	e.deps.Metrics.Add("rejoined", 1)
 	e.key.Incarnation = max(e.key.Incarnation+1, int(e.now().UnixNano()))
 	e.lease = newLeaseState(lease.Timing{Duration: milliseconds(e.deps.Settings.LeaseMs)})
 }
 
-// publishLease lets requests read the clock against the lease directly before
-// each send.
+// publishLease publishes the end of the lease, so that each request can check it immediately before it
+// is sent.
 func (e *Entry) publishLease(now time.Time) {
 	until := e.lease.holder.ValidUntil(now)
 	e.leaseValidUntil.Store(&until)
 }
 
-// leaseValid says whether the lease holds at this very moment.
+// leaseValid reports whether the lease is valid now. It may be called by any goroutine.
 func (e *Entry) leaseValid() bool {
 	return e.now().Before(*e.leaseValidUntil.Load())
 }
 
-// requestExtensions asks the members of the hall whose promise would run out soon.
+// requestExtensions asks the zone's keepers for extensions if the log's lease ends within half of a
+// lease's duration: those whose last extension ends within that time as well.
 func (e *Entry) requestExtensions(ctx context.Context, now time.Time) {
 	half := milliseconds(e.deps.Settings.LeaseMs) / 2
 	if e.lease.holder.CoveredByLog(now.Add(half)) {
@@ -141,12 +147,14 @@
 	}
 }
 
-func requestExtension(ctx context.Context, client *call.Client, peer lease.Peer, key fold.SenderKey, asked time.Time) extendedMessage {
+// requestExtension asks one keeper for an extension for the sender named by key. A keeper counts as
+// exited if its address refuses connections or another incarnation replies.
+func requestExtension(ctx context.Context, client *call.Client, peer lease.Peer, key fold.SenderKey, requestedAt time.Time) extendedMessage {
 	limited, cancel := context.WithTimeout(ctx, keeperCallTimeout)
 	defer cancel()
 	var reply wire.ExtendReply
 	err := client.Do(limited, "Keeper.Extend", wire.ExtendArgs{Node: key.Node, Entry: key.Incarnation}, &reply)
-	message := extendedMessage{key: key, peer: peer, requestedAt: asked}
+	message := extendedMessage{key: key, peer: peer, requestedAt: requestedAt}
 	switch {
 	case err != nil:
 		message.exited = call.ConnectionRefused(err)
@@ -158,9 +166,10 @@
 	return message
 }
 
+// handleExtended takes over the outcome of a request for an extension.
 func (e *Entry) handleExtended(m extendedMessage) {
 	if m.key != e.key {
-		// It was granted to the sender that this entry was before its release.
+		// The extension is for the sender that this entry was before it was released.
 		return
 	}
 	delete(e.lease.extensionsPending, m.peer)
@@ -174,7 +183,7 @@
 	e.publishLease(e.now())
 }
 
-// peerClient returns the client for an address.
+// peerClient returns the RPC client for an address, which it creates if there is none.
 func (e *Entry) peerClient(address string) *call.Client {
 	if e.peerClients[address] == nil {
 		e.peerClients[address] = call.New(address, e.deps.Dial, e.deps.Clock)
--- a/pkg/front/route.go
+++ b/pkg/front/route.go
@@ -7,15 +7,15 @@
 	"damsonwinch/pkg/settings"
 )
 
-// busyRoutePause is how long a sender that said it had no free slot is passed over.
+// busyRoutePause is how long an entry that replied that it has no free slot counts as busy.
 const busyRoutePause = 50 * time.Millisecond
 
-// unansweredRoutePause is how long a sender that gave no answer is passed over.
+// unansweredRoutePause is how long an entry that did not reply counts as busy.
 const unansweredRoutePause = 2 * time.Second
 
-// tryForward sends a request to another sender of its pool when that one
-// likely has room and this entry has none. A request goes on only once, so that
-// no two entries pass it to and fro.
+// tryForward forwards a request to another entry if that one probably has free slots in the pool and
+// this entry has none, or if this entry can't send to the pool. It reports whether it did. A request is
+// forwarded only once, so that entries don't pass it back and forth.
 func (e *Entry) tryForward(m acquireMessage, row settings.Row) bool {
 	if m.forwarded || e.canStartNow(row.Pool, m.item.Size) {
 		return false
@@ -32,7 +32,8 @@
 	return true
 }
 
-// canStartNow says whether a request would start at once here.
+// canStartNow reports whether a request of the given size would start at once on one of this entry's
+// boxes.
 func (e *Entry) canStartNow(pool string, size int) bool {
 	if !e.canSendTo(pool) || e.queue(pool).Total() > 0 {
 		return false
@@ -45,8 +46,9 @@
 	return false
 }
 
-// chooseRoute picks by chance among the senders that may have room, by their
-// slots in the pool; if none may, among all.
+// chooseRoute returns an entry to which a request for the pool can be forwarded, or nil. It draws at
+// random among the entries that are not busy and were not tried, weighted by their slots in the pool; if
+// all are busy, among those that were not tried.
 func (e *Entry) chooseRoute(pool string, tried map[string]bool) *route {
 	now := e.now()
 	for _, onlyFree := range []bool{true, false} {
@@ -57,6 +59,8 @@
 	return nil
 }
 
+// drawRoute draws a route at random, weighted by slots. Routes that were tried are left out, with
+// onlyFree also busy ones.
 func (e *Entry) drawRoute(pool string, tried map[string]bool, now time.Time, onlyFree bool) *route {
 	var chosen *route
 	total := 0
@@ -73,9 +77,10 @@
 	return chosen
 }
 
-// reroute sends waiting requests on when this entry can't send to any box of
-// their pool any more: its boxes went to others, or its lease ran out. Without
-// this they would wait for their deadline beside boxes that are free elsewhere.
+// reroute forwards waiting requests whose pool this entry can't send to any more, because its boxes went
+// to other entries or its lease ran out. Otherwise they would wait until their deadlines although other
+// entries have free boxes. A request that was forwarded to this entry is refused, so that the first
+// entry can try another one.
 func (e *Entry) reroute() {
 	for id, waiting := range e.requests {
 		if waiting.box != "" || e.canSendTo(waiting.pool) {
@@ -96,24 +101,24 @@
 	}
 }
 
-// handleForwarded learns from what a sender told of its free slots.
+// handleForwarded notes whether the entry to which a request was forwarded is busy.
 func (e *Entry) handleForwarded(m forwardedMessage) {
 	for i := range e.routes[m.pool] {
-		known := &e.routes[m.pool][i]
-		if known.key != m.peer {
+		route := &e.routes[m.pool][i]
+		if route.key != m.peer {
 			continue
 		}
-		known.busyUntil = time.Time{}
+		route.busyUntil = time.Time{}
 		switch {
 		case m.unanswered:
-			known.busyUntil = e.now().Add(unansweredRoutePause)
+			route.busyUntil = e.now().Add(unansweredRoutePause)
 		case m.busy:
-			known.busyUntil = e.now().Add(busyRoutePause)
+			route.busyUntil = e.now().Add(busyRoutePause)
 		}
 	}
 }
 
-// poolOf returns the pool of a service in the state in force.
+// poolOf returns the pool of a service, or "" if the service is not in the table.
 func poolOf(state fold.State, service string) string {
 	row, _ := state.Table().Row(service)
 	return row.Pool
--- a/pkg/front/service.go
+++ b/pkg/front/service.go
@@ -7,12 +7,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// service is the receiver of calls from other entries.
+// service serves the RPC calls of other entries.
 type service struct {
 	entry *Entry
 }
 
-// Forward runs a request that came to another entry.
+// Forward runs a request that another entry has forwarded. It replies with the outcome and with the
+// number of free slots that are left in the service's pool.
 func (s *service) Forward(args wire.ForwardArgs, reply *wire.ForwardReply) error {
 	e := s.entry
 	release, refused := e.reserveMemory(len(args.Body))
@@ -21,23 +22,23 @@
 		return nil
 	}
 	defer release()
-	// The sending entry waits no longer than its budget; net/rpc can't tell us
-	// when it stops waiting.
+	// net/rpc doesn't tell when the calling entry stops waiting for the reply. It waits at most for
+	// args.BudgetMs, which the deadline below enforces.
 	ctx, cancel := context.WithCancel(e.ctx)
 	defer cancel()
-	outcome := e.RunRequest(ctx, Request{
+	response := e.RunRequest(ctx, Request{
 		ID: args.Id, Service: args.Service, Customer: args.Team, ClientAddress: args.Caller, Class: args.Class,
 		Deadline: e.now().Add(milliseconds(args.BudgetMs)), Size: args.Size, Body: []byte(args.Body), Forwarded: true,
 	})
 	*reply = wire.ForwardReply{
-		Id: args.Id, Outcome: outcome.Outcome, Status: outcome.Status, Reason: outcome.Reason, ContentType: outcome.ContentType,
-		Box: outcome.Box, RetryAfterMs: int(outcome.RetryAfter.Milliseconds()), Body: string(outcome.Body),
+		Id: args.Id, Outcome: response.Outcome, Status: response.Status, Reason: response.Reason, ContentType: response.ContentType,
+		Box: response.Box, RetryAfterMs: int(response.RetryAfter.Milliseconds()), Body: string(response.Body),
 		Free: e.freeSlots(args.Service),
 	}
 	return nil
 }
 
-// freeSlots returns the free slots in a service's pool here.
+// freeSlots returns the number of free slots on this entry's boxes of a service's pool.
 func (e *Entry) freeSlots(service string) int {
 	reply := make(chan int, 1)
 	if !e.post(freeSlotsMessage{service: service, reply: reply}) {
@@ -51,13 +52,14 @@
 	}
 }
 
-// reserveMemory takes memory for a request and its answer, within the entry's bound.
+// reserveMemory counts a request body of the given size against the entry's memory limit. It returns a
+// function that gives the bytes back, or a refusal if the limit would be exceeded.
 func (e *Entry) reserveMemory(bytes int) (func(), *refusal) {
 	size := int64(bytes)
 	if e.heldBytes.Add(size) > int64(e.deps.Settings.QueueKb)*bytesPerKilobyte {
 		e.heldBytes.Add(-size)
 		e.deps.Metrics.Add("refused_memory", 1)
-		return nil, newRefusal(http.StatusTooManyRequests, minRetryAfter, "this entry holds all the bytes of requests that it may")
+		return nil, newRefusal(http.StatusTooManyRequests, minRetryAfter, "the requests at this entry take all the memory that they may")
 	}
 	return func() { e.heldBytes.Add(-size) }, nil
 }
