--- a/pkg/front/leasing_test.go
+++ b/pkg/front/leasing_test.go
@@ -18,17 +18,19 @@
 	"damsonwinch/pkg/wire"
 )
 
+// applyOne returns the state after a log record with one proposal, which must be accepted.
 func applyOne(t *testing.T, state fold.State, proposal wire.Proposal) fold.State {
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: 1, Number: state.Offset() + 1, Proposals: []wire.Proposal{proposal}})
 	assert.NilError(t, err)
-	next, verdicts := state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
-	assert.Assert(t, verdicts[0].Accepted, verdicts[0].Reason)
+	next, results := state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
+	assert.Assert(t, results[0].Accepted, results[0].Reason)
 	return next
 }
 
-// TestAReleasedEntryComesBackAsAnother, and a promise to the sender that it was
-// gives it nothing.
-func TestAReleasedEntryComesBackAsAnother(t *testing.T) {
+// TestReleasedEntryRejoinsWithNewIncarnation checks that an entry whose sender the log has released
+// takes a new incarnation and has no lease, and that a late extension for the released sender doesn't
+// give it one.
+func TestReleasedEntryRejoinsWithNewIncarnation(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	clock := clockwork.NewFakeClock()
--- a/pkg/front/request_test.go
+++ b/pkg/front/request_test.go
@@ -15,9 +15,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestALaterRefusalDoesNotHideAnEarlierSend: a repeatable request was sent, broke
-// off, and its second try was refused. It may have run.
-func TestALaterRefusalDoesNotHideAnEarlierSend(t *testing.T) {
+// TestRefusalAfterSendIsReportedAsUnknown: the first attempt of a repeatable request was sent and not
+// answered, and the second was refused. The request may have run.
+func TestRefusalAfterSendIsReportedAsUnknown(t *testing.T) {
 	refused := Response{Outcome: wire.OutcomeNotRun, Status: http.StatusUnprocessableEntity, Reason: "refused elsewhere"}
 	sent, unsent := &execution{maybeSent: true}, &execution{}
 
@@ -28,32 +28,32 @@
 	assert.Equal(t, sent.accountForEarlierSends(answered).Outcome, wire.OutcomeAnswered)
 }
 
-// TestAPauseBetweenGrantAndSend: the process stood still after it was granted a
-// box, and its lease ran out meanwhile. Nothing may be sent.
-func TestAPauseBetweenGrantAndSend(t *testing.T) {
+// TestNothingIsSentIfLeaseEndsAfterGrant: the process is suspended after a request was granted a box,
+// and the lease runs out meanwhile. The request must not be sent.
+func TestNothingIsSentIfLeaseEndsAfterGrant(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	e := &Entry{deps: Deps{Clock: clock, Invariants: invariant.New(func(name, detail string) { t.Fatal(name, detail) })}, ctx: ctx, inbox: make(chan any, 1)}
 	until := clock.Now().Add(time.Second)
 	e.leaseValidUntil.Store(&until)
-	waiting := &execution{entry: e, request: Request{ID: "r", Deadline: clock.Now().Add(time.Minute)}, tried: map[string]bool{}}
+	granted := &execution{entry: e, request: Request{ID: "r", Deadline: clock.Now().Add(time.Minute)}, tried: map[string]bool{}}
 	assert.Assert(t, e.leaseValid())
 	clock.Advance(time.Second)
 
-	// Without the check this would panic: the entry has nothing to send with.
-	outcome, final := waiting.attempt(ctx, grant{box: "b", address: "127.0.0.1:1"})
+	// If the request were sent, this would panic: the entry has no client for endpoints.
+	response, final := granted.attempt(ctx, grant{box: "b", address: "127.0.0.1:1"})
 
-	assert.Equal(t, outcome.Outcome, wire.OutcomeNotRun)
-	assert.Assert(t, !final, "another sender may still take it")
-	assert.Assert(t, !waiting.maybeSent)
-	given := (<-e.inbox).(finishMessage)
-	assert.Assert(t, given.report.unused)
+	assert.Equal(t, response.Outcome, wire.OutcomeNotRun)
+	assert.Assert(t, !final, "the response is final although another entry may run the request")
+	assert.Assert(t, !granted.maybeSent)
+	finished := (<-e.inbox).(finishMessage)
+	assert.Assert(t, finished.report.unused)
 }
 
-// TestMemoryIsBounded refuses what an entry may not hold, and takes it once there
-// is room again.
-func TestMemoryIsBounded(t *testing.T) {
+// TestRequestsBeyondMemoryLimitAreRefused checks that a request which exceeds the entry's memory limit
+// is refused, and that one of the same size is accepted once others have ended.
+func TestRequestsBeyondMemoryLimitAreRefused(t *testing.T) {
 	const kilobytes = 64
 	e := &Entry{deps: Deps{Settings: settings.Entry{QueueKb: kilobytes}, Metrics: metrics.New()}}
 	release, refused := e.reserveMemory(kilobytes*bytesPerKilobyte - 10)
--- a/pkg/front/route.go
+++ b/pkg/front/route.go
@@ -104,16 +104,16 @@
 // handleForwarded notes whether the entry to which a request was forwarded is busy.
 func (e *Entry) handleForwarded(m forwardedMessage) {
 	for i := range e.routes[m.pool] {
-		route := &e.routes[m.pool][i]
-		if route.key != m.peer {
+		peer := &e.routes[m.pool][i]
+		if peer.key != m.peer {
 			continue
 		}
-		route.busyUntil = time.Time{}
+		peer.busyUntil = time.Time{}
 		switch {
 		case m.unanswered:
-			route.busyUntil = e.now().Add(unansweredRoutePause)
+			peer.busyUntil = e.now().Add(unansweredRoutePause)
 		case m.busy:
-			route.busyUntil = e.now().Add(busyRoutePause)
+			peer.busyUntil = e.now().Add(busyRoutePause)
 		}
 	}
 }
--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -14,15 +14,15 @@
 
 const testPool = "pool"
 
-// entryWithWaitingRequest returns an entry that has a waiting request and no box for it, and
-// where the request's answer goes. Another sender may have boxes of the pool.
-func entryWithWaitingRequest(hop bool, others ...route) (*Entry, chan grant) {
+// entryWithWaitingRequest returns an entry that has a waiting request and no box for it, and the channel
+// on which the request gets its grant. others are the routes to entries that have boxes of the pool.
+func entryWithWaitingRequest(forwarded bool, others ...route) (*Entry, chan grant) {
 	e := &Entry{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
 	e.loopState = e.newLoopState()
 	e.routes[testPool] = others
 	reply := make(chan grant, 1)
 	item := queue.Item{ID: "r", Service: "s", Customer: "t", Size: 1}
-	e.requests[item.ID] = &requestState{item: item, forwarded: hop, pool: testPool, reply: reply}
+	e.requests[item.ID] = &requestState{item: item, forwarded: forwarded, pool: testPool, reply: reply}
 	e.usage(item.Service).requestsByCustomer[item.Customer]++
 	e.queue(testPool).Push(item)
 	return e, reply
@@ -32,9 +32,9 @@
 	return route{key: fold.SenderKey{Node: "other", Incarnation: 1}, address: "127.0.0.1:1", slots: 8}
 }
 
-// TestWaitingRequestsGoWhereTheBoxesWent: the entry's boxes were handed over
-// while requests waited for them.
-func TestWaitingRequestsGoWhereTheBoxesWent(t *testing.T) {
+// TestWaitingRequestsFollowHandedOverBoxes: the entry's boxes were handed over to another entry while a
+// request waited for them. The request is forwarded to that entry.
+func TestWaitingRequestsFollowHandedOverBoxes(t *testing.T) {
 	e, reply := entryWithWaitingRequest(false, otherEntry())
 
 	e.reroute()
@@ -44,9 +44,9 @@
 	assert.Equal(t, len(e.requests)+len(e.usage("s").requestsByCustomer), 0)
 }
 
-// TestARequestIsSentOnOnlyOnce: one that came from another entry goes back there,
-// not run.
-func TestARequestIsSentOnOnlyOnce(t *testing.T) {
+// TestForwardedRequestIsNotForwardedAgain: a request that another entry has forwarded is refused, so that
+// it goes back to that entry.
+func TestForwardedRequestIsNotForwardedAgain(t *testing.T) {
 	e, reply := entryWithWaitingRequest(true, otherEntry())
 
 	e.reroute()
@@ -57,8 +57,8 @@
 	assert.Equal(t, e.queue(testPool).Total(), 0)
 }
 
-// TestWithoutAnotherSenderRequestsWait for a box to come back.
-func TestWithoutAnotherSenderRequestsWait(t *testing.T) {
+// TestRequestsWaitIfNoEntryHasBoxes: a request for a pool to which no entry can send stays in its queue.
+func TestRequestsWaitIfNoEntryHasBoxes(t *testing.T) {
 	e, reply := entryWithWaitingRequest(false)
 
 	e.reroute()
