--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -7,87 +7,87 @@
 	"damsonwinch/pkg/wire"
 )
 
-// retryRatio is the part of requests that may be retried, and retryBurst what a
-// service may save up.
 const (
-	retryRatio = 0.2
-	retryBurst = 50
+	// retriesPerRequest is the number of retries that each new request adds to its service's budget.
+	retriesPerRequest = 0.2
+	// maxRetryBudget is the largest number of retries in a service's budget, and the number at first.
+	maxRetryBudget = 50
 )
 
-// spendRetry takes one retry from a service's budget, so that retries can't
-// multiply the load of a failing pool.
-func (f *Entry) spendRetry(service string) bool {
-	left, known := f.budgets[service]
+// spendRetry takes one retry from a service's budget and reports whether there was one. The budget
+// keeps retries from multiplying the load of a failing pool.
+func (e *Entry) spendRetry(service string) bool {
+	left, known := e.retryBudgets[service]
 	if !known {
-		left = retryBurst
+		left = maxRetryBudget
 	}
 	if left < 1 {
-		f.deps.Metrics.Add("retries_refused", 1)
+		e.deps.Metrics.Add("retries_refused", 1)
 		return false
 	}
-	f.budgets[service] = left - 1
-	f.deps.Metrics.Add("retries", 1)
+	e.retryBudgets[service] = left - 1
+	e.deps.Metrics.Add("retries", 1)
 	return true
 }
 
-// earnRetry adds to the budget with each new request.
-func (f *Entry) earnRetry(service string) {
-	left, known := f.budgets[service]
+// earnRetry adds to a service's retry budget for a new request.
+func (e *Entry) earnRetry(service string) {
+	left, known := e.retryBudgets[service]
 	if !known {
-		left = retryBurst
+		left = maxRetryBudget
 	}
-	f.budgets[service] = min(retryBurst, left+retryRatio)
+	e.retryBudgets[service] = min(maxRetryBudget, left+retriesPerRequest)
 }
 
-// judgeBoxes ejects boxes that fail and records what it finds, so that budgets
-// count them.
-func (f *Entry) judgeBoxes(ctx context.Context) {
-	now := f.now()
+// updateBoxHealth ejects boxes that fail and proposes to the log which of this entry's boxes are up and
+// down, so that the limits on boxes that may be down at once count the ejected ones.
+func (e *Entry) updateBoxHealth(ctx context.Context) {
+	now := e.now()
 	var proposals []wire.Proposal
-	for name, box := range f.boxes {
-		if f.book.ShouldEject(name) && f.mayEject(box) {
-			f.book.Eject(name, now)
-			f.deps.Metrics.Add("ejections", 1)
-			f.deps.Logger.WithField("box", name).Warn("box is ejected: requests that failed on it passed elsewhere")
+	for name, box := range e.boxes {
+		if e.ejections.ShouldEject(name) && e.mayEject(box) {
+			e.ejections.Eject(name, now)
+			e.deps.Metrics.Add("ejections", 1)
+			e.deps.Logger.WithField("box", name).Warn("box is ejected: requests failed on it several times in a row, or failed on it and succeeded on other boxes")
 		}
-		wanted := wire.HealthUp
-		if f.book.IsEjected(name) {
-			wanted = wire.HealthDown
+		health := wire.HealthUp
+		if e.ejections.IsEjected(name) {
+			health = wire.HealthDown
 		}
-		if !f.mayJudge(box, wanted) || now.Sub(box.asked) < askAgain {
+		if !e.mayReportHealth(box, health) || now.Sub(box.proposedAt) < proposalRetryDelay {
 			continue
 		}
-		box.asked = now
-		proposal := f.proposal(wire.KindHealth, box, "what requests on it have come to")
-		proposal.Change.Health = wanted
+		box.proposedAt = now
+		proposal := e.newProposal(wire.KindHealth, box, "what requests on it have come to")
+		proposal.Change.Health = health
 		proposals = append(proposals, proposal)
 	}
-	f.propose(ctx, proposals)
+	e.propose(ctx, proposals)
 }
 
-// mayJudge says whether the log should hear of a box's health. Leaving and gone
-// is the platform's to say.
-func (f *Entry) mayJudge(box *ownBox, wanted wire.Health) bool {
-	if box.Phase == fold.Maintenance || box.Health == wanted {
+// mayReportHealth reports whether this entry may propose a health for a box. Only the platform says
+// that a box is leaving or gone, so the entry doesn't change those.
+func (e *Entry) mayReportHealth(box *ownBox, health wire.Health) bool {
+	if box.Phase == fold.Maintenance || box.Health == health {
 		return false
 	}
 	return box.Health == wire.HealthUp || box.Health == wire.HealthDown
 }
 
-// mayEject keeps the pool at its floor: a box that answers some requests is
-// better than none.
-func (f *Entry) mayEject(box *ownBox) bool {
+// mayEject reports whether the pool keeps its floor of usable slots if a box is ejected. Below the floor,
+// a box that answers some requests is better than none.
+func (e *Entry) mayEject(box *ownBox) bool {
 	if box.Pool == fold.FreePool {
 		return false
 	}
-	slots := f.state.Pool(box.Pool).Slots
-	for name, other := range f.boxes {
-		if other.Pool == box.Pool && other.Usable() && f.book.IsEjected(name) {
+	slots := e.state.Pool(box.Pool).Slots
+	for name, other := range e.boxes {
+		if other.Pool == box.Pool && other.Usable() && e.ejections.IsEjected(name) {
 			slots -= other.Info.Slots
 		}
 	}
-	if slots-box.Info.Slots < f.state.Table().FloorSlots(box.Pool) {
-		f.deps.Metrics.Add("ejections_refused", 1)
+	if slots-box.Info.Slots < e.state.Table().FloorSlots(box.Pool) {
+		e.deps.Metrics.Add("ejections_refused", 1)
 		return false
 	}
 	return true
