--- a/pkg/check/file.go
+++ b/pkg/check/file.go
@@ -25,10 +25,10 @@
 	return strings.Join(e.Lines, "\n")
 }
 
-// File reads a settings file, JSON with comments, checks it against a
+// LoadFile reads a settings file, JSON with comments, checks it against a
 // definition and decodes it. The error is a *FileError when the file can be
 // read but is wrong.
-func (c *Checker) File(definition, name string, into any) error {
+func (c *Checker) LoadFile(definition, name string, into any) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
@@ -114,8 +114,8 @@
 	return found
 }
 
-// Text returns a value as indented JSON, for the command line's answers.
-func Text(value any) (string, error) {
+// IndentedJSON returns a value as indented JSON, for the command line's answers.
+func IndentedJSON(value any) (string, error) {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return "", fmt.Errorf("write JSON: %w", err)
