--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -10,19 +10,20 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Allocator allocates the caps of customers to the cells as allowances. At any moment the limits
-// that it has recorded are at least what each cell may have running, so that a later allocator can
-// go by them.
+// Allocator allocates the caps of customers to the cells as allowances. At any moment the recorded
+// limit of each cell is at least what the cell may have running, so that a later allocator can rely
+// on the record.
 type Allocator struct {
 	// configVersion is the version of the configuration in force.
 	configVersion int
 	customers     map[string]*customerState
-	// dirty holds the customers that have changed since the last allocation for them.
+	// dirty holds the customers for which something has changed since the last allocation, so that
+	// there may be something to allocate.
 	dirty map[string]bool
-	cells []string
+	cells []string // The names of the existing cells, in order.
 	// removedAt holds the cells that no longer exist, each with the time at which it was removed.
 	removedAt map[string]time.Time
-	sessions  map[string]*session
+	sessions  map[string]*session // By the name of the cell.
 }
 
 // customerState holds what the allocator knows of a customer.
@@ -33,42 +34,42 @@
 	// until now.
 	configured bool
 	tracked    bool
-	// limits hold the most that each cell may have running, and targets the allowances to send to
+	// limits holds the most that each cell may have running, and targets the allowances to send to
 	// the cells. A target is never above its limit.
 	limits  map[string]amounts
 	targets map[string]amounts
-	// reports hold the newest reports of the cells that need all or nearly all of their allowance,
+	// reports holds the newest reports of the cells that need all or nearly all of their allowance,
 	// or more. A cell without a report needs no more than it has.
 	reports map[string]report
-	// reserved is the large task for which capacity is reserved in its cell, whatever that leaves
-	// for the others. lastTurns holds the cells that have had such a reservation; the highest
-	// number is the latest.
+	// reserved is the capacity that is reserved in a cell for a large task, whatever that leaves
+	// for the other cells. Reservations are numbered: turn is the number of the last one that has
+	// ended, and lastTurns holds the number of each cell's last one.
 	reserved  reservation
 	lastTurns map[string]int
 	turn      int
-	// mustRecordUnknown is set when a kind of the cap was removed: that its limits are unknown must
-	// be recorded before cells learn of it.
+	// mustRecordUnknown is set when the cap on a kind of resource was removed. The limits of that
+	// kind must be recorded as unknown before cells are told that there is no cap any more.
 	mustRecordUnknown bool
 	// changedTargets holds the cells whose targets have changed since they were last queued for
 	// sending.
 	changedTargets map[string]bool
-	// recordPending is set while raised limits wait to be recorded. Cells are sent nothing about
+	// recordPending is set while changed limits wait to be recorded. Cells are sent nothing about
 	// the customer meanwhile.
 	recordPending bool
 	// deferredUsed holds the cells that have replied while a record was pending, each with what it
-	// has running. Their limits are updated once the record is there.
+	// has running. Their limits are updated once the limits are recorded.
 	deferredUsed map[string]amounts
 }
 
 // report is what the owner of a cell has reported on a customer.
 type report struct {
-	used        amounts
-	longRunning amounts
-	wanted      amounts
-	largest     amounts
+	used        amounts // What runs.
+	longRunning amounts // The part of used that runs until it is stopped.
+	wanted      amounts // What the waiting tasks ask for together, beside used.
+	largest     amounts // The most that a single waiting task asks for, for each kind.
 }
 
-// NewAllocator returns an allocator that has allocated nothing.
+// NewAllocator returns an allocator without customers and cells.
 func NewAllocator() *Allocator {
 	return &Allocator{customers: map[string]*customerState{}, dirty: map[string]bool{}, removedAt: map[string]time.Time{}, sessions: map[string]*session{}}
 }
@@ -83,7 +84,7 @@
 	return state
 }
 
-// Load restores the limits of a customer that an earlier allocator has recorded. Cells that are not
+// Load restores the limits of a customer from the record of an earlier allocator. Cells that are not
 // in the record have never been given an allowance.
 func (a *Allocator) Load(customer string, record wire.AllottedRecord) {
 	state := a.stateOf(customer)
@@ -106,17 +107,17 @@
 	}
 	for _, c := range customers {
 		delete(gone, c.Name)
-		state, limit := a.stateOf(c.Name), amountsOf(c.Cap)
-		for kind := range limit {
-			if (state.cap[kind] == 0) != (limit[kind] == 0) {
+		state, newCap := a.stateOf(c.Name), amountsOf(c.Cap)
+		for kind := range newCap {
+			if (state.cap[kind] == 0) != (newCap[kind] == 0) {
 				state.setUnknown(kind, a.cells)
 				// The unknown limits are recorded before cells are told that there is no cap any
 				// more: from then on nobody tracks what they have running.
-				state.mustRecordUnknown = state.mustRecordUnknown || limit[kind] == 0
+				state.mustRecordUnknown = state.mustRecordUnknown || newCap[kind] == 0
 			}
 		}
-		if state.cap != limit || !state.configured {
-			state.cap = limit
+		if state.cap != newCap || !state.configured {
+			state.cap = newCap
 			a.markChanged(c.Name)
 		}
 		state.configured = true
@@ -127,13 +128,13 @@
 	}
 }
 
-// resetTargetsAtCap sets to 0 the targets that are not below the cap any more. A cell whose
-// allowance is the whole cap may start a task that is larger than the cap, so such a target stays
-// only where the whole cap was allocated on purpose, with an unknown limit.
+// resetTargetsAtCap sets targets to 0 that are no longer below the cap. A cell whose allowance is
+// the whole cap may start a task that is larger than the cap. So a target of the whole cap stays
+// only if the cell's limit is unknown, which shows that it was allocated for that purpose.
 func (c *customerState) resetTargetsAtCap() {
 	for cell, target := range c.targets {
-		for kind, limit := range c.cap {
-			if limit > 0 && target[kind] >= limit && (target[kind] > limit || c.limits[cell][kind] != unknown) {
+		for kind, capAmount := range c.cap {
+			if capAmount > 0 && target[kind] >= capAmount && (target[kind] > capAmount || c.limits[cell][kind] != unknown) {
 				target[kind] = 0
 			}
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// setUnknown marks it as unknown how much of a kind the cells have running.
+// setUnknown sets the limits of cells for a kind of resource to unknown.
 func (c *customerState) setUnknown(kind int, cells []string) {
 	for _, cell := range cells {
 		limit := c.limits[cell]
@@ -150,9 +151,9 @@
 	}
 }
 
-// SetCells sets the cells that exist. The limit of a cell that is added later is 0, since it has
-// been given nothing. At the first call the limits of a customer without a record are unknown in
-// all cells.
+// SetCells sets the names of the cells that exist. At the first call the limits of a customer
+// without a record become unknown in all cells. The limit of a cell that is added later is 0, since
+// the cell has been given nothing.
 func (a *Allocator) SetCells(now time.Time, cells []string) {
 	first := len(a.cells) == 0
 	for _, cell := range a.cells {
@@ -166,8 +167,8 @@
 		delete(a.removedAt, cell)
 	}
 	for customer, state := range a.customers {
-		for kind, limit := range state.cap {
-			if first && !state.tracked && limit > 0 {
+		for kind, capAmount := range state.cap {
+			if first && !state.tracked && capAmount > 0 {
 				state.setUnknown(kind, a.cells)
 			}
 		}
@@ -194,12 +195,13 @@
 	}
 }
 
-// removedCellTime is how long after the removal of a cell its last run may go on. Nobody renews its
-// leases, and the longest lease of the users' endpoints is 10 s.
+// removedCellTime is the time after which the last run of a removed cell has certainly ended: nobody
+// renews its leases, and the longest lease of the users' endpoints is 10 s.
 const removedCellTime = 40 * time.Second
 
-// HandleReply processes the reply of a cell's owner. token is the allocator's own. Replies of
-// earlier owners are ignored, and so are those that a newer reply has overtaken.
+// HandleReply processes the reply of a cell's owner to a call of the allocator. token is the
+// allocator's own fencing token. Replies of earlier owners are ignored, and so are those that a newer
+// reply has overtaken.
 func (a *Allocator) HandleReply(cell string, token int, reply wire.SyncReply) {
 	if !reply.Known || reply.Token == 0 {
 		return
@@ -263,10 +265,10 @@
 	clear(state.changedTargets)
 }
 
-// updateLimit sets a cell's limit to the most that its owner may go by: the allowance that it has
-// confirmed, those that it may have received since, the target, or what still runs there beyond
-// these. A limit is unknown where one of these allowances is the whole cap, since a task larger
-// than the cap may run then.
+// updateLimit sets a cell's limit to the highest of what still runs there, the allowance that its
+// owner has confirmed, those that the owner may have received since, and the target. The limit is
+// unknown if one of these allowances is the whole cap, since a task larger than the cap may run
+// then.
 func (c *customerState) updateLimit(cell string, s *session, customer string, used amounts) {
 	confirmed, ok := s.confirmed[customer]
 	if c.recordPending {
@@ -277,10 +279,10 @@
 		return
 	}
 	limit := amounts{}
-	for _, known := range append([]sentAllowance{confirmed, {amount: c.targets[cell], cap: c.cap}}, s.unconfirmed[customer]...) {
+	for _, candidate := range append([]sentAllowance{confirmed, {amount: c.targets[cell], cap: c.cap}}, s.unconfirmed[customer]...) {
 		for kind := range limit {
-			limit[kind] = max(limit[kind], known.amount[kind], used[kind])
-			if known.cap[kind] > 0 && known.amount[kind] >= known.cap[kind] {
+			limit[kind] = max(limit[kind], candidate.amount[kind], used[kind])
+			if candidate.cap[kind] > 0 && candidate.amount[kind] >= candidate.cap[kind] {
 				limit[kind] = unknown
 			}
 		}
@@ -298,8 +300,8 @@
 	return record
 }
 
-// MarkRecorded notes that the raised limits of customers are recorded: cells may be sent their
-// allowances.
+// MarkRecorded notes that the limits of the customers that Allocate returned are recorded. From now
+// on cells may be sent their allowances.
 func (a *Allocator) MarkRecorded(customers []string) {
 	for _, customer := range customers {
 		state := a.customers[customer]
@@ -312,9 +314,9 @@
 	}
 }
 
-// Summary returns a line for each customer that some cell has reported. It shows the cap, the sum
-// of the limits, and for each of these cells what it uses, its target, what it wants in addition,
-// and what its largest waiting task needs.
+// Summary returns a line for operators on each customer that some cell has reported. It shows the
+// cap, the sum of the limits, and for each of these cells what it uses, its target, what it wants in
+// addition, and what its largest waiting task needs.
 func (a *Allocator) Summary() []string {
 	var lines []string
 	for _, customer := range slices.Sorted(maps.Keys(a.customers)) {
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -11,10 +11,10 @@
 )
 
 // reportThresholdPercent is the part of an allowance from which a cell reports that it needs more.
-// It is below 100 because more takes some tenths of a second to come.
+// It is below 100 because a higher allowance takes some tenths of a second to arrive.
 const reportThresholdPercent = 75
 
-// Allowances tracks what one cell may have running of each customer, and what it has running.
+// Allowances tracks how much each customer may have running in one cell, and how much it has.
 type Allowances struct {
 	// configVersion and caps are those of the configuration in force at the cell. allocatedVersion
 	// is the version of the configuration by which the allowances were allocated.
@@ -26,12 +26,12 @@
 	// longRunning is the part of used that runs until it is stopped.
 	longRunning sums
 	// loweredVersion holds the customers whose cap was lowered, each with the latest configuration
-	// version that did so, until an update arrives that was allocated by that version. Until then
-	// what other cells have running may not fit under the cap beside the allowance.
+	// version that lowered it. An entry stays until an update arrives that was allocated by that
+	// version: until then the cell's allowance and what other cells have running may exceed the cap.
 	loweredVersion map[string]int
 	// allocatorToken is the token of the newest allocator that has sent an update, appliedNumber
-	// the number of its newest update, and recordedNumber that of the newest update that a later
-	// owner of the cell would know.
+	// the number of its newest update, and recordedNumber that of its newest update that is in the
+	// cell's stream, where a later owner of the cell reads it.
 	allocatorToken int
 	appliedNumber  int
 	recordedNumber int
@@ -43,7 +43,7 @@
 	cap    amounts
 }
 
-// NewAllowances returns the allowances of a cell that has received none.
+// NewAllowances returns the allowances of a cell that has received none and runs nothing.
 func NewAllowances() *Allowances {
 	return &Allowances{caps: map[string]amounts{}, allowances: map[string]allowance{}, used: sums{}, longRunning: sums{}, loweredVersion: map[string]int{}}
 }
@@ -57,20 +57,20 @@
 	before := a.caps
 	a.configVersion, a.caps = version, make(map[string]amounts, len(customers))
 	for _, c := range customers {
-		limit := amountsOf(c.Cap)
-		a.caps[c.Name] = limit
+		newCap := amountsOf(c.Cap)
+		a.caps[c.Name] = newCap
 		earlier, known := before[c.Name]
 		if !known {
 			earlier, known = a.allowances[c.Name].cap, a.allowances[c.Name] != allowance{}
 		}
-		if known && limit.isLowerThan(earlier) && a.allocatedVersion < version {
+		if known && newCap.isLowerThan(earlier) && a.allocatedVersion < version {
 			a.loweredVersion[c.Name] = version
 		}
 	}
 }
 
-// AddRun counts a run of a customer's task, which needs the given resources. longRunning is set for
-// a run that goes on until it is stopped.
+// AddRun counts a run of a customer's task, which needs the given resources. longRunning says that
+// the run goes on until it is stopped.
 func (a *Allowances) AddRun(customer string, need damsonwinch.Resources, longRunning bool) {
 	a.used.add(customer, amountsOf(need))
 	if longRunning {
@@ -78,7 +78,7 @@
 	}
 }
 
-// RemoveRun takes back what AddRun has counted, once the run is known to be over.
+// RemoveRun undoes AddRun, with the same arguments, once the run is known to have ended.
 func (a *Allowances) RemoveRun(customer string, need damsonwinch.Resources, longRunning bool) {
 	a.used.add(customer, amounts{}.minus(amountsOf(need)))
 	if longRunning {
@@ -102,8 +102,8 @@
 }
 
 // capOf returns a customer's cap by the newer of the cell's and the allocator's configuration, and
-// whether the customer is known. A cap that was removed applies until the allocator has said that
-// it is gone: by then it has recorded that nobody tracks what the customer has running.
+// whether the customer is known. A cap that was removed applies until the allocator reports the
+// removal: by then the allocator has recorded that nobody tracks what the customer has running.
 func (a *Allowances) capOf(customer string) (amounts, bool) {
 	current, allocated := a.allowances[customer]
 	own, known := a.caps[customer]
@@ -130,38 +130,38 @@
 	if customer == "" {
 		return true
 	}
-	limit, known := a.capOf(customer)
+	customerCap, known := a.capOf(customer)
 	if !known || a.capLowered(customer) {
-		return known && limit.isUnlimited()
+		return known && customerCap.isUnlimited()
 	}
 	wanted, used, amount := amountsOf(need), a.used[customer], a.allowances[customer].amount
-	for kind := range limit {
-		if limit[kind] > 0 && used[kind]+min(wanted[kind], limit[kind]) > amount[kind] {
+	for kind := range customerCap {
+		if customerCap[kind] > 0 && used[kind]+min(wanted[kind], customerCap[kind]) > amount[kind] {
 			return false
 		}
 	}
 	return true
 }
 
-// CanEverFit reports whether a run of a customer can ever start beside its long-running ones in the
-// cell.
+// CanEverFit reports whether a run of a customer can start once only the customer's long-running
+// runs are left in the cell.
 func (a *Allowances) CanEverFit(customer string, need damsonwinch.Resources) bool {
-	limit, _ := a.capOf(customer)
+	customerCap, _ := a.capOf(customer)
 	wanted, longRunning := amountsOf(need), a.longRunning[customer]
-	for kind := range limit {
-		if limit[kind] > 0 && min(wanted[kind], limit[kind])+longRunning[kind] > limit[kind] {
+	for kind := range customerCap {
+		if customerCap[kind] > 0 && min(wanted[kind], customerCap[kind])+longRunning[kind] > customerCap[kind] {
 			return false
 		}
 	}
 	return true
 }
 
-// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs.
-// Both are in thousandths of a core.
+// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs, in
+// thousandths of a core as wantedCPU. It is 0 for an unknown customer.
 func (a *Allowances) RemainingCPU(customer string, wantedCPU int) int {
-	limit, known := a.capOf(customer)
+	customerCap, known := a.capOf(customer)
 	switch {
-	case customer == "", known && limit[cpu] == 0:
+	case customer == "", known && customerCap[cpu] == 0:
 		return wantedCPU
 	case !known, a.capLowered(customer):
 		return 0
@@ -170,10 +170,10 @@
 }
 
 // ApplyUpdate applies an allowance update from the allocator and reports whether it must be
-// recorded before it is confirmed. A later owner of the cell must not go by a higher allowance; and
-// an owner that was replaced without knowing it can record nothing, so that it confirms nothing. An
-// update for another owner of the cell, or one that a newer update has overtaken, changes nothing.
-// token is the owner's.
+// recorded before it is confirmed. Otherwise a later owner of the cell could use an earlier, higher
+// allowance. An owner that was replaced without knowing it can record nothing, so that it confirms
+// nothing. An update for another owner of the cell, or one that a newer update has overtaken,
+// changes nothing. token is the owner's fencing token.
 func (a *Allowances) ApplyUpdate(token int, args wire.SyncArgs) bool {
 	if args.CellToken != token || args.Token < a.allocatorToken || args.Token == a.allocatorToken && args.AllowanceNumber <= a.appliedNumber {
 		return false
@@ -198,8 +198,8 @@
 	return len(args.Allowances) > 0
 }
 
-// Record returns the allowances that a later owner has to know, and the number of the newest update
-// in them, to be passed to MarkRecorded.
+// Record returns the record of the allowances, to be written to the cell's stream for later owners,
+// and the number of the newest update in it, to be passed to MarkRecorded.
 func (a *Allowances) Record() (wire.AllowancesRecord, int) {
 	record := wire.AllowancesRecord{ConfigVersion: a.allocatedVersion}
 	for _, customer := range slices.Sorted(maps.Keys(a.allowances)) {
@@ -209,8 +209,8 @@
 	return record, a.appliedNumber
 }
 
-// MarkRecorded notes that the updates of an allocator up to a number are recorded in the cell's
-// stream.
+// MarkRecorded notes that the updates of an allocator up to the given number are recorded in the
+// cell's stream. It does nothing if a newer allocator has sent an update since.
 func (a *Allowances) MarkRecorded(allocatorToken, number int) {
 	if allocatorToken != a.allocatorToken {
 		return
@@ -224,7 +224,7 @@
 	return a.allocatorToken
 }
 
-// Load restores the allowances that an earlier owner has recorded.
+// Load restores the allowances from the record of an earlier owner.
 func (a *Allowances) Load(record wire.AllowancesRecord) {
 	a.allocatedVersion = record.ConfigVersion
 	for _, row := range record.Allowances {
@@ -237,8 +237,10 @@
 	return len(a.allowances) > 0
 }
 
-// Demand is what a customer's waiting tasks ask for that could start by now.
+// Demand is the amount of resources that a customer's waiting tasks ask for. It counts only the
+// tasks that could start now if there were capacity for them.
 type Demand struct {
+	// Total is what all these tasks ask for together.
 	Total damsonwinch.Resources
 	// Largest is the most that a single task asks for, for each kind of resource.
 	Largest damsonwinch.Resources
@@ -253,8 +255,9 @@
 	return d
 }
 
-// Report writes into a reply which update the cell has recorded, and for each customer that needs
-// more than it has, what it uses and wants. token is the owner's.
+// Report writes the number of the newest recorded update into a reply. For each customer that uses
+// and wants nearly all of its allowance or more, it adds what the customer uses and wants. token is
+// the owner's fencing token, and demands holds the demand of the customers with waiting tasks.
 func (a *Allowances) Report(token int, demands map[string]Demand, reply *wire.SyncReply) {
 	reply.Token, reply.AllowanceNumber, reply.AllotterToken = token, a.recordedNumber, a.allocatorToken
 	customers := map[string]bool{}
@@ -265,9 +268,9 @@
 		customers[customer] = true
 	}
 	for _, customer := range slices.Sorted(maps.Keys(customers)) {
-		limit, known := a.capOf(customer)
+		customerCap, known := a.capOf(customer)
 		used, wanted := a.used[customer], amountsOf(demands[customer].Total)
-		if customer == "" || known && limit.isUnlimited() || !a.needsMore(customer, limit, used, wanted) {
+		if customer == "" || known && customerCap.isUnlimited() || !a.needsMore(customer, customerCap, used, wanted) {
 			continue
 		}
 		reply.Customers = append(reply.Customers, wire.CustomerReport{
@@ -276,23 +279,23 @@
 	}
 }
 
-// needsMore reports whether what a customer uses and wants is above reportThresholdPercent of its
-// allowance, or it has no allowance yet.
-func (a *Allowances) needsMore(customer string, limit, used, wanted amounts) bool {
+// needsMore reports whether what a customer uses and wants together is above reportThresholdPercent
+// of its allowance. It is also true for a customer without an allowance.
+func (a *Allowances) needsMore(customer string, customerCap, used, wanted amounts) bool {
 	current, allocated := a.allowances[customer]
 	if !allocated {
 		return true
 	}
-	for kind := range limit {
-		if limit[kind] > 0 && (used[kind]+wanted[kind])*100 > current.amount[kind]*reportThresholdPercent {
+	for kind := range customerCap {
+		if customerCap[kind] > 0 && (used[kind]+wanted[kind])*100 > current.amount[kind]*reportThresholdPercent {
 			return true
 		}
 	}
 	return false
 }
 
-// Explain returns a text for operators that says how much a customer has running in the cell and
-// may have.
+// Explain returns a text for operators on why a customer's most urgent task waits: how much the
+// customer has running in the cell and how much it may have.
 func (a *Allowances) Explain(customer string) string {
 	current, allocated := a.allowances[customer]
 	switch {
@@ -301,10 +304,10 @@
 	case a.capLowered(customer):
 		return "may begin nothing here until the planner has dealt its lowered cap"
 	}
-	limit, _ := a.capOf(customer)
+	customerCap, _ := a.capOf(customer)
 	var kinds []string
 	for kind, unit := range [...]string{cpu: "thousandths of a core", memory: "MB", gpu: "GPUs"} {
-		if limit[kind] > 0 {
+		if customerCap[kind] > 0 {
 			kinds = append(kinds, fmt.Sprintf("%d of %d %s", a.used[customer][kind], current.amount[kind], unit))
 		}
 	}
--- a/pkg/quota/contact.go
+++ b/pkg/quota/contact.go
@@ -10,29 +10,29 @@
 // session holds what the allocator has sent to one owner of a cell, and what the owner has
 // confirmed.
 type session struct {
-	ownerToken int
+	ownerToken int // The fencing token by which the owner holds the cell.
 	// lastNumber is the number of the newest update. unconfirmed holds the allowances of each
-	// customer that were sent and aren't confirmed yet, in order, each with the number of the first
-	// update that held it.
+	// customer that were sent and aren't confirmed yet, in order of their numbers.
 	lastNumber  int
 	unconfirmed map[string][]sentAllowance
 	// confirmedNumber is the highest update number that the owner has confirmed.
 	confirmedNumber int
 	// configVersion is the version of the configuration by which all allowances that were sent to
-	// the owner were allocated. It stays behind while the allowances of some customers are held
-	// back until a record.
+	// the owner were allocated. It stays behind while allowances of some customers are held back
+	// until their limits are recorded.
 	configVersion int
 	// confirmed holds the allowance of each customer that the owner has confirmed last, unsent the
-	// customers for which there may be something new to send, and reported those in the owner's
-	// newest report.
+	// customers for which there may be something new to send, and reported the customers in the
+	// owner's newest reply.
 	confirmed map[string]sentAllowance
 	unsent    map[string]bool
 	reported  map[string]bool
 }
 
-// sentAllowance is the allowance of a customer as it was sent to an owner.
+// sentAllowance is the allowance of a customer as it was sent to an owner, with the cap that it is
+// part of.
 type sentAllowance struct {
-	number int
+	number int // The number of the first update that held it.
 	amount amounts
 	cap    amounts
 }
@@ -42,8 +42,8 @@
 	return a.amount == other.amount && a.cap == other.cap
 }
 
-// sessionOf returns the session with the owner of a cell. For a new owner, with a higher token, it
-// starts a new one, since that owner has received nothing.
+// sessionOf returns the session with the newest known owner of a cell. If the token is higher than
+// that owner's, it starts a new session, since a new owner has received nothing.
 func (a *Allocator) sessionOf(cell string, token int) *session {
 	s := a.sessions[cell]
 	if s != nil && token <= s.ownerToken {
@@ -57,8 +57,8 @@
 	return s
 }
 
-// affectedCustomers returns the customers for which a reply may say something new: by its rows, by
-// their absence, or by what it confirms.
+// affectedCustomers returns the customers for which a reply with the given rows may bring news: those
+// in the rows, those that were in the last reply, and those with unconfirmed allowances.
 func (s *session) affectedCustomers(rows map[string]report) map[string]bool {
 	affected := make(map[string]bool, len(rows)+len(s.unconfirmed))
 	for customer := range rows {
@@ -73,8 +73,8 @@
 	return affected
 }
 
-// HasUpdate reports whether there is something new to send to the owner of a cell that isn't held
-// back.
+// HasUpdate reports whether there may be something new to send to the owner of a cell, apart from
+// what is held back until limits are recorded.
 func (a *Allocator) HasUpdate(cell string) bool {
 	s := a.sessions[cell]
 	if s == nil {
@@ -88,8 +88,8 @@
 	return false
 }
 
-// confirm notes that the owner has confirmed all allowances of a customer that were sent up to a
-// number.
+// confirm notes that the owner has confirmed the updates up to the given number: it updates the
+// confirmed and unconfirmed allowances of a customer.
 func (s *session) confirm(customer string, number int) {
 	unconfirmed := s.unconfirmed[customer]
 	for len(unconfirmed) > 0 && unconfirmed[0].number <= number {
@@ -107,15 +107,16 @@
 type Update struct {
 	// OwnerToken is the fencing token by which the owner holds the cell, and Number the number of
 	// this update among those to this owner. ConfigVersion is the version of the configuration by
-	// which all allowances that were sent to the owner were allocated.
+	// which all allowances that were sent to the owner were allocated. Allowances are those that the
+	// owner hasn't confirmed, one per customer.
 	OwnerToken    int
 	Number        int
 	ConfigVersion int
 	Allowances    []wire.AllowanceRow
 }
 
-// NextUpdate returns the next update for the owner of a cell, which repeats all that it hasn't
-// confirmed. The update is empty until an owner of the cell has replied.
+// NextUpdate returns the next update for the owner of a cell. It repeats the allowances that the
+// owner hasn't confirmed. The update is empty until an owner of the cell has replied.
 func (a *Allocator) NextUpdate(cell string) Update {
 	s := a.sessions[cell]
 	if s == nil {
@@ -146,8 +147,8 @@
 	return update
 }
 
-// addAllowance queues an allowance of a customer unless it was the last one sent, or there has
-// never been a cap.
+// addAllowance adds an allowance of a customer to those that are sent until they are confirmed. It
+// does nothing if the last one sent was the same, or none was sent and the customer has no cap.
 func (s *session) addAllowance(customer string, next sentAllowance) {
 	last, sent := s.confirmed[customer]
 	if unconfirmed := s.unconfirmed[customer]; len(unconfirmed) > 0 {
--- a/pkg/quota/deal.go
+++ b/pkg/quota/deal.go
@@ -8,20 +8,19 @@
 
 // Rules of allocation. The equal part of a cell is the cap divided by the number of cells.
 const (
-	// floorDivisor divides the equal part: the result is left to a cell without a report while
-	// others need more than there is, so that the cell's next jobs needn't wait until more has
-	// come.
+	// floorDivisor divides the equal part. A cell without a report keeps the result while others
+	// need more than there is, so that its next jobs needn't wait for a higher allowance.
 	floorDivisor = 4
-	// minStepDivisor divides the equal part: the result is the least by which a share is raised.
+	// minStepDivisor divides the equal part. The result is the least by which a share is raised.
 	minStepDivisor = 20
-	// headroomPercent is what a cell with a report is given beyond what it wants: it may want more
-	// by the time the update reaches it.
+	// headroomPercent is how much more than it needs a cell with a report is given, if there is
+	// enough: the cell may need more by the time the update reaches it.
 	headroomPercent = 50
 )
 
 // Allocate divides the caps of the customers that have changed among the cells. It returns the
-// customers whose limits have to be recorded, mostly because they are raised, before cells are
-// told; see Record and MarkRecorded.
+// customers whose limits have been raised or have become unknown. The caller must write their records
+// (see Record) and then call MarkRecorded; until then cells are told nothing about these customers.
 func (a *Allocator) Allocate(now time.Time) []string {
 	a.dropRemovedCells(now)
 	var raised []string
@@ -34,8 +33,8 @@
 		state.endReservation(now)
 		changed := state.mustRecordUnknown
 		state.mustRecordUnknown = false
-		for kind, limit := range state.cap {
-			if limit > 0 {
+		for kind, capAmount := range state.cap {
+			if capAmount > 0 {
 				changed = state.allocate(kind, a.cells) || changed
 			}
 		}
@@ -48,7 +47,7 @@
 	return raised
 }
 
-// allocate divides one kind of resource of the cap and reports whether it has raised a limit.
+// allocate divides the cap on a kind of resource and reports whether it has raised a limit.
 func (c *customerState) allocate(kind int, cells []string) bool {
 	free := c.cap[kind] - c.totalLimit(kind)
 	if free < 0 {
@@ -75,7 +74,8 @@
 	return c.raiseLimits(kind, shares, min(free, shortfall), shortfall)
 }
 
-// totalLimit returns what all cells together may have running, removed cells included.
+// totalLimit returns what all cells together may have running of a kind of resource, removed cells
+// included. The sum is at most unknown.
 func (c *customerState) totalLimit(kind int) int {
 	sum := 0
 	for _, limit := range c.limits {
@@ -102,18 +102,19 @@
 	return holder != "" && (holder == c.reserved.cell || !othersWant)
 }
 
-// share is the part of one kind of resource that a cell has (limit), that it should have (want),
-// and that it keeps at least while others want more than there is (floor).
+// share is how much of one kind of resource a cell has (limit), how much it should have (want), and
+// how much it keeps at least while others want more than there is (floor).
 type share struct {
 	cell  string
 	limit int
 	want  int
 	floor int
-	// minStep is the least difference for which it is worth sending the cell an update.
+	// minStep is the least raise for which it is worth sending the cell an update.
 	minStep int
 }
 
-// shortfall returns how much the cell lacks, 0 if that is less than minStep.
+// shortfall returns how much the cell's limit is below what it should have, 0 if that is less than
+// minStep.
 func (s share) shortfall() int {
 	if lack := s.want - s.limit; lack > 0 && lack >= s.minStep {
 		return lack
@@ -133,8 +134,8 @@
 	return sum
 }
 
-// topUpShares returns the shares for when no cell needs more than it has: cells that have less than
-// half of their equal part should have all of it, as far as that is free.
+// topUpShares returns the shares for a kind of resource of which no cell needs more than it has: cells
+// that have less than half of their equal part should have all of it, as far as that is free.
 func (c *customerState) topUpShares(kind int, cells []string) shares {
 	equalPart := c.cap[kind] / len(cells)
 	var list shares
@@ -146,13 +147,13 @@
 	return list
 }
 
-// desiredShares returns the share that each cell should have: what it wants if it has reported,
-// else what it has, up to its equal part. What the cells want beyond the cap is cut.
+// desiredShares returns the share that each cell should have: what it uses and wants if it has
+// reported, else what it has, up to its equal part. The shares are cut if they exceed the cap together.
 func (c *customerState) desiredShares(kind int, cells []string) shares {
 	equalPart := c.cap[kind] / len(cells)
 	floor := equalPart / floorDivisor
 	if floor < c.largestTask(kind) {
-		// No waiting task would fit into it.
+		// The largest waiting task would not fit into the floor.
 		floor = 0
 	}
 	var list shares
@@ -176,8 +177,8 @@
 	return largest
 }
 
-// meetDemand sets the shares of cells with a report to what they want, with headroom if there is
-// enough. It reports whether there is enough for what they want.
+// meetDemand sets the shares of cells with a report to what they use and want, with headroom if there
+// is enough. It reports whether there is enough for what they use and want.
 func (c *customerState) meetDemand(kind int, list shares, equalPart int) bool {
 	left, wanted := c.cap[kind], 0
 	for i := range list {
@@ -220,13 +221,15 @@
 	copy(list, proportional)
 }
 
-// reservedShare is what a cell gets for its largest waiting task before the others get theirs.
+// reservedShare is what a cell gets for its largest waiting task before the other cells get their
+// shares. The zero value stands for no such cell.
 type reservedShare struct {
 	cell   string
 	amount int
 }
 
-// cutProportionally returns the shares cut to what is left of the cap beside the reserved share.
+// cutProportionally returns a copy of the shares in which the reserved share has its amount and the
+// others are cut to what that leaves of the cap.
 func (c *customerState) cutProportionally(kind int, list shares, equalPart int, reserved reservedShare) shares {
 	cut := slices.Clone(list)
 	left, atMostEqual, aboveEqual := c.cap[kind], 0, 0
@@ -277,15 +280,15 @@
 const reservationTime = 500 * time.Millisecond
 
 // neededForLargest returns how much of a kind of resource the cell needs to start its largest
-// waiting task beside its long-running tasks, at most the given limit: a task larger than the cap
-// needs the whole cap.
-func (r report) neededForLargest(kind, limit int) int {
-	return min(limit, r.longRunning[kind]+r.largest[kind])
+// waiting task beside its long-running tasks. The result is at most maxAmount, which is the cap: a
+// task larger than the cap needs the whole cap.
+func (r report) neededForLargest(kind, maxAmount int) int {
+	return min(maxAmount, r.longRunning[kind]+r.largest[kind])
 }
 
 // chooseReservation reserves capacity in a cell whose share is too small for its largest waiting
-// task, unless there is a reservation. The cell whose last reservation is longest ago comes first,
-// and of those that have had none the one with the largest task.
+// task, unless there is a reservation already. It chooses the cell whose last reservation is longest
+// ago; of cells that have had none, it chooses the one with the largest task.
 func (c *customerState) chooseReservation(kind int, list shares) {
 	if c.reserved.cell != "" {
 		return
@@ -302,8 +305,8 @@
 	}
 }
 
-// endReservation ends the reservation once its task has started, no longer waits there, or could
-// have started for reservationTime.
+// endReservation ends the reservation once its task has started or could have started for
+// reservationTime, the cell no longer reports the customer, or the cap is removed.
 func (c *customerState) endReservation(now time.Time) {
 	if c.reserved.cell == "" {
 		return
@@ -328,8 +331,8 @@
 }
 
 // reclaim lowers the targets of cells that get nothing more, so that the given amount becomes free
-// for others. It takes what is beyond the wanted shares first, in proportion, and then all but the
-// floors.
+// for others. It first takes, in proportion, what targets have beyond the wanted shares. If that isn't
+// enough, it takes what they have beyond the floors.
 func (c *customerState) reclaim(kind int, list shares, amount int) {
 	for _, keep := range []func(s share) int{
 		func(s share) int { return max(s.want, s.floor) },
@@ -354,7 +357,7 @@
 	}
 }
 
-// surplus returns by how much a cell's target is above what it keeps, 0 for a cell that gets more.
+// surplus returns by how much a cell's target is above the kept amount, 0 for a cell that gets more.
 func (c *customerState) surplus(kind int, s share, kept int) int {
 	if s.shortfall() > 0 {
 		return 0
@@ -362,7 +365,7 @@
 	return max(0, c.targets[s.cell][kind]-kept)
 }
 
-// lowerTarget lowers a cell's target to an amount; it never raises it.
+// lowerTarget lowers a cell's target to an amount, or to 0 if that is negative. It never raises it.
 func (c *customerState) lowerTarget(kind int, cell string, amount int) {
 	target := c.targets[cell]
 	if lower := max(0, amount); lower < target[kind] {
@@ -371,8 +374,8 @@
 	}
 }
 
-// raiseLimits gives what is free to the cells in proportion to their shortfalls, and reports
-// whether any got something.
+// raiseLimits gives the free amount to the cells in proportion to their shortfalls, whose sum is
+// shortfall. It raises limits and targets and reports whether any cell got something.
 func (c *customerState) raiseLimits(kind int, list shares, free, shortfall int) bool {
 	raised := false
 	for _, s := range list {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -13,7 +13,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// seeds returns how many seeds a test plays: the usual number, unless DAMSONWINCH_SEEDS is set.
+// seeds returns how many seeds a test simulates: the usual number, unless DAMSONWINCH_SEEDS is set.
 func seeds(usual uint64) uint64 {
 	if count, err := strconv.ParseUint(os.Getenv("DAMSONWINCH_SEEDS"), 10, 64); err == nil {
 		return count
@@ -22,21 +22,20 @@
 }
 
 // TestRunningTasksStayBelowCap runs a customer's tasks in two to four cells. Owners of cells are
-// killed, frozen and replaced. Allocators are killed, or go on without knowing of a newer one.
+// killed, paused and replaced. Allocators are killed, or go on without knowing of a newer one.
 // Calls are lost, late and doubled, start requests are carried out late, the cap is raised, lowered
 // and removed, and demand moves between cells. At each start all that runs must fit under the
-// highest cap that may be in force. Once the faults are over, most of the cap must be used by the
-// cell with demand.
+// highest cap that may be in force. After the faults, the running tasks must use most of the cap.
 func TestRunningTasksStayBelowCap(t *testing.T) {
 	starts, used := 0, 0
 	count := seeds(300)
 	for seed := uint64(1); seed <= count; seed++ {
-		w := play(seed, mutation{})
+		w := simulate(seed, mutation{})
 		if w.violation != "" {
 			t.Fatalf("seed %d: %s", seed, w.describe())
 		}
 		if w.peak < 400*7/10 {
-			t.Fatalf("seed %d: of a cap of 400 only %d are used at the peak: %s", seed, w.peak, w.describe())
+			t.Fatalf("seed %d: at the peak only %d of the cap of 400 are used: %s", seed, w.peak, w.describe())
 		}
 		starts += w.starts
 		used += w.peak
@@ -49,7 +48,7 @@
 func TestSimulationFailsWithoutEachMechanism(t *testing.T) {
 	for name, disabled := range map[string]struct {
 		mechanism mutation
-		// from is the first seed to play: few seeds fail without some of the mechanisms.
+		// from is the first seed to simulate: for some mechanisms only few seeds fail.
 		from uint64
 	}{
 		"allowances are sent before they are recorded":            {mutation{sendBeforeRecord: true}, 1},
@@ -57,11 +56,11 @@
 		"cells ignore a lowered cap":                              {mutation{ignoreLoweredCap: true}, 1},
 		"lowered allowances are reused before they are confirmed": {mutation{allocateUnconfirmed: true}, 1},
 		"new owners forget running tasks":                         {mutation{newOwnerForgetsRuns: true}, 1},
-		"cells without a cap are taken to run nothing":            {mutation{unknownCountsAsZero: true}, 230},
+		"cells without a cap are assumed to run nothing":          {mutation{unknownCountsAsZero: true}, 230},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := disabled.from; seed <= disabled.from+4000; seed++ {
-				if w := play(seed, disabled.mechanism); w.violation != "" {
+				if w := simulate(seed, disabled.mechanism); w.violation != "" {
 					t.Logf("seed %d: %s", seed, w.violation)
 					return
 				}
@@ -76,13 +75,13 @@
 const (
 	turnPools = 4
 	turnTime  = 5 * time.Second
-	turnMean  = 10 // Tasks, which need five units of CPU each on average.
+	turnMean  = 10 // Tasks, which need five thousandths of a core each on average.
 )
 
-// playTurns plays demand in turns of four pools, each of them a number of cells (shards), under a
-// cap of nearly twice what all pools want on average. It returns the part of the wanted tasks that
-// ran.
-func playTurns(seed uint64, shards int) float64 {
+// simulateTurns simulates demand that moves between four pools, each divided into the given number of
+// cells (shards), under a cap of nearly twice what all pools want on average. It returns the part of
+// the wanted tasks that ran.
+func simulateTurns(seed uint64, shards int) float64 {
 	w := newWorld(seed, turnPools*shards, mutation{})
 	w.injectFaults = false
 	w.publish(380)
@@ -122,9 +121,9 @@
 	for _, shards := range []int{1, 3, 8} {
 		t.Run(fmt.Sprintf("shards=%d", shards), func(t *testing.T) {
 			ran := 0.0
-			const played = 10
-			for seed := uint64(1); seed <= played; seed++ {
-				ran += playTurns(seed, shards) / played
+			const seedCount = 10
+			for seed := uint64(1); seed <= seedCount; seed++ {
+				ran += simulateTurns(seed, shards) / seedCount
 			}
 			t.Logf("%.3f of the wanted tasks ran", ran)
 			assert.Assert(t, ran >= 0.9, "%.3f", ran)
@@ -132,8 +131,8 @@
 	}
 }
 
-// allocatedCells returns an allocator that has allocated a cap of 400 to two cells, and the
-// allowances of the cells, which have confirmed them.
+// allocatedCells returns an allocator that has allocated a cap of 400 to two cells in equal parts, and
+// the allowances of the cells, which have confirmed them.
 func allocatedCells(t *testing.T) (*Allocator, []*Allowances) {
 	t.Helper()
 	a := NewAllocator()
@@ -162,8 +161,8 @@
 	ownerToken     = 7
 )
 
-// syncAll lets the allocator call both cells once. The first cell has a number of waiting tasks.
-// All is recorded at once, except the updates of the cells in unrecorded.
+// syncAll has the allocator call both cells once. The first cell has the given number of waiting
+// tasks. Limits and updates are recorded at once, except the updates of the cells in unrecorded.
 func syncAll(a *Allocator, cells []*Allowances, waiting int, unrecorded map[int]bool) {
 	a.MarkRecorded(a.Allocate(time.Time{}))
 	for i, cell := range cells {
@@ -176,7 +175,8 @@
 	}
 }
 
-// syncCell sends the next update to a cell, given by its index, and returns the cell's reply.
+// syncCell sends the next update to cell number i, which has the given number of waiting tasks if it
+// is the first one, and returns the cell's reply.
 func syncCell(a *Allocator, i int, cell *Allowances, waiting int) wire.SyncReply {
 	update := a.NextUpdate(cellNames[i])
 	cell.ApplyUpdate(ownerToken, wire.SyncArgs{
@@ -232,8 +232,8 @@
 	assert.Assert(t, cells[0].Allows(simCustomer, small))
 }
 
-// TestAllowancesAreRoundedToWholeTasks: two cells with equal demand would each get an allowance for
-// one and a half tasks, say, so that one of the three tasks that fit under the cap wouldn't run.
+// TestAllowancesAreRoundedToWholeTasks: otherwise two cells with equal demand could each get an
+// allowance for one and a half tasks, and one of the three tasks that fit under the cap wouldn't run.
 func TestAllowancesAreRoundedToWholeTasks(t *testing.T) {
 	for _, task := range []int{133, 100, 57, 90, 130} {
 		a, cells := allocatedCells(t)
@@ -259,9 +259,9 @@
 	}
 }
 
-// TestReservationForTaskWithoutBoxExpires: capacity is reserved for large tasks that have no box to
-// run on, so that it stays unused. A cell whose share is too small for its task must still get its
-// turn.
+// TestReservationForTaskWithoutBoxExpires: the large tasks of three cells have no box to run on, so
+// that the capacity reserved for them stays unused. The fourth cell, whose share is too small for its
+// task, must still get a reservation.
 func TestReservationForTaskWithoutBoxExpires(t *testing.T) {
 	a := NewAllocator()
 	a.Configure(1, customers(400))
@@ -306,8 +306,8 @@
 }
 
 // TestReplacedOwnerConfirmsNothing: an owner that was replaced can record nothing, so it may
-// confirm nothing. A new allocator that heard from such an owner first would take it that nothing
-// runs in the cell, while eight tasks run under the next owner.
+// confirm nothing. Otherwise a new allocator that gets a reply from such an owner first would assume
+// that nothing runs in the cell, while eight tasks run under the next owner.
 func TestReplacedOwnerConfirmsNothing(t *testing.T) {
 	_, cells := allocatedCells(t)
 	next := NewAllocator()
@@ -328,8 +328,8 @@
 	}
 }
 
-// BenchmarkRound measures one round of allocation and calls at the size that is expected in two
-// years: 200 customers and 225 cells. In each round ten cells report one customer each.
+// BenchmarkRound measures one allocation round with the calls that it leads to, for 200 customers and
+// 225 cells, the numbers expected in two years. In each round ten cells report one customer each.
 func BenchmarkRound(b *testing.B) {
 	var all []damsonwinch.Customer
 	for number := range 200 {
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -15,16 +15,16 @@
 // Times of the simulation.
 const (
 	simFaultTime    = 10 * time.Second
-	simCalmTime     = 16 * time.Second
+	simRecoveryTime = 16 * time.Second
 	simSyncInterval = 100 * time.Millisecond
-	// simUncappedRunTime is how long runs that were started while there was no cap may go on. A
-	// cell that the new cap hasn't reached starts more by its allowance beside them meanwhile.
+	// simUncappedRunTime is how long runs that were started while there was no cap may go on.
+	// Meanwhile a cell that hasn't received the new cap starts more of them up to its allowance.
 	simUncappedRunTime = 4 * time.Second
 	// simConfigOverlap is how long an earlier configuration may be in force beside a newer one.
 	simConfigOverlap = 3 * time.Second
-	// maxOwnerConfigDelay is the longest time until an owner receives a configuration: an owner
-	// that can't read the store can't record a start there either. Together with the delay of a
-	// start request it is less than simConfigOverlap. An allocator may take longer.
+	// maxOwnerConfigDelay is the longest time until an owner receives a configuration. It is short
+	// because an owner that can't read the store can't record a start there either. Together with
+	// the delay of a start request it is less than simConfigOverlap. An allocator may take longer.
 	maxOwnerConfigDelay     = 450 * time.Millisecond
 	maxAllocatorConfigDelay = 2 * time.Second
 	simLease                = 4 * time.Second
@@ -36,10 +36,10 @@
 type mutation struct {
 	sendBeforeRecord     bool // Cells are sent raised allowances before the limits are recorded.
 	acceptForeignUpdates bool // An owner of a cell applies updates for another owner.
-	ignoreLoweredCap     bool // A cell goes on by its allowance though the cap was lowered.
+	ignoreLoweredCap     bool // A cell goes on using its allowance though the cap was lowered.
 	allocateUnconfirmed  bool // A lowered limit is allocated to others before it is confirmed.
 	newOwnerForgetsRuns  bool // A new owner doesn't count the runs that an earlier owner has started.
-	unknownCountsAsZero  bool // Cells without a cap until now are taken to run nothing.
+	unknownCountsAsZero  bool // Cells of a customer that had no cap are assumed to run nothing.
 }
 
 // world simulates cells, their owners, endpoints and allocators on a fake clock and a fake network.
@@ -52,12 +52,13 @@
 	// oversizedPart is the part of tasks that need more than any cap.
 	oversizedPart float64
 	cells         []*simCell
-	// allocators holds all allocators so far, the newest last, and records what they have recorded.
+	// allocators holds all allocators so far, the newest last, and records the allocators' records
+	// by customer.
 	allocators []*simAllocator
 	records    map[string]wire.AllottedRecord
 	lastToken  int
 	versions   []simVersion
-	// running is the amount that really runs on all endpoints.
+	// running is the CPU that the runs on all endpoints need, in thousandths of a core.
 	running    int
 	actualRuns map[*simRun]struct {
 		cell *simCell
@@ -76,7 +77,7 @@
 	at     time.Time
 }
 
-// simCell is a cell with what is in its stream and its owners.
+// simCell is a cell with the contents of its stream, and with its owners, the newest last.
 type simCell struct {
 	name   string
 	world  *world
@@ -97,14 +98,14 @@
 	ended bool
 }
 
-// simOwner is an owner of a cell. A dead or frozen owner handles nothing.
+// simOwner is an owner of a cell. A dead or paused owner handles nothing.
 type simOwner struct {
 	cell        *simCell
 	token       int
 	allowances  *Allowances
 	runs        []*simRun
 	dead        bool
-	frozenUntil time.Time
+	pausedUntil time.Time
 	version     int
 	delivery    delivery
 }
@@ -137,12 +138,12 @@
 	return w
 }
 
-// after runs a function when some time has passed.
+// after schedules a function to run when some time has passed.
 func (w *world) after(length time.Duration, do func()) {
 	w.agenda.Schedule(w.now.Add(length), do)
 }
 
-// between returns a random time between two bounds.
+// between returns a random duration between two bounds, both included.
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
@@ -171,10 +172,10 @@
 }
 
 // publish publishes a configuration with a cap, 0 for none. Nodes receive it after some time.
-func (w *world) publish(limit int) {
-	version := simVersion{number: len(w.versions) + 1, cap: limit, at: w.now}
+func (w *world) publish(capAmount int) {
+	version := simVersion{number: len(w.versions) + 1, cap: capAmount, at: w.now}
 	w.versions = append(w.versions, version)
-	w.logf("version %d: cap %d", version.number, limit)
+	w.logf("version %d: cap %d", version.number, capAmount)
 	for _, c := range w.cells {
 		for _, o := range c.owners {
 			w.after(o.delivery.next(w, maxOwnerConfigDelay), func() { o.applyConfig(version) })
@@ -185,10 +186,11 @@
 	}
 }
 
-// delivery says until when a node receives the versions published so far: it reads them in order.
+// delivery holds the time at which a node has received all versions published so far. A node receives
+// them in order.
 type delivery struct{ until time.Time }
 
-// next returns how long it takes until the node receives one more version.
+// next returns how long it takes until the node receives one more version, and updates the time.
 func (l *delivery) next(w *world, maxDelay time.Duration) time.Duration {
 	at := w.now.Add(w.between(0, maxDelay))
 	if at.Before(l.until) {
@@ -198,8 +200,8 @@
 	return at.Sub(w.now)
 }
 
-// maxCap returns the highest cap of the configurations that may be in force, unknown if there may
-// be none.
+// maxCap returns the highest cap of the configurations that may be in force. It returns unknown if one
+// of them has no cap.
 func (w *world) maxCap() int {
 	maxCap := 0
 	for at, version := range w.versions {
@@ -218,7 +220,8 @@
 	return maxCap
 }
 
-// runStarted starts a run on its endpoint, and notes a violation if it doesn't fit under the cap.
+// runStarted starts a run on its endpoint. It notes a violation if the run doesn't fit under the cap
+// beside all others.
 func (w *world) runStarted(c *simCell, r *simRun) {
 	w.starts++
 	maxCap := w.maxCap()
@@ -247,7 +250,7 @@
 	w.after(w.between(2*time.Millisecond, 60*time.Millisecond), func() { c.reportEnd(r) })
 }
 
-// newOwner gives the cell a new owner, which restores what is in the cell's stream.
+// newOwner gives the cell a new owner, which restores its state from the cell's stream.
 func (c *simCell) newOwner() {
 	w := c.world
 	c.token = w.nextToken()
@@ -289,18 +292,18 @@
 }
 
 // customers returns the customers of a configuration with a cap, 0 for none.
-func customers(limit int) []damsonwinch.Customer {
-	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{MilliCPU: limit}}}
+func customers(capAmount int) []damsonwinch.Customer {
+	return []damsonwinch.Customer{{Name: simCustomer, Cap: damsonwinch.Resources{MilliCPU: capAmount}}}
 }
 
-// whenAwake runs a function now, or once the owner is no longer frozen.
+// whenAwake runs a function now, or once the owner is no longer paused; never if it is dead.
 func (o *simOwner) whenAwake(do func()) {
 	w := o.cell.world
 	if o.dead {
 		return
 	}
-	if w.now.Before(o.frozenUntil) {
-		w.after(o.frozenUntil.Sub(w.now), func() { o.whenAwake(do) })
+	if w.now.Before(o.pausedUntil) {
+		w.after(o.pausedUntil.Sub(w.now), func() { o.whenAwake(do) })
 		return
 	}
 	do()
@@ -337,8 +340,8 @@
 	return o.allowances.Allows(simCustomer, damsonwinch.Resources{MilliCPU: need})
 }
 
-// startRun counts a run, records it and requests its start. The endpoint may carry the request out
-// late.
+// startRun counts a run of a task that needs the given CPU, records it and requests its start. The
+// endpoint may carry the request out late.
 func (o *simOwner) startRun(need int) {
 	w := o.cell.world
 	r := &simRun{need: need, token: o.token}
@@ -349,7 +352,7 @@
 			return // The owner is fenced: the start is never requested.
 		}
 		o.cell.runs = append(o.cell.runs, r)
-		if o.dead || w.now.Before(o.frozenUntil) && w.random.Float64() < 0.5 {
+		if o.dead || w.now.Before(o.pausedUntil) && w.random.Float64() < 0.5 {
 			// The start is recorded and never requested: a later owner finds that out.
 			w.after(simLease, func() { o.cell.reportEnd(r) })
 			return
@@ -387,8 +390,8 @@
 	})
 }
 
-// handleSync handles a call of an allocator. It sends the reply once the update is recorded, or
-// after a short while.
+// handleSync handles a call of an allocator. It calls send with the reply once the update is recorded,
+// or after a short while.
 func (o *simOwner) handleSync(args wire.SyncArgs, send func(wire.SyncReply)) {
 	w := o.cell.world
 	if w.mutation.acceptForeignUpdates {
@@ -433,7 +436,7 @@
 	return reply
 }
 
-// newAllocator starts a new allocator, which restores what the earlier ones have recorded.
+// newAllocator starts a new allocator, which restores its state from the earlier ones' records.
 func (w *world) newAllocator() {
 	for _, a := range w.allocators {
 		// From now on the earlier allocator's appends are fenced.
@@ -561,7 +564,7 @@
 		o = c.owners[len(c.owners)-2]
 	}
 	done := false
-	answer := func(reply wire.SyncReply, ok bool) {
+	finish := func(reply wire.SyncReply, ok bool) {
 		if done || a.dead {
 			return
 		}
@@ -573,13 +576,13 @@
 			a.syncUpdated(token)
 		}
 	}
-	w.after(800*time.Millisecond, func() { answer(wire.SyncReply{}, false) })
+	w.after(800*time.Millisecond, func() { finish(wire.SyncReply{}, false) })
 	deliver := func() {
 		o.whenAwake(func() {
 			sent := false
 			o.handleSync(args, func(reply wire.SyncReply) {
 				if !sent && !w.chance(0.05) {
-					w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { answer(reply, true) })
+					w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { finish(reply, true) })
 				}
 				sent = true
 			})
@@ -608,8 +611,8 @@
 		o.dead = true
 		w.after(w.between(50*time.Millisecond, 500*time.Millisecond), c.newOwner)
 	case 1:
-		w.logf("owner %d of %s freezes", o.token, c.name)
-		o.frozenUntil = w.now.Add(w.between(200*time.Millisecond, 4*time.Second))
+		w.logf("owner %d of %s is paused", o.token, c.name)
+		o.pausedUntil = w.now.Add(w.between(200*time.Millisecond, 4*time.Second))
 		w.after(w.between(50*time.Millisecond, time.Second), c.newOwner)
 	case 2:
 		w.logf("%s gets a new owner for no reason", c.name)
@@ -621,11 +624,11 @@
 		// The earlier allocator doesn't know of the new one for a while.
 		w.newAllocator()
 	case 5, 6:
-		limit := 50 + w.random.IntN(500)
+		capAmount := 50 + w.random.IntN(500)
 		if w.random.Float64() < 0.15 {
-			limit = 0
+			capAmount = 0
 		}
-		w.publish(limit)
+		w.publish(capAmount)
 	case 7:
 		w.cutOff(c)
 	case 8:
@@ -640,7 +643,7 @@
 	w.after(w.between(500*time.Millisecond, 4*time.Second), func() { delete(a.cutOff, c.name) })
 }
 
-// concentrateDemand lets nearly all demand come from one cell.
+// concentrateDemand moves nearly all demand to one cell.
 func (w *world) concentrateDemand(c *simCell) {
 	for _, other := range w.cells {
 		other.demand = 10
@@ -648,9 +651,9 @@
 	c.demand = 400
 }
 
-// play runs the simulation for a seed: a time with faults, then a calm one, over whose end it
-// measures the peak.
-func play(seed uint64, m mutation) *world {
+// simulate runs the simulation for a seed: some time with faults, then some without. Afterwards peak is
+// the highest use of the cap in the last three seconds.
+func simulate(seed uint64, m mutation) *world {
 	w := newWorld(seed, 2+int(seed%3), m)
 	w.oversizedPart = 0.002
 	begin := w.now
@@ -668,9 +671,9 @@
 			c.newOwner()
 		}
 	})
-	w.run(begin.Add(simFaultTime + simCalmTime - 3*time.Second))
+	w.run(begin.Add(simFaultTime + simRecoveryTime - 3*time.Second))
 	w.peak = 0
-	w.run(begin.Add(simFaultTime + simCalmTime))
+	w.run(begin.Add(simFaultTime + simRecoveryTime))
 	return w
 }
 
--- a/pkg/quota/whole.go
+++ b/pkg/quota/whole.go
@@ -11,13 +11,13 @@
 	share   *share
 	amount  int
 	largest int
-	// priority is higher for a cell whose remainder is to be filled up to a whole task first.
+	// priority decides the order in which remainders are filled up to a whole task, highest first.
 	priority int
 }
 
-// roundToWholeTasks moves remainders to where they make room for one more task. Larger remainders
-// are filled up first. A cell that has had room for that task comes before them, so that the room
-// doesn't move back and forth between cells.
+// roundToWholeTasks moves remainders between cells, so that some cells have capacity for one more of
+// their largest tasks. Larger remainders are filled up first. A cell whose limit covers that task
+// already comes before them, so that the capacity doesn't move back and forth between cells.
 func (c *customerState) roundToWholeTasks(kind int, cut shares) {
 	left := c.cap[kind]
 	var remainders []remainder
@@ -48,7 +48,7 @@
 			part.amount = 0
 		}
 	}
-	// What is left goes back to the cells, where it may do for smaller tasks.
+	// What is left goes back to the cells, where it may be enough for smaller tasks.
 	for _, part := range remainders {
 		back := min(left, part.amount)
 		part.share.want += back
