--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -31,17 +31,17 @@
 	return Layout{Shards: shards, Pools: slices.Sorted(slices.Values(pools))}
 }
 
-// Decided says whether the layout has been decided.
+// Decided reports whether the layout has been decided.
 func (l Layout) Decided() bool {
 	return l.Shards > 0
 }
 
-// Sharded says whether the layout has more than one shard.
+// Sharded reports whether the layout has more than one shard.
 func (l Layout) Sharded() bool {
 	return l.Shards > 1
 }
 
-// Equal says whether two layouts have the same number of shards and the same pools.
+// Equal reports whether two layouts have the same number of shards and the same pools.
 func (l Layout) Equal(other Layout) bool {
 	return l.Shards == other.Shards && slices.Equal(l.Pools, other.Pools)
 }
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// orderRetryDelay is the time between two attempts to give the same order.
+	// orderRetryDelay is the minimum time between two calls to the platform with the same order.
 	orderRetryDelay = 300 * time.Millisecond
 	// joinTimeout is how long a box that the platform lists as up may take until it is usable in
 	// its pool.
@@ -21,22 +21,22 @@
 
 // box is what the planner knows of a box.
 type box struct {
-	// info is the box in the newest list of the platform.
+	// info is the box as the platform's newest list shows it.
 	info damsonwinch.Box
-	// life is the endpoint's life on the box. The list of boxes gives its ID, the owner of the
-	// cell also its start time.
+	// life is the endpoint's life on the box. Its ID comes from the list of boxes, its start time
+	// from the owner of the cell.
 	life damsonwinch.Life
-	// shard is the shard of the present life. It follows from placement, which is where the newest
-	// order on the box takes it; nil before the first order.
+	// shard is the shard of the present life. It follows from placement, the placement by the newest
+	// order on the box, which is nil before the first order.
 	shard     int
 	placement *shard.Placement
-	// report is what the newest fresh report of the cell says of the endpoint; nil for nothing.
+	// report is the part of the cell's fresh report that is on the endpoint; nil if there is none.
 	report *wire.EndpointReport
 	// planned is the order for which the endpoint is being withdrawn; nil for none.
 	planned *plannedOrder
-	// issued is the order that has been decided and whose effect has not been seen yet; nil for none.
+	// issued is the issued order whose effect has not been seen yet; nil for none.
 	issued *issuedOrder
-	// inheritedAt is when an earlier planner recorded its newest order on the box.
+	// inheritedAt is when an earlier planner recorded its newest order on the box; zero if none did.
 	inheritedAt time.Time
 	// upSince is the request time of the first list that shows the box with its present state,
 	// pool and endpoint.
@@ -55,18 +55,18 @@
 	wave int
 	// since is when the withdrawal of the endpoint started.
 	since time.Time
-	// urgent has the running tasks stopped instead of waited for.
+	// urgent says that the running tasks are to be stopped instead of waited for.
 	urgent bool
-	cause  string
+	cause  string // See Order.
 }
 
-// issuedOrder is an order that has been decided and whose effect has not been seen yet.
+// issuedOrder is an order that has been issued and whose effect has not been seen yet.
 type issuedOrder struct {
 	Order
-	// updatedAt is when the order was decided, and later when the platform accepted it. Only a
-	// list of boxes that was requested after it can show the effect.
+	// updatedAt is when the order was issued, and later when the platform accepted it. Only a
+	// list of boxes that was requested after that can show the effect.
 	updatedAt time.Time
-	// answered says that the platform has accepted the order. Until then it is sent again.
+	// answered says that the platform has accepted the order. Until then the order is repeated.
 	answered bool
 	// inherited says that an earlier planner recorded the order.
 	inherited bool
@@ -78,8 +78,8 @@
 	lifeEnded bool
 }
 
-// SetBoxes sets the boxes to those of the platform's list, which was requested at requestedAt and
-// shows some moment after that.
+// SetBoxes sets the boxes to those of a list of the platform. The list was requested at requestedAt
+// and shows the boxes at some moment after that.
 func (p *Planner) SetBoxes(requestedAt time.Time, listed []damsonwinch.Box) {
 	p.boxesRequestedAt = requestedAt
 	present := map[string]bool{}
@@ -116,7 +116,7 @@
 	p.groupBoxesByCell()
 }
 
-// addBox adds a box of which only the name is known and returns it.
+// addBox adds a box of which only the name is known, and returns it.
 func (p *Planner) addBox(name string) *box {
 	b := &box{info: damsonwinch.Box{Name: name}, refusedPools: map[string]bool{}}
 	p.updateShard(b)
@@ -170,7 +170,7 @@
 	}
 }
 
-// isAvailable says whether the planner may plan or issue a new order on a box.
+// isAvailable reports whether the planner may plan or issue a new order on a box.
 func (p *Planner) isAvailable(b *box) bool {
 	return b.info.State == damsonwinch.BoxUp && b.issued == nil && b.planned == nil &&
 		p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay
@@ -182,7 +182,8 @@
 	p.updateBox(b, func() { b.planned = &planned })
 }
 
-// issueOrder issues a planned order on a box on which nothing runs.
+// issueOrder issues a planned order on a box on which nothing runs. The order will be among those that
+// Plan returns.
 func (p *Planner) issueOrder(b *box, planned plannedOrder) {
 	order := Order{Box: b.info.Name, Pool: planned.pool, Shard: planned.shard, PreviousShard: b.shard, Wave: planned.wave, Life: b.life, Cause: planned.cause}
 	p.updateBox(b, func() {
@@ -197,8 +198,8 @@
 	p.orders = append(p.orders, order)
 }
 
-// issueDueOrders issues the planned orders of boxes whose endpoints have been withdrawn, and
-// issues again the orders that the platform has not accepted.
+// issueDueOrders issues the planned orders of boxes whose endpoints have been withdrawn, and repeats
+// the orders that the platform has not accepted.
 func (p *Planner) issueDueOrders() {
 	for _, b := range p.boxesByName {
 		switch {
@@ -212,7 +213,7 @@
 	}
 }
 
-// HandleOrderResult takes the platform's answer to an order, received at now. A nil err says that
+// HandleOrderResult handles the platform's answer to an order, received at now. A nil err means that
 // the platform has accepted the order.
 func (p *Planner) HandleOrderResult(now time.Time, order Order, err error) {
 	b := p.boxes[order.Box]
@@ -233,14 +234,14 @@
 	case errors.Is(err, damsonwinch.ErrBoxNotUp):
 		p.revertOrder(b, order)
 	case errors.Is(err, damsonwinch.ErrRefused), errors.Is(err, damsonwinch.ErrStaleToken):
-		// The platform has done nothing; issueDueOrders issues the order again.
+		// The platform has done nothing; issueDueOrders repeats the order.
 	default:
-		// The platform may have carried out the order, now or later. It is issued again
-		// until it is answered, since orders are idempotent.
+		// The platform may have carried out the order, or may do so later. Orders are
+		// idempotent, so issueDueOrders repeats it until the platform answers.
 	}
 }
 
-// revertOrder forgets an order that had no effect.
+// revertOrder forgets an order that had no effect. A box that is due for maintenance is due again.
 func (p *Planner) revertOrder(b *box, order Order) {
 	b.issued = nil
 	if w := p.waves[order.Wave]; w != nil {
@@ -248,12 +249,12 @@
 	}
 }
 
-// placement returns the placement that the order gives its box.
+// placement returns the placement that the order gives to its box.
 func (o Order) placement() *shard.Placement {
 	return &shard.Placement{Pool: o.Pool, Life: o.Life, Shard: o.Shard, PreviousShard: o.PreviousShard}
 }
 
-// PlacementFromRecord returns the placement that a recorded order gives its box; nil if the record
+// PlacementFromRecord returns the placement that a recorded order gives to its box; nil if the record
 // has none.
 func PlacementFromRecord(record wire.OrderRecord) *shard.Placement {
 	if record.Placement == nil {
@@ -262,7 +263,7 @@
 	return &shard.Placement{Pool: record.Pool, Life: damsonwinch.ParseLife(record.Endpoint), Shard: record.Placement.Shard, PreviousShard: record.Placement.Before}
 }
 
-// LoadOrder takes over an order that an earlier planner recorded.
+// LoadOrder takes over an order from the record of an earlier planner.
 func (p *Planner) LoadOrder(record wire.OrderRecord) {
 	b := p.boxes[record.Box]
 	if b == nil {
@@ -275,8 +276,8 @@
 		order.Shard, order.PreviousShard = b.placement.Shard, b.placement.PreviousShard
 	}
 	b.inheritedAt = time.UnixMilli(int64(record.AtMs))
-	// The record doesn't say whether the order was carried out. It is given again unless a list
-	// of boxes shows that it was.
+	// The record doesn't say whether the order was carried out. The order is repeated unless a
+	// list of boxes shows that it was.
 	b.issued = &issuedOrder{
 		Order: order, updatedAt: b.inheritedAt, inherited: true,
 	}
--- a/pkg/supply/census.go
+++ b/pkg/supply/census.go
@@ -5,9 +5,9 @@
 	"damsonwinch/pkg/shard"
 )
 
-// boxCounts counts the boxes that serve each cell, or will serve it without another decision.
-// Plan counts them once at its start and updateBox corrects the counts with each decision, so that
-// the cost of Plan grows linearly with the number of boxes and not with its square.
+// boxCounts counts for each cell the boxes that serve it, or will serve it by the decisions made so
+// far; see servedCell. Plan counts them once at its start and updateBox corrects the counts with each
+// decision, so that the cost of Plan grows linearly with the number of boxes and not with its square.
 type boxCounts struct {
 	byCell map[string]int
 	byZone map[cellZone]int
@@ -18,7 +18,7 @@
 	cell, zone string
 }
 
-// add adds count boxes, which may be negative, to a cell and its part in a zone.
+// add adds count, which may be negative, to the boxes of a cell and of its part in a zone.
 func (c *boxCounts) add(cell, zone string, count int) {
 	c.byCell[cell] += count
 	c.byZone[cellZone{cell: cell, zone: zone}] += count
@@ -33,25 +33,25 @@
 }
 
 // updateBox calls decide, which changes the planned or issued order of a box, and corrects the
-// counts by the cell that the box serves after that.
+// counts: decide may change the cell that the box serves.
 func (p *Planner) updateBox(b *box, decide func()) {
 	p.boxCounts.add(p.servedCell(b), b.info.Zone, -1)
 	decide()
 	p.boxCounts.add(p.servedCell(b), b.info.Zone, 1)
 }
 
-// boxCount returns the number of boxes that serve a cell or will serve it without another decision.
+// boxCount returns the number of boxes that serve a cell or will serve it by the decisions made so far.
 func (p *Planner) boxCount(cellName string) int {
 	return p.boxCounts.byCell[cellName]
 }
 
-// zoneBoxCount returns how many of the boxes of boxCount are in a zone. Boxes are added to a cell in
-// the zones where it has fewest, so that the loss of a zone takes only its share of the cell's boxes.
+// zoneBoxCount returns how many of the boxes that boxCount counts for a cell are in a zone. A cell gets
+// boxes from the zones where it has fewest, so that it loses only a fair part of them with a zone.
 func (p *Planner) zoneBoxCount(cellName, zone string) int {
 	return p.boxCounts.byZone[cellZone{cell: cellName, zone: zone}]
 }
 
-// servedCell returns the cell that a box serves, or will serve without another decision; empty for
+// servedCell returns the cell that a box serves, or will serve by the decisions made so far; empty for
 // none.
 func (p *Planner) servedCell(b *box) string {
 	pool := p.servedPool(b)
@@ -68,8 +68,8 @@
 	return shard.CellName(pool, number)
 }
 
-// servedPool returns the pool that a box serves, or will serve without another decision; empty for
-// none.
+// servedPool returns the pool that a box serves, or will serve by the decisions made so far; empty for
+// none. A box that is being maintained counts for its pool, since it is back soon.
 func (p *Planner) servedPool(b *box) string {
 	if b.issued != nil {
 		if b.issued.Pool != "" {
@@ -78,8 +78,8 @@
 		return b.info.Pool
 	}
 	if b.planned != nil {
-		// The pool is empty for maintenance: a box that is withdrawn for it takes no work until
-		// it is back.
+		// The pool is empty for maintenance: a box that is withdrawn for maintenance takes no
+		// work until it is back.
 		return b.planned.pool
 	}
 	if b.info.State == damsonwinch.BoxDown {
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -13,7 +13,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// shardedFleet is a fleet in several shards, with one pool of powered-off boxes and two other pools.
+// shardedFleet is a planner's fleet in several shards, with a pool of powered-off boxes and two other
+// pools: "held", whose boxes are held by long-running tasks, and "short", which lacks boxes.
 type shardedFleet struct {
 	now     time.Time
 	layout  shard.Layout
@@ -60,7 +61,7 @@
 
 // TestLongRunningTasksGetBoxesBeforeBacklog guards against a cell's large backlog taking the box that
 // a long-running task of another cell needs. A cell lacked one of the 14 boxes for its long-running
-// tasks while other cells had 29 of the 320 boxes for their backlog. Those counted as shorter and
+// tasks while other cells had only 29 of the 320 boxes for their backlog. Those counted as needier and
 // got each box that became free, and the long-running task didn't run for 13 s.
 func TestLongRunningTasksGetBoxesBeforeBacklog(t *testing.T) {
 	for name, poweredOff := range map[string]int{"with a powered-off box": 1, "with a box of the backlog's cell": 0} {
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -25,7 +25,7 @@
 	return f
 }
 
-// list gives the planner a list of boxes that shows the box in a state.
+// list gives the planner a list of boxes that shows the box in a state, with its endpoint if it is up.
 func (f *oneBoxFleet) list(state damsonwinch.BoxState) {
 	f.box.State = state
 	f.box.EndpointID = ""
@@ -49,8 +49,8 @@
 	return f.planner.Plan(f.now)
 }
 
-// maintain adds a wave for the box, plans until the maintenance is ordered, has the order accepted and
-// returns it.
+// maintain adds a wave for the box, plans until the maintenance is ordered, accepts the order as the
+// platform does, and returns it. The life that the order ends started at startedUnixMs.
 func (f *oneBoxFleet) maintain(t *testing.T, wave, startedUnixMs int) supply.Order {
 	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.list(damsonwinch.BoxUp)
@@ -69,7 +69,8 @@
 }
 
 // TestMaintenanceIsCompletedWhenBoxReturnsWithSameEndpointID: the order counts as carried out once the
-// list of boxes has shown the box in maintenance, or the owner of its cell has reported another life.
+// list of boxes has shown the box in maintenance, or the owner of its cell has reported another life
+// under the same ID.
 func TestMaintenanceIsCompletedWhenBoxReturnsWithSameEndpointID(t *testing.T) {
 	for name, comeBack := range map[string]func(f *oneBoxFleet){
 		"listed in maintenance": func(f *oneBoxFleet) {
--- a/pkg/supply/moves.go
+++ b/pkg/supply/moves.go
@@ -8,8 +8,8 @@
 	"damsonwinch"
 )
 
-// fillCells gives boxes to cells that need more: first powered-off ones, then those that cells of
-// other pools can spare.
+// fillCells decides which boxes to give to cells that need more: first powered-off ones, then those
+// that cells of other pools can spare.
 func (p *Planner) fillCells() {
 	clear(p.shortages)
 	p.updateShortSince()
@@ -28,8 +28,8 @@
 
 // neediestCell returns the cell that lacks the largest share of its boxes, weighted by its urgency,
 // and how many it lacks; an empty name if none lacks any. Cells that lack boxes for long-running
-// tasks come first: such a cell lacks one box of 14 where a cell with a large backlog lacks 290 of
-// 320, and until it gets the box, a long-running task can't run.
+// tasks come first. Such a cell may lack one box of 14 while a cell with a large backlog lacks 290 of
+// 320, but until it gets that box, a long-running task can't run.
 func (p *Planner) neediestCell() (string, int) {
 	worst, worstMissing, worstShare := "", 0, 0
 	for _, name := range p.cellNames {
@@ -50,15 +50,15 @@
 	return worst, worstMissing
 }
 
-// longRunningPriority is added to the share that a cell lacks for each box that its long-running tasks
-// lack. All shares without it are lower.
+// longRunningPriority is added to the share that a cell lacks, once for each box that its long-running
+// tasks lack. All shares without it are lower.
 const longRunningPriority = 1_000_000
 
-// longRunningWait is how long a cell lacks boxes for its long-running tasks before cells of all
-// shards give up boxes for them. A box that is being maintained is back in that time.
+// longRunningWait is how long a cell must have lacked boxes for its long-running tasks before cells of
+// all shards give up boxes for them. A box that is being maintained is back within that time.
 const longRunningWait = 4 * time.Second
 
-// updateShortSince updates since when cells have lacked boxes for their long-running tasks.
+// updateShortSince updates shortSince of all cells.
 func (p *Planner) updateShortSince() {
 	for _, name := range p.cellNames {
 		switch c := p.cells[name]; {
@@ -70,13 +70,14 @@
 	}
 }
 
-// longRunningShortage returns how many boxes a cell lacks for its long-running tasks; it isn't
-// positive if the cell has enough.
+// longRunningShortage returns how many boxes a cell lacks for its long-running tasks; 0 or a negative
+// number if it has enough.
 func (p *Planner) longRunningShortage(c *cell) int {
 	return c.requiredLongRunning - p.boxCount(c.name)
 }
 
-// addBoxTo starts to give a box to a cell and returns whether one was found.
+// addBoxTo starts to give a box to a cell and reports whether it has found one. cause is the cause of
+// the order; see Order.
 func (p *Planner) addBoxTo(cellName, cause string) bool {
 	pool := p.cells[cellName].pool
 	if p.cancelPowerOff(cellName) {
@@ -93,8 +94,8 @@
 	return false
 }
 
-// cancelPowerOff keeps a box of a cell that is being withdrawn to be powered off, and returns
-// whether there was one.
+// cancelPowerOff keeps one box of the cell that was to be powered off, and reports whether there was
+// one.
 func (p *Planner) cancelPowerOff(cellName string) bool {
 	for _, b := range p.boxesByCell[cellName] {
 		if b.planned != nil && p.isPoweredOff(b.planned.pool) {
@@ -117,8 +118,8 @@
 	for _, from := range p.layout.CellNames(poweredOff) {
 		for _, b := range p.boxesByCell[from] {
 			if p.isAvailable(b) && !b.refusedPools[receiver.pool] {
-				// A box that is due for maintenance is better maintained while it is powered off,
-				// where that costs nothing. A box in a zone that is cut off would be of no use.
+				// A box that is due for maintenance is chosen late: its maintenance costs nothing
+				// while it is powered off. A box in a zone that is cut off would be of no use.
 				choice.offer(b, p.zoneBoxCount(cellName, b.info.Zone)*2+boolInt(p.dueWave(b) != nil)+boolInt(p.cutOffZones[b.info.Zone])*cutOffZoneCost)
 			}
 		}
@@ -127,10 +128,10 @@
 }
 
 // bestSpareBox returns the best box for a cell among those of other pools: boxes that cells of the
-// same shard can spare, and boxes of any shard that are being withdrawn to be powered off. It
-// returns nil if there is none. Boxes of other shards aren't taken because the number that the donor
-// keeps is computed for it and one receiver alone: when the cells of all shards took boxes from one
-// donor, each of them left it only the donor's share of those two cells' boxes.
+// same shard can spare (for exceptions see mayDonate), and boxes of any shard that are being
+// withdrawn to be powered off. It returns nil if there is none. Cells of other shards don't donate
+// because the number of boxes that a donor keeps is computed for it and one receiver alone. When
+// cells of all shards took boxes from one donor, each left it only its fair share beside that cell.
 func (p *Planner) bestSpareBox(cellName string) *box {
 	var choice cheapest
 	receiver := p.cells[cellName]
@@ -149,9 +150,9 @@
 	return choice.box
 }
 
-// mayDonate says whether a cell gives a box to another one. If the receiver has lacked boxes for its
-// long-running tasks for longRunningWait, cells of all shards keep only what their own long-running
-// tasks need and what they need to survive the loss of a box.
+// mayDonate reports whether a cell can spare a box for another one. If the receiver has lacked boxes
+// for its long-running tasks for longRunningWait, cells of all shards keep only the boxes for their own
+// long-running tasks and those that they need to survive the loss of a box.
 func (p *Planner) mayDonate(donor, receiver *cell) bool {
 	if p.longRunningShortage(receiver) > 0 && p.now.Sub(receiver.shortSince) >= longRunningWait && p.boxCount(donor.name) > max(donor.requiredLongRunning, donor.minBoxes()) {
 		return true
@@ -162,20 +163,20 @@
 // cutOffZoneCost puts the boxes of a zone that is cut off behind all others.
 const cutOffZoneCost = 1_000_000
 
-// isBeingPoweredOff says whether a box that is up is being withdrawn to be powered off.
+// isBeingPoweredOff reports whether a box is up and is being withdrawn to be powered off.
 func (p *Planner) isBeingPoweredOff(b *box) bool {
 	return b.planned != nil && b.planned.wave == 0 && p.isPoweredOff(b.planned.pool) && b.info.State == damsonwinch.BoxUp
 }
 
-// canEmptySoon says whether a box is in use and has no long-running tasks, so that it can soon be
-// empty.
+// canEmptySoon reports whether a box is in use and can soon be empty because it has no long-running
+// tasks.
 func (p *Planner) canEmptySoon(b *box) bool {
 	return p.isAvailable(b) && b.report != nil && b.report.Usable && b.report.Lasting == 0
 }
 
 // minRetained returns how many boxes a cell keeps when another one needs boxes. If the receiver lacks
 // boxes for on-time work, or its slack is smaller by donorSlackFactor, the donor keeps what it needs for
-// on-time work or, if less, its fair share; otherwise it keeps what it needs for all its work. Its peaks
+// on-time work or, if less, its fair share. Otherwise it keeps what it needs for all its work. Its peaks
 // don't count: when they did and demand moved to another pool, that pool's jobs waited for seconds
 // beside idle boxes. This rule raises the score of a simulated day with one fault by some 0.016, on a
 // scale of 0 to 1.
@@ -187,10 +188,11 @@
 	return required
 }
 
-// fairShare returns how many boxes a cell keeps beside another one if both have more on-time work
-// than their boxes can do. Without this rule the pool whose burst came first kept all boxes until
-// its on-time work was done. The rule raises the score of a simulated day with a 10 s burst of five
-// times the traffic by 0.02, on a scale of 0 to 1; on days without a burst it changes nothing.
+// fairShare returns how many boxes a cell keeps at least if it and the receiver together have too few
+// for their on-time work. It is in proportion to that work. Without this rule the pool whose burst came
+// first kept all boxes until its on-time work was done. The rule raises the score of a simulated day
+// with a 10 s burst of five times the traffic by 0.02, on a scale of 0 to 1. On days without a burst it
+// changes nothing.
 func (p *Planner) fairShare(donor, receiver *cell) int {
 	receives := min(float64(receiver.requiredOnTime), receiver.meanRequiredOnTime)
 	keeps := max(float64(donor.requiredOnTime), donor.meanRequiredOnTime)
@@ -198,21 +200,22 @@
 	return int(math.Ceil(both * keeps / (keeps + receives) * fairShareMargin))
 }
 
-// fairShareMargin is the factor by which a cell keeps more than its share of its own and the receiver's
-// boxes, since two moves cost about six seconds of a box's time.
+// fairShareMargin is the factor by which a cell keeps more than its exact share of its own and the
+// receiver's boxes: moving a box away and back costs about six seconds of its time.
 const fairShareMargin = 1.25
 
-// isPoweredOff says whether a pool's boxes are powered off.
+// isPoweredOff reports whether a pool's boxes are powered off.
 func (p *Planner) isPoweredOff(pool string) bool {
 	c := p.cells[pool]
 	return c != nil && c.poweredOff
 }
 
-// zoneCostMs is the cost of each box that a cell already has in a zone, in the same unit as the
-// milliseconds until a box is empty.
+// zoneCostMs is the weight of each box that a cell has in a zone when a box is chosen by the time until
+// it is empty, in milliseconds.
 const zoneCostMs = 30
 
-// estimateEmptyMs estimates in how many milliseconds a box can be empty.
+// estimateEmptyMs estimates in how many milliseconds a box can be empty. It returns 0 for a box without
+// a report.
 func (p *Planner) estimateEmptyMs(b *box) int {
 	if b.report == nil {
 		return 0
@@ -222,7 +225,7 @@
 	return b.report.EmptyMs + b.report.Lasting*longRunningMs
 }
 
-// powerOffSurplus has boxes powered off that a cell has not needed for a while.
+// powerOffSurplus starts to power off the boxes that cells have not needed for a while.
 func (p *Planner) powerOffSurplus() {
 	poweredOff, exists := p.poweredOffPool()
 	if !exists {
@@ -243,8 +246,9 @@
 	}
 }
 
-// easiestToEmpty returns the box of a cell that can be empty soonest, where a box in a zone with many
-// boxes of the cell is preferred; nil if no box can be emptied.
+// easiestToEmpty returns the box of a cell that can be empty soonest and may be moved to the pool of
+// powered-off boxes. It prefers zones where the cell has many boxes, and returns nil if there is no
+// such box.
 func (p *Planner) easiestToEmpty(cellName, poweredOffPool string) *box {
 	var choice cheapest
 	for _, b := range p.boxesByCell[cellName] {
--- a/pkg/supply/need.go
+++ b/pkg/supply/need.go
@@ -12,48 +12,49 @@
 	reportLifetime = 2 * time.Second
 	// milliPerBox is one box in thousandths of a box.
 	milliPerBox = 1000
-	// minSlack is the least slack that a cell is taken to have, whatever it reports; see
-	// cell.slack. defaultSlack is that of a cell that reports none. The most urgent of the users'
-	// jobs have a slack of about a second.
+	// minSlack is the least slack that the planner assumes for a cell, whatever the cell reports;
+	// see cell.slack. defaultSlack is that of a cell that reports none. The most urgent of the
+	// users' jobs have a slack of about a second.
 	minSlack     = 500 * time.Millisecond
 	defaultSlack = 1200 * time.Millisecond
 	// cpuHeadroomPercent is what a pool gets beyond the CPU that arriving work needs: work arrives
 	// unevenly, and tasks can't be packed onto boxes without unused cores.
 	cpuHeadroomPercent = 45
-	// donorSlackFactor is the ratio of a pool's slack to another pool's from which the first pool
-	// gives the other one boxes that it doesn't use at the moment.
+	// donorSlackFactor decides when a pool gives another one boxes that it doesn't use at the
+	// moment: its slack must be at least this many times the other pool's.
 	donorSlackFactor = 2
-	// memoryFactorPercent is the memory that a pool gets for each 100 % that its tasks need, for
-	// the same reasons as cpuHeadroomPercent.
+	// memoryFactorPercent is the memory that a pool gets as a percentage of what its tasks need. It
+	// is above 100 for the same reasons as cpuHeadroomPercent.
 	memoryFactorPercent = 120
 	// lateWorkPercent is the part of the work of late jobs for which a pool gets boxes: late jobs
 	// are worth little, but must be done.
 	lateWorkPercent = 20
-	// defaultTaskMs is the duration that a task is taken to have while none has ended yet.
+	// defaultTaskMs is the assumed duration of a task while none has ended yet.
 	defaultTaskMs = 1000
 	// FirstTaskDelay is the time from the end of a box's move until the box has work.
 	FirstTaskDelay = 500 * time.Millisecond
-	// reserveMilliBoxes is the capacity that a pool keeps free for jobs to come. In a pool of
-	// several shards each cell keeps this divided by the square root of their number, since random
-	// variation of the load grows only with the square root of the load.
+	// reserveMilliBoxes is the capacity, in thousandths of a box, that a pool keeps free for jobs to
+	// come. In a pool of several shards each cell keeps this divided by the square root of their
+	// number, since random variation of the load grows only with the square root of the load.
 	reserveMilliBoxes = 1700
-	// averagingTime is the time constant of the running means that decide which boxes a pool gives
-	// away. The number of waiting tasks changes within 0.1 s, and a box that is given away and
+	// averagingTime is the time constant of the running means that decide how many boxes a pool
+	// gives away. The number of waiting tasks changes within 0.1 s, and a box that is given away and
 	// taken back serves nobody for about five seconds.
 	averagingTime = 600 * time.Millisecond
 	// minBoxesPerPool is the number of boxes that a pool keeps even without work, so that it survives
 	// the loss of a box or a zone.
 	minBoxesPerPool = 2
 	// busyPercent is the CPU utilization of a pool from which late jobs without a running task
-	// wait for those that have one. Below it, each of them gets capacity for a task: the pool's
-	// other cells can't help, and users would see a job that makes no progress beside idle boxes.
+	// wait for those that have one. Below it, each of them gets capacity for a task. Otherwise
+	// users would see a job that makes no progress beside idle boxes, since the pool's other cells
+	// can't run it.
 	busyPercent = 50
 )
 
 // cell is what the planner knows of a cell: the boxes of a pool that belong to one shard.
 type cell struct {
 	name string
-	// pool and shard are the ones that the cell belongs to.
+	// pool and shard identify the cell: it has those boxes of the pool that are in the shard.
 	pool  string
 	shard int
 	// poweredOff says that the pool's boxes are powered off.
@@ -61,7 +62,8 @@
 	// shards is the number of the pool's cells.
 	shards int
 	// poolIdle says that the CPU utilization of the pool is below busyPercent.
-	poolIdle   bool
+	poolIdle bool
+	// report is the newest report of the cell's owner, received at reportedAt.
 	report     wire.SyncReply
 	reportedAt time.Time
 	// reportIsNew says that the demand hasn't been computed from the report yet.
@@ -69,32 +71,33 @@
 	// required is how many boxes the cell should have now.
 	required int
 	// peaks are the highest steady demands in the recent past, for which the cell keeps boxes. Steady
-	// demand leaves out the expected further rise of the load.
+	// demand doesn't include what the load is expected to rise further.
 	peaks []peak
-	// requiredOnTime is how many boxes the present work takes that can still be done on time. Late
-	// work doesn't count: when it did, a pool kept 39 of 49 boxes for 10 s after a burst for late
-	// work only, and 120 of the next pool's 139 jobs were late. This rule raises the score of a
-	// simulated day with a 10 s burst of five times the traffic by 0.034, on a scale of 0 to 1.
+	// requiredOnTime is how many boxes the cell needs for its present work, without late work, which
+	// can no longer be done on time. When late work counted, a pool kept 39 of 49 boxes for 10 s
+	// after a burst, for late work only, and 120 of the next pool's 139 jobs were late. This rule
+	// raises the score of a simulated day with a 10 s burst of five times the traffic by 0.034, on a
+	// scale of 0 to 1.
 	requiredOnTime int
-	// requiredLongRunning is how many boxes the long-running tasks alone take.
+	// requiredLongRunning is how many boxes the cell needs for its long-running tasks alone.
 	requiredLongRunning int
 	// shortSince is since when the cell has had fewer boxes than requiredLongRunning; zero if it
 	// has enough.
 	shortSince time.Time
 	// meanRequired and meanRequiredOnTime are running means of required and requiredOnTime, updated
-	// at averagedAt. They decide which boxes the cell gives to other pools.
+	// at averagedAt. They decide how many boxes the cell gives to other pools.
 	meanRequired       float64
 	meanRequiredOnTime float64
 	averagedAt         time.Time
 }
 
-// peak is the demand of a cell, in boxes, at a time.
+// peak is the steady demand of a cell, in boxes, at a time.
 type peak struct {
 	at    time.Time
 	boxes int
 }
 
-// hasFreshReport says whether the owner of the cell has sent a report that is still in use.
+// hasFreshReport reports whether the cell's owner has sent a report that is at most reportLifetime old.
 func (c *cell) hasFreshReport(now time.Time) bool {
 	return c.report.Known && now.Sub(c.reportedAt) <= reportLifetime
 }
@@ -127,8 +130,8 @@
 	return idle
 }
 
-// updateDemand computes how many boxes a cell should have: for the work that arrives, for the work
-// that waits, and for the work that will have accumulated when new boxes are ready.
+// updateDemand computes from a cell's report how many boxes it should have: for the work that
+// arrives, the work that waits, and the work that will have accumulated when new boxes are ready.
 func (p *Planner) updateDemand(c *cell, now time.Time) {
 	boxCPU := p.maxBoxCPU(c.name)
 	if boxCPU == 0 || !c.report.Known {
@@ -149,8 +152,8 @@
 	c.recordPeak(now, window, max(c.boxesFor(c.report.LastingCpu+steady, boxCPU), c.dedicatedBoxes(c.lateDedicatedMilliBoxes())))
 }
 
-// predictedCPU returns the CPU, in thousandths of a core, for the work that arrives and for the
-// backlog that there will be when new boxes are ready.
+// predictedCPU returns the CPU, in thousandths of a core, that a cell needs for the work that arrives
+// and for the backlog that it will have when new boxes are ready. boxCPU is the CPU capacity of a box.
 func (p *Planner) predictedCPU(c *cell, boxCPU int) int {
 	taskMs := c.report.TaskMs
 	if taskMs == 0 {
@@ -163,21 +166,21 @@
 	return max(c.report.OfferedCpu*(100+cpuHeadroomPercent)/100, c.report.RunningCpu) + 2*backlog/int(c.slack().Milliseconds())
 }
 
-// lateCPU returns the CPU, in thousandths of a core, that the cell gets for the work of late jobs.
+// lateCPU returns the CPU, in thousandths of a core, for which the cell gets boxes for late jobs.
 func (c *cell) lateCPU() int {
 	return (c.report.RunningLateCpu + c.report.LateCpu) * lateWorkPercent / 100
 }
 
-// dedicatedBoxes returns the number of boxes for long-running tasks and for the tasks that are too
-// large to fit beside them. Of those tasks the ones of late jobs count as lateMilliBoxes, in
+// dedicatedBoxes returns the number of boxes that the cell needs for long-running tasks and for the
+// tasks that are too large to fit beside them. For such tasks of late jobs it counts lateMilliBoxes, in
 // thousandths of a box.
 func (c *cell) dedicatedBoxes(lateMilliBoxes int) int {
 	return c.report.LastingBoxes + (c.report.WholeBoxes+lateMilliBoxes+milliPerBox-1)/milliPerBox
 }
 
-// lateDedicatedMilliBoxes returns what the cell gets, in thousandths of a box, for the tasks of late
-// jobs that don't fit beside long-running tasks. It is at least one box if there are such tasks, so
-// that some of them always make progress.
+// lateDedicatedMilliBoxes returns the capacity, in thousandths of a box, that the cell gets for tasks of
+// late jobs that don't fit beside long-running tasks. It is at least one box if there are such tasks,
+// so that some of them always make progress.
 func (c *cell) lateDedicatedMilliBoxes() int {
 	if c.report.WholeLateBoxes == 0 {
 		return 0
@@ -185,8 +188,9 @@
 	return max(milliPerBox, c.report.WholeLateBoxes*lateWorkPercent/100)
 }
 
-// boxesFor returns the number of boxes that the cell should have for tasks which need cpu, given
-// the CPU capacity of a box, both in thousandths of a core. It includes memory and the reserve.
+// boxesFor returns the number of boxes that the cell should have for tasks that need cpu, given the
+// CPU capacity of a box, both in thousandths of a core. The number also suffices for the memory that
+// the cell's tasks need and for the reserve.
 func (c *cell) boxesFor(cpu, boxCPU int) int {
 	milliBoxes := max(cpu*milliPerBox/boxCPU, c.report.MemoryShare*memoryFactorPercent/100) + int(reserveMilliBoxes/math.Sqrt(float64(c.shards)))
 	return max(c.minBoxes(), c.report.Spread, (milliBoxes+milliPerBox-1)/milliPerBox)
@@ -220,7 +224,7 @@
 	c.peaks = append(kept, peak{at: now, boxes: boxes})
 }
 
-// slack returns how long the cell's jobs can usually wait and still be done on time.
+// slack returns how long the cell's jobs can usually wait and still be done on time, minSlack at least.
 func (c *cell) slack() time.Duration {
 	if c.report.SlackMs <= 0 {
 		return defaultSlack
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -11,8 +11,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// benchFleet is a planner with boxes spread over pools, one of which is powered off. The demand of each
-// pool changes each second.
+// benchFleet is a planner with the boxes of a simulated platform, spread over pools of which one is
+// powered off. The demand of each pool changes each second.
 type benchFleet struct {
 	planner *supply.Planner
 	pools   []damsonwinch.Pool
@@ -23,13 +23,13 @@
 func newBenchFleet(boxes, pools int) *benchFleet {
 	f := &benchFleet{now: time.Unix(1_000_000, 0)}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
-	for at := range pools {
-		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", at), PoweredOff: at == 0})
+	for i := range pools {
+		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", i), PoweredOff: i == 0})
 	}
-	for at := range boxes {
+	for i := range boxes {
 		f.boxes = append(f.boxes, damsonwinch.Box{
-			Name: fmt.Sprintf("box-%04d", at), Pool: f.pools[at%pools].Name, State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", at%4),
-			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, EndpointID: fmt.Sprintf("endpoint-%04d", at),
+			Name: fmt.Sprintf("box-%04d", i), Pool: f.pools[i%pools].Name, State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", i%4),
+			Capacity: damsonwinch.Resources{MilliCPU: 32000, MemoryMB: 128000}, EndpointID: fmt.Sprintf("endpoint-%04d", i),
 		})
 	}
 	f.planner.SetPools(f.pools, shard.New(1, nil))
@@ -38,12 +38,13 @@
 	return f
 }
 
-// round reports the cells, plans, and carries out all orders at once. It returns the number of orders.
+// round gives the planner the cells' reports, plans, and carries out all orders at once. It returns the
+// number of orders.
 func (f *benchFleet) round(number int) int {
 	f.now = f.now.Add(100 * time.Millisecond)
-	for at, pool := range f.pools {
+	for i, pool := range f.pools {
 		if !pool.PoweredOff {
-			f.planner.SetReport(f.now, pool.Name, f.report(pool.Name, (number/10+at)%len(f.pools)))
+			f.planner.SetReport(f.now, pool.Name, f.report(pool.Name, (number/10+i)%len(f.pools)))
 		}
 	}
 	orders := f.planner.Plan(f.now)
@@ -57,10 +58,10 @@
 
 // move carries out an order.
 func (f *benchFleet) move(order supply.Order) {
-	for at := range f.boxes {
-		if f.boxes[at].Name == order.Box && order.Pool != "" {
-			f.boxes[at].Pool = order.Pool
-			f.boxes[at].EndpointID += "+"
+	for i := range f.boxes {
+		if f.boxes[i].Name == order.Box && order.Pool != "" {
+			f.boxes[i].Pool = order.Pool
+			f.boxes[i].EndpointID += "+"
 		}
 	}
 }
@@ -83,7 +84,8 @@
 	return reply
 }
 
-// BenchmarkPlan measures a round in fleets whose demand moves from pool to pool each second.
+// BenchmarkPlan measures one round of reports, plan and orders in fleets whose demand moves from pool
+// to pool each second.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ boxes, pools int }{{50, 5}, {350, 5}, {5800, 45}} {
 		b.Run(fmt.Sprintf("boxes=%d", size.boxes), func(b *testing.B) {
--- a/pkg/supply/script_test.go
+++ b/pkg/supply/script_test.go
@@ -23,7 +23,7 @@
 	scriptMemory = 32_768
 )
 
-// script runs a planner with the boxes and reports of a data file.
+// script is a planner with the boxes and reports of a data file.
 type script struct {
 	t       *testing.T
 	planner *supply.Planner
@@ -46,7 +46,7 @@
 //	busy pool=P boxes=N ms=MS: the first N boxes of a pool are empty after MS milliseconds
 //	lasting box=B tasks=N: a box has N long-running tasks
 //	wave number=N down=N s=S pools=(P, ...): a wave for all boxes of some pools, of which at most N may
-//	  be down at once, to be completed within S seconds
+//	  be down at the same time, to be completed within S seconds
 //	plan at=MS: prints the orders and the withdrawals that the planner decides at that time
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -89,15 +89,15 @@
 	return value
 }
 
-// fleet creates the pools, the boxes and the planner.
+// fleet creates the pools and boxes that the lines of the input give, and the planner.
 func (s *script) fleet(shards int, input string) {
 	s.layout = shard.New(shards, nil)
 	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
-	for at, line := range strings.Split(input, "\n") {
+	for i, line := range strings.Split(input, "\n") {
 		fields := strings.Fields(line)
 		count, err := strconv.Atoi(fields[1])
 		assert.NilError(s.t, err)
-		s.pools = append(s.pools, damsonwinch.Pool{Name: fields[0], PoweredOff: at == 0})
+		s.pools = append(s.pools, damsonwinch.Pool{Name: fields[0], PoweredOff: i == 0})
 		for box := range count {
 			name := fmt.Sprintf("%s-%02d", fields[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
@@ -165,7 +165,8 @@
 	return names
 }
 
-// plan returns the orders and withdrawals that the planner decides, one per line, sorted.
+// plan calls the planner and returns its orders and the withdrawals in its directives, one per line,
+// sorted.
 func (s *script) plan() string {
 	var lines []string
 	for _, order := range s.planner.Plan(s.now) {
--- a/pkg/supply/summary.go
+++ b/pkg/supply/summary.go
@@ -45,12 +45,13 @@
 	return lines
 }
 
-// stateCounts counts a cell's boxes by what they are doing.
+// stateCounts holds the numbers of a cell's boxes by their states, in the order of the Summary's text:
+// in use, on their way to the cell, being withdrawn, being maintained, down, not answering.
 type stateCounts struct {
 	working, coming, emptying, maintained, down, silent int
 }
 
-// countByState counts the boxes of a cell, and those on their way to it, by what they are doing.
+// countByState counts the boxes of a cell, and those on their way to it, by their states.
 func (p *Planner) countByState(cellName string) stateCounts {
 	var n stateCounts
 	for _, b := range p.boxesByName {
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -1,6 +1,6 @@
 // Package supply decides which pool has which boxes and when each box is maintained.
-// It does no I/O and reads no clock: its inputs are the cells' reports, the platform's list of
-// boxes and the maintenance waves, its outputs are orders on boxes and directives to the owners
+// It does no I/O and reads no clock. Its inputs are the cells' reports, the platform's list of
+// boxes and the maintenance waves. Its outputs are orders on boxes and directives to the owners
 // of the cells. It issues an order on a box only after the owner of the box's cell has recorded
 // that nothing runs there and that nothing more will be started.
 package supply
@@ -15,12 +15,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Options are the durations by which a Planner decides.
+// Options are the durations that a Planner uses in its decisions.
 type Options struct {
 	// MoveTime and MaintainTime are how long the platform takes to move and to maintain a box.
 	MoveTime     time.Duration
 	MaintainTime time.Duration
-	// ScaleDownDelay is how long a pool keeps boxes after it last needed them. Moving a box away
+	// ScaleDownDelay is how long a cell whose jobs have the default slack keeps boxes after it last
+	// needed them. With other slacks the time is proportionally longer or shorter. Moving a box away
 	// and back costs more than keeping it.
 	ScaleDownDelay time.Duration
 	// TakeoverDelay is the minimum time between an order of one planner on a box and an order of
@@ -28,7 +29,7 @@
 	TakeoverDelay time.Duration
 }
 
-// Order moves a box to a pool or has it maintained.
+// Order is an order to the platform to move a box to another pool or to maintain it.
 type Order struct {
 	Box string
 	// Pool is the pool to which the box moves; empty for maintenance.
@@ -45,25 +46,25 @@
 	Cause string
 }
 
-// Directives are what the planner asks the owner of one cell to do with its endpoints, and what
-// it tells the owner about them. Each list holds lives in the form of damsonwinch.Life.String.
+// Directives tell the owner of one cell what to do with its endpoints, and what the planner knows
+// about them. Each list holds lives in the form of damsonwinch.Life.String.
 type Directives struct {
-	// Withdraw are endpoints that are to start nothing more and become empty.
+	// Withdraw lists endpoints that must start nothing more, so that they become empty.
 	Withdraw []string
-	// WithdrawUrgently are the same, but their tasks are to be stopped and run elsewhere instead
-	// of being waited for.
+	// WithdrawUrgently lists endpoints that must start nothing more and whose tasks must be stopped
+	// and run elsewhere instead of being waited for.
 	WithdrawUrgently []string
-	// Restore are withdrawn endpoints that may be used again.
+	// Restore lists withdrawn endpoints that may be used again.
 	Restore []string
-	// Exited are endpoints that have certainly exited.
+	// Exited lists endpoints that have certainly exited.
 	Exited []string
-	// DueForMaintenance are endpoints whose boxes are still to be maintained in a wave: a long-running
-	// task that starts there will have to move again.
+	// DueForMaintenance lists endpoints whose boxes are still to be maintained in a wave: a
+	// long-running task that starts there will have to move again.
 	DueForMaintenance []string
 }
 
-// Planner decides what to do with the boxes. It remembers each decision until it has been
-// carried out.
+// Planner decides which boxes move and which are maintained. It remembers each decision until it
+// has been carried out.
 type Planner struct {
 	options Options
 	// now is the time of the newest call of Plan.
@@ -86,7 +87,7 @@
 	boxesRequestedAt time.Time
 	// orders are the orders issued by the call of Plan in progress.
 	orders []Order
-	// shortages say, by cell name, how many boxes a cell lacks that no other cell can give.
+	// shortages holds texts for operators, by cell name; see Shortages.
 	shortages map[string]string
 }
 
@@ -152,7 +153,8 @@
 	return p.orders
 }
 
-// Directives returns the directives to the owner of a cell.
+// Directives returns the directives to the owner of a cell by the decisions made so far. They are
+// repeated until they have been followed.
 func (p *Planner) Directives(cellName string) Directives {
 	var directives Directives
 	for _, b := range p.boxesByCell[cellName] {
@@ -199,8 +201,8 @@
 	return p.shortages
 }
 
-// updateLife sets the life on a box to the one that its cell has reported. It returns whether that
-// changes the shard of the box.
+// updateLife sets the life on a box to the one that its cell has reported. It drops the planned order
+// if that is another life, and reports whether the shard of the box has changed.
 func (p *Planner) updateLife(b *box, life damsonwinch.Life) bool {
 	if life == b.life {
 		return false
@@ -215,7 +217,8 @@
 	return b.shard != before
 }
 
-// attachReports attaches to each box what a fresh report of a cell says of the box's endpoint.
+// attachReports sets the report of each box to the one on its endpoint in the fresh reports of the
+// cells, and to nil without one.
 func (p *Planner) attachReports() {
 	moved := false
 	for _, b := range p.boxesByName {
@@ -240,7 +243,7 @@
 	}
 }
 
-// poweredOffPool returns the pool whose boxes are powered off, and whether there is one.
+// poweredOffPool returns the name of the pool whose boxes are powered off, and whether there is one.
 func (p *Planner) poweredOffPool() (string, bool) {
 	for _, name := range p.cellNames {
 		if p.cells[name].poweredOff {
--- a/pkg/supply/waves.go
+++ b/pkg/supply/waves.go
@@ -16,8 +16,8 @@
 	plannedPercent = 75
 	// urgentPercent is the part of a wave's duration after which tasks are stopped to empty boxes.
 	urgentPercent = 45
-	// poweredOffReserve is how many available powered-off boxes are left out of maintenance, while
-	// the wave is on schedule, for pools that may need them.
+	// poweredOffReserve is how many available powered-off boxes are kept out of maintenance while
+	// the wave is on schedule, because pools may need them.
 	poweredOffReserve = 6
 	// typicalEmptyTime is about how long it takes until a withdrawn box is empty: tasks last up to
 	// a few seconds.
@@ -34,7 +34,8 @@
 	ordered map[string]bool
 	// reported says that the operator has been told the present state of the wave: that it has
 	// started or, if completed is set, that it is completed.
-	reported  bool
+	reported bool
+	// completed is set once the maintenance of all listed boxes is over.
 	completed bool
 }
 
@@ -58,8 +59,8 @@
 	}
 }
 
-// LoadWave takes over the progress of a wave that an earlier planner recorded. A record without a
-// start time leaves the start at now.
+// LoadWave takes over the progress of a wave from the record of an earlier planner. If the record has
+// no start time, a wave that was not known starts at now.
 func (p *Planner) LoadWave(now time.Time, record wire.WaveRecord) {
 	w := p.waves[record.Wave]
 	if w == nil {
@@ -75,7 +76,8 @@
 	w.completed, w.reported = record.Completed, record.Completed
 }
 
-// WaveRecord returns the progress of a wave as it is recorded in the planner's stream.
+// WaveRecord returns the progress of a wave as it is recorded in the planner's stream. For an unknown
+// wave the record has only the number.
 func (p *Planner) WaveRecord(number int) wire.WaveRecord {
 	w := p.waves[number]
 	if w == nil {
@@ -86,8 +88,8 @@
 	}
 }
 
-// PendingWaveReports returns the progress of the waves whose present state the operator has not
-// been told yet.
+// PendingWaveReports returns the progress of the waves that have started or been completed without
+// that having been reported to the operator. See WaveReported.
 func (p *Planner) PendingWaveReports() []wire.WaveRecord {
 	var reports []wire.WaveRecord
 	for _, number := range slices.Sorted(maps.Keys(p.waves)) {
@@ -98,7 +100,8 @@
 	return reports
 }
 
-// WaveReported notes that the operator has been told whether a wave is completed.
+// WaveReported notes what has been reported to the operator on a wave: that it is completed, or else
+// that it has started.
 func (p *Planner) WaveReported(number int, completed bool) {
 	if w := p.waves[number]; w != nil {
 		w.reported = !w.completed || completed
@@ -114,8 +117,8 @@
 	}
 }
 
-// planWave marks a wave as completed, or orders as much of its maintenance as its limit and its
-// schedule allow.
+// planWave marks a wave as completed, or orders and prepares as much of its maintenance as its limit
+// on boxes that are down and its schedule allow.
 func (p *Planner) planWave(w *wave) {
 	due, down, emptying := p.waveProgress(w)
 	if len(due) == 0 && down == 0 && emptying == 0 {
@@ -131,8 +134,8 @@
 	p.makeUrgent(w)
 }
 
-// maintainPoweredOff orders the maintenance of up to count due boxes that are powered off, and returns
-// of how many.
+// maintainPoweredOff orders the maintenance of up to count due boxes that are powered off. It returns
+// the number of orders.
 func (p *Planner) maintainPoweredOff(w *wave, due []*box, count int) int {
 	begun := 0
 	for _, b := range due {
@@ -147,7 +150,7 @@
 	return begun
 }
 
-// availablePoweredOff returns how many powered-off boxes could be moved to a pool at once.
+// availablePoweredOff returns how many powered-off boxes could be moved to another pool right now.
 func (p *Planner) availablePoweredOff() int {
 	count := 0
 	for _, b := range p.boxesByName {
@@ -158,8 +161,9 @@
 	return count
 }
 
-// waveProgress returns the listed boxes of a wave that are still due, the number of those that are
-// down for the wave, and the number of those that are being withdrawn for it.
+// waveProgress returns the boxes of a wave that are still due, the number of those that are in
+// maintenance or ordered to it, and the number of those that are being withdrawn for it. It leaves out
+// boxes that the platform doesn't list.
 func (p *Planner) waveProgress(w *wave) (due []*box, down, emptying int) {
 	for _, name := range w.Boxes {
 		b := p.boxes[name]
@@ -179,7 +183,8 @@
 	return due, down, emptying
 }
 
-// countUnordered returns how many listed boxes of a wave have no order for maintenance yet.
+// countUnordered returns for how many boxes of a wave no maintenance has been ordered yet. It leaves
+// out boxes that the platform doesn't list.
 func (p *Planner) countUnordered(w *wave) int {
 	count := 0
 	for _, name := range w.Boxes {
@@ -190,8 +195,8 @@
 	return count
 }
 
-// targetConcurrency returns how many boxes should be withdrawn or down at once for the wave to be
-// completed on schedule, given the number of boxes that have not been maintained yet.
+// targetConcurrency returns how many boxes must be withdrawn or down at the same time for the wave to
+// be completed on schedule, given the number of boxes that are left to maintain.
 func (p *Planner) targetConcurrency(w *wave, left int) int {
 	cycle := typicalEmptyTime + p.options.MaintainTime
 	remaining := w.Duration*plannedPercent/100 - p.now.Sub(w.startedAt)
@@ -201,10 +206,10 @@
 	return min(w.MaxDown, 1+int(time.Duration(left)*cycle/remaining))
 }
 
-// withdrawForWave starts to withdraw up to count due boxes. In each pool it first takes one box with
-// long-running tasks unless one is being withdrawn already, then boxes in order of the time until
-// they are empty. Long-running tasks are moved one after the other, some 1.5 s each, so that boxes
-// with several of them would be late if they came last.
+// withdrawForWave starts to withdraw up to count due boxes. It first takes one box with long-running
+// tasks in each pool where none is being withdrawn, then boxes in order of the time until they are
+// empty. Long-running tasks are moved one after the other, some 1.5 s each, so that boxes with several
+// of them would be late if they came last.
 func (p *Planner) withdrawForWave(w *wave, due []*box, count int) {
 	var candidates []*box
 	for _, b := range due {
@@ -229,13 +234,14 @@
 	}
 }
 
-// startWaveWithdrawal starts to withdraw a box for a wave of which due boxes are still due.
+// startWaveWithdrawal starts to withdraw a box for a wave. due is the number of boxes that are due, for
+// the cause of the order.
 func (p *Planner) startWaveWithdrawal(w *wave, b *box, due int) {
 	p.startWithdrawal(b, plannedOrder{wave: w.Number, shard: b.shard, cause: fmt.Sprintf("wave %d: %d boxes are due", w.Number, due)})
 }
 
-// longRunningWithdrawals returns the pools in which a box with long-running tasks is being withdrawn
-// for a wave.
+// longRunningWithdrawals returns the names of the pools in which a box with long-running tasks is being
+// withdrawn for a wave.
 func (p *Planner) longRunningWithdrawals(w *wave) map[string]bool {
 	withdrawing := map[string]bool{}
 	for _, b := range p.boxesByName {
@@ -257,8 +263,8 @@
 	}
 }
 
-// dueWave returns a wave in progress for which the maintenance of a box has not been ordered yet, or
-// nil.
+// dueWave returns a wave in progress that includes a box and has no order for its maintenance yet; nil
+// if there is none.
 func (p *Planner) dueWave(b *box) *wave {
 	for _, w := range p.waves {
 		if !w.completed && !w.ordered[b.info.Name] && w.members[b.info.Name] {
