--- a/pkg/crash/crash.go
+++ b/pkg/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash tells tasks that crash the endpoints they start on from tasks that only lose their
-// attempts there. It does no I/O and reads no clock; the caller keeps the state.
+// Package crash distinguishes tasks that crash their endpoints from tasks that only lose their
+// attempts when an endpoint exits. It does no I/O and reads no clock; the caller keeps the state.
 //
 // The problem: an endpoint runs some twenty tasks, and exits. One of them may have crashed it,
 // mostly some milliseconds after its start, and will crash the next endpoint that starts it. The
@@ -20,7 +20,8 @@
 // since its start on an endpoint.
 type Rules struct {
 	// SuspectAge is the age up to which a task is a suspect the first time that an endpoint is lost
-	// under it. Older tasks become suspects when another endpoint is lost at a similar age.
+	// under it. An older task becomes a suspect when it has a similar age at the loss of another
+	// endpoint.
 	SuspectAge time.Duration
 	// MaxCrashAge is the age from which a task has nothing to do with the loss of its endpoint. A
 	// task that gets that old is no longer held responsible for earlier losses.
@@ -29,15 +30,16 @@
 	// that the task may have had at its losses.
 	MinProbation time.Duration
 	MaxProbation time.Duration
-	// A task may be older than measured by Jitter, and younger by DetectionLag, since a busy owner
-	// learns late of a loss. In addition similar ages may differ by the fraction AgeTolerance.
+	// A task may have been older than measured by up to Jitter, and younger by up to DetectionLag,
+	// since a busy owner learns late of a loss. In addition, ages are similar if they differ by no
+	// more than the fraction AgeTolerance.
 	Jitter       time.Duration
 	DetectionLag time.Duration
 	AgeTolerance float64
-	// MinLossRate is the rate, per second, at which an endpoint is taken to be lost by itself where
-	// the observed rate is lower.
+	// MinLossRate is the least rate, per second, at which an endpoint is assumed to be lost by
+	// itself. It applies where the observed rate is lower.
 	MinLossRate float64
-	// ProofWeight is the weight of evidence with which a task is given up.
+	// ProofWeight is the weight of evidence from which a task is given up; see Weight.
 	ProofWeight int
 	// MaxLosses is the number of endpoints that may be lost under a task. After that the task may be
 	// started MaxExtraStarts times more, whatever causes the losses. Then it is given up.
@@ -45,20 +47,20 @@
 	MaxExtraStarts int
 }
 
-// DefaultRules returns the rules that are used.
+// DefaultRules returns the rules that apply unless the caller chooses others.
 //
-// A task may be given up once two endpoints have crashed under it, and must not be started a third
-// time more once three have: hence MaxLosses and MaxExtraStarts. Tasks that crash their endpoints
+// A task may be given up once two endpoints have crashed under it. Once three have, it must not be
+// started more than twice again: hence MaxLosses and MaxExtraStarts. Tasks that crash their endpoints
 // have been seen to do so 10 ms after their start. SuspectAge is ten times that, and covers about a
 // tenth of what runs on a busy endpoint (20 starts per second, 0.8 s each). MaxCrashAge is eighty
-// times that: tasks that crash later can't be told from sound ones, while long-running tasks are
-// there when many an endpoint is lost.
+// times those 10 ms. Tasks that crash their endpoints later aren't recognized: a long-running task
+// runs while many endpoints are lost and would be suspected without a reason.
 //
 // Where a seventh of the endpoints crash twice in 40 s, each crashes at a rate of 0.0075 per second.
 // For a sound task whose ages at two losses are 10 ms apart, that causes a loss in its probation once
 // in 3,000 times; ProofWeight asks for once in 500. With two suspects for each loss and two losses a
 // day, one sound task in 700 days is given up. Where endpoints are lost thirty times as often, each
-// one every 4 s, a second probation must end with a loss, and one sound task in 3,000 suspects is
+// one every 4 s, a second probation must also end with a loss, and of 3,000 sound suspects one is
 // given up.
 func DefaultRules() Rules {
 	return Rules{
@@ -67,24 +69,26 @@
 	}
 }
 
-// weightPerTen is the weight of evidence that has a probability of one in ten by chance.
+// weightPerTen is the weight of an event with a probability of one in ten.
 const weightPerTen = 1000
 
-// Weight returns the weight of evidence for an event that has a given probability by chance. Weights
-// of independent events add up.
+// Weight returns the weight, as evidence, of an event that happens by chance with the given
+// probability: 1000 for each power of ten by which it is below 1. The weights of independent events
+// add up.
 func Weight(probability float64) int {
 	return int(math.Round(-weightPerTen * math.Log10(min(1, probability))))
 }
 
-// History is what is known of the endpoints that were lost under a task.
+// History sums up what is known of the endpoints that were lost under a task. The zero value is that of
+// a task without losses.
 type History struct {
 	// Losses is the number of endpoints that were lost under the task.
 	Losses int
-	// CertainLosses is the number of those where the task certainly ran. Elsewhere the request to
-	// start it may have been lost, or the report that it had ended.
+	// CertainLosses is the number of those endpoints where the task certainly ran. On the others, the
+	// request to start it may have been lost, or the report that it had ended.
 	CertainLosses int
 	// SimilarLosses is the number of the last losses in a row at which the task may have had the same
-	// age, which is between MinAge and MaxAge then.
+	// age. That age is between MinAge and MaxAge.
 	SimilarLosses int
 	MinAge        time.Duration
 	MaxAge        time.Duration
@@ -109,15 +113,16 @@
 	// Certain is set if the task certainly ran.
 	Certain bool
 	// Explained is set if something else has probably caused the loss: other endpoints were lost at
-	// the same time, a rack or a zone, say, or another task was on probation there.
+	// the same time, for example those of a rack or zone, or another task was on probation there.
 	Explained bool
-	// Probation is set if the task was on probation there, and not seen to have outlived it.
+	// Probation is set if the task was on probation there and was not seen to have outlived it.
 	Probation bool
 	// LossRate is the recent rate, per second, at which an endpoint is lost by itself.
 	LossRate float64
 }
 
-// Add returns a task's history with one more loss.
+// Add returns a task's history with one more loss. It returns an empty history if the task was certainly
+// older than MaxCrashAge, and therefore isn't held responsible any more.
 func (r Rules) Add(history History, loss Loss) History {
 	if r.low(loss.MinAge) >= r.MaxCrashAge {
 		return History{}
@@ -141,17 +146,19 @@
 	return history
 }
 
-// low and high return the bounds of the ages that are similar to a measured age.
+// low returns the lowest age that is similar to a measured age.
 func (r Rules) low(age time.Duration) time.Duration {
 	return max(0, age-time.Duration(r.AgeTolerance*float64(age))-r.DetectionLag)
 }
 
+// high returns the highest age that is similar to a measured age.
 func (r Rules) high(age time.Duration) time.Duration {
 	return age + time.Duration(r.AgeTolerance*float64(age)) + r.Jitter
 }
 
-// weigh returns the weight of a loss as evidence against a task: how unlikely it is that an endpoint
-// is lost by itself during the task's probation, and at the same age as before if it was.
+// weigh returns the weight of a loss as evidence against a task with the given earlier history; 0 if it
+// is no evidence. The weight tells how unlikely it is that the endpoint was lost by itself during the
+// task's probation or, if the task had the same age as at its earlier losses, at just that age.
 func (r Rules) weigh(history History, loss Loss) int {
 	probation := r.ProbationTime(history)
 	if !r.IsSuspect(history) || !loss.Probation || !loss.Certain || loss.Explained || loss.MaxAge > probation {
@@ -164,12 +171,13 @@
 	return Weight(max(loss.LossRate, r.MinLossRate) * window.Seconds())
 }
 
-// Blames reports whether a task with the given history before the loss is to blame for the loss.
+// Blames reports whether the loss alone is evidence enough that the task has caused it, given the task's
+// history before the loss.
 func (r Rules) Blames(before History, loss Loss) bool {
 	return r.weigh(before, loss) >= r.ProofWeight
 }
 
-// IsSuspect reports whether a task must be started on probation.
+// IsSuspect reports whether a task is a suspect, so that it must be started on probation.
 func (r Rules) IsSuspect(history History) bool {
 	return history.SimilarLosses > 1 || history.SimilarLosses == 1 && history.MaxAge <= r.MeasuredSuspectAge()
 }
@@ -180,12 +188,12 @@
 	return r.high(r.SuspectAge)
 }
 
-// ProbationTime returns the age from which a task on probation has outlived it.
+// ProbationTime returns the age at which a task on probation has outlived its probation.
 func (r Rules) ProbationTime(history History) time.Duration {
 	return min(max(history.MaxAge, r.MinProbation), r.MaxProbation)
 }
 
-// CountsStarts reports whether the starts of a task are counted as extra starts.
+// CountsStarts reports whether further starts of a task count as extra starts.
 func (r Rules) CountsStarts(history History) bool {
 	return history.Losses >= r.MaxLosses
 }
@@ -195,8 +203,8 @@
 	return r.CountsStarts(history) && history.ExtraStarts >= r.MaxExtraStarts
 }
 
-// IsCrasher reports whether the losses in its probations are evidence enough that a task crashes its
-// endpoints.
+// IsCrasher reports whether the losses during a task's probations are evidence enough that the task
+// crashes its endpoints.
 func (r Rules) IsCrasher(history History) bool {
 	return history.CertainLosses > 1 && history.Weight >= r.ProofWeight
 }
--- a/pkg/crash/crash_test.go
+++ b/pkg/crash/crash_test.go
@@ -10,15 +10,16 @@
 	"damsonwinch/pkg/crash"
 )
 
-// TestTasksThatCrashEndpointsAreBlamed plays the data files, each a series of losses under tasks.
+// TestTasksThatCrashEndpointsAreBlamed runs the commands of the data files and compares their output.
 // Commands:
 //
 //	fresh: goes on with a task that has no history
 //	end age=MS [least=MS] [sure] [explained] [trial] [rate=R]: an endpoint is lost under the task;
-//	least and age are the bounds of its age, sure stands for Certain and trial for Probation
+//	  least (if missing, age) stands for MinAge, age for MaxAge, sure for Certain, trial for
+//	  Probation, and rate for LossRate
 //	start: the task is started
 //
-// Each command prints the task's history, and how the task is started next.
+// Each command prints the task's history, and how the task must be started next.
 func TestTasksThatCrashEndpointsAreBlamed(t *testing.T) {
 	rules := crash.DefaultRules()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -56,7 +57,7 @@
 	})
 }
 
-// next returns how a task is started next.
+// next returns a text on how a task must be started next.
 func next(rules crash.Rules, history crash.History) string {
 	switch {
 	case rules.IsCrasher(history), rules.StartsExhausted(history):
--- a/pkg/eject/eject.go
+++ b/pkg/eject/eject.go
@@ -1,5 +1,5 @@
-// Package eject tells bad boxes from bad requests by what fails where, and ejects bad boxes for
-// some time. It does no I/O and reads no clock; the time is passed in.
+// Package eject finds out whether boxes or requests are bad, by which requests fail on which boxes,
+// and ejects bad boxes for some time. It does no I/O and reads no clock; the time is passed in.
 package eject
 
 import "time"
@@ -14,21 +14,22 @@
 	// failuresInRowToEject is the number of failures in a row after which a box should be ejected.
 	// These count even if the requests were not tried on other boxes.
 	failuresInRowToEject = 5
-	// firstEjection is the time of the first ejection. Each further one in a row takes twice as
-	// long, up to maxEjection.
+	// firstEjection is how long a first ejection lasts. Each further one in a row lasts twice as
+	// long, up to maxEjection. A row ends once the box has had failedRequestsToEject successes.
 	firstEjection = 2 * time.Second
 	maxEjection   = 60 * time.Second
 	// failureRetention is how long a request's failures are remembered.
 	failureRetention = 2 * time.Minute
 )
 
-// Tracker tracks the failures of requests on boxes, and the boxes that are ejected.
+// Tracker tracks the failures of requests on boxes, and the boxes that are ejected. Boxes and requests
+// are given by names that the caller chooses.
 type Tracker struct {
 	boxes    map[string]*boxState
-	requests map[string]*requestFailures
+	requests map[string]*requestFailures // Only those that have failed and not succeeded since.
 }
 
-// boxState holds what speaks for and against one box.
+// boxState holds the evidence for and against one box, and its ejection.
 type boxState struct {
 	// failedRequests are the requests that failed on the box and succeeded on another one.
 	failedRequests map[string]bool
@@ -37,16 +38,16 @@
 	// ejectedUntil is when an ejected box may be probed.
 	ejectedUntil    time.Time
 	ejectionsInRow  int
-	recentSuccesses int // Since the box was reinstated or last blamed for a failure.
+	recentSuccesses int // Since the box was reinstated, or last blamed for a failure.
 }
 
-// requestFailures holds where one request has failed, and when it failed last.
+// requestFailures holds the boxes on which one request has failed, and when it failed last.
 type requestFailures struct {
 	boxes []string
 	at    time.Time
 }
 
-// New returns a tracker without failures.
+// New returns a Tracker without failures and ejected boxes.
 func New() *Tracker {
 	return &Tracker{boxes: map[string]*boxState{}, requests: map[string]*requestFailures{}}
 }
@@ -59,7 +60,8 @@
 	return t.boxes[name]
 }
 
-// AddFailure notes that a request failed on a box.
+// AddFailure notes that a request failed on a box. Whether the box or the request is to blame shows
+// when the request is tried on other boxes.
 func (t *Tracker) AddFailure(request, box string, now time.Time) {
 	failures := t.requests[request]
 	if failures == nil {
@@ -74,7 +76,7 @@
 	}
 }
 
-// excuseBoxes stops counting the failures of a request that fails everywhere against the boxes.
+// excuseBoxes takes back what the failures of a request that fails everywhere count against the boxes.
 func (t *Tracker) excuseBoxes(request string, failures *requestFailures) {
 	for _, name := range failures.boxes {
 		box := t.box(name)
@@ -106,8 +108,8 @@
 	delete(t.requests, request)
 }
 
-// FailsEverywhere reports whether a request has failed on so many boxes that the request itself is
-// to blame. Boxes that are ejected don't count.
+// FailsEverywhere reports whether a request has failed on so many different boxes that the request
+// itself is to blame. Boxes that are ejected don't count.
 func (t *Tracker) FailsEverywhere(request string) bool {
 	failures := t.requests[request]
 	if failures == nil {
@@ -122,12 +124,13 @@
 	return len(different) >= boxesToBlameRequest
 }
 
-// ForgetRequest drops the failures of a request that is not tried again.
+// ForgetRequest drops the failures of a request. It is for requests that aren't tried again.
 func (t *Tracker) ForgetRequest(request string) {
 	delete(t.requests, request)
 }
 
-// ShouldEject reports whether a box has failed often enough to be ejected.
+// ShouldEject reports whether a box has failed often enough to be ejected. It is false for a box that is
+// ejected already.
 func (t *Tracker) ShouldEject(name string) bool {
 	box := t.boxes[name]
 	if box == nil || box.ejected {
@@ -136,7 +139,8 @@
 	return len(box.failedRequests) >= failedRequestsToEject || box.failuresInRow >= failuresInRowToEject
 }
 
-// Eject ejects a box, for a time that doubles with each ejection in a row.
+// Eject ejects a box, for a time that doubles with each ejection in a row. For a box that is ejected the
+// time starts anew, so that Eject is also for boxes that have failed a probe.
 func (t *Tracker) Eject(name string, now time.Time) {
 	box := t.box(name)
 	pause := min(maxEjection, firstEjection<<min(box.ejectionsInRow, 10))
@@ -153,20 +157,21 @@
 	return box != nil && box.ejected
 }
 
-// MayProbe reports whether the time of an ejected box is over, so that it may be probed with one
-// repeatable request.
+// MayProbe reports whether the time of an ejection is over, so that the box may be probed with one
+// request that may safely be repeated.
 func (t *Tracker) MayProbe(name string, now time.Time) bool {
 	box := t.boxes[name]
 	return box != nil && box.ejected && !now.Before(box.ejectedUntil)
 }
 
-// Reinstate ends the ejection of a box that has answered a probe.
+// Reinstate ends the ejection of a box. It is for boxes that have answered a probe.
 func (t *Tracker) Reinstate(name string) {
 	box := t.box(name)
 	box.ejected, box.failuresInRow, box.recentSuccesses = false, 0, 0
 }
 
-// ForgetOldFailures drops the failures of requests that failed last more than failureRetention ago.
+// ForgetOldFailures drops the failures of the requests whose last failure is more than
+// failureRetention ago.
 func (t *Tracker) ForgetOldFailures(now time.Time) {
 	for request, failures := range t.requests {
 		if now.Sub(failures.at) > failureRetention {
--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,13 +1,14 @@
 // Package limit divides a limit of the configured table (package table) among the processes that
-// enforce it. Each process computes the same shares from the same state, so that the sum of the
-// shares keeps the limit without messages between them.
+// enforce it. Each process computes the same shares from the same state. So the shares add up to the
+// limit without messages between the processes.
 package limit
 
 import "slices"
 
 // Apportion divides a total in proportion to weights, by the largest remainder method: each share
-// is rounded down, and the units that are left go to the largest remainders, the earlier one of
-// equal ones first. The shares are 0 if the weights are, or if the total isn't positive.
+// is rounded down, and the units that are left go to the shares with the largest remainders, one each.
+// Of equal remainders the first comes first. The shares are 0 if all weights are, or if the total isn't
+// positive. Weights must not be negative.
 func Apportion(total int, weights []int) []int {
 	sum := 0
 	for _, weight := range weights {
@@ -33,8 +34,8 @@
 	return shares
 }
 
-// Share returns the share of the process with the given index in weights, 0 for an index out of
-// range.
+// Share returns the share that Apportion gives to the process with the given index in weights, 0 for an
+// index out of range.
 func Share(total int, weights []int, index int) int {
 	if index < 0 || index >= len(weights) {
 		return 0
--- a/pkg/liveness/evidence_test.go
+++ b/pkg/liveness/evidence_test.go
@@ -40,11 +40,14 @@
 	usualReadTime = 5 * time.Millisecond
 )
 
-// TestOnlyOwnersThatStoppedWorkingAreLost plays the data files. Commands:
+// TestOnlyOwnersThatStoppedWorkingAreLost runs the commands of the data files and compares their output.
+// Commands:
 //
-//	owner answers=MS appends=MS store=MS watcher-still: how the owner, the store and the watching
-//	node behave from now on
-//	watch ms=MS claim-age=MS: lets time pass and returns when the owner is taken for lost
+//	owner answers=MS appends=MS store=MS watcher-still: from now on the owner replies after answers,
+//	  and appends every appends, in each case never if the argument is missing; a read of its streams
+//	  takes store; with watcher-still the watching node is suspended
+//	watch ms=MS claim-age=MS: lets time pass and prints when the owner is taken for lost; claim-age
+//	  is the age of the owner's claim at the start
 func TestOnlyOwnersThatStoppedWorkingAreLost(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &script{now: time.Unix(1_000_000, 0), readTime: usualReadTime}
@@ -63,8 +66,8 @@
 	})
 }
 
-// milliseconds returns the value of a command's argument in milliseconds, or the usual value
-// without it.
+// milliseconds returns the duration that a command's argument gives in milliseconds, or the usual one if
+// the argument is missing.
 func milliseconds(t *testing.T, d *datadriven.TestData, name string, usual time.Duration) time.Duration {
 	if !d.HasArg(name) {
 		return usual
@@ -74,7 +77,8 @@
 	return time.Duration(value) * time.Millisecond
 }
 
-// watch lets time pass, and returns when the owner is taken for lost.
+// watch lets time pass up to the given length. It returns a text on when the owner is taken for lost, or
+// that it lives.
 func (s *script) watch(length, claimAge time.Duration) string {
 	for passed := time.Duration(0); passed < length; passed += stepTime {
 		s.step(passed)
@@ -86,7 +90,7 @@
 	return "lives\n"
 }
 
-// step runs what is due now, in the simulation and in the watching node.
+// step runs the events that are due now, the owner's append, and the watching node's request and read.
 func (s *script) step(passed time.Duration) {
 	for len(s.due) > 0 && !s.due[0].at.After(s.now) {
 		s.due[0].do()
@@ -106,7 +110,7 @@
 	}
 }
 
-// request sends a request to the owner.
+// request sends a request to the owner and schedules the reply, if there is one.
 func (s *script) request() {
 	s.evidence = s.evidence.WithRequest(s.now)
 	sentAt := s.now
--- a/pkg/triage/triage.go
+++ b/pkg/triage/triage.go
@@ -1,6 +1,6 @@
 // Package triage decides which waiting work is deferred when there is more of it than can be done
-// in time. If all work started in order of urgency, nearly all of it would be late then: the wait
-// grows until each task starts when it is just too late for it.
+// in time. If all work were started in order of urgency then, nearly all of it would be late: the
+// wait would grow until each task starts just too late.
 package triage
 
 import "container/heap"
@@ -12,8 +12,8 @@
 	// StartWithinMs is the time, in milliseconds from now, within which the tasks have to start for
 	// the job to be in time.
 	StartWithinMs int
-	// Value is what the job is worth if it is in time, and RemainingWork the work that it still
-	// takes, both in thousandths of a core times milliseconds.
+	// Value is what the job is worth if it is in time, and RemainingWork what is left to do of it,
+	// both in thousandths of a core times milliseconds.
 	Value         float64
 	RemainingWork float64
 }
@@ -30,18 +30,18 @@
 // free is counted for it. The rest is for work that arrives meanwhile, for tasks that take longer
 // than expected and for the job's later phases, which wait as well.
 //
-// The fraction is worth about 0.01 of the value of a day, which is 1.0 if all jobs are in time. The
-// mean of forty days is 0.440 with nothing deferred, 0.435 with the whole wait counted, 0.451 and
-// 0.447 with half of it and 0.454 with a quarter. That of 27 days with one fault each is 0.578,
-// 0.585, 0.583 and 0.575. Starting everything in order of value per remaining work instead is no
-// better: 0.445 and 0.573.
+// The fraction raises the value of a simulated day, which is 1.0 if all jobs are in time, by about
+// 0.01. The mean of forty days is 0.440 with nothing deferred, 0.435 with the whole wait counted,
+// 0.451 and 0.447 with half of it and 0.454 with a quarter. The mean of 27 days with one fault each
+// is 0.578, 0.585, 0.583 and 0.575. Starting everything in order of value per remaining work
+// instead is no better: 0.445 and 0.573.
 const countedWaitFraction = 0.5
 
-// Defer returns for each item whether it is to wait behind the others, so that those are in time.
-// The items must be in the order in which they have to start. Where the items up to one can't all
-// be started soon enough, the one of them with the least value per remaining work is deferred:
-// Moore's rule for the fewest late jobs, weighted by value. A job that is nearly done has little
-// work left and goes on.
+// Defer returns for each item whether it is deferred: it has to wait behind the others, so that those
+// are in time. The items must be in the order in which they have to start, the most urgent first. It
+// adds them one by one. While those added and not deferred can't all start in time, it defers the one
+// of them with the least value per remaining work: Moore's rule for the fewest late jobs, weighted by
+// value. A job that is nearly done has little work left, so that it is hardly ever deferred.
 func Defer(items []Item, capacity Capacity) []bool {
 	deferred := make([]bool, len(items))
 	kept := &valueHeap{items: items}
--- a/pkg/triage/triage_test.go
+++ b/pkg/triage/triage_test.go
@@ -15,8 +15,8 @@
 // of about a second on 0.9 cores each. A job is in time within 0.6 s plus 1.6 times its longest
 // chain of tasks. Only half of the spread of a job's task time is known in advance.
 const (
-	tickMs          = 50 // Between two decisions, as in the owner of a cell.
-	taskMs          = 1000
+	tickMs          = 50   // Between two decisions, as in the owner of a cell.
+	taskMs          = 1000 // Mean time of a task.
 	taskCPU         = 900
 	meanTasks       = 6
 	phaseSpread     = 0.6 // Standard deviation of the logarithm of a phase's number of tasks.
@@ -26,13 +26,14 @@
 	targetMs        = 600
 	extension       = 1.6
 	boxCPU          = 16_000
-	fixedValue      = 0.3
-	certainPercent  = 60 // Of the remaining chain: a job is late once even this part can't be done in time.
+	fixedValue      = 0.3 // Part of a job's value that doesn't depend on its tasks.
+	certainPercent  = 60  // Of the remaining chain: a job is late once even this part can't be done in time.
 	secondMs        = 1000
 	meanJobsPerTick = 9.0 * tickMs / secondMs // Over a whole day.
 )
 
-// scenario is a load and the boxes for it, both by the time in milliseconds since the start.
+// scenario is a load, in jobs that arrive, and the number of boxes for it, both by the time in
+// milliseconds since the start.
 type scenario struct {
 	name       string
 	jobsPerMs  func(at int) float64
@@ -41,14 +42,14 @@
 	minGain    float64 // Factor by which deferring must raise the value of the jobs in time.
 }
 
-// scenarios returns the loads that occur in the users' days.
+// scenarios returns scenarios like those of the users' days.
 func scenarios() []scenario {
 	turn := func(at int) float64 { return 5 * meanJobsPerTick / tickMs }
 	return []scenario{
 		{
-			// The users' demand moves between queues: each in turn asks for five times its
-			// mean for some ten seconds. More boxes come after two seconds and are enough for
-			// all work. What was deferred until then must not cost more than it saved.
+			// The users' demand moves between queues: each in turn has five times its mean load
+			// for some ten seconds. More boxes come after two seconds and are enough for all
+			// work. The work deferred until then must not cost more value than it saved.
 			name: "five times the mean load", durationMs: 10 * secondMs, minGain: 0.98, jobsPerMs: turn,
 			boxes: func(at int) int {
 				if at < 2*secondMs {
@@ -122,7 +123,7 @@
 	return j
 }
 
-// chain returns the expected time of the phases that have tasks to start.
+// chain returns the expected time, in milliseconds, of the phases that have tasks to start.
 func (j *job) chain() int { return j.expectedMs * len(j.phases) }
 
 // startBy returns the time by which the present phase has to start for the job to be in time.
@@ -140,8 +141,8 @@
 	return sum
 }
 
-// value returns the value of the job if it is in time, in tasks: a fixed part of the mean and a
-// part that grows with its tasks.
+// value returns the value of the job if it is in time, in tasks: fixedValue of the mean number of tasks
+// of a job, and the rest in proportion to its own tasks.
 func (j *job) value(mean float64) float64 {
 	return fixedValue*mean + (1-fixedValue)*float64(j.tasks)
 }
@@ -155,9 +156,9 @@
 	value float64
 }
 
-// play runs a scenario and returns the value of the jobs in time, in tasks. Tasks start in order of
-// urgency. With deferring, those that are deferred come last.
-func play(s scenario, deferring bool) float64 {
+// simulate simulates a scenario and returns the value of the jobs in time, in tasks. Tasks start in order of
+// urgency, except that deferred ones come after the others if deferring is set.
+func simulate(s scenario, deferring bool) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	p := &pool{ends: map[int][]*job{}}
 	owed := 0.0
@@ -174,7 +175,7 @@
 	return p.value
 }
 
-// end ends the tasks that are done.
+// end ends the tasks that are done at a time, and adds the value of the jobs that are done in time.
 func (p *pool) end(at int) {
 	for _, j := range p.ends[at] {
 		p.used -= taskCPU
@@ -206,7 +207,8 @@
 	}
 }
 
-// split divides jobs into those that come first and those that are deferred.
+// split divides jobs into those that come first and those that are deferred, none if deferring isn't
+// set. capacity is the CPU of all boxes and free the unused part of it, in thousandths of a core.
 func split(jobs []*job, at, capacity, free int, deferring bool) (first, last []*job) {
 	items := make([]triage.Item, len(jobs))
 	for number, j := range jobs {
@@ -228,7 +230,7 @@
 	return first, last
 }
 
-// startPhase starts the tasks of a job's present phase that fit.
+// startPhase starts the tasks of a job's present phase as far as they fit into the capacity.
 func (p *pool) startPhase(j *job, at, capacity int) {
 	for p.used+taskCPU <= capacity {
 		tasks := j.phases[0]
@@ -247,7 +249,7 @@
 func TestDeferringRaisesValueInTime(t *testing.T) {
 	for _, s := range scenarios() {
 		t.Run(s.name, func(t *testing.T) {
-			without, with := play(s, false), play(s, true)
+			without, with := simulate(s, false), simulate(s, true)
 			t.Logf("value in time, in tasks: %.0f in order of urgency, %.0f with deferring", without, with)
 			assert.Assert(t, with >= s.minGain*without)
 		})
