--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -10,8 +10,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// allocationPrefix is the prefix of keys in the planner's stream that a customer's name follows. Such a
-// record holds the limits of the cells that share the customer's cap.
+// allocationPrefix, followed by a customer's name, is the key of a record in the planner's stream. The
+// record holds the limits that the cells have of the customer's cap.
 const allocationPrefix = "allotted/"
 
 // loadAllocation takes over the cells' limits for a customer from the record of an earlier planner.
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -212,7 +212,7 @@
 var errSuspended = errors.New("the machine was suspended")
 
 // checkSuspension returns an error once the machine has been suspended: another node may be planning by
-// then, and what this one knows of the boxes is outdated. It must give no more orders.
+// then, and what this node knows of the boxes is outdated. It must send no more orders.
 func (p *Planner) checkSuspension() error {
 	suspended := p.deps.SuspendedTime.Total() - p.suspendedBefore
 	if suspended < damsonwinch.NegligibleSuspension {
--- a/pkg/quota/allotter.go
+++ b/pkg/quota/allotter.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// queueChangedTargets notes that there is something new to send to the cells whose targets have
-// changed.
+// queueChangedTargets notes that there is something new to send about a customer to the cells whose
+// targets have changed.
 func (a *Allocator) queueChangedTargets(customer string) {
 	state := a.customers[customer]
 	for cell := range state.changedTargets {
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -156,8 +156,8 @@
 	return true
 }
 
-// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs, in
-// thousandths of a core as wantedCPU. It is 0 for an unknown customer.
+// RemainingCPU returns how much of wantedCPU fits into a customer's allowance beside what runs. Both are
+// in thousandths of a core. The result is 0 for an unknown customer.
 func (a *Allowances) RemainingCPU(customer string, wantedCPU int) int {
 	customerCap, known := a.capOf(customer)
 	switch {
--- a/pkg/shard/count.go
+++ b/pkg/shard/count.go
@@ -4,9 +4,9 @@
 
 const (
 	// boxesPerCore is the number of busy boxes whose tasks one core of a node can handle: at the
-	// highest demand a box of 32 cores finishes some 4.5 tasks a second, and a task costs the node
-	// that owns it 0.25 ms. That leaves more than half of the core for takeovers, clients' calls and
-	// a machine that is slower than it should be.
+	// highest demand a box of 32 cores finishes some 4.5 tasks a second, and each task costs the
+	// node that owns its cell 0.25 ms. That leaves more than half of the core for takeovers,
+	// clients' calls and a machine that is slower than it should be.
 	boxesPerCore = 400
 	// busyPercent is the part of a fleet's boxes that a single pool may have when demand moves to it.
 	busyPercent = 80
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -45,7 +45,7 @@
 	refusedPools map[string]bool
 }
 
-// plannedOrder is an order that is given once nothing runs on its box.
+// plannedOrder is an order that will be issued once nothing runs on its box.
 type plannedOrder struct {
 	// pool and shard are where the box goes. An empty pool stands for maintenance in its present
 	// pool.
@@ -176,7 +176,7 @@
 		p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay
 }
 
-// startWithdrawal has the endpoint of a box withdrawn, so that the planned order can be given.
+// startWithdrawal has the endpoint of a box withdrawn, so that the planned order can be issued.
 func (p *Planner) startWithdrawal(b *box, planned plannedOrder) {
 	planned.since = p.now
 	p.updateBox(b, func() { b.planned = &planned })
--- a/pkg/supply/supply.go
+++ b/pkg/supply/supply.go
@@ -42,7 +42,7 @@
 	Wave int
 	// Life is the endpoint's life on the box, which the order ends; empty if none runs there.
 	Life damsonwinch.Life
-	// Cause says for operators why the order is given.
+	// Cause tells operators why the order is issued.
 	Cause string
 }
 
@@ -137,8 +137,8 @@
 	}
 }
 
-// Plan makes the decisions that are due at now and returns the orders to be given: new ones, and
-// those that have to be sent again because they were not answered.
+// Plan makes the decisions that are due at now and returns the orders to send to the platform: new
+// ones, and those to be repeated because the platform has not accepted them.
 func (p *Planner) Plan(now time.Time) []Order {
 	p.now = now
 	p.orders = nil
@@ -179,7 +179,7 @@
 	return directives
 }
 
-// exitedEndpoints returns the endpoints that a cell has reported although a list of boxes which was
+// exitedEndpoints returns the endpoints of a cell's report that have exited: a list of boxes that was
 // requested after the report shows their boxes with another endpoint or not up.
 func (p *Planner) exitedEndpoints(c *cell) []string {
 	if !c.hasFreshReport(p.now) || !p.boxesRequestedAt.After(c.reportedAt) {
--- a/pkg/supply/waves.go
+++ b/pkg/supply/waves.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// planWave marks a wave as completed, or orders and prepares as much of its maintenance as its limit
-// on boxes that are down and its schedule allow.
+// planWave marks a wave as completed if nothing is left to do. Otherwise it orders maintenance and
+// starts withdrawals as far as the wave's schedule asks for more and its limit on boxes down allows it.
 func (p *Planner) planWave(w *wave) {
 	due, down, emptying := p.waveProgress(w)
 	if len(due) == 0 && down == 0 && emptying == 0 {
