--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -11,119 +11,129 @@
 	"damsonwinch/pkg/wire"
 )
 
-// maintainTimeout bounds one attempt at a reboot.
-const maintainTimeout = 10 * time.Minute
+// maintenanceTimeout bounds one attempt at the maintenance of a box.
+const maintenanceTimeout = 10 * time.Minute
 
-// planHall gives boxes senders and takes on the hall's maintenance.
-func (k *Keeper) planHall() {
-	for _, hall := range k.deps.Settings.Halls {
-		if !k.leadsHall(hall) {
+// planZones plans each zone that this keeper leads: it proposes senders for boxes
+// that have none, and itself as the maintainer of boxes in maintenance.
+func (k *Keeper) planZones() {
+	for _, zone := range k.deps.Settings.Halls {
+		if !k.leadsZone(zone) {
 			continue
 		}
-		k.propose(plan.AssignSenders(k.state, hall, k.liveSenders(), k.state.LogTimeMs()-k.liveFor())...)
-		k.maintain(hall)
+		k.propose(plan.AssignSenders(k.state, zone, k.assignableSenders(), k.state.LogTimeMs()-k.renewalTimeoutMs())...)
+		k.proposeMaintainer(zone)
 	}
 }
 
-func (k *Keeper) liveSenders() []fold.Sender {
-	var live []fold.Sender
+// assignableSenders returns the senders that may get boxes: those that have renewed
+// their lease recently, aren't leaving, and could be released if they were lost.
+func (k *Keeper) assignableSenders() []fold.Sender {
+	var found []fold.Sender
 	for _, sender := range k.state.Senders() {
-		if sender.RenewedAt >= k.state.LogTimeMs()-k.liveFor() && !sender.Leaving && k.state.Releasable(sender) {
-			live = append(live, sender)
+		if sender.RenewedAt >= k.state.LogTimeMs()-k.renewalTimeoutMs() && !sender.Leaving && k.state.Releasable(sender) {
+			found = append(found, sender)
 		}
 	}
-	return live
+	return found
 }
 
-// carried is how far this keeper is with a box's maintenance.
-type carried int
+// maintenanceState is the state of a maintenance that this keeper carries out.
+type maintenanceState int
 
 const (
-	carriedRunning carried = iota + 1
-	carriedDone
+	maintenanceRunning maintenanceState = iota + 1
+	maintenanceDone
 )
 
-// maintain takes on the maintenance of a hall's empty boxes and carries it out
-// once the log has given it to this keeper.
-func (k *Keeper) maintain(hall string) {
+// proposeMaintainer proposes this keeper as the maintainer of the zone's boxes in
+// maintenance that have none, or one that is no longer a member. Once the log has
+// made it the maintainer, runMaintenances maintains the boxes.
+func (k *Keeper) proposeMaintainer(zone string) {
 	for _, box := range k.state.Boxes() {
-		if box.Info.Hall != hall || box.Phase != fold.Maintenance {
+		if box.Info.Hall != zone || box.Phase != fold.Maintenance {
 			continue
 		}
 		if member, known := k.state.Member(box.Maintainer.Node); !known || member.KeeperIncarnation != box.Maintainer.Incarnation {
-			k.proposeStep(wire.KindCarry, box, "it is empty for maintenance")
+			k.proposeBoxChange(wire.KindCarry, box, "it is empty for maintenance")
 		}
 	}
 }
 
-// carryOut reboots the boxes whose maintenance is this keeper's, each once, and
-// puts them back to work.
-func (k *Keeper) carryOut(ctx context.Context) {
-	mine := map[string]bool{}
+// runMaintenances starts the maintenance of each box of which this keeper is the
+// maintainer, once for each box. For boxes whose maintenance is done it proposes that
+// they serve again.
+func (k *Keeper) runMaintenances(ctx context.Context) {
+	ours := map[string]bool{}
 	for _, box := range k.state.Boxes() {
-		if box.Phase != fold.Maintenance || box.Maintainer != k.carrier() {
+		if box.Phase != fold.Maintenance || box.Maintainer != k.key() {
 			continue
 		}
 		name := box.Info.Name
-		mine[name] = true
-		switch k.carrying[name] {
-		case carriedRunning:
-		case carriedDone:
-			k.proposeStep(wire.KindBack, box, "maintenance has ended")
+		ours[name] = true
+		switch k.maintenances[name] {
+		case maintenanceRunning:
+		case maintenanceDone:
+			k.proposeBoxChange(wire.KindBack, box, "maintenance has ended")
 		default:
-			k.carrying[name] = carriedRunning
+			k.maintenances[name] = maintenanceRunning
 			k.reboot(ctx, name)
 		}
 	}
-	for name, how := range k.carrying {
-		if how == carriedDone && !mine[name] {
-			delete(k.carrying, name)
+	for name, state := range k.maintenances {
+		if state == maintenanceDone && !ours[name] {
+			delete(k.maintenances, name)
 		}
 	}
 }
 
-func (k *Keeper) carrier() fold.KeeperKey {
+// key identifies this keeper in the state.
+func (k *Keeper) key() fold.KeeperKey {
 	return fold.KeeperKey{Node: k.node(), Incarnation: k.incarnation}
 }
 
-func (k *Keeper) proposeStep(kind wire.Kind, box fold.Box, cause string) {
+// proposeBoxChange proposes a change of a box that needs no more than the box's
+// name and epoch.
+func (k *Keeper) proposeBoxChange(kind wire.Kind, box fold.Box, cause string) {
 	k.propose(wire.Proposal{Kind: kind, Cause: cause, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch}})
 }
 
+// reboot starts the platform's maintenance of a box. Its result reaches run as a
+// message.
 func (k *Keeper) reboot(ctx context.Context, name string) {
 	k.deps.Metrics.Add("maintenance_started", 1)
 	k.group.Go(func() error {
-		limited, cancel := context.WithTimeout(ctx, maintainTimeout)
+		maintainCtx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 		defer cancel()
-		err := k.deps.Boxes.Maintain(limited, name)
+		err := k.deps.Boxes.Maintain(maintainCtx, name)
 		k.send(ctx, maintainedMessage{box: name, err: err})
 		return nil
 	})
 }
 
-// takeMaintained notes the end of a reboot. One that failed is tried again; its
-// wave halts meanwhile.
-func (k *Keeper) takeMaintained(message maintainedMessage) {
+// handleMaintained notes the end of a maintenance. One that has failed is retried;
+// the maintenance wave that it belongs to halts meanwhile.
+func (k *Keeper) handleMaintained(message maintainedMessage) {
 	if message.err != nil {
-		delete(k.carrying, message.box)
+		delete(k.maintenances, message.box)
 		k.deps.Metrics.Add("maintenance_failures", 1)
-		k.deps.Logger.WithError(message.err).WithField("box", message.box).Warn("maintenance failed; it is tried again")
+		k.deps.Logger.WithError(message.err).WithField("box", message.box).Warn("maintenance failed; it will be retried")
 		return
 	}
-	k.carrying[message.box] = carriedDone
+	k.maintenances[message.box] = maintenanceDone
 }
 
-// planFleet decides moves and waves, when this keeper leads the fleet.
+// planFleet proposes moves and maintenance of boxes if this keeper leads the fleet.
 func (k *Keeper) planFleet() {
 	if !k.leadsFleet() || k.state.Table().Version() == 0 {
 		return
 	}
-	made := plan.New(k.state, k.deps.PlanOptions)
+	fleetPlan := plan.New(k.state, k.deps.PlanOptions)
 	k.deps.Metrics.Add("plans", 1)
-	k.propose(made.Proposals...)
+	k.propose(fleetPlan.Proposals...)
 }
 
-// status returns what the keeper has in force.
+// status returns the keeper's status with the parts that args asks for.
 func (k *Keeper) status(args wire.StatusArgs) wire.StatusReply {
 	reply := wire.StatusReply{
 		Node:         k.node(),
@@ -131,26 +141,26 @@
 		Incarnation:  k.incarnation,
 		Offset:       k.state.Offset(),
 		TableVersion: k.state.Table().Version(),
-		LogFresh:     k.logFresh(),
+		LogFresh:     k.isLogFresh(),
 	}
 	if args.AuditFrom >= 0 {
-		reply.Audit = k.trail.From(args.AuditFrom)
+		reply.Audit = k.auditTrail.From(args.AuditFrom)
 	}
 	if args.WithPlan {
-		made := plan.New(k.state, k.deps.PlanOptions)
-		reply.Planned, reply.Waits = made.Proposals, made.Deferred
+		fleetPlan := plan.New(k.state, k.deps.PlanOptions)
+		reply.Planned, reply.Waits = fleetPlan.Proposals, fleetPlan.Deferred
 	}
 	if !args.WithState {
 		return reply
 	}
 	snapshot, err := k.state.Snapshot()
 	if err != nil {
-		k.deps.Logger.WithError(err).Error("state can't be written")
+		k.deps.Logger.WithError(err).Error("cannot encode state")
 		return reply
 	}
 	text, err := json.Marshal(snapshot)
 	if err != nil {
-		k.deps.Logger.WithError(fmt.Errorf("write state: %w", err)).Error("state can't be written")
+		k.deps.Logger.WithError(fmt.Errorf("write state: %w", err)).Error("cannot encode state")
 		return reply
 	}
 	reply.State = string(text)
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -1,6 +1,10 @@
-// Package keeper follows the platform's log, decides moves and waves, carries
-// them out for its hall and relays records to its peers. One task owns all of
-// its state; calls, readings and timers reach it as messages.
+// Package keeper implements the dw-keeper process. A keeper follows the
+// platform's log and relays its records to entries and other keepers. It appends
+// the lease renewals of senders, which are the entries that send requests to
+// boxes; it extends the leases of senders that are cut off from the log, and
+// releases senders that are lost. It plans moves and maintenance of boxes and
+// carries out the maintenance. One goroutine, run, owns the state; calls, replies
+// and lists reach it as messages.
 package keeper
 
 import (
@@ -26,15 +30,15 @@
 	"damsonwinch/pkg/wire"
 )
 
-// ServiceName is the name under which a keeper serves calls.
+// ServiceName is the net/rpc name under which a keeper serves calls.
 const ServiceName = "Keeper"
 
 const (
-	inboxLength = 256
-	auditLines  = 20_000
+	inboxCapacity = 256
+	maxAuditLines = 20_000
 )
 
-// Deps is what a keeper needs.
+// Deps are the dependencies of a keeper.
 type Deps struct {
 	Settings   settings.Keeper
 	Clock      damsonwinch.Clock
@@ -48,11 +52,11 @@
 	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
 	InitialState fold.State
-	// PlanOptions holds the planner's choices.
+	// PlanOptions are the options of the fleet's plans.
 	PlanOptions plan.Options
 }
 
-// Keeper is one keeper process's task.
+// Keeper is a running keeper.
 type Keeper struct {
 	deps        Deps
 	incarnation int
@@ -61,46 +65,47 @@
 	cancel      context.CancelFunc
 	group       *errgroup.Group
 	server      *call.Server
-	peers       map[string]*call.Client
-	// listed names the halls whose list is read.
-	listed atomic.Pointer[[]string]
-
-	// What follows is the loop's own.
-	state    fold.State
-	relay    relay
-	trail    *audit.Trail
-	witness  lease.Grantor
-	roster   roster
-	outbox   outbox
-	list     listView
-	carrying map[string]carried
-	logRead  time.Time
-	// changed says that the fleet has changed since the last plan, made at
-	// planned.
-	changed bool
-	planned time.Time
+	peers       map[string]*call.Client // By node.
+	// listedZones are the availability zones whose lists pollList reads.
+	listedZones atomic.Pointer[[]string]
+
+	// The fields below are used by run only.
+
+	state        fold.State
+	relay        relay
+	auditTrail   *audit.Trail
+	grantor      lease.Grantor
+	renewals     renewals
+	outbox       outbox
+	list         listView
+	maintenances map[string]maintenanceState // By box.
+	logReadAt    time.Time
+	// fleetChanged says that the fleet has changed since plannedAt, when the last
+	// plan was made.
+	fleetChanged bool
+	plannedAt    time.Time
 }
 
-// New starts a keeper. Its incarnation is its start time, so that a later
-// process on the same box has a higher one.
+// New starts a keeper. Its incarnation is its start time in nanoseconds since
+// 1970, so that a later process on the same box has a higher one.
 func New(deps Deps) (*Keeper, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	k := &Keeper{
-		deps:        deps,
-		incarnation: int(deps.Clock.Now().UnixNano()),
-		inbox:       make(chan any, inboxLength),
-		updates:     make(chan follow.Update),
-		cancel:      cancel,
-		group:       group,
-		peers:       map[string]*call.Client{},
-		state:       deps.InitialState,
-		trail:       audit.New(auditLines),
-		witness:     lease.NewGrantor(terms(deps.Settings)),
-		carrying:    map[string]carried{},
+		deps:         deps,
+		incarnation:  int(deps.Clock.Now().UnixNano()),
+		inbox:        make(chan any, inboxCapacity),
+		updates:      make(chan follow.Update),
+		cancel:       cancel,
+		group:        group,
+		peers:        map[string]*call.Client{},
+		state:        deps.InitialState,
+		auditTrail:   audit.New(maxAuditLines),
+		grantor:      lease.NewGrantor(leaseTiming(deps.Settings)),
+		maintenances: map[string]maintenanceState{},
 	}
-	k.listed.Store(&[]string{deps.Settings.Hall})
-	k.roster = newRoster()
+	k.listedZones.Store(&[]string{deps.Settings.Hall})
+	k.renewals = newRenewals()
 	k.outbox = newOutbox(k.incarnation)
 	k.list = newListView()
 	for _, peer := range deps.Settings.Peers {
@@ -116,7 +121,7 @@
 	return k, nil
 }
 
-func terms(s settings.Keeper) lease.Timing {
+func leaseTiming(s settings.Keeper) lease.Timing {
 	return lease.Timing{Duration: milliseconds(s.LeaseMs), MaxDrift: milliseconds(s.DriftMs)}
 }
 
@@ -139,13 +144,13 @@
 	k.group.Go(func() error { return k.run(ctx) })
 }
 
-// sources are the log first and then the peers, those of the own hall before
-// the others.
+// sources returns the sources of records in the order in which they are tried:
+// the log, the keepers of the own zone, and the other keepers.
 func (k *Keeper) sources() []damsonwinch.RecordSource {
 	sources := []damsonwinch.RecordSource{follow.LogSource{Log: k.deps.Log}}
-	for _, near := range []bool{true, false} {
+	for _, inOwnZone := range []bool{true, false} {
 		for _, peer := range k.deps.Settings.Peers {
-			if (peer.Hall == k.deps.Settings.Hall) == near {
+			if (peer.Hall == k.deps.Settings.Hall) == inOwnZone {
 				sources = append(sources, follow.PeerSource{Client: k.peers[peer.Node]})
 			}
 		}
@@ -154,8 +159,8 @@
 }
 
 // Close stops the keeper and returns once all of its goroutines have ended. It
-// stops proposing before it stops listening, so that a refused connection means
-// that nothing more comes from it.
+// stops the appends before it closes the listener, so that a refused connection
+// shows that the keeper appends nothing more.
 func (k *Keeper) Close() error {
 	k.cancel()
 	err := k.group.Wait()
@@ -166,12 +171,12 @@
 	return err
 }
 
-// node returns the name of the keeper's box.
+// node returns the name of the box on which the keeper runs.
 func (k *Keeper) node() string {
 	return k.deps.Settings.Node
 }
 
-// send passes a message to the loop unless the keeper stops.
+// send passes a message to run. It returns false if ctx ends first.
 func (k *Keeper) send(ctx context.Context, message any) bool {
 	select {
 	case k.inbox <- message:
@@ -181,19 +186,22 @@
 	}
 }
 
-// now returns the keeper's own time.
+// now returns the time by the keeper's clock.
 func (k *Keeper) now() time.Time {
 	return k.deps.Clock.Now()
 }
 
-// logFresh says whether the keeper itself has read the log lately.
-func (k *Keeper) logFresh() bool {
-	const readings = 3
-	return !k.logRead.IsZero() && k.now().Sub(k.logRead) < readings*milliseconds(k.deps.Settings.RenewMs)+time.Second
+// isLogFresh says whether the keeper itself has read the log recently: within
+// three renewal intervals and a second. Records that other keepers relay don't
+// count.
+func (k *Keeper) isLogFresh() bool {
+	const renewalIntervals = 3
+	return !k.logReadAt.IsZero() && k.now().Sub(k.logReadAt) < renewalIntervals*milliseconds(k.deps.Settings.RenewMs)+time.Second
 }
 
+// propose adds proposals to the outbox.
 func (k *Keeper) propose(proposals ...wire.Proposal) {
 	for _, proposal := range proposals {
-		k.outbox.put(proposal)
+		k.outbox.add(proposal)
 	}
 }
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -7,7 +7,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Messages to the loop. Each carries what takes its answer.
+// Messages to run. A reply function passes the reply to a call on to its caller.
 type (
 	readMessage struct {
 		args  wire.ReadArgs
@@ -30,7 +30,7 @@
 		reply func(wire.StatusReply)
 	}
 	listMessage struct {
-		hall  string
+		zone  string
 		boxes []wire.ListedBox
 	}
 	appendedMessage struct {
@@ -38,49 +38,50 @@
 		err    error
 	}
 	forwardedMessage struct {
-		member wire.Member
-		taken  bool
+		member   wire.Member
+		accepted bool
 	}
 	maintainedMessage struct {
 		box string
 		err error
 	}
-	entryEndedMessage struct {
-		entry int
+	entryExitedMessage struct {
+		incarnation int
 	}
 )
 
-// run is the task that owns the keeper's state.
+// run handles updates of the state, messages and ticks until ctx ends. It returns
+// nil.
 func (k *Keeper) run(ctx context.Context) error {
-	const ticksARenewal = 4
-	ticker := k.deps.Clock.NewTicker(milliseconds(k.deps.Settings.RenewMs) / ticksARenewal)
+	const ticksPerRenewal = 4
+	ticker := k.deps.Clock.NewTicker(milliseconds(k.deps.Settings.RenewMs) / ticksPerRenewal)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case update := <-k.updates:
-			k.takeUpdate(update)
+			k.applyUpdate(update)
 			if update.Checkpoint != nil {
 				k.writeSnapshot(ctx, *update.Checkpoint)
 			}
-			k.decide(ctx)
+			k.proposeChanges(ctx)
 		case message := <-k.inbox:
-			k.take(ctx, message)
+			k.handle(ctx, message)
 		case <-ticker.Chan():
-			k.answerExpired()
-			k.decide(ctx)
+			k.replyToExpired()
+			k.proposeChanges(ctx)
 		}
 		k.flush(ctx)
 	}
 }
 
-func (k *Keeper) take(ctx context.Context, message any) {
+func (k *Keeper) handle(ctx context.Context, message any) {
 	switch m := message.(type) {
 	case readMessage:
-		k.answerRead(m)
+		k.handleRead(m)
 	case renewMessage:
-		k.takeRenewal(m)
+		k.handleRenewal(m)
 	case extendMessage:
 		m.reply(k.extend(m.args))
 	case proposeMessage:
@@ -89,87 +90,92 @@
 	case statusMessage:
 		m.reply(k.status(m.args))
 	case listMessage:
-		k.takeList(m)
+		k.handleList(m)
 	case appendedMessage:
-		k.takeAppended(m)
+		k.handleAppended(m)
 	case forwardedMessage:
-		k.takeForwarded(m)
+		k.handleForwarded(m)
 	case maintainedMessage:
-		k.takeMaintained(m)
-		k.changed = true
-	case entryEndedMessage:
-		k.roster.ended[m.entry] = true
+		k.handleMaintained(m)
+		k.fleetChanged = true
+	case entryExitedMessage:
+		k.renewals.exitedEntries[m.incarnation] = true
 	case probedMessage:
-		k.roster.probing = false
+		k.renewals.probeInFlight = false
 	}
 }
 
-// takeUpdate moves the keeper to a newer state.
-func (k *Keeper) takeUpdate(update follow.Update) {
+// applyUpdate takes over the state of an update and handles the records that led to
+// it. It ignores a state that is older than the present one.
+func (k *Keeper) applyUpdate(update follow.Update) {
 	if update.Source == follow.LogSourceName {
-		k.logRead = update.ReadStartedAt
+		k.logReadAt = update.ReadStartedAt
 	}
 	if update.State.Offset() < k.state.Offset() {
 		return
 	}
 	k.state = update.State
-	k.changed = k.changed || update.Restored
-	for _, folded := range update.Records {
-		k.changed = k.changed || folded.ChangesFleet()
-		k.trail.Add(folded.Record, folded.Results)
-		k.countVerdicts(folded)
-	}
-	k.relay.take(update)
-	k.answerWaiting()
-	k.outbox.settle(k.state, update.Records)
-	k.witnessSenders()
+	k.fleetChanged = k.fleetChanged || update.Restored
+	for _, applied := range update.Records {
+		k.fleetChanged = k.fleetChanged || applied.ChangesFleet()
+		k.auditTrail.Add(applied.Record, applied.Results)
+		k.countResults(applied)
+	}
+	k.relay.add(update)
+	k.replyToWaiting()
+	k.outbox.applyRecords(k.state, update.Records)
+	k.noteRenewals()
 	k.deps.Metrics.SetGauge("offset", k.state.Offset())
 	k.deps.Metrics.SetGauge("table_version", k.state.Table().Version())
 }
 
-func (k *Keeper) countVerdicts(folded follow.AppliedRecord) {
-	for _, verdict := range folded.Results {
-		if verdict.Accepted {
-			k.deps.Metrics.Add("accepted_"+string(verdict.Proposal.Kind), 1)
+// countResults counts the results of a record's proposals by the kind of proposal.
+func (k *Keeper) countResults(applied follow.AppliedRecord) {
+	for _, result := range applied.Results {
+		if result.Accepted {
+			k.deps.Metrics.Add("accepted_"+string(result.Proposal.Kind), 1)
 		} else {
-			k.deps.Metrics.Add("refused_"+string(verdict.Proposal.Kind), 1)
+			k.deps.Metrics.Add("refused_"+string(result.Proposal.Kind), 1)
 		}
 	}
 }
 
-// decide puts everything that the keeper wants to say into the outbox.
-func (k *Keeper) decide(ctx context.Context) {
-	k.renewMembers(ctx)
-	if !k.logFresh() || k.outbox.unread(k.state, k.now()) {
-		// What was said last isn't folded yet: deciding now would repeat it.
+// proposeChanges renews the keeper's membership when this is due, and proposes the
+// changes that the state calls for.
+func (k *Keeper) proposeChanges(ctx context.Context) {
+	k.renew(ctx)
+	if !k.isLogFresh() || k.outbox.awaitsLastBatch(k.state, k.now()) {
+		// The state doesn't show the last batch yet. A decision on it would repeat
+		// that batch's proposals.
 		return
 	}
-	k.releaseLost()
-	if !k.somethingToPlan() {
+	k.releaseLostSenders()
+	if !k.beginPlanIfDue() {
 		return
 	}
-	k.planHall()
-	k.carryOut(ctx)
+	k.planZones()
+	k.runMaintenances(ctx)
 	k.planFleet()
 }
 
-// somethingToPlan says whether the fleet has changed since the last plan, beside
-// renewals, or enough time has passed. Each plan looks at every box.
-func (k *Keeper) somethingToPlan() bool {
+// beginPlanIfDue says whether a plan is due, and if so notes that it is made now.
+// Since each plan looks at every box, it is due only if the fleet has changed by
+// more than renewals since the last one, or idlePlanRenewals after it.
+func (k *Keeper) beginPlanIfDue() bool {
 	now := k.now()
-	if !k.changed && now.Sub(k.planned) < planRenewals*milliseconds(k.deps.Settings.RenewMs) {
+	if !k.fleetChanged && now.Sub(k.plannedAt) < idlePlanRenewals*milliseconds(k.deps.Settings.RenewMs) {
 		return false
 	}
-	k.changed, k.planned = false, now
+	k.fleetChanged, k.plannedAt = false, now
 	return true
 }
 
-// liveFor is the silence, by the log's time, after which a member is passed
-// over for the work that only one should do.
-func (k *Keeper) liveFor() int {
+// renewalTimeoutMs returns the log time without a renewal, in milliseconds, after
+// which a member isn't chosen as a leader and a sender gets no boxes.
+func (k *Keeper) renewalTimeoutMs() int {
 	return k.deps.Settings.LeaseMs
 }
 
-// planRenewals is the time, in renewal intervals, between two plans on a fleet
-// that has not changed.
-const planRenewals = 2
+// idlePlanRenewals is the time between two plans if the fleet has not changed, in
+// renewal intervals.
+const idlePlanRenewals = 2
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -6,27 +6,28 @@
 	"damsonwinch/pkg/wire"
 )
 
-// witnessSenders notes when each sender's renewal was first read.
-func (k *Keeper) witnessSenders() {
+// noteRenewals notes when the newest renewal of each sender was first read.
+func (k *Keeper) noteRenewals() {
 	now := k.now()
 	present := map[string]bool{}
 	for _, sender := range k.state.Senders() {
 		name := sender.Key.String()
 		present[name] = true
-		k.witness = k.witness.WithRenewalRead(name, sender.Seq, now)
+		k.grantor = k.grantor.WithRenewalRead(name, sender.Seq, now)
 	}
-	for _, name := range k.witness.Senders() {
+	for _, name := range k.grantor.Senders() {
 		if !present[name] {
-			k.witness = k.witness.WithoutSender(name)
+			k.grantor = k.grantor.WithoutSender(name)
 		}
 	}
 }
 
-// extend answers a sender that has lost the log.
+// extend replies to a sender that asks for an extension of its lease because it can't
+// renew it through the log.
 func (k *Keeper) extend(args wire.ExtendArgs) wire.ExtendReply {
 	key := fold.SenderKey{Node: args.Node, Incarnation: args.Entry}
-	reply := wire.ExtendReply{Keeper: k.incarnation, LogFresh: k.logFresh()}
-	k.witness, reply.Granted = k.witness.Extend(key.String(), k.now())
+	reply := wire.ExtendReply{Keeper: k.incarnation, LogFresh: k.isLogFresh()}
+	k.grantor, reply.Granted = k.grantor.Extend(key.String(), k.now())
 	if reply.Granted {
 		k.deps.Metrics.Add("extensions_granted", 1)
 	} else {
@@ -35,47 +36,53 @@
 	return reply
 }
 
-// releaseLost proposes the release of senders that are lost.
-func (k *Keeper) releaseLost() {
+// releaseLostSenders proposes to release the senders that are lost.
+func (k *Keeper) releaseLostSenders() {
 	for _, sender := range k.state.Senders() {
-		if how, may := k.mayRelease(sender); may {
+		if how, allowed := k.canRelease(sender); allowed {
 			k.proposeRelease(sender, how)
 		}
 	}
 }
 
-// mayRelease says by which rule, if any, this keeper may release a sender. The
-// fold checks again what it can see.
-func (k *Keeper) mayRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
-	member, joined := k.state.Member(k.node())
-	if !joined || member.KeeperIncarnation != k.incarnation {
+// canRelease says whether this keeper may release a sender, and how it knows that
+// the sender no longer sends: it has seen the entry on its own box exit; it has
+// waited until the sender's lease and its own extensions of it have expired, and the
+// sender has asked it for extensions; or it leads the sender's zone and the platform's
+// list has not shown the entry's box for the time of a lease. Package fold checks the
+// release again when it is applied, as far as the state allows.
+func (k *Keeper) canRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
+	member, isMember := k.state.Member(k.node())
+	if !isMember || member.KeeperIncarnation != k.incarnation {
 		return "", false
 	}
-	qualified := sender.Zone == member.Zone && lease.KnownToSender(member.JoinedOffset, sender.AppliedOffset)
-	if sender.Key.Node == k.node() && k.hasEnded(sender.Key.Incarnation) {
-		if qualified || k.witness.MayRelease(sender.Key.String(), k.now()) {
+	knownToSender := sender.Zone == member.Zone && lease.KnownToSender(member.JoinedOffset, sender.AppliedOffset)
+	if sender.Key.Node == k.node() && k.hasExited(sender.Key.Incarnation) {
+		if knownToSender || k.grantor.MayRelease(sender.Key.String(), k.now()) {
 			return wire.ReleaseHowEnded, true
 		}
 	}
-	if !k.witness.MayRelease(sender.Key.String(), k.now()) {
+	if !k.grantor.MayRelease(sender.Key.String(), k.now()) {
 		return "", false
 	}
-	if qualified {
+	if knownToSender {
 		return wire.ReleaseHowTime, true
 	}
-	missing, dropped := k.list.dropped(sender.Key.Node, sender.Zone)
-	waited := k.now().Sub(missing) > milliseconds(k.deps.Settings.LeaseMs+k.deps.Settings.DriftMs)
-	return wire.ReleaseHowList, dropped && waited && k.leadsHall(sender.Zone)
+	missingSince, isMissing := k.list.missingSince(sender.Key.Node, sender.Zone)
+	waited := k.now().Sub(missingSince) > milliseconds(k.deps.Settings.LeaseMs+k.deps.Settings.DriftMs)
+	return wire.ReleaseHowList, isMissing && waited && k.leadsZone(sender.Zone)
 }
 
-// hasEnded says whether an entry of this box has ended: its address refused a
-// connection, or a later process has taken the address.
-func (k *Keeper) hasEnded(entry int) bool {
-	return k.roster.ended[entry] || entry < k.roster.own.Entry
+// hasExited says whether an incarnation of the entry on this box has exited: its
+// address has refused a connection, or a later incarnation has the address.
+func (k *Keeper) hasExited(incarnation int) bool {
+	return k.renewals.exitedEntries[incarnation] || incarnation < k.renewals.own.Entry
 }
 
+// proposeRelease proposes to release a sender. From then on the grantor denies the
+// sender extensions, because the log may take the proposal at any later time.
 func (k *Keeper) proposeRelease(sender fold.Sender, how wire.ReleaseHow) {
-	k.witness = k.witness.WithReleaseProposed(sender.Key.String())
+	k.grantor = k.grantor.WithReleaseProposed(sender.Key.String())
 	k.propose(wire.Proposal{
 		Kind:    wire.KindRelease,
 		Cause:   "the sender does not renew",
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -9,84 +9,96 @@
 	"damsonwinch/pkg/wire"
 )
 
+// callTimeout bounds a call to another keeper and a probe of an entry.
 const callTimeout = time.Second
 
-// roster is what the keeper knows of its hall beside the log.
-type roster struct {
-	// own is the last renewal of the entry beside this keeper.
+// renewals holds the renewals that are to be appended, and what the keeper knows
+// about the entry on its box.
+type renewals struct {
+	// own is the last renewal that the entry on this box has handed in.
 	own wire.Member
-	// received are renewals that others have handed to this keeper.
+	// received holds the renewals that other boxes have handed in since the last
+	// proposal, by node.
 	received map[string]wire.Member
-	ended    map[int]bool
-	renewed  time.Time
-	probing  bool
+	// exitedEntries holds the incarnations of the entry on this box that are known
+	// to have exited.
+	exitedEntries map[int]bool
+	lastRenewedAt time.Time
+	// probeInFlight says that a probe of the entry on this box is in progress.
+	probeInFlight bool
 }
 
-func newRoster() roster {
-	return roster{received: map[string]wire.Member{}, ended: map[int]bool{}}
+func newRenewals() renewals {
+	return renewals{received: map[string]wire.Member{}, exitedEntries: map[int]bool{}}
 }
 
-// takeRenewal takes a renewal to the log, if the keeper has one.
-func (k *Keeper) takeRenewal(message renewMessage) {
+// handleRenewal accepts a renewal, which the keeper then proposes or forwards together
+// with its own. It refuses the renewal if the keeper has not read the log recently;
+// that of the entry on its own box it keeps nevertheless.
+func (k *Keeper) handleRenewal(message renewMessage) {
 	member := message.member
 	if member.Node == k.node() {
-		if previous := k.roster.own.Entry; previous != 0 && previous != member.Entry {
-			k.roster.ended[previous] = true
+		if previous := k.renewals.own.Entry; previous != 0 && previous != member.Entry {
+			k.renewals.exitedEntries[previous] = true
 		}
-		k.roster.own = member
-	} else if k.logFresh() {
-		k.roster.received[member.Node] = member
+		k.renewals.own = member
+	} else if k.isLogFresh() {
+		k.renewals.received[member.Node] = member
 	}
-	message.reply(k.logFresh())
+	message.reply(k.isLogFresh())
 }
 
-// renewMembers says once a renewal interval who is there. One keeper says it
-// for its hall; the others hand it their part.
-func (k *Keeper) renewMembers(ctx context.Context) {
+// renew renews, once per renewal interval, the keeper's membership and the lease of
+// the entry on its box. The zone's leader proposes the renewals of its whole zone;
+// the other keepers hand theirs to the leader.
+func (k *Keeper) renew(ctx context.Context) {
 	now := k.now()
-	if now.Sub(k.roster.renewed) < milliseconds(k.deps.Settings.RenewMs) {
+	if now.Sub(k.renewals.lastRenewedAt) < milliseconds(k.deps.Settings.RenewMs) {
 		return
 	}
-	k.roster.renewed = now
+	k.renewals.lastRenewedAt = now
 	k.probeEntry(ctx)
-	writer, known := k.hallWriter()
-	if known && writer.Node != k.node() && k.peers[writer.Node] != nil {
-		k.forwardRenewal(ctx, writer.Node)
+	leader, found := k.zoneLeader()
+	if found && leader.Node != k.node() && k.peers[leader.Node] != nil {
+		k.forwardRenewal(ctx, leader.Node)
 		return
 	}
 	k.proposeRenewal()
 }
 
+// proposeRenewal proposes this keeper's renewal together with those that it has
+// received.
 func (k *Keeper) proposeRenewal() {
-	members := []wire.Member{k.ownMember()}
-	for _, member := range k.roster.received {
+	members := []wire.Member{k.ownRenewal()}
+	for _, member := range k.renewals.received {
 		members = append(members, member)
 	}
-	k.roster.received = map[string]wire.Member{}
+	k.renewals.received = map[string]wire.Member{}
 	for i, member := range members {
-		members[i] = k.withoutKnown(member)
+		members[i] = k.withoutUnchanged(member)
 	}
 	k.propose(wire.Proposal{Kind: wire.KindRenew, Members: members})
 }
 
-// withoutKnown leaves out of a renewal what the log has already. Every keeper
-// reads every renewal, so that their size is most of what control costs.
-func (k *Keeper) withoutKnown(renewal wire.Member) wire.Member {
-	member, known := k.state.Member(renewal.Node)
-	sender, sends := k.state.Sender(fold.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
-	if !known || member.KeeperIncarnation != renewal.Keeper || member.Address != renewal.KeeperAddress {
+// withoutUnchanged returns a renewal without the zone and the addresses if the state
+// has them already. Every keeper reads every renewal, so renewals make up most of the
+// traffic for the control of the fleet.
+func (k *Keeper) withoutUnchanged(renewal wire.Member) wire.Member {
+	member, isMember := k.state.Member(renewal.Node)
+	sender, isSender := k.state.Sender(fold.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
+	if !isMember || member.KeeperIncarnation != renewal.Keeper || member.Address != renewal.KeeperAddress {
 		return renewal
 	}
-	if renewal.Entry != 0 && (!sends || sender.Address != renewal.EntryAddress) {
+	if renewal.Entry != 0 && (!isSender || sender.Address != renewal.EntryAddress) {
 		return renewal
 	}
 	renewal.Hall, renewal.KeeperAddress, renewal.EntryAddress = "", "", ""
 	return renewal
 }
 
-// ownMember returns the keeper's own place with its entry's last renewal.
-func (k *Keeper) ownMember() wire.Member {
-	member := k.roster.own
+// ownRenewal returns the renewal of this keeper and of the entry on its box.
+func (k *Keeper) ownRenewal() wire.Member {
+	member := k.renewals.own
 	member.Node = k.node()
 	member.Hall = k.deps.Settings.Hall
 	member.Keeper = k.incarnation
@@ -94,85 +106,91 @@
 	return member
 }
 
-// hallWriter returns the member that speaks for the hall: the one that renewed
-// lately and joined first.
-func (k *Keeper) hallWriter() (fold.Member, bool) {
-	return k.eldest(k.state.MembersInZone(k.deps.Settings.Hall))
+// zoneLeader returns the leader of this keeper's zone and whether there is one.
+func (k *Keeper) zoneLeader() (fold.Member, bool) {
+	return k.oldestMember(k.state.MembersInZone(k.deps.Settings.Hall))
 }
 
-func (k *Keeper) eldest(members []fold.Member) (fold.Member, bool) {
-	var eldest fold.Member
+// oldestMember returns the member that joined first among those that have renewed
+// their membership recently, and whether there is one. It is the leader of these
+// members.
+func (k *Keeper) oldestMember(members []fold.Member) (fold.Member, bool) {
+	var oldest fold.Member
 	found := false
 	for _, member := range members {
-		if member.RenewedAt < k.state.LogTimeMs()-k.liveFor() {
+		if member.RenewedAt < k.state.LogTimeMs()-k.renewalTimeoutMs() {
 			continue
 		}
-		if !found || member.JoinedOffset < eldest.JoinedOffset || (member.JoinedOffset == eldest.JoinedOffset && member.Node < eldest.Node) {
-			eldest, found = member, true
+		if !found || member.JoinedOffset < oldest.JoinedOffset || (member.JoinedOffset == oldest.JoinedOffset && member.Node < oldest.Node) {
+			oldest, found = member, true
 		}
 	}
-	return eldest, found
+	return oldest, found
 }
 
+// forwardRenewal hands this keeper's renewal to the keeper of another node.
 func (k *Keeper) forwardRenewal(ctx context.Context, to string) {
-	member := k.ownMember()
+	member := k.ownRenewal()
 	client := k.peers[to]
 	k.group.Go(func() error {
-		limited, cancel := context.WithTimeout(ctx, callTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var reply wire.RenewReply
-		err := client.Do(limited, ServiceName+".Renew", wire.RenewArgs{Member: member}, &reply)
-		k.send(ctx, forwardedMessage{member: member, taken: err == nil && reply.Accepted})
+		err := client.Do(callCtx, ServiceName+".Renew", wire.RenewArgs{Member: member}, &reply)
+		k.send(ctx, forwardedMessage{member: member, accepted: err == nil && reply.Accepted})
 		return nil
 	})
 }
 
-// takeForwarded says the renewal itself when the hall's writer didn't take it.
-func (k *Keeper) takeForwarded(message forwardedMessage) {
-	if !message.taken {
+// handleForwarded proposes the renewal here if the zone's leader didn't accept it.
+func (k *Keeper) handleForwarded(message forwardedMessage) {
+	if !message.accepted {
 		k.proposeRenewal()
 	}
 }
 
-// probeEntry asks the entry beside this keeper whether it lives. A refused
-// connection shows that its process has ended.
+// probeEntry connects to the entry on this box. If the connection is refused, the
+// entry's process has exited.
 func (k *Keeper) probeEntry(ctx context.Context) {
-	own := k.roster.own
-	if own.Entry == 0 || k.roster.probing || k.roster.ended[own.Entry] {
+	own := k.renewals.own
+	if own.Entry == 0 || k.renewals.probeInFlight || k.renewals.exitedEntries[own.Entry] {
 		return
 	}
-	k.roster.probing = true
+	k.renewals.probeInFlight = true
 	k.group.Go(func() error {
-		limited, cancel := context.WithTimeout(ctx, callTimeout)
+		dialCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		conn, err := k.deps.Dial(limited, "tcp", own.EntryAddress)
+		conn, err := k.deps.Dial(dialCtx, "tcp", own.EntryAddress)
 		if err == nil {
 			_ = conn.Close()
 		}
 		if call.ConnectionRefused(err) {
-			k.send(ctx, entryEndedMessage{entry: own.Entry})
+			k.send(ctx, entryExitedMessage{incarnation: own.Entry})
 		}
 		k.send(ctx, probedMessage{})
 		return nil
 	})
 }
 
-// probedMessage says that the probe of the entry is over.
+// probedMessage says that the probe of the entry on this box is done.
 type probedMessage struct{}
 
-// leadsHall says whether this keeper does the work that one member does for a
-// hall. A hall without members is looked after by the fleet's eldest.
-func (k *Keeper) leadsHall(hall string) bool {
-	leader, found := k.eldest(k.state.MembersInZone(hall))
+// leadsZone says whether this keeper is the leader of a zone, which does the work
+// that only one keeper should do for it. A zone without members is led by the
+// fleet's leader.
+func (k *Keeper) leadsZone(zone string) bool {
+	leader, found := k.oldestMember(k.state.MembersInZone(zone))
 	if !found {
 		return k.leadsFleet()
 	}
 	return leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
 
-// leadsFleet says whether this keeper plans for the fleet. Two may think so at
-// once; the epochs in their proposals keep that safe.
+// leadsFleet says whether this keeper is the fleet's leader, which makes the plans.
+// For a time two keepers may both take themselves for the leader. That is safe: a
+// proposal about a box is refused if the box is no longer at the epoch on which the
+// proposal was decided.
 func (k *Keeper) leadsFleet() bool {
-	leader, found := k.eldest(k.state.Members())
+	leader, found := k.oldestMember(k.state.Members())
 	return found && leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -13,57 +13,65 @@
 )
 
 const (
+	// appendTimeout bounds an append to the log and a read of the platform's list.
 	appendTimeout = 2 * time.Second
-	// appendEvery spaces the appends of one keeper: the log takes about a
-	// hundred a second from everybody.
-	appendEvery = 50 * time.Millisecond
-	// mostBackoff bounds the pause after failed appends.
-	mostBackoff = 2 * time.Second
-	// mostProposals bounds one batch.
-	mostProposals = 500
+	// appendInterval is the time between two appends of one keeper. The log takes
+	// about 100 appends per second from all its clients together.
+	appendInterval = 50 * time.Millisecond
+	// maxAppendBackoff bounds the pause after failed appends.
+	maxAppendBackoff = 2 * time.Second
+	// maxBatchProposals bounds the proposals that wait for the next batch, without
+	// operators' edits. Further proposals are dropped; they are made again later.
+	maxBatchProposals = 500
 )
 
-// outbox collects what the keeper wants to say until its next append.
+// outbox collects the keeper's proposals until its next append.
 type outbox struct {
 	incarnation int
-	number      int
-	waiting     []wire.Proposal
-	// operators are proposals that must be said until they are folded.
-	operators []operatorProposal
-	inFlight  bool
-	failures  int
-	next      time.Time
-	sentAt    time.Time
+	// lastNumber is the number of the last batch.
+	lastNumber int
+	// queued are the proposals for the next batch, without edits.
+	queued []wire.Proposal
+	// edits are the operators' edits whose results are not known yet. Unlike other
+	// proposals they must not get lost.
+	edits    []pendingEdit
+	inFlight bool // An append is in progress.
+	// failures is the number of failed appends in a row.
+	failures     int
+	nextAppendAt time.Time
+	lastSentAt   time.Time
 }
 
-// operatorProposal is an operator's edit on its way. It is said again only when
-// the batch that carried it can no longer be folded.
-type operatorProposal struct {
-	proposal wire.Proposal
-	sentIn   int // Batch number, 0 while not sent.
+// pendingEdit is an operator's edit whose result is not known yet. It is sent again
+// only when the batch that held it can no longer be applied.
+type pendingEdit struct {
+	proposal    wire.Proposal
+	batchNumber int // Number of the batch that holds it; 0 if none does.
 }
 
 func newOutbox(incarnation int) outbox {
 	return outbox{incarnation: incarnation}
 }
 
-// put adds a proposal unless the same is waiting already.
-func (o *outbox) put(proposal wire.Proposal) {
+// add adds a proposal. It replaces a queued one that is about the same subject.
+func (o *outbox) add(proposal wire.Proposal) {
 	if proposal.Kind == wire.KindEdit {
-		o.operators = append(o.operators, operatorProposal{proposal: proposal})
+		o.edits = append(o.edits, pendingEdit{proposal: proposal})
 		return
 	}
-	for i, waiting := range o.waiting {
-		if sameSubject(waiting, proposal) {
-			o.waiting[i] = proposal
+	for i, earlier := range o.queued {
+		if sameSubject(earlier, proposal) {
+			o.queued[i] = proposal
 			return
 		}
 	}
-	if len(o.waiting) < mostProposals {
-		o.waiting = append(o.waiting, proposal)
+	if len(o.queued) < maxBatchProposals {
+		o.queued = append(o.queued, proposal)
 	}
 }
 
+// sameSubject says whether two proposals are of the same kind and about the same box
+// or release. Renewals, enrollments and checkpoints always have the same subject.
 func sameSubject(a, b wire.Proposal) bool {
 	if a.Kind != b.Kind {
 		return false
@@ -77,73 +85,79 @@
 	return a.Kind == wire.KindRenew || a.Kind == wire.KindEnroll || a.Kind == wire.KindCheckpoint
 }
 
-// settle notes which operators' proposals were folded.
-func (o *outbox) settle(state fold.State, records []follow.AppliedRecord) {
-	folded := map[string]bool{}
+// applyRecords drops the edits whose results are in applied records, and marks those
+// to be sent again whose batch can no longer be applied. state is the state after
+// the records.
+func (o *outbox) applyRecords(state fold.State, records []follow.AppliedRecord) {
+	applied := map[string]bool{}
 	for _, record := range records {
-		for _, verdict := range record.Results {
-			folded[verdict.Proposal.Id] = true
+		for _, result := range record.Results {
+			applied[result.Proposal.Id] = true
 		}
 	}
 	last := state.LastBatchNumber(o.incarnation)
-	kept := o.operators[:0]
-	for _, operator := range o.operators {
-		if folded[operator.proposal.Id] {
+	kept := o.edits[:0]
+	for _, edit := range o.edits {
+		if applied[edit.proposal.Id] {
 			continue
 		}
-		if operator.sentIn != 0 && operator.sentIn < last {
-			// A later batch is folded and this one is not: it never will be.
-			operator.sentIn = 0
+		if edit.batchNumber != 0 && edit.batchNumber < last {
+			// A later batch has been applied, so that this one would be refused.
+			edit.batchNumber = 0
 		}
-		kept = append(kept, operator)
+		kept = append(kept, edit)
 	}
-	o.operators = kept
+	o.edits = kept
 }
 
-// unsettled says whether an operator's proposal was sent and not yet seen.
-func (o *outbox) unsettled() bool {
-	for _, operator := range o.operators {
-		if operator.sentIn != 0 {
+// hasSentEdit says whether there is an edit that was sent and whose result is not
+// known.
+func (o *outbox) hasSentEdit() bool {
+	for _, edit := range o.edits {
+		if edit.batchNumber != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// unread says whether the last batch may still be folded. One that is lost is
-// given up after a while.
-func (o *outbox) unread(state fold.State, now time.Time) bool {
+// awaitsLastBatch says whether the state doesn't include the last batch yet, which may
+// still be applied. After appendTimeout the batch counts as lost.
+func (o *outbox) awaitsLastBatch(state fold.State, now time.Time) bool {
 	if o.inFlight {
 		return true
 	}
-	return o.number > state.LastBatchNumber(o.incarnation) && now.Before(o.sentAt.Add(appendTimeout))
+	return o.lastNumber > state.LastBatchNumber(o.incarnation) && now.Before(o.lastSentAt.Add(appendTimeout))
 }
 
-// take removes what the next batch carries.
-func (o *outbox) take() []wire.Proposal {
-	proposals := o.waiting
-	o.waiting = nil
-	for i, operator := range o.operators {
-		if operator.sentIn == 0 {
-			proposals = append(proposals, operator.proposal)
-			o.operators[i].sentIn = o.number + 1
+// takeBatch returns the proposals for the next batch, and removes those that are not
+// edits from the outbox.
+func (o *outbox) takeBatch() []wire.Proposal {
+	proposals := o.queued
+	o.queued = nil
+	for i, edit := range o.edits {
+		if edit.batchNumber == 0 {
+			proposals = append(proposals, edit.proposal)
+			o.edits[i].batchNumber = o.lastNumber + 1
 		}
 	}
 	return proposals
 }
 
-// flush starts the next append when it is time and there is something to say.
+// flush starts the next append if it is due and there are proposals. After a failed
+// append it also appends an empty batch while the result of an edit is not known:
+// once that batch is applied, the edit's own batch can no longer be.
 func (k *Keeper) flush(ctx context.Context) {
 	now := k.now()
-	if k.outbox.inFlight || now.Before(k.outbox.next) {
+	if k.outbox.inFlight || now.Before(k.outbox.nextAppendAt) {
 		return
 	}
-	proposals := k.outbox.take()
-	if len(proposals) == 0 && (k.outbox.failures == 0 || !k.outbox.unsettled()) {
+	proposals := k.outbox.takeBatch()
+	if len(proposals) == 0 && (k.outbox.failures == 0 || !k.outbox.hasSentEdit()) {
 		return
 	}
-	k.outbox.number++
-	number := k.outbox.number
+	k.outbox.lastNumber++
+	number := k.outbox.lastNumber
 	batch := wire.Batch{
 		Id:          fmt.Sprintf("%s/%d/%d", k.node(), k.incarnation, number),
 		Node:        k.node(),
@@ -153,31 +167,32 @@
 	}
 	data, err := json.Marshal(batch)
 	if err != nil {
-		k.deps.Logger.WithError(err).Error("batch can't be written; its proposals are lost")
+		k.deps.Logger.WithError(err).Error("cannot encode batch; its proposals are lost")
 		return
 	}
 	k.outbox.inFlight = true
-	k.outbox.sentAt = now
+	k.outbox.lastSentAt = now
 	k.deps.Metrics.Add("appends", 1)
 	k.deps.Metrics.Add("append_bytes", len(data))
 	k.group.Go(func() error {
-		limited, cancel := context.WithTimeout(ctx, appendTimeout)
+		appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 		defer cancel()
-		_, err := k.deps.Log.Append(limited, damsonwinch.StreamFleet, string(data))
+		_, err := k.deps.Log.Append(appendCtx, damsonwinch.StreamFleet, string(data))
 		k.send(ctx, appendedMessage{number: number, err: err})
 		return nil
 	})
 }
 
-// takeAppended goes on after an append. One that failed is not repeated: it may
-// have taken effect, and what it said is said anew from the state as it is then.
-func (k *Keeper) takeAppended(message appendedMessage) {
+// handleAppended sets the time of the next append. It does not repeat a failed
+// append, which may have taken effect: its proposals are decided anew on a newer
+// state.
+func (k *Keeper) handleAppended(message appendedMessage) {
 	k.outbox.inFlight = false
-	pause := appendEvery
+	pause := appendInterval
 	if message.err != nil {
 		k.outbox.failures++
 		k.deps.Metrics.Add("append_failures", 1)
-		pause = min(mostBackoff, appendEvery<<min(k.outbox.failures, 8))
+		pause = min(maxAppendBackoff, appendInterval<<min(k.outbox.failures, 8))
 		if k.outbox.failures == 1 {
 			k.deps.Logger.WithError(message.err).Warn("log does not take appends")
 		}
@@ -185,5 +200,5 @@
 		k.outbox.failures = 0
 		k.deps.Logger.Info("log takes appends again")
 	}
-	k.outbox.next = k.now().Add(pause)
+	k.outbox.nextAppendAt = k.now().Add(pause)
 }
--- a/pkg/keeper/outbox_test.go
+++ b/pkg/keeper/outbox_test.go
@@ -15,32 +15,33 @@
 
 const testIncarnation = 7
 
-// folding is a state and the records that led to it.
-type folding struct {
+// testLog is a log with the state after its records.
+type testLog struct {
 	t     *testing.T
 	state fold.State
 }
 
-func newFolding(t *testing.T) *folding {
+func newTestLog(t *testing.T) *testLog {
 	checker, err := check.New()
 	assert.NilError(t, err)
-	return &folding{t: t, state: fold.New(table.New(checker))}
+	return &testLog{t: t, state: fold.New(table.New(checker))}
 }
 
-// land folds a batch of this keeper and returns it as the follower would.
-func (f *folding) land(number int, proposals ...wire.Proposal) []follow.AppliedRecord {
+// appendBatch appends and applies a batch with a number, and returns its record as
+// the follower does.
+func (log *testLog) appendBatch(number int, proposals ...wire.Proposal) []follow.AppliedRecord {
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: testIncarnation, Number: number, Proposals: proposals})
-	assert.NilError(f.t, err)
-	record := wire.Entry{Offset: f.state.Offset(), Data: string(data)}
-	next, verdicts := f.state.Apply(record)
-	f.state = next
-	return []follow.AppliedRecord{{Record: record, Results: verdicts}}
+	assert.NilError(log.t, err)
+	record := wire.Entry{Offset: log.state.Offset(), Data: string(data)}
+	next, results := log.state.Apply(record)
+	log.state = next
+	return []follow.AppliedRecord{{Record: record, Results: results}}
 }
 
-// send takes what the next batch carries.
+// send returns the proposals of the next batch, which counts as sent.
 func send(o *outbox) []wire.Proposal {
-	proposals := o.take()
-	o.number++
+	proposals := o.takeBatch()
+	o.lastNumber++
 	return proposals
 }
 
@@ -48,42 +49,43 @@
 	return wire.Proposal{Id: "edit-1", Kind: wire.KindEdit, Author: "ana", Edit: &wire.Edit{}}
 }
 
-// TestAnEditIsSaidAgainOnlyWhenItsBatchCanNoLongerLand: its append was lost or
-// is late. As long as it may land, a second copy could be accepted after the
-// first was refused.
-func TestAnEditIsSaidAgainOnlyWhenItsBatchCanNoLongerLand(t *testing.T) {
-	f, o := newFolding(t), newOutbox(testIncarnation)
-	o.put(anEdit())
+// TestEditIsSentAgainOnlyOnceItsBatchCanNoLongerBeApplied guards against an edit
+// that is accepted after it was refused. The append of its batch may be lost or only
+// late. If the edit is sent again while the first batch may still reach the log, the
+// first copy can be refused and the second one accepted.
+func TestEditIsSentAgainOnlyOnceItsBatchCanNoLongerBeApplied(t *testing.T) {
+	log, o := newTestLog(t), newOutbox(testIncarnation)
+	o.add(anEdit())
 	assert.Equal(t, len(send(&o)), 1)
-	assert.Assert(t, o.unsettled())
+	assert.Assert(t, o.hasSentEdit())
 	assert.Equal(t, len(send(&o)), 0)
 
-	o.settle(f.state, nil)
-	assert.Equal(t, len(send(&o)), 0, "nothing is folded, the first may still land")
-	o.settle(f.state, f.land(3))
+	o.applyRecords(log.state, nil)
+	assert.Equal(t, len(send(&o)), 0, "nothing has been applied, the first batch may still reach the log")
+	o.applyRecords(log.state, log.appendBatch(3))
 
-	assert.Equal(t, len(send(&o)), 1, "a later batch is folded: the first never will be")
-	assert.Equal(t, f.land(1, anEdit())[0].Results[0].Accepted, false)
+	assert.Equal(t, len(send(&o)), 1, "a later batch has been applied: the first never will be")
+	assert.Equal(t, log.appendBatch(1, anEdit())[0].Results[0].Accepted, false)
 }
 
-func TestAFoldedEditIsDone(t *testing.T) {
-	f, o := newFolding(t), newOutbox(testIncarnation)
-	o.put(anEdit())
+func TestAppliedEditIsNotSentAgain(t *testing.T) {
+	log, o := newTestLog(t), newOutbox(testIncarnation)
+	o.add(anEdit())
 	sent := send(&o)
 
-	o.settle(f.state, f.land(1, sent...))
+	o.applyRecords(log.state, log.appendBatch(1, sent...))
 
-	assert.Assert(t, !o.unsettled())
-	o.settle(f.state, f.land(2))
+	assert.Assert(t, !o.hasSentEdit())
+	o.applyRecords(log.state, log.appendBatch(2))
 	assert.Equal(t, len(send(&o)), 0)
 }
 
-func TestTheNewestWordOnABoxReplacesTheOlder(t *testing.T) {
+func TestNewerProposalOfSameKindForBoxReplacesQueuedOne(t *testing.T) {
 	o := newOutbox(testIncarnation)
 	for epoch := range 3 {
-		o.put(wire.Proposal{Kind: wire.KindEmpty, Change: &wire.BoxChange{Box: "b", Epoch: epoch}})
+		o.add(wire.Proposal{Kind: wire.KindEmpty, Change: &wire.BoxChange{Box: "b", Epoch: epoch}})
 	}
-	o.put(wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: "b", Epoch: 2}})
+	o.add(wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: "b", Epoch: 2}})
 	sent := send(&o)
 	assert.Equal(t, len(sent), 2)
 	assert.Equal(t, sent[0].Change.Epoch, 2)
--- a/pkg/keeper/relay.go
+++ b/pkg/keeper/relay.go
@@ -8,77 +8,81 @@
 	"damsonwinch/pkg/wire"
 )
 
-// mostRelayed is the number of records that a keeper holds for its peers.
-const mostRelayed = 4096
+// maxRelayedRecords is the number of records that a keeper holds for its readers. It
+// holds up to a quarter more, so that it need not copy them for each record.
+const maxRelayedRecords = 4096
 
-// relay holds the newest records and the readers that wait for the next one.
+// relay holds the newest records, and the reads that wait for the next one. The
+// readers are entries and other keepers.
 type relay struct {
-	first   int
-	entries []wire.Entry
-	waiting []waitingRead
+	firstOffset int
+	records     []wire.Entry
+	waiting     []waitingRead
 }
 
+// waitingRead is a read that waits for a record, at most until a time.
 type waitingRead struct {
 	message readMessage
 	until   time.Time
 }
 
-// take adds folded records. After a snapshot the earlier ones no longer join up.
-func (r *relay) take(update follow.Update) {
+// add adds the records of an update. If the update's state comes from a snapshot,
+// the earlier records are dropped, since those in between are missing.
+func (r *relay) add(update follow.Update) {
 	if update.Restored {
-		r.entries = nil
+		r.records = nil
 	}
-	for _, folded := range update.Records {
-		r.entries = append(r.entries, folded.Record)
+	for _, applied := range update.Records {
+		r.records = append(r.records, applied.Record)
 	}
-	if over := len(r.entries) - mostRelayed; over > mostRelayed/4 {
-		r.entries = append([]wire.Entry{}, r.entries[over:]...)
+	if surplus := len(r.records) - maxRelayedRecords; surplus > maxRelayedRecords/4 {
+		r.records = append([]wire.Entry{}, r.records[surplus:]...)
 	}
-	r.first = update.State.Offset() - len(r.entries)
+	r.firstOffset = update.State.Offset() - len(r.records)
 }
 
-// from returns records from an offset on, and false if they are held no more.
-func (r *relay) from(offset, most int) ([]wire.Entry, bool) {
-	if offset < r.first {
+// recordsFrom returns at most maximum records from an offset on. It returns false if
+// the relay no longer holds the first of them.
+func (r *relay) recordsFrom(offset, maximum int) ([]wire.Entry, bool) {
+	if offset < r.firstOffset {
 		return nil, false
 	}
-	start := min(offset-r.first, len(r.entries))
-	end := min(len(r.entries), start+most)
-	return r.entries[start:end], true
+	start := min(offset-r.firstOffset, len(r.records))
+	end := min(len(r.records), start+maximum)
+	return r.records[start:end], true
 }
 
-// expired removes and returns the readers whose time is over.
-func (r *relay) expired(now time.Time) []waitingRead {
-	var over []waitingRead
+// removeExpired removes and returns the reads that have waited until their end.
+func (r *relay) removeExpired(now time.Time) []waitingRead {
+	var expired []waitingRead
 	waiting := r.waiting
 	r.waiting = nil
 	for _, read := range waiting {
 		if now.After(read.until) {
-			over = append(over, read)
+			expired = append(expired, read)
 			continue
 		}
 		r.waiting = append(r.waiting, read)
 	}
-	return over
+	return expired
 }
 
-// answerRead answers a peer or an entry now, or keeps its question until there
-// is a record for it.
-func (k *Keeper) answerRead(message readMessage) {
-	entries, held := k.relay.from(message.args.From, message.args.Max)
+// handleRead replies to a read, or keeps it until there is a record for it.
+func (k *Keeper) handleRead(message readMessage) {
+	records, available := k.relay.recordsFrom(message.args.From, message.args.Max)
 	switch {
-	case !held:
+	case !available:
 		message.reply(k.snapshotReply())
-	case len(entries) == 0 && message.args.WaitMs > 0:
+	case len(records) == 0 && message.args.WaitMs > 0:
 		until := k.now().Add(milliseconds(message.args.WaitMs))
 		k.relay.waiting = append(k.relay.waiting, waitingRead{message: message, until: until})
 	default:
-		message.reply(k.readReply(entries))
+		message.reply(k.readReply(records))
 	}
 }
 
-// answerWaiting answers every reader for whom there are records now.
-func (k *Keeper) answerWaiting() {
+// replyToWaiting replies to the waiting reads for which there are records now.
+func (k *Keeper) replyToWaiting() {
 	waiting := k.relay.waiting
 	k.relay.waiting = nil
 	for _, read := range waiting {
@@ -86,14 +90,16 @@
 			k.relay.waiting = append(k.relay.waiting, read)
 			continue
 		}
-		k.answerRead(read.message)
+		k.handleRead(read.message)
 	}
 }
 
-func (k *Keeper) readReply(entries []wire.Entry) wire.ReadReply {
-	return wire.ReadReply{Entries: entries, Avoid: k.list.avoid(), AvoidKnown: k.list.known(), LogFresh: k.logFresh()}
+// readReply returns the reply to a read, with the given records.
+func (k *Keeper) readReply(records []wire.Entry) wire.ReadReply {
+	return wire.ReadReply{Entries: records, Avoid: k.list.leavingBoxes(), AvoidKnown: k.list.wasRead(), LogFresh: k.isLogFresh()}
 }
 
+// snapshotReply returns the reply to a read whose records the relay no longer holds.
 func (k *Keeper) snapshotReply() wire.ReadReply {
 	snapshot, err := k.state.Snapshot()
 	if err != nil {
@@ -108,9 +114,10 @@
 	return reply
 }
 
-// answerExpired tells readers whose time is over that there is nothing new.
-func (k *Keeper) answerExpired() {
-	for _, read := range k.relay.expired(k.now()) {
+// replyToExpired replies without records to the reads that have waited until their
+// end.
+func (k *Keeper) replyToExpired() {
+	for _, read := range k.relay.removeExpired(k.now()) {
 		read.message.reply(k.readReply([]wire.Entry{}))
 	}
 }
--- a/pkg/keeper/service.go
+++ b/pkg/keeper/service.go
@@ -9,63 +9,65 @@
 
 var errStopping = errors.New("the keeper is stopping")
 
-// service is the receiver of calls. Each becomes a message to the loop.
+// service is the net/rpc service of a keeper. Each call becomes a message to run.
 type service struct {
 	keeper *Keeper
-	ctx    context.Context //nolint:containedctx // net/rpc passes none to its methods.
+	ctx    context.Context //nolint:containedctx // net/rpc passes no context to the methods.
 }
 
-// ask passes a message to the loop and waits for its answer, which is set here
-// so that nobody writes a reply that net/rpc is sending.
-func (s *service) ask(message any, answers <-chan func()) error {
+// call passes a message to run and waits for its result, a function that sets the
+// reply. The function is called here and not by run, so that nothing writes to a reply
+// that net/rpc is already sending.
+func (s *service) call(message any, results <-chan func()) error {
 	if !s.keeper.send(s.ctx, message) {
 		return errStopping
 	}
 	select {
-	case set := <-answers:
-		set()
+	case setReply := <-results:
+		setReply()
 		return nil
 	case <-s.ctx.Done():
 		return errStopping
 	}
 }
 
-// Read relays records.
+// Read returns records of the fleet stream, or a snapshot if the keeper no longer
+// has them.
 func (s *service) Read(args wire.ReadArgs, reply *wire.ReadReply) error {
-	answers := make(chan func(), 1)
-	return s.ask(readMessage{args: args, reply: func(answer wire.ReadReply) {
-		answers <- func() { *reply = answer }
-	}}, answers)
+	results := make(chan func(), 1)
+	return s.call(readMessage{args: args, reply: func(result wire.ReadReply) {
+		results <- func() { *reply = result }
+	}}, results)
 }
 
-// Renew takes an entry's renewal to the log.
+// Renew accepts a renewal that the keeper will append to the log.
 func (s *service) Renew(args wire.RenewArgs, reply *wire.RenewReply) error {
-	answers := make(chan func(), 1)
-	return s.ask(renewMessage{member: args.Member, reply: func(accepted bool) {
-		answers <- func() { reply.Accepted = accepted }
-	}}, answers)
+	results := make(chan func(), 1)
+	return s.call(renewMessage{member: args.Member, reply: func(accepted bool) {
+		results <- func() { reply.Accepted = accepted }
+	}}, results)
 }
 
-// Extend grants or denies an extension of a lease.
+// Extend grants or denies the extension of a sender's lease.
 func (s *service) Extend(args wire.ExtendArgs, reply *wire.ExtendReply) error {
-	answers := make(chan func(), 1)
-	return s.ask(extendMessage{args: args, reply: func(answer wire.ExtendReply) {
-		answers <- func() { *reply = answer }
-	}}, answers)
+	results := make(chan func(), 1)
+	return s.call(extendMessage{args: args, reply: func(result wire.ExtendReply) {
+		results <- func() { *reply = result }
+	}}, results)
 }
 
 // Propose queues proposals for the next append.
 func (s *service) Propose(args wire.ProposeArgs, reply *wire.ProposeReply) error {
-	answers := make(chan func(), 1)
-	return s.ask(proposeMessage{proposals: args.Proposals, reply: func(queued bool) {
-		answers <- func() { reply.Queued = queued }
-	}}, answers)
+	results := make(chan func(), 1)
+	return s.call(proposeMessage{proposals: args.Proposals, reply: func(queued bool) {
+		results <- func() { reply.Queued = queued }
+	}}, results)
 }
 
-// Status returns what the keeper has in force.
+// Status returns the status of the keeper.
 func (s *service) Status(args wire.StatusArgs, reply *wire.StatusReply) error {
-	answers := make(chan func(), 1)
-	return s.ask(statusMessage{args: args, reply: func(answer wire.StatusReply) {
-		answers <- func() { *reply = answer }
-	}}, answers)
+	results := make(chan func(), 1)
+	return s.call(statusMessage{args: args, reply: func(result wire.StatusReply) {
+		results <- func() { *reply = result }
+	}}, results)
 }
--- a/pkg/keeper/snapshot.go
+++ b/pkg/keeper/snapshot.go
@@ -9,24 +9,25 @@
 	"damsonwinch/pkg/wire"
 )
 
-// writeSnapshot keeps the state of a checkpoint in the log before its records
-// expire, and publishes its hash, so that every keeper compares its own.
+// writeSnapshot appends the state of a checkpoint to the log if this keeper leads the
+// fleet: the records that led to it will expire. It also proposes the state's hash,
+// with which all processes compare their own.
 func (k *Keeper) writeSnapshot(ctx context.Context, snapshot fold.Snapshot) {
 	if !k.leadsFleet() {
 		return
 	}
 	text, err := json.Marshal(snapshot)
 	if err != nil {
-		k.deps.Logger.WithError(err).Error("snapshot can't be written")
+		k.deps.Logger.WithError(err).Error("cannot encode snapshot")
 		return
 	}
 	k.propose(wire.Proposal{
 		Kind: wire.KindCheckpoint, Cause: "for comparison", Checkpoint: &wire.Checkpoint{Offset: snapshot.Offset, Hash: snapshot.Hash},
 	})
 	k.group.Go(func() error {
-		limited, cancel := context.WithTimeout(ctx, appendTimeout)
+		appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 		defer cancel()
-		if _, err := k.deps.Log.Append(limited, damsonwinch.StreamSnapshots, string(text)); err != nil {
+		if _, err := k.deps.Log.Append(appendCtx, damsonwinch.StreamSnapshots, string(text)); err != nil {
 			k.deps.Metrics.Add("snapshot_failures", 1)
 			return nil
 		}
--- a/pkg/keeper/watch.go
+++ b/pkg/keeper/watch.go
@@ -10,52 +10,59 @@
 	"damsonwinch/pkg/wire"
 )
 
-// listView is what the platform's list has shown to this keeper, by halls.
+// listView is what this keeper has read of the platform's list.
 type listView struct {
-	halls   map[string]map[string]wire.ListedBox
-	entries map[string]entrySight
+	// boxesByZone holds the listed boxes, by zone and name.
+	boxesByZone map[string]map[string]wire.ListedBox
+	// entryBoxes holds the entry boxes that were ever listed, by name.
+	entryBoxes map[string]entryBoxSighting
 }
 
-// entrySight is the history of one entry box in the list.
-type entrySight struct {
-	hall    string
-	shown   bool
-	missing time.Time // Since when it is not shown, on the keeper's clock.
+// entryBoxSighting says when the list has shown an entry box.
+type entryBoxSighting struct {
+	zone  string
+	shown bool
+	// missingSince is since when the list doesn't show the box, by the keeper's
+	// clock. It is zero if the list shows it.
+	missingSince time.Time
 }
 
 func newListView() listView {
-	return listView{halls: map[string]map[string]wire.ListedBox{}, entries: map[string]entrySight{}}
+	return listView{boxesByZone: map[string]map[string]wire.ListedBox{}, entryBoxes: map[string]entryBoxSighting{}}
 }
 
-func (l *listView) take(hall string, boxes []wire.ListedBox, now time.Time) {
+// update takes over the list of a zone that was read at a time.
+func (l *listView) update(zone string, boxes []wire.ListedBox, now time.Time) {
 	shown := make(map[string]wire.ListedBox, len(boxes))
 	for _, box := range boxes {
 		shown[box.Info.Name] = box
 		if box.EntryBox {
-			l.entries[box.Info.Name] = entrySight{hall: hall, shown: true}
+			l.entryBoxes[box.Info.Name] = entryBoxSighting{zone: zone, shown: true}
 		}
 	}
-	l.halls[hall] = shown
-	for name, sight := range l.entries {
-		if _, listed := shown[name]; !listed && sight.hall == hall && sight.missing.IsZero() {
-			sight.missing = now
-			l.entries[name] = sight
+	l.boxesByZone[zone] = shown
+	for name, sighting := range l.entryBoxes {
+		if _, listed := shown[name]; !listed && sighting.zone == zone && sighting.missingSince.IsZero() {
+			sighting.missingSince = now
+			l.entryBoxes[name] = sighting
 		}
 	}
 }
 
-// dropped says since when the list has shown an entry box no more. A box of a
-// hall of which the list shows nothing at all is cut off rather than lost.
-func (l *listView) dropped(node, hall string) (time.Time, bool) {
-	sight, known := l.entries[node]
-	if !known || !sight.shown || sight.missing.IsZero() || !l.shows(hall) {
+// missingSince returns since when the list no longer shows an entry box that it once
+// showed. It returns false if the list shows the box, or no boxes of the box's zone:
+// the zone is then cut off from the platform rather than lost.
+func (l *listView) missingSince(node, zone string) (time.Time, bool) {
+	sighting, known := l.entryBoxes[node]
+	if !known || !sighting.shown || sighting.missingSince.IsZero() || !l.showsZone(zone) {
 		return time.Time{}, false
 	}
-	return sight.missing, true
+	return sighting.missingSince, true
 }
 
-func (l *listView) shows(hall string) bool {
-	for _, box := range l.halls[hall] {
+// showsZone says whether the list shows any box of a zone that is not leaving.
+func (l *listView) showsZone(zone string) bool {
+	for _, box := range l.boxesByZone[zone] {
 		if !box.Leaving {
 			return true
 		}
@@ -63,15 +70,16 @@
 	return false
 }
 
-// known says whether the list was read at all.
-func (l *listView) known() bool {
-	return len(l.halls) > 0
+// wasRead says whether the list of any zone was read.
+func (l *listView) wasRead() bool {
+	return len(l.boxesByZone) > 0
 }
 
-// avoid names the endpoint boxes that must get no new work.
-func (l *listView) avoid() []string {
+// leavingBoxes returns the names of the endpoint boxes that are leaving and must get
+// no new work.
+func (l *listView) leavingBoxes() []string {
 	names := []string{}
-	for _, boxes := range l.halls {
+	for _, boxes := range l.boxesByZone {
 		for name, box := range boxes {
 			if box.Leaving && !box.EntryBox {
 				names = append(names, name)
@@ -81,14 +89,14 @@
 	return names
 }
 
-// pollList reads the platform's list of the halls that concern this keeper until
-// it stops.
+// pollList reads the platform's list of each zone in listedZones, again and again
+// until ctx ends. It returns nil.
 func (k *Keeper) pollList(ctx context.Context) error {
 	ticker := k.deps.Clock.NewTicker(milliseconds(k.deps.Settings.ListMs))
 	defer ticker.Stop()
 	for {
-		for _, hall := range *k.listed.Load() {
-			k.readList(ctx, hall)
+		for _, zone := range *k.listedZones.Load() {
+			k.readList(ctx, zone)
 		}
 		select {
 		case <-ticker.Chan():
@@ -98,37 +106,40 @@
 	}
 }
 
-func (k *Keeper) readList(ctx context.Context, hall string) {
-	limited, cancel := context.WithTimeout(ctx, appendTimeout)
+// readList reads the list of a zone and passes it to run.
+func (k *Keeper) readList(ctx context.Context, zone string) {
+	readCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	boxes, err := k.deps.List.Boxes(limited, hall)
+	boxes, err := k.deps.List.Boxes(readCtx, zone)
 	if err != nil {
 		k.deps.Metrics.Add("list_failures", 1)
 		return
 	}
-	k.send(ctx, listMessage{hall: hall, boxes: boxes})
+	k.send(ctx, listMessage{zone: zone, boxes: boxes})
 }
 
-// takeList notes a hall's list and proposes what follows from it.
-func (k *Keeper) takeList(message listMessage) {
-	k.list.take(message.hall, message.boxes, k.now())
-	led := []string{k.deps.Settings.Hall}
-	for _, hall := range k.deps.Settings.Halls {
-		if hall != k.deps.Settings.Hall && k.leadsHall(hall) {
-			led = append(led, hall)
+// handleList takes over the list of a zone and, if this keeper leads the zone,
+// proposes what follows from it. It also sets listedZones to the keeper's own zone
+// and those that it leads.
+func (k *Keeper) handleList(message listMessage) {
+	k.list.update(message.zone, message.boxes, k.now())
+	zones := []string{k.deps.Settings.Hall}
+	for _, zone := range k.deps.Settings.Halls {
+		if zone != k.deps.Settings.Hall && k.leadsZone(zone) {
+			zones = append(zones, zone)
 		}
 	}
-	k.listed.Store(&led)
-	if k.logFresh() && k.leadsHall(message.hall) {
-		k.proposeFromList(message.hall)
+	k.listedZones.Store(&zones)
+	if k.isLogFresh() && k.leadsZone(message.zone) {
+		k.proposeListChanges(message.zone)
 	}
 }
 
-// proposeFromList enrolls new boxes of a hall and records which are leaving or
-// gone.
-func (k *Keeper) proposeFromList(hall string) {
+// proposeListChanges proposes to enroll the zone's new or changed boxes, and the
+// health that the list shows for the others.
+func (k *Keeper) proposeListChanges(zone string) {
 	var added []wire.BoxInfo
-	for _, listed := range k.list.halls[hall] {
+	for _, listed := range k.list.boxesByZone[zone] {
 		if listed.EntryBox {
 			continue
 		}
@@ -143,9 +154,10 @@
 		slices.SortFunc(added, func(a, b wire.BoxInfo) int { return strings.Compare(a.Name, b.Name) })
 		k.propose(wire.Proposal{Kind: wire.KindEnroll, Boxes: added, Cause: "the platform's list shows them"})
 	}
-	k.proposeGone(hall)
+	k.proposeGone(zone)
 }
 
+// listedHealth returns the health that the list shows for a box.
 func listedHealth(listed wire.ListedBox) wire.Health {
 	if listed.Leaving {
 		return wire.HealthLeaving
@@ -153,8 +165,9 @@
 	return wire.HealthUp
 }
 
-// proposeHealth says what the list shows. Up and down is the sender's to say:
-// the list can't see an endpoint that fails.
+// proposeHealth proposes the health that the list shows for a box, if it isn't the
+// recorded one. It never replaces down by up: only the box's sender can tell whether
+// the endpoint answers. Boxes in maintenance are left alone.
 func (k *Keeper) proposeHealth(box fold.Box, health wire.Health) {
 	if box.Health == health || (health == wire.HealthUp && box.Health == wire.HealthDown) {
 		return
@@ -169,14 +182,15 @@
 	})
 }
 
-// proposeGone records which boxes the list shows no more. A hall of which it
-// shows nothing is cut off from the platform rather than gone.
-func (k *Keeper) proposeGone(hall string) {
-	if !k.list.shows(hall) {
+// proposeGone proposes the health gone for the zone's boxes that the list no longer
+// shows. If the list shows no boxes of the zone, the zone is cut off from the
+// platform rather than gone.
+func (k *Keeper) proposeGone(zone string) {
+	if !k.list.showsZone(zone) {
 		return
 	}
 	for _, box := range k.state.Boxes() {
-		if _, listed := k.list.halls[hall][box.Info.Name]; !listed && box.Info.Hall == hall {
+		if _, listed := k.list.boxesByZone[zone][box.Info.Name]; !listed && box.Info.Hall == zone {
 			k.proposeHealth(box, wire.HealthGone)
 		}
 	}
