--- a/pkg/check/check.go
+++ b/pkg/check/check.go
@@ -1,5 +1,5 @@
-// Package check holds settings files and table cells against the schema and
-// reports every fault at once, each with its place.
+// Package check checks settings files and rows of the table against the settings
+// schema. It reports all faults at once, each with its place.
 package check
 
 import (
@@ -19,7 +19,7 @@
 	"damsonwinch/schema"
 )
 
-// Names of the checked definitions.
+// Names of the definitions in the settings schema that a Checker knows.
 const (
 	Keeper     = "Keeper"
 	Entry      = "Entry"
@@ -32,15 +32,16 @@
 
 const schemaURL = "settings.json"
 
-// Fault is one thing wrong with a value.
+// Fault is one mistake in a checked value.
 type Fault struct {
-	// Path leads from the value's root to the faulty field.
+	// Path holds the keys and array indexes that lead from the root of the value to
+	// the faulty field.
 	Path []string
-	// Problem says what is wrong and what is allowed.
+	// Problem says what is wrong and, where it helps, what is allowed.
 	Problem string
 }
 
-// Field returns the path as operators write it.
+// Field returns the path as text, such as "services.0.row.pool".
 func (f Fault) Field() string {
 	if len(f.Path) == 0 {
 		return "(whole file)"
@@ -48,14 +49,14 @@
 	return strings.Join(f.Path, ".")
 }
 
-// Checker holds the compiled schemas.
+// Checker checks values against the definitions of the settings schema.
 type Checker struct {
 	schemas  map[string]*jsonschema.Schema
 	compiler *jsonschema.Compiler
 	printer  *message.Printer
 }
 
-// New compiles the schema of every checked definition.
+// New returns a Checker with all definitions compiled.
 func New() (*Checker, error) {
 	document, err := jsonschema.UnmarshalJSON(strings.NewReader(schema.Settings))
 	if err != nil {
@@ -78,9 +79,10 @@
 	return checker, nil
 }
 
+// checkAddress checks the format ip-port of a string.
 func checkAddress(value any) error {
-	text, isText := value.(string)
-	if !isText {
+	text, isString := value.(string)
+	if !isString {
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(text); err != nil {
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// CheckJSON checks CheckJSON text against a definition and returns every fault.
+// CheckJSON checks JSON text against a definition and returns all faults.
 func (c *Checker) CheckJSON(definition string, text []byte) []Fault {
 	value, err := jsonschema.UnmarshalJSON(strings.NewReader(string(text)))
 	if err != nil {
@@ -103,26 +105,27 @@
 	if !errors.As(err, &invalid) {
 		return []Fault{{Problem: err.Error()}}
 	}
-	return c.leaves(invalid, nil)
+	return c.innermostFaults(invalid, nil)
 }
 
-// leaves collects the innermost errors: the outer ones only repeat them.
-func (c *Checker) leaves(invalid *jsonschema.ValidationError, found []Fault) []Fault {
+// innermostFaults appends the faults of the innermost validation errors to found. The
+// outer errors only repeat them.
+func (c *Checker) innermostFaults(invalid *jsonschema.ValidationError, found []Fault) []Fault {
 	for _, cause := range invalid.Causes {
-		found = c.leaves(cause, found)
+		found = c.innermostFaults(cause, found)
 	}
 	if len(invalid.Causes) > 0 {
 		return found
 	}
 	path := invalid.InstanceLocation
-	switch what := invalid.ErrorKind.(type) {
+	switch errorKind := invalid.ErrorKind.(type) {
 	case *kind.Required:
-		for _, missing := range what.Missing {
-			found = append(found, Fault{Path: with(path, missing), Problem: "missing; this key is required"})
+		for _, missing := range errorKind.Missing {
+			found = append(found, Fault{Path: childPath(path, missing), Problem: "missing; this key is required"})
 		}
 	case *kind.AdditionalProperties:
-		for _, unknown := range what.Properties {
-			found = append(found, Fault{Path: with(path, unknown), Problem: "unknown key; allowed: " + c.keysOf(invalid.SchemaURL)})
+		for _, unknown := range errorKind.Properties {
+			found = append(found, Fault{Path: childPath(path, unknown), Problem: "unknown key; allowed: " + c.allowedKeys(invalid.SchemaURL)})
 		}
 	default:
 		found = append(found, Fault{Path: path, Problem: invalid.ErrorKind.LocalizedString(c.printer)})
@@ -130,8 +133,8 @@
 	return found
 }
 
-// keysOf names the keys that the schema at a place allows.
-func (c *Checker) keysOf(url string) string {
+// allowedKeys lists the keys that the schema at a URL allows, separated by commas.
+func (c *Checker) allowedKeys(url string) string {
 	found, err := c.compiler.Compile(url)
 	if err != nil {
 		return "those of the documentation"
@@ -139,12 +142,13 @@
 	return strings.Join(slices.Sorted(maps.Keys(found.Properties)), ", ")
 }
 
-func with(path []string, last string) []string {
+// childPath returns the path of a key below another path.
+func childPath(path []string, last string) []string {
 	return append(append([]string{}, path...), last)
 }
 
-// Decode checks JSON text and decodes what can be decoded of it. The value is
-// whole only if there is no fault.
+// Decode checks JSON text against a definition, decodes it into the value that into
+// points to, and returns all faults. If there are faults, the value may be incomplete.
 func (c *Checker) Decode(definition string, text []byte, into any) []Fault {
 	faults := c.CheckJSON(definition, text)
 	if err := json.Unmarshal(text, into); err != nil && len(faults) == 0 {
--- a/pkg/check/check_test.go
+++ b/pkg/check/check_test.go
@@ -13,8 +13,9 @@
 	"damsonwinch/pkg/settings"
 )
 
-// TestFaultsOfFiles checks scripted files and prints every fault with its place.
-func TestFaultsOfFiles(t *testing.T) {
+// TestFileFaultsAreReportedWithTheirLines checks the files in testdata/faults. The
+// command of each is the name of the definition, and the output lists the faults.
+func TestFileFaultsAreReportedWithTheirLines(t *testing.T) {
 	checker, err := New()
 	assert.NilError(t, err)
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, d *datadriven.TestData) string {
@@ -31,8 +32,8 @@
 	})
 }
 
-// TestExamplesHaveNoFault keeps the examples true.
-func TestExamplesHaveNoFault(t *testing.T) {
+// TestExamplesHaveNoFaults checks the settings and table files of the examples.
+func TestExamplesHaveNoFaults(t *testing.T) {
 	checker, err := New()
 	assert.NilError(t, err)
 	files, err := filepath.Glob("../../examples/*/*.jsonc")
--- a/pkg/check/cross.go
+++ b/pkg/check/cross.go
@@ -8,8 +8,8 @@
 	"damsonwinch/pkg/settings"
 )
 
-// crossCheck finds what one field alone can't show: names that stand twice and
-// halls that the deployment doesn't have.
+// crossCheck returns the faults that only several fields together show: duplicate
+// names, and names of availability zones or pools that the value doesn't declare.
 func crossCheck(value any) []Fault {
 	switch file := value.(type) {
 	case *settings.Keeper:
@@ -24,19 +24,21 @@
 	return nil
 }
 
-func peerFaults(field string, peers []settings.Peer, hall string, halls []string) []Fault {
+// peerFaults checks a list of peers under a key, and a process's own zone, against the
+// zones of the deployment.
+func peerFaults(key string, peers []settings.Peer, zone string, zones []string) []Fault {
 	var found []Fault
-	if len(halls) > 0 && !slices.Contains(halls, hall) {
-		found = append(found, Fault{Path: []string{"hall"}, Problem: unknownHall(hall, halls)})
+	if len(zones) > 0 && !slices.Contains(zones, zone) {
+		found = append(found, Fault{Path: []string{"hall"}, Problem: unknownZone(zone, zones)})
 	}
 	seen := map[string]bool{}
 	for i, peer := range peers {
 		if seen[peer.Node] {
-			found = append(found, Fault{Path: []string{field, strconv.Itoa(i), "node"}, Problem: twice(peer.Node)})
+			found = append(found, Fault{Path: []string{key, strconv.Itoa(i), "node"}, Problem: duplicateName(peer.Node)})
 		}
 		seen[peer.Node] = true
-		if !slices.Contains(halls, peer.Hall) {
-			found = append(found, Fault{Path: []string{field, strconv.Itoa(i), "hall"}, Problem: unknownHall(peer.Hall, halls)})
+		if !slices.Contains(zones, peer.Hall) {
+			found = append(found, Fault{Path: []string{key, strconv.Itoa(i), "hall"}, Problem: unknownZone(peer.Hall, zones)})
 		}
 	}
 	return found
@@ -47,7 +49,7 @@
 	seen := map[string]bool{}
 	for i, service := range file.Services {
 		if seen[service.Service] {
-			found = append(found, Fault{Path: []string{"services", strconv.Itoa(i), "service"}, Problem: twice(service.Service)})
+			found = append(found, Fault{Path: []string{"services", strconv.Itoa(i), "service"}, Problem: duplicateName(service.Service)})
 		}
 		seen[service.Service] = true
 		if !slices.Contains(file.Deployment.Pools, service.Row.Pool) {
@@ -63,19 +65,19 @@
 func fleetFaults(file *settings.Fleet) []Fault {
 	var found []Fault
 	seen := map[string]bool{}
-	for i, hall := range file.Halls {
-		if seen[hall.Name] {
-			found = append(found, Fault{Path: []string{"halls", strconv.Itoa(i), "name"}, Problem: twice(hall.Name)})
+	for i, zone := range file.Halls {
+		if seen[zone.Name] {
+			found = append(found, Fault{Path: []string{"halls", strconv.Itoa(i), "name"}, Problem: duplicateName(zone.Name)})
 		}
-		seen[hall.Name] = true
+		seen[zone.Name] = true
 	}
 	return found
 }
 
-func twice(name string) string {
+func duplicateName(name string) string {
 	return fmt.Sprintf("name %q stands twice; every name once", name)
 }
 
-func unknownHall(hall string, halls []string) string {
-	return fmt.Sprintf("unknown hall %q; allowed: %v", hall, halls)
+func unknownZone(zone string, zones []string) string {
+	return fmt.Sprintf("unknown hall %q; allowed: %v", zone, zones)
 }
