--- a/pkg/settings/settings.gen.go
+++ b/pkg/settings/settings.gen.go
@@ -8,8 +8,8 @@
 	// 600000; the default is 3000.
 	CancelMs int `json:"cancel_ms,omitempty,omitzero"`
 
-	// Time after which a draining endpoint must get no more work, in milliseconds.
-	// From 1 to 600000.
+	// Time within which a draining endpoint must stop getting new work, in
+	// milliseconds. From 1 to 600000.
 	DrainMs int `json:"drain_ms"`
 
 	// Factor by which a task takes longer if it runs away from its data. From 1 to
@@ -120,8 +120,8 @@
 	HttpAddress string `json:"http_address"`
 
 	// Keepers from which the entry reads records and to which it sends renewals and
-	// proposals, in the order in which it tries them. The one on the entry's own box
-	// must be the first.
+	// proposals, in the order in which it tries them. The keeper on the entry's own
+	// box comes first.
 	Keepers []Peer `json:"keepers"`
 
 	// How long the entry may send requests after its last renewal, in milliseconds.
@@ -175,11 +175,11 @@
 // Freeze is a range of days of every month, in UTC, on which no box moves into or
 // out of a service's pool.
 type Freeze struct {
-	// First day of the range. If it is after last_day, the range runs on into the
-	// next month. From 1 to 31.
+	// First day of the range, included. If it is after last_day, the range runs on
+	// into the next month. From 1 to 31.
 	FirstDay int `json:"first_day"`
 
-	// Last day of the range; it is part of it. From 1 to 31.
+	// Last day of the range, included. From 1 to 31.
 	LastDay int `json:"last_day"`
 }
 
@@ -316,7 +316,7 @@
 	Zone string `json:"zone"`
 }
 
-// Peer tells a keeper or an entry how to call a keeper.
+// Peer is a keeper that another keeper or an entry calls.
 type Peer struct {
 	// IP and port of the keeper's RPC service.
 	Address string `json:"address"`
@@ -352,8 +352,8 @@
 	// also the time for a request that sets no deadline. From 1 to 86400000.
 	DeadlineMs int `json:"deadline_ms"`
 
-	// Largest number of boxes of the pool that may be down at once. The smallest
-	// number of the pool's services counts. From 1 to 10000.
+	// Largest number of boxes of the pool that may be down at once. If the pool's
+	// services differ, the smallest number counts. From 1 to 10000.
 	Down int `json:"down"`
 
 	// Number of slots that the pool must have for the service at any time. From 0 to
@@ -373,8 +373,8 @@
 	// together. From 0 to 1000000.
 	Queue int `json:"queue"`
 
-	// Weights and limits of single customers. A customer without a quota has no limit
-	// of its own.
+	// Weights and limits of individual customers. A customer without a quota has no
+	// limit of its own.
 	Quotas []Quota `json:"quotas,omitempty,omitzero"`
 
 	// Whether a request may be sent again after an attempt with an unknown outcome.
