--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -2,7 +2,7 @@
 // admits and queues requests, sends each to an endpoint on one of its boxes, or forwards it to another
 // entry that has boxes of the pool, and returns the response. One goroutine, the loop, owns the queues,
 // the boxes and the lease; each request has a goroutine of its own, which waits for the loop to grant
-// it a box.
+// it a box. The log lists each incarnation of an entry as a sender; a box has one sender at a time.
 package front
 
 import (
@@ -64,8 +64,8 @@
 // Entry is a running entry. New starts it, Stop and Close stop it.
 type Entry struct {
 	deps Deps
-	// incarnation is the process's. key names the sender as which the log knows the entry: its
-	// incarnation is higher than the process's once rejoin has been called, and only the loop uses it.
+	// incarnation is the start time of the process. key identifies the entry's current sender; the
+	// sender's incarnation is higher than the process's after rejoin, and only the loop uses it.
 	incarnation    int
 	key            fold.SenderKey
 	inbox          chan any
