--- a/cmd/dw-entry/main.go
+++ b/cmd/dw-entry/main.go
@@ -1,4 +1,4 @@
-// Command dw-entry takes callers' requests and sends them to endpoints.
+// Command dw-entry accepts clients' HTTP requests and sends them to endpoints.
 package main
 
 import (
--- a/cmd/dw-keeper/main.go
+++ b/cmd/dw-keeper/main.go
@@ -1,4 +1,4 @@
-// Command dw-keeper follows the platform's log and decides moves and waves.
+// Command dw-keeper follows the platform's log and decides on moves of boxes and maintenance waves.
 package main
 
 import (
--- a/cmd/dw-node/main.go
+++ b/cmd/dw-node/main.go
@@ -1,5 +1,5 @@
-// Command dw-node takes clients' jobs, runs them on the pools' boxes and plans
-// moves and maintenance.
+// Command dw-node accepts clients' jobs, runs them on the pools' boxes, and plans moves and maintenance of
+// boxes.
 package main
 
 import (
--- a/cmd/dw-trial/main.go
+++ b/cmd/dw-trial/main.go
@@ -1,4 +1,5 @@
-// Command dw-trial runs damsonwinch with stand-ins on one machine.
+// Command dw-trial runs trials and benchmarks of damsonwinch with stand-ins for the platform and the
+// endpoints on one machine.
 package main
 
 import (
--- a/cmd/dwctl/main.go
+++ b/cmd/dwctl/main.go
@@ -1,4 +1,4 @@
-// Command dwctl is the operators' command line.
+// Command dwctl is the operators' command line: it edits the shared table and shows the state of the fleet.
 package main
 
 import (
--- a/pkg/command/command.go
+++ b/pkg/command/command.go
@@ -1,4 +1,5 @@
-// Package command holds the command lines of the programs.
+// Package command implements the command lines of the programs dw-entry, dw-keeper, dw-node, dw-trial and
+// dwctl.
 package command
 
 import (
@@ -23,35 +24,37 @@
 const (
 	ExitOK         = 0
 	ExitFailed     = 1
-	ExitUsage      = 2 // A command line or a settings file is wrong; nothing was started.
+	ExitUsage      = 2 // The command line or a settings file is invalid; nothing was started.
 	ExitRefused    = 3 // The fleet refused an edit.
-	ExitViolations = 4 // A trial counted harm.
+	ExitViolations = 4 // A trial found violations of invariants.
 )
 
-const quietLevel = logrus.ErrorLevel
+// trialLogLevel is the log level of dw-trial, which prints its own progress.
+const trialLogLevel = logrus.ErrorLevel
 
-// ExitError is an error with its exit code.
+// ExitError is an error that makes the program exit with Code.
 type ExitError struct {
 	Code int
 	Err  error
 }
 
-// Error returns the cause's text.
+// Error implements error.
 func (e *ExitError) Error() string {
 	return e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *ExitError) Unwrap() error {
 	return e.Err
 }
 
-func usage(err error) error {
+// usageError returns err with the exit code of a wrong command line or settings file.
+func usageError(err error) error {
 	return &ExitError{Code: ExitUsage, Err: err}
 }
 
-// Execute runs a command line until it ends or the process is told to stop, and
-// returns the exit code.
+// Execute runs a command line and returns the exit code. Upon an interrupt or SIGTERM it cancels the
+// command's context. It prints an error to stderr.
 func Execute(root *cobra.Command, args []string, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -61,22 +64,25 @@
 		return ExitOK
 	}
 	_, _ = fmt.Fprintln(stderr, root.Name()+": "+err.Error())
-	return codeOf(err)
+	return exitCode(err)
 }
 
-func codeOf(err error) int {
-	var exit *ExitError
-	var file *check.FileError
+// exitCode returns the exit code for an error.
+func exitCode(err error) int {
+	var exitErr *ExitError
+	var fileErr *check.FileError
 	switch {
-	case errors.As(err, &exit):
-		return exit.Code
-	case errors.As(err, &file):
+	case errors.As(err, &exitErr):
+		return exitErr.Code
+	case errors.As(err, &fileErr):
 		return ExitUsage
 	}
 	return ExitFailed
 }
 
-func newRoot(name, short string) *cobra.Command {
+// newRootCommand returns the root command of a program, with the subcommand version. Its long help text
+// is short and the exit codes.
+func newRootCommand(name, short string) *cobra.Command {
 	root := &cobra.Command{
 		Use:           name,
 		Short:         short,
@@ -86,7 +92,7 @@
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(&cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
@@ -100,8 +106,9 @@
 }
 
 const exitCodes = `Exit codes: 0 done; 1 failed; 2 the command line or a settings file is wrong and
-nothing was started; 3 the fleet refused an edit; 4 a trial counted harm.`
+nothing was started; 3 the fleet refused an edit; 4 a trial found violations of invariants.`
 
+// newLogger returns a logger that writes lines of JSON.
 func newLogger(out io.Writer, level logrus.Level) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(out)
--- a/pkg/command/command_test.go
+++ b/pkg/command/command_test.go
@@ -11,18 +11,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestExitCodes runs command lines that start nothing and compares exit code and
-// what a person is told.
+// TestExitCodes runs command lines that start no service, and checks the exit code and the output.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.jsonc")
 	assert.NilError(t, os.WriteFile(bad, []byte(`{"node": "a"}`), 0o600))
 	const examples = "../../examples/lisbon/"
 	for _, row := range []struct {
-		name string
-		root func() *cobra.Command
-		args []string
-		code int
-		says string
+		name   string
+		root   func() *cobra.Command
+		args   []string
+		code   int
+		output string
 	}{
 		{"a good settings file", Keeper, []string{"check-settings", examples + "keeper-alfama-entry-1.jsonc"}, ExitOK, "no fault found"},
 		{"a bad settings file", Keeper, []string{"check-settings", bad}, ExitUsage, "platform: missing"},
@@ -45,7 +44,7 @@
 			root.SetErr(&out)
 			code := Execute(root, row.args, &out)
 			assert.Equal(t, code, row.code, out.String())
-			assert.Assert(t, strings.Contains(out.String(), row.says), out.String())
+			assert.Assert(t, strings.Contains(out.String(), row.output), out.String())
 		})
 	}
 }
--- a/pkg/command/control.go
+++ b/pkg/command/control.go
@@ -14,34 +14,38 @@
 	"damsonwinch/pkg/process"
 )
 
-// control is what the subcommands of dwctl share.
+// control holds the flags that the subcommands of dwctl share.
 type control struct {
-	keeper  string
-	author  string
-	output  string
+	// keeper is the IP address and port of the keeper to ask.
+	keeper string
+	// author is recorded as the author of edits.
+	author string
+	// output is the form of the output.
+	output string
+	// timeout is the time for all calls of a command.
 	timeout time.Duration
 }
 
-// Forms of output.
+// Forms of output: values of the flag --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-const usualTimeout = 10 * time.Second
+const defaultTimeout = 10 * time.Second
 
 // Control returns the command line of dwctl.
 func Control() *cobra.Command {
 	c := &control{}
-	root := newRoot("dwctl", "Edit the shared table and see what the fleet does")
+	root := newRootCommand("dwctl", "Edit the shared table and see what the fleet does")
 	flags := root.PersistentFlags()
 	flags.StringVar(&c.keeper, "keeper", "127.0.0.1:7101", "address of any keeper, an IP number and a port")
 	flags.StringVar(&c.author, "author", loginName(), "name that stands in the audit trail")
 	flags.StringVarP(&c.output, "output", "o", outputText, "form of the answer: text or json")
-	flags.DurationVar(&c.timeout, "timeout", usualTimeout, "how long to wait for the fleet")
+	flags.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to wait for the fleet")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if c.output != outputText && c.output != outputJSON {
-			return usage(fmt.Errorf("--output is %q; allowed: text, json", c.output))
+			return usageError(fmt.Errorf("--output is %q; allowed: text, json", c.output))
 		}
 		return nil
 	}
@@ -49,16 +53,17 @@
 	return root
 }
 
+// loginName returns the name of the user who runs the program.
 func loginName() string {
-	known, err := user.Current()
+	current, err := user.Current()
 	if err != nil {
 		return "unknown"
 	}
-	return known.Username
+	return current.Username
 }
 
-// client connects to the keeper.
-func (c *control) client() (*operator.Client, error) {
+// newClient returns a client of the keeper.
+func (c *control) newClient() (*operator.Client, error) {
 	empty, err := process.Empty()
 	if err != nil {
 		return nil, err
@@ -66,7 +71,7 @@
 	return operator.New(c.keeper, (&net.Dialer{}).DialContext, clockwork.NewRealClock(), empty, c.author), nil
 }
 
-// print writes an answer in the wanted form.
+// print writes a command's result: value as JSON, or lines as text.
 func (c *control) print(cmd *cobra.Command, value any, lines []string) error {
 	out := cmd.OutOrStdout()
 	if c.output == outputJSON {
@@ -82,6 +87,7 @@
 	return nil
 }
 
-func moment(milliseconds int) string {
-	return time.UnixMilli(int64(milliseconds)).UTC().Format("2006-01-02 15:04:05.000")
+// formatTime formats a time in Unix milliseconds.
+func formatTime(unixMs int) string {
+	return time.UnixMilli(int64(unixMs)).UTC().Format("2006-01-02 15:04:05.000")
 }
--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -17,46 +17,48 @@
 	root.AddCommand(&cobra.Command{
 		Use:   "box NAME",
 		Short: "Tell the records that led to a box's state",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return c.explainBox(cmd, args[0]) },
 	}, &cobra.Command{
 		Use:   "service NAME",
 		Short: "Tell what a service has and the edits and changes that led to it",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return c.explainService(cmd, args[0]) },
 	})
 	return root
 }
 
-// boxStory is the answer of dwctl explain box.
-type boxStory struct {
-	Box   fold.Box         `json:"box"`
+// boxExplanation is the output of dwctl explain box.
+type boxExplanation struct {
+	Box fold.Box `json:"box"`
+	// Chain holds the audit lines about the box.
 	Chain []wire.AuditLine `json:"chain"`
 }
 
 func (c *control) explainBox(cmd *cobra.Command, name string) error {
-	return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+	return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		state, err := client.State(ctx)
 		if err != nil {
 			return err
 		}
-		box, known := state.Box(name)
-		if !known {
+		box, found := state.Box(name)
+		if !found {
 			return fmt.Errorf("box %s is not enrolled; 'dwctl status' shows the pools", name)
 		}
 		reply, err := client.Status(ctx, wire.StatusArgs{})
 		if err != nil {
 			return err
 		}
-		story := boxStory{Box: box, Chain: auditFilter{box: name}.lines(reply.Audit)}
-		return c.print(cmd, story, append(boxLines(box), auditLines(story.Chain)...))
+		explanation := boxExplanation{Box: box, Chain: auditFilter{box: name}.apply(reply.Audit)}
+		return c.print(cmd, explanation, append(formatBox(box), formatAudit(explanation.Chain)...))
 	})
 }
 
-func boxLines(box fold.Box) []string {
+// formatBox returns sentences that describe the state of a box.
+func formatBox(box fold.Box) []string {
 	lines := []string{
-		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, moment(box.EpochStartedAt)),
-		fmt.Sprintf("It stands in hall %s, %s, with %d slots; it was last maintained at %s.", box.Info.Hall, box.Info.Rack, box.Info.Slots, moment(box.MaintainedAt)),
+		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, formatTime(box.EpochStartedAt)),
+		fmt.Sprintf("It stands in hall %s, %s, with %d slots; it was last maintained at %s.", box.Info.Hall, box.Info.Rack, box.Info.Slots, formatTime(box.MaintainedAt)),
 	}
 	switch {
 	case box.Sender.IsNone():
@@ -70,57 +72,63 @@
 	return append(lines, "Record by record:")
 }
 
-// serviceStory is the answer of dwctl explain service.
-type serviceStory struct {
-	Service  string           `json:"service"`
-	Row      settings.Row     `json:"row"`
-	Pool     poolStatus       `json:"pool"`
-	Boxes    []fold.Box       `json:"boxes"`
-	Edits    []wire.AuditLine `json:"edits"`
-	Changes  []wire.AuditLine `json:"changes"`
-	Headroom int              `json:"headroom"`
+// serviceExplanation is the output of dwctl explain service.
+type serviceExplanation struct {
+	Service string       `json:"service"`
+	Row     settings.Row `json:"row"`
+	// Pool and Boxes describe the pool that the service runs in.
+	Pool  poolStatus `json:"pool"`
+	Boxes []fold.Box `json:"boxes"`
+	// Edits holds the audit lines of edits of Row.
+	Edits []wire.AuditLine `json:"edits"`
+	// Changes holds the audit line of the last change of each box, if the keeper has it.
+	Changes []wire.AuditLine `json:"changes"`
+	// Headroom is how many slots the pool has above what its services need if its worst rack fails.
+	Headroom int `json:"headroom"`
 }
 
 func (c *control) explainService(cmd *cobra.Command, name string) error {
-	return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+	return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		state, err := client.State(ctx)
 		if err != nil {
 			return err
 		}
-		row, known := state.Table().Row(name)
-		if !known {
+		row, found := state.Table().Row(name)
+		if !found {
 			return fmt.Errorf("service %s is not in the table; it has %v", name, state.Table().Services())
 		}
 		reply, err := client.Status(ctx, wire.StatusArgs{})
 		if err != nil {
 			return err
 		}
-		story := storyOf(name, row, state, reply.Audit)
-		return c.print(cmd, story, story.lines())
+		explanation := newServiceExplanation(name, row, state, reply.Audit)
+		return c.print(cmd, explanation, explanation.lines())
 	})
 }
 
-func storyOf(name string, row settings.Row, state fold.State, trail []wire.AuditLine) serviceStory {
+// newServiceExplanation collects what state and the audit lines say about the service of the given name.
+func newServiceExplanation(name string, row settings.Row, state fold.State, audit []wire.AuditLine) serviceExplanation {
 	pool := state.Pool(row.Pool)
-	story := serviceStory{
-		Service: name, Row: row, Headroom: state.Headroom(row.Pool), Edits: auditFilter{service: name}.lines(trail),
+	explanation := serviceExplanation{
+		Service: name, Row: row, Headroom: state.Headroom(row.Pool), Edits: auditFilter{service: name}.apply(audit),
 		Pool: poolStatus{Pool: row.Pool, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().NeededSlots(row.Pool), Headroom: state.Headroom(row.Pool)},
 	}
 	for _, box := range state.Boxes() {
 		if box.Pool != row.Pool {
 			continue
 		}
-		story.Boxes = append(story.Boxes, box)
-		for _, line := range trail {
-			if line.Offset == box.ChangedAtOffset && about(line, box.Info.Name) {
-				story.Changes = append(story.Changes, line)
+		explanation.Boxes = append(explanation.Boxes, box)
+		for _, line := range audit {
+			if line.Offset == box.ChangedAtOffset && isAbout(line, box.Info.Name) {
+				explanation.Changes = append(explanation.Changes, line)
 			}
 		}
 	}
-	return story
+	return explanation
 }
 
-func (s serviceStory) lines() []string {
+// lines returns the explanation as text.
+func (s serviceExplanation) lines() []string {
 	lines := []string{
 		fmt.Sprintf("%s runs in pool %s with weight %d; it keeps %d slots and %d spare, and may use %d.",
 			s.Service, s.Row.Pool, s.Row.Weight, s.Row.Floor, s.Row.Spare, s.Row.Most),
@@ -128,9 +136,9 @@
 		fmt.Sprintf("With its worst rack lost, the pool has %d slots above what its services need.", s.Headroom),
 		"Edits of its row:",
 	}
-	lines = append(lines, auditLines(s.Edits)...)
+	lines = append(lines, formatAudit(s.Edits)...)
 	lines = append(lines, "The last change of each box of its pool:")
-	return append(lines, auditLines(s.Changes)...)
+	return append(lines, formatAudit(s.Changes)...)
 }
 
 func (c *control) plan() *cobra.Command {
@@ -139,25 +147,27 @@
 		Short: "Show what would be done next, and what waits and why (a dry run)",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+			return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				reply, err := client.Status(ctx, wire.StatusArgs{AuditFrom: -1, WithPlan: true})
 				if err != nil {
 					return err
 				}
-				answer := planAnswer{Planned: reply.Planned, Waits: reply.Waits}
-				return c.print(cmd, answer, answer.lines())
+				output := planOutput{Planned: reply.Planned, Waits: reply.Waits}
+				return c.print(cmd, output, output.lines())
 			})
 		},
 	}
 }
 
-// planAnswer is the answer of dwctl plan.
-type planAnswer struct {
+// planOutput is the output of dwctl plan.
+type planOutput struct {
 	Planned []wire.Proposal `json:"planned"`
-	Waits   []string        `json:"waits"`
+	// Waits says what is deferred and why.
+	Waits []string `json:"waits"`
 }
 
-func (p planAnswer) lines() []string {
+// lines returns the plan as text.
+func (p planOutput) lines() []string {
 	var lines []string
 	for _, proposal := range p.Planned {
 		lines = append(lines, fmt.Sprintf("would %s %s: %s", proposal.Kind, proposal.Change.Box, proposal.Cause))
--- a/pkg/command/control_status.go
+++ b/pkg/command/control_status.go
@@ -13,28 +13,31 @@
 	"damsonwinch/pkg/wire"
 )
 
-// ask calls the keeper within the time limit.
-func (c *control) ask(cmd *cobra.Command, question func(ctx context.Context, client *operator.Client) error) error {
-	client, err := c.client()
+// withClient runs call with a client of the keeper and a context that ends after the timeout.
+func (c *control) withClient(cmd *cobra.Command, call func(ctx context.Context, client *operator.Client) error) error {
+	client, err := c.newClient()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
 	limited, cancel := context.WithTimeout(cmd.Context(), c.timeout)
 	defer cancel()
-	return question(limited, client)
+	return call(limited, client)
 }
 
-// fleetStatus is the answer of dwctl status.
+// fleetStatus is the output of dwctl status.
 type fleetStatus struct {
-	Keeper  string        `json:"keeper"`
-	Offset  int           `json:"offset"`
-	Version int           `json:"table_version"`
-	Fresh   bool          `json:"log_fresh"`
-	Pools   []poolStatus  `json:"pools"`
-	Senders []fold.Sender `json:"senders"`
+	Keeper string `json:"keeper"`
+	// Offset is the offset of the next record that the keeper will apply.
+	Offset       int `json:"offset"`
+	TableVersion int `json:"table_version"`
+	// LogFresh reports whether the keeper reads the log, so that its state is current.
+	LogFresh bool          `json:"log_fresh"`
+	Pools    []poolStatus  `json:"pools"`
+	Senders  []fold.Sender `json:"senders"`
 }
 
+// poolStatus is the status of a pool. All numbers but Boxes and Down count slots.
 type poolStatus struct {
 	Pool     string `json:"pool"`
 	Boxes    int    `json:"boxes"`
@@ -50,7 +53,7 @@
 		Short: "Show pools, their budgets and the senders",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+			return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				reply, err := client.Status(ctx, wire.StatusArgs{AuditFrom: -1})
 				if err != nil {
 					return err
@@ -59,16 +62,17 @@
 				if err != nil {
 					return err
 				}
-				status := statusOf(reply, state)
+				status := newFleetStatus(reply, state)
 				return c.print(cmd, status, status.lines())
 			})
 		},
 	}
 }
 
-func statusOf(reply wire.StatusReply, state fold.State) fleetStatus {
+// newFleetStatus returns the status by the reply and the state of a keeper.
+func newFleetStatus(reply wire.StatusReply, state fold.State) fleetStatus {
 	status := fleetStatus{
-		Keeper: reply.Node, Offset: state.Offset(), Version: state.Table().Version(), Fresh: reply.LogFresh, Senders: state.Senders(),
+		Keeper: reply.Node, Offset: state.Offset(), TableVersion: state.Table().Version(), LogFresh: reply.LogFresh, Senders: state.Senders(),
 	}
 	for _, name := range append(append([]string{}, state.Table().Deployment().Pools...), fold.FreePool) {
 		pool := state.Pool(name)
@@ -79,53 +83,59 @@
 	return status
 }
 
+// lines returns the status as text.
 func (s fleetStatus) lines() []string {
 	log := "reads the log"
-	if !s.Fresh {
+	if !s.LogFresh {
 		log = "does NOT read the log; what it shows may be old"
 	}
-	lines := []string{fmt.Sprintf("%s %s; record %d, table version %d", s.Keeper, log, s.Offset, s.Version), "",
+	lines := []string{fmt.Sprintf("%s %s; record %d, table version %d", s.Keeper, log, s.Offset, s.TableVersion), "",
 		fmt.Sprintf("%-16s %6s %6s %6s %7s %9s", "pool", "boxes", "down", "slots", "needed", "headroom")}
 	for _, pool := range s.Pools {
 		lines = append(lines, fmt.Sprintf("%-16s %6d %6d %6d %7d %9d", pool.Pool, pool.Boxes, pool.Down, pool.Slots, pool.Needed, pool.Headroom))
 	}
 	lines = append(lines, "", fmt.Sprintf("%-24s %-12s %6s  %s", "sender", "hall", "boxes", "last renewal"))
 	for _, sender := range s.Senders {
-		lines = append(lines, fmt.Sprintf("%-24s %-12s %6d  %s", sender.Key.Node, sender.Zone, sender.Boxes, moment(sender.RenewedAt)))
+		lines = append(lines, fmt.Sprintf("%-24s %-12s %6d  %s", sender.Key.Node, sender.Zone, sender.Boxes, formatTime(sender.RenewedAt)))
 	}
 	return lines
 }
 
-// auditFilter says which lines of the trail are wanted.
+// auditFilter selects lines of the audit trail. An empty field selects all.
 type auditFilter struct {
+	// box selects changes of a box, service edits of a service's row.
 	box     string
 	service string
 	author  string
-	from    int
+	// from is the first offset.
+	from int
 }
 
-func (f auditFilter) wants(line wire.AuditLine) bool {
-	if f.box != "" && !about(line, f.box) {
+// matches reports whether the filter selects a line.
+func (f auditFilter) matches(line wire.AuditLine) bool {
+	if f.box != "" && !isAbout(line, f.box) {
 		return false
 	}
-	if f.service != "" && (line.Kind != string(wire.KindEdit) || !about(line, f.service)) {
+	if f.service != "" && (line.Kind != string(wire.KindEdit) || !isAbout(line, f.service)) {
 		return false
 	}
 	return (f.author == "" || line.Author == f.author) && line.Offset >= f.from
 }
 
-func about(line wire.AuditLine, name string) bool {
+// isAbout reports whether the subject of a line contains a name.
+func isAbout(line wire.AuditLine, name string) bool {
 	return slices.Contains(strings.Fields(line.Subject), name)
 }
 
-func (f auditFilter) lines(all []wire.AuditLine) []wire.AuditLine {
-	wanted := []wire.AuditLine{}
+// apply returns the lines that the filter selects. The result isn't nil.
+func (f auditFilter) apply(all []wire.AuditLine) []wire.AuditLine {
+	selected := []wire.AuditLine{}
 	for _, line := range all {
-		if f.wants(line) {
-			wanted = append(wanted, line)
+		if f.matches(line) {
+			selected = append(selected, line)
 		}
 	}
-	return wanted
+	return selected
 }
 
 func (c *control) audit() *cobra.Command {
@@ -135,13 +145,13 @@
 		Short: "Show accepted and refused changes: when, who, what and why",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+			return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				reply, err := client.Status(ctx, wire.StatusArgs{AuditFrom: filter.from})
 				if err != nil {
 					return err
 				}
-				found := filter.lines(reply.Audit)
-				return c.print(cmd, found, auditLines(found))
+				lines := filter.apply(reply.Audit)
+				return c.print(cmd, lines, formatAudit(lines))
 			})
 		},
 	}
@@ -152,25 +162,26 @@
 	return cmd
 }
 
-func auditLines(found []wire.AuditLine) []string {
+// formatAudit returns audit lines as text.
+func formatAudit(audit []wire.AuditLine) []string {
 	var lines []string
-	for _, line := range found {
-		lines = append(lines, sentence(line))
+	for _, line := range audit {
+		lines = append(lines, formatAuditLine(line))
 	}
 	if len(lines) == 0 {
-		return []string{"nothing in this keeper's trail; it holds what was folded since the keeper started"}
+		return []string{"nothing in this keeper's audit trail, which holds only what the keeper has applied since it started"}
 	}
 	return lines
 }
 
-// sentence words one line of the trail.
-func sentence(line wire.AuditLine) string {
-	did := "proposed " + line.Kind + ", accepted: " + line.Reason
+// formatAuditLine returns one line of the audit trail as text.
+func formatAuditLine(line wire.AuditLine) string {
+	result := "proposed " + line.Kind + ", accepted: " + line.Reason
 	if !line.Accepted {
-		did = "proposed " + line.Kind + ", REFUSED: " + line.Reason
+		result = "proposed " + line.Kind + ", REFUSED: " + line.Reason
 	}
 	if line.Cause != "" {
-		did += " (because: " + line.Cause + ")"
+		result += " (because: " + line.Cause + ")"
 	}
-	return fmt.Sprintf("%6d  %s  %s %s", line.Offset, moment(line.At), line.Author, did)
+	return fmt.Sprintf("%6d  %s  %s %s", line.Offset, formatTime(line.At), line.Author, result)
 }
--- a/pkg/command/control_table.go
+++ b/pkg/command/control_table.go
@@ -24,7 +24,7 @@
 	return &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a table file without a fleet",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			wanted, err := readTable(args[0])
 			if err != nil {
@@ -35,6 +35,7 @@
 	}
 }
 
+// readTable reads and checks a table file.
 func readTable(file string) (settings.Table, error) {
 	var wanted settings.Table
 	err := readSettings(check.Table, file, &wanted)
@@ -45,25 +46,25 @@
 	return &cobra.Command{
 		Use:   "diff FILE",
 		Short: "Show which cells a table file would change",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			edit, err := c.editOf(cmd, args[0])
+			edit, err := c.diff(cmd, args[0])
 			if err != nil {
 				return err
 			}
-			return c.print(cmd, edit, editLines(edit))
+			return c.print(cmd, edit, formatEdit(edit))
 		},
 	}
 }
 
-// editOf compares a file with the table in force.
-func (c *control) editOf(cmd *cobra.Command, file string) (wire.Edit, error) {
+// diff returns the edit that changes the table in force into the table of a file.
+func (c *control) diff(cmd *cobra.Command, file string) (wire.Edit, error) {
 	wanted, err := readTable(file)
 	if err != nil {
 		return wire.Edit{}, err
 	}
 	var edit wire.Edit
-	err = c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+	err = c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		state, err := client.State(ctx)
 		if err != nil {
 			return err
@@ -74,7 +75,8 @@
 	return edit, err
 }
 
-func editLines(edit wire.Edit) []string {
+// formatEdit returns an edit as text.
+func formatEdit(edit wire.Edit) []string {
 	lines := []string{fmt.Sprintf("based on version %d:", edit.Base)}
 	for _, cell := range edit.Cells {
 		row := cell.Row
@@ -98,15 +100,15 @@
 		Use:   "publish FILE",
 		Short: "Publish the cells by which a table file differs from the table in force",
 		Long: "Publishes only the cells that differ, so that edits of other cells by other operators stand.\n" +
-			"A cell that somebody else has set meanwhile is refused with the cell, who set it and when.",
-		Args: exactly(1),
+			"If another operator has set one of the cells meanwhile, the edit is refused; the error names\nthe cell, who set it and when.",
+		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			edit, err := c.editOf(cmd, args[0])
+			edit, err := c.diff(cmd, args[0])
 			if err != nil {
 				return err
 			}
 			if len(edit.Cells)+len(edit.Remove) == 0 {
-				return c.print(cmd, edit, editLines(edit))
+				return c.print(cmd, edit, formatEdit(edit))
 			}
 			return c.publish(cmd, edit, cause)
 		},
@@ -115,8 +117,9 @@
 	return cmd
 }
 
+// publish proposes an edit and waits until the fleet accepts or refuses it.
 func (c *control) publish(cmd *cobra.Command, edit wire.Edit, cause string) error {
-	return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+	return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		line, err := client.Edit(ctx, edit, cause)
 		var refused *operator.RefusedError
 		if errors.As(err, &refused) {
@@ -135,7 +138,7 @@
 		Short: "Show the table in force, as a table file",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.ask(cmd, func(ctx context.Context, client *operator.Client) error {
+			return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				state, err := client.State(ctx)
 				if err != nil {
 					return err
--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -18,12 +18,12 @@
 	"damsonwinch/pkg/suspend"
 )
 
-// stopTimeout bounds a planned stop.
+// stopTimeout limits the duration of a planned stop of dw-entry.
 const stopTimeout = 2 * time.Minute
 
 // Keeper returns the command line of dw-keeper.
 func Keeper() *cobra.Command {
-	root := newRoot("dw-keeper", "Follow the platform's log and decide moves and waves for this box's hall")
+	root := newRootCommand("dw-keeper", "Follow the platform's log and decide moves and waves for this box's hall")
 	var file string
 	root.RunE = func(cmd *cobra.Command, _ []string) error {
 		var config settings.Keeper
@@ -46,7 +46,7 @@
 
 // Entry returns the command line of dw-entry.
 func Entry() *cobra.Command {
-	root := newRoot("dw-entry", "Take callers' requests and send them to endpoints")
+	root := newRootCommand("dw-entry", "Take callers' requests and send them to endpoints")
 	root.Long += "\n\nA first SIGTERM or interrupt begins a planned stop, which ends when nothing is in flight."
 	var file string
 	root.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -70,28 +70,32 @@
 	return root
 }
 
+// addSettingsFlag adds the required flag --settings, whose value is stored in file.
 func addSettingsFlag(root *cobra.Command, file *string) {
 	root.Flags().StringVar(file, "settings", "", "settings file, JSON with comments (required)")
-	// The flag was added in the line above, so that it can be marked.
+	// MarkFlagRequired fails only if there is no such flag, and the line above has added it.
 	_ = root.MarkFlagRequired("settings")
 }
 
-// Times of connections.
+// TCP keep-alive, which detects dead peers of idle connections.
 const (
-	// keepAliveIdle and keepAliveCount find dead peers of idle connections.
-	keepAliveIdle  = 2 * time.Second
-	keepAliveCount = 2
+	// keepAliveInterval is how long a connection is idle before the first probe, and the time between
+	// two probes. keepAliveCount is the number of unanswered probes after which it is closed.
+	keepAliveInterval = 2 * time.Second
+	keepAliveCount    = 2
 )
 
+// newDialer returns a dialer with TCP keep-alive.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveIdle, Count: keepAliveCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 }
 
-// newSlept watches for suspensions of the machine. Without the clock that counts them the
-// process goes on as if there were none.
-func newSlept(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.SuspendedTime {
+// newSuspendedTime returns a function that returns for how long the machine has been suspended. If the
+// machine has no clock that counts suspensions, it logs a warning and returns nil; the process then runs
+// as if there were no suspensions.
+func newSuspendedTime(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.SuspendedTime {
 	watch, err := suspend.New(clock, suspend.BootTime)
 	if err != nil {
 		logger.WithError(err).Warn("suspensions of the machine are not seen")
@@ -100,13 +104,14 @@
 	return watch.Suspended
 }
 
-// newEnv returns what a real process finds around it.
+// newEnv returns the environment of a process outside tests: the real clock and network, a logger to
+// stderr and a random seed.
 func newEnv(cmd *cobra.Command) process.Env {
 	logger := newLogger(cmd.ErrOrStderr(), logrus.InfoLevel)
 	clock := clockwork.NewRealClock()
 	return process.Env{
 		Clock:  clock,
-		Slept:  newSlept(clock, logger),
+		Slept:  newSuspendedTime(clock, logger),
 		Dial:   dial.WithRetry(newDialer().DialContext),
 		Logger: logger,
 		Breach: func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -14,9 +14,8 @@
 	"damsonwinch/pkg/planbench"
 )
 
-// addSizes lets the user name the size of the large fleet: the users' letters
-// may change it.
-func addSizes(cmd *cobra.Command, sizes *planbench.Sizes) {
+// addSizeFlags sets sizes to those of the large fleet and adds flags to change them.
+func addSizeFlags(cmd *cobra.Command, sizes *planbench.Sizes) {
 	*sizes = planbench.TwoYears()
 	cmd.Flags().IntVar(&sizes.Boxes, "boxes", sizes.Boxes, "boxes of the large fleet")
 	cmd.Flags().IntVar(&sizes.Pools, "pools", sizes.Pools, "pools of the large fleet")
@@ -29,7 +28,7 @@
 	cmd := &cobra.Command{
 		Use:   "plan-bench",
 		Short: "Measure the planner against a baseline and lower bounds",
-		Long:  "Plays a month of three fleets at the fold alone. The last line is a JSON array, one object a fleet.",
+		Long:  "Simulates a month of three fleets on the replicated state alone, without processes or a network. The last line is a JSON array, one object a fleet.",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			results, err := planbench.Run(cmd.Context(), clockwork.NewRealClock(), sizes)
@@ -39,25 +38,26 @@
 			return writePlanBench(cmd, results)
 		},
 	}
-	addSizes(cmd, &sizes)
+	addSizeFlags(cmd, &sizes)
 	return cmd
 }
 
+// Defaults of the flags of dw-trial load.
 const (
-	usualConnections = 3000
-	usualPhase       = 5 * time.Second
+	defaultConnections   = 3000
+	defaultPhaseDuration = 5 * time.Second
 )
 
 func trialLoad() *cobra.Command {
 	options := loadtest.Options{}
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Measure a request's way under load and faults, beside a plain gateway",
-		Long:  "Offers load open loop to a fleet on loopback. The last line is a JSON object with the goals.",
+		Short: "Measure requests under load and faults, in comparison with a plain gateway",
+		Long:  "Offers open-loop load to a fleet on loopback. The last line is a JSON object with the goals.",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			options.Progress = cmd.ErrOrStderr()
-			options.Logger = newLogger(cmd.ErrOrStderr(), quietLevel)
+			options.Logger = newLogger(cmd.ErrOrStderr(), trialLogLevel)
 			options.Clock = clockwork.NewRealClock()
 			report, err := loadtest.Run(cmd.Context(), options)
 			if err != nil {
@@ -75,13 +75,13 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the arrivals")
-	cmd.Flags().IntVar(&options.Connections, "connections", usualConnections, "connections at most")
-	cmd.Flags().DurationVar(&options.Phase, "phase", usualPhase, "length of each of the eight phases")
+	cmd.Flags().IntVar(&options.Connections, "connections", defaultConnections, "maximum number of connections")
+	cmd.Flags().DurationVar(&options.Phase, "phase", defaultPhaseDuration, "length of each of the eight phases")
 	return cmd
 }
 
-// slopesAnswer is the last line of dw-trial slopes.
-type slopesAnswer struct {
+// slopesOutput is the JSON object in the last line that dw-trial slopes prints.
+type slopesOutput struct {
 	Demand capacity.Demand  `json:"demand"`
 	Slopes []capacity.Slope `json:"slopes"`
 	Rows   []capacity.Row   `json:"rows"`
@@ -93,7 +93,7 @@
 	demand := capacity.Letter(planbench.TwoYears())
 	cmd := &cobra.Command{
 		Use:   "slopes",
-		Short: "Measure what each part costs a box, and work out the capacity page",
+		Short: "Measure what each part costs a box, and compute the tables of the capacity page",
 		Long:  "Measures at a hundredth, a tenth and the whole of the size. The last line is a JSON object;\nwith --markdown the tables of docs/CAPACITY.md are printed in its place.",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -107,7 +107,7 @@
 				_, err = fmt.Fprint(cmd.OutOrStdout(), capacity.Markdown(slopes, rows))
 				return err
 			}
-			line, err := json.Marshal(slopesAnswer{Demand: demand, Slopes: slopes, Rows: rows})
+			line, err := json.Marshal(slopesOutput{Demand: demand, Slopes: slopes, Rows: rows})
 			if err != nil {
 				return err
 			}
@@ -115,7 +115,7 @@
 			return err
 		},
 	}
-	addSizes(cmd, &sizes)
+	addSizeFlags(cmd, &sizes)
 	flags := cmd.Flags()
 	flags.BoolVar(&markdown, "markdown", false, "print the tables of the capacity page")
 	flags.Float64Var(&demand.EditsADay, "edits-a-day", demand.EditsADay, "changes of configuration a day")
@@ -129,6 +129,7 @@
 	return cmd
 }
 
+// writePlanBench prints results as a table, followed by a line of JSON.
 func writePlanBench(cmd *cobra.Command, results []planbench.Result) error {
 	const padding = 2
 	out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, padding, ' ', 0)
--- a/pkg/command/node.go
+++ b/pkg/command/node.go
@@ -17,13 +17,12 @@
 	"damsonwinch/platform"
 )
 
-// stopShare is the part of the time between being told to stop and being killed
-// that a planned stop may take.
-const stopShare = 0.7
+// maxStopShare is the part of the time between the request to stop and the kill that a planned stop may take.
+const maxStopShare = 0.7
 
 // Node returns the command line of dw-node.
 func Node() *cobra.Command {
-	root := newRoot("dw-node", "Take clients' jobs, run them on the pools' boxes and plan moves and maintenance")
+	root := newRootCommand("dw-node", "Take clients' jobs, run them on the pools' boxes and plan moves and maintenance")
 	root.Long += "\n\nWithout --settings, the file is the one that the platform names in " + platform.SettingsVariable + "."
 	var file string
 	root.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -38,19 +37,19 @@
 		env.Metrics = metrics.New()
 		log := logging.New(logging.Deps{Output: cmd.OutOrStdout(), Clock: env.Clock, Metrics: env.Metrics, LinesPerSecond: config.LogLines})
 		env.Logger = log.WithField("node", config.Node)
-		running, err := process.NewNode(config, env)
+		node, err := process.NewNode(config, env)
 		if err != nil {
 			return errors.Join(err, log.Close())
 		}
 		env.Logger.WithField("version", Version).Info("node has started")
 		var group errgroup.Group
-		watchSettings(cmd.Context(), &group, file, config, running, env)
+		watchSettings(cmd.Context(), &group, file, config, node, env)
 		<-cmd.Context().Done()
 		env.Logger.Info("node stops as planned")
-		limit := time.Duration(stopShare * config.Bounds.GraceS * float64(time.Second))
+		limit := time.Duration(maxStopShare * config.Bounds.GraceS * float64(time.Second))
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
-		err = errors.Join(running.Stop(ctx), group.Wait())
+		err = errors.Join(node.Stop(ctx), group.Wait())
 		env.Logger.Info("node has stopped")
 		return errors.Join(err, log.Close())
 	}
--- a/pkg/command/reload.go
+++ b/pkg/command/reload.go
@@ -15,38 +15,38 @@
 	"damsonwinch/pkg/settings"
 )
 
-// settingsEvery is the time between two looks at the settings file: it may change
-// without a signal.
-const settingsEvery = 5 * time.Second
+// settingsCheckInterval is the time between two checks whether the settings file has changed, since it may
+// change without a signal.
+const settingsCheckInterval = 5 * time.Second
 
-// watchSettings reloads the settings file upon SIGHUP and upon a change, until the
-// context ends. A broken file leaves the settings in force.
-func watchSettings(ctx context.Context, group *errgroup.Group, file string, inForce settings.Node, running *process.Node, env process.Env) {
+// watchSettings starts a goroutine in group that reloads the settings file upon SIGHUP and when the file has
+// changed, until ctx ends. If the file is invalid, the current settings stay in force.
+func watchSettings(ctx context.Context, group *errgroup.Group, file string, current settings.Node, node *process.Node, env process.Env) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	group.Go(func() error {
 		defer signal.Stop(hangups)
-		ticker := env.Clock.NewTicker(settingsEvery)
+		ticker := env.Clock.NewTicker(settingsCheckInterval)
 		defer ticker.Stop()
-		seen := modified(file)
+		lastModified := modificationTime(file)
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-hangups:
 			case <-ticker.Chan():
-				if at := modified(file); at.Equal(seen) {
+				if at := modificationTime(file); at.Equal(lastModified) {
 					continue
 				}
 			}
-			seen = modified(file)
-			inForce = reload(file, inForce, running, env)
+			lastModified = modificationTime(file)
+			current = reload(file, current, node, env)
 		}
 	})
 }
 
-// modified returns when a file was last changed, or the zero time.
-func modified(file string) time.Time {
+// modificationTime returns when a file was last modified, or the zero time if that can't be read.
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -54,17 +54,18 @@
 	return info.ModTime()
 }
 
-// reload reads the settings file and returns the settings that are in force then.
-func reload(file string, inForce settings.Node, running *process.Node, env process.Env) settings.Node {
+// reload reads the settings file and applies its settings to node. It returns the settings that are now in
+// force, which are the current ones if the file is invalid.
+func reload(file string, current settings.Node, node *process.Node, env process.Env) settings.Node {
 	var next settings.Node
 	if err := readSettings(check.Node, file, &next); err != nil {
 		env.Logger.WithError(err).Error("settings not reloaded, the old ones stay in force")
-		return inForce
+		return current
 	}
-	if reflect.DeepEqual(next, inForce) {
+	if reflect.DeepEqual(next, current) {
 		env.Logger.Info("settings reloaded, nothing has changed")
-		return inForce
+		return current
 	}
-	running.Reload(next)
+	node.Reload(next)
 	return next
 }
--- a/pkg/command/settings.go
+++ b/pkg/command/settings.go
@@ -8,27 +8,28 @@
 	"damsonwinch/pkg/check"
 )
 
-// readSettings checks a settings file and decodes it. Its error lists every
-// fault.
+// readSettings checks a settings file by the schema's definition of the given name and decodes it into the
+// value that into points to. The error lists every fault of the file.
 func readSettings(definition, file string, into any) error {
 	checker, err := check.New()
 	if err != nil {
 		return err
 	}
 	if err := checker.LoadFile(definition, file, into); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	return nil
 }
 
-// checkSettings returns the command that does nothing but check a file.
-func checkSettings(definition string, into func() any) *cobra.Command {
+// checkSettings returns the command check-settings, which only checks a file. newSettings returns a pointer
+// to settings to decode into.
+func checkSettings(definition string, newSettings func() any) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-settings FILE",
 		Short: "Check a settings file and start nothing",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := readSettings(definition, args[0], into()); err != nil {
+			if err := readSettings(definition, args[0], newSettings()); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintf(cmd.OutOrStdout(), "%s: no fault found\n", args[0])
@@ -37,11 +38,11 @@
 	}
 }
 
-// exactly refuses another number of arguments as a wrong command line.
-func exactly(count int) cobra.PositionalArgs {
+// exactArgs is cobra.ExactArgs with an error that has the exit code ExitUsage and mentions --help.
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(count)(cmd, args); err != nil {
-			return usage(fmt.Errorf("%w; see '%s --help'", err, cmd.CommandPath()))
+			return usageError(fmt.Errorf("%w; see '%s --help'", err, cmd.CommandPath()))
 		}
 		return nil
 	}
--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -24,7 +24,7 @@
 	return &cobra.Command{
 		Use:   "platform FLEET-FILE",
 		Short: "Serve the stand-in platform: its log, its list and its box control",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var fleet settings.Fleet
 			if err := readSettings(check.Fleet, args[0], &fleet); err != nil {
@@ -48,11 +48,12 @@
 	}
 }
 
+// newPlatform returns a stand-in platform that lists the boxes of endpoints and the fleet's entry boxes.
 func newPlatform(fleet settings.Fleet, boxes []wire.BoxInfo) *standin.Platform {
 	clock := clockwork.NewRealClock()
 	addresses := map[string]string{}
 	platform := standin.NewPlatform(clock, standin.New(clock, 1, 0), func(ctx context.Context, box string) error {
-		return askReboot(ctx, addresses[box])
+		return requestReboot(ctx, addresses[box])
 	})
 	for _, info := range boxes {
 		addresses[info.Name] = info.Address
@@ -64,8 +65,8 @@
 	return platform
 }
 
-// askReboot asks a stand-in endpoint in another process to reboot.
-func askReboot(ctx context.Context, address string) error {
+// requestReboot asks the stand-in endpoint at an address, which runs in another process, to reboot.
+func requestReboot(ctx context.Context, address string) error {
 	limited, cancel := context.WithTimeout(ctx, rebootTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(limited, http.MethodPost, "http://"+address+"/reboot", nil)
@@ -87,7 +88,7 @@
 	return &cobra.Command{
 		Use:   "endpoints FLEET-FILE",
 		Short: "Serve the stand-in endpoints of a fleet",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var fleet settings.Fleet
 			if err := readSettings(check.Fleet, args[0], &fleet); err != nil {
@@ -111,6 +112,7 @@
 	}
 }
 
+// serveEndpoints starts a stand-in endpoint for each box.
 func serveEndpoints(boxes []wire.BoxInfo) ([]*standin.Endpoint, error) {
 	clock, book := clockwork.NewRealClock(), standin.NewBook()
 	var endpoints []*standin.Endpoint
--- a/pkg/command/trial.go
+++ b/pkg/command/trial.go
@@ -8,15 +8,16 @@
 	"damsonwinch/pkg/trial"
 )
 
+// Values of the flag --seconds of dw-trial run.
 const (
-	usualSeconds = 30
-	leastSeconds = 5
-	mostSeconds  = 600
+	defaultSeconds = 30
+	minSeconds     = 5
+	maxSeconds     = 600
 )
 
 // Trial returns the command line of dw-trial.
 func Trial() *cobra.Command {
-	root := newRoot("dw-trial", "Run damsonwinch with stand-ins on this machine")
+	root := newRootCommand("dw-trial", "Run damsonwinch with stand-ins on this machine")
 	root.AddCommand(trialRun(), trialPlatform(), trialEndpoints(), trialPlanBench(), trialLoad(), trialSlopes())
 	return root
 }
@@ -25,21 +26,21 @@
 	options := trial.Options{}
 	cmd := &cobra.Command{
 		Use:   "run",
-		Short: "Play a whole fleet with faults on loopback and count the harm",
+		Short: "Run a whole fleet with faults on loopback and count violations of invariants",
 		Long: "Starts six entries and keepers over the halls of one user, about fifty endpoints and a\n" +
-			"platform in one process, and plays a story of edits, moves, a wave, a cut, replaced entries\n" +
-			"and a log that is down. The last line of standard output is a JSON object. The exit code is\n" +
-			"0 only if no harm was counted.",
+			"platform in one process, and runs a script of edits, moves, a maintenance wave, a zone that is\n" +
+			"cut off, replaced entries and a log that is down. The last line of standard output is a JSON\n" +
+			"object. The exit code is 0 only if no invariant was violated.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if options.Seconds < leastSeconds || options.Seconds > mostSeconds {
-				return usage(fmt.Errorf("--seconds is %d; allowed: %d to %d", options.Seconds, leastSeconds, mostSeconds))
+			if options.Seconds < minSeconds || options.Seconds > maxSeconds {
+				return usageError(fmt.Errorf("--seconds is %d; allowed: %d to %d", options.Seconds, minSeconds, maxSeconds))
 			}
 			if _, err := trial.NewUser(options.User); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			options.Progress = cmd.ErrOrStderr()
-			options.Logger = newLogger(cmd.ErrOrStderr(), quietLevel)
+			options.Logger = newLogger(cmd.ErrOrStderr(), trialLogLevel)
 			report, err := trial.Run(cmd.Context(), options)
 			if err != nil {
 				return err
@@ -48,13 +49,13 @@
 				return err
 			}
 			if report.Harm() > 0 {
-				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d counts of harm", report.Harm())}
+				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d violations of invariants", report.Harm())}
 			}
 			return nil
 		},
 	}
 	cmd.Flags().StringVar(&options.User, "users", trial.Lisbon, "whose fleet to play: lisbon or podkarpacie")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the callers' and the stand-ins' choices")
-	cmd.Flags().IntVar(&options.Seconds, "seconds", usualSeconds, "length of the story")
+	cmd.Flags().IntVar(&options.Seconds, "seconds", defaultSeconds, "duration of the run")
 	return cmd
 }
