--- a/pkg/command/command.go
+++ b/pkg/command/command.go
@@ -81,7 +81,7 @@
 }
 
 // newRootCommand returns the root command of a program, with the subcommand version. Its long help text
-// is short and the exit codes.
+// consists of short and the exit codes.
 func newRootCommand(name, short string) *cobra.Command {
 	root := &cobra.Command{
 		Use:           name,
@@ -105,6 +105,7 @@
 	return root
 }
 
+// exitCodes is a part of each program's help.
 const exitCodes = `Exit codes: 0 done; 1 failed; 2 the command line or a settings file is wrong and
 nothing was started; 3 the fleet refused an edit; 4 a trial found violations of invariants.`
 
--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -14,7 +14,8 @@
 	"damsonwinch/pkg/planbench"
 )
 
-// addSizeFlags sets sizes to those of the large fleet and adds flags to change them.
+// addSizeFlags sets sizes to those of the large fleet and adds flags to change them, since the users'
+// requirements may change.
 func addSizeFlags(cmd *cobra.Command, sizes *planbench.Sizes) {
 	*sizes = planbench.TwoYears()
 	cmd.Flags().IntVar(&sizes.Boxes, "boxes", sizes.Boxes, "boxes of the large fleet")
--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -18,6 +18,7 @@
 	"damsonwinch/pkg/wire"
 )
 
+// rebootTimeout limits how long a stand-in endpoint may take to reboot.
 const rebootTimeout = time.Minute
 
 func trialPlatform() *cobra.Command {
--- a/pkg/command/trial.go
+++ b/pkg/command/trial.go
@@ -28,7 +28,7 @@
 		Use:   "run",
 		Short: "Run a whole fleet with faults on loopback and count violations of invariants",
 		Long: "Starts six entries and keepers over the halls of one user, about fifty endpoints and a\n" +
-			"platform in one process, and runs a script of edits, moves, a maintenance wave, a zone that is\n" +
+			"platform in one process, and runs a script of edits, moves, a maintenance wave, a hall that is\n" +
 			"cut off, replaced entries and a log that is down. The last line of standard output is a JSON\n" +
 			"object. The exit code is 0 only if no invariant was violated.",
 		Args: cobra.NoArgs,
