--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -105,11 +105,11 @@
 	logger := newLogger(cmd.ErrOrStderr(), logrus.InfoLevel)
 	clock := clockwork.NewRealClock()
 	return process.Env{
-		Clock:  clock,
-		Slept:  newSlept(clock, logger),
-		Dial:   dial.WithRetry(newDialer().DialContext),
-		Logger: logger,
-		Breach: func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
-		Seed:   uint64(clock.Now().UnixNano()),
+		Clock:         clock,
+		SuspendedTime: newSlept(clock, logger),
+		Dial:          dial.WithRetry(newDialer().DialContext),
+		Logger:        logger,
+		OnViolation:   func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
+		Seed:          uint64(clock.Now().UnixNano()),
 	}
 }
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -87,7 +87,7 @@
 			EndpointStream: platform.EndpointStream(), DecodeEndpoint: platform.DecodeEndpoint,
 			WaveReport: platform.WaveReport,
 		},
-		Clock: env.Clock, SuspendedTime: env.Slept, Dial: env.Dial, Logger: env.Logger, Metrics: set, CallListener: listeners[0],
+		Clock: env.Clock, SuspendedTime: env.SuspendedTime, Dial: env.Dial, Logger: env.Logger, Metrics: set, CallListener: listeners[0],
 		OnConfiguration: func(configuration damsonwinch.Configuration, book *customer.Index) {
 			if handler := clients.Load(); handler != nil {
 				handler.Configure(configuration, book)
--- a/pkg/process/node_bench_test.go
+++ b/pkg/process/node_bench_test.go
@@ -58,7 +58,7 @@
 	config := story.config(b, 0)
 	logger := logrus.New()
 	logger.SetLevel(logrus.ErrorLevel)
-	node, err := NewNode(config, Env{Clock: clockwork.NewRealClock(), Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Logger: logger, Breach: func(string, string) {}})
+	node, err := NewNode(config, Env{Clock: clockwork.NewRealClock(), Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Logger: logger, OnViolation: func(string, string) {}})
 	assert.NilError(b, err)
 	return node, config.ClientAddress
 }
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -93,7 +93,7 @@
 func (s *story) start(number int) {
 	config := s.config(s.t, number)
 	env := s.env()
-	env.Slept = s.sleeping(number)
+	env.SuspendedTime = s.sleeping(number)
 	node, err := NewNode(config, env)
 	assert.NilError(s.t, err)
 	if number < len(s.nodes) {
@@ -109,7 +109,7 @@
 		logger = logrus.New()
 		logger.SetLevel(logrus.ErrorLevel)
 	}
-	return Env{Clock: clockwork.NewRealClock(), Dial: s.dial, Logger: logger, Breach: func(string, string) {}}
+	return Env{Clock: clockwork.NewRealClock(), Dial: s.dial, Logger: logger, OnViolation: func(string, string) {}}
 }
 
 // The ports of nodes lie below those that systems give to outgoing connections
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -24,12 +24,12 @@
 // Env is what a process finds around it.
 type Env struct {
 	Clock damsonwinch.Clock
-	// Slept tells of suspensions of the machine.
-	Slept  damsonwinch.SuspendedTime
-	Dial   damsonwinch.Dial
-	Logger logrus.FieldLogger
-	// Breach is called upon the first breach of each invariant.
-	Breach func(name, detail string)
+	// SuspendedTime tells of suspensions of the machine.
+	SuspendedTime damsonwinch.SuspendedTime
+	Dial          damsonwinch.Dial
+	Logger        logrus.FieldLogger
+	// OnViolation is called upon the first breach of each invariant.
+	OnViolation func(name, detail string)
 	// Metrics holds the process's counters; nil for a set of its own.
 	Metrics *metrics.Set
 	// Seed starts the choices that chance makes.
@@ -86,7 +86,7 @@
 	if set == nil {
 		set = metrics.New()
 	}
-	book := invariant.New(env.Breach)
+	book := invariant.New(env.OnViolation)
 	set.Include("invariants", book.Counters())
 	return set, book
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -263,7 +263,7 @@
 }
 
 func (c *Cluster) env(node *Node) process.Env {
-	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Hall), Logger: c.logger, Breach: c.harm.breach, Seed: c.Seed}
+	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Hall), Logger: c.logger, OnViolation: c.harm.breach, Seed: c.Seed}
 }
 
 // StartNode starts a node's keeper and entry.
