--- a/pkg/command/control.go
+++ b/pkg/command/control.go
@@ -59,7 +59,7 @@
 
 // client connects to the keeper.
 func (c *control) client() (*operator.Client, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -56,7 +56,7 @@
 )
 
 func newBench(planner Planner) (*bench, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 
 // EmptyState returns the state before the first record.
 func EmptyState() (fold.State, error) {
-	return process.Empty()
+	return process.InitialState()
 }
 
 // State returns the fleet's state.
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -21,7 +21,7 @@
 
 // NewEntry starts an entry.
 func NewEntry(config settings.Entry, env Env) (*Entry, error) {
-	empty, err := Empty()
+	empty, err := InitialState()
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/process/keeper.go
+++ b/pkg/process/keeper.go
@@ -31,7 +31,7 @@
 
 // NewKeeper starts a keeper.
 func NewKeeper(config settings.Keeper, options plan.Options, env Env) (*Keeper, error) {
-	empty, err := Empty()
+	empty, err := InitialState()
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -36,8 +36,8 @@
 	Seed uint64
 }
 
-// Empty returns the state before the first record.
-func Empty() (fold.State, error) {
+// InitialState returns the state before the first record.
+func InitialState() (fold.State, error) {
 	checker, err := check.New()
 	if err != nil {
 		return fold.State{}, err
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -38,7 +38,7 @@
 }
 
 func startObserver(c *Cluster) (*observer, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -114,7 +114,7 @@
 }
 
 func (r *run) operator(author string, node int) (*operator.Client, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
