--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -53,7 +53,7 @@
 
 func storyOptions() standin.Options {
 	return standin.Options{
-		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: 2}, {Name: "quotes", Boxes: 2}, {Name: "spare", Boxes: 2, Parking: true}},
+		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: 2}, {Name: "quotes", Boxes: 2}, {Name: "spare", Boxes: 2, PoweredOff: true}},
 		BoxCPU: 8000, BoxMemoryMB: 16000, MoveTime: 300 * time.Millisecond, MaintainTime: 300 * time.Millisecond,
 		MostLease: 3 * time.Second, StopTime: 50 * time.Millisecond, Heartbeat: 200 * time.Millisecond,
 	}
