--- a/pkg/process/lives_test.go
+++ b/pkg/process/lives_test.go
@@ -12,7 +12,7 @@
 // newLivesStory is a story in which endpoints start again under the IDs that they had.
 func newLivesStory(t *testing.T, nodes int) *story {
 	options := storyOptions()
-	options.KeepIDs = true
+	options.ReuseEndpointIDs = true
 	return newStoryOn(t, nodes, options)
 }
 
--- a/pkg/process/node_bench_test.go
+++ b/pkg/process/node_bench_test.go
@@ -22,8 +22,8 @@
 	const boxes, tasks = 200, 13
 	platform, err := standin.New(standin.Options{
 		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: boxes}},
-		BoxCPU: 32000, BoxMemoryMB: 64000, MoveTime: time.Second, MaintainTime: time.Second,
-		MostLease: 10 * time.Second, StopTime: 50 * time.Millisecond, Heartbeat: time.Second,
+		BoxMilliCPU: 32000, BoxMemoryMB: 64000, MoveTime: time.Second, MaintainTime: time.Second,
+		MaxLease: 10 * time.Second, StopTime: 50 * time.Millisecond, HeartbeatInterval: time.Second,
 	})
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, platform.Close()) }()
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -54,8 +54,8 @@
 func storyOptions() standin.Options {
 	return standin.Options{
 		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: 2}, {Name: "quotes", Boxes: 2}, {Name: "spare", Boxes: 2, PoweredOff: true}},
-		BoxCPU: 8000, BoxMemoryMB: 16000, MoveTime: 300 * time.Millisecond, MaintainTime: 300 * time.Millisecond,
-		MostLease: 3 * time.Second, StopTime: 50 * time.Millisecond, Heartbeat: 200 * time.Millisecond,
+		BoxMilliCPU: 8000, BoxMemoryMB: 16000, MoveTime: 300 * time.Millisecond, MaintainTime: 300 * time.Millisecond,
+		MaxLease: 3 * time.Second, StopTime: 50 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond,
 	}
 }
 
