--- a/pkg/process/backlog_test.go
+++ b/pkg/process/backlog_test.go
@@ -18,7 +18,7 @@
 func TestWhatPilesUpWhileTheLogIsAwayIsKept(t *testing.T) {
 	s := newStory(t, 1)
 	s.submit(id(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
-	s.platform.SetFault(standin.Silent)
+	s.platform.SetStoreFault(standin.FaultSilent)
 	// 700 texts of 3.9 KB are 2.7 MB. Jobs that expect 5 s of work can wait for the log.
 	const jobs = 700
 	var group errgroup.Group
@@ -33,7 +33,7 @@
 		})
 	}
 	clockwork.NewRealClock().Sleep(1500 * time.Millisecond)
-	s.platform.SetFault(standin.None)
+	s.platform.SetStoreFault(standin.FaultNone)
 	assert.NilError(t, group.Wait())
 	s.submit(id(jobs+1), standin.Work{Ms: 10}, standin.Phase{Count: 1})
 }
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -189,7 +189,7 @@
 			s.client = s.client.WithKey(bakeryKey)
 			s.customers(2, []string{bakeryKey}, []string{millKey})
 			s.submit(id(0), standin.Work{Ms: 50}, oneTask)
-			s.platform.SetFault(standin.Busy)
+			s.platform.SetStoreFault(standin.FaultBusy)
 			want := http.StatusOK
 			if closed {
 				want = http.StatusServiceUnavailable
@@ -201,7 +201,7 @@
 			clockwork.NewRealClock().Sleep(time.Second)
 			status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
 			assert.Equal(t, status, want)
-			s.platform.SetFault(standin.None)
+			s.platform.SetStoreFault(standin.FaultNone)
 			s.until("calls are taken again", func() bool {
 				status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
 				return status == http.StatusOK
--- a/pkg/process/move_test.go
+++ b/pkg/process/move_test.go
@@ -15,7 +15,7 @@
 func (s *story) turnAwayCells(away bool) {
 	for number := range 2 {
 		stream := ownership.PartitionStream(number, usualPartitions)
-		s.platform.TurnAway(stream.Topic, stream.Partition, away)
+		s.platform.SetPartitionBusy(stream.Topic, stream.Partition, away)
 	}
 }
 
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -306,12 +306,12 @@
 func TestTheLogMisbehaves(t *testing.T) {
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
-	for number, fault := range []standin.Fault{standin.Busy, standin.Silent, standin.Lost} {
+	for number, fault := range []standin.StoreFault{standin.FaultBusy, standin.FaultSilent, standin.FaultLostAnswers} {
 		job := id(10 + number)
 		s.submit(job, standin.Work{Ms: 300}, standin.Phase{Count: 2, CPU: 500, Estimated: 300}, standin.Phase{Count: 1, After: []int{0}})
-		s.platform.SetFault(fault)
+		s.platform.SetStoreFault(fault)
 		clockwork.NewRealClock().Sleep(1500 * time.Millisecond)
-		s.platform.SetFault(standin.None)
+		s.platform.SetStoreFault(standin.FaultNone)
 		s.until("job is completed", func() bool { return s.state(job) == "completed" })
 	}
 	s.platform.Forget()
