--- a/pkg/process/lives_test.go
+++ b/pkg/process/lives_test.go
@@ -32,7 +32,7 @@
 		return running == 14
 	})
 	for at, box := range s.platform.Boxes()[:2] {
-		s.platform.Crash(box, []time.Duration{20 * time.Millisecond, 800 * time.Millisecond}[at])
+		s.platform.CrashEndpoint(box, []time.Duration{20 * time.Millisecond, 800 * time.Millisecond}[at])
 	}
 	for number := range 4 {
 		s.until("a job is completed", func() bool { return s.state(id(1+number)) == "completed" })
@@ -50,7 +50,7 @@
 	}
 	quick(id(0))
 	for _, box := range s.platform.Boxes()[:2] {
-		s.platform.Crash(box, 20*time.Millisecond)
+		s.platform.CrashEndpoint(box, 20*time.Millisecond)
 	}
 	quick(id(1))
 	for task, starts := range s.platform.StartsOf(id(1)) {
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -325,7 +325,7 @@
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, CPU: 500, Lasting: true, MayMiss: 1, MostPerBox: 1})
 	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
 	for _, box := range s.platform.Boxes()[:2] {
-		s.platform.Crash(box, 300*time.Millisecond)
+		s.platform.CrashEndpoint(box, 300*time.Millisecond)
 	}
 	s.until("it is away", func() bool { return len(s.platform.RunsOf(id(0))) == 0 })
 	s.until("it runs again", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
@@ -362,7 +362,7 @@
 		})
 	}
 	assert.NilError(t, group.Wait())
-	s.until("parked boxes have come", func() bool { return s.platform.CountIn("runs") >= 4 })
+	s.until("parked boxes have come", func() bool { return s.platform.CountBoxesUp("runs") >= 4 })
 	for number := range 12 {
 		s.until("job is completed", func() bool { return s.state(id(100+number)) == "completed" })
 	}
