--- a/pkg/process/crash_test.go
+++ b/pkg/process/crash_test.go
@@ -26,9 +26,9 @@
 	t := s.t
 	t.Helper()
 	for number := range 6 {
-		s.submit(id(number), standin.Work{Ms: 300}, standin.Phase{Count: 2, CPU: 1000, Estimated: 300})
+		s.submit(id(number), standin.Work{Ms: 300}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 300})
 	}
-	s.submit(id(10), standin.Work{Ms: 500, CrashMs: 10}, standin.Phase{Count: 2, CPU: 1000, Estimated: 500})
+	s.submit(id(10), standin.Work{Ms: 500, CrashMs: 10}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 500})
 	s.until("it is given up", func() bool {
 		assert.Assert(t, s.platform.StartsOf(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts, "its task is started again and again")
 		return s.state(id(10)) == "failed"
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -31,7 +31,7 @@
 var (
 	payslips = standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}
 	notices  = standin.Queue{Name: "notices", Host: testHost, Prefix: "/notices/", Pool: "runs", Attempts: 3, Public: true}
-	oneTask  = standin.Phase{Count: 1, CPU: 1000, Estimated: 50}
+	oneTask  = standin.Phase{Count: 1, MilliCPU: 1000, EstimatedMs: 50}
 )
 
 // newKeyedStory returns nodes whose operator names two customers.
--- a/pkg/process/lives_test.go
+++ b/pkg/process/lives_test.go
@@ -20,9 +20,9 @@
 // anew, also where the later one is there before anybody has missed the earlier one.
 func TestWorkOutlivesEndpointsThatKeepTheirIDs(t *testing.T) {
 	s := newLivesStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, CPU: 500, Lasting: true, MayMiss: 1, MostPerBox: 1})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
 	for number := range 4 {
-		s.submit(id(1+number), standin.Work{Ms: 2500}, standin.Phase{Count: 3, CPU: 1000, Estimated: 2500})
+		s.submit(id(1+number), standin.Work{Ms: 2500}, standin.Phase{Count: 3, MilliCPU: 1000, EstimatedMs: 2500})
 	}
 	s.until("all of it runs", func() bool {
 		running := 0
@@ -45,7 +45,7 @@
 func TestEndsOfALaterLifeAreTaken(t *testing.T) {
 	s := newLivesStory(t, 2)
 	quick := func(job string) {
-		s.submit(job, standin.Work{Ms: 50}, standin.Phase{Count: 12, CPU: 1000, Estimated: 50})
+		s.submit(job, standin.Work{Ms: 50}, standin.Phase{Count: 12, MilliCPU: 1000, EstimatedMs: 50})
 		s.until("a job is completed", func() bool { return s.state(job) == "completed" })
 	}
 	quick(id(0))
@@ -68,10 +68,10 @@
 // there afterwards has the same ID.
 func TestAWaveIsDoneWhereEndpointsKeepTheirIDs(t *testing.T) {
 	s := newLivesStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, CPU: 500, Lasting: true, MayMiss: 1})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
 	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
 	s.until("the lasting task runs", func() bool { return len(s.platform.RunsOf(id(0))) == 1 })
-	s.submit(id(1), standin.Work{Ms: 100}, standin.Phase{Count: 4, CPU: 1000, Estimated: 100})
+	s.submit(id(1), standin.Work{Ms: 100}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 100})
 	s.until("boxes are used afterwards", func() bool { return s.state(id(1)) == "completed" })
 }
--- a/pkg/process/move_test.go
+++ b/pkg/process/move_test.go
@@ -24,8 +24,8 @@
 // twice, now or when the partition is back.
 func TestACellGoesOnWhenItsPartitionIsOut(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, CPU: 500, Lasting: true, MayMiss: 1, MostPerBox: 1})
-	s.submit(id(1), standin.Work{Ms: 1500}, standin.Phase{Count: 2, CPU: 500, Estimated: 1500}, standin.Phase{Count: 1, After: []int{0}})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
+	s.submit(id(1), standin.Work{Ms: 1500}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 1500}, standin.Phase{Count: 1, DependsOn: []int{0}})
 	s.until("they run", func() bool { return len(s.platform.RunsOf(id(0))) == 2 && len(s.platform.RunsOf(id(1))) == 2 })
 	lasting := s.platform.RunsOf(id(0))
 
--- a/pkg/process/node_bench_test.go
+++ b/pkg/process/node_bench_test.go
@@ -31,7 +31,7 @@
 	node, address := benchNode(b, platform)
 	defer func() { assert.NilError(b, node.Close()) }()
 	client := standin.NewClient()
-	work, phase := standin.Work{Ms: 300}, standin.Phase{Count: tasks, CPU: 2000, MemoryMB: 1000, Estimated: 300}
+	work, phase := standin.Work{Ms: 300}, standin.Phase{Count: tasks, MilliCPU: 2000, MemoryMB: 1000, EstimatedMs: 300}
 	clock := clockwork.NewRealClock()
 	for status := 0; status != http.StatusOK; clock.Sleep(100 * time.Millisecond) {
 		status, _ = client.Submit(context.Background(), address, testHost, testPrefix+"00000000000000aa", work, phase)
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -212,7 +212,7 @@
 // TestAJobRunsFromTheClientToItsEnd through any node, phase after phase.
 func TestAJobRunsFromTheClientToItsEnd(t *testing.T) {
 	s := newStory(t, 3)
-	s.submit(id(0), standin.Work{Ms: 50}, standin.Phase{Count: 3, CPU: 1000, MemoryMB: 100, Estimated: 50}, standin.Phase{Count: 2, CPU: 1000, MemoryMB: 100, After: []int{0}})
+	s.submit(id(0), standin.Work{Ms: 50}, standin.Phase{Count: 3, MilliCPU: 1000, MemoryMB: 100, EstimatedMs: 50}, standin.Phase{Count: 2, MilliCPU: 1000, MemoryMB: 100, DependsOn: []int{0}})
 	s.until("it is completed", func() bool { return s.state(id(0)) == "completed" })
 
 	for number := range s.nodes {
@@ -264,7 +264,7 @@
 // TestAKilledOwnerIsFollowed by another node, which goes on with the jobs.
 func TestAKilledOwnerIsFollowed(t *testing.T) {
 	s := newStory(t, 3)
-	s.submit(id(0), standin.Work{Ms: 1500}, standin.Phase{Count: 4, CPU: 1000, Estimated: 1500}, standin.Phase{Count: 1, After: []int{0}})
+	s.submit(id(0), standin.Work{Ms: 1500}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 1500}, standin.Phase{Count: 1, DependsOn: []int{0}})
 	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 4 })
 	s.kill(s.ownerOf("runs"))
 
@@ -276,7 +276,7 @@
 func TestEverythingKilledAtOnceComesBack(t *testing.T) {
 	s := newStory(t, 2)
 	for number := range 5 {
-		s.submit(id(number), standin.Work{Ms: 400}, standin.Phase{Count: 2, CPU: 500, Estimated: 400}, standin.Phase{Count: 1, After: []int{0}})
+		s.submit(id(number), standin.Work{Ms: 400}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 400}, standin.Phase{Count: 1, DependsOn: []int{0}})
 	}
 	for number := range s.nodes {
 		s.kill(number)
@@ -292,7 +292,7 @@
 // TestAPlannedStopHandsOver and answers what is in flight.
 func TestAPlannedStopHandsOver(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{Ms: 600}, standin.Phase{Count: 2, CPU: 500, Estimated: 600})
+	s.submit(id(0), standin.Work{Ms: 600}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 600})
 	leaving := s.ownerOf("runs")
 	s.closed[leaving] = true
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -308,7 +308,7 @@
 	s.submit(id(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
 	for number, fault := range []standin.StoreFault{standin.FaultBusy, standin.FaultSilent, standin.FaultLostAnswers} {
 		job := id(10 + number)
-		s.submit(job, standin.Work{Ms: 300}, standin.Phase{Count: 2, CPU: 500, Estimated: 300}, standin.Phase{Count: 1, After: []int{0}})
+		s.submit(job, standin.Work{Ms: 300}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 300}, standin.Phase{Count: 1, DependsOn: []int{0}})
 		s.platform.SetStoreFault(fault)
 		clockwork.NewRealClock().Sleep(1500 * time.Millisecond)
 		s.platform.SetStoreFault(standin.FaultNone)
@@ -322,7 +322,7 @@
 // TestACancelledJobIsGone and a lasting one runs until then, also through a crash.
 func TestACancelledJobIsGone(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, CPU: 500, Lasting: true, MayMiss: 1, MostPerBox: 1})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
 	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
 	for _, box := range s.platform.Boxes()[:2] {
 		s.platform.CrashEndpoint(box, 300*time.Millisecond)
@@ -348,7 +348,7 @@
 // TestAWaveIsDoneInTime and the operator is told; boxes go where the work is.
 func TestAWaveIsDoneInTime(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, CPU: 500, Lasting: true, MayMiss: 1})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
 	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
 	s.until("the lasting task runs", func() bool { return len(s.platform.RunsOf(id(0))) == 1 })
@@ -357,7 +357,7 @@
 	var group errgroup.Group
 	for number := range 12 {
 		group.Go(func() error {
-			s.submit(id(100+number), standin.Work{Ms: 800}, standin.Phase{Count: 8, CPU: 1000, Estimated: 800})
+			s.submit(id(100+number), standin.Work{Ms: 800}, standin.Phase{Count: 8, MilliCPU: 1000, EstimatedMs: 800})
 			return nil
 		})
 	}
--- a/pkg/process/quota_test.go
+++ b/pkg/process/quota_test.go
@@ -30,7 +30,7 @@
 	try := 0
 	s.until("job "+id+" is accepted", func() bool {
 		try++
-		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Of: of}, standin.Phase{Count: 2, CPU: 1000, Estimated: 150})
+		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Of: of}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 150})
 		return err == nil && status == 200
 	})
 }
--- a/pkg/process/shard_test.go
+++ b/pkg/process/shard_test.go
@@ -25,9 +25,9 @@
 // of them, are found from any node, and the lasting one goes on when its owner is killed.
 func TestAPoolIsCutIntoCells(t *testing.T) {
 	s := weakNodes(t, 4)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, CPU: 500, Lasting: true, MayMiss: 1, MostPerBox: 1})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
 	for number := 1; number <= 12; number++ {
-		s.submit(id(number), standin.Work{Ms: 100}, standin.Phase{Count: 2, CPU: 500, Estimated: 100}, standin.Phase{Count: 1, After: []int{0}})
+		s.submit(id(number), standin.Work{Ms: 100}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 100}, standin.Phase{Count: 1, DependsOn: []int{0}})
 	}
 	first, second := s.ownerOf("runs"), s.ownerOf("runs@1")
 	assert.Assert(t, first >= 0 && second >= 0 && first != second, "owners %d and %d", first, second)
@@ -55,7 +55,7 @@
 func TestAFleetThatIsKilledFindsItsCellsAgain(t *testing.T) {
 	s := weakNodes(t, 4)
 	for number := range 6 {
-		s.submit(id(number), standin.Work{Ms: int((2 * time.Second).Milliseconds())}, standin.Phase{Count: 1, CPU: 500, Estimated: 2000})
+		s.submit(id(number), standin.Work{Ms: int((2 * time.Second).Milliseconds())}, standin.Phase{Count: 1, MilliCPU: 500, EstimatedMs: 2000})
 	}
 	for number := range s.nodes {
 		s.kill(number)
