--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -29,8 +29,8 @@
 )
 
 var (
-	payslips = standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}
-	notices  = standin.Queue{Name: "notices", Host: testHost, Prefix: "/notices/", Pool: "runs", Attempts: 3, Public: true}
+	payslips = standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}
+	notices  = standin.Queue{Name: "notices", Host: testHost, PathPrefix: "/notices/", Pool: "runs", MaxAttempts: 3, Public: true}
 	oneTask  = standin.Phase{Count: 1, MilliCPU: 1000, EstimatedMs: 50}
 )
 
--- a/pkg/process/node_bench_test.go
+++ b/pkg/process/node_bench_test.go
@@ -27,7 +27,7 @@
 	})
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, platform.Close()) }()
-	assert.NilError(b, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}))
+	assert.NilError(b, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
 	node, address := benchNode(b, platform)
 	defer func() { assert.NilError(b, node.Close()) }()
 	client := standin.NewClient()
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -63,7 +63,7 @@
 	platform, err := standin.New(options)
 	assert.NilError(t, err)
 	s := &story{t: t, platform: platform, client: standin.NewClient(), closed: map[int]bool{}, coreShare: 1, dial: (&net.Dialer{Timeout: time.Second}).DialContext}
-	assert.NilError(t, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}))
+	assert.NilError(t, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
 	for number := range nodes {
 		s.start(number)
 	}
@@ -372,7 +372,7 @@
 func TestAConfigurationIsInForceSoon(t *testing.T) {
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
-	assert.NilError(t, s.platform.PutConfiguration(2, standin.Queue{Name: "other", Host: testHost, Prefix: "/other/", Pool: "runs", Attempts: 3}))
+	assert.NilError(t, s.platform.PutConfiguration(2, standin.Queue{Name: "other", Host: testHost, PathPrefix: "/other/", Pool: "runs", MaxAttempts: 3}))
 	for number := range s.nodes {
 		s.until("the dropped queue is unknown", func() bool {
 			status, _, err := s.client.State(context.Background(), s.address(number), testHost, testPrefix+id(0))
@@ -384,7 +384,7 @@
 		})
 	}
 	// An older one that comes late changes nothing.
-	assert.NilError(t, s.platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}))
+	assert.NilError(t, s.platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
 	clockwork.NewRealClock().Sleep(time.Second)
 	status, _, err := s.client.State(context.Background(), s.address(0), testHost, testPrefix+id(0))
 	assert.NilError(t, err)
--- a/pkg/process/quota_test.go
+++ b/pkg/process/quota_test.go
@@ -12,14 +12,14 @@
 )
 
 // quotes is a queue of another pool than that of the payslips.
-var quotes = standin.Queue{Name: "quotes", Host: testHost, Prefix: "/quotes/", Pool: "quotes", Attempts: 3}
+var quotes = standin.Queue{Name: "quotes", Host: testHost, PathPrefix: "/quotes/", Pool: "quotes", MaxAttempts: 3}
 
 // capped puts a configuration in force in which the bakery may have so many thousandths of a core
 // running, and the mill as much as it likes.
 func (s *story) capped(version, cpu int) {
 	s.t.Helper()
 	s.platform.SetCustomers(
-		standin.Customer{Name: "bakery", Keys: []string{bakeryKey}, CPU: cpu}, standin.Customer{Name: "mill", Keys: []string{millKey}},
+		standin.Customer{Name: "bakery", Keys: []string{bakeryKey}, MaxMilliCPU: cpu}, standin.Customer{Name: "mill", Keys: []string{millKey}},
 	)
 	assert.NilError(s.t, s.platform.PutConfiguration(version, payslips, quotes))
 }
@@ -66,13 +66,13 @@
 	s.capped(2, cap*1000)
 	hand := func(from int) {
 		for number := from; number < from+jobs; number++ {
-			prefix := []string{testPrefix, quotes.Prefix}[number%2]
+			prefix := []string{testPrefix, quotes.PathPrefix}[number%2]
 			s.submitTo(bakery, prefix, id(number), "bakery")
 		}
 	}
 	done := func(from int) {
 		for number := from; number < from+jobs; number++ {
-			prefix := []string{testPrefix, quotes.Prefix}[number%2]
+			prefix := []string{testPrefix, quotes.PathPrefix}[number%2]
 			s.until(fmt.Sprintf("job %d is completed", number), func() bool { return s.completed(bakery, prefix, id(number)) })
 		}
 	}
--- a/pkg/process/slow_link_test.go
+++ b/pkg/process/slow_link_test.go
@@ -45,10 +45,10 @@
 
 // manyQueues returns a queue by a name, and as many others.
 func manyQueues(name, prefix string, others int) []standin.Queue {
-	queues := []standin.Queue{{Name: name, Host: testHost, Prefix: prefix, Pool: "runs", Attempts: 3}}
+	queues := []standin.Queue{{Name: name, Host: testHost, PathPrefix: prefix, Pool: "runs", MaxAttempts: 3}}
 	for number := range others {
 		queues = append(queues, standin.Queue{
-			Name: fmt.Sprintf("queue-%d", number), Host: "many.example", Prefix: fmt.Sprintf("/queue-%d/", number), Pool: "runs", Attempts: 3,
+			Name: fmt.Sprintf("queue-%d", number), Host: "many.example", PathPrefix: fmt.Sprintf("/queue-%d/", number), Pool: "runs", MaxAttempts: 3,
 		})
 	}
 	return queues
