--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -251,7 +251,7 @@
 		}
 	}
 	// A configuration that can't be decoded, and a key of two customers.
-	s.platform.PutSpoiltKeys(3, "bakery", bakeryKey)
+	s.platform.PutInvalidConfiguration(3, "bakery", bakeryKey)
 	s.customers(4, []string{bakeryKey, bakeryNewKey}, []string{millKey, bakeryNewKey})
 	s.until("that is logged", func() bool { return strings.Contains(logs.String(), "neither's") })
 	var counters string
