--- a/pkg/process/backlog_test.go
+++ b/pkg/process/backlog_test.go
@@ -24,7 +24,7 @@
 	var group errgroup.Group
 	for number := range jobs {
 		group.Go(func() error {
-			work, phase := standin.Work{Ms: 10, Note: text(3900)}, standin.Phase{Count: 1, EstimatedMs: 5000}
+			work, phase := standin.Work{Ms: 10, Padding: text(3900)}, standin.Phase{Count: 1, EstimatedMs: 5000}
 			status, err := s.client.Submit(context.Background(), s.address(0), testHost, testPrefix+id(1+number), work, phase)
 			if err == nil {
 				assert.Check(t, status == http.StatusOK || status == http.StatusServiceUnavailable, "kept or refused, and not in doubt: %d", status)
--- a/pkg/process/crash_test.go
+++ b/pkg/process/crash_test.go
@@ -30,12 +30,12 @@
 	}
 	s.submit(id(10), standin.Work{Ms: 500, CrashMs: 10}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 500})
 	s.until("it is given up", func() bool {
-		assert.Assert(t, s.platform.StartsOf(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts, "its task is started again and again")
+		assert.Assert(t, s.platform.CountStarts(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts, "its task is started again and again")
 		return s.state(id(10)) == "failed"
 	})
 	for number := range 6 {
 		s.until("a job beside it is completed", func() bool { return s.state(id(number)) == "completed" })
 	}
 	clockwork.NewRealClock().Sleep(time.Second)
-	assert.Assert(t, s.platform.StartsOf(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts)
+	assert.Assert(t, s.platform.CountStarts(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts)
 }
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -141,7 +141,7 @@
 	owner := s.ownerOf("runs")
 	s.kill(owner)
 	s.until("it is completed under the next owner", func() bool { return s.state(id(0)) == "completed" })
-	assert.Equal(t, s.platform.StartsOf(id(0))[id(0)+".0.0.0"], 1, "it has run on")
+	assert.Equal(t, s.platform.CountStarts(id(0))[id(0)+".0.0.0"], 1, "it has run on")
 
 	s.customers(4, nil, []string{millKey})
 	s.until("a customer without keys is turned away", func() bool {
--- a/pkg/process/lives_test.go
+++ b/pkg/process/lives_test.go
@@ -27,7 +27,7 @@
 	s.until("all of it runs", func() bool {
 		running := 0
 		for number := range 5 {
-			running += len(s.platform.RunsOf(id(number)))
+			running += len(s.platform.CountRuns(id(number)))
 		}
 		return running == 14
 	})
@@ -37,7 +37,7 @@
 	for number := range 4 {
 		s.until("a job is completed", func() bool { return s.state(id(1+number)) == "completed" })
 	}
-	s.until("the lasting tasks run again", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.until("the lasting tasks run again", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 }
 
 // TestEndsOfALaterLifeAreTaken though they have the numbers of ends that the earlier one had: what
@@ -53,7 +53,7 @@
 		s.platform.CrashEndpoint(box, 20*time.Millisecond)
 	}
 	quick(id(1))
-	for task, starts := range s.platform.StartsOf(id(1)) {
+	for task, starts := range s.platform.CountStarts(id(1)) {
 		assert.Equal(t, starts, 1, "task %s", task)
 	}
 }
@@ -71,7 +71,7 @@
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
 	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
-	s.until("the lasting task runs", func() bool { return len(s.platform.RunsOf(id(0))) == 1 })
+	s.until("the lasting task runs", func() bool { return len(s.platform.CountRuns(id(0))) == 1 })
 	s.submit(id(1), standin.Work{Ms: 100}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 100})
 	s.until("boxes are used afterwards", func() bool { return s.state(id(1)) == "completed" })
 }
--- a/pkg/process/move_test.go
+++ b/pkg/process/move_test.go
@@ -26,8 +26,8 @@
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
 	s.submit(id(1), standin.Work{Ms: 1500}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 1500}, standin.Phase{Count: 1, DependsOn: []int{0}})
-	s.until("they run", func() bool { return len(s.platform.RunsOf(id(0))) == 2 && len(s.platform.RunsOf(id(1))) == 2 })
-	lasting := s.platform.RunsOf(id(0))
+	s.until("they run", func() bool { return len(s.platform.CountRuns(id(0))) == 2 && len(s.platform.CountRuns(id(1))) == 2 })
+	lasting := s.platform.CountRuns(id(0))
 
 	s.turnAwayCells(true)
 	s.submit(id(2), standin.Work{Ms: 20}, standin.Phase{Count: 1})
@@ -39,5 +39,5 @@
 
 	s.submit(id(3), standin.Work{Ms: 20}, standin.Phase{Count: 1})
 	s.until("job is completed", func() bool { return s.state(id(3)) == "completed" })
-	assert.DeepEqual(t, s.platform.RunsOf(id(0)), lasting)
+	assert.DeepEqual(t, s.platform.CountRuns(id(0)), lasting)
 }
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -265,7 +265,7 @@
 func TestAKilledOwnerIsFollowed(t *testing.T) {
 	s := newStory(t, 3)
 	s.submit(id(0), standin.Work{Ms: 1500}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 1500}, standin.Phase{Count: 1, DependsOn: []int{0}})
-	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 4 })
+	s.until("it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 4 })
 	s.kill(s.ownerOf("runs"))
 
 	s.submit(id(1), standin.Work{Ms: 20}, standin.Phase{Count: 1})
@@ -323,18 +323,18 @@
 func TestACancelledJobIsGone(t *testing.T) {
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
-	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.until("it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 	for _, box := range s.platform.Boxes()[:2] {
 		s.platform.CrashEndpoint(box, 300*time.Millisecond)
 	}
-	s.until("it is away", func() bool { return len(s.platform.RunsOf(id(0))) == 0 })
-	s.until("it runs again", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.until("it is away", func() bool { return len(s.platform.CountRuns(id(0))) == 0 })
+	s.until("it runs again", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 
 	s.until("it is cancelled", func() bool {
 		status, _, err := s.client.Do(context.Background(), http.MethodDelete, s.address(1), testHost, testPrefix+id(0), nil)
 		return err == nil && status == http.StatusOK
 	})
-	s.until("nothing of it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 0 })
+	s.until("nothing of it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 0 })
 	assert.Equal(t, s.state(id(0)), "cancelled")
 }
 
@@ -351,7 +351,7 @@
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
 	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
-	s.until("the lasting task runs", func() bool { return len(s.platform.RunsOf(id(0))) == 1 })
+	s.until("the lasting task runs", func() bool { return len(s.platform.CountRuns(id(0))) == 1 })
 
 	// Twelve whole boxes of work in a pool that has two.
 	var group errgroup.Group
--- a/pkg/process/quota_test.go
+++ b/pkg/process/quota_test.go
@@ -30,7 +30,7 @@
 	try := 0
 	s.until("job "+id+" is accepted", func() bool {
 		try++
-		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Of: of}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 150})
+		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Customer: of}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 150})
 		return err == nil && status == 200
 	})
 }
@@ -85,17 +85,17 @@
 		s.kill(owner)
 	}
 	done(0)
-	assert.Equal(t, s.platform.MostAtOnce("bakery"), cap)
+	assert.Equal(t, s.platform.PeakRuns("bakery"), cap)
 
 	s.capped(3, 2*cap*1000)
 	hand(100)
 	done(100)
-	assert.Equal(t, s.platform.MostAtOnce("bakery"), 2*cap)
+	assert.Equal(t, s.platform.PeakRuns("bakery"), 2*cap)
 
 	s.capped(4, 1000)
 	clockwork.NewRealClock().Sleep(2 * time.Second)
-	s.platform.MostAtOnce("bakery")
+	s.platform.PeakRuns("bakery")
 	hand(200)
 	done(200)
-	assert.Equal(t, s.platform.MostAtOnce("bakery"), 1)
+	assert.Equal(t, s.platform.PeakRuns("bakery"), 1)
 }
--- a/pkg/process/shard_test.go
+++ b/pkg/process/shard_test.go
@@ -34,7 +34,7 @@
 	for number := 1; number <= 12; number++ {
 		s.until("job is completed", func() bool { return s.state(id(number)) == "completed" })
 	}
-	s.until("the lasting job runs", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.until("the lasting job runs", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 
 	s.kill(first)
 	s.until("another node has the cell", func() bool { owner := s.ownerOf("runs"); return owner >= 0 && owner != first })
@@ -47,7 +47,7 @@
 		status, _, err := s.client.Do(ctx, http.MethodDelete, s.address(1), testHost, testPrefix+id(0), nil)
 		return err == nil && status == http.StatusOK
 	})
-	s.until("nothing of it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 0 })
+	s.until("nothing of it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 0 })
 }
 
 // TestAFleetThatIsKilledFindsItsCellsAgain by the layout that was decided at first, also
--- a/pkg/process/slow_link_test.go
+++ b/pkg/process/slow_link_test.go
@@ -89,7 +89,7 @@
 	var group errgroup.Group
 	for number := range jobs {
 		group.Go(func() error {
-			s.submit(id(number), standin.Work{Ms: 10, Note: text(3900)}, standin.Phase{Count: 1, MilliCPU: 1000, LongRunning: true, MayMiss: 1})
+			s.submit(id(number), standin.Work{Ms: 10, Padding: text(3900)}, standin.Phase{Count: 1, MilliCPU: 1000, LongRunning: true, MayMiss: 1})
 			return nil
 		})
 	}
--- a/pkg/process/suspend_test.go
+++ b/pkg/process/suspend_test.go
@@ -15,7 +15,7 @@
 func TestASuspendedNodeGivesItsCellsUp(t *testing.T) {
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{Ms: 800}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 800}, standin.Phase{Count: 1, DependsOn: []int{0}})
-	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.until("it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 	owner := s.ownerOf("runs")
 	before := s.nodes[owner].Metrics.Count("suspensions")
 	assert.Equal(t, before, 0)
