--- a/pkg/process/lives_test.go
+++ b/pkg/process/lives_test.go
@@ -70,7 +70,7 @@
 	s := newLivesStory(t, 2)
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
-	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
+	s.until("the wave is completed", func() bool { return s.platform.StatusRecord("wave/1") == `{"state":"completed"}` })
 	s.until("the lasting task runs", func() bool { return len(s.platform.CountRuns(id(0))) == 1 })
 	s.submit(id(1), standin.Work{Ms: 100}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 100})
 	s.until("boxes are used afterwards", func() bool { return s.state(id(1)) == "completed" })
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -314,7 +314,7 @@
 		s.platform.SetStoreFault(standin.FaultNone)
 		s.until("job is completed", func() bool { return s.state(job) == "completed" })
 	}
-	s.platform.Forget()
+	s.platform.ExpireHistory()
 	s.submit(id(20), standin.Work{Ms: 10}, standin.Phase{Count: 1})
 	s.until("job after lost history", func() bool { return s.state(id(20)) == "completed" })
 }
@@ -350,7 +350,7 @@
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
-	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
+	s.until("the wave is completed", func() bool { return s.platform.StatusRecord("wave/1") == `{"state":"completed"}` })
 	s.until("the lasting task runs", func() bool { return len(s.platform.CountRuns(id(0))) == 1 })
 
 	// Twelve whole boxes of work in a pool that has two.
