--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -19,23 +19,23 @@
 	"damsonwinch/pkg/send"
 )
 
-// Fault is what an endpoint does wrong with requests.
-type Fault string
+// EndpointFault is what an endpoint does wrong with requests.
+type EndpointFault string
 
 // Faults of an endpoint.
 const (
-	FaultNone        Fault = ""
-	FaultRefuse      Fault = "refuse"       // Takes no connection's request at all.
-	FaultFailAll     Fault = "fail-all"     // Answers 500 at once.
-	FaultResetBefore Fault = "reset-before" // Breaks off before it runs.
-	FaultResetAfter  Fault = "reset-after"  // Runs and breaks off.
-	FaultHalf        Fault = "half"         // Runs and answers half.
-	FaultLate        Fault = "late"         // Runs much longer than asked.
-	FaultHang        Fault = "hang"         // Never answers.
-	FaultOther       Fault = "other"        // Answers as to another request.
-	FaultMore        Fault = "more"         // Sends more than it declared.
-	FaultLong        Fault = "long"         // Answers with more than any limit allows.
-	FaultBusy        Fault = "busy"         // Says that it has no room.
+	FaultNone           EndpointFault = ""
+	FaultRefuse         EndpointFault = "refuse"       // Takes no connection's request at all.
+	FaultFailAll        EndpointFault = "fail-all"     // Answers 500 at once.
+	FaultResetBefore    EndpointFault = "reset-before" // Breaks off before it runs.
+	FaultResetAfter     EndpointFault = "reset-after"  // Runs and breaks off.
+	FaultPartialBody    EndpointFault = "half"         // Runs and answers half.
+	FaultSlow           EndpointFault = "late"         // Runs much longer than asked.
+	FaultHang           EndpointFault = "hang"         // Never answers.
+	FaultWrongRequestID EndpointFault = "other"        // Answers as to another request.
+	FaultExcessBody     EndpointFault = "more"         // Sends more than it declared.
+	FaultOversizedBody  EndpointFault = "long"         // Answers with more than any limit allows.
+	FaultBusy           EndpointFault = "busy"         // Says that it has no room.
 )
 
 // Work is the body of a trial request.
@@ -101,7 +101,7 @@
 	group    errgroup.Group
 
 	mutex     sync.Mutex
-	fault     Fault
+	fault     EndpointFault
 	inFlight  map[string]int // By pool.
 	rebooting bool
 	leaving   time.Time
@@ -133,7 +133,7 @@
 }
 
 // SetFault changes what the endpoint does wrong.
-func (e *Endpoint) SetFault(fault Fault) {
+func (e *Endpoint) SetFault(fault EndpointFault) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.fault = fault
@@ -210,21 +210,21 @@
 	}
 }
 
-func (e *Endpoint) present() (Fault, bool) {
+func (e *Endpoint) present() (EndpointFault, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.fault, e.rebooting
 }
 
 // work runs the request and writes the book.
-func (e *Endpoint) work(r *http.Request, work Work, fault Fault) error {
+func (e *Endpoint) work(r *http.Request, work Work, fault EndpointFault) error {
 	pool := e.poolOf(mux.Vars(r)["service"])
 	e.begin(pool, work.Nonce)
 	defer e.end(pool)
 	takes := time.Duration(work.WorkMs) * time.Millisecond
 	const muchLonger = 20
 	switch fault {
-	case FaultLate:
+	case FaultSlow:
 		takes *= muchLonger
 	case FaultHang:
 		<-r.Context().Done()
@@ -267,18 +267,18 @@
 	}
 }
 
-func (e *Endpoint) answer(w http.ResponseWriter, body []byte, fault Fault) {
+func (e *Endpoint) answer(w http.ResponseWriter, body []byte, fault EndpointFault) {
 	text := AnswerTo(body)
 	switch fault {
-	case FaultLong:
+	case FaultOversizedBody:
 		const longAnswer = 1 << 21
 		text = strings.Repeat("x", longAnswer)
-	case FaultOther:
+	case FaultWrongRequestID:
 		w.Header().Set(send.HeaderRequestID, "another")
-	case FaultHalf:
+	case FaultPartialBody:
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		text = text[:len(text)/2]
-	case FaultMore:
+	case FaultExcessBody:
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		text += strings.Repeat("x", len(text))
 	}
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -94,7 +94,7 @@
 }
 
 // setFault makes the first so many boxes of the pool, or all, do wrong.
-func (s *story) setFault(fault standin.Fault, boxes int) {
+func (s *story) setFault(fault standin.EndpointFault, boxes int) {
 	for _, box := range s.run.observer.present().Boxes() {
 		if box.Pool == "free" {
 			continue
@@ -133,7 +133,7 @@
 		}
 		var lines strings.Builder
 		for _, service := range services {
-			s.setFault(standin.Fault(fault), boxes)
+			s.setFault(standin.EndpointFault(fault), boxes)
 			nonce := s.nonce()
 			work := standin.Work{Nonce: nonce, WorkMs: 50}
 			header := map[string]string{front.HeaderIdempotencyKey: nonce}
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -70,7 +70,7 @@
 	s := startStory(t, smallUser())
 	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1, Pad: strings.Repeat("x", 3000)}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
-	s.setFault(standin.FaultLong, everyBox)
+	s.setFault(standin.FaultOversizedBody, everyBox)
 	got = s.call("pay", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusBadGateway, fmt.Sprint(len(got.body)))
 	assert.Equal(t, got.outcome, string(wire.OutcomeUnknown))
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -91,7 +91,7 @@
 	case 5:
 		return s.killOrStart(node, dead)
 	case 6:
-		faults := []standin.Fault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultHalf, standin.FaultOther, standin.FaultNone, standin.FaultNone}
+		faults := []standin.EndpointFault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultPartialBody, standin.FaultWrongRequestID, standin.FaultNone, standin.FaultNone}
 		fault := faults[random.IntN(len(faults))]
 		s.setFault(fault, 1+random.IntN(2))
 		return "boxes " + string(fault)
