--- a/pkg/standin/log.go
+++ b/pkg/standin/log.go
@@ -14,21 +14,21 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Faults are what a log does wrong until told otherwise.
-type Faults struct {
+// LogFaults are what a log does wrong until told otherwise.
+type LogFaults struct {
 	// Down refuses every append and read.
 	Down bool
-	// LoseAnswers is the part of appends, from 0 to 1, that take effect while
+	// LostAnswerRate is the part of appends, from 0 to 1, that take effect while
 	// their answer is lost.
-	LoseAnswers float64
-	// Drop is the part of appends, from 0 to 1, that are lost without effect.
-	Drop float64
-	// Late is the part of appends, from 0 to 1, that fail at once and take
+	LostAnswerRate float64
+	// DropRate is the part of appends, from 0 to 1, that are lost without effect.
+	DropRate float64
+	// LateRate is the part of appends, from 0 to 1, that fail at once and take
 	// effect after LateBy.
-	Late   float64
-	LateBy time.Duration
-	// Slow delays every append.
-	Slow time.Duration
+	LateRate  float64
+	LateDelay time.Duration
+	// AppendDelay delays every append.
+	AppendDelay time.Duration
 }
 
 // Errors of the stand-in log.
@@ -43,7 +43,7 @@
 	mutex   sync.Mutex
 	random  *rand.Rand
 	streams map[string]*stream
-	faults  Faults
+	faults  LogFaults
 	appends int
 	keep    int
 }
@@ -62,7 +62,7 @@
 }
 
 // SetFaults changes what the log does wrong.
-func (l *Log) SetFaults(faults Faults) {
+func (l *Log) SetFaults(faults LogFaults) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.faults = faults
@@ -91,19 +91,19 @@
 	if faults.Down {
 		return 0, errDown
 	}
-	if faults.Slow > 0 && !l.sleep(ctx, faults.Slow) {
+	if faults.AppendDelay > 0 && !l.sleep(ctx, faults.AppendDelay) {
 		return 0, ctx.Err()
 	}
-	if chance < faults.Drop {
+	if chance < faults.DropRate {
 		return 0, errLost
 	}
-	chance -= faults.Drop
-	if chance < faults.Late && chance >= 0 {
-		l.clock.AfterFunc(faults.LateBy, func() { l.take(name, data) })
+	chance -= faults.DropRate
+	if chance < faults.LateRate && chance >= 0 {
+		l.clock.AfterFunc(faults.LateDelay, func() { l.take(name, data) })
 		return 0, errLost
 	}
 	offset := l.take(name, data)
-	if chance -= faults.Late; chance < faults.LoseAnswers && chance >= 0 {
+	if chance -= faults.LateRate; chance < faults.LostAnswerRate && chance >= 0 {
 		return 0, errLost
 	}
 	return offset, nil
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -63,7 +63,7 @@
 func TestALeavingBoxGetsNoNewWork(t *testing.T) {
 	s := startStory(t, smallUser())
 	load := startCallers(s.cluster, storyCallers)
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	leaving := s.firstBox()
 	s.cluster.Endpoints[leaving].Leave()
 	s.cluster.Platform.SetLeaving(leaving, true)
@@ -78,7 +78,7 @@
 // that back, when no other box leaves.
 func TestABoxThatStaysAfterAllGetsWorkAgain(t *testing.T) {
 	s := startStory(t, smallUser())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	boxes := s.run.observer.present().Boxes()
 	for _, leaving := range []bool{true, false} {
 		for _, box := range boxes {
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -51,7 +51,7 @@
 // so, and entries go on by their hall's promises.
 func TestAnOutageOfTheLogStopsNoRequest(t *testing.T) {
 	s := startStory(t, twoHalls())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	s.run.wait(context.Background(), longerThanTheLease)
 
 	const requests = 20
@@ -59,14 +59,14 @@
 		got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
 		assert.Equal(t, got.status, http.StatusOK, got.body)
 	}
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 }
 
 // TestEverythingReplacedWhileTheLogIsDown: new processes know nothing, serve
 // nothing, and come back with the log.
 func TestEverythingReplacedWhileTheLogIsDown(t *testing.T) {
 	s := startStory(t, twoHalls())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	for _, node := range s.cluster.Nodes {
 		assert.NilError(t, s.cluster.KillEntry(node))
 		assert.NilError(t, s.cluster.StopKeeper(node))
@@ -78,7 +78,7 @@
 	assert.Equal(t, got.status, http.StatusServiceUnavailable, got.body)
 	assert.Equal(t, got.outcome, "not-run")
 
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 
 	s.await("requests are answered again", func() bool {
 		return s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil).status == http.StatusOK
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -45,7 +45,7 @@
 	s := startStory(t, smallUser())
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 
 	first := s.call("pay", work, header)
 
@@ -53,7 +53,7 @@
 	assert.Equal(t, first.status, http.StatusServiceUnavailable)
 	assert.Assert(t, first.retry != "")
 	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 0)
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 	second := s.call("pay", work, header)
 	assert.Equal(t, second.status, http.StatusOK, second.body)
 	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 1)
@@ -65,10 +65,10 @@
 	s := startStory(t, smallUser())
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Late: 1, LateBy: 4 * time.Second})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{LateRate: 1, LateDelay: 4 * time.Second})
 	first := s.call("pay", work, header)
 	assert.Equal(t, first.outcome, "not-run")
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 
 	landed := s.run.until(context.Background(), 20*time.Second, func() bool {
 		return len(s.cluster.Platform.Log.Peek(damsonwinch.StreamClaims, 0, 10)) >= 2
@@ -84,7 +84,7 @@
 // TestAClaimWhoseAnswerIsLostRuns because it is read back from the log.
 func TestAClaimWhoseAnswerIsLostRuns(t *testing.T) {
 	s := startStory(t, smallUser())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 1})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 1})
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 
 	first := s.call("pay", work, map[string]string{front.HeaderIdempotencyKey: "k"})
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -51,7 +51,7 @@
 		s.run.wait(context.Background(), time.Duration(random.IntN(longestPause))*time.Millisecond)
 	}
 	s.cluster.Network.Heal()
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 	s.heal()
 	for number := range dead {
 		assert.NilError(t, s.cluster.StartNode(s.cluster.Nodes[number]))
@@ -79,12 +79,12 @@
 		return "cut " + from + " to " + to
 	case 2, 3:
 		s.cluster.Network.Heal()
-		s.cluster.Platform.Log.SetFaults(standin.Faults{})
+		s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 		return "healed"
 	case 4:
-		faults := standin.Faults{
-			Down: random.IntN(3) == 0, LoseAnswers: random.Float64() / 3, Drop: random.Float64() / 5, Late: random.Float64() / 5,
-			LateBy: time.Duration(random.IntN(4000)) * time.Millisecond, Slow: time.Duration(random.IntN(200)) * time.Millisecond,
+		faults := standin.LogFaults{
+			Down: random.IntN(3) == 0, LostAnswerRate: random.Float64() / 3, DropRate: random.Float64() / 5, LateRate: random.Float64() / 5,
+			LateDelay: time.Duration(random.IntN(4000)) * time.Millisecond, AppendDelay: time.Duration(random.IntN(200)) * time.Millisecond,
 		}
 		s.cluster.Platform.Log.SetFaults(faults)
 		return fmt.Sprintf("log %+v", faults)
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -301,10 +301,10 @@
 }
 
 func (r *run) takeLogDown(ctx context.Context) error {
-	r.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	r.say("the log is down")
 	r.part(ctx, 8)
-	r.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 0.05})
+	r.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 0.05})
 	r.say("the log is back and loses one answer in twenty")
 	r.part(ctx, 4)
 	return nil
