--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -51,7 +51,7 @@
 func newPlatform(fleet settings.Fleet, boxes []wire.BoxInfo) *standin.Platform {
 	clock := clockwork.NewRealClock()
 	addresses := map[string]string{}
-	platform := standin.NewPlatform(clock, standin.New(clock, 1, 0), func(ctx context.Context, box string) error {
+	platform := standin.NewPlatform(clock, standin.NewLog(clock, 1, 0), func(ctx context.Context, box string) error {
 		return askReboot(ctx, addresses[box])
 	})
 	for _, info := range boxes {
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -63,7 +63,7 @@
 }
 
 func newLog() *standin.Log {
-	return standin.New(clockwork.NewFakeClock(), 1, 0)
+	return standin.NewLog(clockwork.NewFakeClock(), 1, 0)
 }
 
 func TestDifferentCheckpointIsCounted(t *testing.T) {
--- a/pkg/standin/log.go
+++ b/pkg/standin/log.go
@@ -56,8 +56,8 @@
 
 var _ damsonwinch.Log = (*Log)(nil)
 
-// New returns an empty log that keeps a number of records a stream, 0 for all.
-func New(clock damsonwinch.Clock, seed uint64, keep int) *Log {
+// NewLog returns an empty log that keeps a number of records a stream, 0 for all.
+func NewLog(clock damsonwinch.Clock, seed uint64, keep int) *Log {
 	return &Log{clock: clock, random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*stream{}, keep: keep}
 }
 
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -127,7 +127,7 @@
 }
 
 func (c *Cluster) startPlatform() error {
-	log := standin.New(c.clock, c.Seed, 0)
+	log := standin.NewLog(c.clock, c.Seed, 0)
 	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTakes) })
 	c.Platform = standin.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
 		return (*c.reboot.Load())(ctx, box)
