--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -112,7 +112,7 @@
 }
 
 func serveEndpoints(boxes []wire.BoxInfo) ([]*standin.Endpoint, error) {
-	clock, book := clockwork.NewRealClock(), standin.NewBook()
+	clock, book := clockwork.NewRealClock(), standin.NewObservations()
 	var endpoints []*standin.Endpoint
 	for _, info := range boxes {
 		if _, err := netip.ParseAddrPort(info.Address); err != nil {
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -52,8 +52,8 @@
 	return "done " + string(body) + " done"
 }
 
-// Book is what endpoints saw: the truth that callers' books are compared with.
-type Book struct {
+// Observations is what endpoints saw: the truth that callers' books are compared with.
+type Observations struct {
 	mutex sync.Mutex
 	// runs counts the runs that began, by nonce.
 	runs map[string]int
@@ -65,26 +65,26 @@
 	late int
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{runs: map[string]int{}}
+// NewObservations returns an empty book.
+func NewObservations() *Observations {
+	return &Observations{runs: map[string]int{}}
 }
 
 // Runs returns how often a request ran.
-func (b *Book) Runs(nonce string) int {
+func (b *Observations) Runs(nonce string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.runs[nonce]
 }
 
-// Harm returns the counted pool overlaps, cut requests and late arrivals.
-func (b *Book) Harm() (overlaps, cut, late int) {
+// Violations returns the counted pool overlaps, cut requests and late arrivals.
+func (b *Observations) Violations() (overlaps, cut, late int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.overlaps, b.cut, b.late
 }
 
-func (b *Book) note(change func()) {
+func (b *Observations) note(change func()) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	change()
@@ -94,7 +94,7 @@
 type Endpoint struct {
 	Name     string
 	clock    damsonwinch.Clock
-	book     *Book
+	book     *Observations
 	poolOf   func(service string) string
 	listener net.Listener
 	server   *http.Server
@@ -111,7 +111,7 @@
 const leavingGrace = 2 * time.Second
 
 // NewEndpoint serves on a listener until Close.
-func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, book *Book, poolOf func(string) string) *Endpoint {
+func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, book *Observations, poolOf func(string) string) *Endpoint {
 	e := &Endpoint{Name: name, clock: clock, book: book, poolOf: poolOf, listener: listener, inFlight: map[string]int{}}
 	router := mux.NewRouter()
 	router.HandleFunc("/run/{service}", e.run).Methods(http.MethodPost)
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -61,7 +61,7 @@
 	Platform  *standin.Platform
 	Network   *standin.Network
 	Endpoints map[string]*standin.Endpoint
-	Book      *standin.Book
+	Book      *standin.Observations
 	Nodes     []*Node
 	clock     clockwork.Clock
 	logger    logrus.FieldLogger
@@ -106,7 +106,7 @@
 // NewCluster starts the stand-ins and all nodes.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
-		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewBook(),
+		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewObservations(),
 		clock: clockwork.NewRealClock(), logger: logger, harm: &harmBook{breaches: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -168,6 +168,6 @@
 	s.await("the others are maintained and the pool is formed", func() bool { return s.run.observer.due() == 0 && s.run.observer.formed() })
 
 	load.stop()
-	overlaps, cut, _ := s.cluster.Book.Harm()
+	overlaps, cut, _ := s.cluster.Book.Violations()
 	assert.Equal(t, overlaps+cut, 0)
 }
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -44,7 +44,7 @@
 
 // report compares the books.
 func (r *run) report() Report {
-	overlaps, cut, late := r.cluster.Book.Harm()
+	overlaps, cut, late := r.cluster.Book.Violations()
 	o := r.observer
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
