--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -139,15 +139,15 @@
 	e.fault = fault
 }
 
-// Serves says whether the endpoint would answer now.
-func (e *Endpoint) Serves() bool {
+// IsServing says whether the endpoint would answer now.
+func (e *Endpoint) IsServing() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return !e.rebooting && e.fault != FaultFailAll && e.fault != FaultRefuse
 }
 
-// Leave notes when the platform's list began to show the box as leaving.
-func (e *Endpoint) Leave() {
+// MarkLeaving notes when the platform's list began to show the box as leaving.
+func (e *Endpoint) MarkLeaving() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = e.clock.Now()
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -65,7 +65,7 @@
 	load := startCallers(s.cluster, storyCallers)
 	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	leaving := s.firstBox()
-	s.cluster.Endpoints[leaving].Leave()
+	s.cluster.Endpoints[leaving].MarkLeaving()
 	s.cluster.Platform.SetLeaving(leaving, true)
 	s.run.wait(context.Background(), 3*time.Second)
 	load.stop()
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -154,7 +154,7 @@
 	}
 	slots := map[string]int{}
 	for _, box := range o.state.Boxes() {
-		if box.Phase == fold.Serving && o.cluster.Endpoints[box.Info.Name].Serves() {
+		if box.Phase == fold.Serving && o.cluster.Endpoints[box.Info.Name].IsServing() {
 			slots[box.Pool] += box.Info.Slots
 		}
 	}
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -324,7 +324,7 @@
 		}
 	}
 	r.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
-	r.cluster.Endpoints[leaving].Leave()
+	r.cluster.Endpoints[leaving].MarkLeaving()
 	r.cluster.Platform.SetLeaving(leaving, true)
 	r.say("%s fails everything, %s is leaving", bad, leaving)
 	r.part(ctx, 12)
