--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -40,15 +40,15 @@
 
 // Work is the body of a trial request.
 type Work struct {
-	Nonce  string `json:"nonce"`
-	WorkMs int    `json:"work_ms"`
-	Pad    string `json:"pad,omitempty"`
+	Nonce   string `json:"nonce"`
+	WorkMs  int    `json:"work_ms"`
+	Padding string `json:"pad,omitempty"`
 	// Poison makes every endpoint fail on it.
 	Poison bool `json:"poison,omitempty"`
 }
 
-// AnswerTo is the one right answer to a body.
-func AnswerTo(body []byte) string {
+// ExpectedResponse is the one right answer to a body.
+func ExpectedResponse(body []byte) string {
 	return "done " + string(body) + " done"
 }
 
@@ -268,7 +268,7 @@
 }
 
 func (e *Endpoint) answer(w http.ResponseWriter, body []byte, fault EndpointFault) {
-	text := AnswerTo(body)
+	text := ExpectedResponse(body)
 	switch fault {
 	case FaultOversizedBody:
 		const longAnswer = 1 << 21
--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -96,7 +96,7 @@
 	services := c.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
 	line := called{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(mostWorkMs), Pad: string(bytes.Repeat([]byte("p"), random.IntN(padBytes)))})
+	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(mostWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(padBytes)))})
 	if err != nil {
 		line.broken = true
 		return line
@@ -145,7 +145,7 @@
 	}
 	line.status = response.StatusCode
 	line.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
-	line.wrong = line.status == http.StatusOK && string(answer) != standin.AnswerTo(body)
+	line.wrong = line.status == http.StatusOK && string(answer) != standin.ExpectedResponse(body)
 	if line.status != http.StatusOK {
 		line.reason = string(answer)
 	}
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -141,7 +141,7 @@
 			s.heal()
 			fmt.Fprintf(&lines, "%s: %s %d", service, first.outcome, first.status)
 			if first.status == http.StatusOK {
-				assert.Equal(t, first.body, standin.AnswerTo(mustJSON(t, work)))
+				assert.Equal(t, first.body, standin.ExpectedResponse(mustJSON(t, work)))
 			}
 			if service == "pay" {
 				fmt.Fprintf(&lines, ", ran at most once: %v", s.cluster.Book.Runs(nonce) <= 1)
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -68,7 +68,7 @@
 // TestALargeAnswerIsAClearError and never a part of the answer.
 func TestALargeAnswerIsAClearError(t *testing.T) {
 	s := startStory(t, smallUser())
-	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1, Pad: strings.Repeat("x", 3000)}, nil)
+	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 	s.setFault(standin.FaultOversizedBody, everyBox)
 	got = s.call("pay", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
