--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -56,10 +56,10 @@
 	})
 	for _, info := range boxes {
 		addresses[info.Name] = info.Address
-		platform.Put(wire.ListedBox{Info: info})
+		platform.PutBox(wire.ListedBox{Info: info})
 	}
 	for _, info := range trial.EntryBoxes(fleet) {
-		platform.Put(wire.ListedBox{Info: info, EntryBox: true})
+		platform.PutBox(wire.ListedBox{Info: info, EntryBox: true})
 	}
 	return platform
 }
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -42,8 +42,8 @@
 	return &Platform{Log: log, clock: clock, boxes: map[string]wire.ListedBox{}, reboot: reboot}
 }
 
-// Put shows a box in the list.
-func (p *Platform) Put(box wire.ListedBox) {
+// PutBox shows a box in the list.
+func (p *Platform) PutBox(box wire.ListedBox) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.boxes[box.Info.Name] = box
@@ -59,8 +59,8 @@
 	}
 }
 
-// Remove takes a box off the list.
-func (p *Platform) Remove(name string) {
+// RemoveBox takes a box off the list.
+func (p *Platform) RemoveBox(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.boxes, name)
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -152,7 +152,7 @@
 			info := BoxOf(hall.Name, number, c.User.Fleet, listener.Addr().String())
 			c.Network.Place(info.Address, hall.Name)
 			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
-			c.Platform.Put(wire.ListedBox{Info: info})
+			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
 	}
 	return nil
@@ -268,7 +268,7 @@
 
 // StartNode starts a node's keeper and entry.
 func (c *Cluster) StartNode(node *Node) error {
-	c.Platform.Put(wire.ListedBox{
+	c.Platform.PutBox(wire.ListedBox{
 		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Hall, Rack: "entry", Address: node.entry.Address, Slots: 1},
 		EntryBox: true,
 	})
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -127,8 +127,8 @@
 	load := startCallers(s.cluster, storyCallers)
 	dropped := s.firstBox()
 	info, _ := s.run.observer.present().Box(dropped)
-	s.cluster.Platform.Remove(dropped)
-	s.cluster.Platform.Remove(s.cluster.Nodes[0].Name)
+	s.cluster.Platform.RemoveBox(dropped)
+	s.cluster.Platform.RemoveBox(s.cluster.Nodes[0].Name)
 
 	s.await("the box is replaced", func() bool {
 		box, _ := s.run.observer.present().Box(dropped)
@@ -136,7 +136,7 @@
 	})
 	s.run.wait(context.Background(), longerThanTheLease)
 	assert.Assert(t, s.holds(0) > 0, "a living entry lost its boxes")
-	s.cluster.Platform.Put(wire.ListedBox{Info: info.Info})
+	s.cluster.Platform.PutBox(wire.ListedBox{Info: info.Info})
 	s.await("the box is up again", func() bool {
 		box, _ := s.run.observer.present().Box(dropped)
 		return box.Health == wire.HealthUp
@@ -161,7 +161,7 @@
 	for _, box := range s.run.observer.present().Boxes() {
 		if box.Info.Rack == lost.Info.Rack {
 			s.cluster.Endpoints[box.Info.Name].SetFault(standin.FaultRefuse)
-			s.cluster.Platform.Remove(box.Info.Name)
+			s.cluster.Platform.RemoveBox(box.Info.Name)
 		}
 	}
 
