--- a/pkg/standin/network.go
+++ b/pkg/standin/network.go
@@ -28,8 +28,8 @@
 	return &Network{halls: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*cuttable]bool{}}
 }
 
-// Place says in which hall an address is.
-func (n *Network) Place(address, hall string) {
+// SetZone says in which hall an address is.
+func (n *Network) SetZone(address, hall string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.halls[address] = hall
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -137,7 +137,7 @@
 		return fmt.Errorf("listen for the platform: %w", err)
 	}
 	c.User.Fleet.Platform = listener.Addr().String()
-	c.Network.Place(listener.Addr().String(), platformHall)
+	c.Network.SetZone(listener.Addr().String(), platformHall)
 	c.Platform.Serve(listener)
 	return nil
 }
@@ -150,7 +150,7 @@
 				return fmt.Errorf("listen for an endpoint: %w", err)
 			}
 			info := BoxOf(hall.Name, number, c.User.Fleet, listener.Addr().String())
-			c.Network.Place(info.Address, hall.Name)
+			c.Network.SetZone(info.Address, hall.Name)
 			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
 			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
@@ -186,7 +186,7 @@
 				return err
 			}
 			for _, address := range addresses {
-				c.Network.Place(address, hall.Name)
+				c.Network.SetZone(address, hall.Name)
 			}
 			node.keeper = settings.Keeper{
 				Node: node.Name, Hall: hall.Name, Halls: c.hallNames(), Address: addresses[0], DebugAddress: addresses[1],
