--- a/pkg/command/control.go
+++ b/pkg/command/control.go
@@ -64,7 +64,7 @@
 
 // newClient returns a client of the keeper.
 func (c *control) newClient() (*operator.Client, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -53,15 +53,15 @@
 func newPlatform(fleet settings.Fleet, boxes []wire.BoxInfo) *standin.Platform {
 	clock := clockwork.NewRealClock()
 	addresses := map[string]string{}
-	platform := standin.NewPlatform(clock, standin.New(clock, 1, 0), func(ctx context.Context, box string) error {
+	platform := standin.NewPlatform(clock, standin.NewLog(clock, 1, 0), func(ctx context.Context, box string) error {
 		return requestReboot(ctx, addresses[box])
 	})
 	for _, info := range boxes {
 		addresses[info.Name] = info.Address
-		platform.Put(wire.ListedBox{Info: info})
+		platform.PutBox(wire.ListedBox{Info: info})
 	}
 	for _, info := range trial.EntryBoxes(fleet) {
-		platform.Put(wire.ListedBox{Info: info, EntryBox: true})
+		platform.PutBox(wire.ListedBox{Info: info, EntryBox: true})
 	}
 	return platform
 }
@@ -115,7 +115,7 @@
 
 // serveEndpoints starts a stand-in endpoint for each box.
 func serveEndpoints(boxes []wire.BoxInfo) ([]*standin.Endpoint, error) {
-	clock, book := clockwork.NewRealClock(), standin.NewBook()
+	clock, book := clockwork.NewRealClock(), standin.NewObservations()
 	var endpoints []*standin.Endpoint
 	for _, info := range boxes {
 		if _, err := netip.ParseAddrPort(info.Address); err != nil {
--- a/pkg/process/quota_test.go
+++ b/pkg/process/quota_test.go
@@ -12,14 +12,14 @@
 )
 
 // quotes is a queue of another pool than that of the payslips.
-var quotes = standin.Queue{Name: "quotes", Host: testHost, Prefix: "/quotes/", Pool: "quotes", Attempts: 3}
+var quotes = standin.Queue{Name: "quotes", Host: testHost, PathPrefix: "/quotes/", Pool: "quotes", MaxAttempts: 3}
 
 // capped puts a configuration in force in which the bakery may have so many thousandths of a core
 // running, and the mill as much as it likes.
 func (s *story) capped(version, cpu int) {
 	s.t.Helper()
 	s.platform.SetCustomers(
-		standin.Customer{Name: "bakery", Keys: []string{bakeryKey}, CPU: cpu}, standin.Customer{Name: "mill", Keys: []string{millKey}},
+		standin.Customer{Name: "bakery", Keys: []string{bakeryKey}, MaxMilliCPU: cpu}, standin.Customer{Name: "mill", Keys: []string{millKey}},
 	)
 	assert.NilError(s.t, s.platform.PutConfiguration(version, payslips, quotes))
 }
@@ -30,7 +30,7 @@
 	try := 0
 	s.until("job "+id+" is accepted", func() bool {
 		try++
-		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Of: of}, standin.Phase{Count: 2, CPU: 1000, Estimated: 150})
+		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Customer: of}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 150})
 		return err == nil && status == 200
 	})
 }
@@ -66,13 +66,13 @@
 	s.capped(2, cap*1000)
 	hand := func(from int) {
 		for number := from; number < from+jobs; number++ {
-			prefix := []string{testPrefix, quotes.Prefix}[number%2]
+			prefix := []string{testPrefix, quotes.PathPrefix}[number%2]
 			s.submitTo(bakery, prefix, id(number), "bakery")
 		}
 	}
 	done := func(from int) {
 		for number := from; number < from+jobs; number++ {
-			prefix := []string{testPrefix, quotes.Prefix}[number%2]
+			prefix := []string{testPrefix, quotes.PathPrefix}[number%2]
 			s.until(fmt.Sprintf("job %d is completed", number), func() bool { return s.completed(bakery, prefix, id(number)) })
 		}
 	}
@@ -85,17 +85,17 @@
 		s.kill(owner)
 	}
 	done(0)
-	assert.Equal(t, s.platform.MostAtOnce("bakery"), cap)
+	assert.Equal(t, s.platform.PeakRuns("bakery"), cap)
 
 	s.capped(3, 2*cap*1000)
 	hand(100)
 	done(100)
-	assert.Equal(t, s.platform.MostAtOnce("bakery"), 2*cap)
+	assert.Equal(t, s.platform.PeakRuns("bakery"), 2*cap)
 
 	s.capped(4, 1000)
 	clockwork.NewRealClock().Sleep(2 * time.Second)
-	s.platform.MostAtOnce("bakery")
+	s.platform.PeakRuns("bakery")
 	hand(200)
 	done(200)
-	assert.Equal(t, s.platform.MostAtOnce("bakery"), 1)
+	assert.Equal(t, s.platform.PeakRuns("bakery"), 1)
 }
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -19,41 +19,41 @@
 	"damsonwinch/pkg/send"
 )
 
-// Fault is what an endpoint does wrong with requests.
-type Fault string
+// EndpointFault is what an endpoint does wrong with requests.
+type EndpointFault string
 
 // Faults of an endpoint.
 const (
-	FaultNone        Fault = ""
-	FaultRefuse      Fault = "refuse"       // Takes no connection's request at all.
-	FaultFailAll     Fault = "fail-all"     // Answers 500 at once.
-	FaultResetBefore Fault = "reset-before" // Breaks off before it runs.
-	FaultResetAfter  Fault = "reset-after"  // Runs and breaks off.
-	FaultHalf        Fault = "half"         // Runs and answers half.
-	FaultLate        Fault = "late"         // Runs much longer than asked.
-	FaultHang        Fault = "hang"         // Never answers.
-	FaultOther       Fault = "other"        // Answers as to another request.
-	FaultMore        Fault = "more"         // Sends more than it declared.
-	FaultLong        Fault = "long"         // Answers with more than any limit allows.
-	FaultBusy        Fault = "busy"         // Says that it has no room.
+	FaultNone           EndpointFault = ""
+	FaultRefuse         EndpointFault = "refuse"       // Takes no connection's request at all.
+	FaultFailAll        EndpointFault = "fail-all"     // Answers 500 at once.
+	FaultResetBefore    EndpointFault = "reset-before" // Breaks off before it runs.
+	FaultResetAfter     EndpointFault = "reset-after"  // Runs and breaks off.
+	FaultPartialBody    EndpointFault = "half"         // Runs and answers half.
+	FaultSlow           EndpointFault = "late"         // Runs much longer than asked.
+	FaultHang           EndpointFault = "hang"         // Never answers.
+	FaultWrongRequestID EndpointFault = "other"        // Answers as to another request.
+	FaultExcessBody     EndpointFault = "more"         // Sends more than it declared.
+	FaultOversizedBody  EndpointFault = "long"         // Answers with more than any limit allows.
+	FaultBusy           EndpointFault = "busy"         // Says that it has no room.
 )
 
 // Work is the body of a trial request.
 type Work struct {
-	Nonce  string `json:"nonce"`
-	WorkMs int    `json:"work_ms"`
-	Pad    string `json:"pad,omitempty"`
+	Nonce   string `json:"nonce"`
+	WorkMs  int    `json:"work_ms"`
+	Padding string `json:"pad,omitempty"`
 	// Poison makes every endpoint fail on it.
 	Poison bool `json:"poison,omitempty"`
 }
 
-// AnswerTo is the one right answer to a body.
-func AnswerTo(body []byte) string {
+// ExpectedResponse is the one right answer to a body.
+func ExpectedResponse(body []byte) string {
 	return "done " + string(body) + " done"
 }
 
-// Book is what endpoints saw: the truth that callers' books are compared with.
-type Book struct {
+// Observations is what endpoints saw: the truth that callers' books are compared with.
+type Observations struct {
 	mutex sync.Mutex
 	// runs counts the runs that began, by nonce.
 	runs map[string]int
@@ -65,26 +65,26 @@
 	late int
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{runs: map[string]int{}}
+// NewObservations returns an empty book.
+func NewObservations() *Observations {
+	return &Observations{runs: map[string]int{}}
 }
 
 // Runs returns how often a request ran.
-func (b *Book) Runs(nonce string) int {
+func (b *Observations) Runs(nonce string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.runs[nonce]
 }
 
-// Harm returns the counted pool overlaps, cut requests and late arrivals.
-func (b *Book) Harm() (overlaps, cut, late int) {
+// Violations returns the counted pool overlaps, cut requests and late arrivals.
+func (b *Observations) Violations() (overlaps, cut, late int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.overlaps, b.cut, b.late
 }
 
-func (b *Book) note(change func()) {
+func (b *Observations) note(change func()) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	change()
@@ -94,14 +94,14 @@
 type Endpoint struct {
 	Name     string
 	clock    damsonwinch.Clock
-	book     *Book
+	book     *Observations
 	poolOf   func(service string) string
 	listener net.Listener
 	server   *http.Server
 	group    errgroup.Group
 
 	mutex     sync.Mutex
-	fault     Fault
+	fault     EndpointFault
 	inFlight  map[string]int // By pool.
 	rebooting bool
 	leaving   time.Time
@@ -111,7 +111,7 @@
 const leavingGrace = 2 * time.Second
 
 // NewEndpoint serves on a listener until Close.
-func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, book *Book, poolOf func(string) string) *Endpoint {
+func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, book *Observations, poolOf func(string) string) *Endpoint {
 	e := &Endpoint{Name: name, clock: clock, book: book, poolOf: poolOf, listener: listener, inFlight: map[string]int{}}
 	router := mux.NewRouter()
 	router.HandleFunc("/run/{service}", e.run).Methods(http.MethodPost)
@@ -133,21 +133,21 @@
 }
 
 // SetFault changes what the endpoint does wrong.
-func (e *Endpoint) SetFault(fault Fault) {
+func (e *Endpoint) SetFault(fault EndpointFault) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.fault = fault
 }
 
-// Serves says whether the endpoint would answer now.
-func (e *Endpoint) Serves() bool {
+// IsServing says whether the endpoint would answer now.
+func (e *Endpoint) IsServing() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return !e.rebooting && e.fault != FaultFailAll && e.fault != FaultRefuse
 }
 
-// Leave notes when the platform's list began to show the box as leaving.
-func (e *Endpoint) Leave() {
+// MarkLeaving notes when the platform's list began to show the box as leaving.
+func (e *Endpoint) MarkLeaving() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = e.clock.Now()
@@ -210,21 +210,21 @@
 	}
 }
 
-func (e *Endpoint) present() (Fault, bool) {
+func (e *Endpoint) present() (EndpointFault, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.fault, e.rebooting
 }
 
 // work runs the request and writes the book.
-func (e *Endpoint) work(r *http.Request, work Work, fault Fault) error {
+func (e *Endpoint) work(r *http.Request, work Work, fault EndpointFault) error {
 	pool := e.poolOf(mux.Vars(r)["service"])
 	e.begin(pool, work.Nonce)
 	defer e.end(pool)
 	takes := time.Duration(work.WorkMs) * time.Millisecond
 	const muchLonger = 20
 	switch fault {
-	case FaultLate:
+	case FaultSlow:
 		takes *= muchLonger
 	case FaultHang:
 		<-r.Context().Done()
@@ -267,18 +267,18 @@
 	}
 }
 
-func (e *Endpoint) answer(w http.ResponseWriter, body []byte, fault Fault) {
-	text := AnswerTo(body)
+func (e *Endpoint) answer(w http.ResponseWriter, body []byte, fault EndpointFault) {
+	text := ExpectedResponse(body)
 	switch fault {
-	case FaultLong:
+	case FaultOversizedBody:
 		const longAnswer = 1 << 21
 		text = strings.Repeat("x", longAnswer)
-	case FaultOther:
+	case FaultWrongRequestID:
 		w.Header().Set(send.HeaderRequestID, "another")
-	case FaultHalf:
+	case FaultPartialBody:
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		text = text[:len(text)/2]
-	case FaultMore:
+	case FaultExcessBody:
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		text += strings.Repeat("x", len(text))
 	}
