--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -44,7 +44,7 @@
 // Node is one entry box with its two processes.
 type Node struct {
 	Name   string
-	Hall   string
+	Zone   string
 	keeper settings.Keeper
 	entry  settings.Entry
 
@@ -180,7 +180,7 @@
 func (c *Cluster) planNodes() error {
 	for _, hall := range c.User.Fleet.Halls {
 		for number := range hall.Entries {
-			node := &Node{Name: entryName(hall.Name, number), Hall: hall.Name}
+			node := &Node{Name: entryName(hall.Name, number), Zone: hall.Name}
 			addresses, err := c.freeAddresses(addressesANode)
 			if err != nil {
 				return err
@@ -215,14 +215,14 @@
 
 // introduce tells a node of its peers, those of its own hall first.
 func (c *Cluster) introduce(node *Node) {
-	own := settings.Peer{Node: node.Name, Hall: node.Hall, Address: node.keeper.Address}
+	own := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
 	node.entry.Keepers = []settings.Peer{own}
 	for _, near := range []bool{true, false} {
 		for _, other := range c.Nodes {
-			if other == node || (other.Hall == node.Hall) != near {
+			if other == node || (other.Zone == node.Zone) != near {
 				continue
 			}
-			peer := settings.Peer{Node: other.Name, Hall: other.Hall, Address: other.keeper.Address}
+			peer := settings.Peer{Node: other.Name, Hall: other.Zone, Address: other.keeper.Address}
 			node.keeper.Peers = append(node.keeper.Peers, peer)
 			if near {
 				node.entry.Keepers = append(node.entry.Keepers, peer)
@@ -263,13 +263,13 @@
 }
 
 func (c *Cluster) env(node *Node) process.Env {
-	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Hall), Logger: c.logger, Breach: c.harm.breach, Seed: c.Seed}
+	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, Breach: c.harm.breach, Seed: c.Seed}
 }
 
 // StartNode starts a node's keeper and entry.
 func (c *Cluster) StartNode(node *Node) error {
 	c.Platform.Put(wire.ListedBox{
-		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Hall, Rack: "entry", Address: node.entry.Address, Slots: 1},
+		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Zone, Rack: "entry", Address: node.entry.Address, Slots: 1},
 		EntryBox: true,
 	})
 	if err := c.StartKeeper(node); err != nil {
