--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -70,8 +70,8 @@
 	reboot    atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
-// Snapshotted returns the offset of the newest snapshot in the log, 0 if none.
-func (c *Cluster) Snapshotted() int {
+// NewestSnapshotOffset returns the offset of the newest snapshot in the log, 0 if none.
+func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
 	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, mostSnapshots) {
 		var snapshot fold.Snapshot
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -90,7 +90,7 @@
 func TestANewProcessStartsFromASnapshot(t *testing.T) {
 	s := startStory(t, twoHalls())
 	s.await("a snapshot is in the log", func() bool { return len(s.cluster.Platform.Log.Peek("snapshots", 0, 1)) > 0 })
-	s.cluster.Platform.Log.Expire("fleet", s.cluster.Snapshotted())
+	s.cluster.Platform.Log.Expire("fleet", s.cluster.NewestSnapshotOffset())
 	for _, node := range s.cluster.Nodes {
 		assert.NilError(t, s.cluster.KillEntry(node))
 		assert.NilError(t, s.cluster.StopKeeper(node))
