--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -47,7 +47,7 @@
 		return Cost{}, err
 	}
 	idlePerSecond := idle / idleTime.Seconds()
-	ways := [][]string{{p.boxes[0].address, "/run/"}, {cluster.Open()[0], "/v1/run/"}, {p.address, "/v1/run/"}}
+	ways := [][]string{{p.boxes[0].address, "/run/"}, {cluster.ReadyAddresses()[0], "/v1/run/"}, {p.address, "/v1/run/"}}
 	costs, latencies := make([][]float64, len(ways)), make([][]float64, len(ways))
 	for range costRounds {
 		for i, way := range ways {
--- a/pkg/loadtest/cost_test.go
+++ b/pkg/loadtest/cost_test.go
@@ -29,7 +29,7 @@
 	defer gateway.close()
 	options := Options{Clock: clockwork.NewRealClock()}
 	for name, url := range map[string]string{
-		"direct": gateway.boxes[0].address + "/run/", "entry": cluster.Open()[0] + "/v1/run/", "plain": gateway.address + "/v1/run/",
+		"direct": gateway.boxes[0].address + "/run/", "entry": cluster.ReadyAddresses()[0] + "/v1/run/", "plain": gateway.address + "/v1/run/",
 	} {
 		b.Run(name, func(b *testing.B) {
 			client := newClient(1)
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -144,13 +144,13 @@
 	}
 	say(options, "a direct call costs %.0f us of processor time, one through an entry %.2f times that", r.Cost.DirectUs, r.Cost.Ratio)
 	for _, load := range []int{100, 150, 200} {
-		for _, way := range []gateway{{"damsonwinch", cluster.Open()}, {"plain", []string{plain.address}}} {
+		for _, way := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
 			r.add(ctx, options, fmt.Sprintf("%d%%", load), way, load)
 		}
 	}
 	breakBoxes(cluster)
 	const light = 60
-	for _, way := range []gateway{{"damsonwinch", cluster.Open()}, {"plain", []string{plain.address}}} {
+	for _, way := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
 		r.add(ctx, options, "bad-boxes", way, light)
 	}
 	return ctx.Err()
--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -101,7 +101,7 @@
 		line.broken = true
 		return line
 	}
-	open := c.cluster.Open()
+	open := c.cluster.ReadyAddresses()
 	address := open[random.IntN(len(open))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/run/"+service.Service, bytes.NewReader(body))
 	if err != nil {
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -326,8 +326,8 @@
 	return entry.Close()
 }
 
-// Open returns the HTTP addresses to which the balancer sends callers.
-func (c *Cluster) Open() []string {
+// ReadyAddresses returns the HTTP addresses to which the balancer sends callers.
+func (c *Cluster) ReadyAddresses() []string {
 	var addresses []string
 	for _, node := range c.Nodes {
 		node.mutex.Lock()
