--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -117,7 +117,7 @@
 	var boxes []wire.BoxInfo
 	for _, hall := range user.Fleet.Halls {
 		for number := range hall.Boxes {
-			boxes = append(boxes, trial.BoxOf(hall.Name, number, user.Fleet, ""))
+			boxes = append(boxes, trial.NewBoxInfo(hall.Name, number, user.Fleet, ""))
 		}
 	}
 	return boxes, user.Table, nil
@@ -129,7 +129,7 @@
 	fleet := settings.Fleet{RackBoxes: sizes.RackBoxes, BoxSlots: sizes.BoxSlots}
 	for number := range sizes.Boxes {
 		hall := number % sizes.Halls
-		boxes = append(boxes, trial.BoxOf(fmt.Sprintf("hall-%d", hall+1), number/sizes.Halls, fleet, ""))
+		boxes = append(boxes, trial.NewBoxInfo(fmt.Sprintf("hall-%d", hall+1), number/sizes.Halls, fleet, ""))
 	}
 	table := settings.Table{Deployment: settings.Deployment{Moves: 5, Rollout: 2, Buffer: 2, MaintainDays: 42}}
 	slots := sizes.Boxes * sizes.BoxSlots * neededPart / percent / sizes.Pools
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -149,7 +149,7 @@
 			if err != nil {
 				return fmt.Errorf("listen for an endpoint: %w", err)
 			}
-			info := BoxOf(hall.Name, number, c.User.Fleet, listener.Addr().String())
+			info := NewBoxInfo(hall.Name, number, c.User.Fleet, listener.Addr().String())
 			c.Network.Place(info.Address, hall.Name)
 			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
 			c.Platform.Put(wire.ListedBox{Info: info})
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// BoxOf describes the numbered box of a hall as the platform's list does.
-func BoxOf(hall string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
+// NewBoxInfo describes the numbered box of a hall as the platform's list does.
+func NewBoxInfo(hall string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
 	return wire.BoxInfo{
 		Name: fmt.Sprintf("%s-box-%02d", hall, number+1), Hall: hall, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
 		Address: address, Slots: fleet.BoxSlots,
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -116,7 +116,7 @@
 	for _, hall := range fleet.Halls {
 		for number := range hall.Boxes {
 			address := netip.AddrPortFrom(first.Addr(), first.Port()+uint16(len(boxes)))
-			boxes = append(boxes, BoxOf(hall.Name, number, fleet, address.String()))
+			boxes = append(boxes, NewBoxInfo(hall.Name, number, fleet, address.String()))
 		}
 	}
 	return boxes, nil
