--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return fmt.Errorf("listen at %s: %w", fleet.Platform, err)
 			}
-			boxes, err := trial.Boxes(fleet)
+			boxes, err := trial.EndpointBoxes(fleet)
 			if err != nil {
 				return err
 			}
@@ -93,7 +93,7 @@
 			if err := readSettings(check.Fleet, args[0], &fleet); err != nil {
 				return err
 			}
-			boxes, err := trial.Boxes(fleet)
+			boxes, err := trial.EndpointBoxes(fleet)
 			if err != nil {
 				return err
 			}
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -106,8 +106,8 @@
 	)
 }
 
-// Boxes describes the endpoint boxes of a fleet, on consecutive ports.
-func Boxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
+// EndpointBoxes describes the endpoint boxes of a fleet, on consecutive ports.
+func EndpointBoxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
 	first, err := netip.ParseAddrPort(fleet.Endpoints)
 	if err != nil {
 		return nil, fmt.Errorf("address of the first endpoint: %w", err)
