--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -44,7 +44,7 @@
 // Run measures both users' fleets and one of the given sizes.
 func Run(ctx context.Context, clock damsonwinch.Clock, sizes Sizes) ([]Result, error) {
 	var results []Result
-	for _, name := range append(trial.Users(), twoYears) {
+	for _, name := range append(trial.UserNames(), twoYears) {
 		if ctx.Err() != nil {
 			return results, ctx.Err()
 		}
--- a/pkg/planbench/month_test.go
+++ b/pkg/planbench/month_test.go
@@ -14,7 +14,7 @@
 // TestAMonthKeepsItsBudgetsAndBounds plays both users' months. The counts are
 // of decisions and don't depend on the machine.
 func TestAMonthKeepsItsBudgetsAndBounds(t *testing.T) {
-	for _, name := range trial.Users() {
+	for _, name := range trial.UserNames() {
 		t.Run(name, func(t *testing.T) {
 			boxes, table, err := UserFleet(name)
 			assert.NilError(t, err)
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -23,8 +23,8 @@
 	Podkarpacie = "podkarpacie"
 )
 
-// Users returns the names that NewUser knows.
-func Users() []string {
+// UserNames returns the names that NewUser knows.
+func UserNames() []string {
 	return []string{Lisbon, Podkarpacie}
 }
 
@@ -36,7 +36,7 @@
 	case Podkarpacie:
 		return User{Name: name, Fleet: fleet(hall("debica", 17, 2), hall("krosno", 17, 2), hall("rzeszow", 16, 2)), Table: podkarpacieTable()}, nil
 	}
-	return User{}, fmt.Errorf("unknown users %q; allowed: %v", name, Users())
+	return User{}, fmt.Errorf("unknown users %q; allowed: %v", name, UserNames())
 }
 
 const (
