--- a/pkg/loadtest/cost_test.go
+++ b/pkg/loadtest/cost_test.go
@@ -21,7 +21,7 @@
 	logger.SetOutput(io.Discard)
 	user, err := fleetUser()
 	assert.NilError(b, err)
-	cluster, err := trial.StartFormed(context.Background(), user, 1, logger)
+	cluster, err := trial.StartReady(context.Background(), user, 1, logger)
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, cluster.Close()) }()
 	gateway, err := startPlain(cluster)
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return report, err
 	}
-	cluster, err := trial.StartFormed(ctx, user, options.Seed, options.Logger)
+	cluster, err := trial.StartReady(ctx, user, options.Seed, options.Logger)
 	if err != nil {
 		return report, err
 	}
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -122,9 +122,9 @@
 	return operator.New(address, r.cluster.Network.Dialer(callerHall), r.cluster.clock, empty, author), nil
 }
 
-// StartFormed starts a fleet and returns once its table is in force and its
+// StartReady starts a fleet and returns once its table is in force and its
 // pools are formed.
-func StartFormed(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
+func StartReady(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	cluster, err := NewCluster(user, seed, logger)
 	if err != nil {
 		return nil, err
