--- a/pkg/command/trial.go
+++ b/pkg/command/trial.go
@@ -47,8 +47,8 @@
 			if err := report.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if report.Harm() > 0 {
-				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d counts of harm", report.Harm())}
+			if report.TotalViolations() > 0 {
+				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d counts of harm", report.TotalViolations())}
 			}
 			return nil
 		},
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -61,7 +61,7 @@
 	load.stop()
 	report := s.run.report()
 	report.BelowFloor = 0
-	assert.Equal(t, report.Harm(), 0, "seed %d: %+v", seed, report)
+	assert.Equal(t, report.TotalViolations(), 0, "seed %d: %+v", seed, report)
 	assert.Assert(t, report.Answered > report.Requests/2, "seed %d: %+v", seed, report)
 }
 
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -26,7 +26,7 @@
 	BelowFloor        int    `json:"below_floor"`
 	ConfigReverted    int    `json:"config_reverted"`
 	SentToLeaving     int    `json:"sent_to_leaving"`
-	Violations        int    `json:"violations"`
+	ReportedViolations        int    `json:"violations"`
 	BoxesMoved        int    `json:"boxes_moved"`
 	BoxesMaintained   int    `json:"boxes_maintained"`
 	TableRolloutMsMax int    `json:"table_rollout_ms_max"`
@@ -36,10 +36,10 @@
 	reasons map[string]int
 }
 
-// Harm counts everything that must never happen.
-func (r Report) Harm() int {
+// TotalViolations counts everything that must never happen.
+func (r Report) TotalViolations() int {
 	return r.RunTwice + r.NotRunButRan + r.WrongAnswer + r.CutInFlight + r.PoolOverlap + r.BelowFloor + r.ConfigReverted +
-		r.SentToLeaving + r.Violations
+		r.SentToLeaving + r.ReportedViolations
 }
 
 // report compares the books.
@@ -54,7 +54,7 @@
 		TableRolloutMsMax: int(o.rolloutMax.Milliseconds()), LogAppends: r.cluster.Platform.Log.Appends(), reasons: map[string]int{},
 	}
 	for _, count := range r.cluster.breaches() {
-		report.Violations += count
+		report.ReportedViolations += count
 	}
 	report.details = r.cluster.harm.details
 	if r.callers != nil {
@@ -100,7 +100,7 @@
 		fmt.Sprintf("fleet      %d boxes moved between pools, %d maintained", r.BoxesMoved, r.BoxesMaintained),
 		fmt.Sprintf("table      in force everywhere within %d ms", r.TableRolloutMsMax),
 		fmt.Sprintf("log        %d appends", r.LogAppends),
-		fmt.Sprintf("harm       %d", r.Harm()),
+		fmt.Sprintf("harm       %d", r.TotalViolations()),
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.reasons)) {
 		lines = append(lines, fmt.Sprintf("           %d times %s", r.reasons[reason], reason))
