--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -17,7 +17,7 @@
 // addSizes lets the user name the size of the large fleet: the users' letters
 // may change it.
 func addSizes(cmd *cobra.Command, sizes *planbench.Sizes) {
-	*sizes = planbench.TwoYears()
+	*sizes = planbench.SizesInTwoYears()
 	cmd.Flags().IntVar(&sizes.Boxes, "boxes", sizes.Boxes, "boxes of the large fleet")
 	cmd.Flags().IntVar(&sizes.Pools, "pools", sizes.Pools, "pools of the large fleet")
 	cmd.Flags().IntVar(&sizes.Halls, "halls", sizes.Halls, "halls of the large fleet")
@@ -90,7 +90,7 @@
 func trialSlopes() *cobra.Command {
 	var sizes planbench.Sizes
 	var markdown bool
-	demand := capacity.Letter(planbench.TwoYears())
+	demand := capacity.Letter(planbench.SizesInTwoYears())
 	cmd := &cobra.Command{
 		Use:   "slopes",
 		Short: "Measure what each part costs a box, and work out the capacity page",
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -27,9 +27,9 @@
 	Teams int
 }
 
-// TwoYears is the size that the users' first letter names. It doesn't give the
+// SizesInTwoYears is the size that the users' first letter names. It doesn't give the
 // number of entry boxes: twelve a hall is our assumption.
-func TwoYears() Sizes {
+func SizesInTwoYears() Sizes {
 	return Sizes{Boxes: 5800, Pools: 45, Halls: 8, RackBoxes: 4, BoxSlots: 8, Entries: 96, Teams: 4}
 }
 
--- a/pkg/planbench/month_test.go
+++ b/pkg/planbench/month_test.go
@@ -71,7 +71,7 @@
 
 // fleetOf returns a settled fleet of a size.
 func fleetOf(b *testing.B, boxes int) *bench {
-	sizes := TwoYears()
+	sizes := SizesInTwoYears()
 	sizes.Boxes, sizes.Pools = boxes, max(2, sizes.Pools*boxes/sizes.Boxes)
 	infos, table := LargeFleet(sizes)
 	made, err := newBench(plan.New)
