--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	note(slopeSnapshot, kilobytes(snapshot))
-	empty, err := planbench.EmptyState()
+	empty, err := planbench.InitialState()
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 		batch := renewal(int(count), false)
 		text, _ := json.Marshal(batch)
 		bytes = append(bytes, float64(len(text)))
-		empty, err := planbench.EmptyState()
+		empty, err := planbench.InitialState()
 		if err != nil {
 			return nil
 		}
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -170,8 +170,8 @@
 	return &Fleet{bench: b}, b.start(boxes, table)
 }
 
-// EmptyState returns the state before the first record.
-func EmptyState() (fold.State, error) {
+// InitialState returns the state before the first record.
+func InitialState() (fold.State, error) {
 	return process.Empty()
 }
 
