--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -108,8 +108,8 @@
 		return err
 	}
 	note := func(name string, value float64) { into[name] = append(into[name], value) }
-	note(slopeFull, planbench.MedianMs(clock, fleet.Plan))
-	fleet.Settle()
+	note(slopeFull, planbench.MedianMs(clock, fleet.MakePlan))
+	fleet.PlanUntilStable()
 	note(slopeMemory, (heap()-before)/mega)
 	snapshot, err := fleet.State().Snapshot()
 	if err != nil {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	note(slopePlan, planbench.MedianMs(clock, fleet.Plan))
+	note(slopePlan, planbench.MedianMs(clock, fleet.MakePlan))
 	note(slopeScan, planbench.MedianMs(clock, func() { fleet.State().Boxes() }))
 	note(slopeFold, foldTime(clock, fleet.State(), boxRecord(fleet.State())))
 	note(slopeList, kilobytes(listOf(fleet.State())))
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -180,12 +180,12 @@
 	return f.bench.state
 }
 
-// Plan makes a plan and drops it.
-func (f *Fleet) Plan() {
+// MakePlan makes a plan and drops it.
+func (f *Fleet) MakePlan() {
 	plan.New(f.bench.state, plan.Options{})
 }
 
-// Settle carries plans out until there is nothing left to do.
-func (f *Fleet) Settle() {
+// PlanUntilStable carries plans out until there is nothing left to do.
+func (f *Fleet) PlanUntilStable() {
 	f.bench.settle(mostRounds)
 }
