--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -135,7 +135,7 @@
 	_, _ = fmt.Fprintln(out, "fleet\tmoves\tbaseline\tbound\trounds\tbaseline\tbound\tspare\tbaseline\tbound\tplan ms\tafter an edit\tMB")
 	for _, r := range results {
 		_, _ = fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\n", r.Fleet, r.Moves, r.MovesBaseline, r.MovesBound,
-			r.RolloutRounds, r.RolloutBaseline, r.RolloutBound, r.Spare, r.SpareBaseline, r.SpareBound, r.PlanMs, r.IncrementalMs, r.PeakMb)
+			r.RolloutRounds, r.RolloutBaseline, r.RolloutBound, r.Spare, r.SpareBaseline, r.SpareBound, r.PlanMs, r.IncrementalMs, r.HeapGrowthMb)
 	}
 	if err := out.Flush(); err != nil {
 		return err
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -29,7 +29,7 @@
 	SpareBound      int     `json:"spare_bound"`
 	PlanMs          float64 `json:"plan_ms"`
 	IncrementalMs   float64 `json:"incremental_ms"`
-	PeakMb          float64 `json:"peak_mb"`
+	HeapGrowthMb          float64 `json:"peak_mb"`
 	BrokenBudgets   int     `json:"broken_budgets"`
 }
 
@@ -264,7 +264,7 @@
 	}
 	result.PlanMs = MedianMs(clock, func() { plan.New(b.state, plan.Options{}) })
 	runtime.ReadMemStats(&after)
-	result.PeakMb = float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc)) / (1 << 20)
+	result.HeapGrowthMb = float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc)) / (1 << 20)
 	b.settle(mostRounds)
 	if err := b.edit(func(wanted *settings.Table) { wanted.Services[0].Row.Floor += b.boxSlots() }); err != nil {
 		return err
