--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			for _, goal := range report.Verdicts {
+			for _, goal := range report.GoalResults {
 				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%-60s %8.3f measured %8.3f met %v\n", goal.Goal, goal.Limit, goal.Measured, goal.Met)
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(line))
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -59,7 +59,7 @@
 	ServiceMs   int           `json:"service_ms"`
 	Cost        Cost          `json:"cost"`
 	Phases      []PhaseResult `json:"phases"`
-	Verdicts    []Verdict     `json:"goals"`
+	GoalResults    []Verdict     `json:"goals"`
 }
 
 // Verdict is one goal and what was measured.
@@ -215,7 +215,7 @@
 	if atLeast {
 		met = measured >= limit
 	}
-	r.Verdicts = append(r.Verdicts, Verdict{Goal: goal, Limit: limit, Measured: measured, Met: met})
+	r.GoalResults = append(r.GoalResults, Verdict{Goal: goal, Limit: limit, Measured: measured, Met: met})
 }
 
 // phase returns damsonwinch's part of a phase.
