--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -26,8 +26,8 @@
 	PlainRatio float64 `json:"plain_ratio"`
 	// AddedUs is the median latency that an entry adds, in microseconds.
 	AddedUs float64 `json:"added_us"`
-	// IdleUs is the processor time a second of all processes without a request.
-	IdleUs float64 `json:"idle_us_per_second"`
+	// IdleUsPerSecond is the processor time a second of all processes without a request.
+	IdleUsPerSecond float64 `json:"idle_us_per_second"`
 }
 
 const (
@@ -61,7 +61,7 @@
 	direct, through, plainCost := middle(costs[0]), middle(costs[1]), middle(costs[2])
 	return Cost{
 		DirectUs: direct, ThroughUs: through, Ratio: through / direct, PlainRatio: plainCost / direct,
-		AddedUs: middle(latencies[1]) - middle(latencies[0]), IdleUs: idlePerSecond,
+		AddedUs: middle(latencies[1]) - middle(latencies[0]), IdleUsPerSecond: idlePerSecond,
 	}, nil
 }
 
