--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -37,15 +37,15 @@
 	ListS       float64 `json:"list_s"`
 }
 
-// Letter is the demand of the users' first letter at two years.
-func Letter(sizes planbench.Sizes) Demand {
+// DemandInTwoYears is the demand of the users' first letter at two years.
+func DemandInTwoYears(sizes planbench.Sizes) Demand {
 	return Demand{
 		Sizes: sizes, EditsADay: 14_000, RestartsADay: 780, FailuresADay: 37, MaintainDays: 42, MovesADay: 200, KeysASecond: 5, RenewS: 4, ListS: 0.5,
 	}
 }
 
-// Today is the demand of a user today; what the brief doesn't say is assumed.
-func Today(boxes, halls int) Demand {
+// DemandToday is the demand of a user today; what the brief doesn't say is assumed.
+func DemandToday(boxes, halls int) Demand {
 	sizes := planbench.Sizes{Boxes: boxes, Pools: 3, Halls: halls, RackBoxes: 4, BoxSlots: 8, Entries: 6, Teams: 4}
 	return Demand{Sizes: sizes, EditsADay: 20, RestartsADay: 7, FailuresADay: 1, MaintainDays: 42, MovesADay: 5, KeysASecond: 1, RenewS: 4, ListS: 0.5}
 }
@@ -89,7 +89,7 @@
 		b[slope.Name] = slope
 	}
 	const lisbonHalls, podkaHalls, usersBoxes = 4, 3, 50
-	demands := [3]Demand{Today(usersBoxes, lisbonHalls), Today(usersBoxes, podkaHalls), two}
+	demands := [3]Demand{DemandToday(usersBoxes, lisbonHalls), DemandToday(usersBoxes, podkaHalls), two}
 	rows := append(stateRows(b), messageRows(b)...)
 	rows = append(rows, workRows(b)...)
 	made := make([]Row, 0, len(rows))
--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -90,7 +90,7 @@
 func trialSlopes() *cobra.Command {
 	var sizes planbench.Sizes
 	var markdown bool
-	demand := capacity.Letter(planbench.SizesInTwoYears())
+	demand := capacity.DemandInTwoYears(planbench.SizesInTwoYears())
 	cmd := &cobra.Command{
 		Use:   "slopes",
 		Short: "Measure what each part costs a box, and work out the capacity page",
