--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -24,30 +24,30 @@
 // Demand is what happens to a fleet of a size.
 type Demand struct {
 	Sizes        planbench.Sizes `json:"sizes"`
-	EditsADay    float64         `json:"edits_a_day"`
-	RestartsADay float64         `json:"restarts_a_day"`
-	FailuresADay float64         `json:"failures_a_day"`
+	EditsPerDay    float64         `json:"edits_a_day"`
+	RestartsPerDay float64         `json:"restarts_a_day"`
+	FailuresPerDay float64         `json:"failures_a_day"`
 	// MaintainDays is the time in which every box is maintained once.
 	MaintainDays float64 `json:"maintain_days"`
-	// MovesADay is our assumption; the letter gives none.
-	MovesADay float64 `json:"moves_a_day"`
-	// KeysASecond is our assumption of requests with an idempotency key.
-	KeysASecond float64 `json:"keys_a_second"`
-	RenewS      float64 `json:"renew_s"`
-	ListS       float64 `json:"list_s"`
+	// MovesPerDay is our assumption; the letter gives none.
+	MovesPerDay float64 `json:"moves_a_day"`
+	// KeysPerSecond is our assumption of requests with an idempotency key.
+	KeysPerSecond float64 `json:"keys_a_second"`
+	RenewIntervalS      float64 `json:"renew_s"`
+	ListIntervalS       float64 `json:"list_s"`
 }
 
 // DemandInTwoYears is the demand of the users' first letter at two years.
 func DemandInTwoYears(sizes planbench.Sizes) Demand {
 	return Demand{
-		Sizes: sizes, EditsADay: 14_000, RestartsADay: 780, FailuresADay: 37, MaintainDays: 42, MovesADay: 200, KeysASecond: 5, RenewS: 4, ListS: 0.5,
+		Sizes: sizes, EditsPerDay: 14_000, RestartsPerDay: 780, FailuresPerDay: 37, MaintainDays: 42, MovesPerDay: 200, KeysPerSecond: 5, RenewIntervalS: 4, ListIntervalS: 0.5,
 	}
 }
 
 // DemandToday is the demand of a user today; what the brief doesn't say is assumed.
 func DemandToday(boxes, halls int) Demand {
 	sizes := planbench.Sizes{Boxes: boxes, Pools: 3, Halls: halls, RackBoxes: 4, BoxSlots: 8, Entries: 6, Teams: 4}
-	return Demand{Sizes: sizes, EditsADay: 20, RestartsADay: 7, FailuresADay: 1, MaintainDays: 42, MovesADay: 5, KeysASecond: 1, RenewS: 4, ListS: 0.5}
+	return Demand{Sizes: sizes, EditsPerDay: 20, RestartsPerDay: 7, FailuresPerDay: 1, MaintainDays: 42, MovesPerDay: 5, KeysPerSecond: 1, RenewIntervalS: 4, ListIntervalS: 0.5}
 }
 
 // Limits of the letter.
--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -38,14 +38,14 @@
 }
 
 // Records a second of each cause.
-func (d Demand) editRecords() float64 { return d.EditsADay / secondsADay }
+func (d Demand) editRecords() float64 { return d.EditsPerDay / secondsADay }
 
-func (d Demand) failureRecords() float64 { return d.FailuresADay * 2 * recordsAMove / secondsADay }
+func (d Demand) failureRecords() float64 { return d.FailuresPerDay * 2 * recordsAMove / secondsADay }
 
-func (d Demand) restartRecords() float64 { return d.RestartsADay * recordsARestart / secondsADay }
+func (d Demand) restartRecords() float64 { return d.RestartsPerDay * recordsARestart / secondsADay }
 
 func (d Demand) moveRecords() float64 {
-	return (d.MovesADay*recordsAMove + float64(d.Sizes.Boxes)/d.MaintainDays*recordsAMaintenance) / secondsADay
+	return (d.MovesPerDay*recordsAMove + float64(d.Sizes.Boxes)/d.MaintainDays*recordsAMaintenance) / secondsADay
 }
 
 // records are the records a second other than renewals and claims.
@@ -55,7 +55,7 @@
 
 // renewals are the renewal records a second, one a hall and interval.
 func (d Demand) renewals() float64 {
-	return float64(d.Sizes.Halls) / d.RenewS
+	return float64(d.Sizes.Halls) / d.RenewIntervalS
 }
 
 func (d Demand) membersAHall() float64 {
@@ -67,7 +67,7 @@
 		return d.renewals() * b.at(slopeRenewBytes, d.membersAHall()) / bytesAKilobyte
 	}
 	otherBytes := func(d Demand) float64 { return d.records() * boxRecordBytes / bytesAKilobyte }
-	claimBytes := func(d Demand) float64 { return d.KeysASecond * b.at(slopeClaimBytes, 1) / bytesAKilobyte }
+	claimBytes := func(d Demand) float64 { return d.KeysPerSecond * b.at(slopeClaimBytes, 1) / bytesAKilobyte }
 	return []rule{
 		{Row: Row{Role: "keeper", Cause: "renewals read", Formula: "halls / renew x renewal(members a hall)", Unit: "KB/s", Limit: limitBytes, Mechanism: "one writer a hall, pkg/keeper/members.go"}, value: renewBytes},
 		causeRow("table edits read", "edits x 330 B", "cells, not tables, pkg/table/edit.go", Demand.editRecords),
@@ -87,23 +87,23 @@
 		{Row: Row{Role: "keeper", Cause: "readings of the platform's list", Formula: "unchanged 0.2 KB / interval + changes x list(boxes / halls)", Unit: "KB/s", Limit: limitBytes, Mechanism: "a hall's list with its tag, sent only when changed, pkg/platform/platform.go"},
 			value: func(d Demand) float64 {
 				const unchangedKB, changesEach = 0.2, 2
-				changes := changesEach * (d.RestartsADay + d.FailuresADay) / secondsADay / float64(d.Sizes.Halls)
-				return unchangedKB/d.ListS + changes*b.at(slopeList, float64(d.Sizes.Boxes)/float64(d.Sizes.Halls))
+				changes := changesEach * (d.RestartsPerDay + d.FailuresPerDay) / secondsADay / float64(d.Sizes.Halls)
+				return unchangedKB/d.ListIntervalS + changes*b.at(slopeList, float64(d.Sizes.Boxes)/float64(d.Sizes.Halls))
 			}},
 		{Row: Row{Role: "node", Cause: "start-up from a peer's snapshot, averaged over all nodes", Formula: "restarts x 2 snapshots / nodes", Unit: "KB/s", Limit: limitBytes, Mechanism: "pkg/keeper/relay.go"},
 			value: func(d Demand) float64 {
-				return d.RestartsADay * 2 * b.at(slopeSnapshot, float64(d.Sizes.Boxes)) / secondsADay / float64(d.Sizes.Entries)
+				return d.RestartsPerDay * 2 * b.at(slopeSnapshot, float64(d.Sizes.Boxes)) / secondsADay / float64(d.Sizes.Entries)
 			}},
 		{Row: Row{Role: "log streams", Cause: "appends for everybody", Formula: "renewals + records + claims' batches", Unit: "1/s", Limit: limitAppends, Mechanism: "one append carries all, pkg/keeper/outbox.go; claims are spaced by the number of entries, pkg/claim/claim.go"},
 			value: func(d Demand) float64 {
-				return d.renewals() + d.records() + math.Min(2*d.KeysASecond, 50)
+				return d.renewals() + d.records() + math.Min(2*d.KeysPerSecond, 50)
 			}},
 	}
 }
 
 func workRows(b book) []rule {
 	const scansAPlan = 6 // Passes over all boxes by hall and fleet work.
-	plans := func(d Demand) float64 { return d.records() + 1/(2*d.RenewS) }
+	plans := func(d Demand) float64 { return d.records() + 1/(2*d.RenewIntervalS) }
 	folds := func(d Demand) float64 {
 		us := d.records()*b.at(slopeFold, float64(d.Sizes.Boxes)) + d.renewals()*b.at(slopeRenewFold, d.membersAHall())
 		return us / usAMillisecond * perCent
--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -118,14 +118,14 @@
 	addSizes(cmd, &sizes)
 	flags := cmd.Flags()
 	flags.BoolVar(&markdown, "markdown", false, "print the tables of the capacity page")
-	flags.Float64Var(&demand.EditsADay, "edits-a-day", demand.EditsADay, "changes of configuration a day")
-	flags.Float64Var(&demand.RestartsADay, "restarts-a-day", demand.RestartsADay, "boxes restarted or replaced a day")
-	flags.Float64Var(&demand.FailuresADay, "failures-a-day", demand.FailuresADay, "boxes that fail a day")
+	flags.Float64Var(&demand.EditsPerDay, "edits-a-day", demand.EditsPerDay, "changes of configuration a day")
+	flags.Float64Var(&demand.RestartsPerDay, "restarts-a-day", demand.RestartsPerDay, "boxes restarted or replaced a day")
+	flags.Float64Var(&demand.FailuresPerDay, "failures-a-day", demand.FailuresPerDay, "boxes that fail a day")
 	flags.Float64Var(&demand.MaintainDays, "maintain-days", demand.MaintainDays, "days in which every box is maintained once")
-	flags.Float64Var(&demand.MovesADay, "moves-a-day", demand.MovesADay, "boxes moved between pools a day")
-	flags.Float64Var(&demand.KeysASecond, "keys-a-second", demand.KeysASecond, "requests with an idempotency key a second")
-	flags.Float64Var(&demand.RenewS, "renew-s", demand.RenewS, "seconds between a hall's renewals")
-	flags.Float64Var(&demand.ListS, "list-s", demand.ListS, "seconds between readings of the list")
+	flags.Float64Var(&demand.MovesPerDay, "moves-a-day", demand.MovesPerDay, "boxes moved between pools a day")
+	flags.Float64Var(&demand.KeysPerSecond, "keys-a-second", demand.KeysPerSecond, "requests with an idempotency key a second")
+	flags.Float64Var(&demand.RenewIntervalS, "renew-s", demand.RenewIntervalS, "seconds between a hall's renewals")
+	flags.Float64Var(&demand.ListIntervalS, "list-s", demand.ListIntervalS, "seconds between readings of the list")
 	return cmd
 }
 
