--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -14,7 +14,7 @@
 	Formula   string  `json:"formula"`
 	Unit      string  `json:"unit"`
 	Lisbon    float64 `json:"lisbon"`
-	Podka     float64 `json:"podkarpacie"`
+	Podkarpacie     float64 `json:"podkarpacie"`
 	TwoYears  float64 `json:"two_years"`
 	Limit     float64 `json:"limit"`
 	Verdict   string  `json:"verdict"`
@@ -109,7 +109,7 @@
 
 func (r rule) row(demands [3]Demand) Row {
 	row := r.Row
-	row.Lisbon, row.Podka, row.TwoYears = r.value(demands[0]), r.value(demands[1]), r.value(demands[2])
+	row.Lisbon, row.Podkarpacie, row.TwoYears = r.value(demands[0]), r.value(demands[1]), r.value(demands[2])
 	switch {
 	case r.note != "":
 		row.Verdict = r.note
@@ -137,7 +137,7 @@
 			limit = fmt.Sprintf("%.4g %s", r.Limit, r.Unit)
 		}
 		fmt.Fprintf(&text, "| %s | %s | %s | %.3g %s | %.3g %s | %.3g %s | %s | %s | %s |\n", r.Role, r.Cause, r.Formula,
-			r.Lisbon, r.Unit, r.Podka, r.Unit, r.TwoYears, r.Unit, limit, r.Verdict, r.Mechanism)
+			r.Lisbon, r.Unit, r.Podkarpacie, r.Unit, r.TwoYears, r.Unit, limit, r.Verdict, r.Mechanism)
 	}
 	return text.String()
 }
