--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -59,11 +59,11 @@
 	ServiceMs   int           `json:"service_ms"`
 	Cost        Cost          `json:"cost"`
 	Phases      []PhaseResult `json:"phases"`
-	GoalResults    []Verdict     `json:"goals"`
+	GoalResults    []GoalResult     `json:"goals"`
 }
 
-// Verdict is one goal and what was measured.
-type Verdict struct {
+// GoalResult is one goal and what was measured.
+type GoalResult struct {
 	Goal     string  `json:"goal"`
 	Limit    float64 `json:"limit"`
 	Measured float64 `json:"measured"`
@@ -215,7 +215,7 @@
 	if atLeast {
 		met = measured >= limit
 	}
-	r.GoalResults = append(r.GoalResults, Verdict{Goal: goal, Limit: limit, Measured: measured, Met: met})
+	r.GoalResults = append(r.GoalResults, GoalResult{Goal: goal, Limit: limit, Measured: measured, Met: met})
 }
 
 // phase returns damsonwinch's part of a phase.
