--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -20,7 +20,7 @@
 	// DirectUs is the processor time of a direct call, caller and endpoint
 	// together, in microseconds; ThroughUs the same through an entry.
 	DirectUs  float64 `json:"direct_us"`
-	ThroughUs float64 `json:"through_us"`
+	EntryUs float64 `json:"through_us"`
 	// Ratio is ThroughUs over DirectUs, PlainRatio the same for the plain gateway.
 	Ratio      float64 `json:"ratio"`
 	PlainRatio float64 `json:"plain_ratio"`
@@ -60,7 +60,7 @@
 	}
 	direct, through, plainCost := middle(costs[0]), middle(costs[1]), middle(costs[2])
 	return Cost{
-		DirectUs: direct, ThroughUs: through, Ratio: through / direct, PlainRatio: plainCost / direct,
+		DirectUs: direct, EntryUs: through, Ratio: through / direct, PlainRatio: plainCost / direct,
 		AddedUs: middle(latencies[1]) - middle(latencies[0]), IdleUsPerSecond: idlePerSecond,
 	}, nil
 }
