--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -9,21 +9,21 @@
 
 // Row is what one cause costs one role.
 type Row struct {
-	Role      string  `json:"role"`
-	Cause     string  `json:"cause"`
-	Formula   string  `json:"formula"`
-	Unit      string  `json:"unit"`
-	Lisbon    float64 `json:"lisbon"`
-	Podkarpacie     float64 `json:"podkarpacie"`
-	TwoYears  float64 `json:"two_years"`
-	Limit     float64 `json:"limit"`
-	Verdict   string  `json:"verdict"`
-	Mechanism string  `json:"mechanism"`
+	Role        string  `json:"role"`
+	Cause       string  `json:"cause"`
+	Formula     string  `json:"formula"`
+	Unit        string  `json:"unit"`
+	Lisbon      float64 `json:"lisbon"`
+	Podkarpacie float64 `json:"podkarpacie"`
+	TwoYears    float64 `json:"two_years"`
+	Limit       float64 `json:"limit"`
+	Verdict     string  `json:"verdict"`
+	Mechanism   string  `json:"mechanism"`
 }
 
 // Demand is what happens to a fleet of a size.
 type Demand struct {
-	Sizes        planbench.Sizes `json:"sizes"`
+	Sizes          planbench.Sizes `json:"sizes"`
 	EditsPerDay    float64         `json:"edits_a_day"`
 	RestartsPerDay float64         `json:"restarts_a_day"`
 	FailuresPerDay float64         `json:"failures_a_day"`
@@ -32,9 +32,9 @@
 	// MovesPerDay is our assumption; the letter gives none.
 	MovesPerDay float64 `json:"moves_a_day"`
 	// KeysPerSecond is our assumption of requests with an idempotency key.
-	KeysPerSecond float64 `json:"keys_a_second"`
-	RenewIntervalS      float64 `json:"renew_s"`
-	ListIntervalS       float64 `json:"list_s"`
+	KeysPerSecond  float64 `json:"keys_a_second"`
+	RenewIntervalS float64 `json:"renew_s"`
+	ListIntervalS  float64 `json:"list_s"`
 }
 
 // DemandInTwoYears is the demand of the users' first letter at two years.
--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -19,8 +19,8 @@
 type Cost struct {
 	// DirectUs is the processor time of a direct call, caller and endpoint
 	// together, in microseconds; ThroughUs the same through an entry.
-	DirectUs  float64 `json:"direct_us"`
-	EntryUs float64 `json:"through_us"`
+	DirectUs float64 `json:"direct_us"`
+	EntryUs  float64 `json:"through_us"`
 	// Ratio is ThroughUs over DirectUs, PlainRatio the same for the plain gateway.
 	Ratio      float64 `json:"ratio"`
 	PlainRatio float64 `json:"plain_ratio"`
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -59,7 +59,7 @@
 	ServiceMs   int           `json:"service_ms"`
 	Cost        Cost          `json:"cost"`
 	Phases      []PhaseResult `json:"phases"`
-	GoalResults    []GoalResult     `json:"goals"`
+	GoalResults []GoalResult  `json:"goals"`
 }
 
 // GoalResult is one goal and what was measured.
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -29,7 +29,7 @@
 	SpareBound      int     `json:"spare_bound"`
 	PlanMs          float64 `json:"plan_ms"`
 	IncrementalMs   float64 `json:"incremental_ms"`
-	HeapGrowthMb          float64 `json:"peak_mb"`
+	HeapGrowthMb    float64 `json:"peak_mb"`
 	BrokenBudgets   int     `json:"broken_budgets"`
 }
 
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -12,25 +12,25 @@
 // Report is what a run came to. The counts of harm come from the endpoints' and
 // the callers' own books.
 type Report struct {
-	Users             string `json:"users"`
-	Seed              uint64 `json:"seed"`
-	Requests          int    `json:"requests"`
-	Answered          int    `json:"answered"`
-	NotRun            int    `json:"not_run"`
-	Unknown           int    `json:"unknown"`
-	RunTwice          int    `json:"run_twice"`
-	NotRunButRan      int    `json:"not_run_but_ran"`
-	WrongAnswer       int    `json:"wrong_answer"`
-	CutInFlight       int    `json:"cut_in_flight"`
-	PoolOverlap       int    `json:"pool_overlap"`
-	BelowFloor        int    `json:"below_floor"`
-	ConfigReverted    int    `json:"config_reverted"`
-	SentToLeaving     int    `json:"sent_to_leaving"`
-	ReportedViolations        int    `json:"violations"`
-	BoxesMoved        int    `json:"boxes_moved"`
-	BoxesMaintained   int    `json:"boxes_maintained"`
-	TableRolloutMsMax int    `json:"table_rollout_ms_max"`
-	LogAppends        int    `json:"log_appends"`
+	Users              string `json:"users"`
+	Seed               uint64 `json:"seed"`
+	Requests           int    `json:"requests"`
+	Answered           int    `json:"answered"`
+	NotRun             int    `json:"not_run"`
+	Unknown            int    `json:"unknown"`
+	RunTwice           int    `json:"run_twice"`
+	NotRunButRan       int    `json:"not_run_but_ran"`
+	WrongAnswer        int    `json:"wrong_answer"`
+	CutInFlight        int    `json:"cut_in_flight"`
+	PoolOverlap        int    `json:"pool_overlap"`
+	BelowFloor         int    `json:"below_floor"`
+	ConfigReverted     int    `json:"config_reverted"`
+	SentToLeaving      int    `json:"sent_to_leaving"`
+	ReportedViolations int    `json:"violations"`
+	BoxesMoved         int    `json:"boxes_moved"`
+	BoxesMaintained    int    `json:"boxes_maintained"`
+	TableRolloutMsMax  int    `json:"table_rollout_ms_max"`
+	LogAppends         int    `json:"log_appends"`
 
 	details []string
 	reasons map[string]int
