--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -17,7 +17,7 @@
 // addSizeFlags sets sizes to those of the large fleet and adds flags to change them, since the users'
 // requirements may change.
 func addSizeFlags(cmd *cobra.Command, sizes *planbench.Sizes) {
-	*sizes = planbench.TwoYears()
+	*sizes = planbench.SizesInTwoYears()
 	cmd.Flags().IntVar(&sizes.Boxes, "boxes", sizes.Boxes, "boxes of the large fleet")
 	cmd.Flags().IntVar(&sizes.Pools, "pools", sizes.Pools, "pools of the large fleet")
 	cmd.Flags().IntVar(&sizes.Halls, "halls", sizes.Halls, "halls of the large fleet")
@@ -68,7 +68,7 @@
 			if err != nil {
 				return err
 			}
-			for _, goal := range report.Verdicts {
+			for _, goal := range report.GoalResults {
 				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%-60s %8.3f measured %8.3f met %v\n", goal.Goal, goal.Limit, goal.Measured, goal.Met)
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(line))
@@ -91,7 +91,7 @@
 func trialSlopes() *cobra.Command {
 	var sizes planbench.Sizes
 	var markdown bool
-	demand := capacity.Letter(planbench.TwoYears())
+	demand := capacity.DemandInTwoYears(planbench.SizesInTwoYears())
 	cmd := &cobra.Command{
 		Use:   "slopes",
 		Short: "Measure what each part costs a box, and compute the tables of the capacity page",
@@ -119,14 +119,14 @@
 	addSizeFlags(cmd, &sizes)
 	flags := cmd.Flags()
 	flags.BoolVar(&markdown, "markdown", false, "print the tables of the capacity page")
-	flags.Float64Var(&demand.EditsADay, "edits-a-day", demand.EditsADay, "changes of configuration a day")
-	flags.Float64Var(&demand.RestartsADay, "restarts-a-day", demand.RestartsADay, "boxes restarted or replaced a day")
-	flags.Float64Var(&demand.FailuresADay, "failures-a-day", demand.FailuresADay, "boxes that fail a day")
+	flags.Float64Var(&demand.EditsPerDay, "edits-a-day", demand.EditsPerDay, "changes of configuration a day")
+	flags.Float64Var(&demand.RestartsPerDay, "restarts-a-day", demand.RestartsPerDay, "boxes restarted or replaced a day")
+	flags.Float64Var(&demand.FailuresPerDay, "failures-a-day", demand.FailuresPerDay, "boxes that fail a day")
 	flags.Float64Var(&demand.MaintainDays, "maintain-days", demand.MaintainDays, "days in which every box is maintained once")
-	flags.Float64Var(&demand.MovesADay, "moves-a-day", demand.MovesADay, "boxes moved between pools a day")
-	flags.Float64Var(&demand.KeysASecond, "keys-a-second", demand.KeysASecond, "requests with an idempotency key a second")
-	flags.Float64Var(&demand.RenewS, "renew-s", demand.RenewS, "seconds between a hall's renewals")
-	flags.Float64Var(&demand.ListS, "list-s", demand.ListS, "seconds between readings of the list")
+	flags.Float64Var(&demand.MovesPerDay, "moves-a-day", demand.MovesPerDay, "boxes moved between pools a day")
+	flags.Float64Var(&demand.KeysPerSecond, "keys-a-second", demand.KeysPerSecond, "requests with an idempotency key a second")
+	flags.Float64Var(&demand.RenewIntervalS, "renew-s", demand.RenewIntervalS, "seconds between a hall's renewals")
+	flags.Float64Var(&demand.ListIntervalS, "list-s", demand.ListIntervalS, "seconds between readings of the list")
 	return cmd
 }
 
@@ -137,7 +137,7 @@
 	_, _ = fmt.Fprintln(out, "fleet\tmoves\tbaseline\tbound\trounds\tbaseline\tbound\tspare\tbaseline\tbound\tplan ms\tafter an edit\tMB")
 	for _, r := range results {
 		_, _ = fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\n", r.Fleet, r.Moves, r.MovesBaseline, r.MovesBound,
-			r.RolloutRounds, r.RolloutBaseline, r.RolloutBound, r.Spare, r.SpareBaseline, r.SpareBound, r.PlanMs, r.IncrementalMs, r.PeakMb)
+			r.RolloutRounds, r.RolloutBaseline, r.RolloutBound, r.Spare, r.SpareBaseline, r.SpareBound, r.PlanMs, r.IncrementalMs, r.HeapGrowthMb)
 	}
 	if err := out.Flush(); err != nil {
 		return err
--- a/pkg/command/trial.go
+++ b/pkg/command/trial.go
@@ -48,8 +48,8 @@
 			if err := report.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if report.Harm() > 0 {
-				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d violations of invariants", report.Harm())}
+			if report.TotalViolations() > 0 {
+				return &ExitError{Code: ExitViolations, Err: fmt.Errorf("%d violations of invariants", report.TotalViolations())}
 			}
 			return nil
 		},
--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -19,15 +19,15 @@
 type Cost struct {
 	// DirectUs is the processor time of a direct call, caller and endpoint
 	// together, in microseconds; ThroughUs the same through an entry.
-	DirectUs  float64 `json:"direct_us"`
-	ThroughUs float64 `json:"through_us"`
+	DirectUs float64 `json:"direct_us"`
+	EntryUs  float64 `json:"through_us"`
 	// Ratio is ThroughUs over DirectUs, PlainRatio the same for the plain gateway.
 	Ratio      float64 `json:"ratio"`
 	PlainRatio float64 `json:"plain_ratio"`
 	// AddedUs is the median latency that an entry adds, in microseconds.
 	AddedUs float64 `json:"added_us"`
-	// IdleUs is the processor time a second of all processes without a request.
-	IdleUs float64 `json:"idle_us_per_second"`
+	// IdleUsPerSecond is the processor time a second of all processes without a request.
+	IdleUsPerSecond float64 `json:"idle_us_per_second"`
 }
 
 const (
@@ -47,7 +47,7 @@
 		return Cost{}, err
 	}
 	idlePerSecond := idle / idleTime.Seconds()
-	ways := [][]string{{p.boxes[0].address, "/run/"}, {cluster.Open()[0], "/v1/run/"}, {p.address, "/v1/run/"}}
+	ways := [][]string{{p.boxes[0].address, "/run/"}, {cluster.ReadyAddresses()[0], "/v1/run/"}, {p.address, "/v1/run/"}}
 	costs, latencies := make([][]float64, len(ways)), make([][]float64, len(ways))
 	for range costRounds {
 		for i, way := range ways {
@@ -60,8 +60,8 @@
 	}
 	direct, through, plainCost := middle(costs[0]), middle(costs[1]), middle(costs[2])
 	return Cost{
-		DirectUs: direct, ThroughUs: through, Ratio: through / direct, PlainRatio: plainCost / direct,
-		AddedUs: middle(latencies[1]) - middle(latencies[0]), IdleUs: idlePerSecond,
+		DirectUs: direct, EntryUs: through, Ratio: through / direct, PlainRatio: plainCost / direct,
+		AddedUs: middle(latencies[1]) - middle(latencies[0]), IdleUsPerSecond: idlePerSecond,
 	}, nil
 }
 
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -23,8 +23,8 @@
 	Podkarpacie = "podkarpacie"
 )
 
-// Users returns the names that NewUser knows.
-func Users() []string {
+// UserNames returns the names that NewUser knows.
+func UserNames() []string {
 	return []string{Lisbon, Podkarpacie}
 }
 
@@ -36,7 +36,7 @@
 	case Podkarpacie:
 		return User{Name: name, Fleet: fleet(hall("debica", 17, 2), hall("krosno", 17, 2), hall("rzeszow", 16, 2)), Table: podkarpacieTable()}, nil
 	}
-	return User{}, fmt.Errorf("unknown users %q; allowed: %v", name, Users())
+	return User{}, fmt.Errorf("unknown users %q; allowed: %v", name, UserNames())
 }
 
 const (
@@ -106,8 +106,8 @@
 	)
 }
 
-// Boxes describes the endpoint boxes of a fleet, on consecutive ports.
-func Boxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
+// EndpointBoxes describes the endpoint boxes of a fleet, on consecutive ports.
+func EndpointBoxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
 	first, err := netip.ParseAddrPort(fleet.Endpoints)
 	if err != nil {
 		return nil, fmt.Errorf("address of the first endpoint: %w", err)
@@ -116,7 +116,7 @@
 	for _, hall := range fleet.Halls {
 		for number := range hall.Boxes {
 			address := netip.AddrPortFrom(first.Addr(), first.Port()+uint16(len(boxes)))
-			boxes = append(boxes, BoxOf(hall.Name, number, fleet, address.String()))
+			boxes = append(boxes, NewBoxInfo(hall.Name, number, fleet, address.String()))
 		}
 	}
 	return boxes, nil
