--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -110,11 +110,11 @@
 	logger := newLogger(cmd.ErrOrStderr(), logrus.InfoLevel)
 	clock := clockwork.NewRealClock()
 	return process.Env{
-		Clock: clock,
+		Clock:         clock,
 		SuspendedTime: newSuspendedTime(clock, logger),
-		Dial: dial.WithRetry(newDialer().DialContext),
-		Logger: logger,
-		OnViolation: func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
-		Seed: uint64(clock.Now().UnixNano()),
+		Dial:          dial.WithRetry(newDialer().DialContext),
+		Logger:        logger,
+		OnViolation:   func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
+		Seed:          uint64(clock.Now().UnixNano()),
 	}
 }
