--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -53,9 +53,9 @@
 
 func storyOptions() standin.Options {
 	return standin.Options{
-		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: 2}, {Name: "quotes", Boxes: 2}, {Name: "spare", Boxes: 2, Parking: true}},
-		BoxCPU: 8000, BoxMemoryMB: 16000, MoveTime: 300 * time.Millisecond, MaintainTime: 300 * time.Millisecond,
-		MostLease: 3 * time.Second, StopTime: 50 * time.Millisecond, Heartbeat: 200 * time.Millisecond,
+		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: 2}, {Name: "quotes", Boxes: 2}, {Name: "spare", Boxes: 2, PoweredOff: true}},
+		BoxMilliCPU: 8000, BoxMemoryMB: 16000, MoveTime: 300 * time.Millisecond, MaintainTime: 300 * time.Millisecond,
+		MaxLease: 3 * time.Second, StopTime: 50 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond,
 	}
 }
 
@@ -63,7 +63,7 @@
 	platform, err := standin.New(options)
 	assert.NilError(t, err)
 	s := &story{t: t, platform: platform, client: standin.NewClient(), closed: map[int]bool{}, coreShare: 1, dial: (&net.Dialer{Timeout: time.Second}).DialContext}
-	assert.NilError(t, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}))
+	assert.NilError(t, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
 	for number := range nodes {
 		s.start(number)
 	}
@@ -93,7 +93,7 @@
 func (s *story) start(number int) {
 	config := s.config(s.t, number)
 	env := s.env()
-	env.Slept = s.sleeping(number)
+	env.SuspendedTime = s.sleeping(number)
 	node, err := NewNode(config, env)
 	assert.NilError(s.t, err)
 	if number < len(s.nodes) {
@@ -109,7 +109,7 @@
 		logger = logrus.New()
 		logger.SetLevel(logrus.ErrorLevel)
 	}
-	return Env{Clock: clockwork.NewRealClock(), Dial: s.dial, Logger: logger, Breach: func(string, string) {}}
+	return Env{Clock: clockwork.NewRealClock(), Dial: s.dial, Logger: logger, OnViolation: func(string, string) {}}
 }
 
 // The ports of nodes lie below those that systems give to outgoing connections
@@ -212,7 +212,7 @@
 // TestAJobRunsFromTheClientToItsEnd through any node, phase after phase.
 func TestAJobRunsFromTheClientToItsEnd(t *testing.T) {
 	s := newStory(t, 3)
-	s.submit(id(0), standin.Work{Ms: 50}, standin.Phase{Count: 3, CPU: 1000, MemoryMB: 100, Estimated: 50}, standin.Phase{Count: 2, CPU: 1000, MemoryMB: 100, After: []int{0}})
+	s.submit(id(0), standin.Work{Ms: 50}, standin.Phase{Count: 3, MilliCPU: 1000, MemoryMB: 100, EstimatedMs: 50}, standin.Phase{Count: 2, MilliCPU: 1000, MemoryMB: 100, DependsOn: []int{0}})
 	s.until("it is completed", func() bool { return s.state(id(0)) == "completed" })
 
 	for number := range s.nodes {
@@ -264,8 +264,8 @@
 // TestAKilledOwnerIsFollowed by another node, which goes on with the jobs.
 func TestAKilledOwnerIsFollowed(t *testing.T) {
 	s := newStory(t, 3)
-	s.submit(id(0), standin.Work{Ms: 1500}, standin.Phase{Count: 4, CPU: 1000, Estimated: 1500}, standin.Phase{Count: 1, After: []int{0}})
-	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 4 })
+	s.submit(id(0), standin.Work{Ms: 1500}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 1500}, standin.Phase{Count: 1, DependsOn: []int{0}})
+	s.until("it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 4 })
 	s.kill(s.ownerOf("runs"))
 
 	s.submit(id(1), standin.Work{Ms: 20}, standin.Phase{Count: 1})
@@ -276,7 +276,7 @@
 func TestEverythingKilledAtOnceComesBack(t *testing.T) {
 	s := newStory(t, 2)
 	for number := range 5 {
-		s.submit(id(number), standin.Work{Ms: 400}, standin.Phase{Count: 2, CPU: 500, Estimated: 400}, standin.Phase{Count: 1, After: []int{0}})
+		s.submit(id(number), standin.Work{Ms: 400}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 400}, standin.Phase{Count: 1, DependsOn: []int{0}})
 	}
 	for number := range s.nodes {
 		s.kill(number)
@@ -292,7 +292,7 @@
 // TestAPlannedStopHandsOver and answers what is in flight.
 func TestAPlannedStopHandsOver(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{Ms: 600}, standin.Phase{Count: 2, CPU: 500, Estimated: 600})
+	s.submit(id(0), standin.Work{Ms: 600}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 600})
 	leaving := s.ownerOf("runs")
 	s.closed[leaving] = true
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -306,15 +306,15 @@
 func TestTheLogMisbehaves(t *testing.T) {
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
-	for number, fault := range []standin.Fault{standin.Busy, standin.Silent, standin.Lost} {
+	for number, fault := range []standin.StoreFault{standin.FaultBusy, standin.FaultSilent, standin.FaultLostAnswers} {
 		job := id(10 + number)
-		s.submit(job, standin.Work{Ms: 300}, standin.Phase{Count: 2, CPU: 500, Estimated: 300}, standin.Phase{Count: 1, After: []int{0}})
-		s.platform.SetFault(fault)
+		s.submit(job, standin.Work{Ms: 300}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 300}, standin.Phase{Count: 1, DependsOn: []int{0}})
+		s.platform.SetStoreFault(fault)
 		clockwork.NewRealClock().Sleep(1500 * time.Millisecond)
-		s.platform.SetFault(standin.None)
+		s.platform.SetStoreFault(standin.FaultNone)
 		s.until("job is completed", func() bool { return s.state(job) == "completed" })
 	}
-	s.platform.Forget()
+	s.platform.ExpireHistory()
 	s.submit(id(20), standin.Work{Ms: 10}, standin.Phase{Count: 1})
 	s.until("job after lost history", func() bool { return s.state(id(20)) == "completed" })
 }
@@ -322,19 +322,19 @@
 // TestACancelledJobIsGone and a lasting one runs until then, also through a crash.
 func TestACancelledJobIsGone(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, CPU: 500, Lasting: true, MayMiss: 1, MostPerBox: 1})
-	s.until("it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
+	s.until("it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 	for _, box := range s.platform.Boxes()[:2] {
-		s.platform.Crash(box, 300*time.Millisecond)
+		s.platform.CrashEndpoint(box, 300*time.Millisecond)
 	}
-	s.until("it is away", func() bool { return len(s.platform.RunsOf(id(0))) == 0 })
-	s.until("it runs again", func() bool { return len(s.platform.RunsOf(id(0))) == 2 })
+	s.until("it is away", func() bool { return len(s.platform.CountRuns(id(0))) == 0 })
+	s.until("it runs again", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
 
 	s.until("it is cancelled", func() bool {
 		status, _, err := s.client.Do(context.Background(), http.MethodDelete, s.address(1), testHost, testPrefix+id(0), nil)
 		return err == nil && status == http.StatusOK
 	})
-	s.until("nothing of it runs", func() bool { return len(s.platform.RunsOf(id(0))) == 0 })
+	s.until("nothing of it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 0 })
 	assert.Equal(t, s.state(id(0)), "cancelled")
 }
 
@@ -348,21 +348,21 @@
 // TestAWaveIsDoneInTime and the operator is told; boxes go where the work is.
 func TestAWaveIsDoneInTime(t *testing.T) {
 	s := newStory(t, 2)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, CPU: 500, Lasting: true, MayMiss: 1})
+	s.submit(id(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MayMiss: 1})
 	assert.NilError(t, s.platform.PutWave(1, s.platform.Boxes(), 10*time.Second, 2))
-	s.until("the wave is completed", func() bool { return s.platform.Status("wave/1") == `{"state":"completed"}` })
-	s.until("the lasting task runs", func() bool { return len(s.platform.RunsOf(id(0))) == 1 })
+	s.until("the wave is completed", func() bool { return s.platform.StatusRecord("wave/1") == `{"state":"completed"}` })
+	s.until("the lasting task runs", func() bool { return len(s.platform.CountRuns(id(0))) == 1 })
 
 	// Twelve whole boxes of work in a pool that has two.
 	var group errgroup.Group
 	for number := range 12 {
 		group.Go(func() error {
-			s.submit(id(100+number), standin.Work{Ms: 800}, standin.Phase{Count: 8, CPU: 1000, Estimated: 800})
+			s.submit(id(100+number), standin.Work{Ms: 800}, standin.Phase{Count: 8, MilliCPU: 1000, EstimatedMs: 800})
 			return nil
 		})
 	}
 	assert.NilError(t, group.Wait())
-	s.until("parked boxes have come", func() bool { return s.platform.CountIn("runs") >= 4 })
+	s.until("parked boxes have come", func() bool { return s.platform.CountBoxesUp("runs") >= 4 })
 	for number := range 12 {
 		s.until("job is completed", func() bool { return s.state(id(100+number)) == "completed" })
 	}
@@ -372,7 +372,7 @@
 func TestAConfigurationIsInForceSoon(t *testing.T) {
 	s := newStory(t, 2)
 	s.submit(id(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
-	assert.NilError(t, s.platform.PutConfiguration(2, standin.Queue{Name: "other", Host: testHost, Prefix: "/other/", Pool: "runs", Attempts: 3}))
+	assert.NilError(t, s.platform.PutConfiguration(2, standin.Queue{Name: "other", Host: testHost, PathPrefix: "/other/", Pool: "runs", MaxAttempts: 3}))
 	for number := range s.nodes {
 		s.until("the dropped queue is unknown", func() bool {
 			status, _, err := s.client.State(context.Background(), s.address(number), testHost, testPrefix+id(0))
@@ -384,7 +384,7 @@
 		})
 	}
 	// An older one that comes late changes nothing.
-	assert.NilError(t, s.platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}))
+	assert.NilError(t, s.platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
 	clockwork.NewRealClock().Sleep(time.Second)
 	status, _, err := s.client.State(context.Background(), s.address(0), testHost, testPrefix+id(0))
 	assert.NilError(t, err)
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -63,13 +63,13 @@
 func TestALeavingBoxGetsNoNewWork(t *testing.T) {
 	s := startStory(t, smallUser())
 	load := startCallers(s.cluster, storyCallers)
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	leaving := s.firstBox()
-	s.cluster.Endpoints[leaving].Leave()
+	s.cluster.Endpoints[leaving].MarkLeaving()
 	s.cluster.Platform.SetLeaving(leaving, true)
 	s.run.wait(context.Background(), 3*time.Second)
 	load.stop()
-	_, _, late := s.cluster.Book.Harm()
+	_, _, late := s.cluster.Book.Violations()
 	assert.Equal(t, late, 0)
 	assert.Assert(t, len(load.lines()) > 0)
 }
@@ -78,7 +78,7 @@
 // that back, when no other box leaves.
 func TestABoxThatStaysAfterAllGetsWorkAgain(t *testing.T) {
 	s := startStory(t, smallUser())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	boxes := s.run.observer.present().Boxes()
 	for _, leaving := range []bool{true, false} {
 		for _, box := range boxes {
@@ -123,7 +123,7 @@
 	assert.NilError(t, s.run.wave(context.Background()))
 	load.stop()
 	assert.Equal(t, s.run.observer.due(), 0)
-	overlaps, cut, _ := s.cluster.Book.Harm()
+	overlaps, cut, _ := s.cluster.Book.Violations()
 	assert.Equal(t, overlaps+cut, 0)
 	for _, line := range load.lines() {
 		assert.Equal(t, line.outcome, wire.OutcomeAnswered, "%+v", line)
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -38,7 +38,7 @@
 }
 
 func startObserver(c *Cluster) (*observer, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -154,7 +154,7 @@
 	}
 	slots := map[string]int{}
 	for _, box := range o.state.Boxes() {
-		if box.Phase == fold.Serving && o.cluster.Endpoints[box.Info.Name].Serves() {
+		if box.Phase == fold.Serving && o.cluster.Endpoints[box.Info.Name].IsServing() {
 			slots[box.Pool] += box.Info.Slots
 		}
 	}
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -114,7 +114,7 @@
 }
 
 func (r *run) operator(author string, node int) (*operator.Client, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -122,9 +122,9 @@
 	return operator.New(address, r.cluster.Network.Dialer(callerHall), r.cluster.clock, empty, author), nil
 }
 
-// StartFormed starts a fleet and returns once its table is in force and its
+// StartReady starts a fleet and returns once its table is in force and its
 // pools are formed.
-func StartFormed(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
+func StartReady(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	cluster, err := NewCluster(user, seed, logger)
 	if err != nil {
 		return nil, err
@@ -301,10 +301,10 @@
 }
 
 func (r *run) takeLogDown(ctx context.Context) error {
-	r.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	r.say("the log is down")
 	r.part(ctx, 8)
-	r.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 0.05})
+	r.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 0.05})
 	r.say("the log is back and loses one answer in twenty")
 	r.part(ctx, 4)
 	return nil
@@ -324,7 +324,7 @@
 		}
 	}
 	r.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
-	r.cluster.Endpoints[leaving].Leave()
+	r.cluster.Endpoints[leaving].MarkLeaving()
 	r.cluster.Platform.SetLeaving(leaving, true)
 	r.say("%s fails everything, %s is leaving", bad, leaving)
 	r.part(ctx, 12)
