--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -103,8 +103,8 @@
 	RunsLost      int
 	// QuotaWaits counts how often a customer began to wait for its allowance.
 	QuotaWaits int
-	// JobsGivenUp counts tasks that were given up because they crash their endpoints.
-	JobsGivenUp int
+	// TasksGivenUp counts tasks that were given up because they crash their endpoints.
+	TasksGivenUp int
 }
 
 // Stats returns the counters.
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -143,7 +143,7 @@
 		return
 	}
 	t.givenUp = true
-	c.stats.JobsGivenUp++
+	c.stats.TasksGivenUp++
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runCount == 0 && !j.hasStartableTask() {
 		c.endJob(j, wire.JobStateFailed, why)
 	} else {
--- a/pkg/owner/counters.go
+++ b/pkg/owner/counters.go
@@ -13,7 +13,7 @@
 	{"jobs_accepted", func(s cell.Stats) int { return s.JobsAccepted }},
 	{"jobs_completed", func(s cell.Stats) int { return s.JobsCompleted }},
 	{"jobs_failed", func(s cell.Stats) int { return s.JobsFailed }},
-	{"jobs_given_up", func(s cell.Stats) int { return s.JobsGivenUp }},
+	{"jobs_given_up", func(s cell.Stats) int { return s.TasksGivenUp }},
 	{"jobs_cancelled", func(s cell.Stats) int { return s.JobsCancelled }},
 	{"customers_held", func(s cell.Stats) int { return s.QuotaWaits }},
 	{"jobs_refused", func(s cell.Stats) int { return s.JobsRefused }},
