--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -9,19 +9,20 @@
 
 // Limits of the calls for permits.
 const (
-	// maxEndpointsPerCall is the number of endpoints in one call. Each adds to the time that the
-	// call takes, and the time targets of phases assume one call for 30 endpoints.
+	// maxEndpointsPerCall is the number of endpoints in one call. Each of them adds to the time
+	// that the call takes, and the time targets of phases assume a call for 30 endpoints.
 	maxEndpointsPerCall = 30
 	// maxPermitCalls is the number of calls in flight. The service handles one call at a time from
 	// each node and rejects calls when 32 are waiting, including those of other cells on this node.
 	maxPermitCalls = 6
 	// permitMargin is the part of a permit's validity that is kept for the start request to arrive.
 	permitMargin = 250 * time.Millisecond
-	// permitRetryInterval is the time between two calls for a phase that got no permit.
+	// permitRetryInterval is the time between two calls for the same phase if the first one failed.
 	permitRetryInterval = 500 * time.Millisecond
 )
 
-// PermitRequest is a call to the advice service for permits to run a phase on the given endpoints.
+// PermitRequest is a call to the advice service for permits to run a phase on endpoints, which are
+// given by their IDs. The owner passes the reply to Advised.
 type PermitRequest struct {
 	Job       string
 	Round     int
@@ -38,7 +39,8 @@
 	permits   map[string]permit
 }
 
-// permit allows a phase on an endpoint until a time. Starts there have to carry the ticket.
+// permit allows a phase to start on an endpoint until a time. Start requests have to carry the
+// ticket.
 type permit struct {
 	ticket string
 	until  time.Time
@@ -49,8 +51,8 @@
 	return c.queues[p.job().queue].Advice != nil
 }
 
-// hasPermit reports whether the phase may start on the endpoint now, as far as permits are
-// concerned.
+// hasPermit reports whether a phase has a permit for an endpoint that stays valid for more than
+// permitMargin, or needs none.
 func (c *Cell) hasPermit(p *phase, e *endpoint) bool {
 	if !c.needsPermit(p) {
 		return true
@@ -59,8 +61,9 @@
 	return ok && c.now.Add(permitMargin).Before(held.until)
 }
 
-// requestPermits calls for permits on endpoints that could take the phase's tasks and have no valid
-// permit.
+// requestPermits requests permits for endpoints that could take the phase's tasks and for which it
+// has no valid permit, the best ones first. It makes no call while another one for the phase is in
+// flight, or less than permitRetryInterval after a call that failed was sent.
 func (c *Cell) requestPermits(p *phase) {
 	a := &p.advice
 	if !c.needsPermit(p) || a.inFlight || c.permitCalls >= maxPermitCalls || len(p.ready) == 0 || c.now.Sub(a.requestedAt) < permitRetryInterval {
--- a/pkg/cell/arrivals.go
+++ b/pkg/cell/arrivals.go
@@ -7,13 +7,13 @@
 
 // Limits of the statistics on arriving jobs.
 const (
-	// arrivalSlot is the length of a time slot.
+	// arrivalSlot is the length of the time slots in which arriving jobs are counted.
 	arrivalSlot = 100 * time.Millisecond
-	// arrivalSlotCount slots cover the longest window twice, because the window before it shows
-	// whether the rate is changing.
+	// arrivalSlotCount is the number of slots that are kept. They cover the longest window twice,
+	// because the window before it shows whether the rate is changing.
 	arrivalSlotCount = 48
 	// minWindowJobs is the number of jobs in a window from which the window gives a good estimate
-	// of the rate: the standard deviation is then a quarter of it.
+	// of the rate: the standard deviation is a quarter of the rate then.
 	minWindowJobs = 16
 	// steadyDeviations and trendDeviations are the numbers of standard deviations that are
 	// subtracted from a steady rate and from a changing one, because that much may be chance.
@@ -29,8 +29,8 @@
 
 // arrivals counts the jobs of a queue by the time slot in which they arrived.
 type arrivals struct {
-	// counts is a ring buffer of the number of jobs in each slot. slot is the newest slot, counted
-	// since 1970.
+	// counts is a ring buffer of the number of jobs in each slot. slot is the number of the newest
+	// slot; slots are numbered from 1970.
 	counts [arrivalSlotCount]int
 	slot   int64
 }
@@ -50,8 +50,8 @@
 	a.counts[a.slot%arrivalSlotCount]++
 }
 
-// count returns the number of jobs in a window of the given number of slots that ended ago slots
-// before the newest.
+// count returns the number of jobs in a window. slots is the length of the window, and ago the
+// number of slots from its end to the newest slot.
 func (a *arrivals) count(slots, ago int) int {
 	sum := 0
 	for back := ago; back < ago+slots; back++ {
@@ -68,7 +68,7 @@
 }
 
 // rates returns the present rate and the rate expected after the time ahead. Both are low
-// estimates: the part that may be chance is subtracted.
+// estimates: what may be chance has been subtracted.
 func (a *arrivals) rates(now time.Time, ahead time.Duration) rates {
 	a.advance(now)
 	var result rates
@@ -83,16 +83,20 @@
 	return result
 }
 
-// steadyRate returns the rate of a window with count jobs, less steadyDeviations.
+// steadyRate returns the rate of a window, in jobs per second, less steadyDeviations. count is the
+// number of jobs in the window, and window its length in slots.
 func steadyRate(count, window int) float64 {
 	return (float64(count) - steadyDeviations*math.Sqrt(float64(count))) / seconds(window)
 }
 
-// trendRate returns the rate after the time ahead if it continues to change as it did from the
-// older window to the newer one, less trendDeviations.
+// trendRate returns the rate after the time ahead, in jobs per second, if it goes on changing as it
+// did from one window to the next, less trendDeviations. older and newer are the numbers of jobs in
+// the two windows, and window is the length of each in slots.
 func trendRate(newer, older, window int, ahead time.Duration) float64 {
 	length := seconds(window)
-	// factor multiplies the difference of the counts. The newer window's rate is the rate in its middle.
+	// The rate of the newer window is the rate in its middle, so the trend goes on for half a
+	// window and the time ahead. factor is the change of the rate by then per job of difference
+	// between the windows.
 	factor := (length/2 + ahead.Seconds()) / (length * length)
 	rate := float64(newer) / length
 	deviation := math.Sqrt(float64(newer)*square(1/length+factor) + float64(older)*square(factor))
--- a/pkg/cell/batches.go
+++ b/pkg/cell/batches.go
@@ -6,7 +6,8 @@
 	"damsonwinch"
 )
 
-// recordOverhead bounds the bytes that a record takes in an append beside its key and value.
+// recordOverhead is an upper bound of the bytes that a record takes in an append beside its key and
+// value.
 const recordOverhead = 16
 
 // Batches splits a commit into appends of at most maxBytes each, as far as that is possible: the
--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -29,19 +29,20 @@
 	token   int
 	queues  map[string]damsonwinch.Queue
 	jobs    map[string]*job
-	// activeJobs holds the jobs that have not ended, or of which runs may still exist, or whose end
-	// is not recorded yet. They are in order of acceptance.
+	// activeJobs holds, in order of acceptance, the jobs that have not ended, that may still have
+	// runs, or whose end is not recorded yet.
 	activeJobs []*job
 	// openPhases holds the phases with tasks that are ready to start, the most urgent first.
 	openPhases []*phase
 	endpoints  map[damsonwinch.Life]*endpoint
-	// sortedEndpoints holds the endpoints in order of their IDs, so that choices do not depend on
-	// the iteration order of a map.
+	// sortedEndpoints holds the endpoints sorted by life, so that choices do not depend on the
+	// iteration order of a map.
 	sortedEndpoints []*endpoint
 	// zones holds the availability zones of the endpoints, sorted by name.
 	zones []*zone
-	// suspects holds the tasks that have to be started on probation. probationEndpoints holds the
-	// endpoints where a task is on probation or that are reserved for one.
+	// suspects holds the tasks that are suspected of crashing their endpoints and have to be
+	// started on probation. probationEndpoints holds the endpoints where a task is on probation,
+	// and those that are reserved for a probation.
 	suspects           []*task
 	probationEndpoints []*endpoint
 	// baselineExits estimates how often endpoints exit for reasons other than their tasks.
@@ -49,10 +50,11 @@
 	baselineExits  baselineExitRate
 	probationExits exits
 	// queueExits holds, by queue, the recent exits of endpoints shortly after a task of that queue
-	// started there. crashProne holds the queues with many of these.
+	// started there. crashProne holds the queues with many such exits.
 	queueExits map[string]*exits
 	crashProne map[string]bool
-	// batching is set while Batch applies events: finishEvent does nothing until the last of them.
+	// batching is set while Batch runs: finishEvent does nothing until all events of the batch have
+	// been handled.
 	batching bool
 	// placementDue is set when something has happened since the last placement that may allow a
 	// task to start.
@@ -70,8 +72,8 @@
 	// suspendedFor is the total time for which the machine was suspended, as of the last call of
 	// Suspended.
 	suspendedFor time.Duration
-	// resumedAt is when this owner last continued after a pause. Messages that arrive within
-	// catchUpTime after that tell of things that happened earlier.
+	// resumedAt is when this owner last continued after a pause. Messages that it handles within
+	// catchUpTime after that may have arrived during the pause.
 	resumedAt time.Time
 	// lastTickAt is the time of the last Tick.
 	lastTickAt time.Time
@@ -85,7 +87,7 @@
 	statsByQueue map[string]*queueStats
 	// quota holds the customers' allowances in this cell and what they have running here. overQuota
 	// holds the customers with tasks that waited for their allowance at the last placement.
-	// quotaBlocked holds those of them that may start nothing else until such a task has started.
+	// quotaBlocked holds those of them that may start no other task before such a task.
 	quota        *quota.Allowances
 	overQuota    map[string]bool
 	quotaBlocked map[string]bool
@@ -120,7 +122,8 @@
 	}
 }
 
-// beginEvent sets the current time and advances the logical clock. Every event begins with it.
+// beginEvent sets the current time and advances the logical clock. Each method that handles an
+// event calls it first.
 func (c *Cell) beginEvent(now time.Time) {
 	if !c.now.IsZero() && now.Sub(c.now) > pauseThreshold {
 		c.resumedAt = now
@@ -131,18 +134,17 @@
 
 const (
 	// pauseThreshold is the time without an event after which this owner is taken to have been
-	// paused: when nothing else happens, it ticks four times a second.
+	// paused. Even when nothing else happens, it ticks four times a second.
 	pauseThreshold = 400 * time.Millisecond
-	// catchUpTime is how long it takes after a pause to receive the messages that arrived
-	// meanwhile.
+	// catchUpTime is how long it takes after a pause to handle the messages that arrived meanwhile.
 	catchUpTime = 100 * time.Millisecond
 )
 
-// Suspended reports the total time for which the machine has been suspended since this owner began.
+// Suspended takes the total time for which the machine has been suspended since this owner began.
 // The monotonic clock does not count that time, so leases and claims that look valid may have
 // expired long ago, and another node may own the cell. If the total has grown by at least
-// damsonwinch.NegligibleSuspension since Suspended last returned true, the owner gives up the cell
-// and sends no more requests, and Suspended returns true.
+// damsonwinch.NegligibleSuspension since Suspended last returned true, Suspended returns true: the
+// owner has to give up the cell and send no more requests.
 func (c *Cell) Suspended(total time.Duration) bool {
 	suspended := total - c.suspendedFor
 	if suspended < damsonwinch.NegligibleSuspension {
@@ -154,14 +156,14 @@
 	return true
 }
 
-// caughtUp reports whether messages arrive promptly, that is, whether the last pause is longer ago
-// than catchUpTime.
+// caughtUp reports whether the owner handles messages as soon as they arrive, that is, whether its
+// last pause ended at least catchUpTime ago.
 func (c *Cell) caughtUp() bool {
 	return c.now.Sub(c.resumedAt) >= catchUpTime
 }
 
 // SetQueues sets the queues of the configuration in force. Queues that are no longer configured are
-// kept for the jobs that still run.
+// kept, since their jobs may still run.
 func (c *Cell) SetQueues(now time.Time, queues []damsonwinch.Queue) {
 	c.beginEvent(now)
 	for _, queue := range queues {
@@ -169,7 +171,7 @@
 	}
 }
 
-// ConfirmOwnership records that this owner's claim of the cell was valid at the given time.
+// ConfirmOwnership notes that this owner's claim of the cell was valid at the given time.
 func (c *Cell) ConfirmOwnership(at time.Time) {
 	if at.After(c.confirmedAt) {
 		c.confirmedAt = at
@@ -177,7 +179,7 @@
 }
 
 // mayRenewLeases reports whether this owner may still renew leases. A new owner relies on earlier
-// owners to stop renewing in time.
+// owners to stop that in time.
 func (c *Cell) mayRenewLeases() bool {
 	return c.now.Sub(c.confirmedAt) < c.options.RenewalGrace
 }
@@ -205,8 +207,8 @@
 	c.finishEvent()
 }
 
-// Batch calls events, which may report several events, and reacts to all of them at once. So the
-// cost per event falls as the owner gets busier.
+// Batch calls a function that reports several events, and reacts once to all of them. So the cost
+// per event falls as the owner gets busier.
 func (c *Cell) Batch(events func()) {
 	c.batching = true
 	events()
@@ -250,7 +252,8 @@
 	}
 }
 
-// Pending returns the number of a queue's recorded jobs of which no task is known to have started.
+// Pending returns the number of a queue's recorded jobs that have not ended and of which no task is
+// known to have started.
 func (c *Cell) Pending(queue string) int {
 	count := 0
 	for _, j := range c.activeJobs {
@@ -273,8 +276,9 @@
 	return c.jobs[id] != nil
 }
 
-// Show returns the recorded state of a job, and false if there is no such job or it is not visible
-// to the client.
+// Show returns the recorded state of a job. A job that is recorded as queued is shown as running
+// once an endpoint has been chosen for one of its tasks. Show returns false if there is no such
+// job, it is not recorded yet, or it is not visible to the client.
 func (c *Cell) Show(args wire.JobArgs) (wire.JobState, bool) {
 	j, exists := c.jobs[args.Id]
 	if !exists || !j.recorded || !j.visibleTo(args) {
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -18,11 +18,11 @@
 	endpointRecords []damsonwinch.Record
 	// allowancesDirty is set when the record of the allowances is out of date.
 	allowancesDirty bool
-	// ackEndpoints are the endpoints whose new results have been applied. The results are
-	// acknowledged after a commit, even those that change no record, such as results of unknown
-	// jobs.
+	// ackEndpoints are the endpoints of which results have been applied since the last append. The
+	// results are acknowledged after a commit, even those that change no record, such as results of
+	// unknown jobs.
 	ackEndpoints []*endpoint
-	// starts and replies are what is sent once the next append is done.
+	// starts and replies are sent once the next append is in the stream.
 	starts  []*run
 	replies []pendingReply
 	// withdrawals are the endpoints whose withdrawal takes effect once it is recorded.
@@ -32,7 +32,7 @@
 	lastSentAt  time.Time
 }
 
-// sentCommit is an append in flight, with what is done once it is in the stream.
+// sentCommit is an append in flight, with what has to be done once it is in the stream.
 type sentCommit struct {
 	sentAt      time.Time
 	number      int
@@ -44,18 +44,18 @@
 	// allocatorToken and allowanceNumber identify the allowances that the append contains.
 	allocatorToken  int
 	allowanceNumber int
-	// acks are the results that can be acknowledged once the append is done.
+	// acks are the results that may be acknowledged once the append is in the stream.
 	acks []endpointAck
 }
 
-// endpointAck is the highest sequence number among the results of an endpoint that can be
-// acknowledged once the append is done.
+// endpointAck holds the highest sequence number among the results of an endpoint that may be
+// acknowledged once an append is in the stream.
 type endpointAck struct {
 	endpoint *endpoint
-	number   int
+	sequence int
 }
 
-// pendingReply is a reply on a job that is sent once the job's present state is in the stream.
+// pendingReply is a reply about a job that is sent once the job's present state is in the stream.
 type pendingReply struct {
 	Reply
 	job *job
@@ -93,7 +93,8 @@
 	}
 }
 
-// hasUnrecordedChanges reports whether there is anything to append.
+// hasUnrecordedChanges reports whether anything has changed that the next append has to record or
+// confirm.
 func (c *Cell) hasUnrecordedChanges() bool {
 	w := &c.commits
 	return len(w.dirtyJobs) > 0 || len(w.deletedKeys) > 0 || len(w.endpointRecords) > 0 || len(w.ackEndpoints) > 0 || w.allowancesDirty
@@ -111,7 +112,7 @@
 	sent := &sentCommit{number: w.lastNumber, sentAt: c.now, starts: w.starts, replies: w.replies, withdrawals: w.withdrawals, states: map[*job]wire.JobState{}}
 	records := c.buildRecords(sent)
 	for _, e := range w.ackEndpoints {
-		sent.acks = append(sent.acks, endpointAck{endpoint: e, number: e.appliedSequence})
+		sent.acks = append(sent.acks, endpointAck{endpoint: e, sequence: e.appliedSequence})
 	}
 	clear(w.dirtyJobs)
 	w.deletedKeys, w.endpointRecords, w.ackEndpoints, w.starts, w.replies, w.withdrawals, w.allowancesDirty = nil, nil, nil, nil, nil, nil, false
@@ -124,8 +125,8 @@
 	c.effects.Commit = &Commit{Number: sent.number, Records: records}
 }
 
-// buildRecords returns the records of everything that is out of date in the stream, and notes in
-// sent what they confirm.
+// buildRecords returns records for everything that is out of date in the stream. It notes in sent
+// which job states and allowances they contain.
 func (c *Cell) buildRecords(sent *sentCommit) []damsonwinch.Record {
 	w := &c.commits
 	records := append(w.endpointRecords, c.queueStatsRecords()...)
@@ -151,7 +152,7 @@
 	return records
 }
 
-// Committed reports that the append with the given number is in the stream.
+// Committed handles the news that the append with the given number is in the stream.
 func (c *Cell) Committed(now time.Time, number int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
@@ -161,7 +162,8 @@
 	}
 	c.ConfirmOwnership(sent.sentAt)
 	if now.Sub(sent.sentAt) > maxStartAge {
-		// This owner was paused, or the store was slow: another owner may have taken over since.
+		// This owner was paused, or the store was slow: another owner may have taken over
+		// meanwhile.
 		for _, r := range sent.starts {
 			r.stopping = true
 		}
@@ -169,19 +171,19 @@
 	c.finishCommit(sent)
 }
 
-// maxStartAge is the age of a commit from which its starts are no longer sent but decided again. An
-// owner that was paused for long must not send what it decided before.
+// maxStartAge is the age of a commit from which its starts are not sent but decided anew. An owner
+// that was paused for long must not send what it decided before the pause.
 const maxStartAge = 2 * time.Second
 
-// finishCommit does what had to wait for the append: it sends starts and replies and allows results
-// to be acknowledged.
+// finishCommit does what had to wait for the append: it sends starts and replies, makes withdrawals
+// effective, and allows results to be acknowledged.
 func (c *Cell) finishCommit(sent *sentCommit) {
 	c.commits.inFlight = nil
 	for j, state := range sent.states {
 		j.recorded, j.recordedState = true, state
 	}
 	for _, ack := range sent.acks {
-		ack.endpoint.recordedSequence = max(ack.endpoint.recordedSequence, ack.number)
+		ack.endpoint.recordedSequence = max(ack.endpoint.recordedSequence, ack.sequence)
 		c.schedulePoll(ack.endpoint)
 	}
 	for _, e := range sent.withdrawals {
--- a/pkg/cell/copies.go
+++ b/pkg/cell/copies.go
@@ -2,7 +2,7 @@
 
 // maxConcurrentAttempts is the number of attempts at one task that may run at the same time if its
 // phase allows speculative attempts. It is only one more than usual, since each attempt costs as
-// much as the first.
+// much as the first one.
 const maxConcurrentAttempts = 2
 
 // startSpeculativeAttempts makes the tasks on an endpoint ready for another attempt elsewhere if
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -44,7 +44,7 @@
 				memoryMB += need.MemoryMB
 				report.RunningCpu += need.MilliCPU
 			}
-			row.EmptyMs = max(row.EmptyMs, c.remainingMs(r))
+			row.EmptyMs = max(row.EmptyMs, c.estimateRemainingMs(r))
 		}
 		report.Endpoints = append(report.Endpoints, row)
 	}
@@ -59,8 +59,8 @@
 }
 
 // reportDedicatedBoxes adds the demand for boxes without long-running tasks, because the largest
-// tasks do not fit beside one. A job with tasks of 29 cores made no progress for 15 s beside 38
-// boxes of 32 cores, although half of their total capacity was free.
+// tasks do not fit beside one. A job with tasks of 29 cores once made no progress for 15 s although
+// the pool had 38 boxes of 32 cores and half of their total capacity was free.
 func (c *Cell) reportDedicatedBoxes(report *wire.SyncReply) {
 	var box, besideLongRunning damsonwinch.Resources
 	for _, e := range c.sortedEndpoints {
@@ -100,16 +100,19 @@
 	return damsonwinch.Resources{MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
-// tasksPerBox returns how many tasks with the given need an empty box can hold, at least 1.
+// tasksPerBox returns how many tasks with the given need fit on an empty box with the capacity box,
+// but at least 1.
 func tasksPerBox(box, need damsonwinch.Resources) int {
 	return max(1, min(box.MilliCPU/max(1, need.MilliCPU), box.MemoryMB/max(1, need.MemoryMB)))
 }
 
-// sharesPerBox is what a whole box counts in the report's MemoryShare, WholeBoxes and
+// sharesPerBox is what a whole box counts as in the report's MemoryShare, WholeBoxes and
 // WholeLateBoxes.
 const sharesPerBox = 1000
 
-// reportWaiting adds the demand of the ready tasks, and returns their memory in MB.
+// reportWaiting adds the demand of the ready tasks to the report. Short tasks count only as far as
+// their customers' allowances permit. It returns the memory in MB that the short tasks of phases
+// that are not late need.
 func (c *Cell) reportWaiting(report *wire.SyncReply) int {
 	memoryMB := 0
 	nowMs := int(c.now.UnixMilli())
@@ -135,8 +138,8 @@
 	return memoryMB
 }
 
-// spreadBoxes returns how many boxes the cell's long-running phases need so that no box runs more
-// tasks of a phase than MostPerBox.
+// spreadBoxes returns how many boxes the cell needs so that each of its long-running phases can be
+// placed without exceeding MostPerBox.
 func (c *Cell) spreadBoxes() int {
 	boxes := 0
 	for _, j := range c.activeJobs {
@@ -174,8 +177,8 @@
 	}
 }
 
-// forEachLife calls do for each endpoint that one of the given lives may name. The planner does not
-// know the start time of a life that has not been reported to it yet.
+// forEachLife calls do for each endpoint to which one of the given lives may refer. The planner
+// does not know the start time of a life that has not been reported to it yet.
 func (c *Cell) forEachLife(lives []string, do func(e *endpoint)) {
 	for _, text := range lives {
 		life := damsonwinch.ParseLife(text)
@@ -187,7 +190,7 @@
 	}
 }
 
-// countUnavailable returns the number of a phase's long-running tasks that are not available.
+// countUnavailable returns the number of a long-running phase's tasks that are not available.
 func (c *Cell) countUnavailable(p *phase) int {
 	count := 0
 	for _, t := range p.tasks {
@@ -198,8 +201,8 @@
 	return count
 }
 
-// isAvailable reports whether a long-running task is at work: an attempt has reached 100% progress,
-// its endpoint answers, and it is not being stopped.
+// isAvailable reports whether a long-running task is doing its work: an attempt has reached full
+// progress, its endpoint answers, and it is not being stopped.
 func (c *Cell) isAvailable(t *task) bool {
 	for _, r := range t.runs {
 		if r.state == runConfirmed && !r.stopping && !r.endpoint.silent && r.percent >= fullPercent && !c.mayBeStopping(r) {
@@ -215,14 +218,15 @@
 	return r.inherited && c.now.Sub(r.endpoint.attachedAt) < c.options.MaxStopTime+maxStopTransit
 }
 
-// maxStopTransit is how long a stop of an earlier owner may have been in transit when it reached
-// the endpoint before this owner's first poll. After that the task takes up to MaxStopTime to end.
+// maxStopTransit is how long a stop request of an earlier owner may have been in transit when it
+// reached the endpoint, just before this owner's first poll. After that the task takes up to
+// MaxStopTime to end.
 const maxStopTransit = 300 * time.Millisecond
 
-// fullPercent is full progress of a run, full speed, or a whole, in percent.
+// fullPercent is 100 percent: full progress of a run, full speed, or all of a number.
 const fullPercent = 100
 
-// Endpoints returns the known endpoints in order of their IDs, for tests and status.
+// Endpoints returns the known endpoints, sorted by life, for tests and status.
 func (c *Cell) Endpoints() []damsonwinch.Endpoint {
 	infos := make([]damsonwinch.Endpoint, 0, len(c.sortedEndpoints))
 	for _, e := range c.sortedEndpoints {
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -10,7 +10,7 @@
 // Effects holds what the owner has to do after one or more events.
 type Effects struct {
 	// Commit is the next append to the cell's stream, or nil. The owner calls Committed once the
-	// records are there; if the append fails for good, the owner ends.
+	// records are there; if the append fails for good, the owner gives up the cell.
 	Commit *Commit
 	// Starts, Stops, SpeedChanges and Polls are requests to endpoints. The owner passes each reply
 	// to Started, Stopped, SpeedSet or Polled.
@@ -20,10 +20,10 @@
 	// PermitRequests are calls to the advice service. The owner calls Advised with each reply.
 	PermitRequests []PermitRequest
 	Polls          []Poll
-	// Replies answer calls of clients, by the call IDs that came with them.
+	// Replies are answers to clients' calls, identified by the call IDs that came with the calls.
 	Replies []Reply
-	// OwnershipLost is set when an endpoint has seen a newer owner, or when a newer owner may exist
-	// unnoticed. The owner must send no more requests.
+	// OwnershipLost is set when an endpoint has seen a newer owner, or when the machine was
+	// suspended so that there may be a newer owner. The owner must send no more requests.
 	OwnershipLost bool
 	// ListBoxes asks for the platform's list of boxes, because an endpoint that may have runs
 	// cannot be reached.
@@ -89,21 +89,22 @@
 	Starts      int
 	// Reruns counts attempts at tasks that had been attempted before.
 	Reruns int
-	// StartsRefused counts starts that endpoints rejected.
+	// StartsRefused counts starts that endpoints refused.
 	StartsRefused int
 	Commits       int
 	Polls         int
-	// RunsLapsed counts runs whose leases expired while their endpoints were unreachable.
+	// RunsLapsed counts runs whose leases expired while their endpoints were out of reach.
 	RunsLapsed int
 	// Ejections counts how often an unhealthy endpoint got no new work for a while.
 	Ejections int
-	// EndpointsLost counts endpoint lives that ended while tasks may have been running there.
+	// EndpointsLost counts endpoint lives that exited while tasks may have been running there.
 	// RunsLost counts those runs.
 	EndpointsLost int
 	RunsLost      int
 	// QuotaWaits counts how often a customer began to wait for its allowance.
 	QuotaWaits int
-	// TasksGivenUp counts tasks that were given up because they crash their endpoints.
+	// TasksGivenUp counts tasks that are not started any more because of the losses of endpoints
+	// under them.
 	TasksGivenUp int
 }
 
@@ -119,7 +120,8 @@
 	})
 }
 
-// logStart logs that an attempt is being started and what was known when its endpoint was chosen.
+// logStart logs that a start request is sent, how long it has waited for its record, and how much
+// CPU is in use on the endpoint.
 func (c *Cell) logStart(r *run) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
 		Message: "start", Job: r.task.phase.round.job.id, Task: r.id().Task.String(), Endpoint: r.endpoint.info.Life.String(), Debug: true,
@@ -128,18 +130,22 @@
 	})
 }
 
+// logJob logs a message about a job, with the reason for what happened to it.
 func (c *Cell) logJob(message string, j *job, reason string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Job: j.id, Reason: reason})
 }
 
+// logCustomer logs a message about a customer's allowance, with details.
 func (c *Cell) logCustomer(message, customer, reason string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Customer: customer, Reason: reason})
 }
 
+// logQueue logs a message about a queue, with the reason for what happened to it.
 func (c *Cell) logQueue(message, queue, reason string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Queue: queue, Reason: reason})
 }
 
+// logEndpoint logs a message about an endpoint, with the reason for what happened to it.
 func (c *Cell) logEndpoint(message string, e *endpoint, reason string) {
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{Message: message, Endpoint: e.info.Life.String(), Reason: reason})
 }
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -15,8 +15,8 @@
 	listed bool
 	// pollDue is set while the endpoint is in Cell.pollDue.
 	pollDue bool
-	// indexed is set if the endpoint is in its zone's index of free cores. It is there in the
-	// bucket of index bucket, at position bucketPos.
+	// indexed is set while the endpoint is in its zone's freeCoreIndex, in the bucket with index
+	// bucket, at position bucketPos there.
 	indexed   bool
 	bucket    int
 	bucketPos int
@@ -25,7 +25,7 @@
 	attached bool
 	// attachedAt is when attached was set.
 	attachedAt time.Time
-	// exited is set once this life has certainly ended.
+	// exited is set once this life has certainly exited.
 	exited bool
 	// withdrawn is set if the endpoint gets no more work because its box is to be moved or
 	// maintained. withdrawal is the state of that withdrawal.
@@ -49,8 +49,8 @@
 	// clockSampledAt.
 	clockSampleMs  int
 	clockSampledAt time.Time
-	// leasesExpireBy is when all leases on the endpoint have certainly expired, if it can't be
-	// reached before.
+	// leasesExpireBy is the time by which all leases on the endpoint have certainly expired, unless
+	// later requests extend them.
 	leasesExpireBy time.Time
 	polls          polls
 	// lapsedAttempts holds the attempts on the endpoint whose results aren't known.
@@ -62,14 +62,15 @@
 	appliedSequence  int
 	recordedSequence int
 	// silent is set if the last poll failed without an answer, and silentSince is when it did.
-	// pollBroken is set if the connection of that poll broke while the poll was waiting: whatever
-	// ended the endpoint, it happened then.
+	// pollBroken is set if the connection of that poll broke while the endpoint held the poll: if
+	// the endpoint has exited, it did so at that moment.
 	silent      bool
 	silentSince time.Time
 	pollBroken  bool
 	// silentStep is the step at silentSince.
 	silentStep int
-	// lastAnsweredAt is when the endpoint last answered a call.
+	// lastAnsweredAt is when the endpoint last answered a call, not counting answers that were
+	// handled before the owner had caught up after a pause.
 	lastAnsweredAt time.Time
 	// probation is the run that is on probation on the endpoint, and reservedFor the task that is
 	// to be started on probation there next. Nothing else starts there meanwhile.
@@ -114,7 +115,7 @@
 	return slices.Clone(e.runsByStart)
 }
 
-// ensureEndpoint returns the endpoint of a life, and adds it if it isn't known yet.
+// ensureEndpoint returns the endpoint with the given life, and adds it if it isn't known yet.
 func (c *Cell) ensureEndpoint(life damsonwinch.Life) *endpoint {
 	if known := c.endpoints[life]; known != nil {
 		return known
@@ -128,8 +129,8 @@
 	return e
 }
 
-// withClockSlack returns how long a lease may last by this machine's clock if the endpoint's clock
-// is as slow as the platform allows.
+// withClockSlack returns how long a lease of the given duration may last on this machine's clock if
+// the endpoint's clock is as slow as the platform allows.
 func withClockSlack(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * clockDriftFactor)
 }
@@ -137,8 +138,8 @@
 // leaseMargin is added to every bound of a lease, for rounding and scheduling.
 const leaseMargin = 200 * time.Millisecond
 
-// extendLeaseBound notes that a request may keep runs on the endpoint alive until untilMs on the
-// endpoint's clock, in milliseconds.
+// extendLeaseBound notes that a request may extend the leases on the endpoint until untilMs, in
+// milliseconds on the endpoint's clock.
 func (c *Cell) extendLeaseBound(e *endpoint, untilMs int) {
 	left := time.Duration(untilMs-e.clockSampleMs) * time.Millisecond
 	bound := e.clockSampledAt.Add(withClockSlack(left) + leaseMargin)
@@ -194,8 +195,8 @@
 	})
 }
 
-// SetBoxes takes the platform's list of boxes, which distinguishes endpoints that have exited from
-// those that can't be reached.
+// SetBoxes handles the platform's list of boxes. The list distinguishes endpoints that have exited
+// from those that only can't be reached.
 func (c *Cell) SetBoxes(now time.Time, boxes []damsonwinch.Box) {
 	c.beginEvent(now)
 	c.endpointsChanged()
@@ -208,7 +209,7 @@
 	}
 	for _, e := range slices.Clone(c.sortedEndpoints) {
 		// An endpoint that the registry listed only after the boxes were requested must not count
-		// as missing. So it must also be silent, or never have answered this owner.
+		// as exited. So the endpoint must also be silent, or never have answered this owner.
 		if !alive[e.info.Life.ID] && !e.exited && (e.silent || !e.attached) && len(e.runs) > 0 {
 			c.markLostByReport(e, "the platform's list of boxes does not have it")
 		}
@@ -228,8 +229,9 @@
 	}
 }
 
-// expireLeases removes the runs on endpoints that can't be reached once their leases have certainly
-// expired. The runs that are kept for a life that has exited are removed at the same time.
+// expireLeases removes the runs on endpoints that can't be reached, once their leases have
+// certainly expired. It also removes the runs that were kept for a life that has exited (see
+// markLostKeeping).
 func (c *Cell) expireLeases() {
 	for _, e := range c.sortedEndpoints {
 		if len(e.runs) == 0 || !e.exited && e.attached && !e.silent || !c.now.After(e.leasesExpireBy) {
--- a/pkg/cell/ends.go
+++ b/pkg/cell/ends.go
@@ -16,8 +16,8 @@
 	t.phase.job().begun = true
 	r := e.runs[result.Run]
 	if r == nil {
-		// The result was applied after an earlier poll or by an earlier owner, or the run's lease
-		// was taken to have expired.
+		// Either the result was applied after an earlier poll or by an earlier owner, or the run's
+		// lease was taken to have expired.
 		if c.resolveLapsed(e, result) && result.Ending == damsonwinch.EndedFailed && !t.phase.spec.Lasting {
 			c.countFailure(t)
 		}
@@ -30,11 +30,11 @@
 		t.checkpoint = result.Checkpoint
 	}
 	c.removeRun(r)
-	c.recordResult(r, result.Ending)
+	c.updateHealth(r, result.Ending)
 	switch {
 	case result.Ending == damsonwinch.EndedDone && !t.phase.spec.Lasting:
 		if !r.inherited && !r.resumed {
-			c.statsOf(t.phase.job().queue).times.addRun(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
+			c.statsOf(t.phase.job().queue).times.addTime(c.now.Sub(r.startedAt), t.phase.spec.EstimateMs)
 			c.queueStatsDirty = true
 		}
 		c.completeTask(t)
@@ -55,7 +55,8 @@
 	}
 }
 
-// countFailure counts a failed attempt, and fails the job when no attempt is left.
+// countFailure counts a failed attempt at a task, and fails the job if the task has no attempt
+// left.
 func (c *Cell) countFailure(t *task) {
 	t.failedAttempts++
 	j := t.phase.job()
@@ -90,8 +91,8 @@
 	}
 }
 
-// markDone marks a single task as done, stops its other attempts, and completes its phase with the
-// last task.
+// markDone marks a single task as done and stops its other attempts. If it was the last one of its
+// phase, it completes the phase.
 func (c *Cell) markDone(t *task) {
 	if t.done {
 		return
@@ -111,8 +112,8 @@
 	}
 }
 
-// completePhase opens the phases that depended on a phase, and completes the job with the last
-// phase.
+// completePhase opens the phases that depended on a phase and whose dependencies are now all done.
+// If it was the last phase of the last round, it completes the job.
 func (c *Cell) completePhase(p *phase) {
 	c.closePhase(p)
 	r := p.round
--- a/pkg/cell/estimate.go
+++ b/pkg/cell/estimate.go
@@ -12,7 +12,7 @@
 	variance float64
 }
 
-// add adds a value. Its weight is never less than minSampleWeight, so that old values fade.
+// add adds a value. Its weight is at least minSampleWeight, so that old values fade.
 func (s *runningStats) add(value float64) {
 	s.count++
 	weight := max(minSampleWeight, 1/float64(s.count))
@@ -21,8 +21,8 @@
 	s.variance = (1 - weight) * (s.variance + weight*diff*diff)
 }
 
-// runTimes holds statistics of how long a queue's tasks take, and of how far off clients' estimates
-// are. Both vary by factors, so the statistics are of logarithms.
+// runTimes holds statistics of how long a queue's tasks take, and of how far clients' estimates are
+// off. Both vary by factors, so the statistics are of logarithms.
 type runTimes struct {
 	logTime  runningStats // Of the logarithm of the time in milliseconds.
 	logError runningStats // Of the logarithm of the time divided by its estimate.
@@ -30,8 +30,8 @@
 	meanMs float64
 }
 
-// addRun adds the run time of a task that is done. estimateMs is the client's estimate, or 0.
-func (t *runTimes) addRun(took time.Duration, estimateMs int) {
+// addTime adds the run time of a task that is done. estimateMs is the client's estimate, or 0.
+func (t *runTimes) addTime(took time.Duration, estimateMs int) {
 	ms := max(1, float64(took.Milliseconds()))
 	t.logTime.add(math.Log(ms))
 	t.meanMs += max(minSampleWeight, 1/float64(t.logTime.count)) * (ms - t.meanMs)
@@ -41,8 +41,8 @@
 }
 
 // estimate returns the expected time of a task in milliseconds, given the client's estimate or 0.
-// It is a mean of the queue's usual time and the client's estimate, each weighted by how precise it
-// has been.
+// It is a mean of the queue's usual time and the client's corrected estimate. Each is weighted by
+// how precise it has been.
 func (t *runTimes) estimate(estimateMs int) int {
 	if t.logTime.count < minLearnedRuns {
 		return estimateMs
@@ -63,5 +63,5 @@
 	return t.logTime.variance * t.logError.variance / (t.logTime.variance + t.logError.variance + minVariance)
 }
 
-// minVariance keeps the weights from a division by zero.
+// minVariance is added to variances so that weights are not divided by zero.
 const minVariance = 1e-6
--- a/pkg/cell/explain.go
+++ b/pkg/cell/explain.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// runStateNames are the names of the run states in explanations.
+// runStateNames describes the run states in explanations. A start that is ordered has been
+// requested.
 var runStateNames = map[runState]string{
 	runPending:    "about to be ordered",
 	runRequested:  "ordered, not answered yet",
@@ -22,7 +23,7 @@
 		return []string{fmt.Sprintf("job %s is not known here", id)}
 	}
 	lines := []string{fmt.Sprintf("job %s of queue %s is %s (recorded as %s); priority %d, accepted at %d ms, should be done by %d ms",
-		id, j.queue, j.state, j.recordedState, j.priority, j.acceptedMs, j.dueMs)}
+		id, j.queue, j.state, j.recordedState, j.priority, j.acceptedMs, j.deadlineMs)}
 	for _, r := range j.rounds {
 		for _, p := range r.phases {
 			lines = append(lines, c.explainPhase(p)...)
@@ -68,7 +69,7 @@
 	return line
 }
 
-// explainWait says why no endpoint takes a task now.
+// explainWait says why a ready task has not been started yet.
 func (c *Cell) explainWait(t *task) string {
 	if c.now.Before(t.notBefore) {
 		return fmt.Sprintf("endpoints have refused it %d times in a row; it is tried again in %d ms", t.refusals, t.notBefore.Sub(c.now).Milliseconds())
@@ -98,8 +99,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// obstacle says why a task can't start on an endpoint now, as the predicate of a sentence about
-// several such endpoints.
+// obstacle says why a task can't start on an endpoint now. The result is a predicate, as in "3
+// endpoints are full".
 func (c *Cell) obstacle(t *task, e *endpoint) string {
 	p := t.phase
 	switch {
--- a/pkg/cell/gang.go
+++ b/pkg/cell/gang.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// sameRackWait is how long a gang that is slow across racks waits for a rack that can hold all of
-// it. It is about as long as its tasks are delayed by being spread.
+// sameRackWait is how long a gang that should run on one rack waits for a rack that can hold all of
+// it. It is about as long as the gang's tasks are delayed by being spread over racks.
 const sameRackWait = 400 * time.Millisecond
 
-// placeGang starts all tasks of a gang together, or none.
+// placeGang starts all tasks of a gang together, or none. It waits until all unfinished members are
+// ready.
 func (c *Cell) placeGang(p *phase) {
 	if len(p.ready) < p.unfinishedTasks {
 		// Runs of some members have not ended yet.
@@ -36,23 +37,23 @@
 	}
 }
 
-// stopGang stops the runs of a gang that can't be complete, so that they don't wait for a member
-// that will not start.
-func (c *Cell) stopGang(p *phase, why string) {
+// stopGang stops all runs of a phase if it is a gang, because one member can't run: the others
+// would wait for it. It does nothing for other phases.
+func (c *Cell) stopGang(p *phase, reason string) {
 	if !p.spec.Gang {
 		return
 	}
 	for _, t := range p.tasks {
 		for _, r := range slices.Clone(t.runs) {
 			if !r.stopping {
-				c.stop(r, why)
+				c.stop(r, reason)
 			}
 		}
 	}
 }
 
-// chooseGangEndpoints returns an endpoint for each waiting task of a gang, or nil if they can't all
-// start now.
+// chooseGangEndpoints returns an endpoint for each ready task of a gang, or nil if they can't all
+// start now. A gang that should run on one rack is spread over racks only after sameRackWait.
 func (c *Cell) chooseGangEndpoints(p *phase) []*endpoint {
 	if p.gangReadySince.IsZero() {
 		p.gangReadySince = c.now
@@ -71,9 +72,9 @@
 	return c.chooseGangWithLabel(p, "")
 }
 
-// chooseGangWithLabel returns an endpoint with a label for each waiting task of a gang, or nil if
-// they can't all start. The capacity of each is occupied during the choice, so that no two members
-// count on the same.
+// chooseGangWithLabel returns an endpoint with the given label for each ready task of a gang, or
+// nil if they can't all start now. During the choice it occupies the capacity that the members
+// chosen so far need, so that no two of them rely on the same.
 func (c *Cell) chooseGangWithLabel(p *phase, label string) []*endpoint {
 	chosen := make([]*endpoint, 0, len(p.ready))
 	p.gangReserved = map[*endpoint]int{}
--- a/pkg/cell/guard.go
+++ b/pkg/cell/guard.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// capacityKnown reports whether the known capacity of an endpoint is recent enough for starts
-// there.
+// capacityKnown reports whether an endpoint's reported capacity is recent enough for starts there.
+// It always is if the endpoint refuses tasks that don't fit.
 func (c *Cell) capacityKnown(e *endpoint) bool {
 	return !c.acceptsOverload || c.now.Sub(e.info.SeenAt) <= maxCapacityAge
 }
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -8,20 +8,20 @@
 
 // Rules by which an endpoint counts as unhealthy.
 const (
-	// failuresToEject is the number of tasks in a row that must have failed on the endpoint. On
-	// healthy endpoints two tasks in a thousand fail. Tasks that have also failed elsewhere are not
-	// counted.
+	// failuresToEject is the number of tasks in a row that must have failed on an endpoint to eject
+	// it. On healthy endpoints two tasks in a thousand fail. Tasks that have also failed elsewhere
+	// are not counted.
 	failuresToEject = 2
 	// minEjection is how long an endpoint gets no new work after its first ejection. Each further
-	// ejection in a row doubles that, up to maxEjection. Disturbances that users report last five
-	// to seven seconds.
+	// ejection without a done task in between doubles the time, up to maxEjection. Disturbances
+	// that users report last five to seven seconds.
 	minEjection = 2 * time.Second
 	maxEjection = 8 * time.Second
 	// maxEjectedPercent is the highest percentage of a cell's endpoints that may be ejected. When
 	// more seem unhealthy, something else is the cause.
 	maxEjectedPercent = 34
-	// minEjectionBase is the number of endpoints of which maxEjectedPercent is taken in smaller
-	// cells: one endpoint may be ejected there as long as another is left.
+	// minEjectionBase is the number of endpoints that maxEjectedPercent is taken of in smaller
+	// cells, so that one of two endpoints may be ejected.
 	minEjectionBase = 3
 	// stallTime is how long none of an endpoint's tasks may have made progress before the endpoint
 	// counts as stalled. The time to restore a checkpoint is added to it.
@@ -35,9 +35,10 @@
 	progressSampleTime = 3 * time.Second
 )
 
-// health is what is known of how well an endpoint does its work.
+// health is what an owner has observed of how well an endpoint does its work.
 type health struct {
-	// consecutiveFailures counts the tasks that have failed since the last one that was done.
+	// consecutiveFailures counts the tasks that have failed on the endpoint since the last one that
+	// was done or the last ejection.
 	consecutiveFailures int
 	// consecutiveEjections counts the ejections since the last task that was done.
 	consecutiveEjections int
@@ -69,8 +70,8 @@
 	return count
 }
 
-// recordResult updates the health of a run's endpoint after the run has ended.
-func (c *Cell) recordResult(r *run, ending damsonwinch.Ending) {
+// updateHealth updates the health of a run's endpoint after the run has ended with a result.
+func (c *Cell) updateHealth(r *run, ending damsonwinch.Ending) {
 	h := &r.endpoint.health
 	switch ending {
 	case damsonwinch.EndedDone:
@@ -93,9 +94,9 @@
 	}
 }
 
-// eject gives an endpoint no new work for a while. It does nothing and returns false if the
-// endpoint is ejected already or the cell can't do without it.
-func (c *Cell) eject(e *endpoint, why string) bool {
+// eject gives an endpoint no new work for a while, and returns true. It does nothing and returns
+// false if the endpoint is ejected already or the cell can't do without it.
+func (c *Cell) eject(e *endpoint, reason string) bool {
 	h := &e.health
 	if c.now.Before(h.ejectedUntil) || !c.canEject() {
 		return false
@@ -105,7 +106,7 @@
 	h.probing = true
 	h.consecutiveFailures, h.progressSamples = 0, nil
 	c.stats.Ejections++
-	c.logEndpoint("endpoint ejected", e, why)
+	c.logEndpoint("endpoint ejected", e, reason)
 	return true
 }
 
@@ -124,7 +125,7 @@
 	return ejected+1 < usable && (ejected+1)*100 <= max(usable, minEjectionBase)*maxEjectedPercent
 }
 
-// checkProgress ejects an endpoint whose tasks are stalled or slow, and moves their runs elsewhere.
+// checkProgress ejects an endpoint whose tasks are stalled or slow, and moves runs away from it.
 func (c *Cell) checkProgress(e *endpoint) {
 	if c.isStalled(e) {
 		if c.eject(e, "its tasks make no progress") {
@@ -153,17 +154,18 @@
 	return tasks > 0 && !e.silent
 }
 
-// moveRunsAway stops the runs on an unhealthy endpoint that are finished sooner elsewhere, and
-// starts speculative attempts of those whose phases allow that. Runs on the endpoint take factor
-// times as long as elsewhere, or never end if factor is 0.
-func (c *Cell) moveRunsAway(e *endpoint, factor float64) {
+// moveRunsAway stops the runs on an unhealthy endpoint that would finish sooner elsewhere. If a
+// phase allows speculative attempts, its runs are not stopped but get another attempt elsewhere.
+// slowness is how many times as long as elsewhere runs take on the endpoint; with 0 they never end
+// there.
+func (c *Cell) moveRunsAway(e *endpoint, slowness float64) {
 	c.startSpeculativeAttempts(e)
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed || r.task.phase.spec.Lasting || r.task.phase.spec.Copies || !c.fitsElsewhere(r) {
 			continue
 		}
-		remaining := r.remainingMs()
-		if factor > 0 && remaining > 0 && remaining < c.restartElsewhereMs(r, remaining/factor) {
+		remaining := r.measuredRemainingMs()
+		if slowness > 0 && remaining > 0 && remaining < c.restartElsewhereMs(r, remaining/slowness) {
 			continue
 		}
 		c.stop(r, "its endpoint is unwell")
@@ -182,8 +184,8 @@
 	return false
 }
 
-// restartElsewhereMs estimates how many milliseconds a run takes on another endpoint, including the
-// stop here. remainingMs is the time that its remaining work takes at normal speed.
+// restartElsewhereMs estimates how many milliseconds it takes to stop a run here and finish its
+// task on another endpoint. remainingMs is the time that the remaining work takes at normal speed.
 func (c *Cell) restartElsewhereMs(r *run, remainingMs float64) float64 {
 	stopMs := float64(c.options.MaxStopTime.Milliseconds())
 	if r.task.phase.spec.Checkpoints {
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -22,10 +22,11 @@
 	// clientWaitsUntil is when the client stops waiting for the reply to its submission, less a
 	// margin.
 	clientWaitsUntil time.Time
-	// dueMs is the deadline and endedMs when the job ended, both in Unix milliseconds.
-	dueMs    int
-	endedMs  int
-	priority int
+	// deadlineMs is the job's deadline. endedMs is when the job ended. Both are in Unix
+	// milliseconds.
+	deadlineMs int
+	endedMs    int
+	priority   int
 	// maxAttempts is the queue's limit of attempts when the job was submitted. A newer limit of the
 	// queue overrides it.
 	maxAttempts int
@@ -62,7 +63,8 @@
 	return j.state == wire.JobStateCompleted || j.state == wire.JobStateFailed || j.state == wire.JobStateCancelled
 }
 
-// round is one execution of all phases of a job. A repeated job has several.
+// round is one execution of all phases of a job. A repeated job has several. number counts the
+// job's rounds from 0.
 type round struct {
 	job    *job
 	number int
@@ -140,8 +142,9 @@
 	// lapsedAttempts is the number of attempts with unknown results, whose leases expired while
 	// their endpoints were unreachable.
 	lapsedAttempts int
-	// refusals counts consecutive starts that endpoints rejected permanently. notBefore is the
-	// earliest time of the next start.
+	// refusals counts the starts that endpoints have refused since the last one that was accepted,
+	// not counting refusals by another life or for an invalid ticket. notBefore is the earliest
+	// time of the next start.
 	refusals  int
 	notBefore time.Time
 	// avoid is the endpoint to avoid at the next start, usually the one where the task failed last.
@@ -157,7 +160,7 @@
 func comparePhases(a, b *phase) int {
 	return cmp.Or(
 		cmp.Compare(a.job().priority, b.job().priority),
-		cmp.Compare(a.job().dueMs, b.job().dueMs),
+		cmp.Compare(a.job().deadlineMs, b.job().deadlineMs),
 		cmp.Compare(a.job().acceptedMs, b.job().acceptedMs),
 		cmp.Compare(a.job().id, b.job().id),
 		cmp.Compare(a.round.number, b.round.number),
@@ -192,8 +195,8 @@
 	return r
 }
 
-// openPhase makes the unfinished tasks of a phase ready, except those with attempts that may be
-// running.
+// openPhase makes the unfinished tasks of a phase ready, except those that have attempts which may
+// be running.
 func (c *Cell) openPhase(p *phase) {
 	for _, t := range p.tasks {
 		if !t.done && len(t.runs) == 0 {
@@ -202,8 +205,8 @@
 	}
 }
 
-// makeReady adds a task to the ready ones of its phase, unless it must not or need not start, and
-// puts the phase into openPhases.
+// makeReady adds a task to the ready ones of its phase, unless it need not or must not start now,
+// and puts the phase into openPhases. It gives the task up if its starts are exhausted.
 func (c *Cell) makeReady(t *task) {
 	p := t.phase
 	if t.ready || t.done || p.unfinishedDeps > 0 || p.job().ended() || t.givenUp || c.giveUpIfStartsExhausted(t) {
@@ -245,7 +248,7 @@
 	return max(1, j.spec.Rounds)
 }
 
-// roundDue returns when a round of a repeated job is due. The round of any other job is due at
+// roundDue returns when a round of a repeated job is due. The only round of any other job is due at
 // once.
 func (j *job) roundDue(number int) time.Time {
 	if j.spec.Rounds == 0 {
--- a/pkg/cell/lapsed.go
+++ b/pkg/cell/lapsed.go
@@ -9,13 +9,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// lapsedAttempt is an attempt on an endpoint that can't be reached, and whose lease has certainly
-// expired. Its result isn't known. It may have failed before the lease expired, which the endpoint
-// reports once it can be reached again.
+// lapsedAttempt is an attempt whose endpoint is out of reach and whose lease has certainly expired.
+// Its result isn't known: it may have failed before the lease expired. Then the endpoint reports
+// that once it can be reached again.
 type lapsedAttempt struct {
 	task    *task
 	attempt int
-	// minAge is how long the attempt had been running at least.
+	// minAge is the least time for which the attempt had been running.
 	minAge time.Duration
 }
 
@@ -27,37 +27,37 @@
 	c.requeue(r)
 }
 
-// resolveLapsed removes the lapsed attempt that a result belongs to, and reports whether there was
-// one.
+// resolveLapsed removes the lapsed attempt that a result from an endpoint belongs to. It reports
+// whether there was one.
 func (c *Cell) resolveLapsed(e *endpoint, result damsonwinch.RunResult) bool {
 	i := slices.IndexFunc(e.lapsedAttempts, func(l lapsedAttempt) bool { return l.attempt == result.Attempt && l.task.id() == result.Task })
 	if i < 0 {
 		return false
 	}
-	c.removeLapsed(e.lapsedAttempts[i])
+	c.uncountLapsed(e.lapsedAttempts[i])
 	e.lapsedAttempts = slices.Delete(e.lapsedAttempts, i, i+1)
 	return true
 }
 
-// forgetLapsed drops the lapsed attempts of an endpoint that will not report their results. Either
-// the endpoint has listed all results without them, or the attempts don't count any more.
+// forgetLapsed drops the lapsed attempts of an endpoint whose results will not be reported: the
+// endpoint has listed all its results without them, or it has exited or been given up.
 func (c *Cell) forgetLapsed(e *endpoint) {
 	for _, l := range e.lapsedAttempts {
-		c.removeLapsed(l)
+		c.uncountLapsed(l)
 	}
 	e.lapsedAttempts = nil
 }
 
-// removeLapsed updates the task of a lapsed attempt whose result has become known or doesn't matter
-// any more.
-func (c *Cell) removeLapsed(l lapsedAttempt) {
+// uncountLapsed no longer counts a lapsed attempt for its task, because its result has become known
+// or doesn't matter any more.
+func (c *Cell) uncountLapsed(l lapsedAttempt) {
 	l.task.lapsedAttempts--
 	c.placementDue = true
 	c.markDirty(l.task.phase.job())
 }
 
 // mustWait reports whether a task must not be started yet: either it backs off after endpoints have
-// refused it, or it has no attempts left in case all lapsed ones have failed.
+// refused it, or it would have no attempts left if all its lapsed attempts have failed.
 func (c *Cell) mustWait(t *task) bool {
 	return c.now.Before(t.notBefore) || t.lapsedAttempts > 0 && !t.phase.spec.Lasting && failureCount(t)+t.lapsedAttempts >= c.maxAttempts(t.phase.job())
 }
--- a/pkg/cell/learned.go
+++ b/pkg/cell/learned.go
@@ -12,15 +12,16 @@
 	"damsonwinch/pkg/wire"
 )
 
-// queueStatsPrefix begins the keys of the records with queue statistics.
+// queueStatsPrefix is the prefix of the keys of the records with queue statistics.
 const queueStatsPrefix = "learned/"
 
 // queueStatsInterval is the time between two records of the statistics. A new owner needs them only
 // for its first seconds, so older values do little harm.
 const queueStatsInterval = 3 * time.Second
 
-// queueStatsRecords returns the records with the statistics of all queues, or nil if they have not
-// changed or were recorded less than queueStatsInterval ago.
+// queueStatsRecords returns records with the statistics of all queues and notes that they are
+// recorded. It returns nil if the statistics have not changed or were recorded less than
+// queueStatsInterval ago.
 func (c *Cell) queueStatsRecords() []damsonwinch.Record {
 	if !c.queueStatsDirty || c.now.Sub(c.queueStatsRecordedAt) < queueStatsInterval {
 		return nil
--- a/pkg/cell/lives.go
+++ b/pkg/cell/lives.go
@@ -23,14 +23,14 @@
 	return c.sortedEndpoints[from:to]
 }
 
-// superseded reports whether a life has ended and another one with the same ID is known.
+// superseded reports whether a life has exited and another one with the same ID is known.
 func (c *Cell) superseded(e *endpoint) bool {
 	return e.exited && len(c.livesWithID(e.info.Life.ID)) > 1
 }
 
-// lastAnsweredStep returns the step at which the newest poll was sent that a life with this ID has
-// answered. That shows which life is running now; the start times don't, since a box's clock may
-// have been set back.
+// lastAnsweredStep returns the step at which the newest poll was sent that any life with this ID
+// has answered. The life that has answered it is the one that is running now. Start times don't
+// show that, since a box's clock may have been set back.
 func (c *Cell) lastAnsweredStep(id string) int {
 	newest := 0
 	for _, e := range c.livesWithID(id) {
@@ -39,8 +39,8 @@
 	return newest
 }
 
-// answeringLife returns the life that has answered a poll of e and reports startedUnixMs as its
-// start. It returns nil if that life is known to have ended.
+// answeringLife returns the life that has answered a poll of e, according to the start time that it
+// reports. It returns nil if that life is known to have exited.
 func (c *Cell) answeringLife(e *endpoint, sent *sentPoll, startedUnixMs int) *endpoint {
 	life := e.info.Life.WithStarted(startedUnixMs)
 	if life.MayBeSame(e.info.Life) {
@@ -61,8 +61,9 @@
 	return answering
 }
 
-// supersedeOtherLives marks all other lives with the ID of current as ended. current has answered a
-// poll that was sent at sentStep.
+// supersedeOtherLives marks all other lives with the ID of current as exited, since current has
+// answered a poll that was sent at sentStep. Their runs are assigned to current if they may have
+// moved there, and lost otherwise.
 func (c *Cell) supersedeOtherLives(current *endpoint, reply damsonwinch.PollReply, sentStep int) {
 	for _, earlier := range c.livesWithID(current.info.Life.ID) {
 		if earlier == current {
@@ -83,9 +84,9 @@
 	}
 }
 
-// mayHaveMoved reports whether r, which was requested of an earlier life, may run on the life that
-// has answered a poll. Either the reply lists it, or its start request may still have been on its
-// way.
+// mayHaveMoved reports whether r, which was requested of another life with the same ID, may run on
+// the life that has answered a poll. Either the reply lists it, or its start request may still have
+// been on its way when the poll was sent, at sentStep.
 func (c *Cell) mayHaveMoved(r *run, reply damsonwinch.PollReply, sentStep int) bool {
 	switch r.state {
 	case runPending:
@@ -113,15 +114,16 @@
 	c.markDirty(r.task.phase.job())
 }
 
-// markLostByReport marks a life as ended because the platform or the planner reported it. Requests
-// to it may still be on their way: if lives share an ID, a later one may carry them out.
-func (c *Cell) markLostByReport(e *endpoint, why string) {
-	c.markLostKeeping(e, why, func(r *run) bool {
+// markLostByReport marks a life as exited because the platform or the planner reported that.
+// Requests to the life may still be on their way. If lives share an ID, a later one may carry them
+// out, so the runs that this concerns are kept.
+func (c *Cell) markLostByReport(e *endpoint, reason string) {
+	c.markLostKeeping(e, reason, func(r *run) bool {
 		return e.info.Life.StartedUnixMs != 0 && (r.state != runConfirmed || e.silent && r.listedAfterStep >= e.silentStep)
 	})
 }
 
-// dropKeptRuns removes the runs that are still kept for a life that has ended.
+// dropKeptRuns removes the runs that are still kept for a life that has exited.
 func (c *Cell) dropKeptRuns(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.state != runPending {
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -8,8 +8,9 @@
 	"damsonwinch"
 )
 
-// polls tracks the polls of an endpoint that have not been answered yet. There is at most one that
-// the endpoint may hold until a run ends, and one that it answers at once.
+// polls tracks the polls of an endpoint that have not been answered yet. There is at most one of
+// each kind: waiting, which the endpoint may hold until a run ends, and immediate, which it answers
+// at once.
 type polls struct {
 	// lastNumber is the number of the last poll sent.
 	lastNumber int
@@ -32,8 +33,8 @@
 // maxResults is the number of results that an endpoint lists in one reply at most. More may follow.
 const maxResults = 500
 
-// sendDuePolls sends the polls that are due: to the endpoints for which schedulePoll was called, or
-// to all when pollAll is set.
+// sendDuePolls sends the polls that are due. It checks the endpoints for which schedulePoll was
+// called, or all endpoints if pollAll is set.
 func (c *Cell) sendDuePolls() {
 	due := c.pollDue
 	if c.pollAll {
@@ -57,7 +58,7 @@
 	}
 }
 
-// requestPoll requests a poll that the endpoint answers at once.
+// requestPoll asks for a poll that the endpoint answers at once, even while it holds another poll.
 func (c *Cell) requestPoll(e *endpoint) {
 	e.pollWanted = true
 	c.schedulePoll(e)
@@ -77,13 +78,14 @@
 		}
 	case e.polls.waiting != nil:
 	case e.appliedSequence > e.recordedSequence:
-		// A poll that waits would return at once with the same results, since they are not recorded
-		// yet. While the store is unavailable the leases still have to be renewed.
+		// The endpoint would not hold a poll but answer at once with the same results, which can't
+		// be acknowledged before they are recorded. While the store is unavailable the leases still
+		// have to be renewed.
 		if e.polls.immediate == nil && since >= c.options.PollRetryInterval {
 			c.sendPoll(e, 0)
 		}
 	case e.strayRuns > 0:
-		// The endpoint gets no work until its stray runs have ended.
+		// The endpoint gets no work until its stray runs have ended, so it is polled often.
 		if since >= c.options.PollRetryInterval {
 			c.sendPoll(e, 0)
 		}
@@ -119,7 +121,7 @@
 	c.effects.Polls = append(c.effects.Polls, Poll{Endpoint: e.info, Request: request, Number: sent.number})
 }
 
-// take removes and returns the unanswered poll with a number, or nil if there is none.
+// take removes and returns the unanswered poll with the given number, or nil if there is none.
 func (p *polls) take(number int) *sentPoll {
 	for _, place := range []**sentPoll{&p.waiting, &p.immediate} {
 		if sent := *place; sent != nil && sent.number == number {
@@ -130,11 +132,11 @@
 	return nil
 }
 
-// errExitedLife is returned when the reply comes from a life that is known to have ended.
-var errExitedLife = errors.New("a life answers that has ended")
+// errExitedLife is the error of a poll that was answered by a life that is known to have exited.
+var errExitedLife = errors.New("the answer is from a life that has exited")
 
-// Polled handles the reply to the poll of that number, which was sent to a life, or the error that
-// the poll failed with.
+// Polled handles the reply to the poll with the given number, which was sent to life, or the error
+// that the poll failed with.
 func (c *Cell) Polled(now time.Time, life damsonwinch.Life, number int, reply damsonwinch.PollReply, err error) {
 	c.beginEvent(now)
 	defer c.finishEvent()
@@ -181,9 +183,9 @@
 	}
 }
 
-// pollFailed handles the error of a poll. ErrOtherLife means that the life has ended, and
-// ErrStaleToken that a newer owner has been at the endpoint. After any other error the endpoint
-// counts as silent.
+// pollFailed handles the error of a poll. ErrOtherLife means that the life has exited, and
+// ErrStaleToken that the endpoint has had requests from a newer owner. After any other error the
+// endpoint counts as silent.
 func (c *Cell) pollFailed(e *endpoint, sent *sentPoll, err error) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrOtherLife):
@@ -203,7 +205,8 @@
 	}
 }
 
-// applyResults applies the results that are new, in the order of their sequence numbers.
+// applyResults applies the results that have not been applied yet, in the order of their sequence
+// numbers.
 func (c *Cell) applyResults(e *endpoint, results []damsonwinch.RunResult) {
 	slices.SortFunc(results, func(a, b damsonwinch.RunResult) int { return a.Sequence - b.Sequence })
 	for _, result := range results {
@@ -216,9 +219,9 @@
 	}
 }
 
-// reconcileRuns compares the runs that an endpoint lists, in the reply to a poll that was sent at
-// sentStep, with those that the cell expects there. It stops runs that are not expected and removes
-// those that don't exist.
+// reconcileRuns compares the runs that an endpoint has listed with those that the cell expects
+// there. It stops listed runs that are not expected, and removes expected runs that don't exist.
+// sentStep is the step at which the poll was sent.
 func (c *Cell) reconcileRuns(e *endpoint, listed []damsonwinch.RunProgress, sentStep int) {
 	e.strayRuns = 0
 	for _, progress := range listed {
@@ -248,12 +251,13 @@
 func (c *Cell) mustBeListed(r *run, sentStep int) bool {
 	switch r.state {
 	case runUnverified:
-		// This owner's token has kept out later start requests of earlier owners.
+		// The poll has brought this owner's token to the endpoint, which refuses later starts by
+		// earlier owners.
 		return true
 	case runConfirmed:
 		return sentStep >= r.listedAfterStep
 	case runUncertain:
-		// Once the endpoint has accepted the stop, the attempt can't begin any more.
+		// Once the endpoint has accepted the stop, it refuses the start of this attempt.
 		return r.stopConfirmed && sentStep >= r.listedAfterStep
 	}
 	return false
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -10,18 +10,18 @@
 	"damsonwinch/pkg/wire"
 )
 
-// markLost marks a life as ended. Everything that ran there is lost.
-func (c *Cell) markLost(e *endpoint, why string) {
-	c.markLostKeeping(e, why, func(*run) bool { return false })
+// markLost marks a life as exited. All its runs are lost.
+func (c *Cell) markLost(e *endpoint, reason string) {
+	c.markLostKeeping(e, reason, func(*run) bool { return false })
 }
 
-// markLostKeeping marks a life as ended. It keeps the runs for which keep returns true, since a
-// later life with the same ID may run them.
-func (c *Cell) markLostKeeping(e *endpoint, why string, keep func(r *run) bool) {
+// markLostKeeping marks a life as exited. All its runs are lost, except those for which keep
+// returns true: a later life with the same ID may run them.
+func (c *Cell) markLostKeeping(e *endpoint, reason string, keep func(r *run) bool) {
 	if e.exited {
 		return
 	}
-	c.logEndpointLost(e, why)
+	c.logEndpointLost(e, reason)
 	e.exited = true
 	c.countLossForLapsed(e)
 	c.forgetLapsed(e)
@@ -66,7 +66,8 @@
 	}
 }
 
-// removeMissingRun removes a run that its endpoint doesn't have.
+// removeMissingRun removes a run that its endpoint doesn't have. It counts as lost if it was kept
+// after the exit of an earlier life.
 func (c *Cell) removeMissingRun(r *run) {
 	c.logRun("run is not there", r, "")
 	if r.pendingLoss != nil {
@@ -77,7 +78,7 @@
 }
 
 // runToBlame returns the run on probation that is to blame for the exit of its endpoint. It returns
-// nil if there is none: then any of the tasks there may have caused the exit.
+// nil if there is no such run: then any of the tasks there may have caused the exit.
 func (c *Cell) runToBlame(e *endpoint) *run {
 	if r := e.probation; r != nil && r.state != runPending && c.options.CrashRules.Blames(r.task.crashes, c.lossOf(r)) {
 		return r
@@ -85,15 +86,15 @@
 	return nil
 }
 
-// lossOf describes the loss of a run's endpoint, for the run's task.
+// lossOf describes the loss of a run's endpoint, as evidence against the run's task.
 func (c *Cell) lossOf(r *run) crash.Loss {
 	exitedAt := r.endpoint.exitedAt(c.now)
 	loss := crash.Loss{MaxAge: r.age(exitedAt), MinAge: r.age(r.endpoint.lastAnsweredAt), Explained: c.hasCommonCause(r.endpoint, exitedAt), Probation: r.endpoint.probation == r, LossRate: c.baselineExits.rate(c.now)}
 	if r.endpoint.silent && r.endpoint.pollBroken {
 		// The poll that broke would have reported the end of the run. Without such a poll the run
-		// may have ended before, unreported. A start request whose reply is lost with the endpoint
-		// has arrived there. That is certain enough only on probation, where nothing else had
-		// started: the weight of the loss accounts for the doubt.
+		// may have ended before, unreported. A start request whose reply was lost with the endpoint
+		// has probably arrived there. That is taken as certain only on probation, where nothing
+		// else had started: the weight of the loss accounts for the doubt.
 		loss.MinAge, loss.Certain = loss.MaxAge, r.state == runConfirmed || loss.Probation
 	}
 	if r.inherited {
@@ -114,8 +115,8 @@
 	c.addSuspect(t)
 }
 
-// giveUpIfCrasher gives a task up whose probations have shown that it crashes its endpoints. It
-// reports whether the task is one.
+// giveUpIfCrasher gives a task up if its probations have shown that it crashes its endpoints. It
+// reports whether that is so.
 func (c *Cell) giveUpIfCrasher(t *task, loss runLoss) bool {
 	if !c.options.CrashRules.IsCrasher(t.crashes) {
 		return false
@@ -125,8 +126,8 @@
 	return true
 }
 
-// giveUpIfStartsExhausted gives a task up that may not be started again after the losses under it.
-// It reports whether the task is one.
+// giveUpIfStartsExhausted gives a task up if it must not be started again after the losses under
+// it, whatever caused them. It reports whether that is so.
 func (c *Cell) giveUpIfStartsExhausted(t *task) bool {
 	if !c.options.CrashRules.StartsExhausted(t.crashes) {
 		return false
@@ -136,18 +137,18 @@
 }
 
 // giveUp marks a task as one that is not started any more, and fails its job. A long-running job
-// goes on with its other tasks, as long as one of them runs or may be started. The given-up task
-// counts among those that may be missing.
-func (c *Cell) giveUp(t *task, why string) {
+// goes on with its other tasks while one of its tasks runs or may be started. The task that was
+// given up then counts as unavailable.
+func (c *Cell) giveUp(t *task, reason string) {
 	if t.givenUp {
 		return
 	}
 	t.givenUp = true
 	c.stats.TasksGivenUp++
 	if j := t.phase.job(); !t.phase.spec.Lasting || j.runCount == 0 && !j.hasStartableTask() {
-		c.endJob(j, wire.JobStateFailed, why)
+		c.endJob(j, wire.JobStateFailed, reason)
 	} else {
-		c.logJob("task given up", j, why)
+		c.logJob("task given up", j, reason)
 	}
 }
 
@@ -163,17 +164,17 @@
 	return false
 }
 
-// addStarts adds more to the number of starts of a task since too many endpoints were lost under
-// it. It does nothing for other tasks. more is negative when the endpoint has certainly not begun
-// the task.
-func (c *Cell) addStarts(t *task, more int) {
+// addExtraStarts adds delta to a task's extra starts, which are counted once too many endpoints
+// have been lost under it. For other tasks it does nothing. delta is 1 for a planned start, and -1
+// when that start has certainly not begun.
+func (c *Cell) addExtraStarts(t *task, delta int) {
 	if c.options.CrashRules.CountsStarts(t.crashes) {
-		t.crashes = t.crashes.WithExtraStarts(more)
+		t.crashes = t.crashes.WithExtraStarts(delta)
 	}
 }
 
-// countLossForLapsed counts the loss of an endpoint against the tasks of its lapsed attempts: it
-// may have exited before their leases expired, and because of them.
+// countLossForLapsed counts the loss of an endpoint against the tasks of its lapsed attempts: the
+// endpoint may have exited before their leases expired, and because of them.
 func (c *Cell) countLossForLapsed(e *endpoint) {
 	for _, l := range e.lapsedAttempts {
 		l.task.crashes = c.options.CrashRules.Add(l.task.crashes, crash.Loss{MinAge: l.minAge, MaxAge: c.options.CrashRules.MaxCrashAge})
@@ -181,8 +182,8 @@
 	}
 }
 
-// exitedAt returns when a lost endpoint ended, as far as that is known. A poll waits there nearly
-// always, and its connection breaks at once.
+// exitedAt returns when a lost endpoint exited, as far as that is known, or now. The endpoint
+// nearly always holds a poll, whose connection breaks at once when it exits.
 func (e *endpoint) exitedAt(now time.Time) time.Time {
 	if e.silent {
 		return e.silentSince
@@ -190,7 +191,7 @@
 	return now
 }
 
-// commonCauseTime is how close in time two endpoints must exit for that to have a common cause.
+// commonCauseTime is how close in time the exits of two endpoints must be to have a common cause.
 // Endpoints of a rack or zone that fails exit within some milliseconds.
 const commonCauseTime = 50 * time.Millisecond
 
@@ -216,26 +217,27 @@
 	return exited > 0 && exited*2 >= inZone
 }
 
-// age returns how long ago the run had started when its endpoint exited.
-func (r *run) age(exitedAt time.Time) time.Duration {
-	return max(0, exitedAt.Sub(r.startedAt))
+// age returns the age of the run at the given time: the time since its start, or 0 if it had not
+// started.
+func (r *run) age(at time.Time) time.Duration {
+	return max(0, at.Sub(r.startedAt))
 }
 
 // logEndpointLost logs the loss of an endpoint with the number and age of its runs.
-func (c *Cell) logEndpointLost(e *endpoint, why string) {
+func (c *Cell) logEndpointLost(e *endpoint, reason string) {
 	if len(e.runs) == 0 {
-		c.logEndpoint("endpoint lost", e, why)
+		c.logEndpoint("endpoint lost", e, reason)
 		return
 	}
 	c.stats.EndpointsLost++
 	exitedAt := e.exitedAt(c.now)
 	youngest := e.runsByStart[len(e.runsByStart)-1].age(exitedAt)
 	c.logEndpoint("endpoint lost", e, fmt.Sprintf("%s; it ended %d ms ago with %d runs, the youngest for %d ms",
-		why, c.now.Sub(exitedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
+		reason, c.now.Sub(exitedAt).Milliseconds(), len(e.runs), youngest.Milliseconds()))
 }
 
-// logRunLost logs a run that was lost with its endpoint. The first loss of a task is a debug line,
-// since it is mostly one of many.
+// logRunLost logs a run that was lost with its endpoint. The first loss under a task is a debug
+// line, since it is mostly one of many.
 func (c *Cell) logRunLost(r *run, loss runLoss) {
 	details := loss.details
 	c.effects.LogLines = append(c.effects.LogLines, LogLine{
@@ -245,21 +247,21 @@
 	})
 }
 
-// crashColumns is the number of columns of a row of JobRecord.Crashed, which describes a task under
-// which endpoints were lost. The columns are the index of the task's row, the losses, the certain
-// losses, the similar losses in a row, the lower and upper bound of the age at these in
-// milliseconds, the weight of the evidence, and the extra starts.
+// crashColumns is the number of columns of a row of JobRecord.Crashed, which holds the
+// crash.History of a task: the index of the task's row, Losses, CertainLosses, SimilarLosses,
+// MinAge and MaxAge in milliseconds, Weight and ExtraStarts.
 const crashColumns = 8
 
-// writeCrashes adds a task's history of losses to its job's record. The next row of record.Tasks
-// must become the task's.
+// writeCrashes adds a task's history of losses to its job's record, if it has any. It must be
+// called before the task's row is appended to record.Tasks, since it refers to the index of that
+// row.
 func writeCrashes(t *task, record *wire.JobRecord) {
 	if t.crashes.Losses > 0 && !t.done {
 		record.Crashed = append(record.Crashed, []int{len(record.Tasks), t.crashes.Losses, t.crashes.CertainLosses, t.crashes.SimilarLosses, int(t.crashes.MinAge.Milliseconds()), int(t.crashes.MaxAge.Milliseconds()), t.crashes.Weight, t.crashes.ExtraStarts})
 	}
 }
 
-// readCrashes restores the histories of losses from a job's record.
+// readCrashes restores the tasks' histories of losses from their job's record.
 func (c *Cell) readCrashes(j *job, record wire.JobRecord) error {
 	for _, row := range record.Crashed {
 		if len(row) != crashColumns || row[0] < 0 || row[0] >= len(record.Tasks) {
--- a/pkg/cell/options.go
+++ b/pkg/cell/options.go
@@ -19,7 +19,8 @@
 	MaxStopTime time.Duration
 	// RestoreTime is how long a task takes to resume from a checkpoint.
 	RestoreTime time.Duration
-	// MaxStartDelay bounds how long after it was sent a start request may take effect.
+	// MaxStartDelay bounds the time from the sending of a start request until it takes effect. An
+	// endpoint refuses a start that arrives later.
 	MaxStartDelay time.Duration
 	// MinCommitInterval is the shortest time between two appends. Each append has a cost, and the
 	// changes that accumulate meanwhile share one.
--- a/pkg/cell/overload.go
+++ b/pkg/cell/overload.go
@@ -8,12 +8,12 @@
 	"damsonwinch/pkg/triage"
 )
 
-// fixedValueShare is the part of a job's value that does not depend on its work. Users measure the
-// value of a job as 0.3, plus 0.7 times its work divided by the queue's mean work.
+// fixedValueShare is the part of a job's value that does not depend on its work. By the users'
+// measure, the value of a job is 0.3, plus 0.7 times its work divided by the queue's mean work.
 const fixedValueShare = 0.3
 
-// deferPhases chooses the phases that have to wait behind others, when not all can meet their
-// deadlines.
+// deferPhases chooses the phases that have to wait behind others when not all can meet their
+// deadlines, and sets deferred on them.
 func (c *Cell) deferPhases() {
 	for _, p := range c.openPhases {
 		p.deferred = false
@@ -35,7 +35,7 @@
 }
 
 // onTimePhases returns the phases with waiting tasks whose jobs can still meet their deadlines, and
-// the CPU that those tasks need.
+// the CPU that those tasks need, in thousandths of a core.
 func (c *Cell) onTimePhases(nowMs int) (waiting []*phase, needed int) {
 	for _, p := range c.openPhases {
 		if !p.spec.Lasting && p.lateAtMs > 0 && !p.isLate(nowMs) && len(p.ready) > 0 && p.overQuotaSince.IsZero() {
@@ -46,8 +46,8 @@
 	return waiting, needed
 }
 
-// capacity returns the free CPU of the cell's endpoints, and how fast more becomes free as tasks
-// end.
+// capacity returns the free CPU of the endpoints that may get work, and how much more becomes free
+// per millisecond as tasks end.
 func (c *Cell) capacity() triage.Capacity {
 	free, turnover := 0, 0
 	for _, e := range c.sortedEndpoints {
@@ -78,7 +78,8 @@
 	return sum
 }
 
-// triageItem returns what a phase needs, by when, and the value of its job.
+// triageItem returns how much CPU a phase's waiting tasks need, within what time they have to
+// start, the value of the job, and the work that is left of its round.
 func (c *Cell) triageItem(p *phase, nowMs int) triage.Item {
 	j := p.job()
 	rest := 0
--- a/pkg/cell/pace.go
+++ b/pkg/cell/pace.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// progress tracks how fast a run makes progress, as shown by polls.
+// progress tracks how fast a run makes progress, according to the replies to polls.
 type progress struct {
-	// basePercent is how much was done at baseAt, when the run was first seen to make progress.
-	// Speed is measured from there.
+	// basePercent is how much of the task was done at baseAt, when the run was first seen to make
+	// progress. The speed is measured from there.
 	basePercent int
 	baseAt      time.Time
-	// reportedAt is when the last report arrived, and percent how much was done by then.
+	// reportedAt is when the last report arrived, and percent how much of the task was done by
+	// then.
 	reportedAt time.Time
 	percent    int
 	// advancedAt is when the run was last seen to have made progress.
@@ -19,7 +20,7 @@
 // are rounded to whole percents.
 const minMeasuredPercent = 6
 
-// update records how much of the run is done.
+// update notes a report of how much of the task is done.
 func (p *progress) update(now time.Time, percent int) {
 	switch {
 	case p.advancedAt.IsZero():
@@ -41,8 +42,8 @@
 	return float64(p.percent-p.basePercent) / float64(max(1, p.reportedAt.Sub(p.baseAt).Milliseconds()))
 }
 
-// totalMs returns how many milliseconds the whole task takes at this speed, or 0 while that isn't
-// known.
+// totalMs returns how many milliseconds the whole task takes at the measured speed, or 0 while that
+// isn't known.
 func (p *progress) totalMs() float64 {
 	if speed := p.percentPerMs(); speed > 0 {
 		return fullPercent / speed
@@ -50,24 +51,25 @@
 	return 0
 }
 
-// remainingMs returns how many milliseconds the run still takes at its speed, or 0 while that isn't
-// known.
-func (r *run) remainingMs() float64 {
+// measuredRemainingMs returns how many milliseconds the run still takes at its measured speed, or 0
+// while that isn't known.
+func (r *run) measuredRemainingMs() float64 {
 	if speed := r.progress.percentPerMs(); speed > 0 {
 		return float64(fullPercent-r.percent) / speed
 	}
 	return 0
 }
 
-// remainingMs estimates how many milliseconds a run still takes, from its speed if that is known
-// and otherwise from the estimate for its task.
-func (c *Cell) remainingMs(r *run) int {
-	if left := r.remainingMs(); left > 0 {
+// estimateRemainingMs estimates how many milliseconds a run still takes: from its measured speed if
+// that is known, and otherwise from the expected time of its task.
+func (c *Cell) estimateRemainingMs(r *run) int {
+	if left := r.measuredRemainingMs(); left > 0 {
 		return int(left) - int(c.now.Sub(r.progress.reportedAt).Milliseconds())
 	}
 	usual := c.statsOf(r.task.phase.job().queue).times.estimate(r.task.phase.spec.EstimateMs)
 	return max(minRemainingMs, usual-int(c.now.Sub(r.startedAt).Milliseconds()))
 }
 
-// minRemainingMs is the remaining time that is assumed for a run that takes longer than estimated.
+// minRemainingMs is the remaining time that is assumed for a run that takes longer than expected,
+// while its speed isn't known.
 const minRemainingMs = 200
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -6,9 +6,9 @@
 	"damsonwinch"
 )
 
-// place starts the tasks that are ready, as far as there is capacity. Phases of jobs that can still
-// meet their deadlines come first, the most urgent before the others. Phases that are deferred for
-// these follow, and then late ones.
+// place starts the tasks that are ready, as far as there is capacity. Suspects on probation come
+// first. Then come the phases whose jobs can still meet their deadlines, the most urgent first,
+// then the phases that are deferred in favour of those, and last the late ones.
 func (c *Cell) place() {
 	if len(c.openPhases) == 0 || !c.placementDue {
 		return
@@ -36,9 +36,9 @@
 	c.placePhases(late, unplaceable)
 }
 
-// placePhases places phases in order. unplaceable holds resource needs for which no endpoint has
-// capacity; placePhases skips phases that need as much, and returns the slice with the needs that
-// it adds.
+// placePhases starts the tasks of phases, in order. unplaceable holds resource needs for which no
+// endpoint has capacity: phases that need as much are skipped. placePhases returns unplaceable with
+// the needs that it has found to be so.
 func (c *Cell) placePhases(phases []*phase, unplaceable []damsonwinch.Resources) []damsonwinch.Resources {
 	for _, p := range phases {
 		if exceedsAny(p, unplaceable) {
@@ -69,14 +69,14 @@
 	return false
 }
 
-// needsOnlyCapacity reports whether nothing but free capacity restricts where a phase's tasks may
-// run.
+// needsOnlyCapacity reports whether a phase's tasks may run wherever there is capacity: they need
+// no label and no permit, and there is no limit per box.
 func (c *Cell) needsOnlyCapacity(p *phase) bool {
 	return p.spec.Label == "" && p.spec.MostPerBox == 0 && !c.needsPermit(p)
 }
 
-// placeTasks places a phase's tasks one by one. It returns false if there was no capacity for a
-// task that may start.
+// placeTasks starts a phase's ready tasks one by one. It returns false if there was no capacity for
+// a task that may start.
 func (c *Cell) placeTasks(p *phase) bool {
 	waiting := p.ready
 	p.ready = nil
@@ -105,8 +105,8 @@
 	return !c.mustWait(t) && c.canHost(t, e) && c.probationAllows(t, e) && c.hasPermit(t.phase, e)
 }
 
-// canHost reports whether an endpoint has capacity for a task and may run it, not considering
-// permits and probations.
+// canHost reports whether an endpoint has capacity for a task and may run it, apart from permits
+// and probations.
 func (c *Cell) canHost(t *task, e *endpoint) bool {
 	p := t.phase
 	// Most endpoints of a busy cell are full, so capacity is checked first.
@@ -130,20 +130,22 @@
 	return count
 }
 
-// Weights of the score of an endpoint for a task, in thousandths of a core of free capacity.
+// Amounts that are added to the score of an endpoint for a task, in thousandths of a core of free
+// capacity: for the preferred rack, for the endpoint that the task should avoid, and for one where
+// a task has just failed.
 const (
 	scoreRack          = 1_000_000
 	scoreAvoid         = -4_000_000
 	scoreRecentFailure = -2_000_000
-	// scoreInterference keeps serving tasks and filler tasks apart while there is enough capacity.
+	// scoreInterference keeps serving and filler tasks apart while there is enough capacity.
 	scoreInterference = -500_000
 	// scoreMaintenanceDue keeps long-running tasks off boxes that still have to be maintained. Each
 	// move takes some 1.5 s, and often only one task of a job may be moved at a time.
 	scoreMaintenanceDue = -3_000_000
 )
 
-// score rates an endpoint for a task. Higher is better, and endpoints with less free capacity are
-// preferred.
+// score rates an endpoint for a task. The highest score wins, and endpoints with less free capacity
+// are preferred.
 func (c *Cell) score(t *task, e *endpoint) int {
 	return c.preference(t, e) - e.free().MilliCPU
 }
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -9,24 +9,24 @@
 
 const (
 	// crashProneExits is the number of endpoints that must have exited within crashProneWindow,
-	// just after tasks of a queue had started there, for the queue to count as crash-prone.
+	// each just after a task of the queue had started there, for the queue to count as crash-prone.
 	crashProneExits  = 2
 	crashProneWindow = 10 * time.Second
-	// crashProneProbationWait is how long a suspect of a crash-prone queue waits for probation.
-	// Most suspects are the tasks of few jobs that crash endpoints.
+	// crashProneProbationWait is how long a suspect of a crash-prone queue waits for probation. It
+	// is long since most of these suspects belong to the few jobs that do crash endpoints.
 	crashProneProbationWait = 8 * time.Second
-	// maxCrashProneProbationPercent is the highest percentage of a cell's endpoints on which tasks
-	// may be on probation, or that may have exited in one recently, while a queue is crash-prone.
-	// Most suspects crash their endpoints then, and their probations can wait.
+	// maxCrashProneProbationPercent takes the place of maxProbationPercent while any queue is
+	// crash-prone. It is lower, since most suspects crash their endpoints then, and their
+	// probations can wait.
 	maxCrashProneProbationPercent = 10
 	// longRunningWork is the work that the loss of a long-running task counts for, in thousandths
-	// of a core times milliseconds. It takes seconds until the task is at work again elsewhere.
+	// of a core times milliseconds. It takes seconds until the task is available again elsewhere.
 	longRunningWork = 60_000_000
 )
 
 // countQueueExits counts the exit of an endpoint against the queues whose tasks had started there
-// just before. If one task is to blame the exit isn't counted: the first exit under that task has
-// been, and a single bad task doesn't make its queue crash-prone.
+// just before. If one run is to blame, the exit isn't counted: the first exit under its task has
+// been, and a single task that crashes endpoints doesn't make its queue crash-prone.
 func (c *Cell) countQueueExits(e *endpoint, blamed *run) {
 	exitedAt := e.exitedAt(c.now)
 	if blamed != nil || c.hasCommonCause(e, exitedAt) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// updateCrashProne updates which queues are crash-prone.
+// updateCrashProne recomputes which queues are crash-prone, and logs changes.
 func (c *Cell) updateCrashProne() {
 	for _, queue := range slices.Sorted(maps.Keys(c.queueExits)) {
 		count := c.queueExits[queue].countWithin(c.now, crashProneWindow)
@@ -64,9 +64,9 @@
 	}
 }
 
-// separatedFromOtherJobs reports whether a task and the runs that have just started on an endpoint
-// belong to the same job, as far as they are of crash-prone queues. So it is known which job a
-// crash of the endpoint is due to, and tasks of sound jobs don't have to wait for probation.
+// separatedFromOtherJobs reports whether no run of another job has just started on an endpoint, as
+// far as the task t or that run is of a crash-prone queue. So it is known which job has crashed an
+// endpoint, and tasks of sound jobs don't have to wait for probation.
 func (c *Cell) separatedFromOtherJobs(t *task, e *endpoint) bool {
 	if len(c.crashProne) == 0 {
 		return true
@@ -80,8 +80,8 @@
 	return true
 }
 
-// chooseLeastAtRisk returns the endpoint for a task that may crash it where that loses the least
-// work, or nil if none can start the task.
+// chooseLeastAtRisk returns the endpoint for a task that may crash it, or nil if none can start the
+// task. Of several it takes the one whose crash would lose the least work.
 func (c *Cell) chooseLeastAtRisk(t *task, label string) *endpoint {
 	var choice choice
 	for _, e := range c.sortedEndpoints {
@@ -92,8 +92,8 @@
 	return choice.best
 }
 
-// workAtRisk returns the work that is lost if an endpoint exits, not counting the runs of one job,
-// in thousandths of a core times milliseconds.
+// workAtRisk returns the work that would be lost if the endpoint exited, in thousandths of a core
+// times milliseconds. The runs of the job except are not counted.
 func (c *Cell) workAtRisk(e *endpoint, except *job) int {
 	sum := 0
 	for _, r := range e.runsByStart {
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -32,7 +32,7 @@
 	meanPathMs  float64
 }
 
-// statsOf returns the statistics of a queue, empty ones if there were none.
+// statsOf returns the statistics of a queue. It adds empty ones if there are none yet.
 func (c *Cell) statsOf(queue string) *queueStats {
 	stats := c.statsByQueue[queue]
 	if stats == nil {
@@ -42,8 +42,8 @@
 	return stats
 }
 
-// addJob adds a job that has just arrived to the statistics: its work, the time that it can wait, and
-// the length of its critical path.
+// addJob adds a job that has just arrived to the statistics: its work, the time that it can wait
+// and still meet its deadline, and the length of its critical path, both in milliseconds.
 func (q *queueStats) addJob(now time.Time, work, slackMs, pathMs int) {
 	q.arrivals.add(now)
 	q.logWork.add(math.Log(max(1, float64(work))))
@@ -61,15 +61,15 @@
 	return math.Exp(q.logWork.mean + min(q.logWork.variance, maxWorkVariance)/2)
 }
 
-// arrivalRates returns the present rate of arriving jobs, and the rate of the jobs that will be
-// running after the time ahead. Jobs that run at that time arrived, on average, half their own time
-// earlier.
+// arrivalRates returns the present rate of arriving jobs, and the expected rate of the jobs that
+// will be running after the time ahead. Jobs that run at that time arrived, on average, half their
+// own time earlier.
 func (q *queueStats) arrivalRates(now time.Time, ahead time.Duration) rates {
 	return q.arrivals.rates(now, max(0, ahead-time.Duration(q.meanPathMs/2)*time.Millisecond))
 }
 
-// offeredCPU returns the work that arrives per time, in thousandths of a core: steady is the
-// present amount, and expected the amount by the time that another box could be available.
+// offeredCPU returns the work that arrives per unit of time, in thousandths of a core. steady is
+// the present amount, and expected the amount by the time that another box could be available.
 func (c *Cell) offeredCPU(now time.Time) (steady, expected int) {
 	for _, stats := range c.statsByQueue {
 		rate, work := stats.arrivalRates(now, c.options.BoxLeadTime), stats.meanWork()
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -31,13 +31,13 @@
 }
 
 // maxOvertakeTime is how long less urgent phases of the same customer may overtake a phase whose
-// tasks need more than is left of the allowance. After that, nothing of the customer starts before
-// it: otherwise a large task would never find space in an allowance that is always fully used.
+// tasks need more than is left of the allowance. After that, the customer's other tasks wait for
+// this phase: otherwise a large task would never fit into an allowance that is always fully used.
 const maxOvertakeTime = 200 * time.Millisecond
 
 // withinQuota reports whether count tasks of a phase may start now under the customer's allowance.
-// If not, it notes that the customer waits, and after maxOvertakeTime it blocks the customer's
-// other starts.
+// If not, it notes that the customer waits. After maxOvertakeTime it also blocks the customer's
+// other starts, if the tasks can ever fit into the allowance.
 func (c *Cell) withinQuota(p *phase, count int) bool {
 	customer := p.job().customer
 	switch {
@@ -72,13 +72,14 @@
 	}
 }
 
-// AllowancesPending reports whether allowances from the planner are not recorded yet.
+// AllowancesPending reports whether allowances from the planner have been applied but are not in
+// the stream yet.
 func (c *Cell) AllowancesPending() bool {
 	return c.commits.allowancesDirty || c.commits.inFlight != nil && c.commits.inFlight.allowanceNumber > 0
 }
 
-// allowancesRecord returns the record of the allowances, and notes in sent which update it
-// confirms.
+// allowancesRecord returns the record of the allowances, and notes in sent which update of the
+// planner it contains.
 func (c *Cell) allowancesRecord(sent *sentCommit) damsonwinch.Record {
 	record, number := c.quota.Record()
 	sent.allocatorToken, sent.allowanceNumber = c.quota.AllocatorToken(), number
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// reportCustomers adds the customers that need more than their allowances to the report.
+// reportCustomers adds to the report the customers that need more than their allowances.
 func (c *Cell) reportCustomers(report *wire.SyncReply) {
 	wanted := map[string]quota.Demand{}
 	for _, p := range c.openPhases {
@@ -113,12 +114,12 @@
 	c.quota.Report(c.token, wanted, report)
 }
 
-// allowedCPU tracks how much CPU customers may still start to use, while a report adds up the
-// waiting tasks. Tasks that may not start must not cause requests for boxes.
+// allowedCPU tracks how much more CPU customers may use, while a report adds up the waiting tasks.
+// Tasks that may not start must not cause requests for boxes.
 type allowedCPU struct {
 	quota *quota.Allowances
-	// left holds, by customer, the CPU that is left, in thousandths of a core. It is filled on
-	// demand.
+	// left holds, by customer, the CPU that is left, in thousandths of a core. Customers are added
+	// when they are first asked for.
 	left map[string]int
 }
 
@@ -126,8 +127,8 @@
 	return allowedCPU{quota: c.quota, left: map[string]int{}}
 }
 
-// take returns how much of the CPU that a phase's waiting tasks need the customer may still use, in
-// thousandths of a core, and deducts it.
+// take deducts the CPU that a phase's waiting tasks need from what their customer may still use,
+// and returns how much of it was left. Both amounts are in thousandths of a core.
 func (a allowedCPU) take(p *phase, cpu int) int {
 	customer := p.job().customer
 	if customer == "" {
--- a/pkg/cell/record.go
+++ b/pkg/cell/record.go
@@ -9,11 +9,13 @@
 	"damsonwinch/pkg/wire"
 )
 
-// specSuffix ends the key of the record that holds a job as it was submitted. It is written once.
+// specSuffix is the suffix of the key of the record that holds a job as it was submitted. That
+// record is written once.
 const specSuffix = "/spec"
 
-// Columns of a task's row in a job's record. Rows without field names take 270 bytes of the stream
-// per task over its lifetime; with field names they would take 920.
+// Columns of a task's row in a job's record: its round, phase and index, the highest attempt
+// number, the number of failed attempts, and 1 if it is done. Rows without field names take 270
+// bytes of the stream per task over its lifetime; with field names they would take 920.
 const (
 	columnRound = iota
 	columnPhase
@@ -21,8 +23,8 @@
 	columnAttempt
 	columnFailed
 	columnDone
-	// columnRuns begins pairs of an attempt's number and the index of its endpoint in
-	// JobRecord.Endpoints.
+	// columnRuns is the first column of the attempts that may be running. Each has two: its number
+	// and the index of its endpoint in JobRecord.Endpoints.
 	columnRuns
 )
 
@@ -34,10 +36,10 @@
 func (c *Cell) jobRecords(j *job) []damsonwinch.Record {
 	var records []damsonwinch.Record
 	if !j.specRecorded && (!j.ended() || j.runCount > 0) {
-		// An owner that takes over an ended job must know which of its runs may still exist.
+		// An owner that takes over an ended job must know which of the job's runs may still exist.
 		j.specRecorded = true
 		records = append(records, damsonwinch.Record{Key: j.id + specSuffix, Value: encode(wire.AcceptedJob{
-			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.maxAttempts, DueMs: j.dueMs, Spec: j.spec,
+			Queue: j.queue, Customer: j.customer, AcceptedMs: j.acceptedMs, Priority: j.priority, MostAttempts: j.maxAttempts, DueMs: j.deadlineMs, Spec: j.spec,
 		})})
 	}
 	if j.ended() && j.specRecorded && j.runCount == 0 {
--- a/pkg/cell/recover.go
+++ b/pkg/cell/recover.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// loadRecord restores what a record holds. The records with the jobs' specifications have been read
-// before, into specs.
+// loadRecord restores what one record holds. specs holds the jobs' specifications by job ID; their
+// records have been read before.
 func (c *Cell) loadRecord(record damsonwinch.Record, specs map[string]wire.AcceptedJob) error {
 	switch {
 	case strings.HasSuffix(record.Key, specSuffix):
@@ -71,7 +71,7 @@
 		return nil
 	}
 	j.customer = accepted.Customer
-	j.queue, j.spec, j.acceptedMs, j.dueMs = accepted.Queue, accepted.Spec, accepted.AcceptedMs, accepted.DueMs
+	j.queue, j.spec, j.acceptedMs, j.deadlineMs = accepted.Queue, accepted.Spec, accepted.AcceptedMs, accepted.DueMs
 	j.priority, j.maxAttempts, j.specRecorded = accepted.Priority, accepted.MostAttempts, true
 	c.estimateJob(j)
 	if err := c.readTasks(j, saved); err != nil {
--- a/pkg/cell/refuse.go
+++ b/pkg/cell/refuse.go
@@ -10,21 +10,21 @@
 
 const (
 	// storeOutageAfter is how long an append may be in flight before the store is taken to be down.
-	// On a slow day it answers within about 350 ms.
+	// On a slow day the store answers within about 350 ms.
 	storeOutageAfter = 600 * time.Millisecond
-	// maxUnrecordedWait bounds how long a job may wait for a store that is down if its client does
-	// not say how long it waits. Users' clients wait three seconds.
+	// maxUnrecordedWait bounds how long a job waits for a store that is down if its client does not
+	// say how long it waits itself. Users' clients wait three seconds.
 	maxUnrecordedWait = 2400 * time.Millisecond
-	// replyMargin is the part of a client's wait that is left for the reply to reach it.
+	// replyMargin is the part of a client's wait that is kept for the reply to reach it.
 	replyMargin = 150 * time.Millisecond
-	// retryAfter is the delay that refused clients are told before they try again. Users report
+	// retryAfter is how long refused clients are told to wait before they try again. Users report
 	// store outages of several seconds.
 	retryAfter = time.Second
 )
 
-// refuseUnrecordedJobs refuses jobs that wait for a store that is down, once their clients stop
-// waiting or the jobs can no longer be done in time. The store has never received them, so they
-// certainly do not run.
+// refuseUnrecordedJobs refuses the jobs that wait for a store that is down, once their clients stop
+// waiting or the jobs can no longer meet their deadlines. The store has never received these jobs,
+// so they certainly do not run.
 func (c *Cell) refuseUnrecordedJobs() {
 	sent := c.commits.inFlight
 	if sent == nil || c.now.Sub(sent.sentAt) < storeOutageAfter {
@@ -51,8 +51,9 @@
 	return until
 }
 
-// extendClientWait notes how long a client waits for the reply to its submission. waitMs is 0 if
-// the client does not say.
+// extendClientWait notes that a client waits for the reply to its submission for waitMs
+// milliseconds from now. If waitMs is 0 the client does not say how long, and maxUnrecordedWait is
+// assumed.
 func (j *job) extendClientWait(now time.Time, waitMs int) {
 	until := now.Add(maxUnrecordedWait)
 	if waitMs > 0 {
--- a/pkg/cell/rooms.go
+++ b/pkg/cell/rooms.go
@@ -4,15 +4,15 @@
 	"damsonwinch"
 )
 
-// maxCoreBucket is the highest number of free cores that the index distinguishes. Endpoints with
-// more are in the same bucket.
+// maxCoreBucket is the highest number of free cores that freeCoreIndex distinguishes. Endpoints
+// with more free cores are in the same bucket.
 const maxCoreBucket = 256
 
 // milliCPUPerCore is the value of Resources.MilliCPU for one core.
 const milliCPUPerCore = 1000
 
 // freeCoreIndex holds a zone's endpoints by the number of their free cores, rounded down. A search
-// then visits only those that may have enough: in a busy cell most endpoints are full.
+// visits only the endpoints that may have enough: in a busy cell most endpoints are full.
 type freeCoreIndex struct {
 	buckets [maxCoreBucket + 1][]*endpoint
 	// maxBucket is the highest bucket that has ever held an endpoint.
@@ -51,7 +51,7 @@
 	x.maxBucket = max(x.maxBucket, bucket)
 }
 
-// remove removes an endpoint from the index.
+// remove removes an endpoint from the index, if it is there.
 func (x *freeCoreIndex) remove(e *endpoint) {
 	if !e.indexed {
 		return
@@ -91,8 +91,9 @@
 	return c.chooseInZones(c.zones, t, label)
 }
 
-// chooseInZones returns the best endpoint for a task in some zones, or nil if none can start it. It
-// packs work on few boxes, so that others stay empty and can be moved or maintained.
+// chooseInZones returns the best endpoint for a task among those of the given zones, or nil if none
+// can start it. It packs work on few boxes, so that others stay empty and can be moved or
+// maintained.
 func (c *Cell) chooseInZones(zones []*zone, t *task, label string) *endpoint {
 	var choice choice
 	maxBucket := 0
@@ -107,7 +108,8 @@
 				}
 			}
 		}
-		// Endpoints in higher buckets have lower scores, unless a preferred rack makes up for that.
+		// Endpoints in higher buckets have more free CPU and so lower scores. They can only be
+		// better if the phase prefers a rack or the best one so far has a penalty.
 		if choice.best != nil && t.phase.spec.Rack == "" && choice.score >= -choice.best.free().MilliCPU {
 			break
 		}
@@ -115,14 +117,14 @@
 	return choice.best
 }
 
-// choice is the endpoint with the highest score of those offered so far.
+// choice holds the endpoint with the highest score of those offered so far, or nil.
 type choice struct {
 	best  *endpoint
 	score int
 }
 
-// offer replaces the choice if e is better. Among equal scores the lower life wins, since the order
-// in which endpoints are offered depends on earlier events.
+// offer makes e the choice if its score is higher. Among equal scores the lower life wins, since
+// the order in which endpoints are offered depends on earlier events.
 func (c *choice) offer(e *endpoint, score int) {
 	if c.best == nil || score > c.score || score == c.score && e.info.Life.Compare(c.best.info.Life) < 0 {
 		c.best, c.score = e, score
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -32,37 +32,36 @@
 	attempt  int
 	endpoint *endpoint
 	state    runState
-	// listedAfterStep is the step after which polls must list the run: if a poll that was sent
-	// later doesn't, the run doesn't exist.
+	// listedAfterStep is the step after which polls must list the run: if a poll that was sent at
+	// that step or later doesn't list it, the run doesn't exist.
 	listedAfterStep int
 	// lastListedStep is the step of the newest reply to a poll that listed the run.
 	lastListedStep int
 	// stopping is set once the run is to be stopped.
 	stopping bool
 	// stopSentAt is when the last stop request was sent. stopConfirmed is set once the endpoint has
-	// accepted one: from then on the attempt can't begin any more.
+	// accepted one: from then on it refuses the start of this attempt.
 	stopSentAt    time.Time
 	stopConfirmed bool
-	// percent is how much of the task is done.
+	// percent is how much of the task is done, in percent, as last listed by the endpoint.
 	percent int
-	// startedAt is when the start was last decided or requested. For an inherited run it is when
-	// the cell was loaded.
+	// startedAt is when the run was planned or, once its start was requested, when the request was
+	// sent. For an inherited run it is when the cell was loaded.
 	startedAt time.Time
 	// resumed is set if the run continues from a checkpoint, and inherited if an earlier owner
 	// started it. In both cases its duration isn't the time that the task takes.
 	resumed   bool
 	inherited bool
-	// pendingLoss describes how the run was lost with its endpoint, if a later life with the same
-	// ID may yet run it.
+	// pendingLoss describes how the run was lost with its endpoint, or is nil. It is set while a
+	// later life with the same ID may still run it.
 	pendingLoss *runLoss
-	// jobLate is set if the run's job could hardly meet its deadline any more when the run was
-	// started.
+	// jobLate is set if the run's phase was late (see isLate) when the run was planned.
 	jobLate  bool
 	progress progress
 	// progressSampled is set once the run's progress has been counted in its endpoint's health.
 	progressSampled bool
-	// load is the last reported load, which is the tail latency in milliseconds if the task serves
-	// users.
+	// load is the load that the endpoint last reported for the run: for a serving task, its tail
+	// latency in milliseconds.
 	load int
 	// speedPercent is the speed that the run was last told to work at, in percent of its full
 	// speed.
@@ -74,8 +73,8 @@
 	return damsonwinch.Run{Task: r.task.id(), Attempt: r.attempt}
 }
 
-// planRun reserves capacity on an endpoint for a new attempt at a task. The start is requested once
-// the attempt is recorded.
+// planRun adds a new attempt at a task and reserves capacity for it on an endpoint. The start is
+// requested once the attempt is recorded.
 func (c *Cell) planRun(t *task, e *endpoint) {
 	t.lastAttempt++
 	r := &run{task: t, attempt: t.lastAttempt, endpoint: e, startedAt: c.now, resumed: t.checkpoint != "", speedPercent: fullPercent, jobLate: t.phase.isLate(int(c.now.UnixMilli()))}
@@ -84,7 +83,7 @@
 	if onProbation {
 		c.startProbation(r)
 	}
-	c.addStarts(t, 1)
+	c.addExtraStarts(t, 1)
 	t.phase.job().placed = true
 	if t.lastAttempt > 1 {
 		c.stats.Reruns++
@@ -143,7 +142,7 @@
 // must not start any more.
 func (c *Cell) sendStart(r *run) {
 	if r.task.phase.job().ended() || r.stopping || !r.endpoint.usable() || r.endpoint.zone.mayBeCutOff() || !c.stillFits(r) {
-		c.addStarts(r.task, -1)
+		c.addExtraStarts(r.task, -1)
 		c.requeue(r)
 		c.stopGang(r.task.phase, "a member of its gang can't be started")
 		return
@@ -191,7 +190,7 @@
 		c.logRun("start unanswered", r, err.Error())
 		c.requestPoll(r.endpoint)
 		if spec := r.task.phase.spec; spec.Lasting && !spec.Gang && !r.stopping {
-			// A poll is to show first whether the run is at work. If so, it isn't stopped.
+			// A poll shows first whether the run exists. If so, the run isn't stopped.
 			r.listedAfterStep = c.step
 			return
 		}
@@ -200,8 +199,7 @@
 	}
 }
 
-// isStartRefusal reports whether an error is the refusal of an endpoint, which has not started the
-// run then.
+// isStartRefusal reports whether an error means that the endpoint has refused to start the run.
 func isStartRefusal(err error) bool {
 	for _, refusal := range []error{
 		damsonwinch.ErrStaleToken, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate, damsonwinch.ErrNoCapacity, damsonwinch.ErrInvalidTicket,
@@ -217,7 +215,7 @@
 // startRefused removes a run that its endpoint has refused to start.
 func (c *Cell) startRefused(r *run, err error) {
 	c.stats.StartsRefused++
-	c.addStarts(r.task, -1)
+	c.addExtraStarts(r.task, -1)
 	c.logRun("start refused", r, err.Error())
 	defer c.stopGang(r.task.phase, "a member of its gang was refused")
 	switch {
@@ -240,7 +238,7 @@
 }
 
 // backOffTask delays the next start of a task that endpoints refuse, longer each time. Each start
-// costs a record and a call, and a request that one endpoint rejects as invalid is rejected by the
+// costs a record and a call, and a request that one endpoint refuses as invalid is refused by the
 // next one as well.
 func (c *Cell) backOffTask(t *task) {
 	t.notBefore = c.now.Add(min(maxStartBackoff, minStartBackoff<<min(t.refusals, 8)))
@@ -258,7 +256,7 @@
 // startNotSent removes a run whose start request has certainly not reached its endpoint.
 func (c *Cell) startNotSent(r *run, err error) {
 	c.logRun("start not sent", r, err.Error())
-	c.addStarts(r.task, -1)
+	c.addExtraStarts(r.task, -1)
 	c.requestPoll(r.endpoint)
 	r.endpoint.backoffUntil = c.now.Add(endpointBackoff)
 	c.requeue(r)
@@ -269,11 +267,11 @@
 // further start requests. Several polls are answered within that time.
 const endpointBackoff = 300 * time.Millisecond
 
-// stop stops a run. No request is sent while the start has not been requested or answered, or once
-// the endpoint has accepted a stop.
-func (c *Cell) stop(r *run, why string) {
+// stop has a run stopped. It sends no request if the run's start has not been requested or answered
+// yet, or if the endpoint has accepted a stop.
+func (c *Cell) stop(r *run, reason string) {
 	if r.state == runPending {
-		// The start has not been requested yet; sendStart removes the run.
+		// The start has not been requested yet. sendStart will remove the run instead.
 		r.stopping = true
 		return
 	}
@@ -281,12 +279,12 @@
 		return
 	}
 	if !r.stopping {
-		c.logRun("stop", r, why)
+		c.logRun("stop", r, reason)
 	}
 	r.stopping = true
 	if r.state == runRequested {
 		// The reply to the start request is on its way. A stop that overtakes the start would still
-		// be effective, but the reply also shows whether the run has started.
+		// be effective, but the reply shows whether the run has started.
 		return
 	}
 	c.sendStop(r)
@@ -331,8 +329,8 @@
 	}
 }
 
-// findRun returns a run that was requested of a life, or nil. The run may meanwhile be assigned to
-// a later life with the same ID.
+// findRun returns the run that was requested of the given life, or nil. Meanwhile the run may have
+// been assigned to a later life with the same ID.
 func (c *Cell) findRun(life damsonwinch.Life, id damsonwinch.Run) *run {
 	if e := c.endpoints[life]; e != nil && e.runs[id] != nil {
 		return e.runs[id]
@@ -345,7 +343,7 @@
 	return nil
 }
 
-// findTask returns the task with an ID, or nil.
+// findTask returns the task with the given ID, or nil if the cell has no such task.
 func (c *Cell) findTask(id damsonwinch.TaskID) *task {
 	j := c.jobs[id.Job]
 	if j == nil || id.Round < 0 || id.Round >= len(j.rounds) {
--- a/pkg/cell/sharing.go
+++ b/pkg/cell/sharing.go
@@ -6,28 +6,30 @@
 	"damsonwinch"
 )
 
-// Rules by which filler tasks are slowed down in favour of serving tasks on the same endpoint. All
-// percentages of tail latency are relative to the target of the serving task.
+// Rules by which filler tasks, which use the CPU that others leave idle, are slowed down in favour
+// of serving tasks on the same endpoint. Serving tasks have a target for their tail latency; all
+// percentages of tail latency are relative to it.
 const (
-	// highTailPercent is the tail latency from which filler tasks are slowed down, and
-	// lowTailPercent the one below which they may be sped up again.
+	// highTailPercent is the tail latency from which filler tasks are slowed down. lowTailPercent
+	// is the tail latency below which they may be sped up again.
 	highTailPercent = 85
 	lowTailPercent  = 60
-	// slowdownPercent is the part of a filler task's speed that is left after each poll that shows
-	// a high tail. speedupPercent is added to the speed after the tail was low for lowTailTime.
+	// slowdownPercent is what each poll that shows a high tail latency leaves of a filler task's
+	// speed. speedupPercent is added to the speed once the tail latency has been low for
+	// lowTailTime.
 	slowdownPercent = 40
 	speedupPercent  = 15
-	// minSpeedPercent is the lowest speed of a filler task. A lower one is rounded down to 0, at
-	// which the task is paused.
+	// minSpeedPercent is the lowest speed of a filler task. Instead of a lower one it gets the
+	// speed 0, which pauses it.
 	minSpeedPercent = 10
-	// speedChangeInterval is the time that a changed speed takes to show, since the reported tail
-	// latency covers the last half second.
+	// speedChangeInterval is the time that a changed speed takes to show: the reported tail latency
+	// covers the last half second.
 	speedChangeInterval = 600 * time.Millisecond
 	lowTailTime         = 1500 * time.Millisecond
 )
 
-// SpeedChange is a request to an endpoint to change the speed of a run. The outcome of the call is
-// passed to SpeedSet.
+// SpeedChange is a request to an endpoint to change the speed of a run. The owner passes the reply
+// to SpeedSet.
 type SpeedChange struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.SpeedRequest
--- a/pkg/cell/sign.go
+++ b/pkg/cell/sign.go
@@ -7,19 +7,19 @@
 )
 
 // progressSample compares the progress of the tasks of one phase on an endpoint with what was
-// expected. Such tasks share one estimate, so together they count as a single sample.
+// expected. The tasks of a phase share one estimate, so together they count as a single sample.
 type progressSample struct {
 	phase     *phase
 	sampledAt time.Time
-	// logRatioSum is the sum of the logarithms of the ratio of actual to expected time, over count
+	// logRatioSum is the sum of the logarithms of actual divided by expected time, over count
 	// tasks.
 	logRatioSum float64
 	count       float64
-	// variance is the variance of the logarithm of a task's time about its estimate.
+	// variance is the variance of the logarithm of a task's time around its estimate.
 	variance float64
 }
 
-// sampleProgress samples the progress of a run for its endpoint's health, once, as soon as it is
+// sampleProgress adds the speed of a run to its endpoint's progress samples, once, as soon as it is
 // known. Later samples would weigh long tasks more than short ones, which have ended by then.
 func (c *Cell) sampleProgress(r *run) {
 	total := r.progress.totalMs()
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -45,7 +45,8 @@
 	return records
 }
 
-// mayBeStored reports whether the store may hold the job: its record is there or in flight.
+// mayBeStored reports whether the store may hold the job: an append with its record is in the
+// stream or in flight.
 func (c *Cell) mayBeStored(j *job) bool {
 	if j.recorded {
 		return true
@@ -57,7 +58,7 @@
 	return sent
 }
 
-// withdrawalRecord returns the record that says that the endpoint is withdrawn.
+// withdrawalRecord returns the record that says that the endpoint is withdrawn, as of now.
 func (e *endpoint) withdrawalRecord(now time.Time) damsonwinch.Record {
 	return damsonwinch.Record{Key: endpointKeyPrefix + e.info.Life.String(), Value: encode(wire.EndpointRecord{Withdrawn: true, AtMs: int(now.UnixMilli())})}
 }
--- a/pkg/cell/submit.go
+++ b/pkg/cell/submit.go
@@ -20,7 +20,7 @@
 			c.reply(callID, wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "not taken", RetryAfterMs: int(retryAfter.Milliseconds())})
 			return
 		}
-		// The client did not receive the reply to an earlier call.
+		// The client has not received the reply to an earlier call.
 		existing.extendClientWait(now, args.WaitMs)
 		c.replyOnceRecorded(existing, callID, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 		return
@@ -36,16 +36,16 @@
 	c.stats.JobsAccepted++
 	if !jobs.IsLongRunning(j.spec) {
 		criticalPathMs := slices.Max(j.criticalPathMs)
-		c.statsOf(j.queue).addJob(now, j.work, j.dueMs-j.acceptedMs-criticalPathMs, criticalPathMs)
+		c.statsOf(j.queue).addJob(now, j.work, j.deadlineMs-j.acceptedMs-criticalPathMs, criticalPathMs)
 	}
 	c.markDirty(j)
 	c.logJob("job accepted", j, fmt.Sprintf("queue %s by configuration %d, %d phases, %d ms of work in a row expected, to be done within %d ms",
-		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.dueMs-j.acceptedMs))
+		j.queue, args.ConfigVersion, len(j.spec.Phases), slices.Max(j.criticalPathMs), j.deadlineMs-j.acceptedMs))
 	c.startDueRounds()
 	c.replyOnceRecorded(j, callID, wire.JobReply{Outcome: wire.JobOutcomeAccepted})
 }
 
-// newJob returns the job that a client has submitted, without any round.
+// newJob returns the job that a client has submitted. It has no rounds yet.
 func (c *Cell) newJob(args wire.JobArgs) *job {
 	j := &job{
 		id: args.Id, queue: args.Queue, customer: args.Customer, spec: *args.Spec, acceptedMs: args.ReceivedMs,
@@ -53,11 +53,11 @@
 	}
 	queue := c.queues[args.Queue]
 	j.priority, j.maxAttempts = queue.Priority, queue.MaxAttempts
-	c.setDue(j)
+	c.setDeadline(j)
 	return j
 }
 
-// maxAttempts returns the number of failed attempts at a task that fails the job.
+// maxAttempts returns the number of failed attempts at one task with which the job fails.
 func (c *Cell) maxAttempts(j *job) int {
 	if queue, exists := c.queues[j.queue]; exists && queue.MaxAttempts > 0 {
 		return queue.MaxAttempts
@@ -65,15 +65,15 @@
 	return max(1, j.maxAttempts)
 }
 
-// visibleTo reports whether the client may see and cancel the job: it belongs to the job's
-// customer, or the queue is public, or the job was submitted without a key. For all other clients
-// the job does not exist.
+// visibleTo reports whether the client of a call may see and cancel the job. That is so if the
+// client has the key of the job's customer, the job was submitted without a key, or the queue is
+// public. For all other clients the job does not exist.
 func (j *job) visibleTo(args wire.JobArgs) bool {
 	return args.Public || j.customer == "" || j.customer == args.Customer
 }
 
-// Cancel ends a job on a client's request. The reply with the given call ID becomes an effect once
-// the end is in the stream.
+// Cancel ends a job at a client's request. The reply with the given call ID becomes an effect once
+// the end is in the stream, or at once if the job does not exist.
 func (c *Cell) Cancel(now time.Time, args wire.JobArgs, callID int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// maxProbationPercent is the highest percentage of a cell's endpoints on which tasks may be on
-	// probation or about to be, or that may have exited with a task on probation within
-	// restartTime: some seconds later they are back. Further suspects wait.
+	// maxProbationPercent is the highest percentage of a cell's endpoints that probations may take
+	// up: those with a task on probation, those reserved for one, and those that have exited with a
+	// task on probation within the last restartTime, after which they are back. Further suspects
+	// wait.
 	maxProbationPercent = 25
 	restartTime         = 3 * time.Second
-	// longRunningClearTime is how long a long-running task that is a suspect must have been at work
-	// to be cleared.
+	// longRunningClearTime is how long ago a long-running suspect that has reached full progress
+	// must have started to be no longer a suspect.
 	longRunningClearTime = 20 * time.Second
 	// defaultProbationWait is how long a suspect waits for probation if its queue isn't
 	// crash-prone.
 	defaultProbationWait = time.Second
 	// longRunningWeight is the number of short tasks that a long-running one counts for when an
-	// endpoint for a probation is chosen. It takes seconds until the task is at work again
+	// endpoint for a probation is chosen. It takes seconds until the task is available again
 	// elsewhere.
 	longRunningWeight = 10
 )
@@ -34,7 +35,7 @@
 }
 
 // placeSuspects starts suspects on probation, each on an endpoint where nothing else has started
-// recently.
+// recently. If there is none, it reserves an endpoint.
 func (c *Cell) placeSuspects() {
 	if len(c.suspects) == 0 {
 		return
@@ -56,13 +57,13 @@
 	}
 }
 
-// probationWaitExpired reports whether a suspect has waited too long for probation.
+// probationWaitExpired reports whether a suspect has waited for probation for maxProbationWait.
 func (c *Cell) probationWaitExpired(t *task) bool {
 	return c.now.Sub(t.probationWaitSince) >= c.maxProbationWait(t)
 }
 
 // maxProbationWait returns how long a suspect waits for probation. After that it starts like any
-// other task: a large number of suspects, most of them sound, must not be held up.
+// other task: many suspects, most of which crash nothing, must not be held up.
 func (c *Cell) maxProbationWait(t *task) time.Duration {
 	if c.crashProne[t.phase.job().queue] {
 		return crashProneProbationWait
@@ -70,8 +71,9 @@
 	return defaultProbationWait
 }
 
-// pruneSuspects removes suspects that are finished and reservations that are no longer needed, and
-// sorts the other suspects by urgency, late ones last.
+// pruneSuspects removes the suspects that are done, whose jobs have ended or that are no longer
+// suspected, and the reservations that are no longer needed. It sorts the other suspects by
+// urgency, late ones last.
 func (c *Cell) pruneSuspects() {
 	c.suspects = slices.DeleteFunc(c.suspects, func(t *task) bool {
 		if t.done || t.phase.job().ended() {
@@ -97,8 +99,8 @@
 	})
 }
 
-// chooseProbationEndpoint returns the endpoint for a probation where the least is lost if it
-// crashes, or nil if none can start the task.
+// chooseProbationEndpoint returns the endpoint for a task's probation, or nil if none can start the
+// task. Of several it takes the one whose crash would lose the least.
 func (c *Cell) chooseProbationEndpoint(t *task) *endpoint {
 	var choice choice
 	for _, e := range c.sortedEndpoints {
@@ -109,7 +111,8 @@
 	return choice.best
 }
 
-// weightAtRisk returns the weight of the runs that are lost if an endpoint exits, in short tasks.
+// weightAtRisk returns the weight of the runs that would be lost if the endpoint exited: 1 for a
+// short task, longRunningWeight for a long-running one.
 func (e *endpoint) weightAtRisk() int {
 	sum := 0
 	for _, r := range e.runsByStart {
@@ -123,8 +126,8 @@
 }
 
 // probationAllows reports whether the rules of probation allow a task to start on an endpoint.
-// Nothing starts where a probation is under way or which is reserved for that of another task. A
-// suspect starts only on probation, unless it has waited for that too long.
+// Nothing starts where a task is on probation, or on an endpoint that is reserved for another task.
+// A suspect starts only on probation, unless it has waited for that too long.
 func (c *Cell) probationAllows(t *task, e *endpoint) bool {
 	if e.probation != nil || e.reservedFor != nil && e.reservedFor != t || !c.separatedFromOtherJobs(t, e) {
 		return false
@@ -132,8 +135,8 @@
 	return !t.suspected || t.phase.spec.Gang || c.probationWaitExpired(t) || c.mayHostProbation(e) && c.noRecentStart(e)
 }
 
-// mayHostProbation reports whether an endpoint is reserved for a probation, or one more may be used
-// for that.
+// mayHostProbation reports whether an endpoint may be used for a probation: it is reserved for one,
+// or the share of the cell's endpoints that probations take up is below the limit.
 func (c *Cell) mayHostProbation(e *endpoint) bool {
 	if e.reservedFor != nil {
 		return true
@@ -151,13 +154,13 @@
 	return !c.startedWithin(e, c.now, c.options.CrashRules.SuspectAge)
 }
 
-// startedWithin reports whether something started on an endpoint within a window before a time.
+// startedWithin reports whether a run started on an endpoint within the given window before a time.
 func (c *Cell) startedWithin(e *endpoint, at time.Time, window time.Duration) bool {
 	return slices.ContainsFunc(e.runsByStart, func(r *run) bool { return at.Sub(r.startedAt) < window })
 }
 
-// countExposed returns the number of endpoints whose exit now would count as baseline: they run
-// something, and nothing has started there recently.
+// countExposed returns the number of endpoints that count as exposed for the baseline exit rate:
+// they run something, and nothing has started there recently.
 func (c *Cell) countExposed() int {
 	count := 0
 	for _, e := range c.sortedEndpoints {
@@ -168,8 +171,8 @@
 	return count
 }
 
-// reserveForProbation reserves an endpoint for a task's probation. The task starts once nothing has
-// started there recently and there is enough free capacity.
+// reserveForProbation reserves an endpoint for a task's probation, if one is suitable. The task
+// starts there once nothing has started recently and there is enough free capacity.
 func (c *Cell) reserveForProbation(t *task) {
 	if slices.ContainsFunc(c.probationEndpoints, func(e *endpoint) bool { return e.reservedFor == t }) {
 		return
@@ -197,7 +200,7 @@
 }
 
 // startProbation puts a run on probation: nothing else starts on its endpoint until the run has
-// outlived it.
+// outlived its probation.
 func (c *Cell) startProbation(r *run) {
 	r.endpoint.probation, r.endpoint.reservedFor = r, nil
 	if !slices.Contains(c.probationEndpoints, r.endpoint) {
@@ -205,8 +208,8 @@
 	}
 }
 
-// checkProbations polls the endpoints where a probation should be over, and clears long-running
-// suspects that have been at work for long enough.
+// checkProbations polls the endpoints where a probation should be over. It also clears the
+// long-running suspects that have run for longRunningClearTime.
 func (c *Cell) checkProbations() {
 	for _, e := range c.probationEndpoints {
 		if e.probation != nil && e.probation.state == runConfirmed && !c.now.Before(c.probationEnd(e.probation)) {
@@ -224,13 +227,13 @@
 	}
 }
 
-// probationEnd returns when a run on probation will have outlived it.
+// probationEnd returns when a run on probation will have outlived its probation.
 func (c *Cell) probationEnd(r *run) time.Time {
 	return r.startedAt.Add(c.options.CrashRules.ProbationTime(r.task.crashes))
 }
 
-// endProbation ends the probation on an endpoint that has answered a poll sent at sentAt, if the
-// run had outlived it by then.
+// endProbation ends the probation on an endpoint if the run there had outlived it by sentAt, when a
+// poll was sent that the endpoint has answered.
 func (c *Cell) endProbation(e *endpoint, sentAt time.Time) {
 	if e.probation != nil && e.probation.state == runConfirmed && !sentAt.Before(c.probationEnd(e.probation)) {
 		e.probation = nil
--- a/pkg/cell/urgency.go
+++ b/pkg/cell/urgency.go
@@ -21,15 +21,16 @@
 	}
 }
 
-// setDue computes the deadline of a job.
-func (c *Cell) setDue(j *job) {
+// setDeadline computes the deadline of a job from the expected critical path, the queue's deadline
+// factor and its target latency.
+func (c *Cell) setDeadline(j *job) {
 	c.estimateJob(j)
 	queue := c.queues[j.queue]
 	criticalPathMs := 0
 	for _, pathMs := range j.criticalPathMs {
 		criticalPathMs = max(criticalPathMs, pathMs)
 	}
-	j.dueMs = j.acceptedMs + int(queue.DeadlineFactor*float64(criticalPathMs)) + int(queue.TargetLatency.Milliseconds())
+	j.deadlineMs = j.acceptedMs + int(queue.DeadlineFactor*float64(criticalPathMs)) + int(queue.TargetLatency.Milliseconds())
 }
 
 // isLate reports whether the phase's job is unlikely to meet its deadline. Late jobs go behind the
@@ -38,17 +39,17 @@
 	return p.lateAtMs > 0 && nowMs > p.lateAtMs
 }
 
-// setLateTime computes from when the phase is late, if it is still waiting then.
+// setLateTime computes lateAtMs. Long-running phases and jobs without a deadline are never late.
 func (p *phase) setLateTime() {
 	j := p.job()
-	if p.spec.Lasting || j.dueMs == 0 {
+	if p.spec.Lasting || j.deadlineMs == 0 {
 		return
 	}
-	due := j.dueMs
+	deadlineMs := j.deadlineMs
 	if j.spec.Rounds > 0 {
-		due += p.round.number * j.spec.EveryMs
+		deadlineMs += p.round.number * j.spec.EveryMs
 	}
-	p.lateAtMs = due - int(jobOverhead.Milliseconds()) - j.criticalPathMs[p.number]*minPathPercent/100
+	p.lateAtMs = deadlineMs - int(jobOverhead.Milliseconds()) - j.criticalPathMs[p.number]*minPathPercent/100
 }
 
 const (
@@ -56,6 +57,6 @@
 	// endpoints and the client's next query.
 	jobOverhead = 50 * time.Millisecond
 	// minPathPercent is the part of the estimated critical path, in percent, that a job is assumed
-	// to need at least. A job is not treated as late as long as it may still be in time.
+	// to need at least. A job does not count as late while it may still meet its deadline.
 	minPathPercent = 60
 )
--- a/pkg/cell/withdraw.go
+++ b/pkg/cell/withdraw.go
@@ -10,7 +10,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// endpointKeyPrefix begins the keys of the records about endpoints.
+// endpointKeyPrefix is the prefix of the keys of the records about endpoints.
 const endpointKeyPrefix = "endpoint/"
 
 // withdrawal is the progress of taking an endpoint out of use, so that its box can be moved or
@@ -18,15 +18,15 @@
 type withdrawal struct {
 	// requested is set while the planner wants the endpoint to be without runs.
 	requested bool
-	// urgent is set when tasks should be moved to other endpoints, if possible, instead of waiting
-	// for their end.
+	// urgent is set when tasks should be moved to other endpoints, if possible, instead of being
+	// waited for.
 	urgent bool
 	// recorded is set once the stream holds the withdrawal.
 	recorded bool
 }
 
-// continueWithdrawal goes on with the withdrawal of an endpoint. It evacuates the endpoint, and
-// withdraws it permanently once nothing runs there.
+// continueWithdrawal goes on with a withdrawal that the planner has requested: it evacuates the
+// endpoint, and marks it as withdrawn once nothing runs there.
 func (c *Cell) continueWithdrawal(e *endpoint) {
 	if !e.withdrawal.requested || e.withdrawn || e.exited {
 		return
@@ -43,7 +43,8 @@
 	c.logEndpoint("endpoint withdrawn", e, "the fleet planner wants its box")
 }
 
-// evacuate stops the runs that should continue on another endpoint instead of ending here.
+// evacuate stops the runs that should continue on another endpoint instead of being waited for
+// here.
 func (c *Cell) evacuate(e *endpoint) {
 	for _, r := range e.sortedRuns() {
 		if r.stopping || r.state != runConfirmed {
@@ -53,8 +54,8 @@
 		switch {
 		case spec.Lasting:
 			// In an urgent withdrawal the task is stopped even if no other endpoint has capacity
-			// now: it is placed as soon as a short task ends somewhere. In a full cell it would
-			// keep its box forever.
+			// now: it is placed as soon as a short task ends somewhere. Otherwise it would keep its
+			// box forever if the cell is full.
 			if c.countUnavailable(r.task.phase) < spec.AwayAtMost && (e.withdrawal.urgent || c.canStartElsewhere(r)) {
 				c.stop(r, "its box is wanted")
 			}
@@ -64,15 +65,15 @@
 	}
 }
 
-// canWaitForCapacity reports whether a run's job would still meet its deadline if the run paused
-// for capacityWait.
+// canWaitForCapacity reports whether a run's job would still meet its deadline if the run were
+// stopped and its task had to wait for capacityWait.
 func (c *Cell) canWaitForCapacity(r *run) bool {
 	j := r.task.phase.job()
-	return int(c.now.Add(capacityWait).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.dueMs
+	return int(c.now.Add(capacityWait).UnixMilli())+j.criticalPathMs[r.task.phase.number] < j.deadlineMs
 }
 
 // capacityWait is how long a stopped task may have to wait for capacity, including the time to stop
-// and to resume.
+// it and to resume it elsewhere.
 const capacityWait = 1500 * time.Millisecond
 
 // canStartElsewhere reports whether the task of a run could start on another endpoint now.
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Times by which a zone that is cut off is distinguished from a healthy one.
+// Times by which a zone that is cut off from the owner is distinguished from one that can be
+// reached.
 const (
-	// overdueAfter is how long a healthy endpoint may take to answer a request. It takes some 3 ms,
-	// and a busy node some 50 ms to process the reply.
+	// overdueAfter is how long an endpoint that can be reached may take to answer a request.
+	// Usually it takes some 3 ms, and a busy node takes some 50 ms to process the reply.
 	overdueAfter = 150 * time.Millisecond
-	// abandonedAfter is the age at which a call has timed out on the side of the caller. Whether it
-	// is answered says nothing about the endpoint any more.
+	// abandonedAfter is the age at which a call has timed out on this side. That it has not been
+	// answered then says nothing about the endpoint any more.
 	abandonedAfter = 1500 * time.Millisecond
-	// cutOffAfter is how long a zone may be cut off until its boxes are no longer counted on.
-	// Replacing them costs moves, and short interruptions are over by then.
+	// cutOffAfter is how long a zone may have been out of reach until its boxes are no longer
+	// counted on. Replacing them costs moves, and short interruptions are over by then.
 	cutOffAfter = 300 * time.Millisecond
 )
 
-// zone is an availability zone as its endpoints show it to the owner.
+// zone is an availability zone, as far as the owner can tell from the answers of its endpoints.
 type zone struct {
 	name        string
 	byFreeCores freeCoreIndex
@@ -27,24 +28,27 @@
 	asSlice []*zone
 	// answeredAt is when an endpoint of the zone last answered a call.
 	answeredAt time.Time
-	// unansweredSince is since when calls to the zone's endpoints are overdue and none of them has
-	// answered, or zero if that isn't the case. The zone may be cut off then.
+	// unansweredSince is since when calls to the zone's endpoints have been overdue while none of
+	// its endpoints has answered, or zero if that isn't so. While it is set, the zone may be cut
+	// off.
 	unansweredSince time.Time
-	// unanswered is the same condition while updateOverdue goes through the endpoints.
+	// unanswered holds the same condition while updateOverdue goes through the endpoints.
 	unanswered bool
 }
 
-// mayBeCutOff reports whether the zone may be cut off.
+// mayBeCutOff reports whether the zone may be cut off: calls to it are overdue, and none of its
+// endpoints has answered. Nothing is started there then.
 func (z *zone) mayBeCutOff() bool {
 	return !z.unansweredSince.IsZero()
 }
 
-// isCutOff reports whether the zone has been unreachable for so long that it counts as cut off.
+// isCutOff reports whether the zone may have been cut off for cutOffAfter, so that it counts as cut
+// off.
 func (z *zone) isCutOff(now time.Time) bool {
 	return z.mayBeCutOff() && now.Sub(z.unansweredSince) >= cutOffAfter
 }
 
-// ensureZone returns the zone with a name, and adds it if it isn't known yet.
+// ensureZone returns the zone with the given name, and adds it if it isn't known yet.
 func (c *Cell) ensureZone(name string) *zone {
 	i, known := slices.BinarySearchFunc(c.zones, name, func(z *zone, name string) int { return strings.Compare(z.name, name) })
 	if !known {
@@ -55,7 +59,8 @@
 	return c.zones[i]
 }
 
-// updateZone assigns an endpoint to its zone and updates the zone's index of free cores.
+// updateZone assigns an endpoint to the zone that it reports, and updates its place in the zone's
+// index of free cores.
 func (c *Cell) updateZone(e *endpoint) {
 	if z := c.ensureZone(e.info.Zone); z != e.zone {
 		if e.zone != nil {
@@ -85,8 +90,8 @@
 	}
 }
 
-// updateOverdue finds the endpoints whose calls are overdue, and the zones that may be cut off.
-// Polls that wait would show that only after their full time.
+// updateOverdue finds the endpoints whose calls are overdue, and the zones that may be cut off. The
+// polls that endpoints hold would show that only at the end of their wait.
 func (c *Cell) updateOverdue() {
 	for _, z := range c.zones {
 		z.unanswered = false
@@ -108,9 +113,10 @@
 	}
 }
 
-// oldestOverdueCall returns when the oldest unanswered call to the endpoint should have been
-// answered at the earliest, and whether it is overdue since then. That is the time at which the
-// call was sent, or for a poll that waits pollWait later.
+// oldestOverdueCall returns the earliest time at which the oldest unanswered call to the endpoint
+// could have been answered: when the call was sent, or pollWait later for a poll that the endpoint
+// may hold. It also reports whether that call is overdue: it could have been answered more than
+// overdueAfter ago, and has not timed out.
 func (e *endpoint) oldestOverdueCall(now time.Time, pollWait time.Duration) (time.Time, bool) {
 	oldest := now
 	if sent := e.polls.immediate; sent != nil && sent.sentAt.Before(oldest) {
@@ -131,9 +137,9 @@
 }
 
 // homeZone returns the zone in which the tasks of t's job are started while there is capacity, so
-// that the failure of a zone or rack affects fewer jobs. It returns nil if there is only one zone,
-// for long-running tasks, which are spread so that their job survives the loss of a zone, and for
-// tasks that prefer a rack.
+// that the failure of a zone or rack affects fewer jobs. It returns nil if there is only one zone
+// or no core is free, and for tasks that prefer a rack. It also returns nil for long-running tasks:
+// they are spread, so that their job survives the loss of a zone.
 func (c *Cell) homeZone(t *task) *zone {
 	j := t.phase.job()
 	if len(c.zones) < 2 || t.phase.spec.Lasting || t.phase.spec.Rack != "" {
