--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -30,7 +30,8 @@
 	Endpoints []string
 }
 
-// advice is what the advice service has decided about a phase.
+// advice holds the state of a phase's calls to the advice service, and the decisions and permits
+// that it has received.
 type advice struct {
 	inFlight    bool
 	requestedAt time.Time
@@ -121,12 +122,13 @@
 	}
 }
 
-// permitTicket returns the ticket that a start of the phase on the endpoint has to carry.
+// permitTicket returns the ticket that a start request of the phase to the endpoint has to carry.
+// It is empty if no permit is needed.
 func (c *Cell) permitTicket(p *phase, e *endpoint) string {
 	return p.advice.permits[e.info.Life.ID].ticket
 }
 
-// dropPermit forgets a permit that the endpoint rejected.
+// dropPermit forgets the phase's permit for an endpoint that has refused its ticket.
 func (p *phase) dropPermit(e *endpoint) {
 	delete(p.advice.permits, e.info.Life.ID)
 }
--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -70,12 +70,12 @@
 	c.commits.dirtyJobs[j.id] = true
 }
 
-// deleteRecord deletes a job's record with the next append.
+// deleteRecord has the next append delete a job's record.
 func (c *Cell) deleteRecord(j *job) {
 	c.commits.deletedKeys = append(c.commits.deletedKeys, j.id)
 }
 
-// reply answers a call at once.
+// reply answers a client's call at once, without waiting for an append.
 func (c *Cell) reply(callID int, reply wire.JobReply) {
 	c.effects.Replies = append(c.effects.Replies, Reply{CallID: callID, Reply: reply})
 }
@@ -171,7 +171,7 @@
 	c.finishCommit(sent)
 }
 
-// maxStartAge is the age of a commit from which its starts are not sent but decided anew. An owner
+// maxStartAge is the age of a commit from which its starts are not sent but decided again. An owner
 // that was paused for long must not send what it decided before the pause.
 const maxStartAge = 2 * time.Second
 
--- a/pkg/cell/demand.go
+++ b/pkg/cell/demand.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// maxResources returns the larger amount of each kind of resource.
+// maxResources returns, for each kind of resource, the larger of the two amounts.
 func maxResources(a, b damsonwinch.Resources) damsonwinch.Resources {
 	return damsonwinch.Resources{MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -38,26 +38,27 @@
 	Records []damsonwinch.Record
 }
 
-// Start is a request to an endpoint to run a task.
+// Start is a request to an endpoint to run a task. The owner passes the reply to Started.
 type Start struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.StartRequest
 }
 
-// Stop is a request to an endpoint to stop a run.
+// Stop is a request to an endpoint to stop a run. The owner passes the reply to Stopped.
 type Stop struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.StopRequest
 }
 
-// Poll is a request to an endpoint for its runs and results. Number identifies it in Polled.
+// Poll is a request to an endpoint for its runs and results. The owner passes the reply to Polled,
+// where Number identifies the poll.
 type Poll struct {
 	Endpoint damsonwinch.Endpoint
 	Request  damsonwinch.PollRequest
 	Number   int
 }
 
-// Reply is the reply to the client's call with the given ID.
+// Reply is the answer to a client's call. CallID is the ID that came with the call.
 type Reply struct {
 	CallID int
 	Reply  wire.JobReply
@@ -108,7 +109,7 @@
 	TasksGivenUp int
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the cell's counters.
 func (c *Cell) Stats() Stats {
 	return c.stats
 }
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -94,7 +94,7 @@
 	return e.listed && e.attached && !e.exited && !e.withdrawn && !e.withdrawal.requested && !e.silent && !e.info.Draining
 }
 
-// free returns the free capacity.
+// free returns the capacity that no run occupies.
 func (e *endpoint) free() damsonwinch.Resources {
 	return e.info.Capacity.Minus(e.used)
 }
@@ -148,7 +148,8 @@
 	}
 }
 
-// SetEndpoints sets the cell's endpoints to those that the registry lists now.
+// SetEndpoints sets the cell's endpoints to those that the registry lists now. Others are kept
+// while they may still hold runs or report results.
 func (c *Cell) SetEndpoints(now time.Time, listed []damsonwinch.Endpoint) {
 	c.beginEvent(now)
 	c.endpointsChanged()
@@ -196,7 +197,7 @@
 }
 
 // SetBoxes handles the platform's list of boxes. The list distinguishes endpoints that have exited
-// from those that only can't be reached.
+// from those that merely can't be reached. The former are marked as lost.
 func (c *Cell) SetBoxes(now time.Time, boxes []damsonwinch.Box) {
 	c.beginEvent(now)
 	c.endpointsChanged()
@@ -217,9 +218,9 @@
 	c.sweepEndpoints()
 }
 
-// requestBoxList requests the platform's list of boxes while tasks may run on endpoints that have
-// no address to poll them at: the registry has dropped their registrations, perhaps because they
-// exited.
+// requestBoxList requests the platform's list of boxes while runs may exist on endpoints that can't
+// be polled because their address isn't known. The registry does not list them any more, perhaps
+// because they have exited.
 func (c *Cell) requestBoxList() {
 	for _, e := range c.sortedEndpoints {
 		if len(e.runs) > 0 && !e.exited && !e.attached && e.info.Address == "" {
--- a/pkg/cell/estimate.go
+++ b/pkg/cell/estimate.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// runningStats holds a running mean and variance.
+// runningStats holds the mean and variance of a series of values, of which the recent ones weigh
+// more.
 type runningStats struct {
 	count    int
 	mean     float64
--- a/pkg/cell/gang.go
+++ b/pkg/cell/gang.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// stopGang stops all runs of a phase if it is a gang, because one member can't run: the others
-// would wait for it. It does nothing for other phases.
+// stopGang stops all runs of a gang of which one member can't run, since the others would wait for
+// that one. It does nothing for other phases.
 func (c *Cell) stopGang(p *phase, reason string) {
 	if !p.spec.Gang {
 		return
--- a/pkg/cell/health.go
+++ b/pkg/cell/health.go
@@ -50,7 +50,8 @@
 	progressSamples []progressSample
 }
 
-// healthAllows reports whether the endpoint's health allows new work there.
+// healthAllows reports whether an endpoint's health allows new work there: it is not ejected, and
+// if it is being probed, no short task runs there.
 func (c *Cell) healthAllows(e *endpoint) bool {
 	h := &e.health
 	if c.now.Before(h.ejectedUntil) {
@@ -70,7 +71,8 @@
 	return count
 }
 
-// updateHealth updates the health of a run's endpoint after the run has ended with a result.
+// updateHealth counts the result of a run for the health of its endpoint, and ejects the endpoint
+// if too many tasks in a row have failed there.
 func (c *Cell) updateHealth(r *run, ending damsonwinch.Ending) {
 	h := &r.endpoint.health
 	switch ending {
@@ -110,7 +112,8 @@
 	return true
 }
 
-// canEject reports whether the cell can do without one more endpoint.
+// canEject reports whether the cell can do without one more endpoint: one that is usable and not
+// ejected would be left, and at most maxEjectedPercent would be ejected.
 func (c *Cell) canEject() bool {
 	ejected, usable := 0, 0
 	for _, e := range c.sortedEndpoints {
@@ -138,8 +141,8 @@
 	}
 }
 
-// isStalled reports whether an endpoint has short tasks and none of them has made progress for a
-// while.
+// isStalled reports whether an endpoint runs short tasks of which none has made progress for
+// stallTime plus RestoreTime.
 func (c *Cell) isStalled(e *endpoint) bool {
 	tasks := 0
 	for _, r := range e.runs {
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -257,7 +257,7 @@
 	return time.UnixMilli(int64(j.spec.FirstMs + number*j.spec.EveryMs))
 }
 
-// startDueRounds starts the rounds that are due.
+// startDueRounds starts the rounds of active jobs that are due.
 func (c *Cell) startDueRounds() {
 	for _, j := range c.activeJobs {
 		for !j.ended() && len(j.rounds) < j.totalRounds() && !c.now.Before(j.roundDue(len(j.rounds))) {
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -263,7 +263,8 @@
 	return false
 }
 
-// applyProgress updates a run that its endpoint has listed.
+// applyProgress updates a run that its endpoint has listed. A run whose start was not confirmed is
+// confirmed by that; it is stopped if its job has ended or its task is done.
 func (c *Cell) applyProgress(r *run, progress damsonwinch.RunProgress) {
 	r.task.phase.job().begun = true
 	r.progress.update(c.now, progress.DonePercent)
--- a/pkg/cell/lost.go
+++ b/pkg/cell/lost.go
@@ -223,7 +223,8 @@
 	return max(0, at.Sub(r.startedAt))
 }
 
-// logEndpointLost logs the loss of an endpoint with the number and age of its runs.
+// logEndpointLost logs the loss of an endpoint. If it had runs, it counts the loss and logs the
+// number of runs and the age of the youngest.
 func (c *Cell) logEndpointLost(e *endpoint, reason string) {
 	if len(e.runs) == 0 {
 		c.logEndpoint("endpoint lost", e, reason)
--- a/pkg/cell/place.go
+++ b/pkg/cell/place.go
@@ -37,8 +37,8 @@
 }
 
 // placePhases starts the tasks of phases, in order. unplaceable holds resource needs for which no
-// endpoint has capacity: phases that need as much are skipped. placePhases returns unplaceable with
-// the needs that it has found to be so.
+// endpoint has capacity: phases that need as much are skipped. placePhases returns unplaceable
+// together with the needs for which it has found no capacity.
 func (c *Cell) placePhases(phases []*phase, unplaceable []damsonwinch.Resources) []damsonwinch.Resources {
 	for _, p := range phases {
 		if exceedsAny(p, unplaceable) {
@@ -100,7 +100,8 @@
 	return true
 }
 
-// canStart reports whether a task may be started on an endpoint now.
+// canStart reports whether a task may be started on an endpoint now, by all rules: backoff,
+// capacity, health, probations and permits.
 func (c *Cell) canStart(t *task, e *endpoint) bool {
 	return !c.mustWait(t) && c.canHost(t, e) && c.probationAllows(t, e) && c.hasPermit(t.phase, e)
 }
--- a/pkg/cell/prone.go
+++ b/pkg/cell/prone.go
@@ -64,9 +64,10 @@
 	}
 }
 
-// separatedFromOtherJobs reports whether no run of another job has just started on an endpoint, as
-// far as the task t or that run is of a crash-prone queue. So it is known which job has crashed an
-// endpoint, and tasks of sound jobs don't have to wait for probation.
+// separatedFromOtherJobs reports whether a task may start on an endpoint without mixing jobs: no
+// run of another job may have started there just before, if the task or that run is of a
+// crash-prone queue. So it is known which job has crashed an endpoint, and tasks of sound jobs
+// don't have to wait for probation.
 func (c *Cell) separatedFromOtherJobs(t *task, e *endpoint) bool {
 	if len(c.crashProne) == 0 {
 		return true
--- a/pkg/cell/queue.go
+++ b/pkg/cell/queue.go
@@ -16,7 +16,7 @@
 	maxWorkVariance = 0.6
 )
 
-// queueStats holds an owner's statistics of a queue.
+// queueStats holds an owner's statistics of the jobs and tasks of a queue.
 type queueStats struct {
 	arrivals arrivals
 	// times holds statistics of the times of its tasks.
--- a/pkg/cell/quota.go
+++ b/pkg/cell/quota.go
@@ -62,7 +62,8 @@
 	return damsonwinch.Resources{MilliCPU: need.MilliCPU * count, MemoryMB: need.MemoryMB * count, GPUs: need.GPUs * count}
 }
 
-// applyAllowances applies the planner's newest allowances.
+// applyAllowances applies the allowances in a call of the planner. If they must be recorded before
+// they are confirmed to the planner, the next append records them.
 func (c *Cell) applyAllowances(args wire.SyncArgs) {
 	if c.quota.ApplyUpdate(c.token, args) {
 		c.commits.allowancesDirty = true
--- a/pkg/cell/refused_test.go
+++ b/pkg/cell/refused_test.go
@@ -11,9 +11,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestRefusedStartsBackOff guards against endless starts of a task that every endpoint refuses. A
-// refused start counts against no limit, as the loss of an endpoint once did not. So a task that
-// endpoints refuse as invalid was started again with each append, 500 times in 5 s.
+// TestRefusedStartsBackOff guards against endless starts of a task that every endpoint refuses.
+// Refused starts count against no limit of attempts; once, the loss of an endpoint did not either.
+// So a task that endpoints refuse as invalid was started again with each append, 500 times in 5 s.
 func TestRefusedStartsBackOff(t *testing.T) {
 	for _, refusal := range []error{damsonwinch.ErrInvalid, damsonwinch.ErrStaleRun, damsonwinch.ErrTooLate} {
 		now := time.UnixMilli(1_700_000_000_000)
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -120,7 +120,8 @@
 	c.schedulePoll(r.endpoint)
 }
 
-// removeRun removes a run that certainly doesn't exist any more.
+// removeRun removes a run from its task, job and endpoint, and from what its customer uses of its
+// quota. The run must certainly not exist any more.
 func (c *Cell) removeRun(r *run) {
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
 	c.removeFromEndpoint(r)
@@ -130,7 +131,8 @@
 	c.markDirty(r.task.phase.job())
 }
 
-// requeue removes a run without a result and makes its task ready again.
+// requeue removes a run that has no result. Its task becomes ready again if it has no other
+// attempt.
 func (c *Cell) requeue(r *run) {
 	c.removeRun(r)
 	if len(r.task.runs) == 0 {
--- a/pkg/cell/sim_client_test.go
+++ b/pkg/cell/sim_client_test.go
@@ -16,9 +16,8 @@
 	queue    string
 	spec     wire.JobSpec
 	accepted bool
-	// unsentSubmits counts the tries for which no owner was found. If there are no others, the job
-	// must never run. unknownSubmits counts the tries that got any reply but that the job is
-	// accepted.
+	// unsentSubmits counts the tries for which no owner was found. If there were no others, the job
+	// must never run. unknownSubmits counts the tries with any outcome other than accepted.
 	unsentSubmits   int
 	unknownSubmits  int
 	cancelRequested bool
--- a/pkg/cell/sim_endpoint_test.go
+++ b/pkg/cell/sim_endpoint_test.go
@@ -32,8 +32,9 @@
 	exited       bool
 	// misaddressed is set while the endpoint handles a poll that is meant for an earlier life.
 	misaddressed bool
-	// onResult holds what answers the polls that are being held, once a run ends, and onExit what
-	// breaks their connections if the life ends before that.
+	// onResult holds the functions to call once a run ends, which answer the polls that are being
+	// held. onExit holds the functions to call if the life exits before that, which break the
+	// polls' connections.
 	onResult []func()
 	onExit   []func()
 	// pastCapacities holds the capacities that the endpoint had before the present one.
@@ -222,7 +223,7 @@
 	return reply, nil
 }
 
-// crashUnder ends the life because of a run that crashes it, if that run is still here. A new life
+// crashUnder ends the life because of a run that crashes it, if that run still exists. A new life
 // starts on the box some seconds later.
 func (e *simEndpoint) crashUnder(run damsonwinch.Run) {
 	if e.exited || e.runs[run] == nil {
--- a/pkg/cell/sim_lives_test.go
+++ b/pkg/cell/sim_lives_test.go
@@ -56,7 +56,7 @@
 	return w
 }
 
-// failedSharedIDSeeds are seeds that once violated a rule.
+// failedSharedIDSeeds are seeds that once violated a rule. So far there are none.
 var failedSharedIDSeeds = []uint64{}
 
 // TestRulesHoldWhenLivesShareAnID simulates endpoints that start again under the same ID. Requests
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -305,8 +305,8 @@
 // callTimeout is how long a call waits for its reply.
 const callTimeout = 200 * time.Millisecond
 
-// callSharedID sends a request to an ID whose newest life has exited. Nothing answers, or a new
-// life that starts while the call still waits for its connection.
+// callSharedID sends a request to an ID whose newest life has exited. It is answered only if a new
+// life starts while the call still waits for its connection.
 func (o *simOwner) callSharedID(id string, handle func(e *simEndpoint) func() error, done func(err error)) {
 	w := o.world
 	if w.resetsOnExit {
--- a/pkg/cell/sim_test.go
+++ b/pkg/cell/sim_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// isMakingProgress reports whether jobs are left and their tasks still get done one after another.
+// isMakingProgress reports whether jobs are unfinished and tasks still get done, one after another.
 // If long-running tasks leave little capacity, the work of the jobs may take longer than
 // simRecoveryTime.
 func (w *world) isMakingProgress() bool {
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("box-%d", w.random.IntN(w.boxCount))
 }
 
-// injectFault makes one thing go wrong.
+// injectFault injects one random fault, unless no more faults may occur.
 func (w *world) injectFault() {
 	if !w.faultsOn {
 		return
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -57,8 +57,8 @@
 	agenda   agenda.Queue
 	mutation mutation
 	rules    *rules
-	// streams holds the cell's streams, of which the newest, the last, is in use. streamDown says,
-	// by index, for which of them the store rejects calls.
+	// streams holds the cell's streams. The last one is the newest and in use. streamDown says, by
+	// index, for which of them the store rejects calls.
 	streams    []*simStream
 	streamDown map[int]bool
 	// endpoints holds all lives of endpoints, and owners all owners, both in order of their starts.
@@ -74,7 +74,7 @@
 	boxCount int
 	// maxTaskTime is the longest run time of a task in the default jobs.
 	maxTaskTime time.Duration
-	// maxCompletionGap is how long the simulation may go on after the last task was done while jobs
+	// maxCompletionGap is how long the simulation may go on without a task being done while jobs
 	// are unfinished. It is set where tasks and their retries take longer than simExtensionStep.
 	maxCompletionGap time.Duration
 	// resetsOnExit makes connections to an endpoint break as soon as it exits, as they do if only
--- a/pkg/cell/trial.go
+++ b/pkg/cell/trial.go
@@ -26,7 +26,8 @@
 	longRunningWeight = 10
 )
 
-// addSuspect adds a task to the suspects if the losses under it call for that.
+// addSuspect adds a task to the suspects if the losses of endpoints under it make it one by the
+// CrashRules.
 func (c *Cell) addSuspect(t *task) {
 	if !t.suspected && !t.done && c.options.CrashRules.IsSuspect(t.crashes) {
 		t.suspected, t.probationWaitSince = true, c.now
@@ -148,8 +149,8 @@
 	return len(c.probationEndpoints)+c.probationExits.countWithin(c.now, restartTime) < max(1, len(c.sortedEndpoints)*maxPercent/fullPercent)
 }
 
-// noRecentStart reports whether nothing has started on an endpoint so recently that it may still
-// crash it.
+// noRecentStart reports whether no run has started on an endpoint within the last SuspectAge. A
+// younger run might still crash the endpoint.
 func (c *Cell) noRecentStart(e *endpoint) bool {
 	return !c.startedWithin(e, c.now, c.options.CrashRules.SuspectAge)
 }
