--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -9,45 +9,45 @@
 
 // Row is what one cause costs one role.
 type Row struct {
-	Role      string  `json:"role"`
-	Cause     string  `json:"cause"`
-	Formula   string  `json:"formula"`
-	Unit      string  `json:"unit"`
-	Lisbon    float64 `json:"lisbon"`
-	Podka     float64 `json:"podkarpacie"`
-	TwoYears  float64 `json:"two_years"`
-	Limit     float64 `json:"limit"`
-	Verdict   string  `json:"verdict"`
-	Mechanism string  `json:"mechanism"`
+	Role        string  `json:"role"`
+	Cause       string  `json:"cause"`
+	Formula     string  `json:"formula"`
+	Unit        string  `json:"unit"`
+	Lisbon      float64 `json:"lisbon"`
+	Podkarpacie float64 `json:"podkarpacie"`
+	TwoYears    float64 `json:"two_years"`
+	Limit       float64 `json:"limit"`
+	Verdict     string  `json:"verdict"`
+	Mechanism   string  `json:"mechanism"`
 }
 
 // Demand is what happens to a fleet of a size.
 type Demand struct {
-	Sizes        planbench.Sizes `json:"sizes"`
-	EditsADay    float64         `json:"edits_a_day"`
-	RestartsADay float64         `json:"restarts_a_day"`
-	FailuresADay float64         `json:"failures_a_day"`
+	Sizes          planbench.Sizes `json:"sizes"`
+	EditsPerDay    float64         `json:"edits_a_day"`
+	RestartsPerDay float64         `json:"restarts_a_day"`
+	FailuresPerDay float64         `json:"failures_a_day"`
 	// MaintainDays is the time in which every box is maintained once.
 	MaintainDays float64 `json:"maintain_days"`
-	// MovesADay is our assumption; the letter gives none.
-	MovesADay float64 `json:"moves_a_day"`
-	// KeysASecond is our assumption of requests with an idempotency key.
-	KeysASecond float64 `json:"keys_a_second"`
-	RenewS      float64 `json:"renew_s"`
-	ListS       float64 `json:"list_s"`
+	// MovesPerDay is our assumption; the letter gives none.
+	MovesPerDay float64 `json:"moves_a_day"`
+	// KeysPerSecond is our assumption of requests with an idempotency key.
+	KeysPerSecond  float64 `json:"keys_a_second"`
+	RenewIntervalS float64 `json:"renew_s"`
+	ListIntervalS  float64 `json:"list_s"`
 }
 
-// Letter is the demand of the users' first letter at two years.
-func Letter(sizes planbench.Sizes) Demand {
+// DemandInTwoYears is the demand of the users' first letter at two years.
+func DemandInTwoYears(sizes planbench.Sizes) Demand {
 	return Demand{
-		Sizes: sizes, EditsADay: 14_000, RestartsADay: 780, FailuresADay: 37, MaintainDays: 42, MovesADay: 200, KeysASecond: 5, RenewS: 4, ListS: 0.5,
+		Sizes: sizes, EditsPerDay: 14_000, RestartsPerDay: 780, FailuresPerDay: 37, MaintainDays: 42, MovesPerDay: 200, KeysPerSecond: 5, RenewIntervalS: 4, ListIntervalS: 0.5,
 	}
 }
 
-// Today is the demand of a user today; what the brief doesn't say is assumed.
-func Today(boxes, halls int) Demand {
+// DemandToday is the demand of a user today; what the brief doesn't say is assumed.
+func DemandToday(boxes, halls int) Demand {
 	sizes := planbench.Sizes{Boxes: boxes, Pools: 3, Halls: halls, RackBoxes: 4, BoxSlots: 8, Entries: 6, Teams: 4}
-	return Demand{Sizes: sizes, EditsADay: 20, RestartsADay: 7, FailuresADay: 1, MaintainDays: 42, MovesADay: 5, KeysASecond: 1, RenewS: 4, ListS: 0.5}
+	return Demand{Sizes: sizes, EditsPerDay: 20, RestartsPerDay: 7, FailuresPerDay: 1, MaintainDays: 42, MovesPerDay: 5, KeysPerSecond: 1, RenewIntervalS: 4, ListIntervalS: 0.5}
 }
 
 // Limits of the letter.
@@ -89,7 +89,7 @@
 		b[slope.Name] = slope
 	}
 	const lisbonHalls, podkaHalls, usersBoxes = 4, 3, 50
-	demands := [3]Demand{Today(usersBoxes, lisbonHalls), Today(usersBoxes, podkaHalls), two}
+	demands := [3]Demand{DemandToday(usersBoxes, lisbonHalls), DemandToday(usersBoxes, podkaHalls), two}
 	rows := append(stateRows(b), messageRows(b)...)
 	rows = append(rows, workRows(b)...)
 	made := make([]Row, 0, len(rows))
@@ -109,7 +109,7 @@
 
 func (r rule) row(demands [3]Demand) Row {
 	row := r.Row
-	row.Lisbon, row.Podka, row.TwoYears = r.value(demands[0]), r.value(demands[1]), r.value(demands[2])
+	row.Lisbon, row.Podkarpacie, row.TwoYears = r.value(demands[0]), r.value(demands[1]), r.value(demands[2])
 	switch {
 	case r.note != "":
 		row.Verdict = r.note
@@ -137,7 +137,7 @@
 			limit = fmt.Sprintf("%.4g %s", r.Limit, r.Unit)
 		}
 		fmt.Fprintf(&text, "| %s | %s | %s | %.3g %s | %.3g %s | %.3g %s | %s | %s | %s |\n", r.Role, r.Cause, r.Formula,
-			r.Lisbon, r.Unit, r.Podka, r.Unit, r.TwoYears, r.Unit, limit, r.Verdict, r.Mechanism)
+			r.Lisbon, r.Unit, r.Podkarpacie, r.Unit, r.TwoYears, r.Unit, limit, r.Verdict, r.Mechanism)
 	}
 	return text.String()
 }
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -27,9 +27,9 @@
 	Teams int
 }
 
-// TwoYears is the size that the users' first letter names. It doesn't give the
+// SizesInTwoYears is the size that the users' first letter names. It doesn't give the
 // number of entry boxes: twelve a hall is our assumption.
-func TwoYears() Sizes {
+func SizesInTwoYears() Sizes {
 	return Sizes{Boxes: 5800, Pools: 45, Halls: 8, RackBoxes: 4, BoxSlots: 8, Entries: 96, Teams: 4}
 }
 
@@ -56,7 +56,7 @@
 )
 
 func newBench(planner Planner) (*bench, error) {
-	empty, err := process.Empty()
+	empty, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	var boxes []wire.BoxInfo
 	for _, hall := range user.Fleet.Halls {
 		for number := range hall.Boxes {
-			boxes = append(boxes, trial.BoxOf(hall.Name, number, user.Fleet, ""))
+			boxes = append(boxes, trial.NewBoxInfo(hall.Name, number, user.Fleet, ""))
 		}
 	}
 	return boxes, user.Table, nil
@@ -129,7 +129,7 @@
 	fleet := settings.Fleet{RackBoxes: sizes.RackBoxes, BoxSlots: sizes.BoxSlots}
 	for number := range sizes.Boxes {
 		hall := number % sizes.Halls
-		boxes = append(boxes, trial.BoxOf(fmt.Sprintf("hall-%d", hall+1), number/sizes.Halls, fleet, ""))
+		boxes = append(boxes, trial.NewBoxInfo(fmt.Sprintf("hall-%d", hall+1), number/sizes.Halls, fleet, ""))
 	}
 	table := settings.Table{Deployment: settings.Deployment{Moves: 5, Rollout: 2, Buffer: 2, MaintainDays: 42}}
 	slots := sizes.Boxes * sizes.BoxSlots * neededPart / percent / sizes.Pools
@@ -170,9 +170,9 @@
 	return &Fleet{bench: b}, b.start(boxes, table)
 }
 
-// EmptyState returns the state before the first record.
-func EmptyState() (fold.State, error) {
-	return process.Empty()
+// InitialState returns the state before the first record.
+func InitialState() (fold.State, error) {
+	return process.InitialState()
 }
 
 // State returns the fleet's state.
@@ -180,12 +180,12 @@
 	return f.bench.state
 }
 
-// Plan makes a plan and drops it.
-func (f *Fleet) Plan() {
+// MakePlan makes a plan and drops it.
+func (f *Fleet) MakePlan() {
 	plan.New(f.bench.state, plan.Options{})
 }
 
-// Settle carries plans out until there is nothing left to do.
-func (f *Fleet) Settle() {
+// PlanUntilStable carries plans out until there is nothing left to do.
+func (f *Fleet) PlanUntilStable() {
 	f.bench.settle(mostRounds)
 }
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -29,9 +29,9 @@
 )
 
 var (
-	payslips = standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}
-	notices  = standin.Queue{Name: "notices", Host: testHost, Prefix: "/notices/", Pool: "runs", Attempts: 3, Public: true}
-	oneTask  = standin.Phase{Count: 1, CPU: 1000, Estimated: 50}
+	payslips = standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}
+	notices  = standin.Queue{Name: "notices", Host: testHost, PathPrefix: "/notices/", Pool: "runs", MaxAttempts: 3, Public: true}
+	oneTask  = standin.Phase{Count: 1, MilliCPU: 1000, EstimatedMs: 50}
 )
 
 // newKeyedStory returns nodes whose operator names two customers.
@@ -141,7 +141,7 @@
 	owner := s.ownerOf("runs")
 	s.kill(owner)
 	s.until("it is completed under the next owner", func() bool { return s.state(id(0)) == "completed" })
-	assert.Equal(t, s.platform.StartsOf(id(0))[id(0)+".0.0.0"], 1, "it has run on")
+	assert.Equal(t, s.platform.CountStarts(id(0))[id(0)+".0.0.0"], 1, "it has run on")
 
 	s.customers(4, nil, []string{millKey})
 	s.until("a customer without keys is turned away", func() bool {
@@ -189,7 +189,7 @@
 			s.client = s.client.WithKey(bakeryKey)
 			s.customers(2, []string{bakeryKey}, []string{millKey})
 			s.submit(id(0), standin.Work{Ms: 50}, oneTask)
-			s.platform.SetFault(standin.Busy)
+			s.platform.SetStoreFault(standin.FaultBusy)
 			want := http.StatusOK
 			if closed {
 				want = http.StatusServiceUnavailable
@@ -201,7 +201,7 @@
 			clockwork.NewRealClock().Sleep(time.Second)
 			status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
 			assert.Equal(t, status, want)
-			s.platform.SetFault(standin.None)
+			s.platform.SetStoreFault(standin.FaultNone)
 			s.until("calls are taken again", func() bool {
 				status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
 				return status == http.StatusOK
@@ -251,7 +251,7 @@
 		}
 	}
 	// A configuration that can't be decoded, and a key of two customers.
-	s.platform.PutSpoiltKeys(3, "bakery", bakeryKey)
+	s.platform.PutInvalidConfiguration(3, "bakery", bakeryKey)
 	s.customers(4, []string{bakeryKey, bakeryNewKey}, []string{millKey, bakeryNewKey})
 	s.until("that is logged", func() bool { return strings.Contains(logs.String(), "neither's") })
 	var counters string
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -12,39 +12,39 @@
 // Report is what a run came to. The counts of harm come from the endpoints' and
 // the callers' own books.
 type Report struct {
-	Users             string `json:"users"`
-	Seed              uint64 `json:"seed"`
-	Requests          int    `json:"requests"`
-	Answered          int    `json:"answered"`
-	NotRun            int    `json:"not_run"`
-	Unknown           int    `json:"unknown"`
-	RunTwice          int    `json:"run_twice"`
-	NotRunButRan      int    `json:"not_run_but_ran"`
-	WrongAnswer       int    `json:"wrong_answer"`
-	CutInFlight       int    `json:"cut_in_flight"`
-	PoolOverlap       int    `json:"pool_overlap"`
-	BelowFloor        int    `json:"below_floor"`
-	ConfigReverted    int    `json:"config_reverted"`
-	SentToLeaving     int    `json:"sent_to_leaving"`
-	Violations        int    `json:"violations"`
-	BoxesMoved        int    `json:"boxes_moved"`
-	BoxesMaintained   int    `json:"boxes_maintained"`
-	TableRolloutMsMax int    `json:"table_rollout_ms_max"`
-	LogAppends        int    `json:"log_appends"`
+	Users              string `json:"users"`
+	Seed               uint64 `json:"seed"`
+	Requests           int    `json:"requests"`
+	Answered           int    `json:"answered"`
+	NotRun             int    `json:"not_run"`
+	Unknown            int    `json:"unknown"`
+	RunTwice           int    `json:"run_twice"`
+	NotRunButRan       int    `json:"not_run_but_ran"`
+	WrongAnswer        int    `json:"wrong_answer"`
+	CutInFlight        int    `json:"cut_in_flight"`
+	PoolOverlap        int    `json:"pool_overlap"`
+	BelowFloor         int    `json:"below_floor"`
+	ConfigReverted     int    `json:"config_reverted"`
+	SentToLeaving      int    `json:"sent_to_leaving"`
+	ReportedViolations int    `json:"violations"`
+	BoxesMoved         int    `json:"boxes_moved"`
+	BoxesMaintained    int    `json:"boxes_maintained"`
+	TableRolloutMsMax  int    `json:"table_rollout_ms_max"`
+	LogAppends         int    `json:"log_appends"`
 
 	details []string
 	reasons map[string]int
 }
 
-// Harm counts everything that must never happen.
-func (r Report) Harm() int {
+// TotalViolations counts everything that must never happen.
+func (r Report) TotalViolations() int {
 	return r.RunTwice + r.NotRunButRan + r.WrongAnswer + r.CutInFlight + r.PoolOverlap + r.BelowFloor + r.ConfigReverted +
-		r.SentToLeaving + r.Violations
+		r.SentToLeaving + r.ReportedViolations
 }
 
 // report compares the books.
 func (r *run) report() Report {
-	overlaps, cut, late := r.cluster.Book.Harm()
+	overlaps, cut, late := r.cluster.Book.Violations()
 	o := r.observer
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -54,7 +54,7 @@
 		TableRolloutMsMax: int(o.rolloutMax.Milliseconds()), LogAppends: r.cluster.Platform.Log.Appends(), reasons: map[string]int{},
 	}
 	for _, count := range r.cluster.breaches() {
-		report.Violations += count
+		report.ReportedViolations += count
 	}
 	report.details = r.cluster.harm.details
 	if r.callers != nil {
@@ -100,7 +100,7 @@
 		fmt.Sprintf("fleet      %d boxes moved between pools, %d maintained", r.BoxesMoved, r.BoxesMaintained),
 		fmt.Sprintf("table      in force everywhere within %d ms", r.TableRolloutMsMax),
 		fmt.Sprintf("log        %d appends", r.LogAppends),
-		fmt.Sprintf("harm       %d", r.Harm()),
+		fmt.Sprintf("harm       %d", r.TotalViolations()),
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.reasons)) {
 		lines = append(lines, fmt.Sprintf("           %d times %s", r.reasons[reason], reason))
