--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -27,7 +27,7 @@
 }
 
 func newLeaseState(timing lease.Timing) leaseState {
-	return leaseState{holder: lease.NewHolder(timing), extensionsPending: map[lease.Peer]bool{}}
+	return leaseState{holder: lease.New(timing), extensionsPending: map[lease.Peer]bool{}}
 }
 
 // renew issues the next renewal when it is due, and asks for extensions if the log's lease runs out
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -106,7 +106,7 @@
 // by all.
 func newWorld(keepers int) world {
 	timing := Timing{Duration: time.Duration(searchBounds.duration) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
-	w := world{holder: NewHolder(timing), members: map[int]member{}, senderMembers: map[int]int{}}
+	w := world{holder: New(timing), members: map[int]member{}, senderMembers: map[int]int{}}
 	for k := range keepers {
 		w.keepers = append(w.keepers, keeperModel{alive: true, incarnation: 1, grantor: NewGrantor(timing)})
 		w.apply(record{kind: 'j', keeper: k, incarnation: 1})
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -44,8 +44,8 @@
 	peers  []Peer
 }
 
-// NewHolder returns a holder that has no lease yet.
-func NewHolder(timing Timing) Holder {
+// New returns a holder that has no lease yet.
+func New(timing Timing) Holder {
 	return Holder{timing: timing, issuedAt: map[int]time.Time{}, extendedUntil: map[Peer]time.Time{}, exited: map[Peer]bool{}}
 }
 
