--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -13,8 +13,8 @@
 
 // The search below tries every order of events for one sender and the keepers of its zone, which may
 // release it. They share a log that accepts appends late, loses the answers to them or never accepts
-// them. A network partition in any direction is a read or a request that doesn't happen. A suspended
-// process is one that does nothing for a time.
+// them. The search models a network partition, in any direction, by reads or requests that don't happen,
+// and a suspended process by one that does nothing for a time.
 
 // bounds limit the search: a lease's duration, the clock drift and the end of the search, all in ticks,
 // the number of renewals that the sender issues, and the number of restarts of each keeper.
@@ -30,62 +30,62 @@
 // ruleSet holds the rules that the search can leave out, to show that it finds the fault that each of
 // them prevents.
 type ruleSet struct {
-	mustBeKnown       bool // A member qualifies by what the sender had applied, not by the offset of the renewal.
-	exitedWhileBound  bool // An exited peer counts only if it exited before it could propose a release.
-	denyAfterProposal bool // No extensions while a release may still be accepted.
-	denyUnlisted      bool // No extensions for a sender that the log doesn't list.
-	stayReleased      bool // A late renewal doesn't register a released sender again.
+	mustBeKnown         bool // Only a member that the sender knew may release it. Without the rule, any that joined before the last renewal's record may.
+	exitedBeforeRelease bool // An exited peer counts only if it exited before it could propose a release.
+	denyAfterProposal   bool // No extensions while a release may still be accepted.
+	denyUnlisted        bool // No extensions for a sender that the log doesn't list.
+	stayReleased        bool // A late renewal doesn't register a released sender again.
 }
 
 // allRules returns the rules as they are in use.
 func allRules() ruleSet {
-	return ruleSet{mustBeKnown: true, exitedWhileBound: true, denyAfterProposal: true, denyUnlisted: true, stayReleased: true}
+	return ruleSet{mustBeKnown: true, exitedBeforeRelease: true, denyAfterProposal: true, denyUnlisted: true, stayReleased: true}
 }
 
 // record is a record of the log, or of an append that is in flight.
 type record struct {
 	kind          byte // 'j' join, 'r' renew, 'x' release.
-	keeper        int
-	incarnation   int
-	renewal       int
-	senderApplied int
+	keeper        int  // The keeper that joins or proposes the release.
+	incarnation   int  // Of the keeper.
+	renewal       int  // Number of the renewal, or of the last one that the release's proposer knows.
+	senderApplied int  // The sender's applied offset when it issued the renewal.
 }
 
 // keeperModel is a keeper of the zone.
 type keeperModel struct {
 	alive       bool
 	incarnation int
-	applied     int
-	skew        int
+	applied     int // Offset of the next log record that the keeper applies.
+	skew        int // Ticks by which the keeper's clock is ahead of the sender's.
 	grantor     Grantor
 	restarts    int
 	reply       replyModel
 }
 
-// replyModel is the reply to the sender's request for an extension that is in flight.
+// replyModel is a keeper's reply, in flight, to the sender's request for an extension.
 type replyModel struct {
 	pending     bool
-	exited      bool
+	exited      bool // The incarnation that was asked has exited.
 	granted     bool
-	askedAt     int
-	incarnation int
+	askedAt     int // Tick of the request.
+	incarnation int // The incarnation that was asked.
 }
 
 // world is a state of the search.
 type world struct {
-	now           int
-	holder        Holder
-	newestRenewal int
-	senderApplied int
-	senderKnows   bool // The sender has applied its release.
-	senderMembers map[int]int
-	log           []record
-	inFlight      []record
-	keepers       []keeperModel
+	now                int
+	holder             Holder
+	newestRenewal      int         // Number of the newest renewal that the sender has issued.
+	senderApplied      int         // Offset of the next log record that the sender applies.
+	senderKnowsRelease bool        // The sender has applied its release.
+	senderMembers      map[int]int // Incarnations of the keepers that the sender knows, by keeper.
+	log                []record
+	inFlight           []record // Appends that the log has not accepted yet.
+	keepers            []keeperModel
 	// The state that results from applying the log.
-	lastRenewal int
-	lastApplied int
-	lastOffset  int
+	lastRenewal int // Number of the newest renewal in the log.
+	lastApplied int // The sender's applied offset when it issued that renewal.
+	lastOffset  int // Offset of that renewal's record.
 	members     map[int]member
 	released    bool
 	listed      bool // The log lists the sender.
@@ -102,8 +102,8 @@
 	return time.Unix(int64(tick)+searchEpoch, 0)
 }
 
-// newWorld returns the first state: all keepers have joined, and the sender's first renewal has been read
-// by all.
+// newWorld returns the first state of the search: all keepers have joined, and all of them and the sender
+// have read the sender's first renewal.
 func newWorld(keepers int) world {
 	timing := Timing{Duration: time.Duration(searchBounds.duration) * time.Second, MaxDrift: time.Duration(searchBounds.drift) * time.Second}
 	w := world{holder: New(timing), members: map[int]member{}, senderMembers: map[int]int{}}
@@ -174,7 +174,7 @@
 		applied.apply(r)
 	}
 	w.senderApplied = len(w.log)
-	w.senderKnows = applied.released
+	w.senderKnowsRelease = applied.released
 	w.holder = w.holder.WithRenewalConfirmed(applied.lastRenewal)
 	w.senderMembers = map[int]int{}
 	var peers []Peer
@@ -202,11 +202,11 @@
 	keeper.grantor = keeper.grantor.WithRenewalRead("s", applied.lastRenewal, at(w.now+keeper.skew))
 }
 
-// key encodes the state. States with equal keys have the same successors.
+// key returns an encoding of the state. States with equal keys have the same successors.
 func (w world) key() string {
 	b := make([]byte, 0, 128)
 	b = appendBytes(b, w.now, w.newestRenewal, w.senderApplied, w.lastRenewal, w.lastApplied, w.lastOffset, len(w.log), len(w.inFlight))
-	b = append(b, boolByte(w.senderKnows), boolByte(w.released), boolByte(w.listed))
+	b = append(b, boolByte(w.senderKnowsRelease), boolByte(w.released), boolByte(w.listed))
 	inFlight := slices.SortedFunc(slices.Values(w.inFlight), func(a, b record) int { return cmp.Compare(a.sortKey(), b.sortKey()) })
 	for _, r := range append(append([]record{}, w.log...), inFlight...) {
 		b = appendBytes(append(b, r.kind), r.keeper, r.incarnation, r.renewal, r.senderApplied)
@@ -261,12 +261,12 @@
 // violated reports whether the sender may send although it has been released. Another sender may have
 // its boxes by then.
 func (w world) violated() bool {
-	return w.released && !w.senderKnows && w.holder.MaySend(at(w.now))
+	return w.released && !w.senderKnowsRelease && w.holder.MaySend(at(w.now))
 }
 
 // successors returns all states to which one event can lead.
 func (w world) successors() []world {
-	if w.senderKnows {
+	if w.senderKnowsRelease {
 		// The sender has stopped for good, so no later state can violate the rule.
 		return nil
 	}
@@ -372,15 +372,15 @@
 	switch {
 	case reply.granted:
 		w.holder = w.holder.WithExtension(peer, at(reply.askedAt))
-	case reply.exited && activeRules.exitedWhileBound:
+	case reply.exited && activeRules.exitedBeforeRelease:
 		w.holder = w.holder.WithPeerExited(peer, at(w.now))
 	case reply.exited:
 		w.holder = w.holder.WithPeerExited(peer, at(-searchBounds.horizon))
 	}
 }
 
-// searchStates visits all states, up to a number, and returns how many it has seen and a state in which
-// the sender may send although it has been released, if it finds one.
+// searchStates visits all states, up to maxStates, in breadth-first order. It returns how many it has
+// seen and, if it finds one, a state in which the sender may send although it has been released.
 func searchStates(keepers, maxStates int) (int, *world) {
 	start := newWorld(keepers)
 	visited := map[string]bool{start.key(): true}
@@ -416,7 +416,7 @@
 	const maxStates = 400_000
 	for name, leaveOut := range map[string]func(*ruleSet){
 		"release by a member that the sender does not know": func(r *ruleSet) { r.mustBeKnown = false },
-		"peer exited after it could propose a release":      func(r *ruleSet) { r.exitedWhileBound = false },
+		"peer exited after it could propose a release":      func(r *ruleSet) { r.exitedBeforeRelease = false },
 		"extension while a release is in flight":            func(r *ruleSet) { r.denyAfterProposal = false },
 		"extension for a released sender":                   func(r *ruleSet) { r.denyUnlisted = false },
 		"late renewal of a released sender":                 func(r *ruleSet) { r.stayReleased = false },
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -26,14 +26,14 @@
 type Peer struct {
 	// Node is the name of the keeper's node.
 	Node string
-	// Incarnation is the run of the keeper's process.
+	// Incarnation tells the runs of the keeper's process apart.
 	Incarnation int
 }
 
 // Holder is the sender's side of its lease. It is immutable: its With methods return a new one.
 type Holder struct {
 	timing Timing
-	// issuedAt holds when the renewals that aren't confirmed were issued, by number.
+	// issuedAt holds, by number, when each renewal was issued that isn't confirmed yet.
 	issuedAt map[int]time.Time
 	// logLeaseUntil is when the lease from the log ends.
 	logLeaseUntil time.Time
@@ -41,16 +41,17 @@
 	extendedUntil map[Peer]time.Time
 	// exited holds the peers that count as exited.
 	exited map[Peer]bool
-	peers  []Peer
+	// peers are the keepers of the sender's zone.
+	peers []Peer
 }
 
-// New returns a holder that has no lease yet.
+// New returns a Holder that has no lease yet.
 func New(timing Timing) Holder {
 	return Holder{timing: timing, issuedAt: map[int]time.Time{}, extendedUntil: map[Peer]time.Time{}, exited: map[Peer]bool{}}
 }
 
-// WithRenewalIssued returns the holder after the sender issued a numbered renewal at a time on its
-// clock.
+// WithRenewalIssued returns the holder after the sender issued the renewal with the given number, at
+// a time on its own clock. Later renewals have higher numbers.
 func (h Holder) WithRenewalIssued(renewal int, at time.Time) Holder {
 	h.issuedAt = maps.Clone(h.issuedAt)
 	h.issuedAt[renewal] = at
@@ -62,8 +63,9 @@
 // Forgetting an old one only makes the lease shorter.
 const maxIssuedRenewals = 64
 
-// WithRenewalConfirmed returns the holder after a renewal was read back from the log, by the sender
-// itself or through a peer. The lease lasts for Duration from the time at which the renewal was issued.
+// WithRenewalConfirmed returns the holder after the renewal with the given number was read back from
+// the log, by the sender itself or through a peer. The lease then lasts for Timing.Duration from the
+// time at which that renewal was issued.
 func (h Holder) WithRenewalConfirmed(renewal int) Holder {
 	at, known := h.issuedAt[renewal]
 	if !known {
@@ -85,7 +87,7 @@
 }
 
 // WithExtension returns the holder after a peer granted an extension that was requested at a time on
-// the sender's clock.
+// the sender's clock. The extension lasts for Timing.Duration from that time.
 func (h Holder) WithExtension(peer Peer, requestedAt time.Time) Holder {
 	if until := requestedAt.Add(h.timing.Duration); until.After(h.extendedUntil[peer]) {
 		h.extendedUntil = maps.Clone(h.extendedUntil)
@@ -117,13 +119,14 @@
 	return h.logLeaseUntil
 }
 
-// MaySend reports whether the sender may send at a time on its clock.
+// MaySend reports whether the sender may send at a time on its own clock.
 func (h Holder) MaySend(now time.Time) bool {
 	return now.Before(h.ValidUntil(now))
 }
 
 // ValidUntil returns when the sender must stop sending unless the lease is renewed or extended. It
-// returns the zero time if there has been no lease.
+// returns the zero time if there has been no lease, and the time Timing.Duration after now if all
+// peers have exited.
 func (h Holder) ValidUntil(now time.Time) time.Time {
 	if h.logLeaseUntil.IsZero() {
 		return time.Time{}
@@ -141,7 +144,7 @@
 		}
 	}
 	if earliest.IsZero() {
-		// All peers exited before they could propose a release, so there is none to come.
+		// All peers exited before they could propose a release, so none will come.
 		return now.Add(h.timing.Duration)
 	}
 	return earliest
@@ -153,8 +156,8 @@
 	return now.Before(h.logLeaseUntil)
 }
 
-// PeersExpiringBefore returns the peers that may propose a release before a given time, so that the
-// sender needs extensions from them.
+// PeersExpiringBefore returns the peers that may propose a release before a given time. The sender
+// needs extensions from them to send until then.
 func (h Holder) PeersExpiringBefore(limit time.Time) []Peer {
 	var expiring []Peer
 	for _, peer := range h.peers {
--- a/pkg/lease/witness.go
+++ b/pkg/lease/witness.go
@@ -7,14 +7,14 @@
 
 // senderState is what a grantor knows of one sender.
 type senderState struct {
-	// lastRenewal is the number of the newest renewal that was read from the log, and readAt when that
-	// was.
+	// lastRenewal is the number of the newest renewal that was read from the log, and readAt is when
+	// it was read.
 	lastRenewal int
 	readAt      time.Time
-	// extendedUntil is when the newest extension ends that was granted to the sender.
+	// extendedUntil is when the newest extension that was granted to the sender ends.
 	extendedUntil time.Time
-	// proposedRenewal is the newest renewal at the time of the grantor's last proposal to release the
-	// sender, or 0. The proposal may be appended to the log at any later time.
+	// proposedRenewal was the number of the newest renewal when the grantor last proposed to release
+	// the sender. It is 0 without a proposal. The proposal may reach the log at any later time.
 	proposedRenewal int
 }
 
@@ -30,8 +30,8 @@
 	return Grantor{timing: timing, senders: map[string]senderState{}}
 }
 
-// WithRenewalRead returns the grantor after a sender's numbered renewal was read from the log at a time
-// on the grantor's clock. Renewals that aren't newer than the last one change nothing.
+// WithRenewalRead returns the grantor after a sender's renewal with the given number was read from the
+// log, at a time on the grantor's clock. A renewal that isn't newer than the last one changes nothing.
 func (g Grantor) WithRenewalRead(sender string, renewal int, at time.Time) Grantor {
 	state, known := g.senders[sender]
 	if known && renewal <= state.lastRenewal {
@@ -61,9 +61,9 @@
 }
 
 // Extend handles a sender's request for an extension, and reports whether the extension is granted. It
-// is denied while a proposal to release the sender as of its last known renewal may still be accepted.
-// It is also denied to a sender that the log doesn't list, which may have been released without
-// knowing it.
+// is denied while the log may still accept a proposal to release the sender as of its last known
+// renewal. It is also denied to a sender that the log doesn't list: the sender may have been released
+// without knowing it.
 func (g Grantor) Extend(sender string, now time.Time) (Grantor, bool) {
 	state, known := g.senders[sender]
 	if !known || state.proposedRenewal != 0 && state.proposedRenewal >= state.lastRenewal {
@@ -73,8 +73,9 @@
 	return g.withSender(sender, state), true
 }
 
-// MayRelease reports whether the grantor may propose the release of a sender: the sender's last renewal
-// and every extension that the grantor granted have run out, with a margin for clock drift.
+// MayRelease reports whether the grantor may propose the release of a sender: the lease from the
+// sender's last renewal and every extension that the grantor granted have run out, with a margin of
+// Timing.MaxDrift. It returns false for a sender that the grantor doesn't know.
 func (g Grantor) MayRelease(sender string, now time.Time) bool {
 	state, known := g.senders[sender]
 	if !known || state.readAt.IsZero() {
@@ -92,7 +93,8 @@
 	return g.withSender(sender, state)
 }
 
-// LastRenewal returns the number of a sender's newest renewal that the grantor has read.
+// LastRenewal returns the number of a sender's newest renewal that the grantor has read, or 0 if it
+// has read none.
 func (g Grantor) LastRenewal(sender string) int {
 	return g.senders[sender].lastRenewal
 }
--- a/pkg/ownership/alive.go
+++ b/pkg/ownership/alive.go
@@ -44,7 +44,7 @@
 	return known && last.incarnation == incarnation && o.deps.Clock.Since(last.at) < refusalLifetime
 }
 
-// livingMembers returns the members that have neither refused a connection lately nor been lost.
+// livingMembers returns the members that haven't refused a connection recently and aren't lost.
 func (o *Ownership) livingMembers() []Member {
 	return slices.DeleteFunc(slices.Clone(o.state.memberList.members), func(m Member) bool {
 		return o.refusedRecently(m.Node, m.Incarnation) || o.isLost(m.Node, m.Incarnation)
--- a/pkg/ownership/assign.go
+++ b/pkg/ownership/assign.go
@@ -12,7 +12,8 @@
 // Claim is the newest claim of a cell in the stream of claims.
 type Claim struct {
 	wire.CellClaim
-	// Token is the fencing token that the claim gives its owner. It rises with each claim.
+	// Token is the fencing token that the claim gives its owner: the offset of the claim's record
+	// plus one. So it rises with each claim.
 	Token int
 }
 
@@ -22,8 +23,9 @@
 }
 
 // successor returns the member that should claim a cell whose owner is gone: the one with the fewest
-// cells for its weight. All nodes that see the same members and claims choose the same member. If
-// two nodes choose differently, the stream of claims accepts only the first of their claims.
+// cells for its weight. It returns false if there are no members. All nodes that see the same members
+// and claims choose the same member. If two nodes choose differently, the stream of claims accepts
+// only the first of their claims.
 func successor(cell string, members []Member, claims map[string]Claim) (Member, bool) {
 	if len(members) == 0 {
 		return Member{}, false
--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -110,7 +110,8 @@
 }
 
 // claim starts to append a claim of a cell for this node. The cell keeps the partition of its
-// previous claim; if known is false it has none, and gets the next free partition.
+// previous claim. If known is false there is no previous claim, and the cell gets the next unused
+// partition.
 func (o *Ownership) claim(cell string, previous Claim, known bool) {
 	next := wire.CellClaim{
 		Cell: cell, Node: o.options.Self.Node, Address: o.options.Self.Address, Incarnation: o.options.Self.Incarnation,
@@ -134,9 +135,9 @@
 	})
 }
 
-// releaseNextCell starts to release the first claim of pendingReleases, and removes those that the
-// claims show as released or replaced. While this node is alive, no other node takes over a cell
-// that it has claimed, so a release is tried again until the claims show it.
+// releaseNextCell starts to release the first claim of pendingReleases, and removes those that have
+// been released or replaced. A release is tried again until the stream of claims shows it: as long as
+// this node is alive, no other node takes over a cell that this node has claimed.
 func (o *Ownership) releaseNextCell() {
 	s := &o.state
 	for _, cell := range slices.Sorted(maps.Keys(s.pendingReleases)) {
@@ -160,8 +161,8 @@
 	return o.appendRecord(damsonwinch.Record{Key: claim.Cell, Value: value}, end)
 }
 
-// appendRecord appends a record to the stream of claims if end is the stream's end offset. With the end
-// of what has been read, the append fails if there are records that this node hasn't read.
+// appendRecord appends a record to the stream of claims if end is the stream's end offset. If end is the
+// offset up to which this node has read, the append fails if there are records that the node hasn't read.
 func (o *Ownership) appendRecord(record damsonwinch.Record, end int) error {
 	ctx, cancel := context.WithTimeout(o.ctx, callTimeout)
 	defer cancel()
@@ -205,8 +206,8 @@
 	o.publishView()
 }
 
-// conflictReadTimeout is how long the record that caused a conflict may take to be read here. The
-// read that waits for new records is answered at once, unless its connection is dead.
+// conflictReadTimeout is how long this node waits to read the record that caused a conflict. A read
+// that waits for new records is answered at once when there is one, unless its connection is dead.
 const conflictReadTimeout = 250 * time.Millisecond
 
 // awaitConflictingRecord is called as long as the record that caused a conflict hasn't been read. It
--- a/pkg/ownership/group.go
+++ b/pkg/ownership/group.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// handleMembersRead handles an answered read of the members. If the read before was answered much longer
-// ago than usual, members may have been dropped meanwhile and need time to join again.
+// handleMembersRead handles an answered read of the members. If the previous answered read was sent much
+// longer ago than usual, members may have been dropped meanwhile and need time to join again.
 func (o *Ownership) handleMembersRead(m membersRead) {
 	s := &o.state
 	if !s.membersReadAt.IsZero() && m.sentAt.Sub(s.membersReadAt) > o.memberReadInterval()+callTimeout {
@@ -67,7 +67,7 @@
 
 // minSparePercent is by how many percent the number of partitions must exceed that of the listed
 // members for the list to be taken for complete. Of 147 nodes on 96 partitions one was assigned two
-// partitions, and 52 none.
+// partitions, and 52 were assigned none.
 const minSparePercent = 25
 
 // nearlyFull reports whether there are hardly more partitions than members that hold one. Then there
--- a/pkg/ownership/handover.go
+++ b/pkg/ownership/handover.go
@@ -12,8 +12,8 @@
 	// over to it. A takeover stops all starts of the cell's tasks for about 0.1 s, and a node that
 	// comes and goes must not cost two of them.
 	handOverDelay = 3 * time.Second
-	// minHandOverRatio is the least factor by which another node's load per weight must be smaller than
-	// this node's for a cell to be handed over. A cell takes up to about 0.1 of a core. The weakest
+	// minHandOverRatio is how many times as large this node's load per weight must be as another node's
+	// for a cell to be handed over to that node. A cell takes up to about 0.1 of a core. The weakest
 	// nodes that users run have a fortieth of the weight of the strongest, and make no progress once
 	// they own a cell.
 	minHandOverRatio = 4
@@ -42,8 +42,9 @@
 	o.startClaimAppend(claim.CellClaim)
 }
 
-// findMisplaced returns the claim of a cell that this node owns and the member that should own it
-// instead, because its load per weight is smaller by at least minHandOverRatio.
+// findMisplaced returns the claim of a cell that this node owns and the member that should own the
+// cell instead, because this node's load per weight is at least minHandOverRatio times that of the
+// member. It returns false if there is no such cell.
 func (o *Ownership) findMisplaced() (Claim, Member, bool) {
 	s := &o.state
 	if !slices.ContainsFunc(s.cells, func(cell string) bool { return s.claims[cell].HeldBy(o.options.Self) }) {
@@ -63,8 +64,8 @@
 	return Claim{}, Member{}, false
 }
 
-// loadPerWeight returns the number of cells that a member would own with the given cell, divided by
-// its weight.
+// loadPerWeight returns the number of cells that a member would own if it owned the given cell as
+// well, divided by its weight.
 func loadPerWeight(m Member, cell string, claims map[string]Claim) float64 {
 	count := 1
 	for _, claim := range claims {
--- a/pkg/ownership/layout.go
+++ b/pkg/ownership/layout.go
@@ -16,8 +16,8 @@
 
 // memberCountStableTime is how long the number of members must not have changed for their list to be
 // taken for complete. Until the group uses enough topics, each read shows more members than the one
-// before. The list of 147 nodes once stayed at 95 for a second, without four of the eighteen strongest
-// nodes, and the layout was chosen for 60 owners.
+// before. The list of 147 nodes once stayed at 95 members for a second, without four of the eighteen
+// strongest nodes, and the layout was chosen for 60 owners.
 const memberCountStableTime = 2 * time.Second
 
 // layoutProposed asks run to put a layout in force.
@@ -30,7 +30,8 @@
 	err    error
 }
 
-// ProposeLayout puts a layout in force unless there is one already. The view shows the result.
+// ProposeLayout puts a layout in force unless there is one already. The next view shows the layout
+// that is in force.
 func (o *Ownership) ProposeLayout(layout shard.Layout) {
 	o.send(layoutProposed{layout: layout})
 }
@@ -88,7 +89,7 @@
 	return true
 }
 
-// setLayout puts a layout in force, and logs it if it is another than before.
+// setLayout puts a layout in force, and logs it unless it was in force already.
 func (o *Ownership) setLayout(layout shard.Layout) {
 	if o.state.layout.Equal(layout) {
 		return
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -43,8 +43,9 @@
 	waitFor(t, "the list counts as complete once it has spare partitions", func() bool { return n.view.Load().MembersComplete })
 }
 
-// TestMemberListIsCompleteWhenGroupUsesAllTopics has more nodes than the partitions of all topics that
-// the group may use. If that kept the list from counting as complete, no layout would be decided.
+// TestMemberListIsCompleteWhenGroupUsesAllTopics uses a group with more members than there are
+// partitions in all topics that the group may use. If that kept the list from counting as complete, no
+// layout would ever be decided.
 func TestMemberListIsCompleteWhenGroupUsesAllTopics(t *testing.T) {
 	store := newMemoryStore()
 	store.partitionsPerTopic = 1
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -1,8 +1,8 @@
-// Package ownership decides which node owns which cell. The nodes are members of a group that the
-// store keeps. A cell belongs to the node that made its newest claim in a stream that all nodes
-// follow. A node can append a claim only if it has read all earlier ones. A wrong decision about
-// which nodes are alive costs time, never safety: the offset of a claim gives the fencing token
-// that the store and the endpoints check.
+// Package ownership decides which node owns which cell, a shard of a pool's boxes and jobs. The
+// nodes are members of a group that the store keeps. A cell belongs to the node that made its newest
+// claim in a stream that all nodes follow. A node can append a claim only if it has read all earlier
+// ones. A wrong decision about which nodes are alive costs time, never safety: the offset of a claim
+// gives the fencing token that the store and the endpoints check.
 package ownership
 
 import (
@@ -39,8 +39,8 @@
 	// Two of them may be lost before the group drops the member.
 	joinInterval = 300 * time.Millisecond
 	// fastMemberReadInterval is the time between two reads of the member list by a node that may be
-	// the next to take over a cell. slowMemberReadInterval is that of the other nodes, which take
-	// cells over only if all of those nodes are gone: each read costs bandwidth.
+	// the next to take over a cell. The other nodes take over cells only if all of those nodes are
+	// gone. They use slowMemberReadInterval, because each read costs bandwidth.
 	fastMemberReadInterval = 500 * time.Millisecond
 	slowMemberReadInterval = 2500 * time.Millisecond
 	// callTimeout limits a call to the store. A slower answer is of no use, because what it reports
@@ -52,7 +52,7 @@
 	// tickInterval is the longest time after which run checks again which calls are due.
 	tickInterval = 100 * time.Millisecond
 	// minMembershipTTL is the least time for which the group keeps a member that sends no heartbeat.
-	// Options may ask for more.
+	// Options.MembershipTTL may set a longer time.
 	minMembershipTTL = time.Second
 )
 
@@ -62,9 +62,10 @@
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// SuspendedTime returns for how long the machine has been suspended.
+	// SuspendedTime returns the total time for which the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// FetchClaims asks the node at an address who it is and which claims it knows.
+	// FetchClaims asks the node at an address for its name, its incarnation and the claims that it
+	// knows. It serves as health check as well.
 	FetchClaims func(ctx context.Context, address string, args wire.ClaimsArgs) (wire.ClaimsReply, error)
 	// OnViewChange receives the new view after each change and after each answered read of the
 	// claims, so that the node can run the cells that it owns. It must not block.
@@ -79,10 +80,11 @@
 	Members []Member
 	// MembersComplete reports whether Members probably holds all members.
 	MembersComplete bool
-	// Layout is the division of the pools into cells.
+	// Layout is the division of the pools into cells. It is the zero value until one is decided.
 	Layout shard.Layout
 	// ConfirmedAt is when the newest answered read of the claims was sent. At that time no newer claims
-	// existed than those in Claims. It is zero before the first answer and after a suspension.
+	// existed than those in Claims. It is zero until the first answer, and after a suspension until the
+	// next one.
 	ConfirmedAt time.Time
 }
 
@@ -100,7 +102,8 @@
 	MembershipTTL time.Duration
 	// Partitions is the number of partitions of each topic.
 	Partitions int
-	// FirstStart reports whether the system starts for the first time.
+	// FirstStart reports whether the whole system starts for the first time. The node then gives the
+	// others time to join before it claims cells, even if there are claims already.
 	FirstStart bool
 }
 
@@ -111,7 +114,7 @@
 	options Options
 	inbox   chan any
 	group   *errgroup.Group
-	ctx     context.Context // Canceled by Close.
+	ctx     context.Context // Cancelled by Close.
 	cancel  context.CancelFunc
 	state   state
 	feed    *feed.Feed
@@ -121,7 +124,9 @@
 
 // Messages to run.
 type (
-	cellsSet   struct{ cells []string }
+	cellsSet struct{ cells []string }
+	// claimsRead holds records of the stream of claims up to the offset end. If snapshot is set, they
+	// are the newest records of all keys, otherwise those that follow the previous ones.
 	claimsRead struct {
 		records  []damsonwinch.Record
 		end      int
@@ -143,10 +148,11 @@
 	}
 	claimAppended struct {
 		claim wire.CellClaim
-		// end is the offset that the claim was to get.
+		// end is the offset at which the claim was to be appended.
 		end int
 		err error
 	}
+	// leaveRequested asks run to leave the group. done is closed once that has been tried.
 	leaveRequested    struct{ done chan<- struct{} }
 	connectionRefused struct {
 		node        string
@@ -160,7 +166,7 @@
 		cell  string
 		token int
 	}
-	// streamEndsRead holds the sum of the end offsets of the streams of a node's cells.
+	// streamEndsRead holds in ends the sum of the end offsets of the streams of a node's cells.
 	streamEndsRead struct {
 		node        string
 		incarnation int
@@ -168,6 +174,7 @@
 		ends        int
 		err         error
 	}
+	// healthReply is the result of a health check of an owner.
 	healthReply struct {
 		node        string
 		incarnation int
@@ -205,14 +212,14 @@
 	o.send(connectionRefused{node: node, incarnation: incarnation})
 }
 
-// ReleaseClaim releases this node's claim of a cell, identified by its token, after the owner that
-// ran the cell here has stopped by itself.
+// ReleaseClaim releases this node's claim of a cell, after the task that ran the cell here has
+// stopped by itself. It does nothing if token is not that of the cell's newest claim.
 func (o *Ownership) ReleaseClaim(cell string, token int) {
 	o.send(releaseRequested{cell: cell, token: token})
 }
 
 // Leave releases all cells of this node and leaves the group, for a planned stop. It returns when
-// the calls to the store have returned, or when ctx or the Ownership ends.
+// the calls to the store have returned, when ctx is done or when Close is called.
 func (o *Ownership) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	o.send(leaveRequested{done: done})
@@ -223,7 +230,8 @@
 	}
 }
 
-// StoreAnsweredAt returns when the store last answered a heartbeat or a read of the claims.
+// StoreAnsweredAt returns when the store last answered a heartbeat or a read of the claims. Before
+// the first answer it returns the start of 1970.
 func (o *Ownership) StoreAnsweredAt() time.Time {
 	return time.Unix(0, o.answeredAt.Load())
 }
@@ -237,6 +245,7 @@
 	return nil
 }
 
+// send passes a message to run, unless Close has been called.
 func (o *Ownership) send(m any) {
 	select {
 	case o.inbox <- m:
@@ -244,6 +253,7 @@
 	}
 }
 
+// run handles messages and starts calls until Close is called.
 func (o *Ownership) run() error {
 	ticker := o.deps.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -260,6 +270,7 @@
 	}
 }
 
+// handle updates the state with one message.
 func (o *Ownership) handle(m any) {
 	now := o.deps.Clock.Now()
 	s := &o.state
@@ -313,7 +324,7 @@
 	}
 }
 
-// publishView passes the current view to OnViewChange.
+// publishView passes a copy of the current view to OnViewChange.
 func (o *Ownership) publishView() {
 	s := &o.state
 	o.deps.OnViewChange(View{Claims: maps.Clone(s.claims), Members: slices.Clone(s.memberList.members), MembersComplete: s.membersComplete, Layout: s.layout, ConfirmedAt: s.confirmedAt})
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -132,8 +132,8 @@
 	waitFor(t, "the cell is owned by a newer claim", func() bool { return n.owns("one") && n.view.Load().Claims["one"].Token > token })
 }
 
-// TestFailedClaimIsRetriedAfterDelay guards against a flood of appends: nodes of a zone that was cut
-// off were refused connections to the store, and tried 150 claims a second each for 7 s.
+// TestFailedClaimIsRetriedAfterDelay guards against a flood of appends: the store refused the
+// connections of nodes in a zone that was cut off, and each node tried 150 claims a second for 7 s.
 func TestFailedClaimIsRetriedAfterDelay(t *testing.T) {
 	store := newMemoryStore()
 	store.failures = 1000
@@ -153,9 +153,9 @@
 	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
 }
 
-// TestRestartedNodeReclaimsItsCellsAtOnce has a group that still lists the node's earlier incarnation
-// and not yet the new one. Nodes that waited for the group left their cells without an owner until
-// the membership expired.
+// TestRestartedNodeReclaimsItsCellsAtOnce uses a group that still lists the node's earlier incarnation
+// and not yet the new one. If nodes waited for the group, their cells would have no owner until the
+// earlier incarnation's membership expired.
 func TestRestartedNodeReclaimsItsCellsAtOnce(t *testing.T) {
 	store := newMemoryStore()
 	earlier, later := member("a", 1), member("a", 2)
@@ -184,8 +184,8 @@
 	waitFor(t, "the cell of the exited node is owned", func() bool { return n.owns("one") })
 }
 
-// TestUnlistedIncarnationKeepsItsClaimWhileItReplies guards a restarted node that has reclaimed its
-// cells: it must not lose them to a node that the group lists sooner.
+// TestUnlistedIncarnationKeepsItsClaimWhileItReplies checks that a restarted node that has reclaimed its
+// cells doesn't lose them to a node that the group lists sooner.
 func TestUnlistedIncarnationKeepsItsClaimWhileItReplies(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one")
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -25,14 +25,15 @@
 	return PartitionStream(claim.Partition, partitions)
 }
 
-// PartitionStream returns the stream with a number. The numbers, from 0, run through the partitions of
-// as many topics as the cells need, each of which has the given number of partitions.
+// PartitionStream returns the stream of the partition with a number. The numbers start at 0 and count
+// the partitions of the first topic, then those of the second, and so on. partitions is the number of
+// partitions of each topic.
 func PartitionStream(number, partitions int) damsonwinch.Stream {
 	return damsonwinch.Stream{Topic: topicName(cellTopic, 1+number/partitions), Partition: number % partitions}
 }
 
-// topicName returns the name of one of several topics. The first, with the number 1, has the base name;
-// the others have their number after it.
+// topicName returns the name of the topic with a number in a series of topics. The first has the number
+// 1 and the base name; the names of the others end in a hyphen and their number.
 func topicName(topic string, number int) string {
 	if number == 1 {
 		return topic
@@ -52,8 +53,8 @@
 		end      int
 		err      error
 	}
-	// moveRequested asks run to claim a cell again, with a partition to which the cell's records have
-	// been copied.
+	// moveRequested asks run to replace the claim with a token by one with another partition, to which
+	// the cell's records have been copied.
 	moveRequested struct {
 		cell      string
 		token     int
@@ -62,13 +63,13 @@
 )
 
 // ReservePartition reserves a partition that no cell has ever used, and passes its number to use, which
-// must not block.
+// must not block. If no partition is left, use is never called.
 func (o *Ownership) ReservePartition(use func(number int)) {
 	o.send(partitionRequested{use: use})
 }
 
-// MoveClaim claims a cell of this node again, with another partition for its records. It does nothing
-// if token is not that of the cell's newest claim.
+// MoveClaim claims a cell of this node again, with the number of another partition for its records. It
+// does nothing if token is not that of the cell's newest claim.
 func (o *Ownership) MoveClaim(cell string, token, partition int) {
 	o.send(moveRequested{cell: cell, token: token, partition: partition})
 }
@@ -82,8 +83,8 @@
 	return next
 }
 
-// reserveNextPartition starts to reserve a partition for the first of partitionWaiters. If none is
-// left it drops all of them.
+// reserveNextPartition starts to reserve a partition for the first of partitionWaiters. If no partition
+// is left, it drops all waiters.
 func (o *Ownership) reserveNextPartition() {
 	s := &o.state
 	if len(s.partitionWaiters) == 0 {
--- a/pkg/ownership/peers.go
+++ b/pkg/ownership/peers.go
@@ -11,8 +11,8 @@
 )
 
 // maxClaimsAge is the age of the claims above which a node asks other nodes for newer ones, and the
-// largest age at which it accepts theirs. A read that waits a second for new records is answered
-// every second.
+// largest age at which it accepts theirs. A read that waits a second for new records is answered at
+// least every second, so the claims are usually younger.
 const maxClaimsAge = 1500 * time.Millisecond
 
 // fetchPeerClaims starts to fetch the claims from another node, a different one each time. A node that
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -13,22 +13,22 @@
 )
 
 // Times of the health checks of owners. The list of members alone doesn't show whether an owner is
-// alive. It may lack members, it shows a new incarnation only after the earlier one has left it, and
-// it shows a node that has gone silent for another second.
+// alive. It may lack members, it shows a new incarnation only after the earlier one has been dropped,
+// and it still shows a node for a second after the node has gone silent.
 const (
 	// checkInterval is the time between two health checks of an owner.
 	checkInterval = tickInterval
 	// checkTimeout is how long the reply to a health check may take. It usually takes 5 ms, and has
 	// taken 250 ms from an overloaded node.
 	checkTimeout = 500 * time.Millisecond
-	// maxStoreAge is how long ago the store may have answered an owner for the owner to count as alive:
-	// an owner that is cut off from the store can start nothing. It sends the store a heartbeat every
+	// maxStoreAge is the time without an answer from the store after which an owner counts as cut off
+	// from it, and so as not alive: it can start nothing. An owner sends the store a heartbeat every
 	// 300 ms, and a lost answer costs it another 600 ms.
 	maxStoreAge = joinInterval + callTimeout
 )
 
-// ownerHealth is what this node knows of an incarnation of an owner besides its place in the list of
-// members.
+// ownerHealth is what this node knows of an incarnation of an owner besides what the list of members
+// shows.
 type ownerHealth struct {
 	incarnation int
 	evidence    liveness.Evidence
@@ -38,8 +38,8 @@
 	// replaced whether another incarnation has replied in its place.
 	cutOffFromStore bool
 	replaced        bool
-	// silenceReported and slownessReported are set once it has been logged that the owner doesn't
-	// reply, and that it works nevertheless.
+	// silenceReported is set once it has been logged that the owner doesn't reply, and
+	// slownessReported once it has been logged that the owner works nevertheless.
 	silenceReported  bool
 	slownessReported bool
 }
@@ -62,8 +62,8 @@
 	return health.replaced || health.evidence.IsLost(now, o.claimAge(node, now))
 }
 
-// claimAge returns how long ago a node made its newest claim, among the claims that this node has seen
-// being made. Without any it returns a very long time.
+// claimAge returns the time since a node's newest claim, among the claims that this node has read soon
+// after they were made. If there are none, it returns the largest duration.
 func (o *Ownership) claimAge(node string, now time.Time) time.Duration {
 	age := time.Duration(1<<63 - 1)
 	for cell, claim := range o.state.claims {
@@ -162,7 +162,7 @@
 	}
 	health.streamReadPending = false
 	if m.err != nil {
-		// A node that can't read the store decides about no other node: it couldn't take over a cell.
+		// A node that can't read the store draws no conclusion: it couldn't take over a cell anyway.
 		o.deps.Metrics.Add("work_not_read", 1)
 		o.state.health[m.node] = health
 		return
--- a/pkg/ownership/roster.go
+++ b/pkg/ownership/roster.go
@@ -12,7 +12,8 @@
 	strongerCount int
 }
 
-// newMemberList returns the list of members as this node sees it.
+// newMemberList returns the list of the given members. self is this node, which strongerCount compares
+// the members with.
 func newMemberList(members []Member, self Member) memberList {
 	l := memberList{members: members, byNode: make(map[string]Member, len(members))}
 	for _, member := range members {
@@ -24,7 +25,7 @@
 	return l
 }
 
-// listsOwner reports whether the owner by a claim is a member.
+// listsOwner reports whether the incarnation that holds a claim is a member.
 func (l memberList) listsOwner(claim Claim) bool {
 	return claim.HeldBy(l.byNode[claim.Node])
 }
--- a/pkg/ownership/settle.go
+++ b/pkg/ownership/settle.go
@@ -6,8 +6,9 @@
 const (
 	// startupDelay lets the other nodes of a starting system join before the first one claims cells.
 	startupDelay = 1500 * time.Millisecond
-	// regroupDelay lets members join again that the group dropped while the store was unreachable, or
-	// that were all suspended at once. It covers a call that hangs and the next one.
+	// regroupDelay gives members time to join again if the group dropped them while the store was
+	// unreachable, or while all were stopped or suspended at once. It covers a call that hangs and the
+	// next call.
 	regroupDelay = callTimeout + joinInterval + 100*time.Millisecond
 )
 
@@ -27,8 +28,8 @@
 	return at
 }
 
-// restartDelay returns how long a restarted node leaves the cells to other nodes, which may have been
-// stopped together with it. The less weight the node has, the longer it waits.
+// restartDelay returns how long a restarted node waits before it claims cells, so that other nodes can,
+// which may have been stopped together with it. The less weight the node has, the longer it waits.
 func (o *Ownership) restartDelay() time.Duration {
 	return min(regroupDelay, referenceDelay*referenceWeight/time.Duration(max(1, o.options.Self.Weight)))
 }
--- a/pkg/ownership/state.go
+++ b/pkg/ownership/state.go
@@ -6,15 +6,15 @@
 	"damsonwinch/pkg/shard"
 )
 
-// state is what run knows and has under way. A pending field is set while such a call is under way, and
-// a sentAt field is when the newest one was sent.
+// state is the state of run. A field whose name ends in Pending is set while a call of that kind is under
+// way, and one whose name ends in SentAt is when the newest call of that kind was sent.
 type state struct {
 	// cells are the names of the cells that need an owner.
 	cells []string
 	// claims holds the newest claim of each cell, by cell.
 	claims map[string]Claim
-	// claimedAt is when this node saw the newest claim of a cell being made, by cell. A claim that was
-	// there at the first read has no time.
+	// claimedAt is when this node last read a new claim of a cell, by cell. A claim that came with a
+	// snapshot may be old and sets no time.
 	claimedAt map[string]time.Time
 	// claimsEnd is the end offset of the stream of claims as far as it has been read, and haveClaims
 	// reports whether it has been read at all.
@@ -23,15 +23,16 @@
 	// confirmedAt is when the newest answered read of the claims was sent.
 	confirmedAt time.Time
 	memberList  memberList
-	// membersReadAt is when the newest answered read of the members was sent, and membersRecoveredAt
-	// when the newest one was sent that followed a long time without answers.
+	// membersReadAt is when the newest answered read of the members was sent. membersRecoveredAt is when
+	// the newest answered read was sent that followed a long time without answered reads.
 	membersReadAt      time.Time
 	membersRecoveredAt time.Time
 	// memberCountSince is the time from which the number of members has been the same, and
 	// membersComplete reports whether their list counts as complete.
 	memberCountSince time.Time
 	membersComplete  bool
-	// layout is in force. proposedLayout is put in force if there is none.
+	// layout is the one in force. If none has been decided, this node tries to put proposedLayout in
+	// force.
 	layout         shard.Layout
 	proposedLayout shard.Layout
 	// topicCount is the number of topics that the group needs so that each member holds a partition
@@ -67,9 +68,9 @@
 	conflictSince time.Time
 	// appendFailedAt is when an append to the stream of claims last failed.
 	appendFailedAt time.Time
-	// reservedPartitions is the lowest partition number that hasn't been reserved. partitionWaiters
-	// receive the partitions that are reserved next. pendingMoves holds the claims that are to be made
-	// again with another partition, by cell.
+	// reservedPartitions is the number of partitions that count as reserved, which are those with the
+	// lowest numbers. partitionWaiters receive the numbers of the partitions that are reserved next.
+	// pendingMoves holds the requested moves of cells to other partitions, by cell.
 	reservedPartitions int
 	partitionWaiters   []func(number int)
 	pendingMoves       map[string]moveRequested
@@ -77,8 +78,8 @@
 	pendingReleases map[string]int
 	// leaving is set once the node leaves the group. No more calls are started then.
 	leaving bool
-	// fetchPending and fetchSentAt are for fetches of the claims from other nodes, and fetchCount is
-	// their number, by which the other nodes take turns.
+	// fetchPending and fetchSentAt are for fetches of the claims from other nodes. fetchCount is the
+	// number of fetches, which determines the node that is asked next.
 	fetchPending bool
 	fetchSentAt  time.Time
 	fetchCount   int
--- a/pkg/ownership/store_test.go
+++ b/pkg/ownership/store_test.go
@@ -33,7 +33,7 @@
 	// unknown outcome.
 	appends  int
 	failures int
-	// hangNextRead makes the next read of the claims hang until it is canceled.
+	// hangNextRead makes the next read of the claims hang until it is cancelled.
 	hangNextRead bool
 	// unlisted holds the names of members that the group doesn't list yet.
 	unlisted map[string]bool
@@ -51,7 +51,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// locked calls a function while the mutex is held.
+// locked calls a function that reads or changes the store, and holds the mutex meanwhile.
 func (s *memoryStore) locked(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// page returns the claims from an offset on.
+// page returns the records of the stream of claims from an offset on.
 func (s *memoryStore) page(from int) damsonwinch.Page {
 	return damsonwinch.Page{Records: slices.Clone(s.claims[min(from, len(s.claims)):]), End: len(s.claims)}
 }
--- a/pkg/ownership/wake.go
+++ b/pkg/ownership/wake.go
@@ -7,9 +7,9 @@
 	"damsonwinch/pkg/liveness"
 )
 
-// checkSuspension discards, after the machine was suspended, what this node takes for recent: other
-// nodes may have replied long ago, and cells may have other owners. No other node is taken for lost on
-// such evidence, and the claims are read again.
+// checkSuspension discards outdated knowledge if the machine has been suspended since the last check:
+// requests that look unanswered may have been answered long ago, and cells may have other owners by now.
+// So no other node is taken for lost on such evidence, and the claims are read again.
 func (o *Ownership) checkSuspension() {
 	s := &o.state
 	suspended := o.deps.SuspendedTime.Total() - s.suspended
