--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	pageRecords   = 500
+	pageRecords   = 500  // Largest number of records in the answer to one read.
 	readWaitMs    = 1000 // How long the log waits for a record before it answers a read.
 	readTimeout   = 3 * time.Second
 	appendTimeout = 2 * time.Second
-	retryInterval = 100 * time.Millisecond
-	busyInterval  = 10 * time.Millisecond
-	idleInterval  = time.Second
+	retryInterval = 100 * time.Millisecond // Least time from a failed call to the next one.
+	busyInterval  = 10 * time.Millisecond  // Time between two checks of the pending claims and the outbox.
+	idleInterval  = time.Second            // The same while both are empty.
 	inboxCapacity = 256
 	// appendIntervalPerEntry, times the number of entries, is the time between two
 	// appends of one entry. All entries together thus leave most of the log's append
@@ -31,15 +31,15 @@
 	maxAppendInterval      = 2 * time.Second
 )
 
-// State is the result of an attempt to claim a key.
+// State says how an attempt to claim a key ended.
 type State int
 
-// Results of an attempt to claim a key.
+// States in which an attempt to claim a key can end.
 const (
 	// Won means that the request may be sent to an endpoint until its deadline.
 	Won State = iota
-	// Taken means that another claim was first. The outcome of its request, if it is
-	// known, is in the Result.
+	// Taken means that another request has claimed the key before. The outcome of
+	// that request, if it is known, is in the Result.
 	Taken
 	// Mismatch means that the key was claimed for a request with another body.
 	Mismatch
@@ -51,10 +51,10 @@
 // Result is the result of Acquire.
 type Result struct {
 	State State
-	// Owner identifies the claim; it is set if State is Won.
+	// Owner identifies the claim that won. It is set if State is Won.
 	Owner string
-	// Outcome and Status are the outcome and the HTTP status of the request that has
-	// the key. They are set if State is Taken and they are known.
+	// Outcome and Status are the outcome and the HTTP status of the other request
+	// that has claimed the key. They are set if State is Taken and they are known.
 	Outcome wire.Outcome
 	Status  int
 }
@@ -64,9 +64,9 @@
 	Log         damsonwinch.Log
 	Clock       damsonwinch.Clock
 	Node        string
-	Incarnation int // Of the entry.
+	Incarnation int // Tells the runs of the entry's process apart.
 	Metrics     *metrics.Set
-	// EntryCount returns how many entries there are that append claims.
+	// EntryCount returns the number of entries that append claims, or 0 while it isn't known.
 	EntryCount func() int
 }
 
@@ -86,7 +86,7 @@
 	abandoned  map[string]string        // Owners of claims that were given up and may still be appended, by key.
 	outbox     []wire.Claim             // Claims and outcomes to append.
 	inFlight   bool                     // An append is under way.
-	nextAppend time.Time
+	nextAppend time.Time                // When the next append may start.
 }
 
 // pendingClaim is a claim that the log has not decided yet.
@@ -116,7 +116,8 @@
 	}
 )
 
-// New returns a Claimer and starts to read the claims stream.
+// New returns a Claimer that reads the claims stream and appends claims until
+// Close is called.
 func New(deps Deps) *Claimer {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
@@ -142,8 +143,9 @@
 }
 
 // Acquire claims a key for a request whose body has the given digest. It returns
-// once the log has decided which claim was first, but no later than until. The
-// request may be sent until deadline. Both times are on this process's clock.
+// once the log has decided which claim was first or, with the state Unavailable,
+// when the time until has come. If the claim wins, the request may be sent until
+// deadline. Both times are on this process's clock.
 func (c *Claimer) Acquire(key, digest string, until, deadline time.Time) Result {
 	reply := make(chan Result, 1)
 	select {
@@ -151,8 +153,9 @@
 	case <-c.stopped:
 		return Result{State: Unavailable}
 	}
-	// Wait for the reply, which run sends no later than until. If this returned
-	// before, a claim that is won later would have nobody to record its outcome.
+	// Wait for the reply, which run sends even if the log hasn't decided when until
+	// has come. Without this wait a claim could win whose caller is gone, so that
+	// nobody would record its outcome.
 	select {
 	case result := <-reply:
 		return result
@@ -176,7 +179,8 @@
 	}
 }
 
-// run handles the messages and gives up claims that have waited for too long.
+// run handles the messages, appends claims and outcomes, and gives up claims that
+// have waited until their time, until ctx is cancelled.
 func (c *Claimer) run(ctx context.Context) error {
 	ticker := pace.New(c.deps.Clock, busyInterval, idleInterval)
 	defer ticker.Stop()
@@ -211,7 +215,8 @@
 	}
 }
 
-// acquire starts to claim a key, or replies at once if the key has an owner.
+// acquire starts to claim a key. It replies at once if the key has an owner or if
+// this process is already claiming it.
 func (c *Claimer) acquire(m acquireMessage) {
 	if state, known := c.keys.states[m.key]; known && state.outcome != wire.OutcomeNotRun {
 		m.reply <- takenResult(state, m.digest)
@@ -229,7 +234,8 @@
 	c.deps.Metrics.Add("claims", 1)
 }
 
-// takenResult returns the result for a request whose key has an owner.
+// takenResult returns the result for a request whose key has an owner: Mismatch
+// if the owner's request has another digest, otherwise Taken.
 func takenResult(state keyState, digest string) Result {
 	if state.digest != digest {
 		return Result{State: Mismatch}
@@ -249,14 +255,15 @@
 	c.resolvePending(claims)
 }
 
-// resolvePending replies to the pending claims of keys that occur in an applied
-// record.
+// resolvePending replies to the pending claims of keys for which an applied record
+// has claims.
 func (c *Claimer) resolvePending(claims []wire.Claim) {
 	for _, claim := range claims {
 		state := c.keys.states[claim.Key]
 		if c.abandoned[claim.Key] == state.owner && state.owner != "" && state.outcome == "" {
-			// The claim reached the log after its caller got the reply that the
-			// request did not run. The outcome says so to whoever tries the key again.
+			// The claim reached the log after its caller was told that the log is
+			// unavailable, so that the request was not sent. The outcome says so, and
+			// the key can be claimed again.
 			c.outbox = append(c.outbox, wire.Claim{Key: claim.Key, Owner: state.owner, Outcome: wire.OutcomeNotRun})
 			delete(c.abandoned, claim.Key)
 		}
@@ -278,7 +285,7 @@
 	pending.reply <- result
 }
 
-// giveUpExpired gives up the pending claims whose time is over.
+// giveUpExpired gives up the pending claims whose time has come.
 func (c *Claimer) giveUpExpired() {
 	now := c.deps.Clock.Now()
 	for _, pending := range c.pending {
@@ -295,8 +302,8 @@
 	}
 }
 
-// giveUp replies that the log is unavailable. The claim may still reach the log if
-// its append has been started; see resolvePending.
+// giveUp replies to a claim that the log is unavailable. The claim may still reach
+// the log if its append has been started; resolvePending deals with that.
 func (c *Claimer) giveUp(pending *pendingClaim) {
 	c.abandoned[pending.claim.Key] = pending.claim.Owner
 	c.dropUnsent(pending.claim)
@@ -304,8 +311,8 @@
 	c.reply(pending, Result{State: Unavailable})
 }
 
-// dropUnsent removes a claim from the outbox if it is still there: it can't reach
-// the log any more and needs no outcome.
+// dropUnsent removes a claim that is given up from the outbox, if it is still
+// there. Such a claim never reaches the log and needs no outcome.
 func (c *Claimer) dropUnsent(claim wire.Claim) {
 	for i, queued := range c.outbox {
 		if queued.Owner == claim.Owner && queued.Outcome == "" {
@@ -346,7 +353,7 @@
 
 // handleAppended sets the time of the next append. After a failed append, whose
 // record may or may not be in the log, it queues the outcomes again. It doesn't
-// queue the claims again: they are given up when their time is over.
+// queue the claims again: they are given up when their time has come.
 func (c *Claimer) handleAppended(m appendedMessage) {
 	c.inFlight = false
 	interval := min(maxAppendInterval, appendIntervalPerEntry*time.Duration(max(1, c.deps.EntryCount())))
--- a/pkg/claim/ledger.go
+++ b/pkg/claim/ledger.go
@@ -14,8 +14,8 @@
 
 // keyState is what the log says about one key.
 type keyState struct {
-	owner   string // The first claim of the key.
-	digest  string // Of the body of the request.
+	owner   string // Owner of the claim that has the key.
+	digest  string // Digest of the body of its request.
 	outcome wire.Outcome
 	status  int // HTTP status, once there is an outcome.
 }
@@ -23,7 +23,7 @@
 // keyIndex holds the states of the newest keys in the claims stream.
 type keyIndex struct {
 	states map[string]keyState
-	order  []string // Keys in order of their first claims.
+	order  []string // Keys in order of their first claims, oldest first.
 }
 
 func newKeyIndex() *keyIndex {
@@ -63,7 +63,7 @@
 	x.states[claim.Key] = keyState{owner: claim.Owner, digest: claim.Digest}
 }
 
-// remember adds a key and forgets the oldest one if there are too many.
+// remember adds a key, and forgets the oldest one if there are more than maxKeys.
 func (x *keyIndex) remember(key string) {
 	x.order = append(x.order, key)
 	if len(x.order) <= maxKeys {
--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -2,11 +2,12 @@
 
 import "damsonwinch/pkg/wire"
 
-// Phase says whether a box serves, drains or is being maintained.
+// Phase reports whether a box serves, drains or is being maintained.
 type Phase string
 
-// Phases of a box. There is no phase for an empty box: the record that says that
-// a draining box is empty puts it into its target pool or into maintenance.
+// Phases of a box. There is no phase for an empty box: the record which reports
+// that a draining box is empty also moves it to its target pool, where it serves
+// or is maintained.
 const (
 	Serving     Phase = "serving"
 	Draining    Phase = "draining"
@@ -20,14 +21,17 @@
 	Pool   string       `json:"pool"`
 	Phase  Phase        `json:"phase"`
 	Health wire.Health  `json:"health"`
-	// Epoch rises with each change of the pool, phase or sender.
+	// Epoch rises with each change of the box except a change of its health. A
+	// proposal about the box names the epoch on which it was decided, and is
+	// refused at any other epoch.
 	Epoch int `json:"epoch"`
 	// Sender is the entry that sends requests to the box.
 	Sender SenderKey `json:"sender"`
 	// Target is the pool to which a draining box moves. It is the box's own pool
 	// if the box drains for maintenance only.
 	Target string `json:"target,omitempty"`
-	// Maintain says that a draining box goes into maintenance once it is empty.
+	// Maintain reports whether a draining box goes into maintenance once it is
+	// empty.
 	Maintain bool `json:"maintain,omitempty"`
 	// Maintainer is the keeper that carries out the maintenance.
 	Maintainer KeeperKey `json:"carrier"`
@@ -38,8 +42,8 @@
 	EpochStartedAt int `json:"since"`
 	// HealthChangedAt is when Health last changed.
 	HealthChangedAt int `json:"health_at,omitempty"`
-	// HeldUntil is the time before which requests of a released sender may still
-	// run on the box. The box can't be reported empty before.
+	// HeldUntil is the time until which requests of a released sender may still
+	// run on the box. The box can't be reported empty before that time.
 	HeldUntil int `json:"held_until,omitempty"`
 	// ChangedAtOffset is the offset of the record that last changed the box.
 	ChangedAtOffset int `json:"changed_by"`
@@ -51,19 +55,20 @@
 	Incarnation int    `json:"keeper,omitempty"`
 }
 
-// Usable says whether requests can run on the box: it serves, is up and has a
+// Usable reports whether requests can run on the box: it serves, is up and has a
 // sender. Only usable boxes count for their pool's availability.
 func (b Box) Usable() bool {
 	return b.Phase == Serving && b.Health == wire.HealthUp && !b.Sender.IsNone()
 }
 
-// isAvailable says whether the box doesn't count as down in its pool. A box in
-// the free pool needs no sender for this.
+// isAvailable reports whether the box doesn't count as down in its pool: it is
+// usable or, in the free pool, it would be usable with a sender.
 func (b Box) isAvailable() bool {
 	return b.Usable() || (b.Pool == FreePool && b.AcceptsWork())
 }
 
-// AcceptsWork says whether the box takes new requests, if it has a sender.
+// AcceptsWork reports whether the box serves and is up, so that its sender, if it
+// has one, may send it new requests.
 func (b Box) AcceptsWork() bool {
 	return b.Phase == Serving && b.Health == wire.HealthUp
 }
@@ -78,7 +83,7 @@
 }
 
 // withNextEpoch returns the box with the next epoch, which starts with the
-// record at the given offset.
+// record at the given offset and log time.
 func (b Box) withNextEpoch(offset, logTimeMs int) Box {
 	b.Epoch++
 	b.ChangedAtOffset = offset
--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -8,10 +8,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// checkDrain checks whether a box may be drained. The budget of its pool must hold
-// without the box: no more boxes may be down than the table allows, and even if
-// the rack with the most slots failed as well, every service must have its floor
-// and its spare slots. Boxes in the free pool may always be drained.
+// checkDrain returns an error if a box may not be drained. The budget of its pool
+// must hold without the box: no more boxes may be down than the table allows, and
+// even if the rack with the most slots failed as well, every service must have its
+// floor and its spare slots. Boxes in the free pool have no budget.
 func (s State) checkDrain(box Box, target string, maintain bool, logTimeMs int) error {
 	if box.Phase != Serving {
 		return refuse("box %s is %s already", box.Info.Name, box.Phase)
@@ -47,11 +47,11 @@
 	return nil
 }
 
-// checkBudgetWithout checks whether the budget of the box's pool would hold
-// without the box.
+// checkBudgetWithout returns an error if the budget of the box's pool would not
+// hold without the box.
 func (s State) checkBudgetWithout(box Box) error {
 	if !box.Usable() {
-		// Its services can't use it now, so they lose nothing by its drain.
+		// The pool's services can't use the box now, so they lose nothing by its drain.
 		return nil
 	}
 	pool := s.Pool(box.Pool)
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// Headroom returns how many slots more than its services' floors and spare slots a
-// pool would have if the rack with the most slots failed. It is negative if the
-// pool's budget doesn't hold.
+// Headroom returns how many slots a pool would have beyond its services' floors and
+// spare slots if its rack with the most slots failed. It is negative if that
+// failure would leave the services too few slots.
 func (s State) Headroom(pool string) int {
 	summary := s.Pool(pool)
 	return summary.Slots - summary.MaxRackSlots() - s.table.NeededSlots(pool)
@@ -90,7 +90,7 @@
 	return ""
 }
 
-// InMaintenanceWindow says whether all services of the pool allow maintenance at
+// InMaintenanceWindow reports whether all services of the pool allow maintenance at
 // a log time, in milliseconds since 1970. A service without windows always does.
 func (s State) InMaintenanceWindow(pool string, logTimeMs int) bool {
 	timeOfDay := time.UnixMilli(int64(logTimeMs)).UTC().Format("15:04")
@@ -103,7 +103,7 @@
 	return true
 }
 
-// inDayRange says whether a day of the month is in a range that includes both of
+// inDayRange reports whether a day of the month is in a range that includes both of
 // its ends. A range whose last day is before its first runs on into the next
 // month.
 func inDayRange(day, first, last int) bool {
@@ -113,7 +113,7 @@
 	return day >= first || day <= last
 }
 
-// inTimeRange says whether a time of day is in a window, which may run past
+// inTimeRange reports whether a time of day is in a window, which may run past
 // midnight. It compares the times as text: "15:04" texts sort in order of time.
 func inTimeRange(timeOfDay string, window settings.Window) bool {
 	if window.From <= window.To {
--- a/pkg/fold/edit.go
+++ b/pkg/fold/edit.go
@@ -22,7 +22,7 @@
 
 // applyEnroll adds boxes from the platform's list to the free pool. A box that
 // is enrolled already keeps its state and gets the listed address, zone, rack
-// and slots, if it has no sender.
+// and slots. That is refused while the box has a sender.
 func (s State) applyEnroll(proposal wire.Proposal, from origin) (State, string, error) {
 	added := 0
 	for _, info := range proposal.Boxes {
--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -9,7 +9,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Result says whether a proposal was accepted, and why.
+// Result reports whether a proposal was accepted, and why.
 type Result struct {
 	Proposal wire.Proposal
 	// Subject names the boxes, the node or the table rows that the proposal is
@@ -33,11 +33,12 @@
 	return string(r)
 }
 
+// refuse returns a refusal with a formatted reason.
 func refuse(format string, values ...any) error {
 	return refusal(fmt.Sprintf(format, values...))
 }
 
-// origin describes the record that a proposal comes from.
+// origin describes the log record that contains a proposal.
 type origin struct {
 	offset    int
 	logTimeMs int // Log time of the record, in milliseconds since 1970.
@@ -76,8 +77,8 @@
 }
 
 // checkDuplicate refuses a batch that reached the log twice, or after a later
-// batch of the same keeper incarnation. The keeper decided that later batch on
-// what it had read of the log in between, which did not include this one.
+// batch of the same keeper incarnation. The keeper decided on that later batch
+// after it had read the log without this one.
 func (s State) checkDuplicate(batch wire.Batch) error {
 	last, known := s.lastBatches.Get(batch.Node)
 	if batch.Incarnation == 0 || !known || last.Incarnation != batch.Incarnation {
@@ -110,8 +111,8 @@
 }
 
 // applyProposal returns the state after one proposal and a description of what
-// it changed, or an error that says why it is refused. So do the functions for
-// each kind of proposal that it calls.
+// the proposal changed, or an error that says why it is refused. The function for
+// each kind of proposal returns the same.
 func (s State) applyProposal(proposal wire.Proposal, from origin) (State, string, error) {
 	switch proposal.Kind {
 	case wire.KindEdit:
@@ -131,8 +132,8 @@
 	return s.applyBoxChange(proposal, from)
 }
 
-// applyBoxChange applies a proposal about a single box. It is refused if the
-// box is no longer at the epoch on which the proposal was decided.
+// applyBoxChange applies a proposal about a single box. The proposal is refused
+// if the box is not at the epoch on which the proposal was decided.
 func (s State) applyBoxChange(proposal wire.Proposal, from origin) (State, string, error) {
 	change := *proposal.Change
 	box, known := s.Box(change.Box)
--- a/pkg/fold/fold_test.go
+++ b/pkg/fold/fold_test.go
@@ -48,9 +48,10 @@
 }
 
 // applyScript applies one scripted record and returns the state after it and the
-// text of its results. The arguments of a record are at (log time), node and inc
-// (the writer and its incarnation) and number (of the batch, for duplicates and
-// late batches).
+// text of its results. A record may have these arguments: at (the log time), node
+// and inc (the keeper that writes the batch and its incarnation) and number (of the
+// batch, for duplicates and late batches). lastNumbers holds the newest number of
+// each keeper incarnation.
 func applyScript(t *testing.T, state State, d *datadriven.TestData, lastNumbers map[string]int) (State, string) {
 	batch := wire.Batch{Id: d.Pos, Node: "a", Incarnation: 1}
 	at := state.LogTimeMs() + 1000
@@ -132,8 +133,8 @@
 	return proposal
 }
 
-// parseCells parses words such as "payslips.floor=8". The row "deployment" is the
-// table's row without a service.
+// parseCells parses words such as "payslips.floor=8" and ignores others. The row
+// "deployment" is the table's row without a service.
 func parseCells(words []string) []wire.Cell {
 	var cells []wire.Cell
 	for _, word := range words {
--- a/pkg/fold/life.go
+++ b/pkg/fold/life.go
@@ -21,7 +21,7 @@
 	return s.withBox(box), fmt.Sprintf("%s sends to %s", key, box.Info.Name), nil
 }
 
-// applyHandover passes a box from its sender to another one, or to none. A
+// applyHandover passes a box from its sender to another one, or to none. The
 // sender proposes this only when it has no request in flight on the box.
 func (s State) applyHandover(box Box, change wire.BoxChange, from origin) (State, string, error) {
 	if err := checkSender(box, change); err != nil {
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// applyDrain starts to drain a box that is to move to another pool or to be
-// maintained. A box in the free pool has no requests to wait for, so its drain
-// ends at once.
+// applyDrain starts to drain a box that is to move to another pool, to be
+// maintained, or both. A box in the free pool has no requests to wait for, so its
+// drain ends at once.
 func (s State) applyDrain(box Box, change wire.BoxChange, from origin) (State, string, error) {
 	target := change.Pool
 	if target == "" {
@@ -84,7 +84,7 @@
 }
 
 // applyEmpty ends a drain: the sender reports that its last request on the box
-// has ended.
+// has ended. It is refused before the box's HeldUntil.
 func (s State) applyEmpty(box Box, change wire.BoxChange, from origin) (State, string, error) {
 	if box.Phase != Draining {
 		return s, "", refuse("box %s is %s, not draining", box.Info.Name, box.Phase)
@@ -130,7 +130,7 @@
 }
 
 // applyHealth records a box's health. It doesn't change the epoch: otherwise all
-// proposals about a box whose health flaps would be refused for their epoch.
+// proposals about a box whose health flaps would be refused as outdated.
 func (s State) applyHealth(box Box, change wire.BoxChange, from origin) (State, string, error) {
 	if box.Health == change.Health {
 		return s, "", refuse("box %s is known to be %s", box.Info.Name, box.Health)
--- a/pkg/fold/member.go
+++ b/pkg/fold/member.go
@@ -26,7 +26,7 @@
 	Incarnation int    `json:"entry,omitempty"`
 }
 
-// IsNone says whether the key identifies no sender.
+// IsNone reports whether the key identifies no sender.
 func (k SenderKey) IsNone() bool {
 	return k.Node == ""
 }
@@ -58,13 +58,13 @@
 	Address string `json:"address"`
 	// Seq is the sequence number of the last renewal of the lease.
 	Seq int `json:"seq"`
-	// AppliedOffset is the offset up to which the sender had applied the log when it
-	// issued that renewal; the record at this offset is not included.
+	// AppliedOffset is the offset of the next record that the sender had to apply
+	// when it issued that renewal.
 	AppliedOffset int `json:"folded"`
 	// RenewedAt is the log time of that renewal, in milliseconds since 1970.
 	RenewedAt int `json:"renewed_at"`
-	// Leaving says that the entry is in a planned stop.
+	// Leaving reports whether the entry is in a planned stop. It gets no more boxes.
 	Leaving bool `json:"leaving,omitempty"`
-	// Boxes counts the boxes whose sender it is.
+	// Boxes counts the boxes that have this sender.
 	Boxes int `json:"boxes"`
 }
--- a/pkg/fold/pool.go
+++ b/pkg/fold/pool.go
@@ -9,15 +9,16 @@
 type Pool struct {
 	// Boxes counts all boxes of the pool.
 	Boxes int `json:"boxes"`
-	// Down counts the boxes that are not usable; a free box needs no sender.
+	// Down counts the boxes that are not usable. A box of the free pool needs no
+	// sender to count as usable.
 	Down int `json:"down"`
 	// Slots counts the slots of the boxes that are not down.
 	Slots int    `json:"slots"`
 	racks []rack // Sorted by name.
 }
 
-// rack counts the slots that the pool's boxes in one rack have; boxes that are
-// down don't count.
+// rack counts the slots of a pool's boxes in one rack, without boxes that are
+// down.
 type rack struct {
 	name  string
 	slots int
@@ -29,7 +30,8 @@
 	return p.maxRackSlotsWithout(Box{})
 }
 
-// maxRackSlotsWithout returns what MaxRackSlots would return without one box.
+// maxRackSlotsWithout returns what MaxRackSlots would return if the pool didn't
+// have the given box.
 func (p Pool) maxRackSlotsWithout(box Box) int {
 	most := 0
 	for _, rack := range p.racks {
--- a/pkg/fold/random_test.go
+++ b/pkg/fold/random_test.go
@@ -48,6 +48,8 @@
 	}
 }
 
+// randomFleet returns a state with randomBoxes boxes in two zones, and with two
+// pools of one service each.
 func randomFleet(t *testing.T) State {
 	state := emptyState(t)
 	var boxes []wire.BoxInfo
@@ -69,6 +71,8 @@
 	return state
 }
 
+// randomBatch returns the next batch of one of four keepers. Now and then the
+// keeper has a new incarnation, or the batch has a number that was used before.
 func randomBatch(random *rand.Rand, state State) wire.Batch {
 	node := random.IntN(4)
 	last, _ := state.lastBatches.Get(fmt.Sprintf("n%d", node))
@@ -79,6 +83,8 @@
 	return batch
 }
 
+// randomProposal returns a proposal of a random kind, which may be outdated. node
+// is the number of the keeper that writes the batch.
 func randomProposal(random *rand.Rand, state State, batch wire.Batch, node int) wire.Proposal {
 	boxes := state.Boxes()
 	box := boxes[random.IntN(len(boxes))]
@@ -113,8 +119,9 @@
 	return wire.Proposal{Kind: kind, Change: change}
 }
 
-// checkState recomputes the pool summaries and the slots from the boxes and
-// compares them with those that the state maintains.
+// checkState recomputes the pool summaries and the slots from the boxes, and
+// compares them with those of the state. It also checks that the table's version
+// never decreases, and checks the moves of boxes.
 func checkState(t *testing.T, seed uint64, before, state State, results []Result) {
 	t.Helper()
 	total, slots := 0, 0
@@ -138,8 +145,9 @@
 	checkMoves(t, seed, before, state, results)
 }
 
-// checkMoves checks that a box leaves its pool only by an empty proposal, and that
-// the pool's budget still holds after a record that only drains one box.
+// checkMoves checks that a box leaves its pool only after its sender has reported
+// it empty, and that the pool's budget holds after a record that only drains one
+// box.
 func checkMoves(t *testing.T, seed uint64, before, state State, results []Result) {
 	t.Helper()
 	for _, box := range state.Boxes() {
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -38,20 +38,22 @@
 	return s, fmt.Sprintf("%d boxes of %s are free for another sender", freed, key), nil
 }
 
-// checkRelease checks that the keeper which proposes the release is able to know
-// that the sender no longer relies on its lease. A member of the sender's zone
-// knows it once it has waited out the lease and every extension that it granted,
-// and the keeper on the sender's node once it has seen the entry end. By the
-// platform's list a member of another zone knows it as well, but it may release
-// the sender only if the sender's zone has no other members.
+// checkRelease returns an error unless the keeper that proposes the release is a
+// member and may know, in the way that the release names, that the sender no
+// longer sends:
+//   - By time: a member of the sender's zone knows it after it has waited until
+//     the lease and every extension that it granted have run out.
+//   - By its end: the keeper on the sender's node has seen the entry exit.
+//   - By the platform's list: a member of another zone may use this only if the
+//     sender's zone has no other members.
 func (s State) checkRelease(sender Sender, release wire.Release, from origin) error {
 	proposer, known := s.members.Get(from.batch.Node)
 	if !known || proposer.KeeperIncarnation != from.batch.Incarnation {
 		return refuse("keeper %s incarnation %d is not a member", from.batch.Node, from.batch.Incarnation)
 	}
-	// The sender asks the members that it found in the log to extend its lease. It
-	// doesn't ask a keeper that joined after that, so such a keeper's own waiting
-	// proves nothing.
+	// The sender asks the members that it has found in the log to extend its lease.
+	// It doesn't ask a keeper that joined later, so that such a keeper proves nothing
+	// by waiting.
 	knownToSender := proposer.Zone == sender.Zone && lease.KnownToSender(proposer.JoinedOffset, sender.AppliedOffset)
 	switch release.How {
 	case wire.ReleaseHowTime:
@@ -74,7 +76,7 @@
 	return refuse("unknown evidence %q that %s has ended", release.How, sender.Key)
 }
 
-// hasPeers says whether the sender's zone has members on other nodes.
+// hasPeers reports whether the sender's zone has members on other nodes.
 func (s State) hasPeers(sender Sender) bool {
 	for _, member := range s.MembersInZone(sender.Zone) {
 		if member.Node != sender.Key.Node {
@@ -84,11 +86,11 @@
 	return false
 }
 
-// Releasable says whether the sender could be released if it were lost: a member
+// Releasable reports whether the sender could be released if it were lost: a member
 // on another node of its zone could do so by waiting, or there are no such
 // members. Nobody in the zone can release a sender that has not yet applied the
-// records of its zone's members. It must get no boxes before: they would stay
-// without work if it were lost.
+// records by which the zone's members joined. It must get no boxes until then: they
+// would stay without work if the sender were lost.
 func (s State) Releasable(sender Sender) bool {
 	if !s.hasPeers(sender) {
 		return true
--- a/pkg/fold/renew.go
+++ b/pkg/fold/renew.go
@@ -5,7 +5,7 @@
 )
 
 // memberTimeoutMs is the log time without a renewal after which a member leaves
-// the member list. Leaving is always safe: all that a member loses by it is the
+// the member list. Leaving is always safe: a member loses nothing by it but the
 // right to release senders.
 const memberTimeoutMs = 60_000
 
@@ -79,8 +79,9 @@
 	return member.Zone
 }
 
-// withoutExpired removes the members of a zone that have not renewed for
-// longer than memberTimeoutMs, and likewise its senders that have no boxes.
+// withoutExpired returns the state without the members of a zone that have not
+// renewed for longer than memberTimeoutMs. It also removes senders of the zone
+// that have not renewed for as long, if they have no boxes.
 func (s State) withoutExpired(zone string, nowMs int) State {
 	for _, member := range s.Members() {
 		if member.Zone == zone && member.RenewedAt < nowMs-memberTimeoutMs {
--- a/pkg/fold/snapshot.go
+++ b/pkg/fold/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Snapshot is a State in the form in which the log stores it.
+// Snapshot is a State in the form that is stored in the log.
 type Snapshot struct {
 	// Offset is the offset of the next record to apply to the state.
 	Offset int `json:"offset"`
@@ -56,14 +56,14 @@
 	return Snapshot{Offset: s.offset, Hash: hashOf(text), State: text}, nil
 }
 
-// hashOf returns the hash that a snapshot has for its state.
+// hashOf returns the hash of a snapshot's state in the form of Snapshot.Hash.
 func hashOf(text []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(text), 16)
 }
 
 // Restore returns the state that a snapshot holds, or an error if the snapshot's
-// hash doesn't match. Of the receiver it uses only the schema checker of the
-// table.
+// hash doesn't match its state or the state can't be decoded. It uses nothing of
+// the receiver but the table's schema checker.
 func (s State) Restore(snapshot Snapshot) (State, error) {
 	if hashOf(snapshot.State) != snapshot.Hash {
 		return s, fmt.Errorf("snapshot at %d: its hash is not that of its state", snapshot.Offset)
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -146,7 +146,7 @@
 }
 
 // withBox returns the state with a new or changed box, and with the pool
-// summaries, the slots and the senders' box counts that follow from it.
+// summaries, the fleet's slots and the senders' box counts updated for it.
 func (s State) withBox(box Box) State {
 	if old, known := s.boxes.Get(box.Info.Name); known {
 		s = s.withoutBoxCounts(*old)
@@ -173,6 +173,7 @@
 	return s.withSenderBoxCount(box.Sender, 1)
 }
 
+// withSenderBoxCount adds delta to a sender's box count, if there is such a sender.
 func (s State) withSenderBoxCount(key SenderKey, delta int) State {
 	sender, known := s.senders.Get(key.String())
 	if !known {
--- a/pkg/pick/pick.go
+++ b/pkg/pick/pick.go
@@ -29,9 +29,9 @@
 }
 
 // Choose returns the index of the box that will probably answer first, among those
-// with size free slots, or -1 if there is none. That is the box with the lowest
-// product of load and relative latency. It chooses at random among equal boxes, so
-// that not all entries choose the same one.
+// with at least size free slots, or -1 if there is none. That is the box with the
+// lowest product of load and relative latency. It chooses at random among equal
+// boxes, so that not all entries choose the same one.
 func Choose(boxes []Box, size int, random *rand.Rand) int {
 	best, lowestCost, ties := -1, 0.0, 0
 	for i, box := range boxes {
@@ -53,8 +53,8 @@
 }
 
 const (
-	latencyWeight      = 0.1  // Of a new sample in a box's relative latency.
-	averageWeight      = 0.05 // Of a new sample in a service's average latency.
+	latencyWeight      = 0.1  // Weight of a new sample in a box's relative latency.
+	averageWeight      = 0.05 // Weight of a new sample in a service's average latency.
 	minRelativeLatency = 0.2
 	maxRelativeLatency = 10
 )
@@ -64,7 +64,7 @@
 type Learner struct {
 	averages  map[string]float64 // Average latency in seconds, by service.
 	latencies map[string]float64 // Relative latency, by box.
-	limits    map[string]limit   // By box; without one, all declared slots may be used.
+	limits    map[string]limit   // By box. All declared slots of a box without a limit may be used.
 }
 
 // limit is a box's learned concurrency limit. It is lowered when the box reports
@@ -88,7 +88,8 @@
 	return 1
 }
 
-// Limit returns how many of a box's declared slots may be used at once.
+// Limit returns how many slots of a box may be used at once. slots is the declared
+// number, which is returned if no limit has been learned.
 func (l *Learner) Limit(box string, slots int) int {
 	if learned, known := l.limits[box]; known {
 		return min(learned.slots, slots)
@@ -102,8 +103,8 @@
 	return time.Duration(l.averages[service] * float64(time.Second))
 }
 
-// RecordAnswer records that a box with the given declared slots answered a request
-// of a service after the time took.
+// RecordAnswer records that a box answered a request of a service after the time
+// took. slots is the box's declared number of slots.
 func (l *Learner) RecordAnswer(service, box string, took time.Duration, slots int) {
 	seconds := took.Seconds()
 	average, known := l.averages[service]
@@ -136,13 +137,15 @@
 	l.limits[box] = learned
 }
 
-// RecordBusy records that a box refused a request as busy while inUse of its slots
-// were in use, the refused request's included.
+// RecordBusy records that a box refused a request because it was busy, and sets the
+// box's limit below inUse. inUse is the number of the box's slots in use, the slots
+// of the refused request included.
 func (l *Learner) RecordBusy(box string, inUse int) {
 	l.limits[box] = limit{slots: max(1, inUse-1)}
 }
 
-// SlowStart sets the limit of a box that has just come back to one slot.
+// SlowStart sets the limit of a box to one slot. It is for a box that has just come
+// back.
 func (l *Learner) SlowStart(box string) {
 	l.limits[box] = limit{slots: 1}
 }
--- a/pkg/plan/census.go
+++ b/pkg/plan/census.go
@@ -7,16 +7,16 @@
 	"damsonwinch/pkg/wire"
 )
 
-// poolCount holds the boxes and slots that a pool has once all drains and
-// maintenances that are under way have ended.
+// poolCount holds the boxes of a pool, and the slots that it will have once all
+// drains and maintenances that are under way have ended.
 type poolCount struct {
 	name    string
 	serving []fold.Box // Boxes that serve and are not broken.
 	// slots counts the slots of all boxes that serve the pool or will do so without
 	// another move.
 	slots        int
-	rackSlots    []int      // The same by rack number.
-	zoneSlots    []int      // The same by zone number.
+	rackSlots    []int      // These slots by rack number.
+	zoneSlots    []int      // These slots by zone number.
 	maxRackSlots int        // The largest of rackSlots.
 	broken       []fold.Box // Boxes that are to be replaced; see isBroken.
 	overdue      []fold.Box // Boxes in maintenance for longer than the timeout.
@@ -38,7 +38,7 @@
 	c.maxRackSlots = slices.Max(c.rackSlots)
 }
 
-// location is the number of a box's rack and that of its zone.
+// location holds the number of a box's rack and the number of its zone.
 type location struct {
 	rack int
 	zone int
@@ -56,6 +56,7 @@
 	rack string
 }
 
+// newLocator numbers the racks and zones of the given boxes.
 func newLocator(boxes []fold.Box) locator {
 	l := locator{racks: map[rackKey]location{}, zones: map[string]int{}}
 	for _, box := range boxes {
@@ -91,7 +92,7 @@
 }
 
 // countBox counts a box in the pool that it serves or, if it is being drained for
-// a move, in its target pool.
+// a move, in its target pool. Boxes that are broken or overdue add no slots.
 func (p *planner) countBox(box fold.Box) {
 	at := p.locator.locate(box)
 	if box.Pool == fold.FreePool {
@@ -121,7 +122,7 @@
 	}
 }
 
-// pool returns the count of a pool and adds it if it is new.
+// pool returns the count of a pool, and adds an empty one if there is none.
 func (p *planner) pool(name string) *poolCount {
 	if p.pools[name] == nil {
 		p.pools[name] = &poolCount{name: name, rackSlots: make([]int, len(p.locator.racks)), zoneSlots: make([]int, len(p.locator.zones))}
@@ -129,7 +130,7 @@
 	return p.pools[name]
 }
 
-// isBroken says whether a box is to be replaced: it is leaving or gone, or has
+// isBroken reports whether a box is to be replaced: it is leaving or gone, or has
 // been down for as long as the timeout. A box in maintenance never is.
 func (p *planner) isBroken(box fold.Box) bool {
 	if box.Phase == fold.Maintenance || box.Health == wire.HealthUp {
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -8,8 +8,8 @@
 	"damsonwinch/pkg/table"
 )
 
-// evictBroken moves broken boxes to the free pool, where they no longer count
-// against the limit of boxes that may be down in their pool.
+// evictBroken proposes to move broken boxes to the free pool, where they no longer
+// count against the limit of boxes that may be down in their pool.
 func (p *planner) evictBroken() {
 	for _, name := range p.poolNames() {
 		for _, box := range p.pools[name].broken {
@@ -24,9 +24,10 @@
 	}
 }
 
-// wantedSlots returns the slots that a pool should have: those that its services
-// need, plus those of the rack with the most slots, which may fail, plus a reserve
-// without which no box could be maintained.
+// wantedSlots returns the number of slots that a pool should have: those that its
+// services need, plus those of the rack with the most slots, which may fail, plus a
+// reserve without which no box could be maintained. It is 0 if no service needs
+// slots.
 func (p *planner) wantedSlots(pool *poolCount) int {
 	needed := p.state.Table().NeededSlots(pool.name)
 	if needed == 0 {
@@ -35,18 +36,19 @@
 	return needed + pool.maxRackSlots + p.reserveSlots(pool)
 }
 
-// reserveSlots returns the slots that a pool has beyond its budget so that its
-// boxes can be maintained. See ConcurrentMaintenance for their number.
+// reserveSlots returns the number of slots that a pool should have beyond its
+// budget so that its boxes can be maintained: those of as many boxes as
+// ConcurrentMaintenance returns.
 func (p *planner) reserveSlots(pool *poolCount) int {
 	slots := p.maxBoxSlots(pool)
 	return slots * ConcurrentMaintenance(p.state.Table(), pool.name, slots)
 }
 
 // ConcurrentMaintenance returns how many boxes of a pool should be maintained at
-// once. The more there are, the fewer rounds it takes to maintain all boxes, and
-// the more slots the pool holds in reserve. The table's weights Rollout, for a
-// round, and Buffer, for a box in reserve, decide between the two. boxSlots is the
-// number of slots of a box.
+// once. With a higher number it takes fewer rounds to maintain all boxes, but the
+// pool holds more slots in reserve. The number has the lowest cost by the table's
+// weights Rollout, for a round, and Buffer, for a box in reserve. boxSlots is the
+// number of slots of one box.
 func ConcurrentMaintenance(table table.Table, pool string, boxSlots int) int {
 	weights := table.Deployment()
 	boxes := (table.NeededSlots(pool) + boxSlots - 1) / boxSlots
@@ -64,7 +66,8 @@
 // defaultBoxSlots is the size of a box that is assumed for a pool without boxes.
 const defaultBoxSlots = 8
 
-// maxBoxSlots returns the slots of the pool's largest serving box.
+// maxBoxSlots returns the slots of the pool's largest serving box, or
+// defaultBoxSlots if it has none.
 func (p *planner) maxBoxSlots(pool *poolCount) int {
 	largest := 0
 	for _, box := range pool.serving {
@@ -76,8 +79,9 @@
 	return largest
 }
 
-// growPools moves boxes to each pool that has fewer slots than it wants: free
-// boxes and, when there are none, boxes of the pools with the largest surplus.
+// growPools proposes to move boxes to each pool that has fewer slots than it
+// wants: free boxes and, when there are none, boxes of the pools with the largest
+// surplus.
 func (p *planner) growPools() {
 	for _, name := range p.byShortage() {
 		pool := p.pools[name]
@@ -91,8 +95,8 @@
 	}
 }
 
-// byShortage returns the names of the pools, the one that lacks the most slots
-// first.
+// byShortage returns the names of all pools, starting with the one that lacks the
+// most slots.
 func (p *planner) byShortage() []string {
 	names := p.poolNames()
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -107,8 +111,8 @@
 	return pool.slots - p.wantedSlots(pool)
 }
 
-// growFromFree moves a free box to a pool and says whether it did. See
-// freeBoxes.take for slotLimit.
+// growFromFree proposes to move a free box to a pool and reports whether it did.
+// See freeBoxes.prefersRack for slotLimit.
 func (p *planner) growFromFree(pool *poolCount, slotLimit int) bool {
 	box, at, found := p.free.take(pool, slotLimit)
 	if !found {
@@ -123,9 +127,9 @@
 	return true
 }
 
-// growFromDonor moves a box to a pool from the pool with the largest surplus that
-// can spare one, and says whether it did. A donor keeps its own reserve: otherwise
-// the next plan would move the box back.
+// growFromDonor proposes to move a box to a pool from the pool with the largest
+// surplus that can spare one, and reports whether it did. A donor keeps its own
+// reserve: otherwise the next plan would move the box back.
 func (p *planner) growFromDonor(pool *poolCount) bool {
 	for _, name := range p.bySurplus() {
 		donor := p.pools[name]
@@ -139,16 +143,17 @@
 	return false
 }
 
-// bySurplus returns the names of the pools, the one with the largest surplus first.
+// bySurplus returns the names of all pools, starting with the one that has the
+// largest surplus.
 func (p *planner) bySurplus() []string {
 	names := p.byShortage()
 	slices.Reverse(names)
 	return names
 }
 
-// moveBox moves one box from donor to receiver and says whether it did. It
-// prefers boxes in the racks where the receiver has the fewest slots and, among
-// those, the box that was maintained the longest time ago.
+// moveBox proposes to move one box from donor to receiver and reports whether it
+// did. It prefers boxes in the racks where the receiver has the fewest slots and,
+// among those, the box whose last maintenance is oldest.
 func (p *planner) moveBox(donor, receiver *poolCount) bool {
 	candidates := slices.Clone(donor.serving)
 	slices.SortStableFunc(candidates, func(a, b fold.Box) int {
@@ -176,9 +181,10 @@
 	return slices.DeleteFunc(slices.Clone(boxes), func(box fold.Box) bool { return box.Info.Name == removed.Info.Name })
 }
 
-// freeSurplus moves the surplus boxes of each pool to the free pool, if the table's
-// weights make a box in reserve more expensive than a move. It leaves a surplus of
-// less than two boxes alone, so that a small edit that is then undone moves no box.
+// freeSurplus proposes to move the surplus boxes of each pool to the free pool, if
+// the table's weights make a box in reserve more expensive than a move. It leaves a
+// surplus of less than two boxes alone, so that no box moves for a small edit that
+// is undone later.
 func (p *planner) freeSurplus() {
 	if p.deployment().Buffer <= p.deployment().Moves {
 		return
@@ -195,8 +201,8 @@
 	}
 }
 
-// freeBox moves one box of the pool to the free pool and says whether it did. It
-// prefers boxes in the racks where the pool has the most slots.
+// freeBox proposes to move one box of the pool to the free pool and reports whether
+// it did. It prefers boxes in the racks where the pool has the most slots.
 func (p *planner) freeBox(pool *poolCount) bool {
 	candidates := slices.Clone(pool.serving)
 	slices.SortStableFunc(candidates, func(a, b fold.Box) int {
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -1,7 +1,8 @@
 // Package plan decides which boxes each pool has, when boxes are maintained and
 // which entry sends requests to which box. It is a pure function of the fleet's
 // state: it returns proposals with their causes. Package fold defines the pools'
-// budgets and checks each drain against them; this package only tries drains out.
+// budgets and checks each drain against them; this package only asks it which
+// drains are possible.
 package plan
 
 import (
@@ -18,8 +19,9 @@
 	// defaultMaintenanceTimeout is how long the maintenance of a box may take. After
 	// that the wave in its pool halts: no further boxes of the pool are maintained.
 	defaultMaintenanceTimeout = 10 * time.Minute
-	// overdueBoxesToHalt is the number of boxes in maintenance for longer than the
-	// timeout at which the waves in all pools halt.
+	// overdueBoxesToHalt is the number of overdue boxes, in all pools together, from
+	// which on the waves in all pools halt. A box is overdue if it is in maintenance
+	// for longer than the timeout.
 	overdueBoxesToHalt = 3
 	day                = 24 * time.Hour
 )
@@ -55,7 +57,7 @@
 
 // planner holds the data of one run of New.
 type planner struct {
-	state   fold.State // With the drains applied that are planned so far.
+	state   fold.State // After the drains that have been planned so far.
 	boxes   []fold.Box // As they were at the start of the run.
 	locator locator
 	pools   map[string]*poolCount // By name, without the free pool.
@@ -83,8 +85,8 @@
 	return p.state.Table().Deployment()
 }
 
-// proposeDrain adds a drain to the plan, or returns the reason why it would be
-// refused after the drains that are already in the plan.
+// proposeDrain adds a drain to the plan. It returns an error if the drain would be
+// refused after those that are already in the plan.
 func (p *planner) proposeDrain(box fold.Box, target string, maintain bool, cause string) error {
 	next, err := p.state.WithDrain(box.Info.Name, target, maintain)
 	if err != nil {
@@ -104,8 +106,9 @@
 	p.plan.Deferred = append(p.plan.Deferred, sentence)
 }
 
-// isMaintenanceDue says whether a box should be maintained: its last maintenance
-// was before the moment that the table sets, or a maintenance interval ago.
+// isMaintenanceDue reports whether a box should be maintained: its last maintenance
+// was before the moment that the table sets, or at least a maintenance interval
+// ago.
 func (p *planner) isMaintenanceDue(box fold.Box) bool {
 	interval := time.Duration(p.deployment().MaintainDays) * day
 	if interval == 0 {
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -13,7 +13,7 @@
 // in the free pool. It chooses among live, the senders that renew their leases: the
 // zone's own or, if it has none, those of all zones. Senders of other zones get only
 // boxes whose epoch started at adoptBefore or earlier, in milliseconds of log time
-// since 1970. A zone whose entries are just starting keeps its boxes that way.
+// since 1970. So a zone whose entries are just starting keeps its boxes.
 func AssignSenders(state fold.State, zone string, live []fold.Sender, adoptBefore int) []wire.Proposal {
 	candidates := stayingInZone(live, zone)
 	adopting := len(candidates) == 0
--- a/pkg/plan/shelf.go
+++ b/pkg/plan/shelf.go
@@ -23,9 +23,9 @@
 	f.count++
 }
 
-// take removes and returns a free box from the rack that suits a pool best, and
-// of that rack the box that was maintained the longest time ago. See prefersRack
-// for slotLimit. It returns false if no box is free.
+// take removes a free box from the rack that suits a pool best, and returns it
+// with its location. Of that rack it takes the box whose last maintenance is
+// oldest. See prefersRack for slotLimit. It returns false if no box is free.
 func (f *freeBoxes) take(pool *poolCount, slotLimit int) (fold.Box, location, bool) {
 	best := -1
 	for rack := range f.racks {
@@ -49,7 +49,7 @@
 	return taken, f.locations[best], true
 }
 
-// prefersRack says whether a box from one rack suits a pool better than a box from
+// prefersRack reports whether a box from one rack suits a pool better than a box from
 // another. Racks in which the pool has fewer slots than slotLimit come first.
 // Among these the pool takes from the rack with the most free boxes, so that racks
 // with few of them are left to pools that need just those racks. Among the others
@@ -71,9 +71,9 @@
 	return pool.zoneSlots[f.locations[rack].zone] < pool.zoneSlots[f.locations[other].zone]
 }
 
-// rackSlotLimit returns how many slots a pool may have in one rack before that rack
-// makes the pool want more slots: the fullest rack has that many even if the
-// pool's boxes are spread evenly over all racks.
+// rackSlotLimit returns how many slots a pool's fullest rack has if the pool's
+// boxes are spread evenly over all racks. The pool wants more slots in total only if
+// one rack has more than that, because wantedSlots adds those of the fullest rack.
 func (p *planner) rackSlotLimit(pool *poolCount) int {
 	racks := 0
 	for rack := range p.free.racks {
@@ -86,8 +86,9 @@
 	return boxSlots * fullestRackBoxes((wanted+boxSlots-1)/boxSlots, racks)
 }
 
-// fullestRackBoxes returns the number of boxes in the fullest rack of a pool that is
-// spread evenly over the racks and has boxesLeft boxes left if that rack fails.
+// fullestRackBoxes returns the number of boxes in the fullest rack of a pool whose
+// boxes are spread evenly over a number of racks. boxesLeft is the number of boxes
+// that the pool must have left if that rack fails.
 func fullestRackBoxes(boxesLeft, racks int) int {
 	most := 1
 	for most*racks < boxesLeft+most && most <= boxesLeft {
--- a/pkg/plan/wave.go
+++ b/pkg/plan/wave.go
@@ -10,8 +10,8 @@
 )
 
 // maintainDueBoxes proposes maintenance for the boxes that are due, as many at
-// once as each pool's budget allows. If many boxes are overdue in maintenance, it
-// proposes none in any pool.
+// once as each pool's budget allows. If overdueBoxesToHalt boxes or more are
+// overdue, it proposes none in any pool.
 func (p *planner) maintainDueBoxes() {
 	if overdue := p.overdueBoxes(); len(overdue) >= overdueBoxesToHalt {
 		p.deferChange("every wave is halted, these boxes did not come back: " + strings.Join(overdue, ", "))
@@ -23,8 +23,8 @@
 	}
 }
 
-// overdueBoxes returns the names of the boxes of all pools whose maintenance takes
-// longer than the timeout.
+// overdueBoxes returns the names of the boxes in all pools that have been in
+// maintenance for longer than the timeout.
 func (p *planner) overdueBoxes() []string {
 	var names []string
 	for _, pool := range p.poolNames() {
@@ -35,8 +35,8 @@
 	return names
 }
 
-// maintainPool proposes maintenance for the due boxes of one pool, as long as no
-// box of the pool is overdue: what broke one box may break the next.
+// maintainPool proposes maintenance for the due boxes of one pool, unless a box of
+// the pool is overdue: what broke that box may break the next.
 func (p *planner) maintainPool(pool *poolCount) {
 	due := p.dueBoxes(pool)
 	if len(due) == 0 {
@@ -55,8 +55,8 @@
 	}
 }
 
-// dueBoxes returns the usable boxes of a pool that are due for maintenance, the
-// one whose last maintenance is oldest first.
+// dueBoxes returns the usable boxes of a pool that are due for maintenance, in
+// order of their last maintenance, oldest first.
 func (p *planner) dueBoxes(pool *poolCount) []fold.Box {
 	var due []fold.Box
 	for _, box := range pool.serving {
@@ -72,7 +72,7 @@
 // stay out of maintenance.
 const (
 	freePerMaintenance   = 4 // One in this many free boxes may be in maintenance.
-	minFreeInMaintenance = 1 // This many may be in any case.
+	minFreeInMaintenance = 1 // This many may be, however few are free.
 )
 
 // maintainFreeBoxes proposes maintenance for free boxes that are due.
--- a/pkg/plan/withdraw.go
+++ b/pkg/plan/withdraw.go
@@ -7,9 +7,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// cancelDrains proposes to cancel the drains of pools that have fallen below the
-// floors of their services since the drains were accepted: boxes that fail count
-// against the same budget as boxes that are drained.
+// cancelDrains proposes to cancel drains in pools whose slots have fallen below the
+// floors of their services. Boxes that have failed since the drains were accepted
+// count against the same budget as boxes that are drained.
 func (p *planner) cancelDrains() {
 	for _, box := range p.boxes {
 		if box.Phase != fold.Draining || box.Health != wire.HealthUp || box.Pool == fold.FreePool {
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -30,7 +30,7 @@
 	Customer(service, customer string) int
 }
 
-// CanStart says whether a request may start now.
+// CanStart reports whether a request may start now.
 type CanStart func(item Item) bool
 
 // Ranks of waiting requests, in the order in which they are served.
@@ -59,8 +59,8 @@
 	virtualTime float64
 	length      int
 	ranks       [rankCount]rankQueue
-	// virtualClock is to the service's customers what Queue.virtualClock is to the
-	// services.
+	// virtualClock is the largest virtual time that a customer had when one of its
+	// requests of this service was started.
 	virtualClock float64
 }
 
@@ -71,8 +71,9 @@
 }
 
 // customerQueue holds a customer's waiting requests of one service and rank, in
-// the order in which they were added. Its virtual time is as that of a service.
+// the order in which they were added.
 type customerQueue struct {
+	// virtualTime is to the customer what serviceQueue.virtualTime is to the service.
 	virtualTime float64
 	items       *list.List
 }
@@ -104,6 +105,7 @@
 }
 
 // Push adds a request behind the other requests of its customer, service and rank.
+// Its class determines the rank.
 func (q *Queue) Push(item Item) {
 	service := q.services[item.Service]
 	if service == nil {
@@ -117,7 +119,7 @@
 	q.insert(service, rankOf(item.Class), item)
 }
 
-// rankOf returns the rank of a new request.
+// rankOf returns the rank of a new request of a class.
 func rankOf(class wire.Class) int {
 	switch class {
 	case wire.ClassUrgent:
@@ -128,7 +130,7 @@
 	return rankNormal
 }
 
-// insert adds a request with a rank at the end of its customer's queue.
+// insert adds a request at the end of its customer's queue of a service and rank.
 func (q *Queue) insert(service *serviceQueue, rank int, item Item) {
 	ranked := &service.ranks[rank]
 	if ranked.customers == nil {
@@ -145,7 +147,7 @@
 	q.positions[item.ID] = position{service: service, rank: rank, customer: item.Customer, element: element}
 }
 
-// Remove removes a waiting request and says whether it was in the queue.
+// Remove removes a waiting request and reports whether it was in the queue.
 func (q *Queue) Remove(id string) bool {
 	at, found := q.positions[id]
 	if !found {
@@ -156,8 +158,8 @@
 	return true
 }
 
-// unlink removes the request at a position from its customer's queue, and the
-// queue if it is empty then.
+// unlink removes the request at a position from its customer's queue, and removes
+// that queue if it is then empty.
 func (q *Queue) unlink(at position) {
 	ranked := &at.service.ranks[at.rank]
 	waiting := ranked.customers[at.customer]
@@ -197,7 +199,8 @@
 	return Item{}, false
 }
 
-// Pop removes and returns the next request that may start.
+// Pop removes and returns the next request that may start. It returns false if
+// there is none.
 func (q *Queue) Pop(canStart CanStart) (Item, bool) {
 	for rank := range rankCount {
 		if item, found := q.popRank(rank, canStart); found {
@@ -264,7 +267,8 @@
 	return element.Value.(Item), position{service: service, rank: rank, customer: best, element: element}, true
 }
 
-// charge advances the virtual times of a started request's service and customer.
+// charge advances the virtual times of a started request's service and customer,
+// by the request's size divided by their weights.
 func (q *Queue) charge(service *serviceQueue, item Item) {
 	size := float64(max(item.Size, 1))
 	q.virtualClock = max(q.virtualClock, service.virtualTime)
@@ -291,11 +295,11 @@
 	return expired
 }
 
-// Age raises the rank of requests that have waited for long and returns how many
-// it raised, so that a stream of requests of higher ranks can't starve them. A
-// same-day request becomes normal when half of the time to its deadline has
-// passed. Any request becomes urgent when no more time than lead is left, which is
-// how long its service usually takes, plus a margin.
+// Age raises the rank of requests that have waited for a long time, so that a
+// stream of requests of higher ranks can't starve them. It returns how many it
+// raised. A same-day request becomes normal when half of the time to its deadline
+// has passed. Any request becomes urgent when the time left is at most lead, the
+// time that its service usually takes for a request, plus a margin.
 func (q *Queue) Age(now time.Time, lead func(service string) time.Duration) int {
 	var raised []Item
 	var ranks []int
@@ -313,7 +317,7 @@
 	return len(raised)
 }
 
-// agedRank returns the rank that a request has at a time by Age's rules.
+// agedRank returns the rank that a request has at the time now by the rules of Age.
 func agedRank(item Item, now time.Time, lead time.Duration) int {
 	rank := rankOf(item.Class)
 	left := item.Deadline.Sub(now)
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -20,8 +20,9 @@
 
 func (w scriptedWeights) Customer(_, customer string) int { return max(1, w[customer]) }
 
-// TestStartOrder runs scripts that push requests; the output shows the order in
-// which they start.
+// TestStartOrder runs the scripts in testdata/order, which push requests, set
+// weights, and let time pass. The output shows the order in which the requests
+// start.
 func TestStartOrder(t *testing.T) {
 	datadriven.RunTest(t, "testdata/order", func(t *testing.T, d *datadriven.TestData) string {
 		weights := scriptedWeights{}
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -66,8 +66,9 @@
 }
 
 // Apply returns the table after an edit, or the unchanged table and a *Refusal with
-// all reasons. fleetSlots is the number of slots of the fleet, or 0 if it isn't
-// known yet. at is the log time of the edit in milliseconds since 1970.
+// all reasons. at is the log time of the edit in milliseconds since 1970. fleetSlots
+// is the number of slots of the fleet; if it is 0, the number isn't known yet and
+// isn't checked.
 func (t Table) Apply(edit wire.Edit, author string, at, fleetSlots int) (Table, error) {
 	if reasons := t.conflicts(edit); len(reasons) > 0 {
 		return t, &Refusal{Reasons: reasons}
@@ -90,8 +91,9 @@
 	return next, nil
 }
 
-// conflicts returns a reason for each cell of the edit that has been set after the
-// version on which the edit is based, or one reason if there is no such version.
+// conflicts returns a reason for each cell of the edit that was set after the table
+// version on which the edit is based. If the table never had that version, it returns
+// one reason that says so.
 func (t Table) conflicts(edit wire.Edit) []string {
 	if edit.Base > t.version || edit.Base < 0 {
 		return []string{fmt.Sprintf("edit is based on version %d, the table has %d", edit.Base, t.version)}
@@ -109,7 +111,7 @@
 	return reasons
 }
 
-// rowConflicts returns a reason for each cell of a row that has been set after the
+// rowConflicts returns a reason for each cell of a row that was set after the table
 // version base.
 func (t Table) rowConflicts(service string, base int) []string {
 	var reasons []string
@@ -122,11 +124,14 @@
 	return reasons
 }
 
+// describeConflict returns a sentence about a cell that was set by a later edit than
+// the one that is to be applied. stamp is the cell's.
 func describeConflict(row, column string, stamp Stamp) string {
 	return fmt.Sprintf("cell %s was set by %s at %d in version %d; look at it and edit again",
 		cellName(row, column), stamp.Author, stamp.At, stamp.Version)
 }
 
+// cellName returns the name of a cell in texts, such as "payslips.floor".
 func cellName(row, column string) string {
 	if row == "" {
 		return DeploymentName + "." + column
@@ -134,8 +139,8 @@
 	return row + "." + column
 }
 
-// setCells sets the edit's cells and returns what is wrong with them. It changes
-// t.stored, which must not be shared with another table.
+// setCells sets the edit's cells and returns a reason for each that can't be set. It
+// changes t.stored, which must not be shared with another table.
 func (t *Table) setCells(edit wire.Edit, stamp Stamp) []string {
 	var reasons []string
 	changed := map[string]map[string]json.RawMessage{}
--- a/pkg/table/sums.go
+++ b/pkg/table/sums.go
@@ -2,12 +2,12 @@
 
 // poolTotals sums up the rows of the services of one pool.
 type poolTotals struct {
-	floorSlots int
-	spareSlots int
-	maxDown    int // The smallest of the services' limits.
+	floorSlots int // Sum of the slots that the services must have at any time.
+	spareSlots int // Sum of the slots that they must have in addition.
+	maxDown    int // The smallest of the services' limits on boxes that are down.
 }
 
-// computeTotals sums up the rows of each pool, so that this need not be done for
+// computeTotals sets the totals of each pool, so that they need not be summed up for
 // each drain that is checked.
 func (t *Table) computeTotals() {
 	t.totals = map[string]poolTotals{}
@@ -22,8 +22,8 @@
 	}
 }
 
-// NeededSlots returns how many slots a pool must have at any time: the floors and
-// the spare slots of its services.
+// NeededSlots returns how many slots a pool must have at any time: the sum of the
+// floors and the spare slots of its services.
 func (t Table) NeededSlots(pool string) int {
 	return t.totals[pool].floorSlots + t.totals[pool].spareSlots
 }
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -27,7 +27,7 @@
 }
 
 // Table is one version of the shared table. It is immutable; Apply returns a new
-// one.
+// table.
 type Table struct {
 	checker    *check.Checker
 	version    int
@@ -43,7 +43,7 @@
 	return Table{checker: checker}
 }
 
-// Version returns the number of edits that have been accepted.
+// Version returns the number of edits that have been accepted so far.
 func (t Table) Version() int {
 	return t.version
 }
@@ -103,8 +103,8 @@
 	return json.Marshal(savedTable{Version: t.version, Rows: t.stored})
 }
 
-// Restore returns the table from which MarshalJSON returned a text. It uses only the
-// checker of the receiver.
+// Restore returns the table that MarshalJSON returned as a text. It uses nothing of the
+// receiver but its checker.
 func (t Table) Restore(text []byte) (Table, error) {
 	var saved savedTable
 	if err := json.Unmarshal(text, &saved); err != nil {
@@ -117,8 +117,8 @@
 	return next, nil
 }
 
-// decodeRows sets the fields that follow from the stored rows, and returns what is
-// wrong with the rows.
+// decodeRows sets the fields that follow from the stored rows, and returns a reason for
+// each fault of the rows.
 func (t *Table) decodeRows() []string {
 	var reasons []string
 	t.rows = make(map[string]settings.Row, len(t.stored))
@@ -131,8 +131,8 @@
 	return reasons
 }
 
-// decodeRow decodes one stored row, or the deployment if the name is "", and returns
-// what is wrong with it.
+// decodeRow decodes one stored row, or the deployment if the name is "", and returns a
+// reason for each of its faults.
 func (t *Table) decodeRow(name string) []string {
 	text := t.stored[name].Text
 	if name == "" {
@@ -170,7 +170,8 @@
 	return reasons
 }
 
-// Diff returns the edit that turns this table into the wanted one.
+// Diff returns the edit that turns this table into the wanted one. The edit is based on
+// this table's version.
 func (t Table) Diff(wanted settings.Table) (wire.Edit, error) {
 	edit := wire.Edit{Base: t.version}
 	if err := t.addChangedCells(&edit, "", wanted.Deployment); err != nil {
@@ -191,8 +192,8 @@
 	return edit, nil
 }
 
-// addChangedCells adds the cells to an edit in which a row differs from wanted, a
-// settings.Row or settings.Deployment.
+// addChangedCells adds to an edit the cells in which a row differs from wanted, which is
+// a settings.Row or a settings.Deployment.
 func (t Table) addChangedCells(edit *wire.Edit, row string, wanted any) error {
 	wantedCells, err := toCells(wanted)
 	if err != nil {
