--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -153,9 +153,9 @@
 	case <-c.stopped:
 		return Result{State: Unavailable}
 	}
-	// Wait for the reply, which run sends even if the log hasn't decided when until
-	// has come. Without this wait a claim could win whose caller is gone, so that
-	// nobody would record its outcome.
+	// Wait for the reply, which run sends even if the log hasn't decided in time.
+	// Otherwise a claim could win after its caller has gone, and nobody would record
+	// its outcome.
 	select {
 	case result := <-reply:
 		return result
@@ -179,8 +179,8 @@
 	}
 }
 
-// run handles the messages, appends claims and outcomes, and gives up claims that
-// have waited until their time, until ctx is cancelled.
+// run handles the messages, appends claims and outcomes, and gives up claims whose
+// time has come. It returns when ctx is cancelled.
 func (c *Claimer) run(ctx context.Context) error {
 	ticker := pace.New(c.deps.Clock, busyInterval, idleInterval)
 	defer ticker.Stop()
@@ -255,8 +255,8 @@
 	c.resolvePending(claims)
 }
 
-// resolvePending replies to the pending claims of keys for which an applied record
-// has claims.
+// resolvePending replies to the pending claims that an applied record decides.
+// claims are the claims of that record.
 func (c *Claimer) resolvePending(claims []wire.Claim) {
 	for _, claim := range claims {
 		state := c.keys.states[claim.Key]
--- a/pkg/fold/box.go
+++ b/pkg/fold/box.go
@@ -2,7 +2,7 @@
 
 import "damsonwinch/pkg/wire"
 
-// Phase reports whether a box serves, drains or is being maintained.
+// Phase is the state of a box in its pool: it serves, drains or is being maintained.
 type Phase string
 
 // Phases of a box. There is no phase for an empty box: the record which reports
--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -114,7 +114,8 @@
 }
 
 // inTimeRange reports whether a time of day is in a window, which may run past
-// midnight. It compares the times as text: "15:04" texts sort in order of time.
+// midnight. It compares the times as text: texts such as "15:04" sort in order of
+// time.
 func inTimeRange(timeOfDay string, window settings.Window) bool {
 	if window.From <= window.To {
 		return window.From <= timeOfDay && timeOfDay < window.To
--- a/pkg/fold/fold.go
+++ b/pkg/fold/fold.go
@@ -9,7 +9,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Result reports whether a proposal was accepted, and why.
+// Result is the outcome of one proposal: whether it was accepted, and why.
 type Result struct {
 	Proposal wire.Proposal
 	// Subject names the boxes, the node or the table rows that the proposal is
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -41,11 +41,11 @@
 // checkRelease returns an error unless the keeper that proposes the release is a
 // member and may know, in the way that the release names, that the sender no
 // longer sends:
-//   - By time: a member of the sender's zone knows it after it has waited until
-//     the lease and every extension that it granted have run out.
+//   - By time: a member of the sender's zone, which the sender knew, has waited
+//     until the lease and every extension that it granted have run out.
 //   - By its end: the keeper on the sender's node has seen the entry exit.
-//   - By the platform's list: a member of another zone may use this only if the
-//     sender's zone has no other members.
+//   - By the platform's list, which no longer has the sender's box: a member of
+//     another zone may use this only if the sender's zone has no other members.
 func (s State) checkRelease(sender Sender, release wire.Release, from origin) error {
 	proposer, known := s.members.Get(from.batch.Node)
 	if !known || proposer.KeeperIncarnation != from.batch.Incarnation {
--- a/pkg/fold/state.go
+++ b/pkg/fold/state.go
@@ -62,8 +62,8 @@
 	return s.offset
 }
 
-// LogTimeMs returns the log time of the newest applied record: when the log took
-// it, in milliseconds since 1970. It never decreases.
+// LogTimeMs returns the log time of the newest applied record: when the log
+// accepted it, in milliseconds since 1970. It never decreases.
 func (s State) LogTimeMs() int {
 	return s.logTimeMs
 }
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -99,8 +99,8 @@
 // WithPeerExited returns the holder after the sender saw, at a time on its clock, that a peer has
 // exited: the peer's address refuses connections or answers as another incarnation.
 //
-// The exit counts only if it was seen before the lease from the log or the peer's own extension ran
-// out. After that the peer may have proposed a release before it exited, and the log may accept the
+// The exit counts only if it was seen while the lease from the log or the peer's own extension still
+// lasted. After that the peer may have proposed a release before it exited, and the log may accept the
 // proposal long after.
 func (h Holder) WithPeerExited(peer Peer, seenAt time.Time) Holder {
 	if !seenAt.Before(h.earliestRelease(peer)) {
@@ -111,7 +111,8 @@
 	return h
 }
 
-// earliestRelease returns the earliest time at which a peer may propose the sender's release.
+// earliestRelease returns the earliest time at which a peer may propose the sender's release: when both
+// the lease from the log and the peer's own extension have run out.
 func (h Holder) earliestRelease(peer Peer) time.Time {
 	if extended := h.extendedUntil[peer]; extended.After(h.logLeaseUntil) {
 		return extended
--- a/pkg/ownership/group.go
+++ b/pkg/ownership/group.go
@@ -124,8 +124,8 @@
 	return members
 }
 
-// handleLeave releases the node's cells and leaves the group, so that the other nodes don't have to
-// wait until it counts as lost.
+// handleLeave releases this node's cells and leaves the group, so that the other nodes don't have to
+// wait until this node counts as lost.
 func (o *Ownership) handleLeave(m leaveRequested, _ time.Time) {
 	s := &o.state
 	s.leaving = true
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -88,7 +88,8 @@
 	ConfirmedAt time.Time
 }
 
-// Owner returns the newest claim of a cell, and whether the cell has one that isn't released.
+// Owner returns the newest claim of a cell, and whether the cell has an owner: whether there is a claim
+// and it isn't released.
 func (v View) Owner(cell string) (Claim, bool) {
 	claim, known := v.Claims[cell]
 	return claim, known && !claim.Released
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -53,8 +53,8 @@
 		end      int
 		err      error
 	}
-	// moveRequested asks run to replace the claim with a token by one with another partition, to which
-	// the cell's records have been copied.
+	// moveRequested asks run to claim a cell again with another partition, to which the cell's records
+	// have been copied. token is that of the claim to replace.
 	moveRequested struct {
 		cell      string
 		token     int
--- a/pkg/ownership/peers.go
+++ b/pkg/ownership/peers.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// peerAddresses returns the addresses of all other members and owners, in order.
+// peerAddresses returns the addresses of all other members and owners, sorted.
 func (o *Ownership) peerAddresses() []string {
 	var addresses []string
 	add := func(address string) {
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -22,8 +22,8 @@
 	// taken 250 ms from an overloaded node.
 	checkTimeout = 500 * time.Millisecond
 	// maxStoreAge is the time without an answer from the store after which an owner counts as cut off
-	// from it, and so as not alive: it can start nothing. An owner sends the store a heartbeat every
-	// 300 ms, and a lost answer costs it another 600 ms.
+	// from it. Such an owner can start nothing, so it isn't alive to others once the group doesn't list
+	// it. An owner sends the store a heartbeat every 300 ms, and a lost answer costs it another 600 ms.
 	maxStoreAge = joinInterval + callTimeout
 )
 
--- a/pkg/ownership/proof_test.go
+++ b/pkg/ownership/proof_test.go
@@ -27,8 +27,8 @@
 	waitFor(t, "the cell of an owner that has exited is owned", func() bool { return n.owns("one") })
 }
 
-// TestOwnerCutOffFromStoreLosesItsCell checks that an owner without the store loses its cell although
-// it replies, because it can start nothing.
+// TestOwnerCutOffFromStoreLosesItsCell checks that an owner that is cut off from the store loses its
+// cell although it replies to health checks, because it can start nothing.
 func TestOwnerCutOffFromStoreLosesItsCell(t *testing.T) {
 	store := newMemoryStore()
 	owner := member("z", 1)
--- a/pkg/ownership/settle.go
+++ b/pkg/ownership/settle.go
@@ -28,8 +28,8 @@
 	return at
 }
 
-// restartDelay returns how long a restarted node waits before it claims cells, so that other nodes can,
-// which may have been stopped together with it. The less weight the node has, the longer it waits.
+// restartDelay returns how long a restarted node waits before it claims cells. It leaves them to other
+// nodes that may have been stopped together with it: the less weight the node has, the longer it waits.
 func (o *Ownership) restartDelay() time.Duration {
 	return min(regroupDelay, referenceDelay*referenceWeight/time.Duration(max(1, o.options.Self.Weight)))
 }
--- a/pkg/plan/senders.go
+++ b/pkg/plan/senders.go
@@ -9,11 +9,12 @@
 	"damsonwinch/pkg/wire"
 )
 
-// AssignSenders proposes a sender for each box of a zone that has none and is not
-// in the free pool. It chooses among live, the senders that renew their leases: the
-// zone's own or, if it has none, those of all zones. Senders of other zones get only
-// boxes whose epoch started at adoptBefore or earlier, in milliseconds of log time
-// since 1970. So a zone whose entries are just starting keeps its boxes.
+// AssignSenders proposes senders for the boxes without a sender in a zone, except
+// for those in the free pool. It chooses among live, the senders that renew their
+// leases: the zone's own or, if it has none, those of all zones. Senders of other
+// zones get only boxes whose epoch started at adoptBefore or earlier, in
+// milliseconds of log time since 1970. So a zone whose entries are just starting
+// keeps its boxes.
 func AssignSenders(state fold.State, zone string, live []fold.Sender, adoptBefore int) []wire.Proposal {
 	candidates := stayingInZone(live, zone)
 	adopting := len(candidates) == 0
--- a/pkg/plan/shelf.go
+++ b/pkg/plan/shelf.go
@@ -13,8 +13,8 @@
 	count     int        // Number of boxes in all racks.
 }
 
-func newFreeBoxes(racks int) *freeBoxes {
-	return &freeBoxes{racks: make([][]fold.Box, racks), locations: make([]location, racks)}
+func newFreeBoxes(rackCount int) *freeBoxes {
+	return &freeBoxes{racks: make([][]fold.Box, rackCount), locations: make([]location, rackCount)}
 }
 
 func (f *freeBoxes) add(box fold.Box, at location) {
@@ -53,7 +53,8 @@
 // another. Racks in which the pool has fewer slots than slotLimit come first.
 // Among these the pool takes from the rack with the most free boxes, so that racks
 // with few of them are left to pools that need just those racks. Among the others
-// it takes from the rack in which it has the fewest slots.
+// it takes from the rack in which it has the fewest slots. Further ties go to the
+// rack, and then to the zone, in which the pool has the fewest slots.
 func (f *freeBoxes) prefersRack(pool *poolCount, slotLimit, rack, other int) bool {
 	below, otherBelow := pool.rackSlots[rack] < slotLimit, pool.rackSlots[other] < slotLimit
 	if below != otherBelow {
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -124,8 +124,8 @@
 	return reasons
 }
 
-// describeConflict returns a sentence about a cell that was set by a later edit than
-// the one that is to be applied. stamp is the cell's.
+// describeConflict returns the reason for refusing an edit of a cell that another edit
+// has set since. stamp is the cell's stamp.
 func describeConflict(row, column string, stamp Stamp) string {
 	return fmt.Sprintf("cell %s was set by %s at %d in version %d; look at it and edit again",
 		cellName(row, column), stamp.Author, stamp.At, stamp.Version)
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// defaultMaxBodyKB is the largest size of a request's or an answer's body, in units
+// defaultMaxBodyKB is the largest size of the body of a request or a response, in units
 // of 1024 bytes, if the row sets none.
 const defaultMaxBodyKB = 1024
 
