--- a/pkg/process/node_bench_test.go
+++ b/pkg/process/node_bench_test.go
@@ -22,16 +22,16 @@
 	const boxes, tasks = 200, 13
 	platform, err := standin.New(standin.Options{
 		Clock: clockwork.NewRealClock(), Pools: []standin.Pool{{Name: "runs", Boxes: boxes}},
-		BoxCPU: 32000, BoxMemoryMB: 64000, MoveTime: time.Second, MaintainTime: time.Second,
-		MostLease: 10 * time.Second, StopTime: 50 * time.Millisecond, Heartbeat: time.Second,
+		BoxMilliCPU: 32000, BoxMemoryMB: 64000, MoveTime: time.Second, MaintainTime: time.Second,
+		MaxLease: 10 * time.Second, StopTime: 50 * time.Millisecond, HeartbeatInterval: time.Second,
 	})
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, platform.Close()) }()
-	assert.NilError(b, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, Prefix: testPrefix, Pool: "runs", Attempts: 3}))
+	assert.NilError(b, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
 	node, address := benchNode(b, platform)
 	defer func() { assert.NilError(b, node.Close()) }()
 	client := standin.NewClient()
-	work, phase := standin.Work{Ms: 300}, standin.Phase{Count: tasks, CPU: 2000, MemoryMB: 1000, Estimated: 300}
+	work, phase := standin.Work{Ms: 300}, standin.Phase{Count: tasks, MilliCPU: 2000, MemoryMB: 1000, EstimatedMs: 300}
 	clock := clockwork.NewRealClock()
 	for status := 0; status != http.StatusOK; clock.Sleep(100 * time.Millisecond) {
 		status, _ = client.Submit(context.Background(), address, testHost, testPrefix+"00000000000000aa", work, phase)
@@ -58,7 +58,7 @@
 	config := story.config(b, 0)
 	logger := logrus.New()
 	logger.SetLevel(logrus.ErrorLevel)
-	node, err := NewNode(config, Env{Clock: clockwork.NewRealClock(), Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Logger: logger, Breach: func(string, string) {}})
+	node, err := NewNode(config, Env{Clock: clockwork.NewRealClock(), Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Logger: logger, OnViolation: func(string, string) {}})
 	assert.NilError(b, err)
 	return node, config.ClientAddress
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -44,7 +44,7 @@
 // Node is one entry box with its two processes.
 type Node struct {
 	Name   string
-	Hall   string
+	Zone   string
 	keeper settings.Keeper
 	entry  settings.Entry
 
@@ -61,7 +61,7 @@
 	Platform  *standin.Platform
 	Network   *standin.Network
 	Endpoints map[string]*standin.Endpoint
-	Book      *standin.Book
+	Book      *standin.Observations
 	Nodes     []*Node
 	clock     clockwork.Clock
 	logger    logrus.FieldLogger
@@ -70,8 +70,8 @@
 	reboot    atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
-// Snapshotted returns the offset of the newest snapshot in the log, 0 if none.
-func (c *Cluster) Snapshotted() int {
+// NewestSnapshotOffset returns the offset of the newest snapshot in the log, 0 if none.
+func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
 	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, mostSnapshots) {
 		var snapshot fold.Snapshot
@@ -106,7 +106,7 @@
 // NewCluster starts the stand-ins and all nodes.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
-		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewBook(),
+		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewObservations(),
 		clock: clockwork.NewRealClock(), logger: logger, harm: &harmBook{breaches: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
@@ -127,7 +127,7 @@
 }
 
 func (c *Cluster) startPlatform() error {
-	log := standin.New(c.clock, c.Seed, 0)
+	log := standin.NewLog(c.clock, c.Seed, 0)
 	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTakes) })
 	c.Platform = standin.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
 		return (*c.reboot.Load())(ctx, box)
@@ -137,7 +137,7 @@
 		return fmt.Errorf("listen for the platform: %w", err)
 	}
 	c.User.Fleet.Platform = listener.Addr().String()
-	c.Network.Place(listener.Addr().String(), platformHall)
+	c.Network.SetZone(listener.Addr().String(), platformHall)
 	c.Platform.Serve(listener)
 	return nil
 }
@@ -149,17 +149,17 @@
 			if err != nil {
 				return fmt.Errorf("listen for an endpoint: %w", err)
 			}
-			info := BoxOf(hall.Name, number, c.User.Fleet, listener.Addr().String())
-			c.Network.Place(info.Address, hall.Name)
+			info := NewBoxInfo(hall.Name, number, c.User.Fleet, listener.Addr().String())
+			c.Network.SetZone(info.Address, hall.Name)
 			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
-			c.Platform.Put(wire.ListedBox{Info: info})
+			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
 	}
 	return nil
 }
 
-// BoxOf describes the numbered box of a hall as the platform's list does.
-func BoxOf(hall string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
+// NewBoxInfo describes the numbered box of a hall as the platform's list does.
+func NewBoxInfo(hall string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
 	return wire.BoxInfo{
 		Name: fmt.Sprintf("%s-box-%02d", hall, number+1), Hall: hall, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
 		Address: address, Slots: fleet.BoxSlots,
@@ -180,13 +180,13 @@
 func (c *Cluster) planNodes() error {
 	for _, hall := range c.User.Fleet.Halls {
 		for number := range hall.Entries {
-			node := &Node{Name: entryName(hall.Name, number), Hall: hall.Name}
+			node := &Node{Name: entryName(hall.Name, number), Zone: hall.Name}
 			addresses, err := c.freeAddresses(addressesANode)
 			if err != nil {
 				return err
 			}
 			for _, address := range addresses {
-				c.Network.Place(address, hall.Name)
+				c.Network.SetZone(address, hall.Name)
 			}
 			node.keeper = settings.Keeper{
 				Node: node.Name, Hall: hall.Name, Halls: c.hallNames(), Address: addresses[0], DebugAddress: addresses[1],
@@ -215,14 +215,14 @@
 
 // introduce tells a node of its peers, those of its own hall first.
 func (c *Cluster) introduce(node *Node) {
-	own := settings.Peer{Node: node.Name, Hall: node.Hall, Address: node.keeper.Address}
+	own := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
 	node.entry.Keepers = []settings.Peer{own}
 	for _, near := range []bool{true, false} {
 		for _, other := range c.Nodes {
-			if other == node || (other.Hall == node.Hall) != near {
+			if other == node || (other.Zone == node.Zone) != near {
 				continue
 			}
-			peer := settings.Peer{Node: other.Name, Hall: other.Hall, Address: other.keeper.Address}
+			peer := settings.Peer{Node: other.Name, Hall: other.Zone, Address: other.keeper.Address}
 			node.keeper.Peers = append(node.keeper.Peers, peer)
 			if near {
 				node.entry.Keepers = append(node.entry.Keepers, peer)
@@ -263,13 +263,13 @@
 }
 
 func (c *Cluster) env(node *Node) process.Env {
-	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Hall), Logger: c.logger, Breach: c.harm.breach, Seed: c.Seed}
+	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, OnViolation: c.harm.breach, Seed: c.Seed}
 }
 
 // StartNode starts a node's keeper and entry.
 func (c *Cluster) StartNode(node *Node) error {
-	c.Platform.Put(wire.ListedBox{
-		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Hall, Rack: "entry", Address: node.entry.Address, Slots: 1},
+	c.Platform.PutBox(wire.ListedBox{
+		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Zone, Rack: "entry", Address: node.entry.Address, Slots: 1},
 		EntryBox: true,
 	})
 	if err := c.StartKeeper(node); err != nil {
@@ -326,8 +326,8 @@
 	return entry.Close()
 }
 
-// Open returns the HTTP addresses to which the balancer sends callers.
-func (c *Cluster) Open() []string {
+// ReadyAddresses returns the HTTP addresses to which the balancer sends callers.
+func (c *Cluster) ReadyAddresses() []string {
 	var addresses []string
 	for _, node := range c.Nodes {
 		node.mutex.Lock()
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -51,7 +51,7 @@
 // so, and entries go on by their hall's promises.
 func TestAnOutageOfTheLogStopsNoRequest(t *testing.T) {
 	s := startStory(t, twoHalls())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	s.run.wait(context.Background(), longerThanTheLease)
 
 	const requests = 20
@@ -59,14 +59,14 @@
 		got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
 		assert.Equal(t, got.status, http.StatusOK, got.body)
 	}
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 }
 
 // TestEverythingReplacedWhileTheLogIsDown: new processes know nothing, serve
 // nothing, and come back with the log.
 func TestEverythingReplacedWhileTheLogIsDown(t *testing.T) {
 	s := startStory(t, twoHalls())
-	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	for _, node := range s.cluster.Nodes {
 		assert.NilError(t, s.cluster.KillEntry(node))
 		assert.NilError(t, s.cluster.StopKeeper(node))
@@ -78,7 +78,7 @@
 	assert.Equal(t, got.status, http.StatusServiceUnavailable, got.body)
 	assert.Equal(t, got.outcome, "not-run")
 
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 
 	s.await("requests are answered again", func() bool {
 		return s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil).status == http.StatusOK
@@ -90,7 +90,7 @@
 func TestANewProcessStartsFromASnapshot(t *testing.T) {
 	s := startStory(t, twoHalls())
 	s.await("a snapshot is in the log", func() bool { return len(s.cluster.Platform.Log.Peek("snapshots", 0, 1)) > 0 })
-	s.cluster.Platform.Log.Expire("fleet", s.cluster.Snapshotted())
+	s.cluster.Platform.Log.Expire("fleet", s.cluster.NewestSnapshotOffset())
 	for _, node := range s.cluster.Nodes {
 		assert.NilError(t, s.cluster.KillEntry(node))
 		assert.NilError(t, s.cluster.StopKeeper(node))
@@ -127,8 +127,8 @@
 	load := startCallers(s.cluster, storyCallers)
 	dropped := s.firstBox()
 	info, _ := s.run.observer.present().Box(dropped)
-	s.cluster.Platform.Remove(dropped)
-	s.cluster.Platform.Remove(s.cluster.Nodes[0].Name)
+	s.cluster.Platform.RemoveBox(dropped)
+	s.cluster.Platform.RemoveBox(s.cluster.Nodes[0].Name)
 
 	s.await("the box is replaced", func() bool {
 		box, _ := s.run.observer.present().Box(dropped)
@@ -136,7 +136,7 @@
 	})
 	s.run.wait(context.Background(), longerThanTheLease)
 	assert.Assert(t, s.holds(0) > 0, "a living entry lost its boxes")
-	s.cluster.Platform.Put(wire.ListedBox{Info: info.Info})
+	s.cluster.Platform.PutBox(wire.ListedBox{Info: info.Info})
 	s.await("the box is up again", func() bool {
 		box, _ := s.run.observer.present().Box(dropped)
 		return box.Health == wire.HealthUp
@@ -161,13 +161,13 @@
 	for _, box := range s.run.observer.present().Boxes() {
 		if box.Info.Rack == lost.Info.Rack {
 			s.cluster.Endpoints[box.Info.Name].SetFault(standin.FaultRefuse)
-			s.cluster.Platform.Remove(box.Info.Name)
+			s.cluster.Platform.RemoveBox(box.Info.Name)
 		}
 	}
 
 	s.await("the others are maintained and the pool is formed", func() bool { return s.run.observer.due() == 0 && s.run.observer.formed() })
 
 	load.stop()
-	overlaps, cut, _ := s.cluster.Book.Harm()
+	overlaps, cut, _ := s.cluster.Book.Violations()
 	assert.Equal(t, overlaps+cut, 0)
 }
