--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -25,7 +25,7 @@
 	idleInterval  = time.Second            // The same while both are empty.
 	inboxCapacity = 256
 	// appendIntervalPerEntry, times the number of entries, is the time between two
-	// appends of one entry. All entries together thus leave most of the log's append
+	// appends of one entry. So all entries together leave most of the log's append
 	// rate to other processes.
 	appendIntervalPerEntry = 20 * time.Millisecond
 	maxAppendInterval      = 2 * time.Second
--- a/pkg/fold/budget.go
+++ b/pkg/fold/budget.go
@@ -9,9 +9,9 @@
 )
 
 // checkDrain returns an error if a box may not be drained. The budget of its pool
-// must hold without the box: no more boxes may be down than the table allows, and
-// even if the rack with the most slots failed as well, every service must have its
-// floor and its spare slots. Boxes in the free pool have no budget.
+// must hold without the box. No more boxes may be down than the table allows, and
+// every service must have its floor and its spare slots even if the rack with the
+// most slots failed as well. Boxes in the free pool have no budget.
 func (s State) checkDrain(box Box, target string, maintain bool, logTimeMs int) error {
 	if box.Phase != Serving {
 		return refuse("box %s is %s already", box.Info.Name, box.Phase)
@@ -123,8 +123,8 @@
 	return timeOfDay >= window.From || timeOfDay < window.To
 }
 
-// WithDrain returns the state after a drain of a box, if the drain were the next
-// proposal to be applied, or the error with which it would be refused. The
+// WithDrain returns the state that would result if a drain of a box were the next
+// proposal to be applied, or the error with which the drain would be refused. The
 // planner tries out drains with it.
 func (s State) WithDrain(name, target string, maintain bool) (State, error) {
 	box, known := s.Box(name)
--- a/pkg/fold/release.go
+++ b/pkg/fold/release.go
@@ -39,8 +39,8 @@
 }
 
 // checkRelease returns an error unless the keeper that proposes the release is a
-// member and may know, in the way that the release names, that the sender no
-// longer sends:
+// member and may know that the sender no longer sends. The release names one of
+// these ways to know it:
 //   - By time: a member of the sender's zone, which the sender knew, has waited
 //     until the lease and every extension that it granted have run out.
 //   - By its end: the keeper on the sender's node has seen the entry exit.
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -16,8 +16,9 @@
 // them. The search models a network partition, in any direction, by reads or requests that don't happen,
 // and a suspended process by one that does nothing for a time.
 
-// bounds limit the search: a lease's duration, the clock drift and the end of the search, all in ticks,
-// the number of renewals that the sender issues, and the number of restarts of each keeper.
+// bounds limit the search. The duration of a lease, the clock drift and the end of the search (horizon)
+// are in ticks. The others are the number of renewals that the sender issues and the number of restarts
+// of each keeper.
 type bounds struct {
 	duration, drift, horizon, renewals, restarts int
 }
--- a/pkg/ownership/handover.go
+++ b/pkg/ownership/handover.go
@@ -42,9 +42,9 @@
 	o.startClaimAppend(claim.CellClaim)
 }
 
-// findMisplaced returns the claim of a cell that this node owns and the member that should own the
-// cell instead, because this node's load per weight is at least minHandOverRatio times that of the
-// member. It returns false if there is no such cell.
+// findMisplaced returns the claim of a cell that this node owns, and the member that should own the
+// cell instead. This node's load per weight is then at least minHandOverRatio times the member's.
+// findMisplaced returns false if there is no such cell.
 func (o *Ownership) findMisplaced() (Claim, Member, bool) {
 	s := &o.state
 	if !slices.ContainsFunc(s.cells, func(cell string) bool { return s.claims[cell].HeldBy(o.options.Self) }) {
--- a/pkg/ownership/peers.go
+++ b/pkg/ownership/peers.go
@@ -55,7 +55,8 @@
 }
 
 // handlePeerClaims adopts the newer claims from another node's reply, if the store has confirmed them
-// lately. They are as valid as claims read from the store, but don't confirm this node's own claims.
+// within maxClaimsAge. They are as valid as claims read from the store, but don't confirm this node's
+// own claims.
 func (o *Ownership) handlePeerClaims(m peerClaimsReceived) {
 	s := &o.state
 	s.fetchPending = false
--- a/pkg/ownership/proof.go
+++ b/pkg/ownership/proof.go
@@ -13,8 +13,8 @@
 )
 
 // Times of the health checks of owners. The list of members alone doesn't show whether an owner is
-// alive. It may lack members, it shows a new incarnation only after the earlier one has been dropped,
-// and it still shows a node for a second after the node has gone silent.
+// alive. It may lack members, and it shows a new incarnation only after the earlier one has been
+// dropped. It also still shows a node for a second after the node has gone silent.
 const (
 	// checkInterval is the time between two health checks of an owner.
 	checkInterval = tickInterval
@@ -27,8 +27,8 @@
 	maxStoreAge = joinInterval + callTimeout
 )
 
-// ownerHealth is what this node knows of an incarnation of an owner besides what the list of members
-// shows.
+// ownerHealth is what this node knows of an incarnation of an owner from health checks and from the
+// owner's streams.
 type ownerHealth struct {
 	incarnation int
 	evidence    liveness.Evidence
--- a/pkg/ownership/state.go
+++ b/pkg/ownership/state.go
@@ -7,7 +7,7 @@
 )
 
 // state is the state of run. A field whose name ends in Pending is set while a call of that kind is under
-// way, and one whose name ends in SentAt is when the newest call of that kind was sent.
+// way. A field whose name ends in SentAt holds when the newest call of that kind was sent.
 type state struct {
 	// cells are the names of the cells that need an owner.
 	cells []string
--- a/pkg/plan/shelf.go
+++ b/pkg/plan/shelf.go
@@ -51,9 +51,9 @@
 
 // prefersRack reports whether a box from one rack suits a pool better than a box from
 // another. Racks in which the pool has fewer slots than slotLimit come first.
-// Among these the pool takes from the rack with the most free boxes, so that racks
-// with few of them are left to pools that need just those racks. Among the others
-// it takes from the rack in which it has the fewest slots. Further ties go to the
+// Among these the pool takes from the rack with the most free boxes: racks with few
+// free boxes are left to pools that need just those racks. Among the others it
+// takes from the rack in which it has the fewest slots. Further ties go to the
 // rack, and then to the zone, in which the pool has the fewest slots.
 func (f *freeBoxes) prefersRack(pool *poolCount, slotLimit, rack, other int) bool {
 	below, otherBelow := pool.rackSlots[rack] < slotLimit, pool.rackSlots[other] < slotLimit
