--- a/pkg/ownership/peers.go
+++ b/pkg/ownership/peers.go
@@ -11,8 +11,8 @@
 )
 
 // maxClaimsAge is the age of the claims above which a node asks other nodes for newer ones, and the
-// largest age at which it accepts theirs. A read that waits a second for new records is answered
-// every second.
+// largest age at which it accepts theirs. A read that waits a second for new records is answered at
+// least every second, so the claims are usually younger.
 const maxClaimsAge = 1500 * time.Millisecond
 
 // fetchPeerClaims starts to fetch the claims from another node, a different one each time. A node that
@@ -36,7 +36,7 @@
 	})
 }
 
-// peerAddresses returns the addresses of all other members and owners, in order.
+// peerAddresses returns the addresses of all other members and owners, sorted.
 func (o *Ownership) peerAddresses() []string {
 	var addresses []string
 	add := func(address string) {
@@ -55,7 +55,8 @@
 }
 
 // handlePeerClaims adopts the newer claims from another node's reply, if the store has confirmed them
-// lately. They are as valid as claims read from the store, but don't confirm this node's own claims.
+// within maxClaimsAge. They are as valid as claims read from the store, but don't confirm this node's
+// own claims.
 func (o *Ownership) handlePeerClaims(m peerClaimsReceived) {
 	s := &o.state
 	s.fetchPending = false
