--- a/pkg/process/crash_test.go
+++ b/pkg/process/crash_test.go
@@ -10,32 +10,33 @@
 	"damsonwinch/platform/standin"
 )
 
-// mostCrashingStarts is how often a task may be started that crashes each endpoint: three
-// times until that many have crashed, and fewer than three times more.
-const mostCrashingStarts = 5
+// maxCrashingStarts is how often a task may be started that crashes every endpoint on which it
+// starts: three times until three endpoints have crashed, and then less than three times more.
+const maxCrashingStarts = 5
 
-// TestACrashingTaskIsGivenUp on whole nodes, as TestTasksThatCrashTheirEndpointsAreGivenUp
-// of pkg/cell tells it: its job ends as failed, and those beside it are done.
-func TestACrashingTaskIsGivenUp(t *testing.T) {
-	newStory(t, 2).crashingTask()
+// TestTaskThatCrashesItsEndpointsIsGivenUp checks on whole nodes what
+// TestTasksThatCrashTheirEndpointsAreGivenUp of pkg/cell checks in a simulation: the job of the task
+// fails, and all other jobs are completed.
+func TestTaskThatCrashesItsEndpointsIsGivenUp(t *testing.T) {
+	newCluster(t, 2).checkCrashingTaskIsGivenUp()
 }
 
-// crashingTask hands a job in with a task that crashes each endpoint that starts it, and sees it
-// given up.
-func (s *story) crashingTask() {
-	t := s.t
+// checkCrashingTaskIsGivenUp submits six jobs, and one with a task that crashes each endpoint that
+// starts it. That job has to fail, and the six others have to be completed.
+func (c *testCluster) checkCrashingTaskIsGivenUp() {
+	t := c.t
 	t.Helper()
 	for number := range 6 {
-		s.submit(id(number), standin.Work{Ms: 300}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 300})
+		c.submit(jobID(number), standin.Work{Ms: 300}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 300})
 	}
-	s.submit(id(10), standin.Work{Ms: 500, CrashMs: 10}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 500})
-	s.until("it is given up", func() bool {
-		assert.Assert(t, s.platform.CountStarts(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts, "its task is started again and again")
-		return s.state(id(10)) == "failed"
+	c.submit(jobID(10), standin.Work{Ms: 500, CrashMs: 10}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 500})
+	c.waitUntil("the crashing job has failed", func() bool {
+		assert.Assert(t, c.platform.CountStarts(jobID(10))[jobID(10)+".0.0.0"] <= maxCrashingStarts, "the crashing task is started too often")
+		return c.jobState(jobID(10)) == "failed"
 	})
 	for number := range 6 {
-		s.until("a job beside it is completed", func() bool { return s.state(id(number)) == "completed" })
+		c.waitUntil("the other job is completed", func() bool { return c.jobState(jobID(number)) == "completed" })
 	}
 	clockwork.NewRealClock().Sleep(time.Second)
-	assert.Assert(t, s.platform.CountStarts(id(10))[id(10)+".0.0.0"] <= mostCrashingStarts)
+	assert.Assert(t, c.platform.CountStarts(jobID(10))[jobID(10)+".0.0.0"] <= maxCrashingStarts)
 }
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -12,16 +12,16 @@
 
 // Entry is a running dw-entry.
 type Entry struct {
-	front      *front.Entry
+	entry      *front.Entry
 	platform   *platform.Client
-	debug      *debug
+	debug      *debugServer
 	Metrics    *metrics.Set
 	Invariants *invariant.Checker
 }
 
-// NewEntry starts an entry.
+// NewEntry starts an entry, which serves at the addresses of its settings when NewEntry returns.
 func NewEntry(config settings.Entry, env Env) (*Entry, error) {
-	empty, err := InitialState()
+	initialState, err := InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -29,42 +29,44 @@
 	if err != nil {
 		return nil, err
 	}
-	set, book := newSet(env)
+	set, checker := newMetrics(env)
 	client := platform.New(config.Platform, env.Dial)
 	started, err := front.New(front.Deps{
 		Settings: entryWithDefaults(config), Clock: env.Clock, Log: client, Dial: env.Dial,
 		Listener: listeners[0], HTTPListener: listeners[1],
-		Logger: env.Logger.WithField("entry", config.Node), Metrics: set, Invariants: book, InitialState: empty, Seed: env.Seed,
+		Logger: env.Logger.WithField("entry", config.Node), Metrics: set, Invariants: checker, InitialState: initialState, Seed: env.Seed,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &Entry{front: started, platform: client, debug: serveDebug(listeners[2], set), Metrics: set, Invariants: book}, nil
+	return &Entry{entry: started, platform: client, debug: serveDebug(listeners[2], set), Metrics: set, Invariants: checker}, nil
 }
 
 func entryWithDefaults(config settings.Entry) settings.Entry {
-	config.LeaseMs = orUsual(config.LeaseMs, usualLeaseMs)
-	config.RenewMs = orUsual(config.RenewMs, usualRenewMs)
-	config.StopMs = orUsual(config.StopMs, usualStopMs)
-	config.QueueKb = orUsual(config.QueueKb, usualQueueKb)
+	config.LeaseMs = orDefault(config.LeaseMs, defaultLeaseMs)
+	config.RenewMs = orDefault(config.RenewMs, defaultRenewMs)
+	config.StopMs = orDefault(config.StopMs, defaultStopMs)
+	config.QueueKb = orDefault(config.QueueKb, defaultQueueKB)
 	return config
 }
 
-// Stop ends the entry as planned; the context bounds it.
+// Stop shuts the entry down gracefully: the entry hands its boxes over and waits until no request
+// is in flight. When ctx ends, Stop closes the entry without waiting any longer.
 func (e *Entry) Stop(ctx context.Context) error {
-	err := e.front.Stop(ctx)
-	e.closeRest()
+	err := e.entry.Stop(ctx)
+	e.closePlatformAndDebug()
 	return err
 }
 
 // Close ends the entry at once and waits for its goroutines.
 func (e *Entry) Close() error {
-	err := e.front.Close()
-	e.closeRest()
+	err := e.entry.Close()
+	e.closePlatformAndDebug()
 	return err
 }
 
-func (e *Entry) closeRest() {
+// closePlatformAndDebug closes the client of the platform and the debug server.
+func (e *Entry) closePlatformAndDebug() {
 	e.platform.Close()
 	e.debug.close()
 }
--- a/pkg/process/keeper.go
+++ b/pkg/process/keeper.go
@@ -9,29 +9,30 @@
 	"damsonwinch/pkg/settings"
 )
 
-// Usual times of a deployment, where its settings name none.
+// Defaults of the settings of keepers and entries.
 const (
-	usualLeaseMs       = 12_000
-	usualDriftMs       = 500
-	usualRenewMs       = 4000
-	usualListMs        = 500
-	usualSnapshotEvery = 2000
-	usualStopMs        = 2000
-	usualQueueKb       = 32_768
+	defaultLeaseMs              = 12_000
+	defaultDriftMs              = 500
+	defaultRenewMs              = 4000
+	defaultListMs               = 500
+	defaultSnapshotEveryRecords = 2000
+	defaultStopMs               = 2000
+	defaultQueueKB              = 32_768
 )
 
 // Keeper is a running dw-keeper.
 type Keeper struct {
 	keeper     *keeper.Keeper
 	platform   *platform.Client
-	debug      *debug
+	debug      *debugServer
 	Metrics    *metrics.Set
 	Invariants *invariant.Checker
 }
 
-// NewKeeper starts a keeper.
+// NewKeeper starts a keeper, which serves at the addresses of its settings when NewKeeper
+// returns. Zero fields of options stand for the planner's defaults.
 func NewKeeper(config settings.Keeper, options plan.Options, env Env) (*Keeper, error) {
-	empty, err := InitialState()
+	initialState, err := InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -39,35 +40,36 @@
 	if err != nil {
 		return nil, err
 	}
-	set, book := newSet(env)
+	set, checker := newMetrics(env)
 	client := platform.New(config.Platform, env.Dial)
 	started, err := keeper.New(keeper.Deps{
 		Settings: keeperWithDefaults(config), Clock: env.Clock, Log: client, List: client, Boxes: client, Dial: env.Dial,
-		Listener: listeners[0], Logger: env.Logger.WithField("keeper", config.Node), Metrics: set, Invariants: book, InitialState: empty, PlanOptions: options,
+		Listener: listeners[0], Logger: env.Logger.WithField("keeper", config.Node), Metrics: set, Invariants: checker, InitialState: initialState, PlanOptions: options,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &Keeper{keeper: started, platform: client, debug: serveDebug(listeners[1], set), Metrics: set, Invariants: book}, nil
+	return &Keeper{keeper: started, platform: client, debug: serveDebug(listeners[1], set), Metrics: set, Invariants: checker}, nil
 }
 
 func keeperWithDefaults(config settings.Keeper) settings.Keeper {
-	config.LeaseMs = orUsual(config.LeaseMs, usualLeaseMs)
-	config.DriftMs = orUsual(config.DriftMs, usualDriftMs)
-	config.RenewMs = orUsual(config.RenewMs, usualRenewMs)
-	config.ListMs = orUsual(config.ListMs, usualListMs)
-	config.SnapshotEvery = orUsual(config.SnapshotEvery, usualSnapshotEvery)
+	config.LeaseMs = orDefault(config.LeaseMs, defaultLeaseMs)
+	config.DriftMs = orDefault(config.DriftMs, defaultDriftMs)
+	config.RenewMs = orDefault(config.RenewMs, defaultRenewMs)
+	config.ListMs = orDefault(config.ListMs, defaultListMs)
+	config.SnapshotEvery = orDefault(config.SnapshotEvery, defaultSnapshotEveryRecords)
 	return config
 }
 
-func orUsual(value, usual int) int {
+// orDefault returns a setting, or its default if the setting is 0.
+func orDefault(value, defaultValue int) int {
 	if value == 0 {
-		return usual
+		return defaultValue
 	}
 	return value
 }
 
-// Close stops the keeper and waits.
+// Close stops the keeper and waits for its goroutines.
 func (k *Keeper) Close() error {
 	err := k.keeper.Close()
 	k.platform.Close()
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -20,7 +20,7 @@
 	"damsonwinch/platform/standin"
 )
 
-// Keys of the customers of these stories.
+// Keys of the customers bakery and mill, and a key that no customer has.
 const (
 	bakeryKey    = "bakerysfirstkey00001"
 	bakeryNewKey = "bakerysnextkey000002"
@@ -34,229 +34,237 @@
 	oneTask  = standin.Phase{Count: 1, MilliCPU: 1000, EstimatedMs: 50}
 )
 
-// newKeyedStory returns nodes whose operator names two customers.
-func newKeyedStory(t *testing.T, nodes int) *story {
-	s := newStory(t, nodes)
-	s.client = s.client.WithKey(bakeryKey)
-	s.customers(2, []string{bakeryKey}, []string{millKey})
-	s.until("all nodes have the configuration", func() bool {
-		for number := range s.nodes {
-			if status := s.submitAt(number, s.client.WithKey(millKey), "probe", oneTask); status == http.StatusUnauthorized || status == 0 {
+// newClusterWithCustomers starts nodes with a configuration of two customers, bakery and mill. The
+// client of the cluster has the bakery's key.
+func newClusterWithCustomers(t *testing.T, nodes int) *testCluster {
+	c := newCluster(t, nodes)
+	c.client = c.client.WithKey(bakeryKey)
+	c.configureCustomers(2, []string{bakeryKey}, []string{millKey})
+	c.waitUntil("all nodes have the configuration", func() bool {
+		for number := range c.nodes {
+			if status := c.submitOnce(number, c.client.WithKey(millKey), "probe", oneTask); status == http.StatusUnauthorized || status == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	return s
+	return c
 }
 
-// customers puts a configuration with keys of two customers in force.
-func (s *story) customers(version int, bakery, mill []string) {
-	s.t.Helper()
-	s.platform.SetCustomers(standin.Customer{Name: "bakery", Keys: bakery}, standin.Customer{Name: "mill", Keys: mill})
-	assert.NilError(s.t, s.platform.PutConfiguration(version, payslips, notices))
+// configureCustomers writes a configuration with the given keys of the bakery and the mill.
+func (c *testCluster) configureCustomers(version int, bakeryKeys, millKeys []string) {
+	c.t.Helper()
+	c.platform.SetCustomers(standin.Customer{Name: "bakery", Keys: bakeryKeys}, standin.Customer{Name: "mill", Keys: millKeys})
+	assert.NilError(c.t, c.platform.PutConfiguration(version, payslips, notices))
 }
 
-// submitAt hands a job in at one node, once, and returns the answer's status, 0 for none.
-func (s *story) submitAt(number int, client *standin.Client, id string, phase standin.Phase) int {
-	status, err := client.Submit(context.Background(), s.configs[number].ClientAddress, testHost, testPrefix+id, standin.Work{Ms: 50}, phase)
+// submitOnce submits a job to one node without a retry. It returns the status of the response, or 0
+// if there was none.
+func (c *testCluster) submitOnce(number int, client *standin.Client, id string, phase standin.Phase) int {
+	status, err := client.Submit(context.Background(), c.configs[number].ClientAddress, testHost, testPrefix+id, standin.Work{Ms: 50}, phase)
 	if err != nil {
 		return 0
 	}
 	return status
 }
 
-// statusOf makes a call on a job at one node and returns the answer's status and body.
-func (s *story) statusOf(number int, client *standin.Client, method, path string) (int, string) {
-	s.t.Helper()
-	status, body, err := client.Do(context.Background(), method, s.configs[number].ClientAddress, testHost, path, nil)
-	assert.NilError(s.t, err)
+// callNode makes a client's call to one node and returns the status and the body of the response.
+func (c *testCluster) callNode(number int, client *standin.Client, method, path string) (int, string) {
+	c.t.Helper()
+	status, body, err := client.Do(context.Background(), method, c.configs[number].ClientAddress, testHost, path, nil)
+	assert.NilError(c.t, err)
 	return status, string(body)
 }
 
-// TestACallNeedsAKeyThatIsInForce at every node, whoever owns the cell. Without one nothing is
-// read of the job, and the answer doesn't tell what is wrong with the key.
-func TestACallNeedsAKeyThatIsInForce(t *testing.T) {
-	s := newKeyedStory(t, 3)
-	s.submit(id(0), standin.Work{Ms: 50}, oneTask)
-	for number := range s.nodes {
-		answers := map[string]bool{}
+// TestCallsWithoutValidKeyAreUnauthorized calls every node, whichever owns the cell. The response to
+// a call without a valid key is always the same: it reveals nothing about the job, nor what is wrong
+// with the key.
+func TestCallsWithoutValidKeyAreUnauthorized(t *testing.T) {
+	c := newClusterWithCustomers(t, 3)
+	c.submit(jobID(0), standin.Work{Ms: 50}, oneTask)
+	for number := range c.nodes {
+		responses := map[string]bool{}
 		for _, key := range []string{"", strangerKey, strings.Repeat("x", 5000), bakeryKey + "x", bakeryKey[1:]} {
-			client := s.client.WithKey(key)
+			client := c.client.WithKey(key)
 			for _, method := range []string{http.MethodGet, http.MethodDelete, http.MethodPost} {
-				status, body := s.statusOf(number, client, method, testPrefix+id(0))
+				status, body := c.callNode(number, client, method, testPrefix+jobID(0))
 				assert.Equal(t, status, http.StatusUnauthorized, "%s with %q", method, key)
-				answers[body] = true
+				responses[body] = true
 			}
-			status, _ := s.statusOf(number, client, http.MethodGet, testPrefix)
+			status, _ := c.callNode(number, client, http.MethodGet, testPrefix)
 			assert.Equal(t, status, http.StatusUnauthorized)
 		}
-		assert.Equal(t, len(answers), 1, "%v", answers)
-		assert.Equal(t, s.submitAt(number, s.client.WithKey(millKey), id(10+number), oneTask), http.StatusOK)
-		status, _ := s.statusOf(number, s.client.WithKey("x"), http.MethodGet, "/notices/"+id(0))
-		assert.Equal(t, status, http.StatusOK, "a public queue asks for none, whatever the header holds")
+		assert.Equal(t, len(responses), 1, "%v", responses)
+		assert.Equal(t, c.submitOnce(number, c.client.WithKey(millKey), jobID(10+number), oneTask), http.StatusOK)
+		status, _ := c.callNode(number, c.client.WithKey("x"), http.MethodGet, "/notices/"+jobID(0))
+		assert.Equal(t, status, http.StatusOK, "a public queue needs no key, and an unknown key is ignored there")
 	}
 }
 
-// TestAJobIsItsCustomers: another one's key doesn't see it, doesn't cancel it and doesn't get
-// its ID, and the answers are those on a job that nobody has handed in.
-func TestAJobIsItsCustomers(t *testing.T) {
-	s := newKeyedStory(t, 2)
-	s.submit(id(0), standin.Work{Ms: 1500}, oneTask)
-	mill := s.client.WithKey(millKey)
-	for number := range s.nodes {
+// TestJobIsHiddenFromOtherCustomers checks that another customer can neither show nor cancel a job
+// nor submit one under its ID. The responses are the same as for a job that was never submitted.
+func TestJobIsHiddenFromOtherCustomers(t *testing.T) {
+	c := newClusterWithCustomers(t, 2)
+	c.submit(jobID(0), standin.Work{Ms: 1500}, oneTask)
+	mill := c.client.WithKey(millKey)
+	for number := range c.nodes {
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
-			status, body := s.statusOf(number, mill, method, testPrefix+id(0))
-			unknown, unknownBody := s.statusOf(number, mill, method, testPrefix+id(99))
+			status, body := c.callNode(number, mill, method, testPrefix+jobID(0))
+			unknownStatus, unknownBody := c.callNode(number, mill, method, testPrefix+jobID(99))
 			assert.Equal(t, status, http.StatusGone, method)
-			assert.Equal(t, status, unknown)
+			assert.Equal(t, status, unknownStatus)
 			assert.Equal(t, body, unknownBody)
 		}
-		assert.Equal(t, s.submitAt(number, mill, id(0), oneTask), http.StatusServiceUnavailable)
+		assert.Equal(t, c.submitOnce(number, mill, jobID(0), oneTask), http.StatusServiceUnavailable)
 	}
-	s.until("it is completed", func() bool { return s.state(id(0)) == "completed" })
-	status, _ := s.statusOf(0, mill, http.MethodGet, testPrefix+id(0))
-	assert.Equal(t, status, http.StatusGone, "also once it has ended")
+	c.waitUntil("the job is completed", func() bool { return c.jobState(jobID(0)) == "completed" })
+	status, _ := c.callNode(0, mill, http.MethodGet, testPrefix+jobID(0))
+	assert.Equal(t, status, http.StatusGone, "the job is hidden after its end too")
 }
 
-// TestAKeyThatIsTakenAway: its calls are turned away, what it has handed in runs on, and the
-// customer's new key leads to it, also at the next owner of its cell.
-func TestAKeyThatIsTakenAway(t *testing.T) {
-	s := newKeyedStory(t, 3)
-	s.submit(id(0), standin.Work{Ms: 3000}, oneTask)
-	s.customers(3, []string{bakeryNewKey}, []string{millKey})
-	old := s.client
-	s.client = old.WithKey(bakeryNewKey)
-	s.until("the old key is turned away everywhere, and the new one isn't", func() bool {
-		for number := range s.nodes {
-			if status, _ := s.statusOf(number, old, http.MethodGet, testPrefix+id(0)); status != http.StatusUnauthorized {
+// TestRevokedKeyIsRejectedAndItsJobRunsOn replaces a customer's key. Calls with the old key are
+// rejected. The job that was submitted with it runs on, and the new key gives access to it, even
+// after another node has taken over its cell.
+func TestRevokedKeyIsRejectedAndItsJobRunsOn(t *testing.T) {
+	c := newClusterWithCustomers(t, 3)
+	c.submit(jobID(0), standin.Work{Ms: 3000}, oneTask)
+	c.configureCustomers(3, []string{bakeryNewKey}, []string{millKey})
+	oldClient := c.client
+	c.client = oldClient.WithKey(bakeryNewKey)
+	c.waitUntil("all nodes reject the old key and accept the new one", func() bool {
+		for number := range c.nodes {
+			if status, _ := c.callNode(number, oldClient, http.MethodGet, testPrefix+jobID(0)); status != http.StatusUnauthorized {
 				return false
 			}
-			if status, _ := s.statusOf(number, s.client, http.MethodGet, testPrefix+id(0)); status != http.StatusOK {
+			if status, _ := c.callNode(number, c.client, http.MethodGet, testPrefix+jobID(0)); status != http.StatusOK {
 				return false
 			}
 		}
 		return true
 	})
-	owner := s.ownerOf("runs")
-	s.kill(owner)
-	s.until("it is completed under the next owner", func() bool { return s.state(id(0)) == "completed" })
-	assert.Equal(t, s.platform.CountStarts(id(0))[id(0)+".0.0.0"], 1, "it has run on")
+	owner := c.cellOwner("runs")
+	c.killNode(owner)
+	c.waitUntil("the job is completed by the next owner", func() bool { return c.jobState(jobID(0)) == "completed" })
+	assert.Equal(t, c.platform.CountStarts(jobID(0))[jobID(0)+".0.0.0"], 1, "the task was not started again")
 
-	s.customers(4, nil, []string{millKey})
-	s.until("a customer without keys is turned away", func() bool {
-		status, _, err := s.client.State(context.Background(), s.address(0), testHost, testPrefix+id(0))
+	c.configureCustomers(4, nil, []string{millKey})
+	c.waitUntil("calls of a customer without keys are rejected", func() bool {
+		status, _, err := c.client.State(context.Background(), c.clientAddress(0), testHost, testPrefix+jobID(0))
 		return err == nil && status == http.StatusUnauthorized
 	})
 }
 
-// TestAForwardedCallBringsItsKey: the word of whoever calls a node's port isn't enough.
-func TestAForwardedCallBringsItsKey(t *testing.T) {
-	s := newKeyedStory(t, 1)
-	s.submit(id(0), standin.Work{Ms: 50}, oneTask)
-	peer := call.New(s.configs[0].CallAddress, s.dial, clockwork.NewRealClock())
+// TestForwardedCallIsAuthorizedByItsKey calls the port on which a node serves other nodes. The node
+// checks the digest of the customer's key, and does not trust the caller's statement of who the
+// customer is, whether the queue is public or which configuration is in force.
+func TestForwardedCallIsAuthorizedByItsKey(t *testing.T) {
+	c := newClusterWithCustomers(t, 1)
+	c.submit(jobID(0), standin.Work{Ms: 50}, oneTask)
+	peer := call.New(c.configs[0].CallAddress, c.dial, clockwork.NewRealClock())
 	defer peer.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), storyTime)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	for what, args := range map[string]wire.JobArgs{
-		"no key":                    {Customer: "bakery"},
-		"the digest of another one": {Customer: "bakery", Key: "AAAAAAAAAAAAAAAAAAAAAA"},
-		"no customer":               {},
-		"as if public":              {Customer: "bakery", Public: true},
-		"by a later configuration":  {Customer: "bakery", ConfigVersion: 99},
+	for name, args := range map[string]wire.JobArgs{
+		"no key":                {Customer: "bakery"},
+		"a wrong digest":        {Customer: "bakery", Key: "AAAAAAAAAAAAAAAAAAAAAA"},
+		"no customer":           {},
+		"marked as public":      {Customer: "bakery", Public: true},
+		"a later configuration": {Customer: "bakery", ConfigVersion: 99},
 	} {
-		args.Cell, args.Queue, args.Id = "runs", "payslips", id(0)
+		args.Cell, args.Queue, args.Id = "runs", "payslips", jobID(0)
 		for _, method := range []string{".Show", ".Cancel", ".Submit"} {
 			var reply wire.JobReply
 			args.Spec = &wire.JobSpec{Phases: []wire.Phase{{Count: 1}}}
 			assert.NilError(t, peer.Do(ctx, intake.ServiceName+method, args, &reply))
 			if args.ConfigVersion > 2 {
-				assert.Equal(t, reply.Outcome, wire.JobOutcomeRefused, "%s: %s", what, method)
+				assert.Equal(t, reply.Outcome, wire.JobOutcomeRefused, "%s: %s", name, method)
 				continue
 			}
-			assert.Equal(t, reply.Outcome, wire.JobOutcomeUnauthorized, "%s: %s", what, method)
+			assert.Equal(t, reply.Outcome, wire.JobOutcomeUnauthorized, "%s: %s", name, method)
 		}
 	}
 }
 
-// TestWithoutWordOfTheKeys a node goes on by what it knows, or refuses calls where it is told to.
-func TestWithoutWordOfTheKeys(t *testing.T) {
-	for name, closed := range map[string]bool{"goes on": false, "refuses": true} {
+// TestKeysDuringStoreOutage checks that a node that cannot confirm the configuration goes on accepting
+// the keys that it knows, or refuses calls if its settings say so.
+func TestKeysDuringStoreOutage(t *testing.T) {
+	for name, failClosed := range map[string]bool{"accepts known keys": false, "refuses": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory(t, 0)
-			s.keyTimeMs, s.closesWithoutWord = 700, closed
-			s.start(0)
-			s.client = s.client.WithKey(bakeryKey)
-			s.customers(2, []string{bakeryKey}, []string{millKey})
-			s.submit(id(0), standin.Work{Ms: 50}, oneTask)
-			s.platform.SetStoreFault(standin.FaultBusy)
+			c := newCluster(t, 0)
+			c.maxKeyAgeMs, c.revokeFailClosed = 700, failClosed
+			c.startNode(0)
+			c.client = c.client.WithKey(bakeryKey)
+			c.configureCustomers(2, []string{bakeryKey}, []string{millKey})
+			c.submit(jobID(0), standin.Work{Ms: 50}, oneTask)
+			c.platform.SetStoreFault(standin.FaultBusy)
 			want := http.StatusOK
-			if closed {
+			if failClosed {
 				want = http.StatusServiceUnavailable
 			}
-			s.until("it is so", func() bool {
-				status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
+			c.waitUntil("the call has the expected status", func() bool {
+				status, _ := c.callNode(0, c.client, http.MethodGet, testPrefix+jobID(0))
 				return status == want
 			})
 			clockwork.NewRealClock().Sleep(time.Second)
-			status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
+			status, _ := c.callNode(0, c.client, http.MethodGet, testPrefix+jobID(0))
 			assert.Equal(t, status, want)
-			s.platform.SetStoreFault(standin.FaultNone)
-			s.until("calls are taken again", func() bool {
-				status, _ := s.statusOf(0, s.client, http.MethodGet, testPrefix+id(0))
+			c.platform.SetStoreFault(standin.FaultNone)
+			c.waitUntil("calls are accepted again", func() bool {
+				status, _ := c.callNode(0, c.client, http.MethodGet, testPrefix+jobID(0))
 				return status == http.StatusOK
 			})
 		})
 	}
 }
 
-// output collects what nodes write.
-type output struct {
-	mutex sync.Mutex
-	text  bytes.Buffer
+// syncBuffer is a buffer that several goroutines may write to.
+type syncBuffer struct {
+	mutex  sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (o *output) Write(text []byte) (int, error) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.text.Write(text)
+func (b *syncBuffer) Write(text []byte) (int, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.buffer.Write(text)
 }
 
-func (o *output) String() string {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.text.String()
+func (b *syncBuffer) String() string {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.buffer.String()
 }
 
-// TestNoKeyIsTold in logs, counters, records or answers.
-func TestNoKeyIsTold(t *testing.T) {
-	s := newStory(t, 0)
-	logs := &output{}
-	s.logger = logrus.New()
-	s.logger.SetLevel(logrus.DebugLevel)
-	s.logger.SetOutput(logs)
+// TestOutputsContainNoKey checks that logs, counters, records of the store and responses contain no
+// customer's key.
+func TestOutputsContainNoKey(t *testing.T) {
+	c := newCluster(t, 0)
+	logs := &syncBuffer{}
+	c.logger = logrus.New()
+	c.logger.SetLevel(logrus.DebugLevel)
+	c.logger.SetOutput(logs)
 	for number := range 2 {
-		s.start(number)
+		c.startNode(number)
 	}
-	s.client = s.client.WithKey(bakeryKey)
-	s.customers(2, []string{bakeryKey, ""}, []string{millKey, bakeryNewKey})
-	s.submit(id(0), standin.Work{Ms: 50}, oneTask)
-	answers := &output{}
-	for number := range s.nodes {
+	c.client = c.client.WithKey(bakeryKey)
+	c.configureCustomers(2, []string{bakeryKey, ""}, []string{millKey, bakeryNewKey})
+	c.submit(jobID(0), standin.Work{Ms: 50}, oneTask)
+	responses := &syncBuffer{}
+	for number := range c.nodes {
 		for _, key := range []string{bakeryKey, millKey, strangerKey} {
 			for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
-				_, body := s.statusOf(number, s.client.WithKey(key), method, testPrefix+id(number))
-				_, _ = answers.Write([]byte(body))
+				_, body := c.callNode(number, c.client.WithKey(key), method, testPrefix+jobID(number))
+				_, _ = responses.Write([]byte(body))
 			}
 		}
 	}
-	// A configuration that can't be decoded, and a key of two customers.
-	s.platform.PutInvalidConfiguration(3, "bakery", bakeryKey)
-	s.customers(4, []string{bakeryKey, bakeryNewKey}, []string{millKey, bakeryNewKey})
-	s.until("that is logged", func() bool { return strings.Contains(logs.String(), "neither's") })
+	// A configuration that can't be decoded, and one in which two customers have the same key.
+	c.platform.PutInvalidConfiguration(3, "bakery", bakeryKey)
+	c.configureCustomers(4, []string{bakeryKey, bakeryNewKey}, []string{millKey, bakeryNewKey})
+	c.waitUntil("the shared key is logged as rejected", func() bool { return strings.Contains(logs.String(), "neither's") })
 	var counters string
-	for number := range s.nodes {
-		response, err := http.Get("http://" + s.configs[number].DebugAddress + "/debug/vars")
+	for number := range c.nodes {
+		response, err := http.Get("http://" + c.configs[number].DebugAddress + "/debug/vars")
 		assert.NilError(t, err)
 		text, err := io.ReadAll(response.Body)
 		assert.NilError(t, err)
@@ -264,10 +272,10 @@
 		counters += string(text)
 	}
 	assert.Assert(t, strings.Contains(counters, "calls_unauthorized"))
-	for where, text := range map[string]string{"logs": logs.String(), "counters": counters, "records": s.platform.Dump(), "answers": answers.String()} {
-		assert.Assert(t, text != "", where)
+	for source, text := range map[string]string{"logs": logs.String(), "counters": counters, "records": c.platform.Dump(), "answers": responses.String()} {
+		assert.Assert(t, text != "", source)
 		for _, key := range []string{bakeryKey, bakeryNewKey, millKey, strangerKey} {
-			assert.Assert(t, !strings.Contains(text, key), "%s hold the key %s", where, key)
+			assert.Assert(t, !strings.Contains(text, key), "%s contain the key %s", source, key)
 		}
 	}
 }
--- a/pkg/process/load.go
+++ b/pkg/process/load.go
@@ -11,38 +11,37 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// loadEvery is the time between two log lines on a node's load.
-const loadEvery = 5 * time.Second
+// loadReportInterval is the time between two log lines about a node's load.
+const loadReportInterval = 5 * time.Second
 
-// load tells in the log what has kept a node busy, so that an owner which can't keep up
-// is told from one that is cut off: the counters that have grown, and how late the node
-// itself ran.
-type load struct {
-	clock   damsonwinch.Clock
-	logger  logrus.FieldLogger
-	metrics *metrics.Set
-	before  map[string]int
-	used    time.Duration
+// loadReporter logs what has kept a node busy: the counters that have changed, the CPU time used
+// and how late the node's own timer was handled. The lines show whether an owner is overloaded
+// or cut off.
+type loadReporter struct {
+	clock        damsonwinch.Clock
+	logger       logrus.FieldLogger
+	metrics      *metrics.Set
+	lastCounters map[string]int // As of the last line.
+	lastCPUTime  time.Duration  // As of the last line.
 }
 
-// run writes a line now and then until the context ends.
-func (l *load) run(ctx context.Context) {
-	ticker := l.clock.NewTicker(loadEvery)
+// run writes a line every loadReportInterval until ctx ends.
+func (l *loadReporter) run(ctx context.Context) {
+	ticker := l.clock.NewTicker(loadReportInterval)
 	defer ticker.Stop()
-	l.before, l.used = l.metrics.Counters(), processorTime()
+	l.lastCounters, l.lastCPUTime = l.metrics.Counters(), cpuTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case due := <-ticker.Chan():
-			l.tell(l.clock.Since(due))
+			l.report(l.clock.Since(due))
 		}
 	}
 }
 
-// processorTime returns the processor time that the process has used, 0 where the system
-// doesn't tell.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that the process has used, or 0 if the system doesn't report it.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -50,17 +49,17 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// tell writes the line. Late is how long after its time the node got round to it.
-func (l *load) tell(late time.Duration) {
-	now := l.metrics.Counters()
-	used := processorTime()
-	fields := logrus.Fields{"late_ms": late.Milliseconds(), "processor_ms": (used - l.used).Milliseconds()}
-	l.used = used
-	for name, value := range now {
-		if grown := value - l.before[name]; grown != 0 {
-			fields[name] = grown
+// report writes a line. The delay is the time between the tick that was due and its handling.
+func (l *loadReporter) report(delay time.Duration) {
+	counters := l.metrics.Counters()
+	used := cpuTime()
+	fields := logrus.Fields{"late_ms": delay.Milliseconds(), "processor_ms": (used - l.lastCPUTime).Milliseconds()}
+	l.lastCPUTime = used
+	for name, value := range counters {
+		if change := value - l.lastCounters[name]; change != 0 {
+			fields[name] = change
 		}
 	}
-	l.before = now
+	l.lastCounters = counters
 	l.logger.WithFields(fields).Info("load")
 }
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -22,56 +22,59 @@
 	"damsonwinch/platform"
 )
 
-// Usual values of a node's settings, where they name none.
+// Defaults of a node's settings.
 const (
-	usualPartitions = 24
-	usualTTLMs      = 1000
-	usualCallBytes  = 2 << 20
+	defaultPartitions      = 24
+	defaultMembershipTTLMs = 1000
+	defaultMaxAppendBytes  = 2 << 20
 )
 
-// Times by which an owner decides that no setting gives.
+// Times of owners and of the planner that no setting changes. cell.Options and supply.Options
+// describe them.
 const (
-	// tokenGrace bounds how long an owner without the store prolongs leases.
-	tokenGrace = 5 * time.Second
-	// startLate bounds how late a start that was not answered may take effect.
-	startLate = 2500 * time.Millisecond
-	// commitGap makes what comes up within it share an append.
-	commitGap = 30 * time.Millisecond
-	lookWait  = 500 * time.Millisecond
-	idleLook  = 2 * time.Second
-	retryLook = 300 * time.Millisecond
-	// poolHold is how long a pool keeps boxes that it no longer needs. Two moves
-	// cost the users about six seconds of a box, the time on the way counted in.
-	poolHold = 1 * time.Second
+	// renewalGrace bounds how long an owner that cannot reach the store renews leases.
+	renewalGrace = 5 * time.Second
+	// maxStartDelay bounds how long after it was sent an unanswered start request may take
+	// effect.
+	maxStartDelay = 2500 * time.Millisecond
+	// minCommitInterval is the time between two appends. Changes within it share an append.
+	minCommitInterval = 30 * time.Millisecond
+	pollWait          = 500 * time.Millisecond
+	idlePollInterval  = 2 * time.Second
+	pollRetryInterval = 300 * time.Millisecond
+	// scaleDownDelay is how long a pool keeps boxes that it no longer needs. Moving a box
+	// away and back costs users about 6 s of the box, including the time that it is moving.
+	scaleDownDelay = 1 * time.Second
 )
 
-// clientIdleTime is how long a client's idle connection is kept.
-const clientIdleTime = 60 * time.Second
+// clientIdleTimeout is how long the server keeps an idle connection of a client open.
+const clientIdleTimeout = 60 * time.Second
 
 // Node is a running dw-node.
 type Node struct {
-	node    *node.Node
-	clients *http.Server
-	ready   *http.Server
-	debug   *debug
-	group   errgroup.Group
+	node         *node.Node
+	clientServer *http.Server
+	readyServer  *http.Server
+	debug        *debugServer
+	group        errgroup.Group
+	// closers close the clients of the platform's services.
 	closers []func()
-	// ctx ends with the node's own tasks.
+	// ctx ends the goroutine that reports the load.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// stopping makes the node call itself unready.
+	// stopping is set once a planned stop has begun. The node reports then that it is not ready.
 	stopping atomic.Bool
 	Metrics  *metrics.Set
 	env      Env
 }
 
-// NewNode starts a node.
+// NewNode starts a node, which serves at the addresses of its settings when NewNode returns.
 func NewNode(config settings.Node, env Env) (*Node, error) {
 	listeners, err := listenAll(config.CallAddress, config.ClientAddress, config.ReadyAddress, config.DebugAddress)
 	if err != nil {
 		return nil, err
 	}
-	set, _ := newSet(env)
+	set, _ := newMetrics(env)
 	deps := platform.Deps{Dial: env.Dial, Clock: env.Clock, Metrics: set}
 	store := platform.NewStore(config.Store, deps)
 	endpoints := platform.NewEndpoints(deps)
@@ -79,7 +82,7 @@
 	advice := platform.NewAdvisor(config.Advice, deps)
 	n := &Node{env: env, Metrics: set, closers: []func(){store.Close, endpoints.Close, fleet.Close, advice.Close}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	var clients atomic.Pointer[platform.ClientHandler]
+	var clientHandler atomic.Pointer[platform.ClientHandler]
 	running, err := node.New(node.Deps{
 		Platform: node.Platform{
 			Store: store, Endpoints: endpoints, Fleet: fleet, Advisor: advice,
@@ -88,9 +91,9 @@
 			WaveReport: platform.WaveReport,
 		},
 		Clock: env.Clock, SuspendedTime: env.SuspendedTime, Dial: env.Dial, Logger: env.Logger, Metrics: set, CallListener: listeners[0],
-		OnConfiguration: func(configuration damsonwinch.Configuration, book *customer.Index) {
-			if handler := clients.Load(); handler != nil {
-				handler.Configure(configuration, book)
+		OnConfiguration: func(configuration damsonwinch.Configuration, customers *customer.Index) {
+			if handler := clientHandler.Load(); handler != nil {
+				handler.Configure(configuration, customers)
 			}
 		},
 	}, nodeOptions(config, env))
@@ -99,63 +102,67 @@
 		return nil, err
 	}
 	n.node = running
-	handler := platform.NewClientHandler(running.JobService(), env.Clock, set, platform.ClientHandlerOptions{Logger: env.Logger, MaxKeyAge: keyTime(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
-	clients.Store(handler)
-	n.clients = n.serve(listeners[1], handler, env.Logger)
-	n.ready = n.serve(listeners[2], http.HandlerFunc(n.answerReady), env.Logger)
+	handler := platform.NewClientHandler(running.JobService(), env.Clock, set, platform.ClientHandlerOptions{Logger: env.Logger, MaxKeyAge: maxKeyAge(config.Bounds), ConfirmedAt: running.ConfigurationConfirmedAt})
+	clientHandler.Store(handler)
+	n.clientServer = n.serve(listeners[1], handler, env.Logger)
+	n.readyServer = n.serve(listeners[2], http.HandlerFunc(n.handleReady), env.Logger)
 	n.debug = serveDebug(listeners[3], set)
 	n.group.Go(func() error {
-		(&load{clock: env.Clock, logger: env.Logger, metrics: set}).run(n.ctx)
+		(&loadReporter{clock: env.Clock, logger: env.Logger, metrics: set}).run(n.ctx)
 		return nil
 	})
 	return n, nil
 }
 
-// keyTime is for how long customers' keys count without word of the configuration, 0 for any time.
-func keyTime(bounds settings.Bounds) time.Duration {
+// maxKeyAge returns how long customers' keys are accepted after the configuration was last
+// confirmed. With 0 they are accepted without a limit.
+func maxKeyAge(bounds settings.Bounds) time.Duration {
 	if !bounds.RevokeFailClosed {
 		return 0
 	}
 	return milliseconds(bounds.RevokeMs)
 }
 
+// decodeOperator decodes a record of the operator's stream for node.Platform.
 func decodeOperator(record damsonwinch.Record) (*damsonwinch.Configuration, *damsonwinch.Wave, error) {
 	decoded, err := platform.DecodeOperatorRecord(record)
 	return decoded.Configuration, decoded.Wave, err
 }
 
+// nodeOptions derives the options of a node from its settings. Its incarnation is the current
+// time in Unix milliseconds.
 func nodeOptions(config settings.Node, env Env) node.Options {
 	bounds := config.Bounds
 	return node.Options{
 		Self: ownership.Member{
-			Node: config.Node, Address: config.CallAddress, Weight: weightOf(config), Incarnation: int(env.Clock.Now().UnixMilli()),
+			Node: config.Node, Address: config.CallAddress, Weight: nodeWeight(config), Incarnation: int(env.Clock.Now().UnixMilli()),
 		},
 		CellOptions: cell.Options{
-			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: tokenGrace, MaxStartDelay: startLate, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: commitGap,
-			PollWait: lookWait, IdlePollInterval: idleLook, PollRetryInterval: retryLook, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
+			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: renewalGrace, MaxStartDelay: maxStartDelay, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: minCommitInterval,
+			PollWait: pollWait, IdlePollInterval: idlePollInterval, PollRetryInterval: pollRetryInterval, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
 			BoxLeadTime: seconds(bounds.MoveS) + supply.FirstTaskDelay,
 		},
 		Supply: supply.Options{
-			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: poolHold, TakeoverDelay: milliseconds(bounds.HolderMs),
+			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: scaleDownDelay, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
-		MembershipTTL:  milliseconds(orUsual(config.GroupTtlMs, usualTTLMs)),
-		Partitions:     orUsual(config.Partitions, usualPartitions),
-		MaxAppendBytes: orUsual(config.StoreCallBytes, usualCallBytes),
+		MembershipTTL:  milliseconds(orDefault(config.GroupTtlMs, defaultMembershipTTLMs)),
+		Partitions:     orDefault(config.Partitions, defaultPartitions),
+		MaxAppendBytes: orDefault(config.StoreCallBytes, defaultMaxAppendBytes),
 		FirstStart:     config.FirstStart,
 	}
 }
 
-// linkPerCore is the speed of a link, in Mbit/s, that goes with a whole core: what a core
-// can see to takes 25 for orders and records, and a takeover reads some 2 MB of what is
-// under way, which at 100 takes 0.2 s.
-const linkPerCore = 100
+// linkMbpsPerCore is the link speed in Mbit/s that a node needs to make use of one core. The
+// requests and records of the work that a core can manage take 25 Mbit/s. A takeover reads
+// about 2 MB of records of work in progress, which takes 0.2 s at 100 Mbit/s.
+const linkMbpsPerCore = 100
 
-// weightOf returns how much of the cells' work the node can carry beside others, in
-// thousandths of a core: its processor or its link binds.
-func weightOf(config settings.Node) int {
+// nodeWeight returns the node's weight for the assignment of cells, in thousandths of a core.
+// Whichever of its CPU share and its link allows less work determines the weight.
+func nodeWeight(config settings.Node) int {
 	share := config.CoreShare
 	if config.LinkMbps > 0 {
-		share = min(share, config.LinkMbps/linkPerCore)
+		share = min(share, config.LinkMbps/linkMbpsPerCore)
 	}
 	return max(1, int(share*1000))
 }
@@ -168,8 +175,9 @@
 	return time.Duration(count) * time.Millisecond
 }
 
+// serve starts an HTTP server and logs an error if it ends before it is closed.
 func (n *Node) serve(listener net.Listener, handler http.Handler, logger logrus.FieldLogger) *http.Server {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout}
 	n.group.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			logger.WithError(err).Error("listener ended")
@@ -179,7 +187,8 @@
 	return server
 }
 
-func (n *Node) answerReady(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers 200 if clients should be sent to this node, and else 503.
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if n.stopping.Load() || !n.node.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -187,27 +196,27 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Reload puts changed settings in force. Bounds count for the cells that the node
-// takes over from now on; names and addresses only at the next start.
+// Reload applies changed settings. Bounds apply to the cells that the node takes over from now
+// on. Names and addresses change only at the next start.
 func (n *Node) Reload(config settings.Node) {
 	n.node.Reload(nodeOptions(config, n.env))
 	n.env.Logger.WithField("node", config.Node).Info("settings reloaded; bounds hold for cells taken over from now on, addresses from the next start on")
 }
 
-// Stop ends the node as planned: others take its cells, calls in flight are
-// answered. The context bounds it.
+// Stop shuts the node down gracefully: other nodes take over its cells and calls in flight are
+// answered. When ctx ends, Stop closes the node without waiting any longer.
 func (n *Node) Stop(ctx context.Context) error {
 	n.stopping.Store(true)
 	n.node.Stop(ctx)
-	err := n.clients.Shutdown(ctx)
+	err := n.clientServer.Shutdown(ctx)
 	return errors.Join(err, n.Close())
 }
 
-// Close ends the node at once and waits for its goroutines.
+// Close ends the node at once, without handing over its cells, and waits for its goroutines.
 func (n *Node) Close() error {
 	n.cancel()
-	err := n.clients.Close()
-	err = errors.Join(err, n.ready.Close(), n.node.Close())
+	err := n.clientServer.Close()
+	err = errors.Join(err, n.readyServer.Close(), n.node.Close())
 	n.debug.close()
 	for _, closer := range n.closers {
 		closer()
--- a/pkg/process/node_bench_test.go
+++ b/pkg/process/node_bench_test.go
@@ -16,8 +16,8 @@
 	"damsonwinch/platform/standin"
 )
 
-// BenchmarkNode has one node start tasks on 200 boxes through the whole path. Run
-// it with -cpuprofile: the stand-in's part stands apart in the profile.
+// BenchmarkNode has one node start tasks on 200 boxes, from the client's call to the endpoints. A
+// profile with -cpuprofile shows the stand-in platform separately from the node.
 func BenchmarkNode(b *testing.B) {
 	const boxes, tasks = 200, 13
 	platform, err := standin.New(standin.Options{
@@ -28,7 +28,7 @@
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, platform.Close()) }()
 	assert.NilError(b, platform.PutConfiguration(1, standin.Queue{Name: "payslips", Host: testHost, PathPrefix: testPrefix, Pool: "runs", MaxAttempts: 3}))
-	node, address := benchNode(b, platform)
+	node, address := startBenchNode(b, platform)
 	defer func() { assert.NilError(b, node.Close()) }()
 	client := standin.NewClient()
 	work, phase := standin.Work{Ms: 300}, standin.Phase{Count: tasks, MilliCPU: 2000, MemoryMB: 1000, EstimatedMs: 300}
@@ -40,22 +40,23 @@
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			id := testPrefix + fmt.Sprintf("%016x", 1000+number.Add(1))
-			if _, err := client.Submit(context.Background(), address, testHost, id, work, phase); err != nil {
+			path := testPrefix + fmt.Sprintf("%016x", 1000+number.Add(1))
+			if _, err := client.Submit(context.Background(), address, testHost, path, work, phase); err != nil {
 				b.Error(err)
 				return
 			}
 			for state := ""; state != "completed"; clock.Sleep(200 * time.Millisecond) {
-				_, state, _ = client.State(context.Background(), address, testHost, id)
+				_, state, _ = client.State(context.Background(), address, testHost, path)
 			}
 		}
 	})
 	b.ReportMetric(tasks, "tasks/op")
 }
 
-func benchNode(b *testing.B, platform *standin.Platform) (*Node, string) {
-	story := &story{platform: platform}
-	config := story.config(b, 0)
+// startBenchNode starts a node and returns it with the address at which it serves clients.
+func startBenchNode(b *testing.B, platform *standin.Platform) (*Node, string) {
+	cluster := &testCluster{platform: platform}
+	config := cluster.nodeSettings(b, 0)
 	logger := logrus.New()
 	logger.SetLevel(logrus.ErrorLevel)
 	node, err := NewNode(config, Env{Clock: clockwork.NewRealClock(), Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Logger: logger, OnViolation: func(string, string) {}})
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -1,5 +1,5 @@
-// Package process joins the parts of each program: settings in, a running
-// process out.
+// Package process starts the processes of dw-node, dw-keeper and dw-entry: it builds all
+// components of a process from its settings.
 package process
 
 import (
@@ -21,22 +21,22 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Env is what a process finds around it.
+// Env is the environment of a process: what its settings do not describe.
 type Env struct {
 	Clock damsonwinch.Clock
-	// SuspendedTime tells of suspensions of the machine.
+	// SuspendedTime returns for how long the machine has been suspended. Only a Node uses it.
 	SuspendedTime damsonwinch.SuspendedTime
 	Dial          damsonwinch.Dial
 	Logger        logrus.FieldLogger
-	// OnViolation is called upon the first breach of each invariant.
+	// OnViolation is called upon the first violation of each invariant.
 	OnViolation func(name, detail string)
-	// Metrics holds the process's counters; nil for a set of its own.
+	// Metrics receives the counters of the process. If it is nil, the process creates a set.
 	Metrics *metrics.Set
-	// Seed starts the choices that chance makes.
+	// Seed is the seed of an Entry's random choices.
 	Seed uint64
 }
 
-// InitialState returns the state before the first record.
+// InitialState returns the state of the fleet before the first record of the log is applied.
 func InitialState() (fold.State, error) {
 	checker, err := check.New()
 	if err != nil {
@@ -45,26 +45,26 @@
 	return fold.New(table.New(checker)), nil
 }
 
-// debug serves a process's counters.
-type debug struct {
+// debugServer serves the counters of a process over HTTP at /debug/vars.
+type debugServer struct {
 	server *http.Server
 	group  errgroup.Group
 }
 
-func serveDebug(listener net.Listener, set *metrics.Set) *debug {
+func serveDebug(listener net.Listener, set *metrics.Set) *debugServer {
 	handler := http.NewServeMux()
 	handler.Handle("GET /debug/vars", set)
-	d := &debug{server: &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}}
+	d := &debugServer{server: &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}}
 	d.group.Go(func() error { return d.server.Serve(listener) })
 	return d
 }
 
-func (d *debug) close() {
+func (d *debugServer) close() {
 	_ = d.server.Close()
 	_ = d.group.Wait()
 }
 
-// listenAll opens a listener for each address, or none at all.
+// listenAll opens a TCP listener at each address. If one fails it closes those already open.
 func listenAll(addresses ...string) ([]net.Listener, error) {
 	listeners := make([]net.Listener, 0, len(addresses))
 	for _, address := range addresses {
@@ -80,13 +80,14 @@
 	return listeners, nil
 }
 
-// newSet returns a process's counters with its invariants among them.
-func newSet(env Env) (*metrics.Set, *invariant.Checker) {
+// newMetrics returns the metrics of a process, and a checker of invariants whose counters are
+// part of them.
+func newMetrics(env Env) (*metrics.Set, *invariant.Checker) {
 	set := env.Metrics
 	if set == nil {
 		set = metrics.New()
 	}
-	book := invariant.New(env.OnViolation)
-	set.Include("invariants", book.Counters())
-	return set, book
+	checker := invariant.New(env.OnViolation)
+	set.Include("invariants", checker.Counters())
+	return set, checker
 }
--- a/pkg/process/quota_test.go
+++ b/pkg/process/quota_test.go
@@ -11,42 +11,44 @@
 	"damsonwinch/platform/standin"
 )
 
-// quotes is a queue of another pool than that of the payslips.
+// quotes is a queue whose pool is not that of payslips.
 var quotes = standin.Queue{Name: "quotes", Host: testHost, PathPrefix: "/quotes/", Pool: "quotes", MaxAttempts: 3}
 
-// capped puts a configuration in force in which the bakery may have so many thousandths of a core
-// running, and the mill as much as it likes.
-func (s *story) capped(version, cpu int) {
-	s.t.Helper()
-	s.platform.SetCustomers(
-		standin.Customer{Name: "bakery", Keys: []string{bakeryKey}, MaxMilliCPU: cpu}, standin.Customer{Name: "mill", Keys: []string{millKey}},
+// setBakeryCap writes a configuration in which the bakery's running tasks may use the given number of
+// thousandths of a core, and those of the mill have no limit.
+func (c *testCluster) setBakeryCap(version, milliCPU int) {
+	c.t.Helper()
+	c.platform.SetCustomers(
+		standin.Customer{Name: "bakery", Keys: []string{bakeryKey}, MaxMilliCPU: milliCPU}, standin.Customer{Name: "mill", Keys: []string{millKey}},
 	)
-	assert.NilError(s.t, s.platform.PutConfiguration(version, payslips, quotes))
+	assert.NilError(c.t, c.platform.PutConfiguration(version, payslips, quotes))
 }
 
-// submitTo hands a job of two tasks of a core each in to a queue until it is accepted.
-func (s *story) submitTo(client *standin.Client, prefix, id, of string) {
-	s.t.Helper()
+// submitTwoTasks submits a job of two tasks, each of one core, to the queue with the given path prefix
+// until it is accepted. The platform counts the runs of the given customer.
+func (c *testCluster) submitTwoTasks(client *standin.Client, prefix, id, customer string) {
+	c.t.Helper()
 	try := 0
-	s.until("job "+id+" is accepted", func() bool {
+	c.waitUntil("job "+id+" is accepted", func() bool {
 		try++
-		status, err := client.Submit(s.t.Context(), s.address(try), testHost, prefix+id, standin.Work{Ms: 150, Customer: of}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 150})
+		status, err := client.Submit(c.t.Context(), c.clientAddress(try), testHost, prefix+id, standin.Work{Ms: 150, Customer: customer}, standin.Phase{Count: 2, MilliCPU: 1000, EstimatedMs: 150})
 		return err == nil && status == 200
 	})
 }
 
-func (s *story) completed(client *standin.Client, prefix, id string) bool {
-	_, state, err := client.State(s.t.Context(), s.address(0), testHost, prefix+id)
+// isCompleted reports whether a job is completed, by its queue's path prefix and its ID.
+func (c *testCluster) isCompleted(client *standin.Client, prefix, id string) bool {
+	_, state, err := client.State(c.t.Context(), c.clientAddress(0), testHost, prefix+id)
 	return err == nil && state == "completed"
 }
 
-// planner returns the number of the node that plans for the fleet and deals the caps.
-func (s *story) planner() int {
-	s.t.Helper()
+// plannerNode returns the index of the node that plans for the fleet and allocates the caps.
+func (c *testCluster) plannerNode() int {
+	c.t.Helper()
 	found := -1
-	s.until("a node plans", func() bool {
-		for number, node := range s.nodes {
-			if claim := node.node.View().Claims["@fleet"]; !s.closed[number] && claim.Node == s.configs[number].Node {
+	c.waitUntil("a node plans for the fleet", func() bool {
+		for number, node := range c.nodes {
+			if claim := node.node.View().Claims["@fleet"]; !c.closed[number] && claim.Node == c.configs[number].Node {
 				found = number
 			}
 		}
@@ -55,47 +57,47 @@
 	return found
 }
 
-// TestACustomerStaysUnderItsCap with work in two pools whose owners share no state, on whole nodes,
-// while the node that deals its cap and then others are killed. What it may have running it has;
-// another customer is not held back. A cap that rises is used, one that falls holds from the next
-// starts on.
-func TestACustomerStaysUnderItsCap(t *testing.T) {
-	s := newStory(t, 3)
-	bakery, mill := s.client.WithKey(bakeryKey), s.client.WithKey(millKey)
-	const cap, jobs = 3, 24
-	s.capped(2, cap*1000)
-	hand := func(from int) {
-		for number := from; number < from+jobs; number++ {
+// TestCustomerStaysUnderItsCap gives a customer work in two pools whose owners share no state. The node
+// that allocates the customer's cap is killed, and then an owner. The customer never exceeds its cap
+// and uses all of it, and another customer is not delayed. A raised cap is used, and a lowered cap
+// applies to all tasks that start from then on.
+func TestCustomerStaysUnderItsCap(t *testing.T) {
+	c := newCluster(t, 3)
+	bakery, mill := c.client.WithKey(bakeryKey), c.client.WithKey(millKey)
+	const capCores, jobs = 3, 24
+	c.setBakeryCap(2, capCores*1000)
+	submitJobs := func(first int) {
+		for number := first; number < first+jobs; number++ {
 			prefix := []string{testPrefix, quotes.PathPrefix}[number%2]
-			s.submitTo(bakery, prefix, id(number), "bakery")
+			c.submitTwoTasks(bakery, prefix, jobID(number), "bakery")
 		}
 	}
-	done := func(from int) {
-		for number := from; number < from+jobs; number++ {
+	awaitJobs := func(first int) {
+		for number := first; number < first+jobs; number++ {
 			prefix := []string{testPrefix, quotes.PathPrefix}[number%2]
-			s.until(fmt.Sprintf("job %d is completed", number), func() bool { return s.completed(bakery, prefix, id(number)) })
+			c.waitUntil(fmt.Sprintf("job %d is completed", number), func() bool { return c.isCompleted(bakery, prefix, jobID(number)) })
 		}
 	}
-	hand(0)
-	s.submitTo(mill, testPrefix, id(1000), "mill")
-	s.until("the mill's job is completed", func() bool { return s.completed(mill, testPrefix, id(1000)) })
-	s.kill(s.planner())
+	submitJobs(0)
+	c.submitTwoTasks(mill, testPrefix, jobID(1000), "mill")
+	c.waitUntil("the mill's job is completed", func() bool { return c.isCompleted(mill, testPrefix, jobID(1000)) })
+	c.killNode(c.plannerNode())
 	clockwork.NewRealClock().Sleep(300 * time.Millisecond)
-	if owner := s.ownerOf("runs"); owner >= 0 {
-		s.kill(owner)
+	if owner := c.cellOwner("runs"); owner >= 0 {
+		c.killNode(owner)
 	}
-	done(0)
-	assert.Equal(t, s.platform.PeakRuns("bakery"), cap)
+	awaitJobs(0)
+	assert.Equal(t, c.platform.PeakRuns("bakery"), capCores)
 
-	s.capped(3, 2*cap*1000)
-	hand(100)
-	done(100)
-	assert.Equal(t, s.platform.PeakRuns("bakery"), 2*cap)
+	c.setBakeryCap(3, 2*capCores*1000)
+	submitJobs(100)
+	awaitJobs(100)
+	assert.Equal(t, c.platform.PeakRuns("bakery"), 2*capCores)
 
-	s.capped(4, 1000)
+	c.setBakeryCap(4, 1000)
 	clockwork.NewRealClock().Sleep(2 * time.Second)
-	s.platform.PeakRuns("bakery")
-	hand(200)
-	done(200)
-	assert.Equal(t, s.platform.PeakRuns("bakery"), 1)
+	c.platform.PeakRuns("bakery")
+	submitJobs(200)
+	awaitJobs(200)
+	assert.Equal(t, c.platform.PeakRuns("bakery"), 1)
 }
--- a/pkg/process/shard_test.go
+++ b/pkg/process/shard_test.go
@@ -11,61 +11,62 @@
 	"damsonwinch/platform/standin"
 )
 
-// weakNodes starts so many nodes that none of them can carry a pool alone.
-func weakNodes(t *testing.T, nodes int) *story {
-	s := newStory(t, 0)
-	s.coreShare = 0.004
+// newClusterOfWeakNodes starts nodes with so little CPU that the pools are sharded into several cells.
+func newClusterOfWeakNodes(t *testing.T, nodes int) *testCluster {
+	c := newCluster(t, 0)
+	c.coreShare = 0.004
 	for number := range nodes {
-		s.start(number)
+		c.startNode(number)
 	}
-	return s
+	return c
 }
 
-// TestAPoolIsCutIntoCells where its owner would have too much to do: jobs run through all
-// of them, are found from any node, and the lasting one goes on when its owner is killed.
-func TestAPoolIsCutIntoCells(t *testing.T) {
-	s := weakNodes(t, 4)
-	s.submit(id(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
+// TestPoolIsShardedIntoCells uses a pool with more work than one owner can manage. Its jobs are
+// spread over several cells, every node finds them, and a long-running job runs on after the owner of
+// its cell was killed.
+func TestPoolIsShardedIntoCells(t *testing.T) {
+	c := newClusterOfWeakNodes(t, 4)
+	c.submit(jobID(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MayMiss: 1, MaxPerBox: 1})
 	for number := 1; number <= 12; number++ {
-		s.submit(id(number), standin.Work{Ms: 100}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 100}, standin.Phase{Count: 1, DependsOn: []int{0}})
+		c.submit(jobID(number), standin.Work{Ms: 100}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 100}, standin.Phase{Count: 1, DependsOn: []int{0}})
 	}
-	first, second := s.ownerOf("runs"), s.ownerOf("runs@1")
+	first, second := c.cellOwner("runs"), c.cellOwner("runs@1")
 	assert.Assert(t, first >= 0 && second >= 0 && first != second, "owners %d and %d", first, second)
 	for number := 1; number <= 12; number++ {
-		s.until("job is completed", func() bool { return s.state(id(number)) == "completed" })
+		c.waitUntil("the job is completed", func() bool { return c.jobState(jobID(number)) == "completed" })
 	}
-	s.until("the lasting job runs", func() bool { return len(s.platform.CountRuns(id(0))) == 2 })
+	c.waitUntil("the long-running job runs", func() bool { return len(c.platform.CountRuns(jobID(0))) == 2 })
 
-	s.kill(first)
-	s.until("another node has the cell", func() bool { owner := s.ownerOf("runs"); return owner >= 0 && owner != first })
-	s.until("the lasting job is known", func() bool { return s.state(id(0)) == "running" })
-	s.submit(id(50), standin.Work{Ms: 20}, standin.Phase{Count: 1})
-	s.until("job is completed", func() bool { return s.state(id(50)) == "completed" })
-	ctx, cancel := context.WithTimeout(t.Context(), storyTime)
+	c.killNode(first)
+	c.waitUntil("another node owns the cell", func() bool { owner := c.cellOwner("runs"); return owner >= 0 && owner != first })
+	c.waitUntil("the long-running job is reported as running", func() bool { return c.jobState(jobID(0)) == "running" })
+	c.submit(jobID(50), standin.Work{Ms: 20}, standin.Phase{Count: 1})
+	c.waitUntil("the job is completed", func() bool { return c.jobState(jobID(50)) == "completed" })
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	s.until("the lasting job is cancelled", func() bool {
-		status, _, err := s.client.Do(ctx, http.MethodDelete, s.address(1), testHost, testPrefix+id(0), nil)
+	c.waitUntil("the long-running job is cancelled", func() bool {
+		status, _, err := c.client.Do(ctx, http.MethodDelete, c.clientAddress(1), testHost, testPrefix+jobID(0), nil)
 		return err == nil && status == http.StatusOK
 	})
-	s.until("nothing of it runs", func() bool { return len(s.platform.CountRuns(id(0))) == 0 })
+	c.waitUntil("no task of it runs", func() bool { return len(c.platform.CountRuns(jobID(0))) == 0 })
 }
 
-// TestAFleetThatIsKilledFindsItsCellsAgain by the layout that was decided at first, also
-// where one would be decided otherwise by then.
-func TestAFleetThatIsKilledFindsItsCellsAgain(t *testing.T) {
-	s := weakNodes(t, 4)
+// TestLayoutSurvivesRestartOfAllNodes kills all nodes and starts them again with more CPU. They keep
+// the number of cells that was decided first, although they would now decide on fewer.
+func TestLayoutSurvivesRestartOfAllNodes(t *testing.T) {
+	c := newClusterOfWeakNodes(t, 4)
 	for number := range 6 {
-		s.submit(id(number), standin.Work{Ms: int((2 * time.Second).Milliseconds())}, standin.Phase{Count: 1, MilliCPU: 500, EstimatedMs: 2000})
+		c.submit(jobID(number), standin.Work{Ms: int((2 * time.Second).Milliseconds())}, standin.Phase{Count: 1, MilliCPU: 500, EstimatedMs: 2000})
 	}
-	for number := range s.nodes {
-		s.kill(number)
+	for number := range c.nodes {
+		c.killNode(number)
 	}
-	s.coreShare = 1
-	for number := range s.nodes {
-		s.start(number)
+	c.coreShare = 1
+	for number := range c.nodes {
+		c.startNode(number)
 	}
 	for number := range 6 {
-		s.until("job is completed", func() bool { return s.state(id(number)) == "completed" })
+		c.waitUntil("the job is completed", func() bool { return c.jobState(jobID(number)) == "completed" })
 	}
-	assert.Assert(t, s.ownerOf("runs@1") >= 0, "the second cell has an owner")
+	assert.Assert(t, c.cellOwner("runs@1") >= 0, "the second cell has an owner")
 }
--- a/pkg/process/slow_link_test.go
+++ b/pkg/process/slow_link_test.go
@@ -16,35 +16,37 @@
 	"damsonwinch/platform/standin"
 )
 
-// slowLink dials connections on which so many bytes a second come in.
-func slowLink(dial damsonwinch.Dial, bytesPerSecond int) damsonwinch.Dial {
+// throttle returns a Dial whose connections receive at most the given number of bytes per second.
+func throttle(dial damsonwinch.Dial, bytesPerSecond int) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &slowConn{Conn: conn, share: max(1, bytesPerSecond/sharesPerSecond)}, nil
+		return &throttledConn{Conn: conn, bytesPerRead: max(1, bytesPerSecond/readsPerSecond)}, nil
 	}
 }
 
-// sharesPerSecond is how often in a second a share of a slow link's bytes comes.
-const sharesPerSecond = 50
+// readsPerSecond is the number of full reads of a throttledConn per second.
+const readsPerSecond = 50
 
-type slowConn struct {
+// throttledConn limits the size and the rate of its reads.
+type throttledConn struct {
 	net.Conn
-	share int
+	bytesPerRead int
 }
 
-func (c *slowConn) Read(into []byte) (int, error) {
-	read, err := c.Conn.Read(into[:min(len(into), c.share)])
-	if read == c.share {
-		clockwork.NewRealClock().Sleep(time.Second / sharesPerSecond)
+func (c *throttledConn) Read(buffer []byte) (int, error) {
+	read, err := c.Conn.Read(buffer[:min(len(buffer), c.bytesPerRead)])
+	if read == c.bytesPerRead {
+		clockwork.NewRealClock().Sleep(time.Second / readsPerSecond)
 	}
 	return read, err
 }
 
-// manyQueues returns a queue by a name, and as many others.
-func manyQueues(name, prefix string, others int) []standin.Queue {
+// queuesWithOthers returns a queue with the given name and path prefix, and the given number of other
+// queues.
+func queuesWithOthers(name, prefix string, others int) []standin.Queue {
 	queues := []standin.Queue{{Name: name, Host: testHost, PathPrefix: prefix, Pool: "runs", MaxAttempts: 3}}
 	for number := range others {
 		queues = append(queues, standin.Queue{
@@ -54,49 +56,49 @@
 	return queues
 }
 
-// The operator's configuration had grown by 1,400 queues three times. On most nodes, those
-// with the slowest links, the newest one never came into force, and minutes later clients
-// were still served by a queue that it had dropped.
+// The operator's configuration had grown by 1,400 queues three times. On the nodes with the slowest
+// links, which were most nodes, the newest version never came into force. Minutes later they still
+// served clients on a queue that it had removed.
 //
-// A reading was given so much time in all, however large its answer: 0.6 s beyond its wait,
-// and after a failure, when it doesn't wait, 0.6 s. The record needed longer than that on
-// a slow link, and each new reading began it anew. The links were full and the store had
-// refused nothing; the bytes that had come before each reading was broken off proved it.
-func TestALargeConfigurationComesThroughASlowLink(t *testing.T) {
-	s := newStory(t, 1)
+// A read of the store had a total timeout that did not depend on the size of its answer: 0.6 s more
+// than the requested wait, and 0.6 s after a failure, when a read doesn't wait. The record took longer
+// than that on a slow link, and each retry started again from its first byte. The links were saturated
+// and the store had refused nothing, as the bytes received before each timeout showed.
+func TestLargeConfigurationArrivesOverSlowLink(t *testing.T) {
+	c := newCluster(t, 1)
 	const bytesPerSecond = 200_000
-	s.dial = slowLink(s.dial, bytesPerSecond)
-	s.start(1)
-	s.until("the first configuration is in force", func() bool { return s.known(1, testPrefix) })
+	c.dial = throttle(c.dial, bytesPerSecond)
+	c.startNode(1)
+	c.waitUntil("the first configuration is in force", func() bool { return c.servesQueue(1, testPrefix) })
 
-	// Some 600 KB, which take 3 s.
-	assert.NilError(t, s.platform.PutConfiguration(2, manyQueues("other", "/other/", 3000)...))
-	s.until("the new queue is known", func() bool { return s.known(1, "/other/") })
-	assert.Assert(t, !s.known(1, testPrefix), "the dropped queue is unknown")
+	// About 600 KB, which take 3 s.
+	assert.NilError(t, c.platform.PutConfiguration(2, queuesWithOthers("other", "/other/", 3000)...))
+	c.waitUntil("calls on the new queue are served", func() bool { return c.servesQueue(1, "/other/") })
+	assert.Assert(t, !c.servesQueue(1, testPrefix), "calls on the removed queue are rejected")
 }
 
-// known says whether a node takes calls on a queue.
-func (s *story) known(number int, prefix string) bool {
-	status, _, err := s.client.Do(context.Background(), http.MethodGet, s.address(number), testHost, prefix, nil)
+// servesQueue reports whether a node accepts calls on the queue with the given path prefix.
+func (c *testCluster) servesQueue(number int, prefix string) bool {
+	status, _, err := c.client.Do(context.Background(), http.MethodGet, c.clientAddress(number), testHost, prefix, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// A new owner whose link is slow reads the records of its cell page by page. A bound on
-// all pages together, or on one page of some 270 KB, kept it from ever having them.
-func TestACellIsTakenOverThroughASlowLink(t *testing.T) {
-	s := newStory(t, 1)
+// A new owner with a slow link reads the records of its cell page by page. With a timeout for all
+// pages together, or for one page of about 270 KB, it never finished reading them.
+func TestNodeWithSlowLinkTakesCellOver(t *testing.T) {
+	c := newCluster(t, 1)
 	const bytesPerSecond, jobs = 200_000, 120
 	var group errgroup.Group
 	for number := range jobs {
 		group.Go(func() error {
-			s.submit(id(number), standin.Work{Ms: 10, Padding: text(3900)}, standin.Phase{Count: 1, MilliCPU: 1000, LongRunning: true, MayMiss: 1})
+			c.submit(jobID(number), standin.Work{Ms: 10, Padding: textOfLength(3900)}, standin.Phase{Count: 1, MilliCPU: 1000, LongRunning: true, MayMiss: 1})
 			return nil
 		})
 	}
 	assert.NilError(t, group.Wait())
-	s.dial = slowLink(s.dial, bytesPerSecond)
-	s.start(1)
-	s.until("the first configuration is in force", func() bool { return s.known(1, testPrefix) })
-	s.kill(0)
-	s.until("the last job is known", func() bool { return s.state(id(jobs-1)) == "running" || s.state(id(jobs-1)) == "queued" })
+	c.dial = throttle(c.dial, bytesPerSecond)
+	c.startNode(1)
+	c.waitUntil("the first configuration is in force", func() bool { return c.servesQueue(1, testPrefix) })
+	c.killNode(0)
+	c.waitUntil("the new owner reports the last job", func() bool { return c.jobState(jobID(jobs-1)) == "running" || c.jobState(jobID(jobs-1)) == "queued" })
 }
