--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -14,55 +14,55 @@
 
 const testPool = "pool"
 
-// waitingAt returns an entry that has a waiting request and no box for it, and
-// where the request's answer goes. Another sender may have boxes of the pool.
-func waitingAt(hop bool, others ...route) (*Entry, chan grant) {
-	f := &Entry{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
-	f.loop = f.newLoop()
-	f.routes[testPool] = others
+// entryWithWaitingRequest returns an entry that has a waiting request and no box for it, and the channel
+// on which the request gets its grant. others are the routes to entries that have boxes of the pool.
+func entryWithWaitingRequest(forwarded bool, others ...route) (*Entry, chan grant) {
+	e := &Entry{deps: Deps{Clock: clockwork.NewFakeClock(), Metrics: metrics.New()}}
+	e.loopState = e.newLoopState()
+	e.routes[testPool] = others
 	reply := make(chan grant, 1)
 	item := queue.Item{ID: "r", Service: "s", Customer: "t", Size: 1}
-	f.jobs[item.ID] = &job{item: item, hop: hop, pool: testPool, reply: reply}
-	f.usage(item.Service).teams[item.Customer]++
-	f.queue(testPool).Push(item)
-	return f, reply
+	e.requests[item.ID] = &requestState{item: item, forwarded: forwarded, pool: testPool, reply: reply}
+	e.usage(item.Service).requestsByCustomer[item.Customer]++
+	e.queue(testPool).Push(item)
+	return e, reply
 }
 
-func another() route {
+func otherEntry() route {
 	return route{key: fold.SenderKey{Node: "other", Incarnation: 1}, address: "127.0.0.1:1", slots: 8}
 }
 
-// TestWaitingRequestsGoWhereTheBoxesWent: the entry's boxes were handed over
-// while requests waited for them.
-func TestWaitingRequestsGoWhereTheBoxesWent(t *testing.T) {
-	f, reply := waitingAt(false, another())
+// TestWaitingRequestsFollowHandedOverBoxes: the entry's boxes were handed over to another entry while a
+// request waited for them. The request is forwarded to that entry.
+func TestWaitingRequestsFollowHandedOverBoxes(t *testing.T) {
+	e, reply := entryWithWaitingRequest(false, otherEntry())
 
-	f.reroute()
+	e.reroute()
 
-	assert.Equal(t, (<-reply).forward, another().key)
-	assert.Equal(t, f.queue(testPool).Total(), 0)
-	assert.Equal(t, len(f.jobs)+len(f.usage("s").teams), 0)
+	assert.Equal(t, (<-reply).forwardTo, otherEntry().key)
+	assert.Equal(t, e.queue(testPool).Total(), 0)
+	assert.Equal(t, len(e.requests)+len(e.usage("s").requestsByCustomer), 0)
 }
 
-// TestARequestIsSentOnOnlyOnce: one that came from another entry goes back there,
-// not run.
-func TestARequestIsSentOnOnlyOnce(t *testing.T) {
-	f, reply := waitingAt(true, another())
+// TestForwardedRequestIsNotForwardedAgain: a request that another entry has forwarded is refused, so that
+// it goes back to that entry.
+func TestForwardedRequestIsNotForwardedAgain(t *testing.T) {
+	e, reply := entryWithWaitingRequest(true, otherEntry())
 
-	f.reroute()
+	e.reroute()
 
 	granted := <-reply
-	assert.Assert(t, granted.forward.IsNone())
+	assert.Assert(t, granted.forwardTo.IsNone())
 	assert.Equal(t, granted.refusal.status, http.StatusServiceUnavailable)
-	assert.Equal(t, f.queue(testPool).Total(), 0)
+	assert.Equal(t, e.queue(testPool).Total(), 0)
 }
 
-// TestWithoutAnotherSenderRequestsWait for a box to come back.
-func TestWithoutAnotherSenderRequestsWait(t *testing.T) {
-	f, reply := waitingAt(false)
+// TestRequestsWaitIfNoEntryHasBoxes: a request for a pool to which no entry can send stays in its queue.
+func TestRequestsWaitIfNoEntryHasBoxes(t *testing.T) {
+	e, reply := entryWithWaitingRequest(false)
 
-	f.reroute()
+	e.reroute()
 
 	assert.Equal(t, len(reply), 0)
-	assert.Equal(t, f.queue(testPool).Total(), 1)
+	assert.Equal(t, e.queue(testPool).Total(), 1)
 }
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -59,11 +59,11 @@
 	ServiceMs   int           `json:"service_ms"`
 	Cost        Cost          `json:"cost"`
 	Phases      []PhaseResult `json:"phases"`
-	Verdicts    []Verdict     `json:"goals"`
+	GoalResults []GoalResult  `json:"goals"`
 }
 
-// Verdict is one goal and what was measured.
-type Verdict struct {
+// GoalResult is one goal and what was measured.
+type GoalResult struct {
 	Goal     string  `json:"goal"`
 	Limit    float64 `json:"limit"`
 	Measured float64 `json:"measured"`
@@ -121,7 +121,7 @@
 	if err != nil {
 		return report, err
 	}
-	cluster, err := trial.StartFormed(ctx, user, options.Seed, options.Logger)
+	cluster, err := trial.StartReady(ctx, user, options.Seed, options.Logger)
 	if err != nil {
 		return report, err
 	}
@@ -144,13 +144,13 @@
 	}
 	say(options, "a direct call costs %.0f us of processor time, one through an entry %.2f times that", r.Cost.DirectUs, r.Cost.Ratio)
 	for _, load := range []int{100, 150, 200} {
-		for _, way := range []gateway{{"damsonwinch", cluster.Open()}, {"plain", []string{plain.address}}} {
+		for _, way := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
 			r.add(ctx, options, fmt.Sprintf("%d%%", load), way, load)
 		}
 	}
 	breakBoxes(cluster)
 	const light = 60
-	for _, way := range []gateway{{"damsonwinch", cluster.Open()}, {"plain", []string{plain.address}}} {
+	for _, way := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
 		r.add(ctx, options, "bad-boxes", way, light)
 	}
 	return ctx.Err()
@@ -215,7 +215,7 @@
 	if atLeast {
 		met = measured >= limit
 	}
-	r.Verdicts = append(r.Verdicts, Verdict{Goal: goal, Limit: limit, Measured: measured, Met: met})
+	r.GoalResults = append(r.GoalResults, GoalResult{Goal: goal, Limit: limit, Measured: measured, Met: met})
 }
 
 // phase returns damsonwinch's part of a phase.
--- a/pkg/planbench/month_test.go
+++ b/pkg/planbench/month_test.go
@@ -14,7 +14,7 @@
 // TestAMonthKeepsItsBudgetsAndBounds plays both users' months. The counts are
 // of decisions and don't depend on the machine.
 func TestAMonthKeepsItsBudgetsAndBounds(t *testing.T) {
-	for _, name := range trial.Users() {
+	for _, name := range trial.UserNames() {
 		t.Run(name, func(t *testing.T) {
 			boxes, table, err := UserFleet(name)
 			assert.NilError(t, err)
@@ -71,7 +71,7 @@
 
 // fleetOf returns a settled fleet of a size.
 func fleetOf(b *testing.B, boxes int) *bench {
-	sizes := TwoYears()
+	sizes := SizesInTwoYears()
 	sizes.Boxes, sizes.Pools = boxes, max(2, sizes.Pools*boxes/sizes.Boxes)
 	infos, table := LargeFleet(sizes)
 	made, err := newBench(plan.New)
