--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -18,107 +18,107 @@
 	"damsonwinch/pkg/wire"
 )
 
-// called is one line of the callers' book.
-type called struct {
+// clientResult is one line of the callers' book.
+type clientResult struct {
 	nonce      string
 	repeatable bool
 	outcome    wire.Outcome
 	status     int
-	// wrong says that an answer wasn't the one to this request's body.
-	wrong bool
-	// broken says that the connection ended without an answer.
-	broken bool
-	took   time.Duration
-	class  wire.Class
-	reason string
+	// wrongAnswer says that an answer wasn't the one to this request's body.
+	wrongAnswer bool
+	// noResponse says that the connection ended without an answer.
+	noResponse bool
+	latency    time.Duration
+	class      wire.Class
+	reason     string
 }
 
-// callers make requests and keep the book of what they were told.
-type callers struct {
-	cluster *Cluster
-	client  *http.Client
-	mutex   sync.Mutex
-	book    []called
-	cancel  context.CancelFunc
-	group   errgroup.Group
+// loadGenerator make requests and keep the book of what they were told.
+type loadGenerator struct {
+	cluster  *Cluster
+	client   *http.Client
+	mutex    sync.Mutex
+	recorded []clientResult
+	cancel   context.CancelFunc
+	group    errgroup.Group
 }
 
 const (
-	callerTimeout  = 40 * time.Second
-	callersIdle    = 64
-	mostWorkMs     = 25
-	pauseMs        = 10
-	padBytes       = 200
-	oneInKeyed     = 3
-	oneInUrgent    = 5
-	oneInSameDay   = 4
-	tradeDeadlines = 2500
+	clientTimeout    = 40 * time.Second
+	idleConnections  = 64
+	maxWorkMs        = 25
+	maxPauseMs       = 10
+	maxPadBytes      = 200
+	oneInKeyed       = 3
+	oneInUrgent      = 5
+	oneInSameDay     = 4
+	urgentDeadlineMs = 2500
 )
 
-func startCallers(c *Cluster, count int) *callers {
+func startLoad(cluster *Cluster, clients int) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	transport := &http.Transport{DialContext: c.Network.Dialer(callerHall), MaxIdleConnsPerHost: callersIdle}
-	made := &callers{cluster: c, client: &http.Client{Transport: transport, Timeout: callerTimeout}, cancel: cancel}
-	for number := range count {
-		made.group.Go(func() error {
-			made.call(ctx, number)
+	transport := &http.Transport{DialContext: cluster.Network.Dialer(clientZone), MaxIdleConnsPerHost: idleConnections}
+	g := &loadGenerator{cluster: cluster, client: &http.Client{Transport: transport, Timeout: clientTimeout}, cancel: cancel}
+	for number := range clients {
+		g.group.Go(func() error {
+			g.runClient(ctx, number)
 			return nil
 		})
 	}
-	return made
+	return g
 }
 
 // stop ends the load and waits for the last answers.
-func (c *callers) stop() {
+func (c *loadGenerator) stop() {
 	c.cancel()
 	_ = c.group.Wait()
 	c.client.CloseIdleConnections()
 }
 
-// call is one caller's life: a request, a pause, and so on. A request that has
+// runClient is one caller's life: a request, a pause, and so on. A request that has
 // begun is always waited for.
-func (c *callers) call(ctx context.Context, number int) {
+func (c *loadGenerator) runClient(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(c.cluster.Seed, uint64(number)))
 	for count := 0; ctx.Err() == nil; count++ {
-		line := c.one(random, fmt.Sprintf("%d-%d-%d", c.cluster.Seed, number, count))
+		result := c.sendRandom(random, fmt.Sprintf("%d-%d-%d", c.cluster.Seed, number, count))
 		c.mutex.Lock()
-		c.book = append(c.book, line)
+		c.recorded = append(c.recorded, result)
 		c.mutex.Unlock()
 		select {
-		case <-c.cluster.clock.After(time.Duration(random.IntN(pauseMs)) * time.Millisecond):
+		case <-c.cluster.clock.After(time.Duration(random.IntN(maxPauseMs)) * time.Millisecond):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// one makes one request.
-func (c *callers) one(random *rand.Rand, nonce string) called {
+// sendRandom makes sendRandom request.
+func (c *loadGenerator) sendRandom(random *rand.Rand, nonce string) clientResult {
 	services := c.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
-	line := called{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(mostWorkMs), Pad: string(bytes.Repeat([]byte("p"), random.IntN(padBytes)))})
+	result := clientResult{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
+	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Pad: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
 	if err != nil {
-		line.broken = true
-		return line
+		result.noResponse = true
+		return result
 	}
-	open := c.cluster.ReadyAddresses()
-	address := open[random.IntN(len(open))]
+	addresses := c.cluster.ReadyAddresses()
+	address := addresses[random.IntN(len(addresses))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/run/"+service.Service, bytes.NewReader(body))
 	if err != nil {
-		line.broken = true
-		return line
+		result.noResponse = true
+		return result
 	}
-	request.Header.Set(front.HeaderClass, string(line.class))
-	if line.class == wire.ClassUrgent {
-		request.Header.Set(front.HeaderDeadline, fmt.Sprint(tradeDeadlines))
+	request.Header.Set(front.HeaderClass, string(result.class))
+	if result.class == wire.ClassUrgent {
+		request.Header.Set(front.HeaderDeadline, fmt.Sprint(urgentDeadlineMs))
 	}
 	if !service.Row.Repeatable && random.IntN(oneInKeyed) == 0 {
 		request.Header.Set(front.HeaderIdempotencyKey, nonce)
 	}
 	begun := c.cluster.clock.Now()
-	c.send(request, body, &line)
-	line.took = c.cluster.clock.Since(begun)
-	return line
+	c.send(request, body, &result)
+	result.latency = c.cluster.clock.Since(begun)
+	return result
 }
 
 func drawClass(random *rand.Rand) wire.Class {
@@ -131,29 +131,29 @@
 	return wire.ClassNormal
 }
 
-func (c *callers) send(request *http.Request, body []byte, line *called) {
+func (c *loadGenerator) send(request *http.Request, body []byte, result *clientResult) {
 	response, err := c.client.Do(request)
 	if err != nil {
-		line.broken, line.reason = true, err.Error()
+		result.noResponse, result.reason = true, err.Error()
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		line.broken, line.reason = true, err.Error()
+		result.noResponse, result.reason = true, err.Error()
 		return
 	}
-	line.status = response.StatusCode
-	line.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
-	line.wrong = line.status == http.StatusOK && string(answer) != standin.AnswerTo(body)
-	if line.status != http.StatusOK {
-		line.reason = string(answer)
+	result.status = response.StatusCode
+	result.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
+	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.AnswerTo(body)
+	if result.status != http.StatusOK {
+		result.reason = string(responseBody)
 	}
 }
 
-// lines returns the book so far.
-func (c *callers) lines() []called {
+// results returns the book so far.
+func (c *loadGenerator) results() []clientResult {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return append([]called{}, c.book...)
+	return append([]clientResult{}, c.recorded...)
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -26,19 +26,19 @@
 
 // Times of the trial, short so that a run shows much.
 const (
-	leaseMs        = 1500
-	driftMs        = 100
-	renewMs        = 300
-	listMs         = 200
-	stopMs         = 300
-	snapshotEvery  = 50
-	rebootTakes    = 300 * time.Millisecond
-	repairAfter    = 3 * time.Second
-	backAfter      = 4 * time.Second
-	platformHall   = "platform"
-	callerHall     = "callers"
-	addressesANode = 5
-	loopback       = "127.0.0.1:0"
+	leaseMs            = 1500
+	driftMs            = 100
+	renewMs            = 300
+	listMs             = 200
+	stopMs             = 300
+	snapshotEvery      = 50
+	rebootTime         = 300 * time.Millisecond
+	downTimeout        = 3 * time.Second
+	maintenanceTimeout = 4 * time.Second
+	platformZone       = "platform"
+	clientZone         = "callers"
+	addressesPerNode   = 5
+	anyLoopbackPort    = "127.0.0.1:0"
 )
 
 // Node is one entry box with its two processes.
@@ -56,24 +56,24 @@
 
 // Cluster is a user's whole fleet on loopback.
 type Cluster struct {
-	User      User
-	Seed      uint64
-	Platform  *standin.Platform
-	Network   *standin.Network
-	Endpoints map[string]*standin.Endpoint
-	Book      *standin.Book
-	Nodes     []*Node
-	clock     clockwork.Clock
-	logger    logrus.FieldLogger
-	harm      *harmBook
-	nextPort  int
-	reboot    atomic.Pointer[func(ctx context.Context, box string) error]
+	User       User
+	Seed       uint64
+	Platform   *standin.Platform
+	Network    *standin.Network
+	Endpoints  map[string]*standin.Endpoint
+	Book       *standin.Book
+	Nodes      []*Node
+	clock      clockwork.Clock
+	logger     logrus.FieldLogger
+	violations *violationLog
+	nextPort   int
+	reboot     atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
 // NewestSnapshotOffset returns the offset of the newest snapshot in the log, 0 if none.
 func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
-	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, mostSnapshots) {
+	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, maxSnapshots) {
 		var snapshot fold.Snapshot
 		if json.Unmarshal([]byte(record.Data), &snapshot) == nil {
 			newest = max(newest, snapshot.Offset)
@@ -82,32 +82,32 @@
 	return newest
 }
 
-const mostSnapshots = 1000
+const maxSnapshots = 1000
 
 // SetReboot changes what the platform's maintenance of a box does.
 func (c *Cluster) SetReboot(reboot func(ctx context.Context, box string) error) {
 	c.reboot.Store(&reboot)
 }
 
-// harmBook collects the breaches that the programs themselves report.
-type harmBook struct {
-	mutex    sync.Mutex
-	breaches map[string]int
-	details  []string
+// violationLog collects the breaches that the programs themselves report.
+type violationLog struct {
+	mutex   sync.Mutex
+	counts  map[string]int
+	details []string
 }
 
-func (h *harmBook) breach(name, detail string) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.breaches[name]++
-	h.details = append(h.details, name+": "+detail)
+func (l *violationLog) add(name, detail string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.counts[name]++
+	l.details = append(l.details, name+": "+detail)
 }
 
 // NewCluster starts the stand-ins and all nodes.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
 		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewBook(),
-		clock: clockwork.NewRealClock(), logger: logger, harm: &harmBook{breaches: map[string]int{}},
+		clock: clockwork.NewRealClock(), logger: logger, violations: &violationLog{counts: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	if err := c.startEndpoints(); err != nil {
 		return nil, err
 	}
-	if err := c.planNodes(); err != nil {
+	if err := c.configureNodes(); err != nil {
 		return nil, err
 	}
 	for _, node := range c.Nodes {
@@ -128,29 +128,29 @@
 
 func (c *Cluster) startPlatform() error {
 	log := standin.New(c.clock, c.Seed, 0)
-	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTakes) })
+	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTime) })
 	c.Platform = standin.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
 		return (*c.reboot.Load())(ctx, box)
 	})
-	listener, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return fmt.Errorf("listen for the platform: %w", err)
 	}
 	c.User.Fleet.Platform = listener.Addr().String()
-	c.Network.Place(listener.Addr().String(), platformHall)
+	c.Network.Place(listener.Addr().String(), platformZone)
 	c.Platform.Serve(listener)
 	return nil
 }
 
 func (c *Cluster) startEndpoints() error {
-	for _, hall := range c.User.Fleet.Halls {
-		for number := range hall.Boxes {
-			listener, err := net.Listen("tcp", loopback)
+	for _, zone := range c.User.Fleet.Halls {
+		for number := range zone.Boxes {
+			listener, err := net.Listen("tcp", anyLoopbackPort)
 			if err != nil {
 				return fmt.Errorf("listen for an endpoint: %w", err)
 			}
-			info := NewBoxInfo(hall.Name, number, c.User.Fleet, listener.Addr().String())
-			c.Network.Place(info.Address, hall.Name)
+			info := NewBoxInfo(zone.Name, number, c.User.Fleet, listener.Addr().String())
+			c.Network.Place(info.Address, zone.Name)
 			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
 			c.Platform.Put(wire.ListedBox{Info: info})
 		}
@@ -159,9 +159,9 @@
 }
 
 // NewBoxInfo describes the numbered box of a hall as the platform's list does.
-func NewBoxInfo(hall string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
+func NewBoxInfo(zone string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
 	return wire.BoxInfo{
-		Name: fmt.Sprintf("%s-box-%02d", hall, number+1), Hall: hall, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
+		Name: fmt.Sprintf("%s-box-%02d", zone, number+1), Hall: zone, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
 		Address: address, Slots: fleet.BoxSlots,
 	}
 }
@@ -175,13 +175,13 @@
 	return service
 }
 
-// planNodes chooses every node's addresses before any starts, because each is
+// configureNodes chooses every node's addresses before any starts, because each is
 // told of the others.
-func (c *Cluster) planNodes() error {
+func (c *Cluster) configureNodes() error {
 	for _, hall := range c.User.Fleet.Halls {
 		for number := range hall.Entries {
 			node := &Node{Name: entryName(hall.Name, number), Zone: hall.Name}
-			addresses, err := c.freeAddresses(addressesANode)
+			addresses, err := c.freeAddresses(addressesPerNode)
 			if err != nil {
 				return err
 			}
@@ -189,23 +189,23 @@
 				c.Network.Place(address, hall.Name)
 			}
 			node.keeper = settings.Keeper{
-				Node: node.Name, Hall: hall.Name, Halls: c.hallNames(), Address: addresses[0], DebugAddress: addresses[1],
+				Node: node.Name, Hall: hall.Name, Halls: c.zoneNames(), Address: addresses[0], DebugAddress: addresses[1],
 				Platform: c.User.Fleet.Platform, LeaseMs: leaseMs, DriftMs: driftMs, RenewMs: renewMs, ListMs: listMs, SnapshotEvery: snapshotEvery,
 			}
 			node.entry = settings.Entry{
-				Node: node.Name, Hall: hall.Name, Halls: c.hallNames(), Address: addresses[2], HttpAddress: addresses[3], DebugAddress: addresses[4],
+				Node: node.Name, Hall: hall.Name, Halls: c.zoneNames(), Address: addresses[2], HttpAddress: addresses[3], DebugAddress: addresses[4],
 				Platform: c.User.Fleet.Platform, LeaseMs: leaseMs, RenewMs: renewMs, StopMs: stopMs,
 			}
 			c.Nodes = append(c.Nodes, node)
 		}
 	}
 	for _, node := range c.Nodes {
-		c.introduce(node)
+		c.addPeers(node)
 	}
 	return nil
 }
 
-func (c *Cluster) hallNames() []string {
+func (c *Cluster) zoneNames() []string {
 	var names []string
 	for _, hall := range c.User.Fleet.Halls {
 		names = append(names, hall.Name)
@@ -213,18 +213,18 @@
 	return names
 }
 
-// introduce tells a node of its peers, those of its own hall first.
-func (c *Cluster) introduce(node *Node) {
-	own := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
-	node.entry.Keepers = []settings.Peer{own}
-	for _, near := range []bool{true, false} {
+// addPeers tells a node of its peers, those of its own hall first.
+func (c *Cluster) addPeers(node *Node) {
+	ownKeeper := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
+	node.entry.Keepers = []settings.Peer{ownKeeper}
+	for _, sameZone := range []bool{true, false} {
 		for _, other := range c.Nodes {
-			if other == node || (other.Zone == node.Zone) != near {
+			if other == node || (other.Zone == node.Zone) != sameZone {
 				continue
 			}
 			peer := settings.Peer{Node: other.Name, Hall: other.Zone, Address: other.keeper.Address}
 			node.keeper.Peers = append(node.keeper.Peers, peer)
-			if near {
+			if sameZone {
 				node.entry.Keepers = append(node.entry.Keepers, peer)
 			}
 		}
@@ -235,9 +235,9 @@
 // could otherwise take a port between its choice and its use, or while a process
 // is replaced. Processes that run at once begin at different ones.
 const (
-	firstPort     = 15_000
-	portsAProcess = 100
-	processes     = 150
+	firstPort       = 15_000
+	portsPerProcess = 100
+	portRanges      = 150
 )
 
 // freeAddresses finds ports that nobody uses now.
@@ -245,7 +245,7 @@
 	var addresses []string
 	for len(addresses) < count {
 		if c.nextPort == 0 {
-			c.nextPort = firstPort + os.Getpid()%processes*portsAProcess
+			c.nextPort = firstPort + os.Getpid()%portRanges*portsPerProcess
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", c.nextPort)
 		c.nextPort++
@@ -262,8 +262,8 @@
 	return addresses, nil
 }
 
-func (c *Cluster) env(node *Node) process.Env {
-	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, Breach: c.harm.breach, Seed: c.Seed}
+func (c *Cluster) processEnv(node *Node) process.Env {
+	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, Breach: c.violations.add, Seed: c.Seed}
 }
 
 // StartNode starts a node's keeper and entry.
@@ -280,7 +280,7 @@
 
 // StartKeeper starts a node's keeper.
 func (c *Cluster) StartKeeper(node *Node) error {
-	started, err := process.NewKeeper(node.keeper, plan.Options{DownTimeout: repairAfter, MaintenanceTimeout: backAfter}, c.env(node))
+	started, err := process.NewKeeper(node.keeper, plan.Options{DownTimeout: downTimeout, MaintenanceTimeout: maintenanceTimeout}, c.processEnv(node))
 	if err != nil {
 		return err
 	}
@@ -292,7 +292,7 @@
 
 // StartEntry starts a node's entry.
 func (c *Cluster) StartEntry(node *Node) error {
-	started, err := process.NewEntry(node.entry, c.env(node))
+	started, err := process.NewEntry(node.entry, c.processEnv(node))
 	if err != nil {
 		return err
 	}
@@ -342,18 +342,18 @@
 // Close ends every process and stand-in.
 func (c *Cluster) Close() error {
 	var first error
-	keep := func(err error) {
+	keepFirst := func(err error) {
 		if first == nil {
 			first = err
 		}
 	}
 	for _, node := range c.Nodes {
 		if !node.stopped {
-			keep(node.entryProcess.Close())
+			keepFirst(node.entryProcess.Close())
 		}
 	}
 	for _, node := range c.Nodes {
-		keep(node.keeperProcess.Close())
+		keepFirst(node.keeperProcess.Close())
 	}
 	for _, endpoint := range c.Endpoints {
 		endpoint.Close()
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -16,7 +16,7 @@
 
 // TestBadInput gives each wrong request its status, its outcome and a reason.
 func TestBadInput(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	for _, row := range []struct {
 		name    string
 		service string
@@ -35,7 +35,7 @@
 		{"key too long", "pay", "{}", map[string]string{front.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got := s.callRaw(row.service, []byte(row.body), row.header, "")
+			got := s.callWithBody(row.service, []byte(row.body), row.header, "")
 			assert.Equal(t, got.status, row.status, got.body)
 			assert.Equal(t, got.outcome, string(wire.OutcomeNotRun))
 			var refusal wire.Refusal
@@ -48,18 +48,18 @@
 
 // TestQuotaAndQueue refuses what is over a team's quota with a time to come back.
 func TestQuotaAndQueue(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	team := map[string]string{front.HeaderCustomer: "small"}
-	first := make(chan told, 1)
+	first := make(chan reply, 1)
 	long := standin.Work{Nonce: s.nonce(), WorkMs: 500}
-	s.spawn(func() { first <- s.call("view", long, team) })
-	s.await("the first request runs", func() bool { return s.cluster.Book.Runs(long.Nonce) == 1 })
+	s.runInBackground(func() { first <- s.call("view", long, team) })
+	s.waitFor("the first request runs", func() bool { return s.cluster.Book.Runs(long.Nonce) == 1 })
 
 	second := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, team)
 
 	assert.Equal(t, second.status, http.StatusTooManyRequests, second.body)
 	assert.Equal(t, second.outcome, string(wire.OutcomeNotRun))
-	assert.Assert(t, second.retry != "")
+	assert.Assert(t, second.retryAfter != "")
 	assert.Equal(t, (<-first).status, http.StatusOK)
 	again := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, team)
 	assert.Equal(t, again.status, http.StatusOK, again.body)
@@ -67,10 +67,10 @@
 
 // TestALargeAnswerIsAClearError and never a part of the answer.
 func TestALargeAnswerIsAClearError(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1, Pad: strings.Repeat("x", 3000)}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
-	s.setFault(standin.FaultLong, everyBox)
+	s.setFault(standin.FaultLong, allBoxes)
 	got = s.call("pay", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusBadGateway, fmt.Sprint(len(got.body)))
 	assert.Equal(t, got.outcome, string(wire.OutcomeUnknown))
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -19,16 +19,16 @@
 // instant, many times over.
 func TestOneKeyAtTwoEntriesRunsOnce(t *testing.T) {
 	user := smallUser()
-	user.Fleet.Halls = []settings.Hall{hall("north", 5, 1), hall("south", 5, 1)}
-	s := startStory(t, user)
+	user.Fleet.Halls = []settings.Hall{newZone("north", 5, 1), newZone("south", 5, 1)}
+	s := newFixture(t, user)
 	const keys = 30
 	for range keys {
 		nonce := s.nonce()
 		var both errgroup.Group
-		answers := make([]told, 2)
+		answers := make([]reply, 2)
 		for i, node := range s.cluster.Nodes {
 			both.Go(func() error {
-				answers[i] = s.callAt(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderIdempotencyKey: nonce}, nonce)
+				answers[i] = s.callNode(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderIdempotencyKey: nonce}, nonce)
 				return nil
 			})
 		}
@@ -42,7 +42,7 @@
 
 // TestAKeyWhileTheLogIsDown is told "not run" and runs upon the next try.
 func TestAKeyWhileTheLogIsDown(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 	s.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
@@ -51,7 +51,7 @@
 
 	assert.Equal(t, first.outcome, "not-run")
 	assert.Equal(t, first.status, http.StatusServiceUnavailable)
-	assert.Assert(t, first.retry != "")
+	assert.Assert(t, first.retryAfter != "")
 	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 0)
 	s.cluster.Platform.Log.SetFaults(standin.Faults{})
 	second := s.call("pay", work, header)
@@ -62,7 +62,7 @@
 // TestAClaimThatLandsAfterNotRunWasTold must not send the request after all, nor
 // block its key for good.
 func TestAClaimThatLandsAfterNotRunWasTold(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 	s.cluster.Platform.Log.SetFaults(standin.Faults{Late: 1, LateBy: 4 * time.Second})
@@ -70,7 +70,7 @@
 	assert.Equal(t, first.outcome, "not-run")
 	s.cluster.Platform.Log.SetFaults(standin.Faults{})
 
-	landed := s.run.until(context.Background(), 20*time.Second, func() bool {
+	landed := s.run.waitUntil(context.Background(), 20*time.Second, func() bool {
 		return len(s.cluster.Platform.Log.Peek(damsonwinch.StreamClaims, 0, 10)) >= 2
 	})
 
@@ -83,7 +83,7 @@
 
 // TestAClaimWhoseAnswerIsLostRuns because it is read back from the log.
 func TestAClaimWhoseAnswerIsLostRuns(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	s.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 1})
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 1}
 
@@ -95,7 +95,7 @@
 
 // TestAKeyWithAnotherBody is refused: the key belongs to the first request.
 func TestAKeyWithAnotherBody(t *testing.T) {
-	s := startStory(t, smallUser())
+	s := newFixture(t, smallUser())
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	first := s.call("pay", standin.Work{Nonce: s.nonce(), WorkMs: 1}, header)
 	assert.Equal(t, first.status, http.StatusOK, first.body)
@@ -112,15 +112,15 @@
 // is told that the outcome isn't known, and does not run.
 func TestAnEntryReplacedInTheMiddleOfAKeyedRequest(t *testing.T) {
 	user := smallUser()
-	user.Fleet.Halls = []settings.Hall{hall("north", 5, 1), hall("south", 5, 1)}
-	s := startStory(t, user)
+	user.Fleet.Halls = []settings.Hall{newZone("north", 5, 1), newZone("south", 5, 1)}
+	s := newFixture(t, user)
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 400}
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
-	s.spawn(func() { s.tryCall(s.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
-	s.await("the request runs", func() bool { return s.cluster.Book.Runs(work.Nonce) == 1 })
+	s.runInBackground(func() { s.tryCallNode(s.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
+	s.waitFor("the request runs", func() bool { return s.cluster.Book.Runs(work.Nonce) == 1 })
 	assert.NilError(t, s.cluster.KillEntry(s.cluster.Nodes[0]))
 
-	second := s.callAt(s.cluster.Nodes[1], "pay", mustJSON(t, work), header, work.Nonce)
+	second := s.callNode(s.cluster.Nodes[1], "pay", mustJSON(t, work), header, work.Nonce)
 
 	assert.Equal(t, second.status, http.StatusConflict, second.body)
 	assert.Equal(t, second.outcome, "unknown")
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -15,7 +15,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-const observeEvery = 20 * time.Millisecond
+const observeInterval = 20 * time.Millisecond
 
 // observer reads the platform's log for itself and compares what the processes
 // have in force with it.
@@ -25,25 +25,25 @@
 	group   errgroup.Group
 	mutex   sync.Mutex
 	state   fold.State
-	// publishedAt is when each table version entered the log.
-	publishedAt map[int]time.Time
-	// versions is the highest version seen in force at each process.
-	versions   map[any]int
-	moved      int
-	maintained int
-	belowFloor int
-	reverted   int
-	rolloutMax time.Duration
-	watching   bool
+	// acceptedAt is when each table version entered the log.
+	acceptedAt map[int]time.Time
+	// versionInForce is the highest version seen in force at each process.
+	versionInForce  map[any]int
+	moved           int
+	maintained      int
+	belowFloor      int
+	versionReverted int
+	maxRollout      time.Duration
+	checkingFloors  bool
 }
 
 func startObserver(c *Cluster) (*observer, error) {
-	empty, err := process.Empty()
+	initialState, err := process.Empty()
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &observer{cluster: c, cancel: cancel, state: empty, publishedAt: map[int]time.Time{}, versions: map[any]int{}}
+	o := &observer{cluster: c, cancel: cancel, state: initialState, acceptedAt: map[int]time.Time{}, versionInForce: map[any]int{}}
 	o.group.Go(func() error {
 		o.run(ctx)
 		return nil
@@ -57,7 +57,7 @@
 }
 
 func (o *observer) run(ctx context.Context) {
-	ticker := o.cluster.clock.NewTicker(observeEvery)
+	ticker := o.cluster.clock.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,84 +72,84 @@
 func (o *observer) observe() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	const most = 1000
+	const maxRecords = 1000
 	// The observer reads past the log's faults: it stands beside the platform.
-	page := o.cluster.Platform.Log.Peek(damsonwinch.StreamFleet, o.state.Offset(), most)
-	for _, record := range page {
-		o.fold(record)
+	records := o.cluster.Platform.Log.Peek(damsonwinch.StreamFleet, o.state.Offset(), maxRecords)
+	for _, record := range records {
+		o.apply(record)
 	}
-	o.compareVersions()
+	o.checkVersions()
 	o.checkFloors()
 }
 
-func (o *observer) fold(record wire.Entry) {
-	was := o.state
-	next, verdicts := was.Apply(record)
+func (o *observer) apply(record wire.Entry) {
+	previous := o.state
+	next, results := previous.Apply(record)
 	o.state = next
-	if next.Table().Version() > was.Table().Version() {
-		o.publishedAt[next.Table().Version()] = time.UnixMilli(int64(record.At))
+	if next.Table().Version() > previous.Table().Version() {
+		o.acceptedAt[next.Table().Version()] = time.UnixMilli(int64(record.At))
 	}
-	for _, verdict := range verdicts {
-		if verdict.Accepted {
-			o.count(verdict, was, next)
+	for _, result := range results {
+		if result.Accepted {
+			o.countChange(result, previous, next)
 		}
 	}
 }
 
-func (o *observer) count(verdict fold.Result, was, next fold.State) {
-	change := verdict.Proposal.Change
+func (o *observer) countChange(result fold.Result, previous, next fold.State) {
+	change := result.Proposal.Change
 	if change == nil {
 		return
 	}
-	before, _ := was.Box(change.Box)
+	before, _ := previous.Box(change.Box)
 	after, _ := next.Box(change.Box)
 	if before.Pool != after.Pool && before.Pool != fold.FreePool {
 		o.moved++
 	}
-	if verdict.Proposal.Kind == wire.KindBack {
+	if result.Proposal.Kind == wire.KindBack {
 		o.maintained++
 	}
 }
 
-// compareVersions asks each living process which table it has in force.
-func (o *observer) compareVersions() {
+// checkVersions asks each living process which table it has in force.
+func (o *observer) checkVersions() {
 	for _, node := range o.cluster.Nodes {
 		node.mutex.Lock()
 		entry, keeper, stopped := node.entryProcess, node.keeperProcess, node.stopped
 		node.mutex.Unlock()
 		if entry != nil && !stopped {
-			o.compareVersion(entry, entry.Metrics.Count("table_version"))
+			o.checkVersion(entry, entry.Metrics.Count("table_version"))
 		}
 		if keeper != nil {
-			o.compareVersion(keeper, keeper.Metrics.Count("table_version"))
+			o.checkVersion(keeper, keeper.Metrics.Count("table_version"))
 		}
 	}
 }
 
-func (o *observer) compareVersion(process any, version int) {
-	was, known := o.versions[process]
-	if known && version < was {
-		o.reverted++
+func (o *observer) checkVersion(process any, version int) {
+	previous, found := o.versionInForce[process]
+	if found && version < previous {
+		o.versionReverted++
 	}
-	if !known {
+	if !found {
 		// A process that has just started has nothing yet.
 		if version == o.state.Table().Version() {
-			o.versions[process] = version
+			o.versionInForce[process] = version
 		}
 		return
 	}
-	for accepted := was + 1; accepted <= version; accepted++ {
-		if published, seen := o.publishedAt[accepted]; seen {
-			o.rolloutMax = max(o.rolloutMax, o.cluster.clock.Since(published))
+	for newer := previous + 1; newer <= version; newer++ {
+		if accepted, found := o.acceptedAt[newer]; found {
+			o.maxRollout = max(o.maxRollout, o.cluster.clock.Since(accepted))
 		}
 	}
-	o.versions[process] = max(was, version)
+	o.versionInForce[process] = max(previous, version)
 }
 
 // checkFloors counts the boxes that truly serve each pool, by the endpoints and
 // not by what the programs think of them.
 func (o *observer) checkFloors() {
-	if !o.watching {
+	if !o.checkingFloors {
 		return
 	}
 	slots := map[string]int{}
@@ -165,23 +165,23 @@
 	}
 }
 
-// watch begins the check of floors, once the pools have been formed.
-func (o *observer) watch() {
+// startFloorChecks begins the check of floors, once the pools have been formed.
+func (o *observer) startFloorChecks() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.watching = true
+	o.checkingFloors = true
 }
 
-// present returns the state as the log has it.
-func (o *observer) present() fold.State {
+// currentState returns the state as the log has it.
+func (o *observer) currentState() fold.State {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.state
 }
 
-// formed says whether every pool has what its services need.
-func (o *observer) formed() bool {
-	state := o.present()
+// poolsFilled says whether every pool has what its services need.
+func (o *observer) poolsFilled() bool {
+	state := o.currentState()
 	if state.Table().Version() == 0 {
 		return false
 	}
@@ -193,9 +193,9 @@
 	return true
 }
 
-// due counts the boxes that the wave has still to maintain.
-func (o *observer) due() int {
-	state := o.present()
+// dueBoxes counts the boxes that the wave has still to maintain.
+func (o *observer) dueBoxes() int {
+	state := o.currentState()
 	count := 0
 	for _, box := range state.Boxes() {
 		if box.MaintainedAt < state.Table().Deployment().MaintainBefore && box.Health == wire.HealthUp {
@@ -205,15 +205,15 @@
 	return count
 }
 
-// breaches returns what the programs themselves reported.
-func (c *Cluster) breaches() map[string]int {
-	c.harm.mutex.Lock()
-	defer c.harm.mutex.Unlock()
-	return maps.Clone(c.harm.breaches)
+// reportedViolations returns what the programs themselves reported.
+func (c *Cluster) reportedViolations() map[string]int {
+	c.violations.mutex.Lock()
+	defer c.violations.mutex.Unlock()
+	return maps.Clone(c.violations.counts)
 }
 
-// text returns a value as one line of JSON.
-func text(value any) string {
+// jsonLine returns a value as one line of JSON.
+func jsonLine(value any) string {
 	line, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	randomEvents = 25
-	longestPause = 700
+	eventsPerRun            = 25
+	maxPauseBetweenEventsMs = 700
 	// seedVariable names another seed for a run by hand.
 	seedVariable = "DAMSONWINCH_SEED"
 )
@@ -32,32 +32,32 @@
 		seeds = []uint64{seed}
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { playRandom(t, seed) })
+		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { testRandomFaults(t, seed) })
 	}
 }
 
-func playRandom(t *testing.T, seed uint64) {
+func testRandomFaults(t *testing.T, seed uint64) {
 	user := smallUser()
-	user.Fleet.Halls = []settings.Hall{hall("north", 7, 2), hall("south", 7, 2), hall("west", 4, 1)}
-	s := startStory(t, user)
-	s.run.observer.watching = false // Boxes that are made to fail are below every floor.
+	user.Fleet.Halls = []settings.Hall{newZone("north", 7, 2), newZone("south", 7, 2), newZone("west", 4, 1)}
+	s := newFixture(t, user)
+	s.run.observer.checkingFloors = false // Boxes that are made to fail are below every floor.
 	s.cluster.Seed = seed
 	random := rand.New(rand.NewPCG(seed, seed))
-	load := startCallers(s.cluster, storyCallers)
-	s.run.callers = load
-	dead := map[int]bool{}
-	for range randomEvents {
-		t.Log(s.randomEvent(random, dead))
-		s.run.wait(context.Background(), time.Duration(random.IntN(longestPause))*time.Millisecond)
+	load := startLoad(s.cluster, testClients)
+	s.run.generator = load
+	stopped := map[int]bool{}
+	for range eventsPerRun {
+		t.Log(s.randomEvent(random, stopped))
+		s.run.wait(context.Background(), time.Duration(random.IntN(maxPauseBetweenEventsMs))*time.Millisecond)
 	}
 	s.cluster.Network.Heal()
 	s.cluster.Platform.Log.SetFaults(standin.Faults{})
-	s.heal()
-	for number := range dead {
+	s.endFaults()
+	for number := range stopped {
 		assert.NilError(t, s.cluster.StartNode(s.cluster.Nodes[number]))
 	}
-	s.await("the pools are formed again", s.run.observer.formed)
-	s.await("every process has the newest table", s.run.inForceEverywhere)
+	s.waitFor("the pools are formed again", s.run.observer.poolsFilled)
+	s.waitFor("every process has the newest table", s.run.newestTableInForce)
 	load.stop()
 	report := s.run.report()
 	report.BelowFloor = 0
@@ -66,14 +66,14 @@
 }
 
 // randomEvent does one thing to the fleet and says what.
-func (s *story) randomEvent(random *rand.Rand, dead map[int]bool) string {
-	places := []string{"north", "south", "west", platformHall}
+func (s *fixture) randomEvent(random *rand.Rand, stopped map[int]bool) string {
+	zones := []string{"north", "south", "west", platformZone}
 	node := random.IntN(len(s.cluster.Nodes))
 	switch random.IntN(9) {
 	case 0, 1:
-		from, to := places[random.IntN(len(places)-1)], places[random.IntN(len(places))]
+		from, to := zones[random.IntN(len(zones)-1)], zones[random.IntN(len(zones))]
 		if from == to {
-			to = platformHall
+			to = platformZone
 		}
 		s.cluster.Network.Cut(from, to)
 		return "cut " + from + " to " + to
@@ -89,34 +89,34 @@
 		s.cluster.Platform.Log.SetFaults(faults)
 		return fmt.Sprintf("log %+v", faults)
 	case 5:
-		return s.killOrStart(node, dead)
+		return s.killOrStart(node, stopped)
 	case 6:
 		faults := []standin.Fault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultHalf, standin.FaultOther, standin.FaultNone, standin.FaultNone}
 		fault := faults[random.IntN(len(faults))]
 		s.setFault(fault, 1+random.IntN(2))
 		return "boxes " + string(fault)
 	case 7:
-		err := s.run.edit(context.Background(), "ana", node, func(wanted *settings.Table) {
+		err := s.run.editTable(context.Background(), "ana", node, func(wanted *settings.Table) {
 			wanted.Services[0].Row.Floor = 8 + random.IntN(3)*8
 		})
 		return fmt.Sprint("edit: ", err)
 	default:
 		now := s.cluster.clock.Now().UnixMilli()
-		err := s.run.edit(context.Background(), "rui", node, func(wanted *settings.Table) { wanted.Deployment.MaintainBefore = int(now) })
+		err := s.run.editTable(context.Background(), "rui", node, func(wanted *settings.Table) { wanted.Deployment.MaintainBefore = int(now) })
 		return fmt.Sprint("wave: ", err)
 	}
 }
 
-func (s *story) killOrStart(node int, dead map[int]bool) string {
-	if dead[node] {
-		delete(dead, node)
+func (s *fixture) killOrStart(node int, stopped map[int]bool) string {
+	if stopped[node] {
+		delete(stopped, node)
 		assert.NilError(s.t, s.cluster.StartNode(s.cluster.Nodes[node]))
 		return fmt.Sprint("start node ", node)
 	}
-	if len(dead) >= len(s.cluster.Nodes)/2 {
+	if len(stopped) >= len(s.cluster.Nodes)/2 {
 		return "nothing"
 	}
-	dead[node] = true
+	stopped[node] = true
 	assert.NilError(s.t, s.cluster.KillEntry(s.cluster.Nodes[node]))
 	assert.NilError(s.t, s.cluster.StopKeeper(s.cluster.Nodes[node]))
 	return fmt.Sprint("kill node ", node)
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -44,51 +44,51 @@
 
 // report compares the books.
 func (r *run) report() Report {
-	overlaps, cut, late := r.cluster.Book.Harm()
+	overlaps, cutInFlight, sentToLeaving := r.cluster.Book.Harm()
 	o := r.observer
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	report := Report{
-		Users: r.options.User, Seed: r.options.Seed, CutInFlight: cut, PoolOverlap: overlaps, SentToLeaving: late,
-		BelowFloor: o.belowFloor, ConfigReverted: o.reverted, BoxesMoved: o.moved, BoxesMaintained: o.maintained,
-		TableRolloutMsMax: int(o.rolloutMax.Milliseconds()), LogAppends: r.cluster.Platform.Log.Appends(), reasons: map[string]int{},
+		Users: r.options.User, Seed: r.options.Seed, CutInFlight: cutInFlight, PoolOverlap: overlaps, SentToLeaving: sentToLeaving,
+		BelowFloor: o.belowFloor, ConfigReverted: o.versionReverted, BoxesMoved: o.moved, BoxesMaintained: o.maintained,
+		TableRolloutMsMax: int(o.maxRollout.Milliseconds()), LogAppends: r.cluster.Platform.Log.Appends(), reasons: map[string]int{},
 	}
-	for _, count := range r.cluster.breaches() {
+	for _, count := range r.cluster.reportedViolations() {
 		report.ReportedViolations += count
 	}
-	report.details = r.cluster.harm.details
-	if r.callers != nil {
-		for _, line := range r.callers.lines() {
-			report.add(line, r.cluster.Book.Runs(line.nonce))
+	report.details = r.cluster.violations.details
+	if r.generator != nil {
+		for _, result := range r.generator.results() {
+			report.addResult(result, r.cluster.Book.Runs(result.nonce))
 		}
 	}
 	return report
 }
 
-// add counts one line of the callers' book against the endpoints' book.
-func (r *Report) add(line called, runs int) {
+// addResult counts one line of the callers' book against the endpoints' book.
+func (r *Report) addResult(result clientResult, runs int) {
 	r.Requests++
-	switch line.outcome {
+	switch result.outcome {
 	case wire.OutcomeAnswered:
 		r.Answered++
 	case wire.OutcomeNotRun:
 		r.NotRun++
 		if runs > 0 {
 			r.NotRunButRan++
-			r.details = append(r.details, "told not run and ran: "+line.nonce+" "+line.reason)
+			r.details = append(r.details, "told not run and ran: "+result.nonce+" "+result.reason)
 		}
 	default:
 		r.Unknown++
 	}
-	if line.wrong {
+	if result.wrongAnswer {
 		r.WrongAnswer++
 	}
-	if !line.repeatable && runs > 1 {
+	if !result.repeatable && runs > 1 {
 		r.RunTwice++
-		r.details = append(r.details, "ran twice: "+line.nonce)
+		r.details = append(r.details, "ran twice: "+result.nonce)
 	}
-	if line.reason != "" {
-		r.reasons[fmt.Sprintf("%s %d", line.outcome, line.status)]++
+	if result.reason != "" {
+		r.reasons[fmt.Sprintf("%s %d", result.outcome, result.status)]++
 	}
 }
 
@@ -113,6 +113,6 @@
 			return err
 		}
 	}
-	_, err := fmt.Fprintln(out, text(r))
+	_, err := fmt.Fprintln(out, jsonLine(r))
 	return err
 }
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -28,17 +28,17 @@
 }
 
 const (
-	callerCount = 60
-	formTimeout = 10 * time.Second
+	clientCount = 60
+	stepTimeout = 10 * time.Second
 )
 
 // run is one run's standing.
 type run struct {
-	options  Options
-	cluster  *Cluster
-	observer *observer
-	callers  *callers
-	began    time.Time
+	options   Options
+	cluster   *Cluster
+	observer  *observer
+	generator *loadGenerator
+	startedAt time.Time
 }
 
 // Run plays the whole story and returns its report.
@@ -51,75 +51,75 @@
 	if err != nil {
 		return Report{}, err
 	}
-	watching, err := startObserver(cluster)
+	obs, err := startObserver(cluster)
 	if err != nil {
 		return Report{}, err
 	}
-	r := &run{options: options, cluster: cluster, observer: watching, began: cluster.clock.Now()}
-	err = r.script(ctx)
-	if r.callers != nil {
-		r.callers.stop()
+	r := &run{options: options, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
+	err = r.playScenario(ctx)
+	if r.generator != nil {
+		r.generator.stop()
 	}
-	watching.stop()
+	obs.stop()
 	report := r.report()
-	if closed := cluster.Close(); err == nil {
-		err = closed
+	if closeErr := cluster.Close(); err == nil {
+		err = closeErr
 	}
 	return report, err
 }
 
-func (r *run) say(format string, values ...any) {
-	at := r.cluster.clock.Since(r.began).Seconds()
-	_, _ = fmt.Fprintf(r.options.Progress, "%5.1fs  %s\n", at, fmt.Sprintf(format, values...))
+func (r *run) logStep(format string, values ...any) {
+	elapsed := r.cluster.clock.Since(r.startedAt).Seconds()
+	_, _ = fmt.Fprintf(r.options.Progress, "%5.1fs  %s\n", elapsed, fmt.Sprintf(format, values...))
 }
 
-// part waits for a part of the run's length.
-func (r *run) part(ctx context.Context, percent int) {
-	length := time.Duration(r.options.Seconds) * time.Second
-	r.wait(ctx, length*time.Duration(percent)/100)
+// waitPercent waits for a waitPercent of the run's length.
+func (r *run) waitPercent(ctx context.Context, percent int) {
+	duration := time.Duration(r.options.Seconds) * time.Second
+	r.wait(ctx, duration*time.Duration(percent)/100)
 }
 
-func (r *run) wait(ctx context.Context, length time.Duration) {
+func (r *run) wait(ctx context.Context, duration time.Duration) {
 	select {
-	case <-r.cluster.clock.After(length):
+	case <-r.cluster.clock.After(duration):
 	case <-ctx.Done():
 	}
 }
 
-// until polls a condition; it returns false when the time is over first.
-func (r *run) until(ctx context.Context, limit time.Duration, holds func() bool) bool {
-	const poll = 20 * time.Millisecond
-	deadline := r.cluster.clock.Now().Add(limit)
+// waitUntil polls a condition; it returns false when the time is over first.
+func (r *run) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	const pollInterval = 20 * time.Millisecond
+	deadline := r.cluster.clock.Now().Add(timeout)
 	for r.cluster.clock.Now().Before(deadline) && ctx.Err() == nil {
-		if holds() {
+		if condition() {
 			return true
 		}
-		r.wait(ctx, poll)
+		r.wait(ctx, pollInterval)
 	}
-	return holds()
+	return condition()
 }
 
-// script is the story, in order.
-func (r *run) script(ctx context.Context) error {
+// playScenario is the story, in order.
+func (r *run) playScenario(ctx context.Context) error {
 	steps := []func(context.Context) error{
-		r.publish, r.load, r.raceOperators, r.shiftDemand, r.wave, r.cutHall, r.replaceEntry, r.killEntry, r.takeLogDown, r.breakBoxes,
+		r.publishFirstTable, r.startLoad, r.editConcurrently, r.raiseFloor, r.maintainAllBoxes, r.cutOffZone, r.restartEntry, r.killAndRestartEntry, r.takeLogDown, r.breakBoxes,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
 		}
 	}
-	r.part(ctx, 5)
+	r.waitPercent(ctx, 5)
 	return nil
 }
 
-func (r *run) operator(author string, node int) (*operator.Client, error) {
-	empty, err := process.Empty()
+func (r *run) operatorClient(author string, nodeIndex int) (*operator.Client, error) {
+	initialState, err := process.Empty()
 	if err != nil {
 		return nil, err
 	}
-	address := r.cluster.Nodes[node].keeper.Address
-	return operator.New(address, r.cluster.Network.Dialer(callerHall), r.cluster.clock, empty, author), nil
+	address := r.cluster.Nodes[nodeIndex].keeper.Address
+	return operator.New(address, r.cluster.Network.Dialer(clientZone), r.cluster.clock, initialState, author), nil
 }
 
 // StartReady starts a fleet and returns once its table is in force and its
@@ -129,24 +129,24 @@
 	if err != nil {
 		return nil, err
 	}
-	watching, err := startObserver(cluster)
+	obs, err := startObserver(cluster)
 	if err != nil {
 		return nil, err
 	}
-	defer watching.stop()
-	forming := &run{options: Options{Progress: io.Discard}, cluster: cluster, observer: watching, began: cluster.clock.Now()}
-	return cluster, forming.publish(ctx)
+	defer obs.stop()
+	r := &run{options: Options{Progress: io.Discard}, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
+	return cluster, r.publishFirstTable(ctx)
 }
 
-// edit publishes a changed table in an operator's name. While no keeper has
+// editTable publishes a changed table in an operator's name. While no keeper has
 // read the log yet it is tried again.
-func (r *run) edit(ctx context.Context, author string, node int, change func(*settings.Table)) error {
-	client, err := r.operator(author, node)
+func (r *run) editTable(ctx context.Context, author string, nodeIndex int, change func(*settings.Table)) error {
+	client, err := r.operatorClient(author, nodeIndex)
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	limited, cancel := context.WithTimeout(ctx, formTimeout)
+	limited, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	state, err := client.State(limited)
 	if err != nil {
@@ -158,175 +158,175 @@
 	return err
 }
 
-func (r *run) publish(ctx context.Context) error {
-	r.until(ctx, formTimeout, func() bool { return len(r.observer.present().Boxes()) == len(r.cluster.Endpoints) })
-	err := r.edit(ctx, "ana", 0, func(wanted *settings.Table) { *wanted = r.cluster.User.Table })
+func (r *run) publishFirstTable(ctx context.Context) error {
+	r.waitUntil(ctx, stepTimeout, func() bool { return len(r.observer.currentState().Boxes()) == len(r.cluster.Endpoints) })
+	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) { *wanted = r.cluster.User.Table })
 	if err != nil {
 		return fmt.Errorf("publish the first table: %w", err)
 	}
-	if !r.until(ctx, formTimeout, r.observer.formed) {
+	if !r.waitUntil(ctx, stepTimeout, r.observer.poolsFilled) {
 		return errors.New("the pools were not formed in time")
 	}
-	r.until(ctx, formTimeout, r.inForceEverywhere)
-	r.say("table published: %d services in %d pools, %d boxes in %d halls", len(r.cluster.User.Table.Services),
+	r.waitUntil(ctx, stepTimeout, r.newestTableInForce)
+	r.logStep("table published: %d services in %d pools, %d boxes in %d halls", len(r.cluster.User.Table.Services),
 		len(r.cluster.User.Table.Deployment.Pools), len(r.cluster.Endpoints), len(r.cluster.User.Fleet.Halls))
-	r.observer.watch()
+	r.observer.startFloorChecks()
 	return nil
 }
 
-func (r *run) inForceEverywhere() bool {
+func (r *run) newestTableInForce() bool {
 	for _, node := range r.cluster.Nodes {
-		if node.entryProcess.Metrics.Count("table_version") < r.observer.present().Table().Version() {
+		if node.entryProcess.Metrics.Count("table_version") < r.observer.currentState().Table().Version() {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *run) load(ctx context.Context) error {
-	r.callers = startCallers(r.cluster, callerCount)
-	r.say("%d callers call", callerCount)
-	r.part(ctx, 8)
+func (r *run) startLoad(ctx context.Context) error {
+	r.generator = startLoad(r.cluster, clientCount)
+	r.logStep("%d callers call", clientCount)
+	r.waitPercent(ctx, 8)
 	return nil
 }
 
-// raceOperators lets two operators edit from the same version: other cells
+// editConcurrently lets two operators edit from the same version: other cells
 // merge, the same cell is refused to the second.
-func (r *run) raceOperators(ctx context.Context) error {
-	base := r.observer.present().Table()
+func (r *run) editConcurrently(ctx context.Context) error {
+	base := r.observer.currentState().Table()
 	service := base.Services()[0]
 	edits := []struct {
-		author string
-		node   int
-		column string
-		value  int
+		author    string
+		nodeIndex int
+		column    string
+		value     int
 	}{
 		{"ana", 0, "weight", 5}, {"rui", 1, "queue", 700}, {"rui", 1, "weight", 6},
 	}
 	for _, edit := range edits {
-		client, err := r.operator(edit.author, edit.node)
+		client, err := r.operatorClient(edit.author, edit.nodeIndex)
 		if err != nil {
 			return err
 		}
-		limited, cancel := context.WithTimeout(ctx, formTimeout)
+		limited, cancel := context.WithTimeout(ctx, stepTimeout)
 		_, err = client.Edit(limited, table.CellEdit(base.Version(), service, edit.column, edit.value), "trial: two operators")
 		cancel()
 		client.Close()
-		r.say("%s sets %s.%s from version %d: %s", edit.author, service, edit.column, base.Version(), accepted(err))
+		r.logStep("%s sets %s.%s from version %d: %s", edit.author, service, edit.column, base.Version(), editOutcome(err))
 		var refused *operator.RefusedError
 		if err != nil && !errors.As(err, &refused) {
 			return err
 		}
 	}
-	r.part(ctx, 4)
+	r.waitPercent(ctx, 4)
 	return nil
 }
 
-func accepted(err error) string {
+func editOutcome(err error) string {
 	if err == nil {
 		return "accepted"
 	}
 	return err.Error()
 }
 
-// shiftDemand raises one pool's floor, so that boxes move to it.
-func (r *run) shiftDemand(ctx context.Context) error {
-	const more = 48
-	first := r.cluster.User.Table.Services[0].Service
-	err := r.edit(ctx, "ana", 0, func(wanted *settings.Table) {
+// raiseFloor raises one pool's floor, so that boxes move to it.
+func (r *run) raiseFloor(ctx context.Context) error {
+	const addedSlots = 48
+	service := r.cluster.User.Table.Services[0].Service
+	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) {
 		for i := range wanted.Services {
-			if wanted.Services[i].Service == first {
-				wanted.Services[i].Row.Floor += more
+			if wanted.Services[i].Service == service {
+				wanted.Services[i].Row.Floor += addedSlots
 			}
 		}
 	})
-	r.say("floor of %s up by %d slots: %s", first, more, accepted(err))
-	r.until(ctx, formTimeout, r.observer.formed)
-	r.part(ctx, 5)
+	r.logStep("floor of %s up by %d slots: %s", service, addedSlots, editOutcome(err))
+	r.waitUntil(ctx, stepTimeout, r.observer.poolsFilled)
+	r.waitPercent(ctx, 5)
 	return err
 }
 
-// wave asks for the maintenance of every box.
-func (r *run) wave(ctx context.Context) error {
-	begun := r.cluster.clock.Now()
-	err := r.edit(ctx, "ana", 0, func(wanted *settings.Table) {
-		wanted.Deployment.MaintainBefore = int(begun.UnixMilli())
+// maintainAllBoxes asks for the maintenance of every box.
+func (r *run) maintainAllBoxes(ctx context.Context) error {
+	startedAt := r.cluster.clock.Now()
+	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) {
+		wanted.Deployment.MaintainBefore = int(startedAt.UnixMilli())
 	})
 	if err != nil {
 		return err
 	}
-	limit := time.Duration(r.options.Seconds) * time.Second * 35 / 100
-	r.until(ctx, limit, func() bool {
-		return r.observer.present().Table().Deployment().MaintainBefore == int(begun.UnixMilli())
+	timeout := time.Duration(r.options.Seconds) * time.Second * 35 / 100
+	r.waitUntil(ctx, timeout, func() bool {
+		return r.observer.currentState().Table().Deployment().MaintainBefore == int(startedAt.UnixMilli())
 	})
-	done := r.until(ctx, limit, func() bool { return r.observer.due() == 0 })
-	r.say("wave: %d boxes maintained in %.1f s, done %v", r.observer.maintained, r.cluster.clock.Since(begun).Seconds(), done)
+	done := r.waitUntil(ctx, timeout, func() bool { return r.observer.dueBoxes() == 0 })
+	r.logStep("wave: %d boxes maintained in %.1f s, done %v", r.observer.maintained, r.cluster.clock.Since(startedAt).Seconds(), done)
 	return nil
 }
 
-// cutHall cuts one hall off from the platform and from the other halls.
-func (r *run) cutHall(ctx context.Context) error {
-	halls := r.cluster.hallNames()
-	lost := halls[0]
-	for _, other := range append([]string{platformHall}, halls[1:]...) {
-		r.cluster.Network.CutBoth(lost, other)
+// cutOffZone cuts one hall off from the platform and from the other halls.
+func (r *run) cutOffZone(ctx context.Context) error {
+	zones := r.cluster.zoneNames()
+	cutOff := zones[0]
+	for _, other := range append([]string{platformZone}, zones[1:]...) {
+		r.cluster.Network.CutBoth(cutOff, other)
 	}
-	r.say("hall %s is cut off", lost)
-	r.part(ctx, 15)
+	r.logStep("hall %s is cut off", cutOff)
+	r.waitPercent(ctx, 15)
 	r.cluster.Network.Heal()
-	r.say("hall %s is joined again", lost)
-	r.part(ctx, 4)
+	r.logStep("hall %s is joined again", cutOff)
+	r.waitPercent(ctx, 4)
 	return nil
 }
 
-// replaceEntry stops an entry as planned and starts it anew.
-func (r *run) replaceEntry(ctx context.Context) error {
+// restartEntry stops an entry as planned and starts it anew.
+func (r *run) restartEntry(ctx context.Context) error {
 	node := r.cluster.Nodes[1]
 	if err := r.cluster.StopEntry(ctx, node); err != nil {
 		return fmt.Errorf("planned stop of %s: %w", node.Name, err)
 	}
-	r.say("%s stopped as planned", node.Name)
+	r.logStep("%s stopped as planned", node.Name)
 	return r.cluster.StartEntry(node)
 }
 
-// killEntry ends another entry without warning and starts it anew.
-func (r *run) killEntry(ctx context.Context) error {
+// killAndRestartEntry ends another entry without warning and starts it anew.
+func (r *run) killAndRestartEntry(ctx context.Context) error {
 	node := r.cluster.Nodes[len(r.cluster.Nodes)-1]
-	r.say("%s is killed", node.Name)
+	r.logStep("%s is killed", node.Name)
 	if err := r.cluster.KillEntry(node); err != nil {
 		return err
 	}
-	r.part(ctx, 3)
+	r.waitPercent(ctx, 3)
 	return r.cluster.StartEntry(node)
 }
 
 func (r *run) takeLogDown(ctx context.Context) error {
 	r.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
-	r.say("the log is down")
-	r.part(ctx, 8)
+	r.logStep("the log is down")
+	r.waitPercent(ctx, 8)
 	r.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 0.05})
-	r.say("the log is back and loses one answer in twenty")
-	r.part(ctx, 4)
+	r.logStep("the log is back and loses one answer in twenty")
+	r.waitPercent(ctx, 4)
 	return nil
 }
 
 // breakBoxes makes one box fail everything and takes another off the list.
 func (r *run) breakBoxes(ctx context.Context) error {
-	bad, hallOfBad, leaving := "", "", ""
-	for _, box := range r.observer.present().Boxes() {
+	failing, failingZone, leaving := "", "", ""
+	for _, box := range r.observer.currentState().Boxes() {
 		if !box.Usable() || box.Pool == fold.FreePool {
 			continue
 		}
-		if bad == "" {
-			bad, hallOfBad = box.Info.Name, box.Info.Hall
-		} else if leaving == "" && box.Info.Hall != hallOfBad {
+		if failing == "" {
+			failing, failingZone = box.Info.Name, box.Info.Hall
+		} else if leaving == "" && box.Info.Hall != failingZone {
 			leaving = box.Info.Name
 		}
 	}
-	r.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
+	r.cluster.Endpoints[failing].SetFault(standin.FaultFailAll)
 	r.cluster.Endpoints[leaving].Leave()
 	r.cluster.Platform.SetLeaving(leaving, true)
-	r.say("%s fails everything, %s is leaving", bad, leaving)
-	r.part(ctx, 12)
+	r.logStep("%s fails everything, %s is leaving", failing, leaving)
+	r.waitPercent(ctx, 12)
 	return nil
 }
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -32,9 +32,9 @@
 func NewUser(name string) (User, error) {
 	switch name {
 	case Lisbon:
-		return User{Name: name, Fleet: fleet(hall("alfama", 13, 2), hall("belem", 13, 2), hall("chiado", 12, 1), hall("graca", 12, 1)), Table: lisbonTable()}, nil
+		return User{Name: name, Fleet: newFleet(newZone("alfama", 13, 2), newZone("belem", 13, 2), newZone("chiado", 12, 1), newZone("graca", 12, 1)), Table: lisbonTable()}, nil
 	case Podkarpacie:
-		return User{Name: name, Fleet: fleet(hall("debica", 17, 2), hall("krosno", 17, 2), hall("rzeszow", 16, 2)), Table: podkarpacieTable()}, nil
+		return User{Name: name, Fleet: newFleet(newZone("debica", 17, 2), newZone("krosno", 17, 2), newZone("rzeszow", 16, 2)), Table: podkarpacieTable()}, nil
 	}
 	return User{}, fmt.Errorf("unknown users %q; allowed: %v", name, UserNames())
 }
@@ -44,16 +44,16 @@
 	boxSlots  = 8
 )
 
-func fleet(halls ...settings.Hall) settings.Fleet {
+func newFleet(halls ...settings.Hall) settings.Fleet {
 	return settings.Fleet{Halls: halls, RackBoxes: rackBoxes, BoxSlots: boxSlots}
 }
 
-func hall(name string, boxes, entries int) settings.Hall {
+func newZone(name string, boxes, entries int) settings.Hall {
 	return settings.Hall{Name: name, Boxes: boxes, Entries: entries}
 }
 
-// line is what differs between the services of the trial's tables.
-type line struct {
+// serviceSpec is what differs between the services of the trial's tables.
+type serviceSpec struct {
 	service    string
 	pool       string
 	weight     int
@@ -63,60 +63,60 @@
 	repeatable bool
 }
 
-func (l line) row() settings.NamedRow {
-	const most, queue, down, runMs = 200, 600, 2, 1500
-	return settings.NamedRow{Service: l.service, Row: settings.Row{
-		Pool: l.pool, Weight: l.weight, Floor: l.floor, Spare: l.spare, Most: most, Down: down, Queue: queue,
-		DeadlineMs: l.deadlineMs, RunMs: runMs, Repeatable: l.repeatable, AnswerKb: 256, RequestKb: 256,
+func (s serviceSpec) namedRow() settings.NamedRow {
+	const maxSlots, queueLimit, maxDown, runMs = 200, 600, 2, 1500
+	return settings.NamedRow{Service: s.service, Row: settings.Row{
+		Pool: s.pool, Weight: s.weight, Floor: s.floor, Spare: s.spare, Most: maxSlots, Down: maxDown, Queue: queueLimit,
+		DeadlineMs: s.deadlineMs, RunMs: runMs, Repeatable: s.repeatable, AnswerKb: 256, RequestKb: 256,
 	}}
 }
 
-func tableOf(deployment settings.Deployment, lines ...line) settings.Table {
+func newTable(deployment settings.Deployment, specs ...serviceSpec) settings.Table {
 	table := settings.Table{Deployment: deployment}
-	for _, line := range lines {
-		table.Services = append(table.Services, line.row())
+	for _, spec := range specs {
+		table.Services = append(table.Services, spec.namedRow())
 	}
 	return table
 }
 
 const (
 	shortDeadlineMs = 5_000
-	dayDeadlineMs   = 30_000
+	longDeadlineMs  = 30_000
 )
 
 func lisbonTable() settings.Table {
 	deployment := settings.Deployment{Pools: []string{"payroll", "returns", "banking"}, Moves: 10, Rollout: 2, Buffer: 1, MaintainDays: 42}
-	return tableOf(deployment,
-		line{"payslips", "payroll", 4, 64, 8, dayDeadlineMs, true},
-		line{"portal", "payroll", 2, 24, 8, shortDeadlineMs, true},
-		line{"tax-returns", "returns", 2, 40, 8, dayDeadlineMs, true},
-		line{"social-security", "returns", 2, 24, 8, dayDeadlineMs, true},
-		line{"bank-files", "banking", 4, 32, 8, shortDeadlineMs, false},
+	return newTable(deployment,
+		serviceSpec{"payslips", "payroll", 4, 64, 8, longDeadlineMs, true},
+		serviceSpec{"portal", "payroll", 2, 24, 8, shortDeadlineMs, true},
+		serviceSpec{"tax-returns", "returns", 2, 40, 8, longDeadlineMs, true},
+		serviceSpec{"social-security", "returns", 2, 24, 8, longDeadlineMs, true},
+		serviceSpec{"bank-files", "banking", 4, 32, 8, shortDeadlineMs, false},
 	)
 }
 
 func podkarpacieTable() settings.Table {
 	deployment := settings.Deployment{Pools: []string{"quoting", "urgent-quoting", "office"}, Moves: 2, Rollout: 5, Buffer: 5, MaintainDays: 42}
-	return tableOf(deployment,
-		line{"flange-quotes", "quoting", 2, 40, 8, dayDeadlineMs, false},
-		line{"valve-quotes", "quoting", 2, 40, 8, dayDeadlineMs, false},
-		line{"hydrant-quotes", "urgent-quoting", 4, 32, 8, shortDeadlineMs, false},
-		line{"pump-quotes", "urgent-quoting", 4, 24, 8, shortDeadlineMs, false},
-		line{"office", "office", 1, 32, 8, dayDeadlineMs, true},
+	return newTable(deployment,
+		serviceSpec{"flange-quotes", "quoting", 2, 40, 8, longDeadlineMs, false},
+		serviceSpec{"valve-quotes", "quoting", 2, 40, 8, longDeadlineMs, false},
+		serviceSpec{"hydrant-quotes", "urgent-quoting", 4, 32, 8, shortDeadlineMs, false},
+		serviceSpec{"pump-quotes", "urgent-quoting", 4, 24, 8, shortDeadlineMs, false},
+		serviceSpec{"office", "office", 1, 32, 8, longDeadlineMs, true},
 	)
 }
 
 // EndpointBoxes describes the endpoint boxes of a fleet, on consecutive ports.
 func EndpointBoxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
-	first, err := netip.ParseAddrPort(fleet.Endpoints)
+	firstAddress, err := netip.ParseAddrPort(fleet.Endpoints)
 	if err != nil {
 		return nil, fmt.Errorf("address of the first endpoint: %w", err)
 	}
 	var boxes []wire.BoxInfo
-	for _, hall := range fleet.Halls {
-		for number := range hall.Boxes {
-			address := netip.AddrPortFrom(first.Addr(), first.Port()+uint16(len(boxes)))
-			boxes = append(boxes, NewBoxInfo(hall.Name, number, fleet, address.String()))
+	for _, zone := range fleet.Halls {
+		for number := range zone.Boxes {
+			address := netip.AddrPortFrom(firstAddress.Addr(), firstAddress.Port()+uint16(len(boxes)))
+			boxes = append(boxes, NewBoxInfo(zone.Name, number, fleet, address.String()))
 		}
 	}
 	return boxes, nil
@@ -133,6 +133,6 @@
 	return boxes
 }
 
-func entryName(hall string, number int) string {
-	return fmt.Sprintf("%s-entry-%d", hall, number+1)
+func entryName(zone string, number int) string {
+	return fmt.Sprintf("%s-entry-%d", zone, number+1)
 }
