--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -13,198 +13,205 @@
 	"damsonwinch/pkg/queue"
 )
 
-// Messages to the task.
+// Messages to the loop.
 type (
-	// acquireMessage asks for a grant; the reply gets exactly one.
+	// acquireMessage asks for a grant. The loop sends exactly one to reply.
 	acquireMessage struct {
-		item  queue.Item
-		hop   bool
+		item queue.Item
+		// forwarded says that another entry has forwarded the request to this one.
+		forwarded bool
+		// tried holds the names of the boxes and the sender keys of the entries that were tried.
 		tried map[string]bool
 		reply chan<- grant
 	}
-	// cancelMessage takes back a wish that may still wait.
+	// cancelMessage withdraws a request that may still be waiting for its grant.
 	cancelMessage struct {
 		id string
 	}
-	// finishMessage gives back what a grant gave.
+	// finishMessage returns the slots of a grant and reports the attempt that was made with it.
 	finishMessage struct {
 		id     string
-		report report
+		report attemptReport
 	}
-	// forwardedMessage tells how busy a peer said it was, or that it gave no
-	// answer.
+	// forwardedMessage reports that another entry, to which a request was forwarded, replied whether it
+	// has free slots, or did not reply.
 	forwardedMessage struct {
-		peer fold.SenderKey
-		pool string
-		busy bool
-		lost bool
+		peer       fold.SenderKey
+		pool       string
+		busy       bool
+		unanswered bool
 	}
-	// retryMessage asks whether the service's budget bears a retry.
+	// retryMessage asks for a retry from the service's retry budget.
 	retryMessage struct {
 		service string
 		reply   chan<- bool
 	}
-	// renewedMessage ends an attempt to renew.
+	// renewedMessage reports that an attempt to renew the lease has ended.
 	renewedMessage struct {
 		accepted bool
 	}
-	// extendedMessage is a hall peer's answer, or that it has ended.
+	// extendedMessage reports the outcome of a request for an extension of the lease to a keeper of the
+	// zone: the keeper granted it, is found to have exited, or neither.
 	extendedMessage struct {
-		key     fold.SenderKey
-		peer    lease.Peer
-		asked   time.Time
-		granted bool
-		ended   bool
-	}
-	// peerMessage asks for the client of an address.
-	peerMessage struct {
+		// key names the sender that the extension is for.
+		key         fold.SenderKey
+		peer        lease.Peer
+		requestedAt time.Time
+		granted     bool
+		exited      bool
+	}
+	// peerClientMessage asks for the RPC client for an address.
+	peerClientMessage struct {
 		address string
 		reply   chan<- *call.Client
 	}
-	// freeMessage asks for the free slots in a service's pool.
-	freeMessage struct {
+	// freeSlotsMessage asks for the number of free slots on this entry's boxes of a service's pool.
+	freeSlotsMessage struct {
 		service string
 		reply   chan<- int
 	}
-	// leaveMessage begins a planned stop.
+	// leaveMessage begins the handover of the entry's boxes in a planned stop.
 	leaveMessage struct{}
-	// standingMessage asks for a summary.
-	standingMessage struct {
-		reply chan<- standing
+	// summaryMessage asks for a summary of the entry.
+	summaryMessage struct {
+		reply chan<- summary
 	}
 )
 
-// standing sums up an entry, for its planned stop and for tests.
-type standing struct {
-	boxes   int
-	inUse   int
+// summary holds what a planned stop waits for and what the gauges show.
+type summary struct {
+	boxes int
+	// inUse is the number of slots in use on the entry's boxes.
+	inUse int
+	// waiting is the number of requests in the queues.
 	waiting int
 	maySend bool
-	// heirs counts the senders that could take its boxes.
-	heirs int
+	// successors is the number of senders that could take over the entry's boxes.
+	successors int
 }
 
 const (
-	busyTick          = 20 * time.Millisecond
-	idleTicksARenewal = 8
-	ageEvery          = 5  // Ticks.
-	tidyEvery         = 50 // Ticks.
+	busyTickInterval    = 20 * time.Millisecond
+	idleTicksPerRenewal = 8
+	ticksPerAging       = 5
+	ticksPerCleanup     = 50
 )
 
-// busy says whether something waits for time to pass.
-func (f *Entry) busy() bool {
-	if len(f.jobs) > 0 || f.leaving {
+// hasTimedWork reports whether the loop has work that depends on the time, so that it has to tick
+// often.
+func (e *Entry) hasTimedWork() bool {
+	if len(e.requests) > 0 || e.leaving {
 		return true
 	}
-	for _, box := range f.boxes {
-		if box.Phase == fold.Draining || box.givenUp || f.book.IsEjected(box.Info.Name) {
+	for _, box := range e.boxes {
+		if box.Phase == fold.Draining || box.handoverPending || e.ejections.IsEjected(box.Info.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// run is the task that owns the entry's state.
-func (f *Entry) run(ctx context.Context) error {
-	ticker := pace.New(f.deps.Clock, busyTick, milliseconds(f.deps.Settings.RenewMs)/idleTicksARenewal)
+// run is the loop: it handles messages, updates of the log's state and ticks one by one, until ctx ends.
+func (e *Entry) run(ctx context.Context) error {
+	ticker := pace.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
 	defer ticker.Stop()
 	for ticks := 0; ; {
-		ticker.SetBusy(f.busy())
+		ticker.SetBusy(e.hasTimedWork())
 		select {
 		case <-ctx.Done():
-			f.refuseAll()
+			e.refuseAllWaiting()
 			return nil
-		case update := <-f.updates:
-			f.takeUpdate(update)
-		case message := <-f.inbox:
-			f.take(message)
+		case update := <-e.updates:
+			e.handleUpdate(update)
+		case message := <-e.inbox:
+			e.handleMessage(message)
 		case <-ticker.Chan():
 			ticks++
-			f.takeTick(ctx, ticks)
+			e.handleTick(ctx, ticks)
 		}
 	}
 }
 
-func (f *Entry) take(message any) {
+func (e *Entry) handleMessage(message any) {
 	switch m := message.(type) {
 	case acquireMessage:
-		f.acquire(m)
+		e.admit(m)
 	case cancelMessage:
-		f.cancelWaiting(m.id)
+		e.cancelWaiting(m.id)
 	case finishMessage:
-		f.finish(m)
+		e.handleFinish(m)
 	case forwardedMessage:
-		f.takeForwarded(m)
+		e.handleForwarded(m)
 	case retryMessage:
-		m.reply <- f.spendRetry(m.service)
+		m.reply <- e.spendRetry(m.service)
 	case renewedMessage:
-		f.leasing.renewing = false
+		e.lease.renewing = false
 	case extendedMessage:
-		f.takeExtended(m)
-	case peerMessage:
-		m.reply <- f.peer(m.address)
-	case freeMessage:
-		m.reply <- totalFree(f.views(poolOf(f.state, m.service)))
+		e.handleExtended(m)
+	case peerClientMessage:
+		m.reply <- e.peerClient(m.address)
+	case freeSlotsMessage:
+		m.reply <- totalFreeSlots(e.candidates(poolOf(e.state, m.service)))
 	case leaveMessage:
-		f.leaving = true
-		f.leasing.next = time.Time{}
-	case standingMessage:
-		m.reply <- f.standing()
+		e.leaving = true
+		e.lease.nextRenewal = time.Time{}
+	case summaryMessage:
+		m.reply <- e.summarize()
 	}
 }
 
-// takeUpdate moves the entry to a newer state.
-func (f *Entry) takeUpdate(update follow.Update) {
+// handleUpdate takes over a newer state of the log, and the platform's list of leaving boxes.
+func (e *Entry) handleUpdate(update follow.Update) {
 	if update.LeavingBoxesKnown {
-		f.takeAvoid(update.LeavingBoxes)
+		e.updateLeaving(update.LeavingBoxes)
 	}
-	if update.State.Offset() < f.state.Offset() {
+	if update.State.Offset() < e.state.Offset() {
 		return
 	}
-	old := f.state
-	f.state = update.State
-	f.inForce.Store(&update.State)
-	f.readBack()
+	old := e.state
+	e.state = update.State
+	e.currentState.Store(&update.State)
+	e.updateLease()
 	if update.Restored || slices.ContainsFunc(update.Records, follow.AppliedRecord.ChangesFleet) {
-		f.takeFleet(old)
-		f.endDrains(f.ctx)
+		e.updateFleet(old)
+		e.proposeDrainedAndHandovers(e.ctx)
 	}
-	f.deps.Metrics.SetGauge("offset", f.state.Offset())
-	f.deps.Metrics.SetGauge("table_version", f.state.Table().Version())
-	f.dispatchAll()
+	e.deps.Metrics.SetGauge("offset", e.state.Offset())
+	e.deps.Metrics.SetGauge("table_version", e.state.Table().Version())
+	e.dispatchAll()
 }
 
-func (f *Entry) takeTick(ctx context.Context, ticks int) {
-	f.renew(ctx)
-	f.expire()
-	f.reroute()
-	if ticks%ageEvery == 0 || !f.busy() {
-		f.age()
-		f.endDrains(ctx)
-		f.judgeBoxes(ctx)
-	}
-	if ticks%tidyEvery == 0 {
-		f.book.ForgetOldFailures(f.now())
-		f.gauges()
-	}
-	f.dispatchAll()
+func (e *Entry) handleTick(ctx context.Context, ticks int) {
+	e.renew(ctx)
+	e.refuseExpired()
+	e.reroute()
+	if ticks%ticksPerAging == 0 || !e.hasTimedWork() {
+		e.ageQueues()
+		e.proposeDrainedAndHandovers(ctx)
+		e.updateBoxHealth(ctx)
+	}
+	if ticks%ticksPerCleanup == 0 {
+		e.ejections.ForgetOldFailures(e.now())
+		e.setGauges()
+	}
+	e.dispatchAll()
 }
 
-func (f *Entry) gauges() {
-	standing := f.standing()
-	f.deps.Metrics.SetGauge("boxes", standing.boxes)
-	f.deps.Metrics.SetGauge("slots_in_use", standing.inUse)
-	f.deps.Metrics.SetGauge("waiting", standing.waiting)
-	f.deps.Metrics.SetGauge("held_bytes", int(f.held.Load()))
+func (e *Entry) setGauges() {
+	current := e.summarize()
+	e.deps.Metrics.SetGauge("boxes", current.boxes)
+	e.deps.Metrics.SetGauge("slots_in_use", current.inUse)
+	e.deps.Metrics.SetGauge("waiting", current.waiting)
+	e.deps.Metrics.SetGauge("held_bytes", int(e.heldBytes.Load()))
 }
 
-func (f *Entry) standing() standing {
-	summary := standing{boxes: len(f.boxes), maySend: f.leasing.holder.MaySend(f.now()), heirs: len(f.heirs())}
-	for _, box := range f.boxes {
-		summary.inUse += box.inUse
+func (e *Entry) summarize() summary {
+	s := summary{boxes: len(e.boxes), maySend: e.lease.holder.MaySend(e.now()), successors: len(e.successors())}
+	for _, box := range e.boxes {
+		s.inUse += box.inUse
 	}
-	for _, waiting := range f.queues {
-		summary.waiting += waiting.Total()
+	for _, q := range e.queues {
+		s.waiting += q.Total()
 	}
-	return summary
+	return s
 }
--- a/pkg/front/route.go
+++ b/pkg/front/route.go
@@ -7,113 +7,118 @@
 	"damsonwinch/pkg/settings"
 )
 
-// busyFor is how long a sender that said it had no free slot is passed over.
-const busyFor = 50 * time.Millisecond
+// busyRoutePause is how long an entry that replied that it has no free slot counts as busy.
+const busyRoutePause = 50 * time.Millisecond
 
-// lostFor is how long a sender that gave no answer is passed over.
-const lostFor = 2 * time.Second
+// unansweredRoutePause is how long an entry that did not reply counts as busy.
+const unansweredRoutePause = 2 * time.Second
 
-// goesElsewhere sends a request to another sender of its pool when that one
-// likely has room and this entry has none. A request goes on only once, so that
-// no two entries pass it to and fro.
-func (f *Entry) goesElsewhere(m acquireMessage, row settings.Row) bool {
-	if m.hop || f.freeNow(row.Pool, m.item.Size) {
+// tryForward forwards a request to another entry if that one probably has free slots in the pool and
+// this entry has none, or if this entry can't send to the pool. It reports whether it did. A request is
+// forwarded only once, so that entries don't pass it back and forth.
+func (e *Entry) tryForward(m acquireMessage, row settings.Row) bool {
+	if m.forwarded || e.canStartNow(row.Pool, m.item.Size) {
 		return false
 	}
-	chosen := f.chooseRoute(row.Pool, m.tried)
+	chosen := e.chooseRoute(row.Pool, m.tried)
 	if chosen == nil {
 		return false
 	}
-	if !f.now().After(chosen.busyUntil) && f.mayWait(row.Pool) {
+	if !e.now().After(chosen.busyUntil) && e.canSendTo(row.Pool) {
 		return false
 	}
-	f.deps.Metrics.Add("forwarded", 1)
-	m.reply <- grant{forward: chosen.key, address: chosen.address, row: row}
+	e.deps.Metrics.Add("forwarded", 1)
+	m.reply <- grant{forwardTo: chosen.key, address: chosen.address, row: row}
 	return true
 }
 
-// freeNow says whether a request would start at once here.
-func (f *Entry) freeNow(pool string, size int) bool {
-	if !f.mayWait(pool) || f.queue(pool).Total() > 0 {
+// canStartNow reports whether a request of the given size would start at once on one of this entry's
+// boxes.
+func (e *Entry) canStartNow(pool string, size int) bool {
+	if !e.canSendTo(pool) || e.queue(pool).Total() > 0 {
 		return false
 	}
-	for _, box := range f.inPool(pool) {
-		if f.open(box, false) && f.view(box).Free() >= size {
+	for _, box := range e.ownBoxes(pool) {
+		if e.mayStartOn(box, false) && e.candidate(box).Free() >= size {
 			return true
 		}
 	}
 	return false
 }
 
-// chooseRoute picks by chance among the senders that may have room, by their
-// slots in the pool; if none may, among all.
-func (f *Entry) chooseRoute(pool string, tried map[string]bool) *route {
-	now := f.now()
+// chooseRoute returns an entry to which a request for the pool can be forwarded, or nil. It draws at
+// random among the entries that are not busy and were not tried, weighted by their slots in the pool; if
+// all are busy, among those that were not tried.
+func (e *Entry) chooseRoute(pool string, tried map[string]bool) *route {
+	now := e.now()
 	for _, onlyFree := range []bool{true, false} {
-		if chosen := f.drawRoute(pool, tried, now, onlyFree); chosen != nil {
+		if chosen := e.drawRoute(pool, tried, now, onlyFree); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-func (f *Entry) drawRoute(pool string, tried map[string]bool, now time.Time, onlyFree bool) *route {
+// drawRoute draws a route at random, weighted by slots. Routes that were tried are left out, with
+// onlyFree also busy ones.
+func (e *Entry) drawRoute(pool string, tried map[string]bool, now time.Time, onlyFree bool) *route {
 	var chosen *route
 	total := 0
-	for i := range f.routes[pool] {
-		candidate := &f.routes[pool][i]
+	for i := range e.routes[pool] {
+		candidate := &e.routes[pool][i]
 		if tried[candidate.key.String()] || (onlyFree && now.Before(candidate.busyUntil)) {
 			continue
 		}
 		total += candidate.slots
-		if f.random.IntN(total) < candidate.slots {
+		if e.random.IntN(total) < candidate.slots {
 			chosen = candidate
 		}
 	}
 	return chosen
 }
 
-// reroute sends waiting requests on when this entry can't send to any box of
-// their pool any more: its boxes went to others, or its lease ran out. Without
-// this they would wait for their deadline beside boxes that are free elsewhere.
-func (f *Entry) reroute() {
-	for id, waiting := range f.jobs {
-		if waiting.box != "" || f.mayWait(waiting.pool) {
+// reroute forwards waiting requests whose pool this entry can't send to any more, because its boxes went
+// to other entries or its lease ran out. Otherwise they would wait until their deadlines although other
+// entries have free boxes. A request that was forwarded to this entry is refused, so that the first
+// entry can try another one.
+func (e *Entry) reroute() {
+	for id, waiting := range e.requests {
+		if waiting.box != "" || e.canSendTo(waiting.pool) {
 			continue
 		}
-		row, _ := f.state.Table().Row(waiting.item.Service)
-		chosen := f.chooseRoute(waiting.pool, waiting.tried)
+		row, _ := e.state.Table().Row(waiting.item.Service)
+		chosen := e.chooseRoute(waiting.pool, waiting.tried)
 		switch {
-		case waiting.hop:
-			f.queue(waiting.pool).Remove(id)
-			f.refuseJob(waiting, f.noSender(waiting.pool))
+		case waiting.forwarded:
+			e.queue(waiting.pool).Remove(id)
+			e.refuseWaiting(waiting, e.noBoxRefusal(waiting.pool))
 		case chosen != nil:
-			f.queue(waiting.pool).Remove(id)
-			f.forget(waiting)
-			f.deps.Metrics.Add("rerouted", 1)
-			waiting.reply <- grant{forward: chosen.key, address: chosen.address, row: row}
+			e.queue(waiting.pool).Remove(id)
+			e.forget(waiting)
+			e.deps.Metrics.Add("rerouted", 1)
+			waiting.reply <- grant{forwardTo: chosen.key, address: chosen.address, row: row}
 		}
 	}
 }
 
-// takeForwarded learns from what a sender told of its free slots.
-func (f *Entry) takeForwarded(m forwardedMessage) {
-	for i := range f.routes[m.pool] {
-		known := &f.routes[m.pool][i]
-		if known.key != m.peer {
+// handleForwarded notes whether the entry to which a request was forwarded is busy.
+func (e *Entry) handleForwarded(m forwardedMessage) {
+	for i := range e.routes[m.pool] {
+		peer := &e.routes[m.pool][i]
+		if peer.key != m.peer {
 			continue
 		}
-		known.busyUntil = time.Time{}
+		peer.busyUntil = time.Time{}
 		switch {
-		case m.lost:
-			known.busyUntil = f.now().Add(lostFor)
+		case m.unanswered:
+			peer.busyUntil = e.now().Add(unansweredRoutePause)
 		case m.busy:
-			known.busyUntil = f.now().Add(busyFor)
+			peer.busyUntil = e.now().Add(busyRoutePause)
 		}
 	}
 }
 
-// poolOf returns the pool of a service in the state in force.
+// poolOf returns the pool of a service, or "" if the service is not in the table.
 func poolOf(state fold.State, service string) string {
 	row, _ := state.Table().Row(service)
 	return row.Pool
--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -96,7 +96,7 @@
 	services := c.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
 	result := clientResult{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Pad: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
+	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
 	if err != nil {
 		result.noResponse = true
 		return result
@@ -145,7 +145,7 @@
 	}
 	result.status = response.StatusCode
 	result.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
-	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.AnswerTo(body)
+	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.ExpectedResponse(body)
 	if result.status != http.StatusOK {
 		result.reason = string(responseBody)
 	}
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -61,7 +61,7 @@
 	Platform   *standin.Platform
 	Network    *standin.Network
 	Endpoints  map[string]*standin.Endpoint
-	Book       *standin.Book
+	Book       *standin.Observations
 	Nodes      []*Node
 	clock      clockwork.Clock
 	logger     logrus.FieldLogger
@@ -106,7 +106,7 @@
 // NewCluster starts the stand-ins and all nodes.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
-		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewBook(),
+		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewObservations(),
 		clock: clockwork.NewRealClock(), logger: logger, violations: &violationLog{counts: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
@@ -127,7 +127,7 @@
 }
 
 func (c *Cluster) startPlatform() error {
-	log := standin.New(c.clock, c.Seed, 0)
+	log := standin.NewLog(c.clock, c.Seed, 0)
 	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTime) })
 	c.Platform = standin.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
 		return (*c.reboot.Load())(ctx, box)
@@ -137,7 +137,7 @@
 		return fmt.Errorf("listen for the platform: %w", err)
 	}
 	c.User.Fleet.Platform = listener.Addr().String()
-	c.Network.Place(listener.Addr().String(), platformZone)
+	c.Network.SetZone(listener.Addr().String(), platformZone)
 	c.Platform.Serve(listener)
 	return nil
 }
@@ -150,9 +150,9 @@
 				return fmt.Errorf("listen for an endpoint: %w", err)
 			}
 			info := NewBoxInfo(zone.Name, number, c.User.Fleet, listener.Addr().String())
-			c.Network.Place(info.Address, zone.Name)
+			c.Network.SetZone(info.Address, zone.Name)
 			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
-			c.Platform.Put(wire.ListedBox{Info: info})
+			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
 	}
 	return nil
@@ -186,7 +186,7 @@
 				return err
 			}
 			for _, address := range addresses {
-				c.Network.Place(address, hall.Name)
+				c.Network.SetZone(address, hall.Name)
 			}
 			node.keeper = settings.Keeper{
 				Node: node.Name, Hall: hall.Name, Halls: c.zoneNames(), Address: addresses[0], DebugAddress: addresses[1],
@@ -263,12 +263,12 @@
 }
 
 func (c *Cluster) processEnv(node *Node) process.Env {
-	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, Breach: c.violations.add, Seed: c.Seed}
+	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, OnViolation: c.violations.add, Seed: c.Seed}
 }
 
 // StartNode starts a node's keeper and entry.
 func (c *Cluster) StartNode(node *Node) error {
-	c.Platform.Put(wire.ListedBox{
+	c.Platform.PutBox(wire.ListedBox{
 		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Zone, Rack: "entry", Address: node.entry.Address, Slots: 1},
 		EntryBox: true,
 	})
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -94,7 +94,7 @@
 }
 
 // setFault makes the first so many boxes of the pool, or all, do wrong.
-func (s *fixture) setFault(fault standin.Fault, boxes int) {
+func (s *fixture) setFault(fault standin.EndpointFault, boxes int) {
 	for _, box := range s.run.observer.currentState().Boxes() {
 		if box.Pool == "free" {
 			continue
@@ -133,7 +133,7 @@
 		}
 		var lines strings.Builder
 		for _, service := range services {
-			s.setFault(standin.Fault(fault), boxes)
+			s.setFault(standin.EndpointFault(fault), boxes)
 			nonce := s.nonce()
 			work := standin.Work{Nonce: nonce, WorkMs: 50}
 			header := map[string]string{front.HeaderIdempotencyKey: nonce}
@@ -141,7 +141,7 @@
 			s.endFaults()
 			fmt.Fprintf(&lines, "%s: %s %d", service, first.outcome, first.status)
 			if first.status == http.StatusOK {
-				assert.Equal(t, first.body, standin.AnswerTo(mustJSON(t, work)))
+				assert.Equal(t, first.body, standin.ExpectedResponse(mustJSON(t, work)))
 			}
 			if service == "pay" {
 				fmt.Fprintf(&lines, ", ran at most once: %v", s.cluster.Book.Runs(nonce) <= 1)
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -51,7 +51,7 @@
 		s.run.wait(context.Background(), time.Duration(random.IntN(maxPauseBetweenEventsMs))*time.Millisecond)
 	}
 	s.cluster.Network.Heal()
-	s.cluster.Platform.Log.SetFaults(standin.Faults{})
+	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 	s.endFaults()
 	for number := range stopped {
 		assert.NilError(t, s.cluster.StartNode(s.cluster.Nodes[number]))
@@ -79,19 +79,19 @@
 		return "cut " + from + " to " + to
 	case 2, 3:
 		s.cluster.Network.Heal()
-		s.cluster.Platform.Log.SetFaults(standin.Faults{})
+		s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 		return "healed"
 	case 4:
-		faults := standin.Faults{
-			Down: random.IntN(3) == 0, LoseAnswers: random.Float64() / 3, Drop: random.Float64() / 5, Late: random.Float64() / 5,
-			LateBy: time.Duration(random.IntN(4000)) * time.Millisecond, Slow: time.Duration(random.IntN(200)) * time.Millisecond,
+		faults := standin.LogFaults{
+			Down: random.IntN(3) == 0, LostAnswerRate: random.Float64() / 3, DropRate: random.Float64() / 5, LateRate: random.Float64() / 5,
+			LateDelay: time.Duration(random.IntN(4000)) * time.Millisecond, AppendDelay: time.Duration(random.IntN(200)) * time.Millisecond,
 		}
 		s.cluster.Platform.Log.SetFaults(faults)
 		return fmt.Sprintf("log %+v", faults)
 	case 5:
 		return s.killOrStart(node, stopped)
 	case 6:
-		faults := []standin.Fault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultHalf, standin.FaultOther, standin.FaultNone, standin.FaultNone}
+		faults := []standin.EndpointFault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultPartialBody, standin.FaultWrongRequestID, standin.FaultNone, standin.FaultNone}
 		fault := faults[random.IntN(len(faults))]
 		s.setFault(fault, 1+random.IntN(2))
 		return "boxes " + string(fault)
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -44,7 +44,7 @@
 
 // report compares the books.
 func (r *run) report() Report {
-	overlaps, cutInFlight, sentToLeaving := r.cluster.Book.Harm()
+	overlaps, cutInFlight, sentToLeaving := r.cluster.Book.Violations()
 	o := r.observer
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -114,7 +114,7 @@
 }
 
 func (r *run) operatorClient(author string, nodeIndex int) (*operator.Client, error) {
-	initialState, err := process.Empty()
+	initialState, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
@@ -301,10 +301,10 @@
 }
 
 func (r *run) takeLogDown(ctx context.Context) error {
-	r.cluster.Platform.Log.SetFaults(standin.Faults{Down: true})
+	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	r.logStep("the log is down")
 	r.waitPercent(ctx, 8)
-	r.cluster.Platform.Log.SetFaults(standin.Faults{LoseAnswers: 0.05})
+	r.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 0.05})
 	r.logStep("the log is back and loses one answer in twenty")
 	r.waitPercent(ctx, 4)
 	return nil
@@ -324,7 +324,7 @@
 		}
 	}
 	r.cluster.Endpoints[failing].SetFault(standin.FaultFailAll)
-	r.cluster.Endpoints[leaving].Leave()
+	r.cluster.Endpoints[leaving].MarkLeaving()
 	r.cluster.Platform.SetLeaving(leaving, true)
 	r.logStep("%s fails everything, %s is leaving", failing, leaving)
 	r.waitPercent(ctx, 12)
