--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -69,7 +69,7 @@
 	s.cluster.Platform.SetLeaving(leaving, true)
 	s.run.wait(context.Background(), 3*time.Second)
 	load.stop()
-	_, _, late := s.cluster.Book.Violations()
+	_, _, late := s.cluster.Observations.Violations()
 	assert.Equal(t, late, 0)
 	assert.Assert(t, len(load.results()) > 0)
 }
@@ -123,7 +123,7 @@
 	assert.NilError(t, s.run.maintainAllBoxes(context.Background()))
 	load.stop()
 	assert.Equal(t, s.run.observer.dueBoxes(), 0)
-	overlaps, cut, _ := s.cluster.Book.Violations()
+	overlaps, cut, _ := s.cluster.Observations.Violations()
 	assert.Equal(t, overlaps+cut, 0)
 	for _, line := range load.results() {
 		assert.Equal(t, line.outcome, wire.OutcomeAnswered, "%+v", line)
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -56,18 +56,18 @@
 
 // Cluster is a user's whole fleet on loopback.
 type Cluster struct {
-	User       User
-	Seed       uint64
-	Platform   *standin.Platform
-	Network    *standin.Network
-	Endpoints  map[string]*standin.Endpoint
-	Book       *standin.Observations
-	Nodes      []*Node
-	clock      clockwork.Clock
-	logger     logrus.FieldLogger
-	violations *violationLog
-	nextPort   int
-	reboot     atomic.Pointer[func(ctx context.Context, box string) error]
+	User         User
+	Seed         uint64
+	Platform     *standin.Platform
+	Network      *standin.Network
+	Endpoints    map[string]*standin.Endpoint
+	Observations *standin.Observations
+	Nodes        []*Node
+	clock        clockwork.Clock
+	logger       logrus.FieldLogger
+	violations   *violationLog
+	nextPort     int
+	reboot       atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
 // NewestSnapshotOffset returns the offset of the newest snapshot in the log, 0 if none.
@@ -106,7 +106,7 @@
 // NewCluster starts the stand-ins and all nodes.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
-		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewObservations(),
+		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Observations: standin.NewObservations(),
 		clock: clockwork.NewRealClock(), logger: logger, violations: &violationLog{counts: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
@@ -151,7 +151,7 @@
 			}
 			info := NewBoxInfo(zone.Name, number, c.User.Fleet, listener.Addr().String())
 			c.Network.SetZone(info.Address, zone.Name)
-			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
+			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Observations, c.poolOf)
 			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
 	}
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -168,6 +168,6 @@
 	s.waitFor("the others are maintained and the pool is formed", func() bool { return s.run.observer.dueBoxes() == 0 && s.run.observer.poolsFilled() })
 
 	load.stop()
-	overlaps, cut, _ := s.cluster.Book.Violations()
+	overlaps, cut, _ := s.cluster.Observations.Violations()
 	assert.Equal(t, overlaps+cut, 0)
 }
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -144,10 +144,10 @@
 				assert.Equal(t, first.body, standin.ExpectedResponse(mustJSON(t, work)))
 			}
 			if service == "pay" {
-				fmt.Fprintf(&lines, ", ran at most once: %v", s.cluster.Book.Runs(nonce) <= 1)
+				fmt.Fprintf(&lines, ", ran at most once: %v", s.cluster.Observations.Runs(nonce) <= 1)
 				second := s.callAfterOutcome(service, work, header)
 				fmt.Fprintf(&lines, "; again with the key: %s %d", second.outcome, second.status)
-				assert.Assert(t, s.cluster.Book.Runs(nonce) <= 1, "it ran %d times", s.cluster.Book.Runs(nonce))
+				assert.Assert(t, s.cluster.Observations.Runs(nonce) <= 1, "it ran %d times", s.cluster.Observations.Runs(nonce))
 			}
 			lines.WriteString("\n")
 		}
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -53,7 +53,7 @@
 	first := make(chan reply, 1)
 	long := standin.Work{Nonce: s.nonce(), WorkMs: 500}
 	s.runInBackground(func() { first <- s.call("view", long, team) })
-	s.waitFor("the first request runs", func() bool { return s.cluster.Book.Runs(long.Nonce) == 1 })
+	s.waitFor("the first request runs", func() bool { return s.cluster.Observations.Runs(long.Nonce) == 1 })
 
 	second := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, team)
 
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -33,7 +33,7 @@
 			})
 		}
 		assert.NilError(t, both.Wait())
-		assert.Equal(t, s.cluster.Book.Runs(nonce), 1, "%+v", answers)
+		assert.Equal(t, s.cluster.Observations.Runs(nonce), 1, "%+v", answers)
 		statuses := []int{answers[0].status, answers[1].status}
 		assert.Assert(t, statuses[0] == http.StatusOK || statuses[1] == http.StatusOK, "%+v", answers)
 		assert.Assert(t, statuses[0] == http.StatusConflict || statuses[1] == http.StatusConflict, "%+v", answers)
@@ -52,11 +52,11 @@
 	assert.Equal(t, first.outcome, "not-run")
 	assert.Equal(t, first.status, http.StatusServiceUnavailable)
 	assert.Assert(t, first.retryAfter != "")
-	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 0)
+	assert.Equal(t, s.cluster.Observations.Runs(work.Nonce), 0)
 	s.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 	second := s.call("pay", work, header)
 	assert.Equal(t, second.status, http.StatusOK, second.body)
-	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 1)
+	assert.Equal(t, s.cluster.Observations.Runs(work.Nonce), 1)
 }
 
 // TestAClaimThatLandsAfterNotRunWasTold must not send the request after all, nor
@@ -75,10 +75,10 @@
 	})
 
 	assert.Assert(t, landed, "the late claim and its release did not land")
-	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 0)
+	assert.Equal(t, s.cluster.Observations.Runs(work.Nonce), 0)
 	second := s.call("pay", work, header)
 	assert.Equal(t, second.status, http.StatusOK, second.body)
-	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 1)
+	assert.Equal(t, s.cluster.Observations.Runs(work.Nonce), 1)
 }
 
 // TestAClaimWhoseAnswerIsLostRuns because it is read back from the log.
@@ -90,7 +90,7 @@
 	first := s.call("pay", work, map[string]string{front.HeaderIdempotencyKey: "k"})
 
 	assert.Equal(t, first.status, http.StatusOK, first.body)
-	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 1)
+	assert.Equal(t, s.cluster.Observations.Runs(work.Nonce), 1)
 }
 
 // TestAKeyWithAnotherBody is refused: the key belongs to the first request.
@@ -105,7 +105,7 @@
 
 	assert.Equal(t, second.status, http.StatusUnprocessableEntity)
 	assert.Equal(t, second.outcome, "not-run")
-	assert.Equal(t, s.cluster.Book.Runs(other.Nonce), 0)
+	assert.Equal(t, s.cluster.Observations.Runs(other.Nonce), 0)
 }
 
 // TestAnEntryReplacedInTheMiddleOfAKeyedRequest: the next try, at another entry,
@@ -117,12 +117,12 @@
 	work := standin.Work{Nonce: s.nonce(), WorkMs: 400}
 	header := map[string]string{front.HeaderIdempotencyKey: "k"}
 	s.runInBackground(func() { s.tryCallNode(s.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
-	s.waitFor("the request runs", func() bool { return s.cluster.Book.Runs(work.Nonce) == 1 })
+	s.waitFor("the request runs", func() bool { return s.cluster.Observations.Runs(work.Nonce) == 1 })
 	assert.NilError(t, s.cluster.KillEntry(s.cluster.Nodes[0]))
 
 	second := s.callNode(s.cluster.Nodes[1], "pay", mustJSON(t, work), header, work.Nonce)
 
 	assert.Equal(t, second.status, http.StatusConflict, second.body)
 	assert.Equal(t, second.outcome, "unknown")
-	assert.Equal(t, s.cluster.Book.Runs(work.Nonce), 1)
+	assert.Equal(t, s.cluster.Observations.Runs(work.Nonce), 1)
 }
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -44,7 +44,7 @@
 
 // report compares the books.
 func (r *run) report() Report {
-	overlaps, cutInFlight, sentToLeaving := r.cluster.Book.Violations()
+	overlaps, cutInFlight, sentToLeaving := r.cluster.Observations.Violations()
 	o := r.observer
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -59,7 +59,7 @@
 	report.details = r.cluster.violations.details
 	if r.generator != nil {
 		for _, result := range r.generator.results() {
-			report.addResult(result, r.cluster.Book.Runs(result.nonce))
+			report.addResult(result, r.cluster.Observations.Runs(result.nonce))
 		}
 	}
 	return report
--- a/pkg/trial/stop_test.go
+++ b/pkg/trial/stop_test.go
@@ -47,7 +47,7 @@
 	s.waitFor("its boxes are freed", func() bool { return s.boxesSentTo(1) == 0 && s.run.observer.poolsFilled() })
 	load.stop()
 	for _, line := range load.results() {
-		assert.Assert(t, line.repeatable || s.cluster.Book.Runs(line.nonce) <= 1, "%+v", line)
+		assert.Assert(t, line.repeatable || s.cluster.Observations.Runs(line.nonce) <= 1, "%+v", line)
 	}
 }
 
