--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -26,7 +26,7 @@
 	s := newFixture(t, smallUser())
 	bad := s.firstPoolBox()
 	s.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	s.waitFor("the box is in the free pool", func() bool {
 		box, _ := s.run.observer.currentState().Box(bad)
 		return box.Pool == fold.FreePool
@@ -62,7 +62,7 @@
 // TestALeavingBoxGetsNoNewWork, not even while the log is down.
 func TestALeavingBoxGetsNoNewWork(t *testing.T) {
 	s := newFixture(t, smallUser())
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	leaving := s.firstPoolBox()
 	s.cluster.Endpoints[leaving].MarkLeaving()
@@ -118,7 +118,7 @@
 // TestAWaveCutsNothing maintains every box under load.
 func TestAWaveCutsNothing(t *testing.T) {
 	s := newFixture(t, smallUser())
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	s.run.options.Seconds = 100
 	assert.NilError(t, s.run.maintainAllBoxes(context.Background()))
 	load.stop()
--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -18,22 +18,25 @@
 	"damsonwinch/pkg/wire"
 )
 
-// clientResult is one line of the callers' book.
+// clientResult is what a client knows of one of its requests.
 type clientResult struct {
 	nonce      string
 	repeatable bool
 	outcome    wire.Outcome
 	status     int
-	// wrongAnswer says that an answer wasn't the one to this request's body.
+	// wrongAnswer says that the response has status 200, but isn't the one to this
+	// request's body.
 	wrongAnswer bool
-	// noResponse says that the connection ended without an answer.
+	// noResponse says that the request could not be sent, or that the connection
+	// failed before the end of the response.
 	noResponse bool
 	latency    time.Duration
 	class      wire.Class
-	reason     string
+	// reason is the body of a response with another status than 200, or the error.
+	reason string
 }
 
-// loadGenerator make requests and keep the book of what they were told.
+// loadGenerator sends requests as many clients do, and records the results.
 type loadGenerator struct {
 	cluster  *Cluster
 	client   *http.Client
@@ -43,19 +46,27 @@
 	group    errgroup.Group
 }
 
+// The load: how long requests work on an endpoint, how large their bodies are, how
+// long a client waits between two requests, and how many requests have which
+// properties.
 const (
-	clientTimeout    = 40 * time.Second
-	idleConnections  = 64
-	maxWorkMs        = 25
-	maxPauseMs       = 10
-	maxPadBytes      = 200
+	clientTimeout   = 40 * time.Second
+	idleConnections = 64
+	maxWorkMs       = 25
+	maxPauseMs      = 10
+	maxPadBytes     = 200
+	// One in oneInKeyed requests that may not be repeated has an idempotency key. One
+	// in oneInUrgent requests is urgent, and of the others one in oneInSameDay has
+	// the class same-day.
 	oneInKeyed       = 3
 	oneInUrgent      = 5
 	oneInSameDay     = 4
 	urgentDeadlineMs = 2500
 )
 
-func startLoad(cluster *Cluster, clients int) *loadGenerator {
+// startLoadGenerator starts a number of clients, each of which sends one request after
+// another until stop.
+func startLoadGenerator(cluster *Cluster, clients int) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{DialContext: cluster.Network.Dialer(clientZone), MaxIdleConnsPerHost: idleConnections}
 	g := &loadGenerator{cluster: cluster, client: &http.Client{Transport: transport, Timeout: clientTimeout}, cancel: cancel}
@@ -68,32 +79,33 @@
 	return g
 }
 
-// stop ends the load and waits for the last answers.
-func (c *loadGenerator) stop() {
-	c.cancel()
-	_ = c.group.Wait()
-	c.client.CloseIdleConnections()
+// stop ends the load and waits for the responses to the requests in flight.
+func (g *loadGenerator) stop() {
+	g.cancel()
+	_ = g.group.Wait()
+	g.client.CloseIdleConnections()
 }
 
-// runClient is one caller's life: a request, a pause, and so on. A request that has
-// begun is always waited for.
-func (c *loadGenerator) runClient(ctx context.Context, number int) {
-	random := rand.New(rand.NewPCG(c.cluster.Seed, uint64(number)))
+// runClient sends requests with random pauses between them until the context ends.
+// The context doesn't cancel a request in flight, so that each result is recorded.
+func (g *loadGenerator) runClient(ctx context.Context, number int) {
+	random := rand.New(rand.NewPCG(g.cluster.Seed, uint64(number)))
 	for count := 0; ctx.Err() == nil; count++ {
-		result := c.sendRandom(random, fmt.Sprintf("%d-%d-%d", c.cluster.Seed, number, count))
-		c.mutex.Lock()
-		c.recorded = append(c.recorded, result)
-		c.mutex.Unlock()
+		result := g.sendRandom(random, fmt.Sprintf("%d-%d-%d", g.cluster.Seed, number, count))
+		g.mutex.Lock()
+		g.recorded = append(g.recorded, result)
+		g.mutex.Unlock()
 		select {
-		case <-c.cluster.clock.After(time.Duration(random.IntN(maxPauseMs)) * time.Millisecond):
+		case <-g.cluster.clock.After(time.Duration(random.IntN(maxPauseMs)) * time.Millisecond):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// sendRandom makes sendRandom request.
-func (c *loadGenerator) sendRandom(random *rand.Rand, nonce string) clientResult {
-	services := c.cluster.User.Table.Services
+// sendRandom sends a random request to a random entry that is ready, and returns the
+// result. The nonce identifies the request in the endpoints' observations.
+func (g *loadGenerator) sendRandom(random *rand.Rand, nonce string) clientResult {
+	services := g.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
 	result := clientResult{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
 	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
@@ -101,7 +113,7 @@
 		result.noResponse = true
 		return result
 	}
-	addresses := c.cluster.ReadyAddresses()
+	addresses := g.cluster.ReadyAddresses()
 	address := addresses[random.IntN(len(addresses))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/run/"+service.Service, bytes.NewReader(body))
 	if err != nil {
@@ -115,12 +127,13 @@
 	if !service.Row.Repeatable && random.IntN(oneInKeyed) == 0 {
 		request.Header.Set(front.HeaderIdempotencyKey, nonce)
 	}
-	begun := c.cluster.clock.Now()
-	c.send(request, body, &result)
-	result.latency = c.cluster.clock.Since(begun)
+	sentAt := g.cluster.clock.Now()
+	g.send(request, body, &result)
+	result.latency = g.cluster.clock.Since(sentAt)
 	return result
 }
 
+// drawClass returns a random class.
 func drawClass(random *rand.Rand) wire.Class {
 	switch {
 	case random.IntN(oneInUrgent) == 0:
@@ -131,8 +144,9 @@
 	return wire.ClassNormal
 }
 
-func (c *loadGenerator) send(request *http.Request, body []byte, result *clientResult) {
-	response, err := c.client.Do(request)
+// send sends a request and completes its result.
+func (g *loadGenerator) send(request *http.Request, body []byte, result *clientResult) {
+	response, err := g.client.Do(request)
 	if err != nil {
 		result.noResponse, result.reason = true, err.Error()
 		return
@@ -151,9 +165,9 @@
 	}
 }
 
-// results returns the book so far.
-func (c *loadGenerator) results() []clientResult {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return append([]clientResult{}, c.recorded...)
+// results returns the results so far.
+func (g *loadGenerator) results() []clientResult {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return append([]clientResult{}, g.recorded...)
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -24,7 +24,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of the trial, short so that a run shows much.
+// Intervals and timeouts of a trial's processes. They are much shorter than the
+// defaults, so that many events fit into a run of some seconds. The names of the
+// first six are those of the settings.
 const (
 	leaseMs            = 1500
 	driftMs            = 100
@@ -35,13 +37,16 @@
 	rebootTime         = 300 * time.Millisecond
 	downTimeout        = 3 * time.Second
 	maintenanceTimeout = 4 * time.Second
-	platformZone       = "platform"
-	clientZone         = "callers"
-	addressesPerNode   = 5
-	anyLoopbackPort    = "127.0.0.1:0"
+	// platformZone and clientZone are the zones of the platform, and of the clients
+	// and operators, in the stand-in network.
+	platformZone = "platform"
+	clientZone   = "callers"
+	// addressesPerNode is the number of ports on which a keeper and an entry listen.
+	addressesPerNode = 5
+	anyLoopbackPort  = "127.0.0.1:0"
 )
 
-// Node is one entry box with its two processes.
+// Node is a box that runs a keeper and an entry.
 type Node struct {
 	Name   string
 	Zone   string
@@ -51,26 +56,34 @@
 	mutex         sync.Mutex
 	keeperProcess *process.Keeper
 	entryProcess  *process.Entry
-	stopped       bool
+	// stopped says that the entry has been stopped or killed and not started again.
+	stopped bool
 }
 
-// Cluster is a user's whole fleet on loopback.
+// Cluster is the whole fleet of a user in this process: the stand-in platform, the
+// stand-in endpoints and the keepers and entries, which talk to each other over
+// loopback sockets.
 type Cluster struct {
-	User         User
-	Seed         uint64
-	Platform     *standin.Platform
-	Network      *standin.Network
-	Endpoints    map[string]*standin.Endpoint
+	User     User
+	Seed     uint64
+	Platform *standin.Platform
+	Network  *standin.Network
+	// Endpoints are the stand-in endpoints by the names of their boxes.
+	Endpoints map[string]*standin.Endpoint
+	// Observations is what the endpoints have seen of the clients' requests.
 	Observations *standin.Observations
 	Nodes        []*Node
 	clock        clockwork.Clock
 	logger       logrus.FieldLogger
 	violations   *violationLog
-	nextPort     int
-	reboot       atomic.Pointer[func(ctx context.Context, box string) error]
+	// nextPort is the next port that freeAddresses tries, 0 before its first call.
+	nextPort int
+	// reboot is what the platform's maintenance does to a box.
+	reboot atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
-// NewestSnapshotOffset returns the offset of the newest snapshot in the log, 0 if none.
+// NewestSnapshotOffset returns the offset up to which the newest snapshot in the log
+// covers the records, or 0 if there is no snapshot.
 func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
 	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, maxSnapshots) {
@@ -84,15 +97,16 @@
 
 const maxSnapshots = 1000
 
-// SetReboot changes what the platform's maintenance of a box does.
+// SetReboot replaces the function by which the platform reboots a box for its
+// maintenance.
 func (c *Cluster) SetReboot(reboot func(ctx context.Context, box string) error) {
 	c.reboot.Store(&reboot)
 }
 
-// violationLog collects the breaches that the programs themselves report.
+// violationLog collects the violations of invariants that the processes report.
 type violationLog struct {
 	mutex   sync.Mutex
-	counts  map[string]int
+	counts  map[string]int // By the name of the invariant.
 	details []string
 }
 
@@ -103,7 +117,8 @@
 	l.details = append(l.details, name+": "+detail)
 }
 
-// NewCluster starts the stand-ins and all nodes.
+// NewCluster starts the stand-ins, and a keeper and an entry on each node. The table
+// is still empty then; see StartReady.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
 		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Observations: standin.NewObservations(),
@@ -158,7 +173,8 @@
 	return nil
 }
 
-// NewBoxInfo describes the numbered box of a hall as the platform's list does.
+// NewBoxInfo returns the description of an endpoint box as it stands in the
+// platform's list. Number counts the boxes of the zone from 0.
 func NewBoxInfo(zone string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
 	return wire.BoxInfo{
 		Name: fmt.Sprintf("%s-box-%02d", zone, number+1), Hall: zone, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
@@ -166,6 +182,8 @@
 	}
 }
 
+// poolOf returns the pool of a service in the user's first table, or the service's
+// own name if it isn't in the table.
 func (c *Cluster) poolOf(service string) string {
 	for _, row := range c.User.Table.Services {
 		if row.Service == service {
@@ -175,25 +193,25 @@
 	return service
 }
 
-// configureNodes chooses every node's addresses before any starts, because each is
-// told of the others.
+// configureNodes chooses the addresses of all nodes before any node starts, because
+// the settings of each node name the others.
 func (c *Cluster) configureNodes() error {
-	for _, hall := range c.User.Fleet.Halls {
-		for number := range hall.Entries {
-			node := &Node{Name: entryName(hall.Name, number), Zone: hall.Name}
+	for _, zone := range c.User.Fleet.Halls {
+		for number := range zone.Entries {
+			node := &Node{Name: entryName(zone.Name, number), Zone: zone.Name}
 			addresses, err := c.freeAddresses(addressesPerNode)
 			if err != nil {
 				return err
 			}
 			for _, address := range addresses {
-				c.Network.SetZone(address, hall.Name)
+				c.Network.SetZone(address, zone.Name)
 			}
 			node.keeper = settings.Keeper{
-				Node: node.Name, Hall: hall.Name, Halls: c.zoneNames(), Address: addresses[0], DebugAddress: addresses[1],
+				Node: node.Name, Hall: zone.Name, Halls: c.zoneNames(), Address: addresses[0], DebugAddress: addresses[1],
 				Platform: c.User.Fleet.Platform, LeaseMs: leaseMs, DriftMs: driftMs, RenewMs: renewMs, ListMs: listMs, SnapshotEvery: snapshotEvery,
 			}
 			node.entry = settings.Entry{
-				Node: node.Name, Hall: hall.Name, Halls: c.zoneNames(), Address: addresses[2], HttpAddress: addresses[3], DebugAddress: addresses[4],
+				Node: node.Name, Hall: zone.Name, Halls: c.zoneNames(), Address: addresses[2], HttpAddress: addresses[3], DebugAddress: addresses[4],
 				Platform: c.User.Fleet.Platform, LeaseMs: leaseMs, RenewMs: renewMs, StopMs: stopMs,
 			}
 			c.Nodes = append(c.Nodes, node)
@@ -207,13 +225,15 @@
 
 func (c *Cluster) zoneNames() []string {
 	var names []string
-	for _, hall := range c.User.Fleet.Halls {
-		names = append(names, hall.Name)
+	for _, zone := range c.User.Fleet.Halls {
+		names = append(names, zone.Name)
 	}
 	return names
 }
 
-// addPeers tells a node of its peers, those of its own hall first.
+// addPeers adds the other nodes to a node's settings. Its keeper gets all other
+// keepers as peers, those of its own zone first. Its entry gets the keepers of its
+// zone, the one on its own node first.
 func (c *Cluster) addPeers(node *Node) {
 	ownKeeper := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
 	node.entry.Keepers = []settings.Peer{ownKeeper}
@@ -231,16 +251,18 @@
 	}
 }
 
-// Ports of the nodes lie below those that the system gives to connections, which
-// could otherwise take a port between its choice and its use, or while a process
-// is replaced. Processes that run at once begin at different ones.
+// The ports of the nodes are below those that the operating system assigns to
+// outgoing connections. Such a connection could otherwise take a port after it was
+// chosen and before it is used, or while a process is replaced. Trials that run at
+// the same time start at different ports: each operating system process has one of
+// portRanges ranges, by its process ID.
 const (
 	firstPort       = 15_000
 	portsPerProcess = 100
 	portRanges      = 150
 )
 
-// freeAddresses finds ports that nobody uses now.
+// freeAddresses returns loopback addresses on whose ports nobody listens now.
 func (c *Cluster) freeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < count {
@@ -266,7 +288,7 @@
 	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, OnViolation: c.violations.add, Seed: c.Seed}
 }
 
-// StartNode starts a node's keeper and entry.
+// StartNode adds a node to the platform's list and starts its keeper and its entry.
 func (c *Cluster) StartNode(node *Node) error {
 	c.Platform.PutBox(wire.ListedBox{
 		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Zone, Rack: "entry", Address: node.entry.Address, Slots: 1},
@@ -278,7 +300,7 @@
 	return c.StartEntry(node)
 }
 
-// StartKeeper starts a node's keeper.
+// StartKeeper starts a new process of a node's keeper.
 func (c *Cluster) StartKeeper(node *Node) error {
 	started, err := process.NewKeeper(node.keeper, plan.Options{DownTimeout: downTimeout, MaintenanceTimeout: maintenanceTimeout}, c.processEnv(node))
 	if err != nil {
@@ -290,7 +312,7 @@
 	return nil
 }
 
-// StartEntry starts a node's entry.
+// StartEntry starts a new process of a node's entry.
 func (c *Cluster) StartEntry(node *Node) error {
 	started, err := process.NewEntry(node.entry, c.processEnv(node))
 	if err != nil {
@@ -302,8 +324,8 @@
 	return nil
 }
 
-// StopEntry ends a node's entry as planned. The balancer sends it no callers
-// from then on.
+// StopEntry makes a planned stop of a node's entry: requests in flight are answered.
+// ReadyAddresses leaves the entry out from the beginning of the stop.
 func (c *Cluster) StopEntry(ctx context.Context, node *Node) error {
 	node.mutex.Lock()
 	node.stopped = true
@@ -312,12 +334,12 @@
 	return entry.Stop(ctx)
 }
 
-// StopKeeper ends a node's keeper.
+// StopKeeper stops a node's keeper at once.
 func (c *Cluster) StopKeeper(node *Node) error {
 	return node.keeperProcess.Close()
 }
 
-// KillEntry ends a node's entry at once, as a crash does.
+// KillEntry ends a node's entry at once, as a crash would.
 func (c *Cluster) KillEntry(node *Node) error {
 	node.mutex.Lock()
 	node.stopped = true
@@ -326,7 +348,8 @@
 	return entry.Close()
 }
 
-// ReadyAddresses returns the HTTP addresses to which the balancer sends callers.
+// ReadyAddresses returns the HTTP addresses to which a load balancer sends the
+// clients' requests: those of the entries that run and have a table.
 func (c *Cluster) ReadyAddresses() []string {
 	var addresses []string
 	for _, node := range c.Nodes {
@@ -339,7 +362,7 @@
 	return addresses
 }
 
-// Close ends every process and stand-in.
+// Close ends all processes and stand-ins and returns the first error.
 func (c *Cluster) Close() error {
 	var first error
 	keepFirst := func(err error) {
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -124,7 +124,7 @@
 func TestAListThatIsWrong(t *testing.T) {
 	s := newFixture(t, twoZoneUser())
 	s.waitFor("the hall's entries have boxes", func() bool { return s.boxesSentTo(0) > 0 && s.boxesSentTo(1) > 0 })
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	dropped := s.firstPoolBox()
 	info, _ := s.run.observer.currentState().Box(dropped)
 	s.cluster.Platform.RemoveBox(dropped)
@@ -154,7 +154,7 @@
 	user.Fleet.Halls = []settings.Hall{newZone("north", 10, 2)}
 	user.Fleet.RackBoxes = 2
 	s := newFixture(t, user)
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	now := s.cluster.clock.Now().UnixMilli()
 	assert.NilError(t, s.run.editTable(context.Background(), "ana", 0, func(wanted *settings.Table) { wanted.Deployment.MaintainBefore = int(now) }))
 	lost, _ := s.run.observer.currentState().Box(s.firstPoolBox())
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -17,8 +17,8 @@
 
 const observeInterval = 20 * time.Millisecond
 
-// observer reads the platform's log for itself and compares what the processes
-// have in force with it.
+// observer reads the log of the stand-in platform directly and checks against it
+// which table the processes have in force and which boxes serve.
 type observer struct {
 	cluster *Cluster
 	cancel  context.CancelFunc
@@ -27,16 +27,23 @@
 	state   fold.State
 	// acceptedAt is when each table version entered the log.
 	acceptedAt map[int]time.Time
-	// versionInForce is the highest version seen in force at each process.
-	versionInForce  map[any]int
-	moved           int
-	maintained      int
+	// versionInForce is the highest table version seen in force at each process,
+	// which is a *process.Entry or a *process.Keeper.
+	versionInForce map[any]int
+	moved          int // Boxes that left a pool.
+	maintained     int // Boxes whose maintenance ended.
+	// belowFloor counts the checks that found a pool below its floor, and
+	// versionReverted those that found an older table than before at a process.
 	belowFloor      int
 	versionReverted int
-	maxRollout      time.Duration
-	checkingFloors  bool
+	// maxRollout is the longest time that a table took from its acceptance by the log
+	// to its being in force at a process.
+	maxRollout     time.Duration
+	checkingFloors bool
 }
 
+// startObserver starts an observer that checks the cluster at each observeInterval
+// until stop.
 func startObserver(c *Cluster) (*observer, error) {
 	initialState, err := process.InitialState()
 	if err != nil {
@@ -73,7 +80,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	const maxRecords = 1000
-	// The observer reads past the log's faults: it stands beside the platform.
+	// Peek reads the log in spite of the faults that the log simulates.
 	records := o.cluster.Platform.Log.Peek(damsonwinch.StreamFleet, o.state.Offset(), maxRecords)
 	for _, record := range records {
 		o.apply(record)
@@ -82,6 +89,7 @@
 	o.checkFloors()
 }
 
+// apply applies a log record to the observer's state and counts what it changes.
 func (o *observer) apply(record wire.Entry) {
 	previous := o.state
 	next, results := previous.Apply(record)
@@ -96,6 +104,7 @@
 	}
 }
 
+// countChange counts a move or a maintenance that an accepted proposal has ended.
 func (o *observer) countChange(result fold.Result, previous, next fold.State) {
 	change := result.Proposal.Change
 	if change == nil {
@@ -111,7 +120,7 @@
 	}
 }
 
-// checkVersions asks each living process which table it has in force.
+// checkVersions checks which table each running process has in force.
 func (o *observer) checkVersions() {
 	for _, node := range o.cluster.Nodes {
 		node.mutex.Lock()
@@ -126,28 +135,31 @@
 	}
 }
 
+// checkVersion compares the table version of a process with the versions that it had
+// before.
 func (o *observer) checkVersion(process any, version int) {
 	previous, found := o.versionInForce[process]
 	if found && version < previous {
 		o.versionReverted++
 	}
 	if !found {
-		// A process that has just started has nothing yet.
+		// A process that has just started has no table yet. It counts from when it has
+		// the newest one.
 		if version == o.state.Table().Version() {
 			o.versionInForce[process] = version
 		}
 		return
 	}
 	for newer := previous + 1; newer <= version; newer++ {
-		if accepted, found := o.acceptedAt[newer]; found {
+		if accepted, known := o.acceptedAt[newer]; known {
 			o.maxRollout = max(o.maxRollout, o.cluster.clock.Since(accepted))
 		}
 	}
 	o.versionInForce[process] = max(previous, version)
 }
 
-// checkFloors counts the boxes that truly serve each pool, by the endpoints and
-// not by what the programs think of them.
+// checkFloors checks whether the boxes of each pool give the slots of its floors. It
+// asks the endpoints whether they serve, since the processes may not know it.
 func (o *observer) checkFloors() {
 	if !o.checkingFloors {
 		return
@@ -165,21 +177,23 @@
 	}
 }
 
-// startFloorChecks begins the check of floors, once the pools have been formed.
+// startFloorChecks makes the observer check the floors from now on. The pools must
+// have their boxes by then.
 func (o *observer) startFloorChecks() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.checkingFloors = true
 }
 
-// currentState returns the state as the log has it.
+// currentState returns the state after the log records that the observer has read.
 func (o *observer) currentState() fold.State {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.state
 }
 
-// poolsFilled says whether every pool has what its services need.
+// poolsFilled says whether there is a table and every pool has the slots that its
+// services need, even if its largest rack fails.
 func (o *observer) poolsFilled() bool {
 	state := o.currentState()
 	if state.Table().Version() == 0 {
@@ -193,7 +207,7 @@
 	return true
 }
 
-// dueBoxes counts the boxes that the wave has still to maintain.
+// dueBoxes counts the boxes that are up and still due for maintenance in the wave.
 func (o *observer) dueBoxes() int {
 	state := o.currentState()
 	count := 0
@@ -205,14 +219,15 @@
 	return count
 }
 
-// reportedViolations returns what the programs themselves reported.
+// reportedViolations returns how many violations the processes reported, by the name
+// of the invariant. A process reports the first violation of each invariant only.
 func (c *Cluster) reportedViolations() map[string]int {
 	c.violations.mutex.Lock()
 	defer c.violations.mutex.Unlock()
 	return maps.Clone(c.violations.counts)
 }
 
-// jsonLine returns a value as one line of JSON.
+// jsonLine returns a value as JSON on one line, or the error's text.
 func jsonLine(value any) string {
 	line, err := json.Marshal(value)
 	if err != nil {
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -43,7 +43,7 @@
 	s.run.observer.checkingFloors = false // Boxes that are made to fail are below every floor.
 	s.cluster.Seed = seed
 	random := rand.New(rand.NewPCG(seed, seed))
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	s.run.generator = load
 	stopped := map[int]bool{}
 	for range eventsPerRun {
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -9,40 +9,60 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Report is what a run came to. The counts of harm come from the endpoints' and
-// the callers' own books.
+// Report is the result of a run. Most violations are counted from what the clients
+// and the endpoints recorded, independently of the processes. ReportedViolations
+// counts those that the processes themselves reported.
 type Report struct {
-	Users              string `json:"users"`
-	Seed               uint64 `json:"seed"`
-	Requests           int    `json:"requests"`
-	Answered           int    `json:"answered"`
-	NotRun             int    `json:"not_run"`
-	Unknown            int    `json:"unknown"`
-	RunTwice           int    `json:"run_twice"`
-	NotRunButRan       int    `json:"not_run_but_ran"`
-	WrongAnswer        int    `json:"wrong_answer"`
-	CutInFlight        int    `json:"cut_in_flight"`
-	PoolOverlap        int    `json:"pool_overlap"`
-	BelowFloor         int    `json:"below_floor"`
-	ConfigReverted     int    `json:"config_reverted"`
-	SentToLeaving      int    `json:"sent_to_leaving"`
-	ReportedViolations int    `json:"violations"`
-	BoxesMoved         int    `json:"boxes_moved"`
-	BoxesMaintained    int    `json:"boxes_maintained"`
-	TableRolloutMsMax  int    `json:"table_rollout_ms_max"`
-	LogAppends         int    `json:"log_appends"`
+	Users    string `json:"users"`
+	Seed     uint64 `json:"seed"`
+	Requests int    `json:"requests"`
+	// Answered, NotRun and Unknown count the requests by the outcome that the client
+	// got. The outcome is unknown if there was no response.
+	Answered int `json:"answered"`
+	NotRun   int `json:"not_run"`
+	Unknown  int `json:"unknown"`
+	// RunTwice counts requests that may not be repeated and ran more than once.
+	RunTwice int `json:"run_twice"`
+	// NotRunButRan counts requests with the outcome "not-run" that an endpoint ran.
+	NotRunButRan int `json:"not_run_but_ran"`
+	// WrongAnswer counts responses that belong to another request.
+	WrongAnswer int `json:"wrong_answer"`
+	// CutInFlight counts requests that ran on a box when it was rebooted.
+	CutInFlight int `json:"cut_in_flight"`
+	// PoolOverlap counts how often a box ran requests of two pools at once.
+	PoolOverlap int `json:"pool_overlap"`
+	// BelowFloor counts the checks that found the serving boxes of a pool to give
+	// fewer slots than its floors.
+	BelowFloor int `json:"below_floor"`
+	// ConfigReverted counts the checks that found an older table in force at a process
+	// than before.
+	ConfigReverted int `json:"config_reverted"`
+	// SentToLeaving counts requests that reached a box too long after the list had
+	// marked it as leaving.
+	SentToLeaving int `json:"sent_to_leaving"`
+	// ReportedViolations counts the violations that the processes reported.
+	ReportedViolations int `json:"violations"`
+	BoxesMoved         int `json:"boxes_moved"`
+	BoxesMaintained    int `json:"boxes_maintained"`
+	// TableRolloutMsMax is the longest time from the acceptance of a table to its being
+	// in force at a process, in milliseconds.
+	TableRolloutMsMax int `json:"table_rollout_ms_max"`
+	LogAppends        int `json:"log_appends"`
 
+	// details has a line for each violation of which more is known, and reasons counts
+	// the requests without an answer of status 200 by outcome and status.
 	details []string
 	reasons map[string]int
 }
 
-// TotalViolations counts everything that must never happen.
+// TotalViolations returns the number of violations of all kinds. It must be 0.
 func (r Report) TotalViolations() int {
 	return r.RunTwice + r.NotRunButRan + r.WrongAnswer + r.CutInFlight + r.PoolOverlap + r.BelowFloor + r.ConfigReverted +
 		r.SentToLeaving + r.ReportedViolations
 }
 
-// report compares the books.
+// report compares the results of the clients with the observations of the endpoints
+// and adds what the observer and the processes counted.
 func (r *run) report() Report {
 	overlaps, cutInFlight, sentToLeaving := r.cluster.Observations.Violations()
 	o := r.observer
@@ -65,7 +85,8 @@
 	return report
 }
 
-// addResult counts one line of the callers' book against the endpoints' book.
+// addResult counts the result of one request. Runs is how often the request ran on
+// endpoints, by their observations.
 func (r *Report) addResult(result clientResult, runs int) {
 	r.Requests++
 	switch result.outcome {
@@ -75,7 +96,7 @@
 		r.NotRun++
 		if runs > 0 {
 			r.NotRunButRan++
-			r.details = append(r.details, "told not run and ran: "+result.nonce+" "+result.reason)
+			r.details = append(r.details, "reported as not run, but ran: "+result.nonce+" "+result.reason)
 		}
 	default:
 		r.Unknown++
@@ -92,7 +113,7 @@
 	}
 }
 
-// Write prints the report for a person and ends with one line of JSON.
+// Write prints the report for people, and as its last line the report as JSON.
 func (r Report) Write(out io.Writer) error {
 	lines := []string{
 		"",
@@ -100,7 +121,7 @@
 		fmt.Sprintf("fleet      %d boxes moved between pools, %d maintained", r.BoxesMoved, r.BoxesMaintained),
 		fmt.Sprintf("table      in force everywhere within %d ms", r.TableRolloutMsMax),
 		fmt.Sprintf("log        %d appends", r.LogAppends),
-		fmt.Sprintf("harm       %d", r.TotalViolations()),
+		fmt.Sprintf("violations %d in total", r.TotalViolations()),
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.reasons)) {
 		lines = append(lines, fmt.Sprintf("           %d times %s", r.reasons[reason], reason))
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -17,31 +17,40 @@
 	"damsonwinch/pkg/table"
 )
 
-// Options of a run.
+// Options are the options of Run.
 type Options struct {
-	User    string
-	Seed    uint64
+	// User is the name of the user whose fleet is started; see UserNames.
+	User string
+	// Seed determines the random choices of the clients, the stand-in log and the
+	// processes.
+	Seed uint64
+	// Seconds is the approximate length of the run. Waits in the scenario are
+	// percentages of it.
 	Seconds int
-	// Progress takes a line for each step of the script.
+	// Progress gets a line for each step of the scenario.
 	Progress io.Writer
 	Logger   logrus.FieldLogger
 }
 
 const (
 	clientCount = 60
+	// stepTimeout bounds an operator's call and the wait for its effect.
 	stepTimeout = 10 * time.Second
 )
 
-// run is one run's standing.
+// run holds the cluster of one run, with its observer and its load.
 type run struct {
-	options   Options
-	cluster   *Cluster
-	observer  *observer
+	options  Options
+	cluster  *Cluster
+	observer *observer
+	// generator is nil until the load starts.
 	generator *loadGenerator
 	startedAt time.Time
 }
 
-// Run plays the whole story and returns its report.
+// Run starts a user's fleet, takes it through the scenario under load and returns
+// the report. The report is valid even if there is an error, as far as the scenario
+// got; see playScenario for the steps.
 func Run(ctx context.Context, options Options) (Report, error) {
 	user, err := NewUser(options.User)
 	if err != nil {
@@ -68,17 +77,19 @@
 	return report, err
 }
 
+// logStep writes a line to the run's progress output, with the time since its start.
 func (r *run) logStep(format string, values ...any) {
 	elapsed := r.cluster.clock.Since(r.startedAt).Seconds()
 	_, _ = fmt.Fprintf(r.options.Progress, "%5.1fs  %s\n", elapsed, fmt.Sprintf(format, values...))
 }
 
-// waitPercent waits for a waitPercent of the run's length.
+// waitPercent waits for a percentage of the run's length.
 func (r *run) waitPercent(ctx context.Context, percent int) {
 	duration := time.Duration(r.options.Seconds) * time.Second
 	r.wait(ctx, duration*time.Duration(percent)/100)
 }
 
+// wait returns after a duration, or when the context ends.
 func (r *run) wait(ctx context.Context, duration time.Duration) {
 	select {
 	case <-r.cluster.clock.After(duration):
@@ -86,7 +97,8 @@
 	}
 }
 
-// waitUntil polls a condition; it returns false when the time is over first.
+// waitUntil polls a condition until it holds or the timeout is over, and returns
+// whether it holds.
 func (r *run) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	const pollInterval = 20 * time.Millisecond
 	deadline := r.cluster.clock.Now().Add(timeout)
@@ -99,7 +111,8 @@
 	return condition()
 }
 
-// playScenario is the story, in order.
+// playScenario runs the steps of the scenario in order: normal operation first, then
+// one fault after another. It stops at the first step that fails.
 func (r *run) playScenario(ctx context.Context) error {
 	steps := []func(context.Context) error{
 		r.publishFirstTable, r.startLoad, r.editConcurrently, r.raiseFloor, r.maintainAllBoxes, r.cutOffZone, r.restartEntry, r.killAndRestartEntry, r.takeLogDown, r.breakBoxes,
@@ -113,6 +126,8 @@
 	return nil
 }
 
+// operatorClient returns a client with which an operator talks to the keeper of a
+// node. Edits name the author as theirs.
 func (r *run) operatorClient(author string, nodeIndex int) (*operator.Client, error) {
 	initialState, err := process.InitialState()
 	if err != nil {
@@ -122,8 +137,8 @@
 	return operator.New(address, r.cluster.Network.Dialer(clientZone), r.cluster.clock, initialState, author), nil
 }
 
-// StartReady starts a fleet and returns once its table is in force and its
-// pools are formed.
+// StartReady starts a user's fleet and returns once its table is in force and its
+// pools have the boxes that their services need.
 func StartReady(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	cluster, err := NewCluster(user, seed, logger)
 	if err != nil {
@@ -138,8 +153,8 @@
 	return cluster, r.publishFirstTable(ctx)
 }
 
-// editTable publishes a changed table in an operator's name. While no keeper has
-// read the log yet it is tried again.
+// editTable publishes a changed table in an operator's name, through the keeper of a
+// node. It returns once the log has accepted the edit, or with an error.
 func (r *run) editTable(ctx context.Context, author string, nodeIndex int, change func(*settings.Table)) error {
 	client, err := r.operatorClient(author, nodeIndex)
 	if err != nil {
@@ -158,6 +173,9 @@
 	return err
 }
 
+// publishFirstTable publishes the user's table once all boxes are enrolled. It
+// returns once the pools have their boxes and all entries have the table. The check
+// of the pools' floors starts then, since the pools are below them before.
 func (r *run) publishFirstTable(ctx context.Context) error {
 	r.waitUntil(ctx, stepTimeout, func() bool { return len(r.observer.currentState().Boxes()) == len(r.cluster.Endpoints) })
 	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) { *wanted = r.cluster.User.Table })
@@ -165,15 +183,16 @@
 		return fmt.Errorf("publish the first table: %w", err)
 	}
 	if !r.waitUntil(ctx, stepTimeout, r.observer.poolsFilled) {
-		return errors.New("the pools were not formed in time")
+		return errors.New("the pools did not get the boxes that their services need in time")
 	}
 	r.waitUntil(ctx, stepTimeout, r.newestTableInForce)
-	r.logStep("table published: %d services in %d pools, %d boxes in %d halls", len(r.cluster.User.Table.Services),
+	r.logStep("table published: %d services in %d pools, %d boxes in %d zones", len(r.cluster.User.Table.Services),
 		len(r.cluster.User.Table.Deployment.Pools), len(r.cluster.Endpoints), len(r.cluster.User.Fleet.Halls))
 	r.observer.startFloorChecks()
 	return nil
 }
 
+// newestTableInForce says whether every entry has the newest table of the log.
 func (r *run) newestTableInForce() bool {
 	for _, node := range r.cluster.Nodes {
 		if node.entryProcess.Metrics.Count("table_version") < r.observer.currentState().Table().Version() {
@@ -183,15 +202,17 @@
 	return true
 }
 
+// startLoad starts the clients, which send requests until the end of the run.
 func (r *run) startLoad(ctx context.Context) error {
-	r.generator = startLoad(r.cluster, clientCount)
-	r.logStep("%d callers call", clientCount)
+	r.generator = startLoadGenerator(r.cluster, clientCount)
+	r.logStep("%d clients send requests", clientCount)
 	r.waitPercent(ctx, 8)
 	return nil
 }
 
-// editConcurrently lets two operators edit from the same version: other cells
-// merge, the same cell is refused to the second.
+// editConcurrently has two operators edit the table on the basis of the same
+// version. Edits of different cells must both be accepted. The second edit of the
+// same cell must be refused.
 func (r *run) editConcurrently(ctx context.Context) error {
 	base := r.observer.currentState().Table()
 	service := base.Services()[0]
@@ -212,7 +233,7 @@
 		_, err = client.Edit(limited, table.CellEdit(base.Version(), service, edit.column, edit.value), "trial: two operators")
 		cancel()
 		client.Close()
-		r.logStep("%s sets %s.%s from version %d: %s", edit.author, service, edit.column, base.Version(), editOutcome(err))
+		r.logStep("%s sets %s.%s, based on table version %d: %s", edit.author, service, edit.column, base.Version(), editOutcome(err))
 		var refused *operator.RefusedError
 		if err != nil && !errors.As(err, &refused) {
 			return err
@@ -222,6 +243,7 @@
 	return nil
 }
 
+// editOutcome describes the result of an edit for the progress output.
 func editOutcome(err error) string {
 	if err == nil {
 		return "accepted"
@@ -229,7 +251,8 @@
 	return err.Error()
 }
 
-// raiseFloor raises one pool's floor, so that boxes move to it.
+// raiseFloor raises the floor of the table's first service, so that boxes move to
+// its pool, and waits until the pools have their boxes.
 func (r *run) raiseFloor(ctx context.Context) error {
 	const addedSlots = 48
 	service := r.cluster.User.Table.Services[0].Service
@@ -240,13 +263,14 @@
 			}
 		}
 	})
-	r.logStep("floor of %s up by %d slots: %s", service, addedSlots, editOutcome(err))
+	r.logStep("floor of %s raised by %d slots: %s", service, addedSlots, editOutcome(err))
 	r.waitUntil(ctx, stepTimeout, r.observer.poolsFilled)
 	r.waitPercent(ctx, 5)
 	return err
 }
 
-// maintainAllBoxes asks for the maintenance of every box.
+// maintainAllBoxes starts a maintenance wave over all boxes, and waits for its end or
+// for about a third of the run's length.
 func (r *run) maintainAllBoxes(ctx context.Context) error {
 	startedAt := r.cluster.clock.Now()
 	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) {
@@ -260,26 +284,27 @@
 		return r.observer.currentState().Table().Deployment().MaintainBefore == int(startedAt.UnixMilli())
 	})
 	done := r.waitUntil(ctx, timeout, func() bool { return r.observer.dueBoxes() == 0 })
-	r.logStep("wave: %d boxes maintained in %.1f s, done %v", r.observer.maintained, r.cluster.clock.Since(startedAt).Seconds(), done)
+	r.logStep("maintenance wave: %d boxes maintained in %.1f s, complete: %v", r.observer.maintained, r.cluster.clock.Since(startedAt).Seconds(), done)
 	return nil
 }
 
-// cutOffZone cuts one hall off from the platform and from the other halls.
+// cutOffZone cuts the first zone off from the platform and from the other zones for a
+// part of the run.
 func (r *run) cutOffZone(ctx context.Context) error {
 	zones := r.cluster.zoneNames()
 	cutOff := zones[0]
 	for _, other := range append([]string{platformZone}, zones[1:]...) {
 		r.cluster.Network.CutBoth(cutOff, other)
 	}
-	r.logStep("hall %s is cut off", cutOff)
+	r.logStep("zone %s is cut off from the platform and the other zones", cutOff)
 	r.waitPercent(ctx, 15)
 	r.cluster.Network.Heal()
-	r.logStep("hall %s is joined again", cutOff)
+	r.logStep("zone %s is connected again", cutOff)
 	r.waitPercent(ctx, 4)
 	return nil
 }
 
-// restartEntry stops an entry as planned and starts it anew.
+// restartEntry makes a planned stop of an entry and starts it again.
 func (r *run) restartEntry(ctx context.Context) error {
 	node := r.cluster.Nodes[1]
 	if err := r.cluster.StopEntry(ctx, node); err != nil {
@@ -289,7 +314,7 @@
 	return r.cluster.StartEntry(node)
 }
 
-// killAndRestartEntry ends another entry without warning and starts it anew.
+// killAndRestartEntry ends another entry without a planned stop and starts it again.
 func (r *run) killAndRestartEntry(ctx context.Context) error {
 	node := r.cluster.Nodes[len(r.cluster.Nodes)-1]
 	r.logStep("%s is killed", node.Name)
@@ -300,6 +325,9 @@
 	return r.cluster.StartEntry(node)
 }
 
+// takeLogDown makes the log unavailable for a time. After that the log loses the
+// answers to some appends, which take effect nevertheless; this lasts to the end of
+// the run.
 func (r *run) takeLogDown(ctx context.Context) error {
 	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	r.logStep("the log is down")
@@ -310,7 +338,8 @@
 	return nil
 }
 
-// breakBoxes makes one box fail everything and takes another off the list.
+// breakBoxes makes one box fail every request, and marks a box of another zone as
+// leaving in the platform's list.
 func (r *run) breakBoxes(ctx context.Context) error {
 	failing, failingZone, leaving := "", "", ""
 	for _, box := range r.observer.currentState().Boxes() {
--- a/pkg/trial/stop_test.go
+++ b/pkg/trial/stop_test.go
@@ -20,7 +20,7 @@
 // every caller is answered, and the other entry takes its boxes.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	s := newFixture(t, twoEntryUser())
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	node := s.cluster.Nodes[1]
 	s.waitFor("both entries have boxes", func() bool { return s.boxesSentTo(0) > 0 && s.boxesSentTo(1) > 0 })
 
@@ -39,7 +39,7 @@
 // a word are freed by the keeper beside it, and nothing runs twice.
 func TestAKilledEntryIsFollowedByAnother(t *testing.T) {
 	s := newFixture(t, twoEntryUser())
-	load := startLoad(s.cluster, testClients)
+	load := startLoadGenerator(s.cluster, testClients)
 	s.waitFor("both entries have boxes", func() bool { return s.boxesSentTo(0) > 0 && s.boxesSentTo(1) > 0 })
 
 	assert.NilError(t, s.cluster.KillEntry(s.cluster.Nodes[1]))
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -1,5 +1,7 @@
-// Package trial is the embedded default: stand-in platform, stand-in endpoints
-// and the programs' own packages in one process over real loopback sockets.
+// Package trial runs a whole fleet in one process: keepers, entries, a stand-in
+// platform and stand-in endpoints, which talk to each other over real loopback
+// sockets. It takes the fleet through a scenario of edits, moves, maintenance and
+// faults under load, and counts violations of what the system guarantees.
 package trial
 
 import (
@@ -10,10 +12,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// User is one of the organisations that the trial plays.
+// User is an organisation that uses damsonwinch, with its fleet and its table.
 type User struct {
 	Name  string
 	Fleet settings.Fleet
+	// Table is the first table that the user's operators publish.
 	Table settings.Table
 }
 
@@ -23,12 +26,13 @@
 	Podkarpacie = "podkarpacie"
 )
 
-// UserNames returns the names that NewUser knows.
+// UserNames returns the names that NewUser takes.
 func UserNames() []string {
 	return []string{Lisbon, Podkarpacie}
 }
 
-// NewUser returns a user's fleet and table, sized as in the users' brief.
+// NewUser returns the user with a name. The sizes of its fleet and its table are
+// those that the user stated in its requirements.
 func NewUser(name string) (User, error) {
 	switch name {
 	case Lisbon:
@@ -36,7 +40,7 @@
 	case Podkarpacie:
 		return User{Name: name, Fleet: newFleet(newZone("debica", 17, 2), newZone("krosno", 17, 2), newZone("rzeszow", 16, 2)), Table: podkarpacieTable()}, nil
 	}
-	return User{}, fmt.Errorf("unknown users %q; allowed: %v", name, UserNames())
+	return User{}, fmt.Errorf("unknown user %q; allowed: %v", name, UserNames())
 }
 
 const (
@@ -44,15 +48,15 @@
 	boxSlots  = 8
 )
 
-func newFleet(halls ...settings.Hall) settings.Fleet {
-	return settings.Fleet{Halls: halls, RackBoxes: rackBoxes, BoxSlots: boxSlots}
+func newFleet(zones ...settings.Hall) settings.Fleet {
+	return settings.Fleet{Halls: zones, RackBoxes: rackBoxes, BoxSlots: boxSlots}
 }
 
 func newZone(name string, boxes, entries int) settings.Hall {
 	return settings.Hall{Name: name, Boxes: boxes, Entries: entries}
 }
 
-// serviceSpec is what differs between the services of the trial's tables.
+// serviceSpec has the settings in which the services of the trial's tables differ.
 type serviceSpec struct {
 	service    string
 	pool       string
@@ -106,11 +110,12 @@
 	)
 }
 
-// EndpointBoxes describes the endpoint boxes of a fleet, on consecutive ports.
+// EndpointBoxes returns the descriptions of a fleet's endpoint boxes. Their addresses
+// have consecutive ports, from the address of the first endpoint in the settings on.
 func EndpointBoxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
 	firstAddress, err := netip.ParseAddrPort(fleet.Endpoints)
 	if err != nil {
-		return nil, fmt.Errorf("address of the first endpoint: %w", err)
+		return nil, fmt.Errorf("parse the address of the first endpoint: %w", err)
 	}
 	var boxes []wire.BoxInfo
 	for _, zone := range fleet.Halls {
@@ -122,12 +127,13 @@
 	return boxes, nil
 }
 
-// EntryBoxes describes the entry boxes of a fleet as the platform's list does.
+// EntryBoxes returns the descriptions of a fleet's entry boxes as they stand in the
+// platform's list. They have no addresses.
 func EntryBoxes(fleet settings.Fleet) []wire.BoxInfo {
 	var boxes []wire.BoxInfo
-	for _, hall := range fleet.Halls {
-		for number := range hall.Entries {
-			boxes = append(boxes, wire.BoxInfo{Name: entryName(hall.Name, number), Hall: hall.Name, Rack: "entry", Slots: 1})
+	for _, zone := range fleet.Halls {
+		for number := range zone.Entries {
+			boxes = append(boxes, wire.BoxInfo{Name: entryName(zone.Name, number), Hall: zone.Name, Rack: "entry", Slots: 1})
 		}
 	}
 	return boxes
