--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -15,35 +15,42 @@
 	"damsonwinch/pkg/wire"
 )
 
-const observeEvery = 20 * time.Millisecond
+const observeInterval = 20 * time.Millisecond
 
-// observer reads the platform's log for itself and compares what the processes
-// have in force with it.
+// observer reads the log of the stand-in platform directly and checks against it
+// which table the processes have in force and which boxes serve.
 type observer struct {
 	cluster *Cluster
 	cancel  context.CancelFunc
 	group   errgroup.Group
 	mutex   sync.Mutex
 	state   fold.State
-	// publishedAt is when each table version entered the log.
-	publishedAt map[int]time.Time
-	// versions is the highest version seen in force at each process.
-	versions   map[any]int
-	moved      int
-	maintained int
-	belowFloor int
-	reverted   int
-	rolloutMax time.Duration
-	watching   bool
-}
-
+	// acceptedAt is when each table version entered the log.
+	acceptedAt map[int]time.Time
+	// versionInForce is the highest table version seen in force at each process,
+	// which is a *process.Entry or a *process.Keeper.
+	versionInForce map[any]int
+	moved          int // Boxes that left a pool.
+	maintained     int // Boxes whose maintenance ended.
+	// belowFloor counts the checks that found a pool below its floor, and
+	// versionReverted those that found an older table than before at a process.
+	belowFloor      int
+	versionReverted int
+	// maxRollout is the longest time that a table took from its acceptance by the log
+	// to its being in force at a process.
+	maxRollout     time.Duration
+	checkingFloors bool
+}
+
+// startObserver starts an observer that checks the cluster at each observeInterval
+// until stop.
 func startObserver(c *Cluster) (*observer, error) {
-	empty, err := process.InitialState()
+	initialState, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &observer{cluster: c, cancel: cancel, state: empty, publishedAt: map[int]time.Time{}, versions: map[any]int{}}
+	o := &observer{cluster: c, cancel: cancel, state: initialState, acceptedAt: map[int]time.Time{}, versionInForce: map[any]int{}}
 	o.group.Go(func() error {
 		o.run(ctx)
 		return nil
@@ -57,7 +64,7 @@
 }
 
 func (o *observer) run(ctx context.Context) {
-	ticker := o.cluster.clock.NewTicker(observeEvery)
+	ticker := o.cluster.clock.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,84 +79,89 @@
 func (o *observer) observe() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	const most = 1000
-	// The observer reads past the log's faults: it stands beside the platform.
-	page := o.cluster.Platform.Log.Peek(damsonwinch.StreamFleet, o.state.Offset(), most)
-	for _, record := range page {
-		o.fold(record)
+	const maxRecords = 1000
+	// Peek reads the log in spite of the faults that the log simulates.
+	records := o.cluster.Platform.Log.Peek(damsonwinch.StreamFleet, o.state.Offset(), maxRecords)
+	for _, record := range records {
+		o.apply(record)
 	}
-	o.compareVersions()
+	o.checkVersions()
 	o.checkFloors()
 }
 
-func (o *observer) fold(record wire.Entry) {
-	was := o.state
-	next, verdicts := was.Apply(record)
+// apply applies a log record to the observer's state and counts what it changes.
+func (o *observer) apply(record wire.Entry) {
+	previous := o.state
+	next, results := previous.Apply(record)
 	o.state = next
-	if next.Table().Version() > was.Table().Version() {
-		o.publishedAt[next.Table().Version()] = time.UnixMilli(int64(record.At))
+	if next.Table().Version() > previous.Table().Version() {
+		o.acceptedAt[next.Table().Version()] = time.UnixMilli(int64(record.At))
 	}
-	for _, verdict := range verdicts {
-		if verdict.Accepted {
-			o.count(verdict, was, next)
+	for _, result := range results {
+		if result.Accepted {
+			o.countChange(result, previous, next)
 		}
 	}
 }
 
-func (o *observer) count(verdict fold.Result, was, next fold.State) {
-	change := verdict.Proposal.Change
+// countChange counts a move or a maintenance that an accepted proposal has ended.
+func (o *observer) countChange(result fold.Result, previous, next fold.State) {
+	change := result.Proposal.Change
 	if change == nil {
 		return
 	}
-	before, _ := was.Box(change.Box)
+	before, _ := previous.Box(change.Box)
 	after, _ := next.Box(change.Box)
 	if before.Pool != after.Pool && before.Pool != fold.FreePool {
 		o.moved++
 	}
-	if verdict.Proposal.Kind == wire.KindBack {
+	if result.Proposal.Kind == wire.KindBack {
 		o.maintained++
 	}
 }
 
-// compareVersions asks each living process which table it has in force.
-func (o *observer) compareVersions() {
+// checkVersions checks which table each running process has in force.
+func (o *observer) checkVersions() {
 	for _, node := range o.cluster.Nodes {
 		node.mutex.Lock()
 		entry, keeper, stopped := node.entryProcess, node.keeperProcess, node.stopped
 		node.mutex.Unlock()
 		if entry != nil && !stopped {
-			o.compareVersion(entry, entry.Metrics.Count("table_version"))
+			o.checkVersion(entry, entry.Metrics.Count("table_version"))
 		}
 		if keeper != nil {
-			o.compareVersion(keeper, keeper.Metrics.Count("table_version"))
+			o.checkVersion(keeper, keeper.Metrics.Count("table_version"))
 		}
 	}
 }
 
-func (o *observer) compareVersion(process any, version int) {
-	was, known := o.versions[process]
-	if known && version < was {
-		o.reverted++
+// checkVersion compares the table version of a process with the versions that it had
+// before.
+func (o *observer) checkVersion(process any, version int) {
+	previous, found := o.versionInForce[process]
+	if found && version < previous {
+		o.versionReverted++
 	}
-	if !known {
-		// A process that has just started has nothing yet.
+	if !found {
+		// A process that has just started has no table yet. It counts from when it has
+		// the newest one.
 		if version == o.state.Table().Version() {
-			o.versions[process] = version
+			o.versionInForce[process] = version
 		}
 		return
 	}
-	for accepted := was + 1; accepted <= version; accepted++ {
-		if published, seen := o.publishedAt[accepted]; seen {
-			o.rolloutMax = max(o.rolloutMax, o.cluster.clock.Since(published))
+	for newer := previous + 1; newer <= version; newer++ {
+		if accepted, known := o.acceptedAt[newer]; known {
+			o.maxRollout = max(o.maxRollout, o.cluster.clock.Since(accepted))
 		}
 	}
-	o.versions[process] = max(was, version)
+	o.versionInForce[process] = max(previous, version)
 }
 
-// checkFloors counts the boxes that truly serve each pool, by the endpoints and
-// not by what the programs think of them.
+// checkFloors checks whether the boxes of each pool give the slots of its floors. It
+// asks the endpoints whether they serve, since the processes may not know it.
 func (o *observer) checkFloors() {
-	if !o.watching {
+	if !o.checkingFloors {
 		return
 	}
 	slots := map[string]int{}
@@ -165,23 +177,25 @@
 	}
 }
 
-// watch begins the check of floors, once the pools have been formed.
-func (o *observer) watch() {
+// startFloorChecks makes the observer check the floors from now on. The pools must
+// have their boxes by then.
+func (o *observer) startFloorChecks() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.watching = true
+	o.checkingFloors = true
 }
 
-// present returns the state as the log has it.
-func (o *observer) present() fold.State {
+// currentState returns the state after the log records that the observer has read.
+func (o *observer) currentState() fold.State {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.state
 }
 
-// formed says whether every pool has what its services need.
-func (o *observer) formed() bool {
-	state := o.present()
+// poolsFilled says whether there is a table and every pool has the slots that its
+// services need, even if its largest rack fails.
+func (o *observer) poolsFilled() bool {
+	state := o.currentState()
 	if state.Table().Version() == 0 {
 		return false
 	}
@@ -193,9 +207,9 @@
 	return true
 }
 
-// due counts the boxes that the wave has still to maintain.
-func (o *observer) due() int {
-	state := o.present()
+// dueBoxes counts the boxes that are up and still due for maintenance in the wave.
+func (o *observer) dueBoxes() int {
+	state := o.currentState()
 	count := 0
 	for _, box := range state.Boxes() {
 		if box.MaintainedAt < state.Table().Deployment().MaintainBefore && box.Health == wire.HealthUp {
@@ -205,15 +219,16 @@
 	return count
 }
 
-// breaches returns what the programs themselves reported.
-func (c *Cluster) breaches() map[string]int {
-	c.harm.mutex.Lock()
-	defer c.harm.mutex.Unlock()
-	return maps.Clone(c.harm.breaches)
+// reportedViolations returns how many violations the processes reported, by the name
+// of the invariant. A process reports the first violation of each invariant only.
+func (c *Cluster) reportedViolations() map[string]int {
+	c.violations.mutex.Lock()
+	defer c.violations.mutex.Unlock()
+	return maps.Clone(c.violations.counts)
 }
 
-// text returns a value as one line of JSON.
-func text(value any) string {
+// jsonLine returns a value as JSON on one line, or the error's text.
+func jsonLine(value any) string {
 	line, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
