--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -76,7 +76,7 @@
 func newTestRouter(cells Cells) *Router {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	return NewRouter(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
+	return New(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
 }
 
 func submitArgs(id string, longRunning bool) wire.JobArgs {
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -82,8 +82,8 @@
 
 var _ damsonwinch.JobService = (*Router)(nil)
 
-// NewRouter returns a router, which has no connections yet.
-func NewRouter(deps Deps) *Router {
+// New returns a router, which has no connections yet.
+func New(deps Deps) *Router {
 	return &Router{deps: deps, peers: map[string]*call.Client{}}
 }
 
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -160,7 +160,7 @@
 	}
 	n.view.Store(&ownership.View{})
 	n.runners.Store(&map[string]cellRunner{})
-	n.router = intake.NewRouter(intake.Deps{Cells: n, Dial: deps.Dial, Clock: deps.Clock, Metrics: deps.Metrics, Logger: deps.Logger})
+	n.router = intake.New(intake.Deps{Cells: n, Dial: deps.Dial, Clock: deps.Clock, Metrics: deps.Metrics, Logger: deps.Logger})
 	calls, err := call.Serve(deps.CallListener, intake.ServiceName, intake.NewService(ctx, options.Self, n, deps.Clock))
 	if err != nil {
 		cancel()
