--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -112,7 +112,7 @@
 	return process.Env{
 		Clock:         clock,
 		SuspendedTime: newSuspendedTime(clock, logger),
-		Dial:          dial.WithRetry(newDialer().DialContext),
+		Dial:          dial.New(newDialer().DialContext),
 		Logger:        logger,
 		OnViolation:   func(name, detail string) { logger.WithField("invariant", name).Error(detail) },
 		Seed:          uint64(clock.Now().UnixNano()),
--- a/pkg/dial/dial.go
+++ b/pkg/dial/dial.go
@@ -16,9 +16,9 @@
 // of the timeouts bounds how long a call hangs that starts during a network partition.
 var attemptTimeouts = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}
 
-// WithRetry returns a Dial that tries again with dial if a connection isn't made within the timeout
+// New returns a Dial that tries again with dial if a connection isn't made within the timeout
 // of an attempt. It doesn't retry after a refusal or any other error.
-func WithRetry(dial damsonwinch.Dial) damsonwinch.Dial {
+func New(dial damsonwinch.Dial) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		var lastErr error
 		for _, timeout := range attemptTimeouts {
--- a/pkg/dial/dial_test.go
+++ b/pkg/dial/dial_test.go
@@ -39,7 +39,7 @@
 	network := &lossyNetwork{lost: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
-	conn, err := WithRetry(network.dial)(ctx, "tcp", "peer")
+	conn, err := New(network.dial)(ctx, "tcp", "peer")
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
 	assert.Equal(t, network.attempts, 2)
@@ -49,7 +49,7 @@
 func TestRefusalIsNotRetried(t *testing.T) {
 	refusal := errors.New("connection refused")
 	network := &lossyNetwork{err: refusal}
-	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
+	_, err := New(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, refusal))
 	assert.Equal(t, network.attempts, 1)
 }
@@ -58,14 +58,14 @@
 // context has ended.
 func TestSilentPeerFailsAfterAllAttempts(t *testing.T) {
 	network := &lossyNetwork{lost: len(attemptTimeouts)}
-	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
+	_, err := New(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	assert.Equal(t, network.attempts, len(attemptTimeouts))
 
 	network = &lossyNetwork{lost: len(attemptTimeouts)}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	_, err = WithRetry(network.dial)(ctx, "tcp", "peer")
+	_, err = New(network.dial)(ctx, "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	assert.Equal(t, network.attempts, 1)
 }
