--- a/configuration.go
+++ b/configuration.go
@@ -17,7 +17,7 @@
 	PermitTTL time.Duration
 }
 
-// Queue is an HTTP route through which clients submit jobs.
+// Queue is an HTTP route on which clients submit jobs, and the rules for these jobs.
 type Queue struct {
 	Name string
 	// Host and PathPrefix select the queue for a client's call.
@@ -27,11 +27,11 @@
 	Pool string
 	// Priority orders queues: 0 is the highest.
 	Priority int
-	// MaxAttempts is how many failed attempts at one task make its job fail.
+	// MaxAttempts is the number of failed attempts at one task after which its job fails.
 	MaxAttempts int
-	// DeadlineFactor times the critical path of a job, which is the longest chain of
-	// dependent work by the client's estimates, plus TargetLatency is the time within
-	// which the job should be done.
+	// DeadlineFactor and TargetLatency determine the time within which a job should be done:
+	// DeadlineFactor times the critical path, plus TargetLatency. The critical path is the
+	// longest chain of dependent work, by the client's estimates.
 	DeadlineFactor float64
 	TargetLatency  time.Duration
 	// Timeout is how long a client's call on the queue may take.
--- a/damsonwinch.go
+++ b/damsonwinch.go
@@ -13,7 +13,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Clock is the source of time for everything that measures or waits, so that tests can replace it.
+// Clock is the source of time for everything that measures time or waits, so that tests can replace
+// it.
 type Clock = clockwork.Clock
 
 // SuspendedTime returns the total time for which the machine has been suspended since the
--- a/endpoint.go
+++ b/endpoint.go
@@ -22,7 +22,7 @@
 	return Resources{MilliCPU: r.MilliCPU + other.MilliCPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPUs: r.GPUs + other.GPUs}
 }
 
-// Minus returns r less other. Its fields may be negative.
+// Minus returns r minus other. Fields of the result may be negative.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{MilliCPU: r.MilliCPU - other.MilliCPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPUs: r.GPUs - other.GPUs}
 }
@@ -63,7 +63,7 @@
 	Index int
 }
 
-// String returns the ID in the form that logs show: job, round, phase and index.
+// String returns job, round, phase and index, separated by dots, as logs show them.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Round, t.Phase, t.Index)
 }
@@ -87,7 +87,7 @@
 	LeaseUntilMs int
 	// Checkpoint is where an earlier attempt stopped, or empty.
 	Checkpoint string
-	// Ticket proves the advice service's permission, if the queue needs one.
+	// Ticket proves that the advice service permits the run, if the queue has Queue.Advice set.
 	Ticket string
 }
 
@@ -134,17 +134,17 @@
 // Ending is the reason why a run ended.
 type Ending string
 
-// The reasons why a run ends.
+// The reasons why a run ends. The tasks of a gang run only together.
 const (
 	EndedDone    Ending = "done"
 	EndedFailed  Ending = "failed"
 	EndedStopped Ending = "stopped"
 	// EndedLapsed is the ending of a run whose lease expired.
 	EndedLapsed Ending = "lapsed"
-	// EndedGangFailed is the ending of a gang's member after another member has ended.
+	// EndedGangFailed is the ending of a member of a gang after another member has ended.
 	EndedGangFailed Ending = "broken"
-	// EndedGangIncomplete is the ending of a gang's member whose other members did not start
-	// in time.
+	// EndedGangIncomplete is the ending of a member of a gang whose other members did not
+	// start in time.
 	EndedGangIncomplete Ending = "alone"
 )
 
@@ -169,7 +169,8 @@
 
 // Errors with which an endpoint refuses a request. After each of them it has done nothing.
 var (
-	// ErrStaleToken means that a newer owner's fencing token has been seen.
+	// ErrStaleToken means that a higher fencing token, which is that of a newer owner, has been
+	// seen.
 	ErrStaleToken = errors.New("a newer fencing token has been seen")
 	// ErrStaleRun means that a newer attempt at the task, or a stop of this one, came before.
 	ErrStaleRun = errors.New("the endpoint has seen a newer attempt or a stop")
--- a/pkg/owner/behind.go
+++ b/pkg/owner/behind.go
@@ -10,26 +10,25 @@
 )
 
 const (
-	// maxSubmissionDelay is how long a submission may have waited in the inbox. An owner that keeps up
-	// handles it within 20 ms. In an owner that doesn't, all jobs are late, and each further job adds
-	// records and starts for which it has no time: an owner that accepted every submission fell 1.5
-	// to 2.1 s behind and needed 20 s to catch up.
+	// maxSubmissionDelay is how long a submission may wait in the inbox; a longer wait makes the owner
+	// refuse it. An owner that keeps up handles a submission within 20 ms. If an owner doesn't keep up,
+	// all its jobs are late, and each further job adds records and starts for which it has no time. An
+	// owner that accepted every submission fell 1.5 to 2.1 s behind and needed 20 s to catch up.
 	maxSubmissionDelay = 700 * time.Millisecond
-	// minRetryAfter and retryAfterSpread determine when a refused client should retry: after
-	// minRetryAfter and up to retryAfterSpread more. The owner catches up in about a second, and the
-	// clients must not all retry at once.
+	// A refused client should retry after minRetryAfter plus a part of retryAfterSpread, since the
+	// clients must not all retry at once. The owner catches up in about a second.
 	minRetryAfter    = 700 * time.Millisecond
 	retryAfterSpread = 1300 * time.Millisecond
 )
 
-// isOverloaded reports whether a submission must be refused because the owner can't keep up. A job that
-// the cell already has is never refused, because a refusal says that the job will never run.
+// isOverloaded reports whether the submission m must be refused because the owner can't keep up. A job
+// that the cell already has is never refused, because a refusal says that the job will never run.
 func (o *Owner) isOverloaded(now time.Time, m jobChange) bool {
 	return now.Sub(m.receivedAt) > maxSubmissionDelay && !o.cell.HasJob(m.args.Id)
 }
 
-// refuseOverloaded returns the refusal of a submission, and counts and logs it. When the client should
-// retry depends on the hash of the job's ID.
+// refuseOverloaded counts and logs the refusal of a submission and returns the reply to it. A hash of
+// the job's ID determines when the client should retry.
 func (o *Owner) refuseOverloaded(now time.Time, m jobChange) wire.JobReply {
 	waited := now.Sub(m.receivedAt)
 	o.deps.Metrics.Add("submissions_refused_behind", 1)
--- a/pkg/owner/behind_test.go
+++ b/pkg/owner/behind_test.go
@@ -14,7 +14,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// newUnstartedOwner returns an owner whose goroutine doesn't run, so that a test applies the messages.
+// newUnstartedOwner returns an owner whose goroutine doesn't run. The test itself applies the messages.
 func newUnstartedOwner(clock clockwork.Clock) *Owner {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -33,7 +33,8 @@
 
 // With a slow store and five times the usual load, submissions waited in the inbox for 2 s, and each one
 // that was accepted made the next ones wait longer. Therefore submissions that have waited too long are
-// refused. Submissions of jobs that the cell has, and cancellations, are never refused for that.
+// refused. Submissions of jobs that the cell already has, and cancellations, are never refused for that
+// reason.
 func TestOverloadedOwnerRefusesNewJobs(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	o, now := newUnstartedOwner(clock), clock.Now()
--- a/pkg/owner/calls.go
+++ b/pkg/owner/calls.go
@@ -10,30 +10,30 @@
 
 var _ damsonwinch.JobService = (*Owner)(nil)
 
-// Submit implements damsonwinch.JobService.
+// Submit implements damsonwinch.JobService. It waits until the job is stored or refused.
 func (o *Owner) Submit(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	reply := make(chan wire.JobReply, 1)
 	return o.call(ctx, jobChange{args: args, receivedAt: o.deps.Clock.Now(), reply: reply}, reply)
 }
 
-// Cancel implements damsonwinch.JobService.
+// Cancel implements damsonwinch.JobService. It waits until the end of the job is stored.
 func (o *Owner) Cancel(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	reply := make(chan wire.JobReply, 1)
 	return o.call(ctx, jobChange{args: args, receivedAt: o.deps.Clock.Now(), cancel: true, reply: reply}, reply)
 }
 
-// Show implements damsonwinch.JobService.
+// Show implements damsonwinch.JobService. Without a job's ID in args it does the same as Pending.
 func (o *Owner) Show(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	reply := make(chan wire.JobReply, 1)
 	return o.call(ctx, jobQuery{args: args, reply: reply}, reply)
 }
 
-// Pending implements damsonwinch.JobService.
+// Pending implements damsonwinch.JobService. It counts only jobs of this cell.
 func (o *Owner) Pending(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	return o.Show(ctx, args)
 }
 
-// Sync applies what the fleet planner sends for the cell, its directives and allowances, and returns a
+// Sync applies the directives and allowances that the fleet planner sends for the cell, and returns a
 // report on the cell. The reply's Known is false if the cell has not been taken over yet, if ctx ends
 // first, if the owner has stopped, or if a newer planner has called.
 func (o *Owner) Sync(ctx context.Context, args wire.SyncArgs) wire.SyncReply {
@@ -59,9 +59,9 @@
 	return wire.SyncReply{}
 }
 
-// call sends a message to the owner's goroutine and waits for the reply. The call is refused if the
-// message was not put into the inbox, because it has had no effect then. Its outcome is unknown if the
-// message was put there and no reply came.
+// call sends a message to the owner's goroutine and waits for the reply. If the message could not be put
+// into the inbox, the call has had no effect and is refused. If the message was put there but no reply
+// came, the outcome of the call is unknown.
 func (o *Owner) call(ctx context.Context, m message, reply <-chan wire.JobReply) wire.JobReply {
 	select {
 	case <-o.ready:
@@ -96,6 +96,7 @@
 // takes about as long.
 const refusalRetryMs = 500
 
+// refusedReply returns the refusal of a call that the client should retry after refusalRetryMs.
 func refusedReply(reason string) wire.JobReply {
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: reason, RetryAfterMs: refusalRetryMs}
 }
@@ -111,7 +112,7 @@
 	o.send(ownershipConfirmed{at: at})
 }
 
-// SetEndpoints replaces the list of the cell's endpoints with the one that the registry has now.
+// SetEndpoints replaces the list of the cell's endpoints. endpoints holds all of them, as registered now.
 func (o *Owner) SetEndpoints(endpoints []damsonwinch.Endpoint) {
 	o.send(endpointsListed{endpoints: endpoints})
 }
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -20,11 +20,12 @@
 	// adviceTimeout bounds a request for permits. The advice service needs some time for each
 	// endpoint, and handles one call after the other.
 	adviceTimeout = 5 * time.Second
-	// pollTimeoutMargin is added to the MaxWait of a poll, for which the endpoint may hold it.
+	// pollTimeoutMargin is how much longer than its MaxWait, for which the endpoint may hold it, a poll
+	// may take.
 	pollTimeoutMargin = 500 * time.Millisecond
-	// boxListTimeout is how long a request for the list of boxes may go without progress. The time of
-	// the whole request isn't bounded, since the list grows with the fleet. boxListInterval is the
-	// least time between two requests.
+	// boxListTimeout is how long a request for the list of boxes may go without progress. The duration
+	// of the whole request isn't bounded, since the list grows with the fleet. boxListInterval is the
+	// shortest time between two requests.
 	boxListTimeout  = time.Second
 	boxListInterval = 400 * time.Millisecond
 )
@@ -69,6 +70,7 @@
 	return false
 }
 
+// log writes a log line of the cell. It leaves out fields that are empty.
 func (o *Owner) log(line cell.LogLine) {
 	fields := logrus.Fields{}
 	for name, value := range map[string]string{"queue": line.Queue, "customer": line.Customer, "job": line.Job, "task": line.Task, "endpoint": line.Endpoint, "why": line.Reason} {
@@ -84,7 +86,8 @@
 	entry.Info(line.Message)
 }
 
-// commit appends records to the cell's stream in the background, with retries until that is done.
+// commit appends the records of a commit to the cell's stream in the background. The writer retries until
+// they are stored or the owner stops.
 func (o *Owner) commit(commit cell.Commit) {
 	batches := commit.Batches(o.options.MaxAppendBytes)
 	fences := make([]damsonwinch.Fence, len(batches))
@@ -110,6 +113,7 @@
 	return deadline.With(o.ctx, o.deps.Clock.Now().Add(timeout))
 }
 
+// start sends a request to start a run. Its result reaches the inbox as a started message.
 func (o *Owner) start(start cell.Start) {
 	o.requestPool.Go(func() {
 		err := o.deps.Endpoints.Start(o.requestContext(requestTimeout), start.Endpoint, start.Request)
@@ -117,6 +121,7 @@
 	})
 }
 
+// stop sends a request to stop a run. Its result reaches the inbox as a stopped message.
 func (o *Owner) stop(stop cell.Stop) {
 	o.requestPool.Go(func() {
 		err := o.deps.Endpoints.Stop(o.requestContext(requestTimeout), stop.Endpoint, stop.Request)
@@ -124,6 +129,7 @@
 	})
 }
 
+// setSpeed sends a request to set the speed of a run. Its result reaches the inbox as a speedSet message.
 func (o *Owner) setSpeed(change cell.SpeedChange) {
 	o.requestPool.Go(func() {
 		err := o.deps.Endpoints.SetSpeed(o.requestContext(requestTimeout), change.Endpoint, change.Request)
@@ -131,6 +137,7 @@
 	})
 }
 
+// requestPermits asks the advice service for permits. They reach the inbox as an advised message.
 func (o *Owner) requestPermits(request cell.PermitRequest) {
 	sentAt := o.deps.Clock.Now()
 	o.group.Go(func() error {
@@ -142,6 +149,7 @@
 	})
 }
 
+// poll polls an endpoint. The reply reaches the inbox as a polled message.
 func (o *Owner) poll(poll cell.Poll) {
 	o.requestPool.Go(func() {
 		reply, err := o.deps.Endpoints.Poll(o.requestContext(poll.Request.MaxWait+pollTimeoutMargin), poll.Endpoint, poll.Request)
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -13,7 +13,7 @@
 	apply(o *Owner, now time.Time)
 }
 
-// configured reports that a configuration is in force.
+// configured reports that a configuration has come into force.
 type configured struct {
 	configuration   damsonwinch.Configuration
 	rejectsOverload bool
@@ -25,12 +25,12 @@
 	o.cell.SetRejectsOverload(now, m.rejectsOverload)
 }
 
-// ownershipConfirmed reports that the owner's claim was in force at some time.
+// ownershipConfirmed reports that the owner's claim was in force at the time at.
 type ownershipConfirmed struct{ at time.Time }
 
 func (m ownershipConfirmed) apply(o *Owner, _ time.Time) { o.cell.ConfirmOwnership(m.at) }
 
-// endpointsListed holds the cell's endpoints as the registry has them now.
+// endpointsListed holds all endpoints of the cell, as registered now.
 type endpointsListed struct{ endpoints []damsonwinch.Endpoint }
 
 func (m endpointsListed) apply(o *Owner, now time.Time) { o.cell.SetEndpoints(now, m.endpoints) }
@@ -164,8 +164,8 @@
 	since time.Time
 }
 
-// maxSyncWait is how long a call of the planner waits at most. The planner needs reports on the cell also
-// while the store doesn't answer.
+// maxSyncWait is the longest time for which a call of the planner waits for the store: the planner needs
+// reports on the cell even while the store doesn't answer.
 const maxSyncWait = 80 * time.Millisecond
 
 // replyToSyncs answers the planner's calls that have waited for maxSyncWait, or all of them.
@@ -176,8 +176,8 @@
 	}
 }
 
-// jobQuery is a client's call that changes nothing. With a job's ID it asks for the job's state, without
-// one for the number of pending jobs of a queue.
+// jobQuery is a client's call that changes nothing. It asks for the state of a job or, if its arguments
+// have no job's ID, for the number of pending jobs of a queue.
 type jobQuery struct {
 	args  wire.JobArgs
 	reply chan<- wire.JobReply
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -12,32 +12,32 @@
 	"damsonwinch/pkg/stream"
 )
 
-// Conditions and timeouts of a move of the cell to another partition of the store. A move takes 0.2 s.
-// Outages of a partition last 4 to 7 s, and nothing of its cell starts meanwhile.
+// Conditions and timeouts of a move of the cell to another partition of the store. An outage of a partition
+// lasts 4 to 7 s, during which its cell starts nothing. A move takes 0.2 s.
 const (
 	// minCommitAge is how long an append must be in flight, and minFailedTries how many tries of it
 	// must have failed, for the cell to move. The store answers in 5 ms, or in 350 ms on a slow day.
 	// On a slow link an append takes seconds without failing.
 	minCommitAge   = 600 * time.Millisecond
 	minFailedTries = 2
-	// maxStoreSilence is how long ago the store may have answered its last call of this node for the
-	// cell to move. If the store as a whole is unavailable, a move would fail too.
+	// maxStoreSilence is how recently the store must have answered a call of this node for the cell to
+	// move. If the store as a whole is unavailable, a move would fail too.
 	maxStoreSilence = 400 * time.Millisecond
-	// outageSilence is for how long the store must have answered no call of this node to count as
+	// outageSilence is how long the store must have answered no call of this node for it to count as
 	// unavailable as a whole. A node calls the store every 0.3 s, and an answer may take 0.35 s.
 	outageSilence = 750 * time.Millisecond
-	// outageRecoveryTime is how long after such an outage the cell may move again. A try of an append
-	// that was sent during the outage is given up after 0.8 s, and the next one is answered at once.
+	// outageRecoveryTime is how long after such an outage the cell doesn't move. A try of an append that
+	// was sent during the outage is given up after 0.8 s, and the next try is answered at once.
 	outageRecoveryTime = time.Second
-	// snapshotTimeout bounds the time for writing the cell to another partition, which may be out as
-	// well. It usually takes 40 ms.
+	// snapshotTimeout bounds the time for writing the cell to another partition, which may be unavailable
+	// as well. The write usually takes 40 ms.
 	snapshotTimeout = 500 * time.Millisecond
-	// moveRetryInterval is the least time between two attempts to move.
+	// moveRetryInterval is the shortest time between two attempts to move.
 	moveRetryInterval = 200 * time.Millisecond
 )
 
-// move is the state of moving the cell to another partition. Once the snapshot has been taken, nothing
-// may be done that it doesn't include.
+// move is the state of a move of the cell to another partition. Once the cell's snapshot has been taken,
+// the owner must not carry out decisions that the snapshot doesn't include.
 type move struct {
 	attemptedAt time.Time
 	// storeOutageAt is when the store as a whole was last unavailable.
@@ -75,8 +75,8 @@
 	o.deps.ReservePartition(func(number int) { o.send(partitionReserved{number: number}) })
 }
 
-// appendRejected reports whether the append in flight has been so long in flight, and has failed so often, that
-// the cell may move.
+// appendRejected reports whether the append in flight is old enough, and has failed often enough, for the cell
+// to move.
 func (o *Owner) appendRejected(now time.Time) bool {
 	return o.cell.CommitAge(now) >= minCommitAge && o.writer.FailedTries() >= minFailedTries
 }
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -26,7 +26,7 @@
 	slow bool
 }
 
-var errBusy = errors.New("append rejected")
+var errAppendRejected = errors.New("append rejected")
 
 // Append implements damsonwinch.Store.
 func (s *partialOutageStore) Append(ctx context.Context, at damsonwinch.Stream, records []damsonwinch.Record, _ damsonwinch.Fence) (int, error) {
@@ -35,7 +35,7 @@
 		return 0, ctx.Err()
 	}
 	if at.Partition == 0 {
-		return 0, errBusy
+		return 0, errAppendRejected
 	}
 	s.recordsWritten.Add(int64(len(records)))
 	return 0, nil
@@ -60,6 +60,7 @@
 	reserved, moves []int
 }
 
+// newFixture returns a fixture whose append to the store has begun.
 func newFixture(t *testing.T, store *partialOutageStore) *ownerFixture {
 	clock := clockwork.NewFakeClock()
 	f := &ownerFixture{Owner: newUnstartedOwner(clock), clock: clock, store: store, replies: make(chan wire.JobReply, 4)}
@@ -68,7 +69,7 @@
 	f.cancel, f.inbox = cancel, make(chan message, inboxSize)
 	f.deps.Store = f.store
 	f.deps.StoreAnsweredAt = clock.Now
-	f.deps.ReservePartition = func(take func(int)) { f.reserved = append(f.reserved, 0); take(len(f.reserved)) }
+	f.deps.ReservePartition = func(onReserved func(int)) { f.reserved = append(f.reserved, 0); onReserved(len(f.reserved)) }
 	f.deps.PartitionStream = func(number int) damsonwinch.Stream { return damsonwinch.Stream{Topic: "cells", Partition: number} }
 	f.deps.MoveClaim = func(_ string, _, number int) { f.moves = append(f.moves, number) }
 	f.options = Options{Cell: "pool", Token: 3, MaxAppendBytes: 1 << 20}
@@ -85,7 +86,8 @@
 // applyNext waits for the next message and applies it.
 func (f *ownerFixture) applyNext() { (<-f.inbox).apply(f.Owner, f.clock.Now()) }
 
-// waitUntilRejected lets the append fail for so long and so often that the cell may move.
+// waitUntilRejected waits until the append has failed often enough, and advances the clock until the append
+// is old enough, for the cell to move.
 func (f *ownerFixture) waitUntilRejected(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	for f.writer.FailedTries() < minFailedTries {
@@ -156,8 +158,8 @@
 }
 
 // An append that was sent while the store as a whole was unavailable is retried within a second after the
-// store is back. A cell that moved in that second left the outcome of 700 clients' calls unknown, in one
-// of eight runs of a whole node whose store was silent for 1.5 s.
+// store is back. In one of eight runs of a whole node whose store was silent for 1.5 s, a cell moved in that
+// second and left the outcome of 700 clients' calls unknown.
 func TestCellDoesNotMoveRightAfterStoreOutage(t *testing.T) {
 	f := newFixture(t, &partialOutageStore{})
 	f.waitUntilRejected(t)
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner runs the owner of a cell: a goroutine that holds the cell's state, which pkg/cell
-// keeps, and carries out the cell's decisions. It appends records to the store, sends requests to
-// endpoints and replies to clients.
+// Package owner runs the owner of a cell: a goroutine that passes events to the cell, a state machine
+// of pkg/cell, and carries out the decisions that the cell makes. It appends records to the store,
+// sends requests to endpoints and replies to clients.
 package owner
 
 import (
@@ -39,8 +39,9 @@
 	// StoreAnsweredAt returns when the store last answered any call of this node.
 	StoreAnsweredAt func() time.Time
 	// ReservePartition reserves a partition of the store that no cell has used, and calls onReserved
-	// with its number. PartitionStream returns the stream of a partition. MoveClaim claims the cell,
-	// which this node owns by a token, again: its stream is then that of the partition.
+	// with its number. PartitionStream returns the stream of a partition. MoveClaim replaces this
+	// node's claim with the given token by a new one, under which the cell's records are in the
+	// partition.
 	ReservePartition func(onReserved func(partition int))
 	PartitionStream  func(partition int) damsonwinch.Stream
 	MoveClaim        func(cell string, token, partition int)
@@ -62,7 +63,7 @@
 }
 
 // Owner owns one cell until it is closed, until a newer owner has taken the cell over, or until the
-// machine has been suspended.
+// machine has been suspended for longer than is negligible.
 type Owner struct {
 	deps    Deps
 	options Options
@@ -71,7 +72,7 @@
 	group   *errgroup.Group
 	// requestPool runs the requests to endpoints.
 	requestPool *workers.Pool
-	ctx         context.Context // Ends with the owner, and with it the owner's network calls.
+	ctx         context.Context // Ends when the owner stops; the owner's network calls end then, too.
 	cancel      context.CancelFunc
 	// pendingCalls holds, by call ID, the channels for the replies to clients' calls that wait for one.
 	// lastCallID is the highest ID that has been used.
@@ -80,7 +81,8 @@
 	writer       *stream.Writer
 	// waitingSyncs are the planner's calls that wait for a record to be stored, oldest first.
 	waitingSyncs []waitingSync
-	// plannerToken is the highest epoch of a fleet planner that has called.
+	// plannerToken is the highest token of a fleet planner that has called. Calls with a lower token
+	// come from an earlier planner and are ignored.
 	plannerToken int
 	// boxesRequestedAt is when the list of boxes was last requested.
 	boxesRequestedAt time.Time
@@ -132,6 +134,7 @@
 	return nil
 }
 
+// run takes the cell over and handles messages until the owner stops. It returns the reason.
 func (o *Owner) run() error {
 	defer close(o.done)
 	defer o.cancel()
@@ -144,7 +147,7 @@
 	return o.loop()
 }
 
-// takeOver fences earlier owners off the cell's stream and loads the cell from it.
+// takeOver makes the store refuse appends of earlier owners and loads the cell from its stream.
 func (o *Owner) takeOver() error {
 	startedAt := o.deps.Clock.Now()
 	records, err := o.writer.TakeOver(o.ctx)
@@ -200,7 +203,7 @@
 	return o.tasksWaiting.Load()
 }
 
-// updateTasksWaiting brings tasksWaiting up to date and calls OnTasksWaiting if it has become true.
+// updateTasksWaiting updates tasksWaiting and calls OnTasksWaiting if it has become true.
 func (o *Owner) updateTasksWaiting() {
 	waiting := o.cell.HasWaitingTasks()
 	if o.tasksWaiting.Swap(waiting) != waiting && waiting {
@@ -208,8 +211,7 @@
 	}
 }
 
-// applyMessages applies a message and the ones that wait behind it in the inbox, at most inboxSize in
-// all.
+// applyMessages applies a message and those that wait behind it in the inbox, at most inboxSize in total.
 func (o *Owner) applyMessages(m message) {
 	for applied := 1; ; applied++ {
 		m.apply(o, o.deps.Clock.Now())
--- a/store.go
+++ b/store.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s/%d", s.Topic, s.Partition)
 }
 
-// Record is one record of a stream.
+// Record is an entry of a stream.
 type Record struct {
 	// Key identifies the subject of the record. It is empty in streams without keys.
 	Key string
@@ -47,7 +47,8 @@
 	End int
 }
 
-// KeyPage is a part of the newest records of the keys of a stream, in the order of keys.
+// KeyPage is one page of a listing of the newest record of each key in a stream, in the order of
+// keys.
 type KeyPage struct {
 	Records []Record
 	// More reports whether there are keys above the last one in Records.
@@ -104,7 +105,7 @@
 	Err error
 }
 
-// Error implements error.
+// Error returns the number of bytes received and the error that ended the call.
 func (e *PartialError) Error() string {
 	return fmt.Sprintf("after %d bytes of the answer: %v", e.Received, e.Err)
 }
