--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -38,7 +38,8 @@
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
 	Metrics *metrics.Set
-	// StoreAnsweredAt returns when the store last answered any call of this node. It may be nil.
+	// StoreAnsweredAt returns when the store last answered one of the calls that this node makes all the
+	// time, such as its heartbeats. It may be nil.
 	StoreAnsweredAt func() time.Time
 }
 
--- a/pkg/intake/cells.go
+++ b/pkg/intake/cells.go
@@ -10,14 +10,14 @@
 	"damsonwinch/pkg/wire"
 )
 
-// undecidedReply returns the reply to a call that arrives before the layout of the cells is decided. A
-// job could get into the wrong cell then, and would not be found later.
+// undecidedReply returns the reply to a call that arrives before the layout of the cells is decided. If the
+// call were routed, its job could get into the wrong cell and would not be found later.
 func undecidedReply() wire.JobReply {
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: "the layout of the cells has not been decided yet", RetryAfterMs: retryAfterMs}
 }
 
-// Submit implements damsonwinch.JobService. The job goes to a cell by its ID, or, if it is long-running,
-// to its pool's cell for long-running jobs.
+// Submit implements damsonwinch.JobService. It sends a long-running job to the pool's cell for long-running
+// jobs, and any other job to the cell that is determined by the job's ID.
 func (r *Router) Submit(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
 	if !layout.Decided() {
@@ -30,19 +30,19 @@
 	return r.route(ctx, submitMethod, argsForCell(args, number))
 }
 
-// Show implements damsonwinch.JobService.
+// Show implements damsonwinch.JobService. It calls the owner of the cell that has the job.
 func (r *Router) Show(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	return r.find(ctx, showMethod, args)
 }
 
-// Cancel implements damsonwinch.JobService.
+// Cancel implements damsonwinch.JobService. It calls the owner of the cell that has the job.
 func (r *Router) Cancel(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	return r.find(ctx, cancelMethod, args)
 }
 
-// find calls the owner of the cell that has a job. The call doesn't say whether the job is long-running,
-// so it goes to the cell for the job's ID first, and to the pool's cell for long-running jobs if the first
-// one doesn't have the job.
+// find calls the owner of the cell that has a job. The arguments don't say whether the job is long-running.
+// The call therefore goes to the cell that is determined by the job's ID, and then, if that cell doesn't
+// have the job, to the pool's cell for long-running jobs.
 func (r *Router) find(ctx context.Context, m method, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
 	if !layout.Decided() {
@@ -84,7 +84,8 @@
 	return sum
 }
 
-// argsForCell returns the arguments of a call with the cell of the given shard in place of the pool.
+// argsForCell returns args with the name of a cell in place of its pool: the cell is the pool's shard of the
+// given number.
 func argsForCell(args wire.JobArgs, number int) wire.JobArgs {
 	args.Cell, args.Pool = shard.CellName(args.Pool, number), ""
 	return args
--- a/pkg/intake/cells_test.go
+++ b/pkg/intake/cells_test.go
@@ -16,7 +16,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// fakeOwner is an owner of a cell that only remembers which jobs were submitted and not cancelled.
+// fakeOwner is an owner of a cell that only stores which jobs were submitted and not cancelled.
 type fakeOwner struct {
 	jobs    map[string]bool
 	pending wire.JobReply
@@ -65,6 +65,7 @@
 	return wire.JobReply{}, true
 }
 
+// newFakeCells returns the cells of one pool. The cell of shard n has n+1 pending jobs.
 func newFakeCells(shards int) *fakeCells {
 	c := &fakeCells{layout: shard.New(shards, []string{"pool"}), owners: map[string]*fakeOwner{}}
 	for number, cell := range c.layout.CellNames("pool") {
@@ -79,6 +80,7 @@
 	return New(Deps{Cells: cells, Clock: clockwork.NewRealClock(), Metrics: metrics.New(), Logger: logger})
 }
 
+// submitArgs returns the arguments with which a client submits a job of one task.
 func submitArgs(id string, longRunning bool) wire.JobArgs {
 	return wire.JobArgs{Queue: "queue", Pool: "pool", Id: id, Spec: &wire.JobSpec{Phases: []wire.Phase{{Count: 1, Lasting: longRunning}}}}
 }
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -19,15 +19,15 @@
 
 // Times of a call that is being routed.
 const (
-	// refusedRetryTime is how long a call is retried that certainly has had no effect, for example
-	// because its cell has no owner. A takeover takes about a second. After refusedRetryTime the
-	// client is told to retry later.
+	// refusedRetryTime is how long the router retries a call that certainly has had no effect, for
+	// example because its cell has no owner. A takeover takes about a second, so the router then refuses
+	// the call and tells the client to retry later.
 	refusedRetryTime = 500 * time.Millisecond
 	// routeTimeout bounds the time of a call including all attempts. While the store is unavailable, an
 	// owner waits at most 2.4 s before it replies. A peer that is cut off is detected sooner.
 	routeTimeout = 2600 * time.Millisecond
-	// unknownRetryTime is how long a call is retried whose outcome is unknown. After that the client
-	// is told that it is unknown, and may ask another node.
+	// unknownRetryTime is how long the router retries a call whose outcome is unknown. It then tells the
+	// client so, which may ask another node.
 	unknownRetryTime = 1600 * time.Millisecond
 	// retryInterval is the time between two attempts.
 	retryInterval = 40 * time.Millisecond
@@ -35,26 +35,27 @@
 	retryAfterMs = 500
 )
 
-// Cells is what a Router and a Service need of their node: the cells' owners, as far as the node knows
-// them.
+// Cells gives a Router and a Service access to the owners of cells, as far as their node knows them.
 type Cells interface {
 	// LocalOwner returns the owner of a cell if it is on this node, and whether it is.
 	LocalOwner(cell string) (CellOwner, bool)
 	// View returns what this node knows about all cells.
 	View() ownership.View
-	// StoreAnsweredAt returns when the store last answered this node.
+	// StoreAnsweredAt returns when the store last answered one of the calls that this node makes all the
+	// time, such as its heartbeats.
 	StoreAnsweredAt() time.Time
-	// Admit reports whether a call that another node has forwarded is permitted by the configuration
-	// that this node has of customers and their keys. If not, it returns the reply to the call.
+	// Admit reports whether a call that another node has forwarded is permitted by this node's
+	// configuration of customers and their keys. If not, it returns the reply to the call.
 	Admit(ctx context.Context, args wire.JobArgs) (wire.JobReply, bool)
-	// ReportRefusedConnection reports that an incarnation of a node has refused a connection.
+	// ReportRefusedConnection reports that an incarnation of a node has refused a connection, which
+	// shows that its process has ended.
 	ReportRefusedConnection(node string, incarnation int)
 }
 
 // CellOwner is the owner of a cell, on this node.
 type CellOwner interface {
 	damsonwinch.JobService
-	// Sync handles a call of the fleet planner.
+	// Sync applies the planner's directives and allowances for the cell, and returns a report on it.
 	Sync(ctx context.Context, args wire.SyncArgs) wire.SyncReply
 }
 
@@ -82,7 +83,7 @@
 
 var _ damsonwinch.JobService = (*Router)(nil)
 
-// New returns a router, which has no connections yet.
+// New returns a router. It connects to another node upon the first call to that node.
 func New(deps Deps) *Router {
 	return &Router{deps: deps, peers: map[string]*call.Client{}}
 }
@@ -96,8 +97,8 @@
 	}
 }
 
-// method is one of the calls on jobs: its net/rpc name, by which other nodes are called, and the method
-// that calls an owner on this node.
+// method is one of the calls on jobs: name is its net/rpc name for calls to other nodes, and invoke calls an
+// owner on this node.
 type method struct {
 	name   string
 	invoke func(service damsonwinch.JobService, ctx context.Context, args wire.JobArgs) wire.JobReply
@@ -146,7 +147,8 @@
 	return max(1, int(deadline.Sub(now).Milliseconds()))
 }
 
-// maxRetryTime returns for how long a call is retried.
+// maxRetryTime returns how long a call is retried. outcomeUnknown says whether an attempt may have had an
+// effect.
 func maxRetryTime(outcomeUnknown bool) time.Duration {
 	if outcomeUnknown {
 		return unknownRetryTime
@@ -160,8 +162,8 @@
 	return reply.Outcome == wire.JobOutcomeRefused && reply.RetryAfterMs > 0
 }
 
-// giveUp returns the reply to a call that no owner has carried out, from the reply to the last attempt, and
-// counts and logs it.
+// giveUp counts and logs a call that isn't retried any more, and returns the reply to the client. reply is
+// that of the last attempt.
 func (r *Router) giveUp(m method, args wire.JobArgs, reply wire.JobReply, outcomeUnknown bool, startedAt time.Time) wire.JobReply {
 	claim, _ := r.deps.Cells.View().Owner(args.Cell)
 	r.deps.Logger.WithFields(logrus.Fields{
@@ -225,8 +227,8 @@
 	return reply, err
 }
 
-// Sync sends a call of the fleet planner to the owner of a cell, in one attempt. If the cell has no owner,
-// the reply's Known is false.
+// Sync sends a call of the fleet planner to the owner of a cell. It makes one attempt. If the cell has no
+// owner, the reply's Known is false.
 func (r *Router) Sync(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error) {
 	if owner, isLocal := r.deps.Cells.LocalOwner(args.Cell); isLocal {
 		return owner.Sync(ctx, args), nil
@@ -240,7 +242,7 @@
 	return reply, err
 }
 
-// peer returns the client for calls to the node at an address.
+// peer returns the client for calls to the node at an address, and creates it if there is none.
 func (r *Router) peer(address string) *call.Client {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/pkg/intake/service.go
+++ b/pkg/intake/service.go
@@ -30,22 +30,22 @@
 	return &Service{self: self, cells: cells, clock: clock, ctx: ctx}
 }
 
-// Submit submits a job.
+// Submit passes a job to the owner of its cell. args.Cell names the cell.
 func (s *Service) Submit(args wire.JobArgs, reply *wire.JobReply) error {
 	return s.handle(submitMethod, args, reply)
 }
 
-// Show returns a job's state.
+// Show asks the owner of the cell that args names for a job's state.
 func (s *Service) Show(args wire.JobArgs, reply *wire.JobReply) error {
 	return s.handle(showMethod, args, reply)
 }
 
-// Cancel ends a job permanently.
+// Cancel makes the owner of the cell that args names end a job permanently.
 func (s *Service) Cancel(args wire.JobArgs, reply *wire.JobReply) error {
 	return s.handle(cancelMethod, args, reply)
 }
 
-// Pending counts a queue's jobs in the cell that have not started.
+// Pending returns the number of a queue's jobs that have not started, in the cell that args names.
 func (s *Service) Pending(args wire.JobArgs, reply *wire.JobReply) error {
 	return s.handle(pendingMethod, args, reply)
 }
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -13,16 +13,17 @@
 // node admitted it. A new configuration is in force on all nodes within half a second.
 const maxVersionWait = 500 * time.Millisecond
 
-// accessRules say which clients may call, by one version of the configuration.
+// accessRules determine which clients' calls one version of the configuration admits.
 type accessRules struct {
 	version   int
 	customers *customer.Index
 	// publicQueues says for each queue of the configuration whether its calls need no key.
 	publicQueues map[string]bool
-	// replaced is closed once those of a newer version are in force.
+	// replaced is closed once the rules of a newer version are in force.
 	replaced chan struct{}
 }
 
+// newAccessRules returns the rules of a configuration. customers is the index of its customers.
 func newAccessRules(configuration damsonwinch.Configuration, customers *customer.Index) *accessRules {
 	rules := &accessRules{version: configuration.Version, customers: customers, publicQueues: make(map[string]bool, len(configuration.Queues)), replaced: make(chan struct{})}
 	for _, queue := range configuration.Queues {
@@ -31,9 +32,9 @@
 	return rules
 }
 
-// admit reports whether a call is admitted, and otherwise the outcome with which to refuse it. That the
-// forwarding node has admitted the call isn't enough: the key whose digest it carries must belong to its
-// customer by these rules too.
+// admit reports whether a call is admitted. If not, it returns the outcome with which to refuse the call.
+// That the forwarding node has admitted the call isn't enough: the key whose digest the call carries must
+// belong to the call's customer by these rules too.
 func (r *accessRules) admit(args wire.JobArgs) (wire.JobOutcome, bool) {
 	public, exists := r.publicQueues[args.Queue]
 	if public || r.customers.Len() == 0 && args.Customer == "" {
@@ -48,7 +49,8 @@
 	return wire.JobOutcomeUnauthorized, false
 }
 
-// Admit implements intake.Cells.
+// Admit implements intake.Cells. If the forwarding node has admitted the call by a newer configuration, it
+// waits up to maxVersionWait for that configuration.
 func (n *Node) Admit(ctx context.Context, args wire.JobArgs) (wire.JobReply, bool) {
 	rules := n.accessRules.Load()
 	if rules == nil {
@@ -93,6 +95,7 @@
 // whether to admit the call.
 const refusalRetryMs = 500
 
+// refusedReply returns the refusal of a call that the client should retry after refusalRetryMs.
 func refusedReply(reason string) wire.JobReply {
 	return wire.JobReply{Outcome: wire.JobOutcomeRefused, Reason: reason, RetryAfterMs: refusalRetryMs}
 }
--- a/pkg/node/endpoints.go
+++ b/pkg/node/endpoints.go
@@ -9,17 +9,17 @@
 )
 
 // Intervals between two reads of the endpoints' registrations. Each endpoint writes its own every second or
-// two, so that a read that waits for new records would return after nearly every one of them.
+// two, so a read that waited for new records would return for nearly every single record.
 const (
-	// shortReadInterval is the interval while tasks wait for capacity, which new endpoints may bring.
-	// Short jobs can wait for about a second.
+	// shortReadInterval is the interval while tasks wait for capacity, which new endpoints may provide.
+	// A short job can only wait for about a second.
 	shortReadInterval = 100 * time.Millisecond
 	// readInterval is the interval otherwise. A node must learn within 2 s that an endpoint is draining.
 	readInterval = 300 * time.Millisecond
 )
 
-// followEndpoints reads the endpoints' registrations, while this node owns a cell of a pool, until the node is
-// closed.
+// followEndpoints reads the endpoints' registrations until the node is closed. It pauses while this node owns no
+// cell of a pool.
 func (n *Node) followEndpoints() error {
 	feed.New(n.feedDeps(), feed.Options{
 		Stream: n.deps.Platform.EndpointStream, Pause: n.endpointReadInterval, Wanted: n.ownsPoolCell.Load, Wake: n.wakeEndpointFeed,
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// endpointReadInterval returns the time until the next read of the registrations.
+// endpointReadInterval returns the time until the next read of the registrations. It depends on whether tasks
+// of any cell on this node wait for capacity.
 func (n *Node) endpointReadInterval() time.Duration {
 	for _, runner := range *n.runners.Load() {
 		if cellOwner, isOwner := runner.(*owner.Owner); isOwner && cellOwner.HasWaitingTasks() {
@@ -43,8 +44,8 @@
 	return readInterval
 }
 
-// updateEndpointFeed makes the node follow the endpoints while one of its runners is an owner. Without an
-// owner the node drops what it knows of them, which would be out of date at its next takeover.
+// updateEndpointFeed makes the node follow the endpoints' registrations while one of its runners is an owner.
+// Without an owner the node drops the registrations, which would be out of date at its next takeover.
 func (n *Node) updateEndpointFeed(runners map[string]cellRunner) {
 	ownsPoolCell := false
 	for _, runner := range runners {
@@ -92,8 +93,8 @@
 	n.sendEndpoints(func(cell string) bool { return changed || !n.rejectsOverload(cell) })
 }
 
-// sendEndpoints sends the owners for whose cells needs returns true the list of their endpoints. It does nothing
-// while the registry isn't ready for that.
+// sendEndpoints sends each owner for whose cell needs returns true the list of the cell's endpoints. It does
+// nothing while the registry isn't ready for that.
 func (n *Node) sendEndpoints(needs func(cell string) bool) {
 	if !n.state.registry.readyForOwners(n.state.layout, &n.state.placements) {
 		return
--- a/pkg/node/holdings.go
+++ b/pkg/node/holdings.go
@@ -9,8 +9,11 @@
 
 // cellRunner runs a cell that this node owns: the owner of a pool's cell, or the planner for the fleet's cell.
 type cellRunner interface {
+	// Done returns a channel that is closed once the runner has stopped, by itself or by Close.
 	Done() <-chan struct{}
+	// Token returns the epoch of the claim for which the runner was started.
 	Token() int
+	// Close stops the runner and waits for its calls to end.
 	Close() error
 }
 
@@ -37,7 +40,7 @@
 	n.updateEndpointFeed(next)
 }
 
-// confirmOwnership tells the owners at which time their claims were last known to be in force.
+// confirmOwnership tells the owners when their claims were last known to be in force.
 func (n *Node) confirmOwnership() {
 	confirmedAt := n.View().ConfirmedAt
 	for _, runner := range *n.runners.Load() {
@@ -52,7 +55,7 @@
 	return claim.HeldBy(n.options.Self) && !n.state.stopping
 }
 
-// closeRunner closes a runner in the background.
+// closeRunner closes the runner of a cell in the background.
 func (n *Node) closeRunner(cell string, runner cellRunner) {
 	n.deps.Logger.WithField("cell", cell).Info("cell given up")
 	n.group.Go(func() error {
@@ -63,8 +66,8 @@
 	})
 }
 
-// startRunner starts a runner for the cell of a claim. The node's task gets a runnerStopped message once it
-// has stopped.
+// startRunner starts a runner for the cell of a claim. The main goroutine gets a runnerStopped message once the
+// runner has stopped.
 func (n *Node) startRunner(claim ownership.Claim) cellRunner {
 	var started cellRunner
 	if claim.Cell == fleetCell {
@@ -80,7 +83,8 @@
 	return started
 }
 
-// startOwner starts the owner of a pool's cell, with the configuration and the endpoints that are known.
+// startOwner starts the owner of a pool's cell. It passes on the configuration, and the cell's endpoints if all
+// registrations have been read.
 func (n *Node) startOwner(claim ownership.Claim) *owner.Owner {
 	started := owner.New(owner.Deps{
 		Store: n.deps.Platform.Store, Endpoints: n.deps.Platform.Endpoints, Fleet: n.deps.Platform.Fleet, Advisor: n.deps.Platform.Advisor, Clock: n.deps.Clock,
@@ -97,7 +101,8 @@
 	return started
 }
 
-// startPlanner starts the fleet planner, with the configuration and the waves that are known.
+// startPlanner starts the fleet planner. It passes on the configuration, the layout and all waves that have been
+// read.
 func (n *Node) startPlanner(claim ownership.Claim) *planner.Planner {
 	started := planner.New(planner.Deps{
 		Store: n.deps.Platform.Store, Fleet: n.deps.Platform.Fleet, Clock: n.deps.Clock, Logger: n.deps.Logger.WithField("cell", claim.Cell),
@@ -112,8 +117,8 @@
 	return started
 }
 
-// removeRunner removes a runner that has stopped by itself, and releases its claim, for which no runner is
-// started again.
+// removeRunner removes a runner that has stopped by itself, and releases its claim. No runner is started for
+// that claim again. If the cell has another runner by now, removeRunner does nothing.
 func (n *Node) removeRunner(cell string, stopped cellRunner) {
 	runners := *n.runners.Load()
 	if runners[cell] != stopped {
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -38,8 +38,9 @@
 type boxCountReceived struct{ count int }
 
 // proposeLayout chooses the number of shards and proposes a layout, if none has been decided. Only the node
-// that runs the planner knows the number of boxes and gets that far. If one shard is enough for the members
-// listed so far, it is enough for more members too. For any other number the list must be complete.
+// that runs the planner does so, because no other node knows the number of boxes. If one shard is enough for
+// the members listed so far, it is enough for more members too. To choose more shards, the list must be
+// complete.
 func (n *Node) proposeLayout() {
 	view := n.View()
 	pools := poweredOnPools(n.state.configuration)
@@ -56,7 +57,7 @@
 	n.ownership.ProposeLayout(shard.New(count, pools))
 }
 
-// memberWeights returns the weights of members, in their order.
+// memberWeights returns the weights of members, in the same order.
 func memberWeights(members []ownership.Member) []int {
 	weights := make([]int, 0, len(members))
 	for _, member := range members {
--- a/pkg/node/lives_test.go
+++ b/pkg/node/lives_test.go
@@ -17,9 +17,9 @@
 	return damsonwinch.Endpoint{Life: damsonwinch.Life{ID: record.Key, StartedUnixMs: startedUnixMs}, Pool: "p", Box: "box-" + record.Key}, err
 }
 
-// An order that ends one life takes the box to another shard: the next life of the same ID belongs to the new
-// shard, while the ended one belonged to the old shard until its end. The next life is the one that was
-// registered last, even if it has the earlier start time by the clock of its box.
+// An order ends a life and assigns its box to another shard. The life belongs to the old shard until its end,
+// and the next life of the same ID belongs to the new shard. The next life is the one that was registered last,
+// even if its start time, by the clock of its box, is the earlier one.
 func TestLaterLifeOfAnIDIsAssignedAgain(t *testing.T) {
 	layout := shard.New(4, []string{"p"})
 	oldShard := layout.BoxShard("box-a")
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -40,7 +40,8 @@
 	// DecodeEndpoint decodes a record of EndpointStream. An endpoint without a pool is no longer
 	// registered.
 	DecodeEndpoint func(damsonwinch.Record) (damsonwinch.Endpoint, error)
-	// WaveReport returns a report to the operator on a wave, and the stream to append it to.
+	// WaveReport returns a report to the operator that a wave is completed, or else that it has started,
+	// and the stream to append it to.
 	WaveReport func(wave int, completed bool) (damsonwinch.Stream, damsonwinch.Record)
 }
 
@@ -71,11 +72,12 @@
 	Partitions int
 	// MaxAppendBytes is the size of the largest append that the store accepts.
 	MaxAppendBytes int
-	// FirstStart reports whether the system starts for the first time.
+	// FirstStart reports whether the whole system starts for the first time. The node then gives the
+	// others time to join before it claims cells.
 	FirstStart bool
 }
 
-// Node is a running node. One goroutine, the node's task, handles messages and changes state.
+// Node is a running node. One goroutine, the main goroutine, handles messages and changes the state.
 type Node struct {
 	deps       Deps
 	options    Options
@@ -88,26 +90,27 @@
 	relayPeers *relay.Peers
 	inbox      chan any
 	group      *errgroup.Group
-	ctx        context.Context // Ends with the node's goroutines.
+	ctx        context.Context // Ends when Close is called; the node's goroutines end then, too.
 	cancel     context.CancelFunc
 	view       atomic.Pointer[ownership.View]
-	// runners holds the runners of this node's cells, by cell. The node's task replaces the whole map,
-	// and any goroutine may read it.
+	// runners holds the runners of this node's cells, by cell. The main goroutine replaces the whole
+	// map, and any goroutine may read it.
 	runners atomic.Pointer[map[string]cellRunner]
-	// accessRules are those of the configuration in force, or nil before the first one.
+	// accessRules holds the rules of the configuration in force, or nil before the first one.
 	accessRules atomic.Pointer[accessRules]
-	// ownsPoolCell is set while this node owns a cell of a pool. wakeEndpointFeed wakes the feed that
-	// follows EndpointStream meanwhile.
+	// ownsPoolCell is set while this node owns a cell of a pool. The feed of EndpointStream reads only
+	// during that time. wakeEndpointFeed makes it read at once.
 	ownsPoolCell     atomic.Bool
 	wakeEndpointFeed chan struct{}
-	// wakePlacementFeed wakes the feed that follows the planner's stream for placements of boxes.
+	// wakePlacementFeed makes the feed of the planner's stream, which holds the placements of boxes, read
+	// at once.
 	wakePlacementFeed chan struct{}
 	state             state
-	// done is closed once the node's task has ended.
+	// done is closed once the main goroutine has ended.
 	done chan struct{}
 }
 
-// state is what only the node's task reads and changes.
+// state is the part of a node that only the main goroutine reads and changes.
 type state struct {
 	configuration damsonwinch.Configuration
 	registry      registry
@@ -125,7 +128,7 @@
 	stopping      bool
 }
 
-// Messages to the node's task.
+// Messages to the main goroutine.
 type (
 	viewChanged     struct{}
 	operatorRecords struct{ records []damsonwinch.Record }
@@ -145,8 +148,8 @@
 	optionsChanged struct{ options Options }
 )
 
-// inboxSize is how many messages can wait while the node's task is busy. A feed blocks while the inbox is
-// full.
+// inboxSize is how many messages can wait while the main goroutine is busy. A feed blocks while the inbox
+// is full.
 const inboxSize = 64
 
 // New starts a node. Other nodes can call it when New returns.
@@ -205,34 +208,34 @@
 	return n.relay.ConfirmedAt()
 }
 
-// maxReadySilence is how long ago the store, or an owner that carried out a call, may have answered last for
-// the node to be ready. Clients of a node that is cut off from both are sent to other nodes, and the load
-// balancer needs 2 s to notice. The node renews its membership at the store every 300 ms, and if an answer
-// is lost it waits 600 ms for it.
+// maxReadySilence is how recently the store, or an owner that carried out a call, must have answered for the
+// node to be ready. Clients of a node that is cut off from both are sent to other nodes, and the load
+// balancer needs 2 s to notice. The node renews its membership at the store every 300 ms, and waits 600 ms
+// for an answer that is lost.
 const maxReadySilence = 800 * time.Millisecond
 
-// View implements intake.Cells.
+// View implements intake.Cells. It returns an empty view until the first one is known.
 func (n *Node) View() ownership.View {
 	return *n.view.Load()
 }
 
-// LocalOwner implements intake.Cells.
+// LocalOwner implements intake.Cells. It returns false for the fleet's cell, whose runner is the planner.
 func (n *Node) LocalOwner(cell string) (intake.CellOwner, bool) {
 	owner, isLocal := (*n.runners.Load())[cell].(intake.CellOwner)
 	return owner, isLocal
 }
 
-// StoreAnsweredAt implements intake.Cells.
+// StoreAnsweredAt implements intake.Cells. Only answers to heartbeats and to reads of the claims count.
 func (n *Node) StoreAnsweredAt() time.Time {
 	return n.ownership.StoreAnsweredAt()
 }
 
-// ReportRefusedConnection implements intake.Cells.
+// ReportRefusedConnection implements intake.Cells. It passes the report to the node's Ownership.
 func (n *Node) ReportRefusedConnection(node string, incarnation int) {
 	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
-// viewChanged stores a new view and tells the node's task.
+// viewChanged stores a new view and notifies the main goroutine.
 func (n *Node) viewChanged(view ownership.View) {
 	n.view.Store(&view)
 	// The message is dropped if the inbox is full. One that already waits there will read this view.
@@ -250,8 +253,8 @@
 	}
 }
 
-// Reload puts CellOptions and Supply of the given options in force for cells that this node takes over from
-// now on. All other options stay as they were.
+// Reload makes CellOptions and Supply of the given options apply to cells that this node takes over from now
+// on. It ignores all other options.
 func (n *Node) Reload(options Options) {
 	n.send(optionsChanged{options: options})
 }
@@ -271,8 +274,8 @@
 // Close stops the node and waits for its goroutines.
 func (n *Node) Close() error {
 	n.cancel()
-	// The runners are closed first, because goroutines of the group wait for them to stop. No runner is
-	// started any more: the node's task, which starts them, has ended.
+	// The runners are closed first, because goroutines of the group wait for them to stop. No further
+	// runner is started: the main goroutine, which starts them, has ended.
 	<-n.done
 	var err error
 	for _, runner := range *n.runners.Load() {
@@ -285,7 +288,7 @@
 	return err
 }
 
-// run is the node's task. It handles messages, and brings the runners in line with the claims every second.
+// run is the main goroutine. It handles messages, and updates the runners every second.
 func (n *Node) run() error {
 	defer close(n.done)
 	ticker := n.deps.Clock.NewTicker(time.Second)
@@ -302,6 +305,7 @@
 	}
 }
 
+// handle handles one message.
 func (n *Node) handle(m any) {
 	switch m := m.(type) {
 	case viewChanged:
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -16,8 +16,8 @@
 
 // followOperator reads the operator's stream, through the relay, until the node is closed.
 func (n *Node) followOperator() error {
-	// wait is how long a read waits for new records. A configuration must be in force within 2 s, even if
-	// an answer is lost and the read has to be given up.
+	// wait is how long a read waits for new records. It is short because a configuration must be in force
+	// within 2 s, even if an answer is lost and the read has to be given up.
 	const wait = time.Second
 	deps := n.feedDeps()
 	deps.Store = n.relay
@@ -81,7 +81,8 @@
 	return exists && pool.RejectsOverload
 }
 
-// setWave passes a wave to the planner if that runs on this node, and keeps it for a planner that starts later.
+// setWave stores a wave for planners that start later on this node, and passes it to the planner that runs here,
+// if there is one.
 func (n *Node) setWave(wave damsonwinch.Wave) {
 	n.state.waves[wave.Number] = wave
 	n.deps.Logger.WithFields(logrus.Fields{"wave": wave.Number, "boxes": len(wave.Boxes), "most_down": wave.MaxDown, "duration": wave.Duration.String()}).Info("wave requested")
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -18,12 +18,12 @@
 type placements struct {
 	byBox map[string]shard.Placement
 	// nextOffset is the offset of the first record that has not been read. upToDateAt is when the latest
-	// read that returned all remaining records was sent, or zero if there has been none.
+	// read was sent that reached the end of the stream, or zero if there has been none.
 	nextOffset int
 	upToDateAt time.Time
 }
 
-// placementRecords are records of the planner's stream.
+// placementRecords is a message with records of the planner's stream.
 type placementRecords struct {
 	records  []damsonwinch.Record
 	snapshot bool
@@ -32,11 +32,12 @@
 	requestedAt time.Time
 }
 
+// newPlacements returns placements of which nothing has been read.
 func newPlacements() placements {
 	return placements{byBox: map[string]shard.Placement{}}
 }
 
-// apply applies records and returns an error for each one that is invalid.
+// apply applies records of the planner's stream and returns an error for each one that is invalid.
 func (p *placements) apply(m placementRecords) (refused []error) {
 	if m.snapshot {
 		clear(p.byBox)
@@ -61,7 +62,7 @@
 	return refused
 }
 
-// find returns the placement of the newest order on a box, or nil if there has been none.
+// find returns the placement by the newest order on a box, or nil if there is none.
 func (p *placements) find(box string) *shard.Placement {
 	if placement, placed := p.byBox[box]; placed {
 		return &placement
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// followPlacements starts to follow the planner's stream, unless it has been started, once it is known where that
-// stream is and that the layout has more than one shard.
+// followPlacements starts the feed of the planner's stream, unless it was started before. It does nothing while the
+// claim that tells where this stream is, or a layout with more than one shard, isn't known.
 func (n *Node) followPlacements() {
 	claim, claimed := n.View().Claims[fleetCell]
 	if n.state.followsPlacements || !claimed || !n.state.layout.Sharded() {
@@ -101,8 +102,8 @@
 	}
 }
 
-// applyPlacementRecords applies records of the planner's stream and sends the owners their endpoints if some now
-// have a shard.
+// applyPlacementRecords applies records of the planner's stream, and sends the owners their endpoints if lives
+// have now been assigned to shards.
 func (n *Node) applyPlacementRecords(m placementRecords) {
 	for _, err := range n.state.placements.apply(m) {
 		n.deps.Metrics.Add("placements_refused", 1)
--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -20,7 +20,7 @@
 	lifeShards map[damsonwinch.Life]lifeShard
 	// complete is set once all registrations have been read.
 	complete bool
-	// firstReadAt is when the first records had been received, or zero before that.
+	// firstReadAt is when this node received the first records, or zero before that.
 	firstReadAt time.Time
 }
 
@@ -30,8 +30,8 @@
 	known bool
 	shard int
 	// firstSeenAt is when this node first received a registration of the life. The planner records an
-	// order before the life to which it leads can start, so a read of placements that was sent after
-	// firstSeenAt returns that order.
+	// order on a box before the next life on the box can start. So a read of placements that is sent
+	// after firstSeenAt returns the order, if any, by which this life got its shard.
 	firstSeenAt time.Time
 }
 
@@ -39,7 +39,7 @@
 	return registry{decode: decode, endpoints: map[string]damsonwinch.Endpoint{}, invalid: map[string]bool{}, lifeShards: map[damsonwinch.Life]lifeShard{}}
 }
 
-// reset drops everything that has been read.
+// reset drops all registrations and all shards of lives.
 func (r *registry) reset() {
 	clear(r.endpoints)
 	clear(r.invalid)
@@ -93,7 +93,8 @@
 		before.Box != after.Box || before.Capacity != after.Capacity || !slices.Equal(before.Labels, after.Labels)
 }
 
-// dropUnlistedLives drops the shards of lives that are no longer registered.
+// dropUnlistedLives drops the shards of lives that are no longer registered. It keeps those of lives whose
+// registration is invalid.
 func (r *registry) dropUnlistedLives() {
 	for life := range r.lifeShards {
 		if r.endpoints[life.ID].Life != life && !r.invalid[life.ID] {
@@ -143,7 +144,8 @@
 	return found
 }
 
-// belongsTo reports whether a life belongs to a shard. It is false while the life's shard isn't known.
+// belongsTo reports whether a life belongs to the shard of the given number. It returns false while the life's
+// shard isn't known.
 func (r *registry) belongsTo(life damsonwinch.Life, number int, layout shard.Layout) bool {
 	if !layout.Sharded() {
 		return number == 0
--- a/pkg/node/registry_test.go
+++ b/pkg/node/registry_test.go
@@ -13,7 +13,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-var errInvalid = errors.New("spoilt")
+var errInvalid = errors.New("invalid registration")
 
 // decodeRegistration decodes a registration whose value is the endpoint's pool, or "?" if it is invalid.
 func decodeRegistration(record damsonwinch.Record) (damsonwinch.Endpoint, error) {
@@ -28,7 +28,7 @@
 	return damsonwinch.Record{Key: id, Value: []byte(pool)}
 }
 
-// lifeNames returns the lives of endpoints as text.
+// lifeNames returns the lives of endpoints in text form.
 func lifeNames(endpoints []damsonwinch.Endpoint) []string {
 	names := []string{}
 	for _, endpoint := range endpoints {
@@ -60,7 +60,8 @@
 	assert.DeepEqual(t, lifeNames(r.cellEndpoints("p", layout)), []string{"a", "c"})
 }
 
-// The time of a registration is that of the read that returned it last, even if nothing in it has changed.
+// SeenAt of an endpoint is the time of the latest read that returned its registration, even if the registration
+// has not changed.
 func TestRegistrationIsAsOldAsItsLatestRead(t *testing.T) {
 	r := newRegistry(decodeRegistration)
 	firstRead := time.UnixMilli(1_700_000_000_000)
@@ -72,7 +73,7 @@
 	assert.Equal(t, endpoints[1].SeenAt, firstRead.Add(time.Second))
 }
 
-// Owners need to know every change of a registration, but not that it has been written again.
+// Owners need to know every change of a registration, but not that it was written again without a change.
 func TestDiffersFindsEveryChangeOfARegistration(t *testing.T) {
 	before := damsonwinch.Endpoint{Life: damsonwinch.Life{ID: "a"}, Pool: "p", Address: "x", Zone: "z", Box: "b", Labels: []string{"l"}, Capacity: damsonwinch.Resources{MilliCPU: 1}}
 	for name, change := range map[string]func(*damsonwinch.Endpoint){
@@ -100,8 +101,8 @@
 	return damsonwinch.Record{Key: "order/" + box, Value: value}
 }
 
-// An order is in the planner's stream before the life starts to which it leads. If a life were assigned by
-// placements that are older than itself, two nodes could assign it to different shards.
+// The planner records an order on a box before the next life on the box starts. If a node assigned a life by
+// placements that it read before it first saw the life, two nodes could assign the life to different shards.
 func TestLifeIsAssignedByPlacementsNewerThanItself(t *testing.T) {
 	layout := shard.New(4, []string{"p"})
 	oldShard := layout.BoxShard("box-a")
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -36,7 +36,8 @@
 	Metrics   *metrics.Set
 	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// StoreAnsweredAt returns when the store last answered any call of this node.
+	// StoreAnsweredAt returns when the store last answered one of the calls that this node makes all the
+	// time, such as its heartbeats.
 	StoreAnsweredAt func() time.Time
 	// ReservePartition reserves a partition of the store that no cell has used, and calls onReserved
 	// with its number. PartitionStream returns the stream of a partition. MoveClaim replaces this
