--- a/pkg/feed/crowd_test.go
+++ b/pkg/feed/crowd_test.go
@@ -16,9 +16,9 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// overloadedStore is a store with one record. It serves bytesPerSecond in all and reads in the order in
-// which they arrive, also those that have been given up. It refuses reads while more than two seconds
-// of work wait, as the platform's documentation says.
+// overloadedStore is a store with one record. It sends bytesPerSecond in total and serves reads in the
+// order in which they arrive, including those that the reader has given up. It refuses further reads
+// while its queue takes more than two seconds to serve, as the platform's documentation says.
 type overloadedStore struct {
 	damsonwinch.Store
 	bytesPerSecond int
@@ -80,7 +80,7 @@
 
 // TestOverloadedStoreServesAllReaders guards against a retry storm. A store of 80 MB/s that serves
 // 1.15 MB to each of 147 nodes answers most of them after their answer timeout. If all give up and
-// read again, the store serves the reads that were given up first, and no node ever gets its answer.
+// read again, the store first serves the reads that were given up, and no node ever gets its answer.
 // This test has the same proportions at a smaller size: 8 MB/s, 100 readers and 240 KB, which takes
 // 3 s if nothing is read twice.
 func TestOverloadedStoreServesAllReaders(t *testing.T) {
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	// initialRetryDelay is the time between two reads while the store doesn't answer.
+	// initialRetryDelay is the time until the next read after one that has failed. It grows while the
+	// store refuses reads.
 	initialRetryDelay = 200 * time.Millisecond
-	// defaultAnswerTimeout bounds the time until the answer to a read starts, beyond the wait that
-	// the read asks for, and the time between two parts of the answer. The store answers within a
-	// few milliseconds, and takes 70 times as long on a bad day. The whole answer has no limit: in
-	// this time a link of 10 Mbit/s carries 600 KB of a configuration of 870 KB, so with a limit
-	// 35 of 43 nodes read these 600 KB again and again and never got the rest.
+	// defaultAnswerTimeout bounds the time until the answer to a read starts, in addition to the wait
+	// that the read asks for, and the time between two parts of the answer. The store answers within
+	// a few milliseconds, and takes 70 times as long on a bad day. The duration of the whole answer
+	// has no limit. In this time a link of 10 Mbit/s carries 600 KB of a configuration of 870 KB;
+	// when the whole answer was limited, 35 of 43 nodes read these 600 KB again and again and never
+	// got the rest.
 	defaultAnswerTimeout = 600 * time.Millisecond
-	// snapshotLag is the number of records by which a feed with NewestOnly must be behind to read
-	// the newest records instead. These are a third larger, since they are sent in base64, but they
-	// are sent only once.
+	// snapshotLag is the number of records that a feed with NewestOnly must be behind to read the
+	// newest record of each key instead. These records are a third larger, since they are sent in
+	// base64, but they are sent only once.
 	snapshotLag = 2
 	// logInterval is the time between two log lines while the stream can't be read.
 	logInterval = 5 * time.Second
@@ -48,24 +50,26 @@
 	Stream damsonwinch.Stream
 	// Wait is how long the store waits for a new record before it answers a read.
 	Wait time.Duration
-	// Pause returns the time until the next read. It is meant for streams that change all the time
-	// and are not needed at once; nil means no pause. Wake ends the pause.
+	// Pause returns the time until the next read; nil means no pause. It is meant for streams that
+	// change all the time and whose records are not needed at once. Wake ends the pause.
 	Pause func() time.Duration
 	// Wanted reports whether anybody needs the stream now; nil means always. While it returns false
 	// the feed reads nothing and waits for Wake. Afterwards it starts again with a snapshot.
 	Wanted func() bool
 	Wake   <-chan struct{}
-	// NewestOnly means that only the newest record of a key matters. If at least snapshotLag records
-	// remain after a read, the feed then goes on with a snapshot: a node with a slow link that read
-	// all records in between would fall ever further behind.
+	// NewestOnly means that only the newest record of a key matters. The feed then goes on with a
+	// snapshot if at least snapshotLag records remain after a read. A node with a slow link that read
+	// all records in between would fall further and further behind.
 	NewestOnly bool
 	// OnSnapshot is called with the newest record of each key: when the feed starts, after a time in
-	// which the stream was not wanted, when the store has dropped the next record, and as NewestOnly
-	// says. AskedAt is when the first page was requested: each record is at least as new as that.
-	OnSnapshot func(records []damsonwinch.Record, end int, askedAt time.Time)
-	// OnRecords is called after each other read with the records that were added, in order. There
-	// are none if the store has answered that nothing is new. AskedAt is when the read was sent.
-	OnRecords func(records []damsonwinch.Record, end int, askedAt time.Time)
+	// which the stream was not wanted, when the store has dropped the next record, and when NewestOnly
+	// requires it. end is the offset of the next read. requestedAt is when the first page was
+	// requested: the records are at least as recent as that time.
+	OnSnapshot func(records []damsonwinch.Record, end int, requestedAt time.Time)
+	// OnRecords is called after each other read with the records that were added, in order, or with
+	// none if the store has answered that there is nothing new. end is the offset that the stream's
+	// next record will get, and requestedAt is when the read was sent.
+	OnRecords func(records []damsonwinch.Record, end int, requestedAt time.Time)
 }
 
 // Feed follows a stream and passes its records to the callbacks in Options.
@@ -75,14 +79,14 @@
 	// started reports whether a snapshot has been read, so that next is the offset of the next read.
 	started bool
 	next    int
-	// failing reports whether the last read failed.
+	// failing is set while reads fail.
 	failing bool
 	// answeredAt is when a read was last answered, and loggedAt when a failure was last logged.
 	answeredAt time.Time
 	loggedAt   time.Time
 	// pendingRead is the read in flight, or nil.
 	pendingRead atomic.Pointer[pendingRead]
-	// scan is the unfinished scan of the newest records, or nil.
+	// scan is the unfinished scan for a snapshot, or nil.
 	scan        *Scan
 	retryPolicy retryPolicy
 }
@@ -122,8 +126,8 @@
 }
 
 // Refresh cancels the read in flight, so that the stream is read again at once and over another
-// connection. It is called when there is a sign of new records. A read whose answer has started to
-// arrive goes on: the answer may be large, and would never arrive if it were requested again each time.
+// connection. Call it when there is a sign of new records. A read whose answer has started to arrive
+// goes on: the answer may be large, and would never arrive if it were requested again each time.
 func (f *Feed) Refresh() {
 	if r := f.pendingRead.Load(); r != nil && !idle.AnswerStarted(r.ctx) {
 		r.cancel(errRefreshed)
@@ -140,7 +144,7 @@
 		// Don't wait for a new record: the feed must learn soon whether the store answers again.
 		wait = 0
 	}
-	askedAt := f.Clock.Now()
+	requestedAt := f.Clock.Now()
 	limited, cancel := idle.WithTimeout(ctx, f.Clock, wait+f.retryPolicy.answerTimeout, defaultAnswerTimeout)
 	defer cancel(nil)
 	f.pendingRead.Store(&pendingRead{ctx: limited, cancel: cancel})
@@ -153,11 +157,11 @@
 	case err != nil && errors.Is(context.Cause(limited), errRefreshed):
 		return nil
 	case err != nil:
-		f.retryPolicy.recordFailure(limited, err, f.storeAnsweredSince(askedAt))
+		f.retryPolicy.recordFailure(limited, err, f.storeAnsweredSince(requestedAt))
 		return err
 	}
 	f.next += len(page.Records)
-	f.options.OnRecords(page.Records, page.End, askedAt)
+	f.options.OnRecords(page.Records, page.End, requestedAt)
 	if f.options.NewestOnly && page.End-f.next >= snapshotLag {
 		f.started = false
 	}
@@ -177,13 +181,13 @@
 	if err != nil {
 		return err
 	}
-	records, end, askedAt := f.scan.Records()
+	records, end, requestedAt := f.scan.Records()
 	f.scan, f.started, f.next = nil, true, end
-	f.options.OnSnapshot(records, end, askedAt)
+	f.options.OnSnapshot(records, end, requestedAt)
 	return nil
 }
 
-// storeAnsweredSince reports whether the store is known to have answered any call since a time.
+// storeAnsweredSince reports whether the store is known to have answered another call since a time.
 func (f *Feed) storeAnsweredSince(since time.Time) bool {
 	return f.StoreAnsweredAt != nil && f.StoreAnsweredAt().After(since)
 }
@@ -222,7 +226,8 @@
 	f.logger().WithError(err).WithField("received_bytes", received).Warn(message)
 }
 
-// recordSuccess notes that a read was answered, and logs it after a failure.
+// recordSuccess resets the retry policy after a read that was answered. After a failure it logs that the
+// stream can be read again.
 func (f *Feed) recordSuccess() {
 	f.retryPolicy.reset()
 	if f.failing {
@@ -241,7 +246,7 @@
 	return f.Logger.WithFields(fields)
 }
 
-// sleep waits for a time, for Wake or for the end of ctx.
+// sleep waits until a time has passed, Wake is received from or ctx ends.
 func (f *Feed) sleep(ctx context.Context, length time.Duration) {
 	if length <= 0 {
 		return
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -113,7 +113,7 @@
 	}
 	received := make(chan time.Time, 1)
 	f := New(Deps{Store: store, Clock: clock, Logger: logrus.New(), Metrics: metrics.New()}, Options{
-		OnSnapshot: func(_ []damsonwinch.Record, _ int, askedAt time.Time) { received <- askedAt },
+		OnSnapshot: func(_ []damsonwinch.Record, _ int, requestedAt time.Time) { received <- requestedAt },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/pkg/feed/patience.go
+++ b/pkg/feed/patience.go
@@ -37,10 +37,10 @@
 	*p = newRetryPolicy()
 }
 
-// recordFailure adapts the policy to a failed read. ReadCtx is the context of the read, and
-// answeredOthers reports whether the store has answered another call since the read was sent. If it
-// has, the network is not at fault: either the connection of the read is dead, and the next read uses
-// another one, or the store serves other reads first.
+// recordFailure adapts the policy to a failed read. readCtx is the context of the read. answeredOthers
+// reports whether the store has answered another call since the read was sent. If it has, the network
+// is not at fault: either the connection of the read is dead, and the next read uses another one, or
+// the store serves other reads first.
 func (p *retryPolicy) recordFailure(readCtx context.Context, err error, answeredOthers bool) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrRefused):
--- a/pkg/feed/scan.go
+++ b/pkg/feed/scan.go
@@ -22,10 +22,11 @@
 
 	records []damsonwinch.Record
 	done    bool
-	// askedAt is when the first page was requested, and end the end of the stream that came with it.
-	// Later pages may have records from after that end. These are read twice, which does no harm.
-	askedAt time.Time
-	end     int
+	// requestedAt is when the first page was requested, and end is the end of the stream that the store
+	// returned with that page. Later pages may have records from after end. A feed reads these again,
+	// which does no harm.
+	requestedAt time.Time
+	end         int
 }
 
 // NewScan returns a scan that has read nothing yet.
@@ -44,9 +45,9 @@
 }
 
 // Records returns the records that have been read, the offset at which to read on, and the time when
-// the first page was requested: each record is at least as new as that.
-func (s *Scan) Records() (records []damsonwinch.Record, end int, askedAt time.Time) {
-	return s.records, s.end, s.askedAt
+// the first page was requested: the records are at least as recent as that time.
+func (s *Scan) Records() (records []damsonwinch.Record, end int, requestedAt time.Time) {
+	return s.records, s.end, s.requestedAt
 }
 
 // readPage reads the page after the last record.
@@ -57,14 +58,14 @@
 	if last := len(s.records) - 1; last >= 0 {
 		after = s.records[last].Key
 	}
-	askedAt := s.clock.Now()
+	requestedAt := s.clock.Now()
 	page, err := s.store.Newest(limited, s.stream, after)
 	if err != nil {
-		s.retryPolicy.recordFailure(limited, err, s.storeAnsweredSince != nil && s.storeAnsweredSince(askedAt))
+		s.retryPolicy.recordFailure(limited, err, s.storeAnsweredSince != nil && s.storeAnsweredSince(requestedAt))
 		return err
 	}
-	if s.askedAt.IsZero() {
-		s.askedAt, s.end = askedAt, page.End
+	if s.requestedAt.IsZero() {
+		s.requestedAt, s.end = requestedAt, page.End
 	}
 	s.records = append(s.records, page.Records...)
 	s.done = !page.More || len(page.Records) == 0
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -29,8 +29,8 @@
 const ServiceName = "Relay"
 
 const (
-	// minMembers is the smallest number of nodes that read from each other. The store sends a
-	// record of one megabyte to fewer nodes within 0.8 s.
+	// minMembers is the size of the smallest fleet, in nodes, whose nodes read from each other. The
+	// store sends a record of one megabyte to fewer nodes within 0.8 s.
 	minMembers = 64
 	// maxPeerWait bounds how long an upstream node waits for new records before it replies, so
 	// that a follower detects within this time that its upstream node is cut off.
@@ -46,7 +46,7 @@
 
 // Deps holds the dependencies of a relay.
 type Deps struct {
-	// Store is read by upstream nodes, and by a follower whose upstream nodes fail.
+	// Store is where upstream nodes read, and a follower whose upstream nodes have failed.
 	Store   damsonwinch.Store
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
@@ -67,8 +67,8 @@
 	tail   *tail
 
 	mutex sync.Mutex
-	// failures counts consecutive failed calls, and shift counts all of them: each makes the node
-	// choose the next upstream node. Until directUntil it reads from the store.
+	// failures counts consecutive failed calls, and shift counts all failed calls: each makes this
+	// node choose the next upstream node. Until directUntil this node reads from the store.
 	failures    int
 	shift       int
 	directUntil time.Time
@@ -79,7 +79,8 @@
 	return &Relay{Store: deps.Store, deps: deps, self: self, stream: stream, tail: newTail()}
 }
 
-// Read implements damsonwinch.Store.
+// Read implements damsonwinch.Store. It reads the relay's stream from the upstream node, if this node
+// has one, and waits there for at most maxPeerWait.
 func (r *Relay) Read(ctx context.Context, stream damsonwinch.Stream, from int, wait time.Duration) (damsonwinch.Page, error) {
 	if stream != r.stream {
 		return r.deps.Store.Read(ctx, stream, from, wait)
@@ -104,7 +105,8 @@
 	return damsonwinch.Page{Records: records, End: reply.End}, nil
 }
 
-// Newest implements damsonwinch.Store.
+// Newest implements damsonwinch.Store. It reads the relay's stream from the upstream node, if this node
+// has one.
 func (r *Relay) Newest(ctx context.Context, stream damsonwinch.Stream, after string) (damsonwinch.KeyPage, error) {
 	if stream != r.stream {
 		return r.deps.Store.Newest(ctx, stream, after)
@@ -198,7 +200,7 @@
 	return nil
 }
 
-// recordFailure makes the next call go to another upstream node, or to the store after maxFailures
+// recordFailure makes the next read go to another upstream node, or to the store after maxFailures
 // consecutive failures. It logs err and returns it with the stream and the address.
 func (r *Relay) recordFailure(address string, err error) error {
 	r.deps.Metrics.Add("relay_failures", 1)
@@ -221,7 +223,6 @@
 	return r.deps.Clock.Now().Add(-time.Duration(reply.AgeMs) * time.Millisecond)
 }
 
-// unpackRecords returns the records of a reply with their values decompressed.
 // unpackRecords returns the records of a reply with their values decompressed.
 func unpackRecords(reply wire.FollowReply) ([]damsonwinch.Record, error) {
 	records := make([]damsonwinch.Record, 0, len(reply.Records))
@@ -235,8 +236,8 @@
 	return records, nil
 }
 
-// Peers holds connections to other nodes, over which their streams are read. Calls about jobs use
-// other connections, so that they don't wait behind a large record.
+// Peers holds the connections over which followers read from upstream nodes. Calls about jobs use other
+// connections, so that they don't wait behind a large record.
 type Peers struct {
 	dial  damsonwinch.Dial
 	clock damsonwinch.Clock
@@ -244,7 +245,8 @@
 	peers map[string]*call.Client
 }
 
-// NewPeers returns Peers without connections. Follow opens them.
+// NewPeers returns Peers without connections. Follow opens a connection to a node when it first calls
+// that node.
 func NewPeers(dial damsonwinch.Dial, clock damsonwinch.Clock) *Peers {
 	return &Peers{dial: dial, clock: clock, peers: map[string]*call.Client{}}
 }
@@ -264,7 +266,7 @@
 	return reply, err
 }
 
-// Close closes all connections.
+// Close closes all connections. Calls in flight fail.
 func (p *Peers) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -36,6 +36,7 @@
 	bytesRead int
 }
 
+// newFakeStore returns a store whose stream has one record for each value, all with the same key.
 func newFakeStore(values ...string) *fakeStore {
 	s := &fakeStore{added: make(chan struct{})}
 	for _, value := range values {
@@ -196,8 +197,8 @@
 }
 
 // TestFollowersWaitForUpstreamNodesAtStartup guards against followers that all read from the store
-// when the whole fleet starts. Upstream nodes have read nothing yet then; if they reply so at once,
-// each follower counts maxFailures failures and turns to the store.
+// when the whole fleet starts. At that time upstream nodes have read nothing yet. If they said so at
+// once, each follower would count maxFailures failures and read from the store.
 func TestFollowersWaitForUpstreamNodesAtStartup(t *testing.T) {
 	const nodes = 147
 	store := gatedStore{fakeStore: newFakeStore(strings.Repeat("queue", 1000)), gate: make(chan struct{})}
@@ -240,8 +241,8 @@
 	}
 }
 
-// TestUpstreamNodesHaveTheLargestWeights also checks that the followers are spread over the upstream
-// nodes.
+// TestUpstreamNodesHaveTheLargestWeights also checks that the followers are spread over the
+// upstream nodes.
 func TestUpstreamNodesHaveTheLargestWeights(t *testing.T) {
 	f := newFleet(t.Context(), clockwork.NewFakeClock(), newFakeStore("value"), 147)
 	served := map[string]int{}
@@ -262,8 +263,8 @@
 	}
 }
 
-// TestFollowerRejectsUnusableReplies checks that a follower turns to another upstream node, and then to
-// the store, if an upstream node can't be reached, has stale data, is behind the follower or sends
+// TestFollowerRejectsUnusableReplies checks that a follower reads from another upstream node, and then
+// from the store, if an upstream node can't be reached, has stale data, is behind the follower or sends
 // records that can't be unpacked.
 func TestFollowerRejectsUnusableReplies(t *testing.T) {
 	for name, answer := range map[string]func(args wire.FollowArgs) (wire.FollowReply, error){
@@ -348,8 +349,8 @@
 	assert.Equal(t, len(reply.Records), 1)
 }
 
-// FuzzUnpack checks that unpack accepts any input, since replies of other nodes are not trusted, and
-// that pack reverses it.
+// FuzzUnpack checks that unpack doesn't panic on any input, since replies of other nodes are not
+// trusted, and that a value which it returns stays the same when it is packed and unpacked again.
 func FuzzUnpack(f *testing.F) {
 	for _, value := range []string{"", "a", strings.Repeat("queue", 1000)} {
 		packed, err := pack([]byte(value))
--- a/pkg/relay/tail.go
+++ b/pkg/relay/tail.go
@@ -16,11 +16,12 @@
 	"damsonwinch/pkg/wire"
 )
 
-// maxRecentRecords is how many of the last records a tail keeps. Followers are one or two records
-// behind.
+// maxRecentRecords is how many of the last records a tail keeps. Followers are usually one or two
+// records behind.
 const maxRecentRecords = 4
 
-// tail holds what a node has read of a stream: the newest record of each key, and the last records.
+// tail holds the part of a stream that upstream nodes serve to followers: the newest record of each
+// key, and the last few records.
 type tail struct {
 	mutex  sync.Mutex
 	newest map[string]*cachedRecord
@@ -34,7 +35,7 @@
 	changed chan struct{}
 }
 
-// cachedRecord is a record and its packed value, which is made upon the first request.
+// cachedRecord is a record and its packed value: compressed with gzip, upon the first request for it.
 type cachedRecord struct {
 	record damsonwinch.Record
 	once   sync.Once
@@ -42,11 +43,12 @@
 	err    error
 }
 
+// newTail returns a tail that has no records and that the store has not confirmed.
 func newTail() *tail {
 	return &tail{newest: map[string]*cachedRecord{}, changed: make(chan struct{})}
 }
 
-// reset replaces the contents of the tail by the newest record of each key.
+// reset replaces the contents of the tail by the newest record of each key, as of confirmedAt.
 func (t *tail) reset(records []damsonwinch.Record, end int, confirmedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -58,8 +60,8 @@
 	t.setEnd(end, confirmedAt)
 }
 
-// add adds the records that a read at offset from returned. End is the end of the stream as of
-// confirmedAt, which may be after the last of the records.
+// add adds the records that a read at offset from returned. end is the end of the stream at the time
+// confirmedAt; it may be after the last of the records.
 func (t *tail) add(from int, records []damsonwinch.Record, end int, confirmedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -125,8 +127,8 @@
 	return reply, nil
 }
 
-// lookUp returns the requested records, and the reply without them. The reply's Known is false if the
-// tail doesn't hold all of them.
+// lookUp returns the requested records, and a reply that doesn't contain them yet. The reply's Known is
+// false if the tail doesn't hold all requested records.
 func (t *tail) lookUp(args wire.FollowArgs, now time.Time) ([]*cachedRecord, wire.FollowReply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/pkg/stream/hedge.go
+++ b/pkg/stream/hedge.go
@@ -10,15 +10,15 @@
 )
 
 // Small appends are hedged requests (Dean and Barroso, 2013): if a try isn't answered soon, the append
-// is sent again while the first try is still in flight. Without hedging, while three in ten answers of
-// the store were lost for 5 s, each commit waited 0.25 s or more for the next try, and half of the jobs
-// were late.
+// is sent again while the first try is still in flight. Without hedging, when three in ten answers of the
+// store were lost for 5 s, each commit waited 0.25 s or more for the next try, and half of the jobs were
+// late.
 const (
-	// minHedgeDelay is the shortest time from a try to the next one while none has been answered. The
-	// store answers within 5 ms, and a busy node takes 20 ms to read the answer.
+	// minHedgeDelay is the shortest time between two tries while none has been answered. The store
+	// answers within 5 ms, and a busy node takes 20 ms to read the answer.
 	minHedgeDelay = 40 * time.Millisecond
-	// hedgeDelayFactor times the duration of the last successful try replaces minHedgeDelay if it is
-	// longer. A store that becomes slow thus gets one more call at first and none later.
+	// hedgeDelayFactor times the duration of the last successful try replaces minHedgeDelay if that
+	// product is longer. A store that becomes slow thus gets one hedged call at first and none later.
 	hedgeDelayFactor = 4
 	// maxConcurrentTries bounds the tries in flight. If three in ten answers are lost, three tries
 	// are all lost in 3 of 100 calls.
@@ -28,7 +28,7 @@
 	maxHedgedBytes = 16 << 10
 )
 
-// sizeInBytes returns the total length of the keys and values.
+// sizeInBytes returns the total length of the records' keys and values.
 func sizeInBytes(records []damsonwinch.Record) int {
 	bytes := 0
 	for _, record := range records {
@@ -37,8 +37,8 @@
 	return bytes
 }
 
-// hedge makes a call until a try of it succeeds or the call can't succeed any more. Several tries may be
-// in flight at once, so the call must be idempotent.
+// hedge makes a call, with up to maxConcurrentTries tries in flight at once, until a try succeeds or the
+// call can't succeed any more. The call must be idempotent.
 func (w *Writer) hedge(ctx context.Context, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var tries errgroup.Group
--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// minTimeout bounds how long the first try of a call may go without progress; the limit doubles
-	// with each try. The store answers in about 5 ms, and takes 70 times as long on a slow day. A
-	// call that makes progress has no limit: 2 MB of records need 1.6 s on a link of 10 Mbit/s.
+	// minTimeout bounds how long the first try of a call may go without progress. The limit doubles
+	// with each further try. The store answers in about 5 ms, and takes 70 times as long on a slow
+	// day. A try that makes progress has no limit: 2 MB of records need 1.6 s on a link of 10 Mbit/s.
 	minTimeout = 250 * time.Millisecond
-	// maxTimeout bounds the time without progress of any try. A call that was sent during an outage
-	// of the store is never answered, so the writer may notice the end of the outage this late.
+	// maxTimeout bounds the time without progress of any try. A try that is sent during an outage of
+	// the store is never answered, so the writer may notice the end of the outage this late.
 	maxTimeout = 800 * time.Millisecond
-	// timeoutFactor times the duration of the last call is the timeout of the next one, within the
-	// limits above.
+	// timeoutFactor times the duration of the last successful try is the timeout of the next call's
+	// first try, within the limits above.
 	timeoutFactor = 2
 	// minRetryDelay is the delay after the first failed try; it doubles up to maxRetryDelay.
 	minRetryDelay = 30 * time.Millisecond
@@ -41,8 +41,8 @@
 	Metrics *metrics.Set
 }
 
-// Writer writes one stream under the epoch of a claim. NextFence must be called by one goroutine;
-// Append may be called by several.
+// Writer writes one stream under the epoch of a claim. Only one goroutine may call NextFence. Several
+// goroutines may call Append at once.
 type Writer struct {
 	deps     Deps
 	stream   damsonwinch.Stream
@@ -55,7 +55,7 @@
 	failedTries  atomic.Int64
 }
 
-// New returns a writer of a stream. Its fences carry the producer and the epoch.
+// New returns a writer of a stream. Its fences contain the given producer and epoch.
 func New(deps Deps, stream damsonwinch.Stream, producer string, epoch int) *Writer {
 	return &Writer{deps: deps, stream: stream, producer: producer, epoch: epoch}
 }
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -17,7 +17,7 @@
 // scriptedAnswer says how the store answers one append.
 type scriptedAnswer struct {
 	err error
-	// silent means that the store doesn't answer. Otherwise it answers after a time.
+	// silent means that the store doesn't answer. Otherwise it answers after the time after.
 	silent bool
 	after  time.Duration
 }
@@ -41,6 +41,7 @@
 	return 0, next.err
 }
 
+// next stores the fence of an append and returns the next answer.
 func (s *scriptedStore) next(fence damsonwinch.Fence) scriptedAnswer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,8 +63,8 @@
 	return New(deps, damsonwinch.Stream{Topic: "cells"}, "cell", 7)
 }
 
-// TestAppendIsRetriedWithTheSameFence checks the fences of retries, because of which the store carries
-// out an append only once.
+// TestAppendIsRetriedWithTheSameFence checks that a retry has the fence of the first try, by which the
+// store detects that it has carried out the append already.
 func TestAppendIsRetriedWithTheSameFence(t *testing.T) {
 	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}, {err: damsonwinch.ErrRefused}}}
 	w := newWriter(store)
@@ -74,7 +75,7 @@
 }
 
 // TestSilentStoreIsRetriedSoon guards against long timeouts. A call that is sent during an outage of the
-// store is never answered, so with a timeout of two seconds cells stay idle that long after the outage.
+// store is never answered. With a timeout of two seconds cells stay idle that long after the outage.
 func TestSilentStoreIsRetriedSoon(t *testing.T) {
 	silent := make([]scriptedAnswer, 5)
 	for i := range silent {
@@ -88,7 +89,7 @@
 	assert.Assert(t, clock.Since(started) < 5*(maxTimeout+maxRetryDelay)+time.Second)
 }
 
-// TestFencedWriterReturnsErrOwnershipLost also checks that the writer doesn't retry.
+// TestFencedWriterReturnsErrOwnershipLost also checks that a writer doesn't retry after this error.
 func TestFencedWriterReturnsErrOwnershipLost(t *testing.T) {
 	for _, refusal := range []error{damsonwinch.ErrFenced, damsonwinch.ErrOutOfSequence} {
 		store := &scriptedStore{answers: []scriptedAnswer{{err: refusal}}}
