--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -1,4 +1,4 @@
-// Package call makes and serves calls between the processes of the system. It adds to net/rpc deadlines,
+// Package call makes and serves calls between the processes of the system. To net/rpc it adds deadlines, the
 // detection of dead connections, and errors that name the method and the peer.
 package call
 
@@ -16,8 +16,8 @@
 	"damsonwinch"
 )
 
-// dialTimeout bounds the time to connect, so that after a peer that can't be reached there is time left
-// to call another.
+// dialTimeout bounds the time to connect. If a peer can't be reached, there is then time left to call
+// another one.
 const dialTimeout = 500 * time.Millisecond
 
 // Error is the error of a failed call.
@@ -61,7 +61,7 @@
 	dial  damsonwinch.Dial
 	clock damsonwinch.Clock
 	// mutex guards conn only. The connection itself needs no lock, since many goroutines may use a
-	// net/rpc client at once; a goroutine that owned the connection would only delay each call.
+	// net/rpc client at once. To send all calls through one goroutine would only delay each call.
 	mutex sync.Mutex
 	conn  *connection
 }
@@ -76,10 +76,10 @@
 	return c.peer
 }
 
-// Do makes one call. It waits for the answer until ctx ends or the peer has answered neither calls nor
-// pings for deadAfter. Reply is a pointer; it is written only if Do returns nil. All errors are of
-// type *Error. The error of a call that was given up says that the call may have been carried out, since
-// net/rpc can't cancel a call.
+// Do makes one call of a net/rpc method. It waits for the answer until ctx ends or the peer has answered
+// neither calls nor pings for deadAfter. reply is a pointer, to which Do writes only if it returns nil. All
+// errors are of type *Error. The error of a call that was given up says that the call may have been carried
+// out, since net/rpc can't cancel a call.
 func (c *Client) Do(ctx context.Context, method string, args, reply any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: err}
 }
 
-// connect returns a connection on which a call has been begun. The caller ends it with release.
+// connect returns a connection on which a call has been begun. The caller ends the call with release.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	if conn := c.usableConnection(); conn != nil {
 		return conn, nil
@@ -201,6 +201,7 @@
 	}
 }
 
+// closeIgnoringError closes a connection that isn't needed any more. An error would change nothing.
 func closeIgnoringError(conn net.Conn) {
 	_ = conn.Close()
 }
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -29,6 +29,7 @@
 	return nil
 }
 
+// serveGate returns a gateService, a client of it and the server that serves it.
 func serveGate(t *testing.T) (*gateService, *Client, *Server) {
 	g := &gateService{entered: make(chan struct{}), open: make(chan struct{}), left: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,8 +40,8 @@
 	return g, client, server
 }
 
-// TestLateReplyIsDiscarded checks that an answer which comes after Do has returned isn't written into the
-// caller's reply.
+// TestLateReplyIsDiscarded checks that an answer isn't written into the caller's reply if it comes after Do
+// has returned.
 func TestLateReplyIsDiscarded(t *testing.T) {
 	g, client, server := serveGate(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -104,9 +105,8 @@
 	return listener
 }
 
-// TestSilentConnectionGetsNoNewCalls checks that new calls don't use a silent connection, so that they
-// certainly aren't carried out if no other connection can be opened, and that the calls on the silent
-// connection fail.
+// TestSilentConnectionGetsNoNewCalls checks that new calls don't use a silent connection, and that the calls
+// on it fail. If no other connection can be opened, the new calls certainly have not been carried out.
 func TestSilentConnectionGetsNoNewCalls(t *testing.T) {
 	listener := silentPeer(t)
 	clock := clockwork.NewFakeClock()
--- a/pkg/call/connection.go
+++ b/pkg/call/connection.go
@@ -9,7 +9,7 @@
 const (
 	// checkInterval is the time between two checks of a connection with pending calls. If the peer
 	// has been silent for pingAfter, the check sends it a ping. A peer answers most calls within about
-	// 20 ms, but calls that wait for a slow store take longer. PingAfter is less than checkInterval
+	// 20 ms, but calls that wait for a slow store take longer. pingAfter is less than checkInterval
 	// since a check may come early.
 	checkInterval = 100 * time.Millisecond
 	pingAfter     = checkInterval / 2
@@ -20,7 +20,7 @@
 	deadAfter    = 600 * time.Millisecond
 )
 
-// connection is one connection to a peer, with the state of its failure detector.
+// connection is one connection to a peer, and the state of the detection whether it is dead.
 type connection struct {
 	client       *rpc.Client
 	mutex        sync.Mutex
@@ -55,7 +55,7 @@
 	return c.pendingCalls == 0
 }
 
-// recordAnswer notes the time of an answer.
+// recordAnswer sets the time since which the peer has been silent to that of an answer.
 func (c *connection) recordAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -74,8 +74,8 @@
 	return silent < deadAfter
 }
 
-// silence returns how long the peer has been silent. It takes an answer to the ping into account. The
-// caller holds the mutex.
+// silence returns how long the peer has been silent. It counts an answer to the ping that has arrived since
+// the last call of silence as an answer now. The caller holds the mutex.
 func (c *connection) silence(now time.Time) time.Duration {
 	if c.pendingPing != nil {
 		select {
--- a/pkg/call/server.go
+++ b/pkg/call/server.go
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// Server serves net/rpc calls on one listener.
+// Server serves net/rpc calls on one listener until it is closed.
 type Server struct {
 	listener net.Listener
 	server   *rpc.Server
@@ -33,7 +33,8 @@
 	closed   bool
 }
 
-// Serve starts a server that serves the methods of receiver under a name, and pings.
+// Serve starts a server on a listener. It serves the net/rpc methods of receiver under a service name, and
+// pings.
 func Serve(listener net.Listener, name string, receiver any) (*Server, error) {
 	server := &Server{listener: listener, server: rpc.NewServer(), conns: map[net.Conn]bool{}}
 	for named, service := range map[string]any{name: receiver, pingService: &presence{}} {
@@ -45,7 +46,7 @@
 	return server, nil
 }
 
-// Register adds the methods of another receiver under a name.
+// Register makes the server also serve the net/rpc methods of receiver, under another service name.
 func (s *Server) Register(name string, receiver any) error {
 	if err := s.server.RegisterName(name, receiver); err != nil {
 		return fmt.Errorf("register %s: %w", name, err)
@@ -83,6 +84,7 @@
 	return true
 }
 
+// removeConn removes a connection that is no longer served.
 func (s *Server) removeConn(conn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -101,6 +103,7 @@
 	_ = s.group.Wait()
 }
 
+// closeListener closes a listener that isn't needed any more. An error would change nothing.
 func closeListener(listener net.Listener) {
 	_ = listener.Close()
 }
--- a/pkg/follow/checkpoint.go
+++ b/pkg/follow/checkpoint.go
@@ -9,8 +9,8 @@
 // keptCheckpoints is the number of checkpoints whose hashes a follower keeps for comparison.
 const keptCheckpoints = 8
 
-// recordCheckpoint takes a snapshot if the state's offset is a multiple of CheckpointEvery. It keeps the
-// hash and adds the snapshot to the update.
+// recordCheckpoint takes a snapshot if the state's offset is a multiple of CheckpointEvery, so that all
+// followers take theirs at the same offsets. It keeps the hash and adds the snapshot to the update.
 func (f *Follower) recordCheckpoint(update *Update) error {
 	every, offset := f.deps.CheckpointEvery, f.state.Offset()
 	if every == 0 || offset%every != 0 {
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -18,7 +18,7 @@
 
 const (
 	maxRecordsPerRead = 500
-	// defaultWaitMs is how long a source may wait for a first record, in milliseconds.
+	// defaultWaitMs is the default of Deps.WaitMs, in milliseconds.
 	defaultWaitMs = 500
 	readTimeout   = 2 * time.Second
 	// initialSkip is how long a source is skipped after a failure. The time doubles with each
@@ -27,7 +27,8 @@
 	maxSkip     = 4 * time.Second
 	// maxSkipDoublings keeps the doubling from overflowing.
 	maxSkipDoublings = 8
-	// initialBackoff and maxBackoff bound the pause after a pass in which no source has answered.
+	// initialBackoff and maxBackoff bound the pause after a pass over the sources in which none has
+	// answered.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = time.Second
 )
@@ -85,8 +86,8 @@
 	Updates chan<- Update
 	// CheckpointEvery is the number of records between two checkpoints, or 0 for none.
 	CheckpointEvery int
-	// WaitMs is how long a source may wait for a first record, in milliseconds. 0 means
-	// defaultWaitMs.
+	// WaitMs is how long the first source that answers may wait for a new record, in milliseconds. 0
+	// means defaultWaitMs.
 	WaitMs int
 }
 
@@ -102,7 +103,7 @@
 	checkpoints map[int]string
 }
 
-// New returns a follower that starts with InitialState.
+// New returns a follower whose state is InitialState. It reads nothing before Run is called.
 func New(deps Deps) *Follower {
 	if deps.WaitMs == 0 {
 		deps.WaitMs = defaultWaitMs
@@ -111,7 +112,7 @@
 		failures: make([]int, len(deps.Sources)), checkpoints: map[int]string{}}
 }
 
-// Run reads and applies records until ctx ends. It returns nil.
+// Run reads and applies records until ctx ends. It always returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
@@ -133,13 +134,13 @@
 // that it doesn't delay the reads from the others. After a source without new records the next one is
 // read in the same pass, since it may have newer records.
 func (f *Follower) readFromAny(ctx context.Context) bool {
-	answered, wait := false, f.deps.WaitMs
+	answered, waitMs := false, f.deps.WaitMs
 	for i, source := range f.deps.Sources {
 		started := f.deps.Clock.Now()
 		if started.Before(f.skipUntil[i]) {
 			continue
 		}
-		update, err := f.readFrom(ctx, source, wait)
+		update, err := f.readFrom(ctx, source, waitMs)
 		if err != nil {
 			f.skip(i)
 			continue
@@ -156,25 +157,26 @@
 		if len(update.Records) > 0 || update.Restored || update.FromLog {
 			return true
 		}
-		// Only the first source may wait for records. If all members of a zone waited, a change would
-		// take effect later than is allowed.
-		wait = 0
+		// Only the first source that answers may wait for records. If all members of a zone waited, one
+		// after the other, a change would take effect later than is allowed.
+		waitMs = 0
 	}
 	return answered
 }
 
-// skip skips a source after a failure, longer after each further failure in a row.
+// skip makes the follower skip a source, given by its index, after a failure. The time doubles with each
+// further failure in a row.
 func (f *Follower) skip(source int) {
 	pause := min(maxSkip, initialSkip<<min(f.failures[source], maxSkipDoublings))
 	f.failures[source]++
 	f.skipUntil[source] = f.deps.Clock.Now().Add(pause)
 }
 
-// readFrom reads from one source and applies the reply.
-func (f *Follower) readFrom(ctx context.Context, source damsonwinch.RecordSource, wait int) (Update, error) {
+// readFrom reads from one source, which may wait waitMs milliseconds for a record, and applies the reply.
+func (f *Follower) readFrom(ctx context.Context, source damsonwinch.RecordSource, waitMs int) (Update, error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	reply, err := source.Read(limited, f.state.Offset(), maxRecordsPerRead, wait)
+	reply, err := source.Read(limited, f.state.Offset(), maxRecordsPerRead, waitMs)
 	if err != nil {
 		return Update{}, err
 	}
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -20,7 +20,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// testFollower is a follower of a stand-in log that reads once per call of read.
+// testFollower is a follower that reads from a stand-in log, once per call of read.
 type testFollower struct {
 	t          *testing.T
 	log        *standin.Log
@@ -40,14 +40,14 @@
 	return f
 }
 
-// read lets the follower read once and returns the update.
+// read makes the follower read once and returns the update.
 func (f *testFollower) read() Update {
 	f.t.Helper()
 	assert.Assert(f.t, f.follower.readFromAny(context.Background()))
 	return <-f.updates
 }
 
-// append appends a value in JSON to a stream of the log.
+// append appends a value, as JSON, to a stream of the log.
 func (f *testFollower) append(stream string, value any) {
 	text, err := json.Marshal(value)
 	assert.NilError(f.t, err)
@@ -55,7 +55,7 @@
 	assert.NilError(f.t, err)
 }
 
-// enroll returns the batch with a number, which enrolls one box.
+// enroll returns a batch with the given number, which enrolls one box.
 func enroll(number int) wire.Batch {
 	return wire.Batch{Id: fmt.Sprint(number), Node: "a", Incarnation: 1, Number: number, Proposals: []wire.Proposal{
 		{Kind: wire.KindEnroll, Boxes: []wire.BoxInfo{{Name: fmt.Sprintf("b%d", number), Hall: "north", Slots: 8}}},
--- a/pkg/follow/source.go
+++ b/pkg/follow/source.go
@@ -20,13 +20,13 @@
 	Log damsonwinch.Log
 }
 
-// Name returns LogName.
+// Name returns LogSourceName.
 func (s LogSource) Name() string {
 	return LogSourceName
 }
 
-// Read returns at most maximum records of the fleet stream from an offset on, or the newest snapshot if
-// these records have expired. If there is none yet it waits at most waitMs milliseconds for the first.
+// Read implements damsonwinch.RecordSource. If the records have expired, it returns the newest snapshot
+// of the snapshot stream.
 func (s LogSource) Read(ctx context.Context, from, maximum, waitMs int) (wire.ReadReply, error) {
 	page, err := s.Log.Read(ctx, damsonwinch.StreamFleet, from, maximum, waitMs)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return reply, err
 }
 
-// newestSnapshot returns the last record of the snapshot stream.
+// newestSnapshot returns the last record of the snapshot stream, which is a snapshot in JSON.
 func (s LogSource) newestSnapshot(ctx context.Context) (string, error) {
 	ends, err := s.Log.Read(ctx, damsonwinch.StreamSnapshots, 0, 1, 0)
 	if err != nil {
@@ -65,12 +65,12 @@
 	Client *call.Client
 }
 
-// Name returns the keeper's address.
+// Name returns the address of the keeper.
 func (s PeerSource) Name() string {
 	return s.Client.Peer()
 }
 
-// Read returns what the keeper replies to ReadMethod.
+// Read implements damsonwinch.RecordSource. It calls ReadMethod of the keeper.
 func (s PeerSource) Read(ctx context.Context, from, maximum, waitMs int) (wire.ReadReply, error) {
 	var reply wire.ReadReply
 	err := s.Client.Do(ctx, ReadMethod, wire.ReadArgs{From: from, Max: maximum, WaitMs: waitMs}, &reply)
