--- a/pkg/agenda/agenda.go
+++ b/pkg/agenda/agenda.go
@@ -14,14 +14,14 @@
 	scheduled int
 }
 
-// Schedule adds an event: at the given time the simulation is to call action.
+// Schedule adds an event. The simulation should call action at the given time.
 func (q *Queue) Schedule(at time.Time, action func()) {
 	q.scheduled++
 	heap.Push(&q.events, event{at: at, number: q.scheduled, action: action})
 }
 
-// PopUntil removes the next event and returns its time and action, if there is one that is not
-// after until. It doesn't call the action.
+// PopUntil removes the next event if its time is until or earlier, and returns its time and action.
+// found is false if there is no such event. PopUntil doesn't call the action.
 func (q *Queue) PopUntil(until time.Time) (at time.Time, action func(), found bool) {
 	if len(q.events) == 0 || q.events[0].at.After(until) {
 		return time.Time{}, nil, false
@@ -30,9 +30,11 @@
 	return next.at, next.action, true
 }
 
+// event is a scheduled event.
 type event struct {
 	at time.Time
-	// number orders events at the same time: it rises in the order of scheduling.
+	// number is the number of events that were scheduled up to this one. It orders events at the
+	// same time.
 	number int
 	action func()
 }
--- a/pkg/audit/audit.go
+++ b/pkg/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit keeps the newest of the accepted and refused changes that a process has applied. The
-// complete audit trail is the platform's log.
+// Package audit keeps the newest of the changes that a process has read from the platform's log, accepted
+// and refused ones. The log itself is the complete audit trail.
 package audit
 
 import (
@@ -32,6 +32,7 @@
 	}
 }
 
+// line returns the audit line of a result, which is that of the record's proposal at index.
 func line(record wire.Entry, index int, result fold.Result) wire.AuditLine {
 	return wire.AuditLine{
 		Offset:   record.Offset,
--- a/pkg/customer/book.go
+++ b/pkg/customer/book.go
@@ -16,8 +16,8 @@
 // noCustomer marks a key that more than one customer has.
 const noCustomer = ""
 
-// New returns the index of customers, and a description of each problem because of which a part of
-// them isn't in force. A key that two customers have identifies neither of them.
+// New returns the index of customers, and a message for each customer or key that the index leaves
+// out. A key that two customers have identifies neither of them.
 func New(customers []damsonwinch.Customer) (*Index, []string) {
 	x := &Index{byKey: map[damsonwinch.KeyDigest]string{}, byName: make(map[string]damsonwinch.Customer, len(customers))}
 	var problems []string
@@ -47,7 +47,7 @@
 	return name, name != noCustomer
 }
 
-// ByName returns the customer of the given name, and whether there is one.
+// ByName returns the customer of the given name, and whether there is one in force.
 func (x *Index) ByName(name string) (damsonwinch.Customer, bool) {
 	c, known := x.byName[name]
 	return c, known
--- a/pkg/customer/book_test.go
+++ b/pkg/customer/book_test.go
@@ -18,8 +18,8 @@
 	return c
 }
 
-// TestKeyIdentifiesItsCustomer also checks that a key of two customers identifies neither, and that
-// a second entry of one name and an entry without a name are not in force.
+// TestKeyIdentifiesItsCustomer also checks that a key of two customers identifies neither of them, and
+// that a customer without a name, or with a name that came before, is not in force.
 func TestKeyIdentifiesItsCustomer(t *testing.T) {
 	index, problems := New([]damsonwinch.Customer{
 		newCustomer("bakery", "b1", "b2", "b2"), newCustomer("mill", "m1", "shared"), newCustomer("farm", "shared", "f1"), newCustomer("bakery", "b9"), newCustomer("", "n"),
--- a/pkg/deadline/deadline.go
+++ b/pkg/deadline/deadline.go
@@ -14,9 +14,9 @@
 	deadline time.Time
 }
 
-// With returns a context that reports the given deadline, or that of parent if it is earlier. The
-// context is cancelled only when parent is, not at the deadline: the code that makes the call has
-// to apply the deadline to whatever it waits for, as calls over sockets do anyway.
+// With returns a context that reports the given deadline, or that of parent if that is earlier. The
+// context is cancelled only when parent is, not at the deadline. The code that makes a call has to
+// apply the deadline to everything for which it waits, as calls over sockets do anyway.
 func With(parent context.Context, deadline time.Time) context.Context {
 	if earlier, has := parent.Deadline(); has && earlier.Before(deadline) {
 		return parent
@@ -24,7 +24,7 @@
 	return deadlineContext{Context: parent, deadline: deadline}
 }
 
-// Deadline implements context.Context.
+// Deadline implements context.Context. It always reports a deadline.
 func (c deadlineContext) Deadline() (time.Time, bool) {
 	return c.deadline, true
 }
--- a/pkg/dial/dial_test.go
+++ b/pkg/dial/dial_test.go
@@ -20,6 +20,7 @@
 	err error
 }
 
+// dial is a damsonwinch.Dial.
 func (n *lossyNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	n.attempts++
 	if n.attempts <= n.lost {
@@ -45,7 +46,8 @@
 	assert.Equal(t, network.attempts, 2)
 }
 
-// TestRefusalIsNotRetried: a refused connection means that the process has ended.
+// TestRefusalIsNotRetried checks that a refusal is final, since it means that the peer's process has
+// ended.
 func TestRefusalIsNotRetried(t *testing.T) {
 	refusal := errors.New("connection refused")
 	network := &lossyNetwork{err: refusal}
--- a/pkg/idle/idle.go
+++ b/pkg/idle/idle.go
@@ -36,8 +36,8 @@
 
 // WithTimeout returns a context for one call. It is cancelled with ErrTimeout if the answer doesn't
 // start to arrive within startTimeout after the last part of the call was sent, or if no further
-// part of the answer arrives for gapTimeout. The time of the whole call is limited only by ctx. The
-// caller must call the cancel function.
+// part of the answer arrives for gapTimeout. Sent and Received report these events to the context.
+// Only ctx limits the duration of the whole call. The caller must call the cancel function.
 func WithTimeout(ctx context.Context, clock damsonwinch.Clock, startTimeout, gapTimeout time.Duration) (context.Context, context.CancelCauseFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
 	outer, _ := ctx.Value(watchdogKey{}).(*watchdog)
@@ -73,6 +73,7 @@
 	return w != nil && w.answerStarted.Load()
 }
 
+// watchdogOf returns the watchdog of ctx or of the nearest context from which it is derived, or nil.
 func watchdogOf(ctx context.Context) *watchdog {
 	w, _ := ctx.Value(watchdogKey{}).(*watchdog)
 	return w
--- a/pkg/idle/idle_test.go
+++ b/pkg/idle/idle_test.go
@@ -58,8 +58,8 @@
 	assert.Assert(t, cancelled(ctx), "the call is cancelled when its answer stops arriving")
 }
 
-// TestProgressOfInnerCallIsProgressOfOuterCall guards against a takeover that reads many pages being
-// cancelled while its pages still arrive.
+// TestProgressOfInnerCallIsProgressOfOuterCall guards against the cancellation of a takeover that reads
+// many pages, each by a call of its own, while these pages still arrive.
 func TestProgressOfInnerCallIsProgressOfOuterCall(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	outer, cancel := WithTimeout(t.Context(), clock, gapTimeout, gapTimeout)
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -59,7 +59,8 @@
 	return checker
 }
 
-// Check counts a violation of the named invariant unless it holds. Detail is a format for values.
+// Check counts a violation of the named invariant unless holds is true. detail is a format for values, which
+// describes the violation to report.
 func (c *Checker) Check(name string, holds bool, detail string, values ...any) {
 	if holds {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// isFirst reports whether this is the first violation of an invariant, and notes that there was one.
+// isFirst reports whether this is the first violation of the named invariant. Later calls return false.
 func (c *Checker) isFirst(name string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/pkg/job/check.go
+++ b/pkg/job/check.go
@@ -11,10 +11,10 @@
 
 // Limits of one job.
 const (
-	// MaxTextBytes is the platform's limit for the text of a job.
+	// MaxTextBytes is the platform's limit for the text of a job, in bytes.
 	MaxTextBytes = 4000
 	// MaxPhases and MaxTasks keep one job from using up the memory of the node that owns its
-	// cell, where a task costs about 300 bytes. The largest jobs that users have specified have
+	// cell, where a task takes about 300 bytes. The largest jobs that users have specified have
 	// 5 phases of 32 tasks.
 	MaxPhases = 256
 	MaxTasks  = 20_000
@@ -46,6 +46,8 @@
 	return nil
 }
 
+// checkPhase returns an error that describes the first violation of a rule in a phase, or nil. number
+// is the index of the phase in its job.
 func checkPhase(number int, phase wire.Phase) error {
 	if phase.Count < 1 {
 		return fmt.Errorf("phase %d has %d tasks; at least 1 is needed", number, phase.Count)
@@ -62,7 +64,8 @@
 	return nil
 }
 
-// CriticalPath returns the longest total of estimated work along a chain of dependent phases.
+// CriticalPath returns the estimated duration of the job's longest chain of phases that depend on each
+// other. Each phase counts with the estimate for one of its tasks.
 func CriticalPath(spec wire.JobSpec) time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(spec.Phases)) // Earliest end of each phase.
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logging writes the log lines of a process without ever blocking its work. Lines go through a
-// bounded queue to a goroutine that writes them, and a limit of lines a second bounds the volume. Lines
-// that are left out are counted by message.
+// bounded queue to a goroutine that writes them, and the number of lines per second is limited. Lines
+// beyond the limit are left out and counted by message.
 package logging
 
 import (
@@ -20,10 +20,10 @@
 )
 
 const (
-	// maxQueuedLines bounds the queue. A line has about 300 bytes.
+	// maxQueuedLines is the capacity of the queue. A line has about 300 bytes.
 	maxQueuedLines = 1024
-	// DefaultLinesPerSecond is the default limit. A node writes about 15 lines a second on a day
-	// without load.
+	// DefaultLinesPerSecond is the default of Deps.LinesPerSecond. A node writes about 15 lines per
+	// second on a day without load.
 	DefaultLinesPerSecond = 200
 	// debugSharePercent is the part of the limit that lines below the level "info" may use.
 	debugSharePercent = 50
@@ -46,7 +46,7 @@
 	Clock  damsonwinch.Clock
 	// Metrics counts the lines that are left out.
 	Metrics *metrics.Set
-	// LinesPerSecond is the limit of lines a second. 0 means DefaultLinesPerSecond.
+	// LinesPerSecond is the maximum number of lines per second. 0 means DefaultLinesPerSecond.
 	LinesPerSecond int
 }
 
@@ -99,7 +99,8 @@
 	metrics *metrics.Set
 }
 
-// Write implements io.Writer. It ignores empty lines, which stand for lines that the formatter left out.
+// Write implements io.Writer. It ignores empty lines: for a line that is left out, logrus passes on the
+// empty result of the formatter.
 func (w queueWriter) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil
@@ -112,7 +113,7 @@
 	return len(line), nil
 }
 
-// limitedFormatter is a logrus.Formatter that leaves out the lines beyond a limit of lines a second.
+// limitedFormatter is a logrus.Formatter that leaves out lines beyond linesPerSecond.
 type limitedFormatter struct {
 	inner          logrus.Formatter
 	clock          damsonwinch.Clock
@@ -128,7 +129,7 @@
 }
 
 // Format implements logrus.Formatter. It returns no bytes for a line that is left out. Before the first
-// line of a second it puts a line with a summary of what was left out before.
+// line of a second it adds a line with a summary of the lines that were left out before.
 func (f *limitedFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	summary, admitted := f.admit(entry)
 	if !admitted {
--- a/pkg/metrics/histogram.go
+++ b/pkg/metrics/histogram.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms. No call takes less than 10 us, and none is waited for longer than
-// 5 minutes.
+// Range, in microseconds, and precision of the histograms. No call takes less than 10 us, and nothing waits for a
+// call for longer than 5 minutes.
 const (
 	minMicros         = 10
 	maxMicros         = int64(5 * 60 * 1_000_000)
@@ -48,7 +48,7 @@
 	return string(text)
 }
 
-// Observe adds a duration to a histogram. The first call with a name makes the histogram.
+// Observe adds a duration to a histogram. The first call with a name creates the histogram.
 func (s *Set) Observe(name string, took time.Duration) {
 	h := s.histogram(name)
 	h.mutex.Lock()
@@ -57,7 +57,7 @@
 	_ = h.counts.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros))
 }
 
-// histogram returns the histogram with a name, and makes it if there is none.
+// histogram returns the histogram with a name, and creates it if there is none.
 func (s *Set) histogram(name string) *histogram {
 	if existing, isHistogram := s.vars.Get(name).(*histogram); isHistogram {
 		return existing
--- a/pkg/metrics/metrics.go
+++ b/pkg/metrics/metrics.go
@@ -13,7 +13,7 @@
 // Set holds the counters, gauges and histograms of one process.
 type Set struct {
 	vars *expvar.Map
-	// mutex guards the making of histograms, so that there is only one with each name.
+	// mutex guards the creation of histograms, so that there is only one with each name.
 	mutex sync.Mutex
 }
 
@@ -22,19 +22,19 @@
 	return &Set{vars: new(expvar.Map).Init()}
 }
 
-// Add adds delta to a counter. The first call with a name makes the counter.
+// Add adds delta to a counter. The first call with a name creates the counter.
 func (s *Set) Add(name string, delta int) {
 	s.vars.Add(name, int64(delta))
 }
 
-// SetGauge sets the value of a gauge.
+// SetGauge sets the value of a gauge, and creates the gauge if there is none with that name.
 func (s *Set) SetGauge(name string, value int) {
 	number := new(expvar.Int)
 	number.Set(int64(value))
 	s.vars.Set(name, number)
 }
 
-// Include adds another map of counters under a name.
+// Include makes another map of variables part of the set, under a name.
 func (s *Set) Include(name string, vars *expvar.Map) {
 	s.vars.Set(name, vars)
 }
--- a/pkg/pace/pace.go
+++ b/pkg/pace/pace.go
@@ -30,7 +30,7 @@
 	return t.ticker.Chan()
 }
 
-// SetBusy selects the interval. If busy changes, the next tick comes one new interval later.
+// SetBusy selects the interval. If busy has changed, the next tick comes one new interval from now.
 func (t *Ticker) SetBusy(busy bool) {
 	if busy == t.busy {
 		return
@@ -43,7 +43,7 @@
 	t.ticker.Reset(t.idleInterval)
 }
 
-// Stop stops the ticker.
+// Stop stops the ticker. It doesn't close the channel.
 func (t *Ticker) Stop() {
 	t.ticker.Stop()
 }
--- a/pkg/suspend/suspend.go
+++ b/pkg/suspend/suspend.go
@@ -1,6 +1,6 @@
-// Package suspend measures for how long this machine has been suspended. The monotonic clock, by
-// which leases, deadlines and timeouts are measured, doesn't count that time, but other machines
-// keep running meanwhile.
+// Package suspend measures how long this machine has been suspended. The monotonic clock, by which
+// leases, deadlines and timeouts are measured, doesn't count that time, but other machines keep running
+// meanwhile.
 package suspend
 
 import (
@@ -28,7 +28,7 @@
 const (
 	// maxReadingTime is how long it may take to read both clocks: if the process is paused
 	// between the readings, their difference means nothing. maxReadings is how often the clocks
-	// are read until one pair of readings is fast enough.
+	// are read at most, until one pair of readings is fast enough.
 	maxReadingTime = 5 * time.Millisecond
 	maxReadings    = 5
 )
@@ -37,16 +37,16 @@
 
 // Detector measures suspensions by comparing the monotonic clock with a BootClock.
 type Detector struct {
-	clock   damsonwinch.Clock
-	boot    BootClock
-	startAt time.Time
-	// startLead is the lead of the boot clock at startAt.
+	clock     damsonwinch.Clock
+	boot      BootClock
+	startedAt time.Time
+	// startLead is the result of lead at startedAt.
 	startLead time.Duration
 }
 
-// New returns a detector that measures from now on.
+// New returns a detector that measures from now on. It returns an error if the clocks can't be read.
 func New(clock damsonwinch.Clock, boot BootClock) (*Detector, error) {
-	d := &Detector{clock: clock, boot: boot, startAt: clock.Now()}
+	d := &Detector{clock: clock, boot: boot, startedAt: clock.Now()}
 	startLead, err := d.lead()
 	d.startLead = startLead
 	return d, err
@@ -62,16 +62,16 @@
 	return max(0, lead-d.startLead)
 }
 
-// lead returns by how much the boot clock is ahead of the time that the monotonic clock has counted
-// since startAt.
+// lead returns the reading of the boot clock minus the time that the monotonic clock has counted since
+// startedAt. Only a suspension changes the result.
 func (d *Detector) lead() (time.Duration, error) {
 	for range maxReadings {
-		before := d.clock.Since(d.startAt)
+		before := d.clock.Since(d.startedAt)
 		boot, err := d.boot()
 		if err != nil {
 			return 0, err
 		}
-		if d.clock.Since(d.startAt)-before <= maxReadingTime {
+		if d.clock.Since(d.startedAt)-before <= maxReadingTime {
 			return boot - before, nil
 		}
 	}
--- a/pkg/suspend/suspend_test.go
+++ b/pkg/suspend/suspend_test.go
@@ -26,8 +26,9 @@
 	assert.Equal(t, detector.Suspended(), 4*time.Second)
 }
 
-// TestPauseBetweenReadingsIsNotCounted: if the process is paused between the readings of the two
-// clocks, their difference looks like a suspension although both clocks count the pause.
+// TestPauseBetweenReadingsIsNotCounted guards against a pause of the process between the readings of
+// the two clocks: the difference of the readings then looks like a suspension, although both clocks
+// count the pause.
 func TestPauseBetweenReadingsIsNotCounted(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	boot, pauses := time.Hour, 0
--- a/pkg/workers/workers.go
+++ b/pkg/workers/workers.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxIdle limits the number of goroutines that wait for work. Each of them holds some 8 KB. An owner
-// has some 300 calls in flight while its pool is the one in demand.
+// maxIdle limits the number of goroutines that wait for work. Each of them holds some 8 KB of memory.
+// An owner has some 300 calls in flight while most of the demand is for its pool.
 const maxIdle = 256
 
 // Pool runs tasks in goroutines of an errgroup.Group and reuses the goroutines.
 type Pool struct {
 	group *errgroup.Group
-	ctx   context.Context // Its end makes idle goroutines exit.
+	ctx   context.Context // Idle goroutines exit when it ends.
 	tasks chan func()     // Unbuffered: hands a task to an idle goroutine.
 	idle  atomic.Int64    // Number of idle goroutines.
 }
@@ -51,8 +51,8 @@
 	}
 }
 
-// wait returns the next task for this goroutine, or false if the goroutine is to exit: maxIdle others
-// are idle, or the pool's context has ended.
+// wait waits for the next task for this goroutine and returns it. It returns false if the goroutine
+// should exit, because maxIdle others are idle or the pool's context has ended.
 func (p *Pool) wait() (func(), bool) {
 	defer p.idle.Add(-1)
 	if p.idle.Add(1) > maxIdle {
