--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -61,7 +61,7 @@
 	dial  damsonwinch.Dial
 	clock damsonwinch.Clock
 	// mutex guards conn only. The connection itself needs no lock, since many goroutines may use a
-	// net/rpc client at once. To send all calls through one goroutine would only delay each call.
+	// net/rpc client at once. Sending all calls through one goroutine would only delay them.
 	mutex sync.Mutex
 	conn  *connection
 }
--- a/pkg/call/connection.go
+++ b/pkg/call/connection.go
@@ -20,7 +20,7 @@
 	deadAfter    = 600 * time.Millisecond
 )
 
-// connection is one connection to a peer, and the state of the detection whether it is dead.
+// connection is one connection to a peer. It also holds the state by which a dead connection is detected.
 type connection struct {
 	client       *rpc.Client
 	mutex        sync.Mutex
@@ -55,7 +55,7 @@
 	return c.pendingCalls == 0
 }
 
-// recordAnswer sets the time since which the peer has been silent to that of an answer.
+// recordAnswer records that the peer has answered a call at the time now.
 func (c *connection) recordAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -74,8 +74,8 @@
 	return silent < deadAfter
 }
 
-// silence returns how long the peer has been silent. It counts an answer to the ping that has arrived since
-// the last call of silence as an answer now. The caller holds the mutex.
+// silence returns how long the peer has been silent. If the pending ping has been answered, it first records
+// an answer at the time now. The caller holds the mutex.
 func (c *connection) silence(now time.Time) time.Duration {
 	if c.pendingPing != nil {
 		select {
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -25,7 +25,8 @@
 	"damsonwinch/pkg/supply"
 )
 
-// Platform gives a node access to the platform.
+// Platform gives a node access to the platform: to its store, endpoints, boxes and advice service, and to the
+// formats of its records.
 type Platform struct {
 	Store     damsonwinch.Store
 	Endpoints damsonwinch.EndpointControl
@@ -171,7 +172,7 @@
 	}
 	n.callServer = calls
 	n.ownership = ownership.New(ownership.Deps{
-		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.viewChanged,
+		Store: deps.Platform.Store, Clock: deps.Clock, Logger: deps.Logger, Metrics: deps.Metrics, OnViewChange: n.setView,
 		FetchClaims: n.router.Claims, SuspendedTime: deps.SuspendedTime,
 	}, ownership.Options{Self: options.Self, MembershipTTL: options.MembershipTTL, Partitions: options.Partitions, FirstStart: options.FirstStart})
 	n.relayPeers = relay.NewPeers(deps.Dial, deps.Clock)
@@ -235,8 +236,8 @@
 	n.ownership.ReportRefusedConnection(node, incarnation)
 }
 
-// viewChanged stores a new view and notifies the main goroutine.
-func (n *Node) viewChanged(view ownership.View) {
+// setView stores a new view and notifies the main goroutine.
+func (n *Node) setView(view ownership.View) {
 	n.view.Store(&view)
 	// The message is dropped if the inbox is full. One that already waits there will read this view.
 	select {
--- a/pkg/owner/counters.go
+++ b/pkg/owner/counters.go
@@ -26,8 +26,7 @@
 	{"endpoints_ejected", func(s cell.Stats) int { return s.Ejections }},
 }
 
-// publishStats adds to the node's metrics by how much the cell's statistics have grown since the last
-// call.
+// publishStats adds the increase of the cell's statistics since the last call to the node's metrics.
 func (o *Owner) publishStats() {
 	stats := o.cell.Stats()
 	for _, counter := range counters {
--- a/pkg/owner/effects.go
+++ b/pkg/owner/effects.go
@@ -20,8 +20,8 @@
 	// adviceTimeout bounds a request for permits. The advice service needs some time for each
 	// endpoint, and handles one call after the other.
 	adviceTimeout = 5 * time.Second
-	// pollTimeoutMargin is how much longer than its MaxWait, for which the endpoint may hold it, a poll
-	// may take.
+	// pollTimeoutMargin is added to the MaxWait of a poll to get its timeout. MaxWait is how long the
+	// endpoint may hold the poll.
 	pollTimeoutMargin = 500 * time.Millisecond
 	// boxListTimeout is how long a request for the list of boxes may go without progress. The duration
 	// of the whole request isn't bounded, since the list grows with the fleet. boxListInterval is the
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -19,6 +19,7 @@
 	rejectsOverload bool
 }
 
+// apply puts the configuration in force in the cell.
 func (m configured) apply(o *Owner, now time.Time) {
 	o.cell.SetQueues(now, m.configuration.Queues)
 	o.cell.SetCustomers(now, m.configuration.Version, m.configuration.Customers)
@@ -41,6 +42,7 @@
 	err   error
 }
 
+// apply passes the list to the cell. If the request failed it only logs the error.
 func (m boxesListed) apply(o *Owner, now time.Time) {
 	o.boxListInFlight = false
 	if m.err != nil {
@@ -53,6 +55,8 @@
 // committed reports that a commit of the cell is stored.
 type committed struct{ number int }
 
+// apply tells the cell that the commit is stored, and answers calls of the planner that waited for it. While
+// the cell is being moved, the message is withheld.
 func (m committed) apply(o *Owner, now time.Time) {
 	if o.move.frozen {
 		o.move.withheldCommit = &m
@@ -123,6 +127,8 @@
 	reply      chan<- wire.JobReply
 }
 
+// apply passes the call to the cell, which replies later by the call's ID. A submission that has waited too
+// long is refused.
 func (m jobChange) apply(o *Owner, now time.Time) {
 	if !m.cancel && o.isOverloaded(now, m) {
 		m.reply <- o.refuseOverloaded(now, m)
@@ -143,6 +149,8 @@
 	reply chan<- wire.SyncReply
 }
 
+// apply passes the planner's directives and allowances to the cell. It replies at once, or, if there are
+// allowances, once they are stored. Calls of an earlier planner are refused.
 func (m syncCall) apply(o *Owner, now time.Time) {
 	if m.args.Token < o.plannerToken {
 		m.reply <- wire.SyncReply{}
@@ -183,6 +191,7 @@
 	reply chan<- wire.JobReply
 }
 
+// apply replies at once.
 func (m jobQuery) apply(o *Owner, _ time.Time) {
 	if m.args.Id == "" {
 		m.reply <- wire.JobReply{Outcome: wire.JobOutcomeFound, Pending: o.cell.Pending(m.args.Queue)}
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -50,7 +50,7 @@
 	OnTasksWaiting func()
 }
 
-// Options identify the cell to own, and configure it.
+// Options identify the cell to own, and configure its owner.
 type Options struct {
 	Cell string
 	// Stream holds the cell's records.
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -35,8 +35,8 @@
 	// maxPeerWait bounds how long an upstream node waits for new records before it replies, so
 	// that a follower detects within this time that its upstream node is cut off.
 	maxPeerWait = 500 * time.Millisecond
-	// maxReplyAge is how long ago the store may have confirmed the data of a reply. An upstream
-	// node asks the store once a second.
+	// maxReplyAge is how recently the store must have confirmed the data of a reply for a follower to
+	// use it. An upstream node asks the store once a second.
 	maxReplyAge = 1500 * time.Millisecond
 	// maxFailures is the number of consecutive failures after which a follower reads from the
 	// store, for directPeriod.
@@ -46,7 +46,8 @@
 
 // Deps holds the dependencies of a relay.
 type Deps struct {
-	// Store is where upstream nodes read, and a follower whose upstream nodes have failed.
+	// Store is read by upstream nodes, by all nodes of a small fleet, and by followers whose upstream
+	// nodes have failed.
 	Store   damsonwinch.Store
 	Clock   damsonwinch.Clock
 	Logger  logrus.FieldLogger
--- a/pkg/stream/hedge.go
+++ b/pkg/stream/hedge.go
@@ -18,7 +18,7 @@
 	// answers within 5 ms, and a busy node takes 20 ms to read the answer.
 	minHedgeDelay = 40 * time.Millisecond
 	// hedgeDelayFactor times the duration of the last successful try replaces minHedgeDelay if that
-	// product is longer. A store that becomes slow thus gets one hedged call at first and none later.
+	// product is longer. A store that becomes slow thus gets one additional try at first and none later.
 	hedgeDelayFactor = 4
 	// maxConcurrentTries bounds the tries in flight. If three in ten answers are lost, three tries
 	// are all lost in 3 of 100 calls.
@@ -37,8 +37,8 @@
 	return bytes
 }
 
-// hedge makes a call, with up to maxConcurrentTries tries in flight at once, until a try succeeds or the
-// call can't succeed any more. The call must be idempotent.
+// hedge makes a call, with up to maxConcurrentTries tries in flight at once, until a try succeeds, the
+// stream has a newer owner or ctx ends. The call must be idempotent.
 func (w *Writer) hedge(ctx context.Context, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var tries errgroup.Group
--- a/pkg/stream/writer.go
+++ b/pkg/stream/writer.go
@@ -102,7 +102,7 @@
 	return w.hedge(ctx, call)
 }
 
-// retry makes a call, one try after the other, until it succeeds or can't succeed any more.
+// retry makes a call, one try after the other, until a try succeeds, the stream has a newer owner or ctx ends.
 func (w *Writer) retry(ctx context.Context, call func(ctx context.Context) error) error {
 	timeout := min(maxTimeout, max(minTimeout, timeoutFactor*time.Duration(w.lastDuration.Load())))
 	retryDelay := minRetryDelay
