--- a/pkg/feed/patience.go
+++ b/pkg/feed/patience.go
@@ -11,9 +11,9 @@
 )
 
 // retryPolicy holds how long a feed waits for the start of an answer, and how long it waits after a
-// failed read. Both grow while the store is overloaded: each read that is given up and sent again
-// makes the store serve the same records once more, so that 147 feeds reading 1.15 MB each from a
-// store of 80 MB/s would never be served.
+// failed read. Both grow while the store is overloaded, because each read that is given up and sent
+// again makes the store serve the same records once more. Otherwise 147 feeds that read 1.15 MB each
+// from a store of 80 MB/s would never be served.
 type retryPolicy struct {
 	answerTimeout time.Duration
 	retryDelay    time.Duration
--- a/pkg/idle/idle.go
+++ b/pkg/idle/idle.go
@@ -35,8 +35,8 @@
 }
 
 // WithTimeout returns a context for one call. It is cancelled with ErrTimeout if the answer doesn't
-// start to arrive within startTimeout after the last part of the call was sent, or if no further
-// part of the answer arrives for gapTimeout. Sent and Received report these events to the context.
+// start to arrive within startTimeout after the last part of the call was sent. After that it is
+// cancelled if no further part arrives for gapTimeout. Sent and Received report progress to the context.
 // Only ctx limits the duration of the whole call. The caller must call the cancel function.
 func WithTimeout(ctx context.Context, clock damsonwinch.Clock, startTimeout, gapTimeout time.Duration) (context.Context, context.CancelCauseFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
--- a/pkg/intake/router.go
+++ b/pkg/intake/router.go
@@ -17,7 +17,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of a call that is being routed.
+// Timeouts and intervals for the routing of a call.
 const (
 	// refusedRetryTime is how long the router retries a call that certainly has had no effect, for
 	// example because its cell has no owner. A takeover takes about a second, so the router then refuses
@@ -27,7 +27,7 @@
 	// owner waits at most 2.4 s before it replies. A peer that is cut off is detected sooner.
 	routeTimeout = 2600 * time.Millisecond
 	// unknownRetryTime is how long the router retries a call whose outcome is unknown. It then tells the
-	// client so, which may ask another node.
+	// client that the outcome is unknown. The client may then ask another node.
 	unknownRetryTime = 1600 * time.Millisecond
 	// retryInterval is the time between two attempts.
 	retryInterval = 40 * time.Millisecond
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -132,8 +132,8 @@
 	assert.Equal(t, len(f.moves), 0)
 }
 
-// A cell stays in its partition if the append has not been in flight for long enough, if the store as a
-// whole is unavailable, or if the append succeeds before a partition is reserved.
+// A cell stays in its partition if the append is not old enough, if the store as a whole is unavailable, or
+// if the append succeeds before a partition is reserved.
 func TestCellDoesNotMoveWithoutNeed(t *testing.T) {
 	f := newFixture(t, &partialOutageStore{})
 	f.clock.Advance(minCommitAge / 2)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -264,8 +264,8 @@
 }
 
 // TestFollowerRejectsUnusableReplies checks that a follower reads from another upstream node, and then
-// from the store, if an upstream node can't be reached, has stale data, is behind the follower or sends
-// records that can't be unpacked.
+// from the store, after a failed or unusable reply: the upstream node can't be reached, has stale data,
+// is behind the follower or sends records that can't be unpacked.
 func TestFollowerRejectsUnusableReplies(t *testing.T) {
 	for name, answer := range map[string]func(args wire.FollowArgs) (wire.FollowReply, error){
 		"cut off": func(wire.FollowArgs) (wire.FollowReply, error) { return wire.FollowReply{}, errCut },
@@ -350,7 +350,7 @@
 }
 
 // FuzzUnpack checks that unpack doesn't panic on any input, since replies of other nodes are not
-// trusted, and that a value which it returns stays the same when it is packed and unpacked again.
+// trusted. It also checks that a value stays the same when it is packed and unpacked again.
 func FuzzUnpack(f *testing.F) {
 	for _, value := range []string{"", "a", strings.Repeat("queue", 1000)} {
 		packed, err := pack([]byte(value))
--- a/pkg/stream/hedge.go
+++ b/pkg/stream/hedge.go
@@ -10,9 +10,8 @@
 )
 
 // Small appends are hedged requests (Dean and Barroso, 2013): if a try isn't answered soon, the append
-// is sent again while the first try is still in flight. Without hedging, when three in ten answers of the
-// store were lost for 5 s, each commit waited 0.25 s or more for the next try, and half of the jobs were
-// late.
+// is sent again while the first try is still in flight. Without hedging, half of the jobs were late when
+// three in ten answers of the store were lost for 5 s: each commit waited 0.25 s or more for the next try.
 const (
 	// minHedgeDelay is the shortest time between two tries while none has been answered. The store
 	// answers within 5 ms, and a busy node takes 20 ms to read the answer.
