--- a/pkg/front/admit.go
+++ b/pkg/front/admit.go
@@ -16,14 +16,15 @@
 type refusal struct {
 	// status is an HTTP status.
 	status int
+	// reason is a sentence for the client.
 	reason string
 	// retryAfter is the time after which the client may try again, or noRetryAfter.
 	retryAfter time.Duration
 }
 
-// newRefusal returns a refusal whose reason is formatted with values.
-func newRefusal(status int, retryAfter time.Duration, reason string, values ...any) *refusal {
-	return &refusal{status: status, retryAfter: retryAfter, reason: fmt.Sprintf(reason, values...)}
+// newRefusal returns a refusal whose reason is fmt.Sprintf(format, args...).
+func newRefusal(status int, retryAfter time.Duration, format string, args ...any) *refusal {
+	return &refusal{status: status, retryAfter: retryAfter, reason: fmt.Sprintf(format, args...)}
 }
 
 // grant is the loop's reply to a request that asks for a box. It is one of three: a refusal, a box with
@@ -32,7 +33,7 @@
 	refusal *refusal
 	box     string
 	address string
-	// row is the row of the request's service.
+	// row is the row of the request's service. It is not set in a refusal.
 	row       settings.Row
 	forwardTo fold.SenderKey
 }
@@ -45,8 +46,8 @@
 	// forwarded says that another entry has forwarded the request to this one.
 	forwarded bool
 	reply     chan<- grant
-	box       string // Empty while the request waits.
-	pool      string
+	box       string // The granted box; empty while the request waits.
+	pool      string // The pool in whose queue the request waits or waited.
 	startedAt time.Time
 }
 
@@ -63,7 +64,7 @@
 	// minRetryAfter and maxRetryAfter bound the estimate for a client that finds a queue full.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// unavailableRetryAfter is the time if nothing is known of when the request could run.
+	// unavailableRetryAfter is the time if it can't be estimated when the request could run.
 	unavailableRetryAfter = time.Second
 	// noRetryAfter says that a new try of the same request would be refused as well.
 	noRetryAfter = 0
@@ -97,8 +98,8 @@
 	e.refuseIfQueueFull(m.item.ID, row)
 }
 
-// checkLimits refuses a request if this entry can't send to its pool, or if its customer has as many
-// requests here as this entry's share of the customer's quota allows.
+// checkLimits returns a refusal if this entry can't send to the request's pool, or if the customer has as
+// many requests here as this entry's share of the customer's quota allows. Otherwise it returns nil.
 func (e *Entry) checkLimits(item queue.Item, row settings.Row) *refusal {
 	if !e.canSendTo(row.Pool) {
 		return e.noBoxRefusal(row.Pool)
@@ -135,7 +136,7 @@
 }
 
 // maxBoxSlots returns the slots of the largest of this entry's boxes of the pool, or of the pool's
-// largest box if the entry has none.
+// largest box if the entry has none. It returns 0 if the pool has no boxes.
 func (e *Entry) maxBoxSlots(pool string) int {
 	largest := 0
 	for _, box := range e.ownBoxes(pool) {
@@ -152,8 +153,8 @@
 	return largest
 }
 
-// computeLimitShare divides a limit on a pool among the entries that have boxes of the pool, by their
-// slots there, and returns this entry's share.
+// computeLimitShare divides a limit, total, on a pool among the entries that have boxes of the pool, in
+// proportion to their slots there, and returns this entry's share.
 func (e *Entry) computeLimitShare(total int, pool string) int {
 	weights := []int{e.ownSlots(pool)}
 	index := 0
@@ -175,7 +176,7 @@
 	return limit.Share(total, weights, index)
 }
 
-// usage returns the usage of a service, which it creates if there is none.
+// usage returns the usage of a service. It adds an empty one if there is none.
 func (e *Entry) usage(service string) *usage {
 	if e.usages[service] == nil {
 		e.usages[service] = &usage{requestsByCustomer: map[string]int{}}
@@ -230,7 +231,8 @@
 	}
 }
 
-// estimateRetryAfter estimates how long the requests that wait for the pool and one more will take.
+// estimateRetryAfter estimates the time until the requests that wait for the pool, and one more, have run.
+// The result is between minRetryAfter and maxRetryAfter.
 func (e *Entry) estimateRetryAfter(service, pool string) time.Duration {
 	average := e.learner.AverageLatency(service)
 	slots := max(1, e.ownSlots(pool))
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -43,8 +43,8 @@
 // proposalRetryDelay is the time after which a proposal that the log doesn't show is repeated.
 const proposalRetryDelay = time.Second
 
-// updateFleet takes over the boxes, the routes and the number of entries of the current state. old is
-// the state before.
+// updateFleet updates the boxes, the routes and the number of entries to the current state. old is the
+// state before it.
 func (e *Entry) updateFleet(old fold.State) {
 	routes := map[string][]route{}
 	own := map[string]bool{}
@@ -77,7 +77,8 @@
 	}
 }
 
-// updateOwnBox takes over the state of one of this entry's boxes.
+// updateOwnBox updates one of this entry's boxes to the state that the log has of it, and adds the box if
+// it is new here.
 func (e *Entry) updateOwnBox(box fold.Box) {
 	own := e.boxes[box.Info.Name]
 	if own == nil {
@@ -101,14 +102,15 @@
 	own.Box = box
 }
 
-// removeOwnBox forgets a box that has another sender now.
+// removeOwnBox removes a box of which this entry is no longer the sender.
 func (e *Entry) removeOwnBox(name string) {
 	e.deps.Invariants.Check(invariant.CutInFlight, e.boxes[name].inUse == 0 || !e.lease.holder.MaySend(e.now()),
 		"box %s got another sender with %d requests in flight here", name, e.boxes[name].inUse)
 	delete(e.boxes, name)
 }
 
-// addRoute adds the slots of another entry's box to that entry's route.
+// addRoute adds the slots of another entry's box to the route to that entry, which it adds if there is
+// none. routes holds the routes by pool.
 func (e *Entry) addRoute(routes map[string][]route, box fold.Box) {
 	for i := range routes[box.Pool] {
 		if routes[box.Pool][i].key == box.Sender {
@@ -123,7 +125,8 @@
 	routes[box.Pool] = append(routes[box.Pool], route{key: box.Sender, address: sender.Address, slots: box.Info.Slots})
 }
 
-// keepBusyUntil copies busyUntil from the entry's present routes to the same ones in routes.
+// keepBusyUntil copies busyUntil from each of the present routes to the one in routes that leads to the
+// same entry for the same pool.
 func (e *Entry) keepBusyUntil(routes map[string][]route) {
 	for pool, oldRoutes := range e.routes {
 		for _, old := range oldRoutes {
@@ -136,7 +139,8 @@
 	}
 }
 
-// updateLeaving takes over which boxes the platform's list shows as leaving, and keeps since when.
+// updateLeaving sets which boxes the platform's list shows as leaving. Boxes that were leaving before keep
+// the time at which this was first read.
 func (e *Entry) updateLeaving(names []string) {
 	leaving := make(map[string]time.Time, len(names))
 	for _, name := range names {
@@ -150,7 +154,7 @@
 }
 
 // mayStartOn reports whether a new request may be sent to a box. An ejected box takes one request at a
-// time, as a probe, and only if mayProbe is set and the time of its ejection is over.
+// time, as a probe, and only if mayProbe is set and the box has been ejected for long enough.
 func (e *Entry) mayStartOn(box *ownBox, mayProbe bool) bool {
 	name := box.Info.Name
 	if _, leaving := e.boxLeavingSince[name]; leaving || box.handoverPending || box.Phase != fold.Serving {
--- a/pkg/front/cache.go
+++ b/pkg/front/cache.go
@@ -48,8 +48,8 @@
 	return slots
 }
 
-// limitShare returns this entry's share of a limit on a pool. A limit is divided among the entries by
-// their slots in the pool.
+// limitShare returns this entry's share of a limit, total, on a pool. The limit is divided among the
+// entries in proportion to their slots in the pool.
 func (e *Entry) limitShare(total int, pool string) int {
 	key := shareKey{total: total, pool: pool}
 	share, cached := e.cache.shares[key]
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -21,6 +21,7 @@
 	failed bool
 	// busy says that the endpoint answered that it has no free capacity.
 	busy bool
+	// took is the time from sending the request to the result.
 	took time.Duration
 	// unused says that no attempt was made.
 	unused bool
@@ -28,7 +29,7 @@
 	last bool
 }
 
-// tableWeights takes the weights for a queue from the table.
+// tableWeights implements queue.Weights with the weights in the entry's current table.
 type tableWeights struct {
 	entry *Entry
 }
@@ -50,7 +51,7 @@
 	return 1
 }
 
-// queue returns the queue of a pool, which it creates if there is none.
+// queue returns the queue of a pool. It adds an empty one if there is none.
 func (e *Entry) queue(pool string) *queue.Queue {
 	if e.queues[pool] == nil {
 		e.queues[pool] = queue.New(tableWeights{entry: e})
@@ -126,14 +127,15 @@
 const (
 	// urgentReservePeriod is how long slots stay reserved after the last urgent request.
 	urgentReservePeriod = time.Minute
-	// slotsPerReservedSlot is the number of slots for which one more is reserved.
+	// slotsPerReservedSlot is the number of slots for each of which one slot is reserved, in addition to
+	// the first one.
 	slotsPerReservedSlot = 16
 	// minSlotsToReserve is the number of slots in a pool below which none is reserved.
 	minSlotsToReserve = 4
 )
 
-// reservedSlots returns how many of this entry's slots in a pool are kept free for urgent requests: 0
-// if there was none lately.
+// reservedSlots returns how many of this entry's slots in a pool are kept free for urgent requests. It
+// returns 0 if there was no urgent request within urgentReservePeriod.
 func (e *Entry) reservedSlots(pool string) int {
 	last, known := e.lastUrgent[pool]
 	slots := e.ownSlots(pool)
@@ -184,7 +186,7 @@
 	return ""
 }
 
-// mayProbeAny reports whether the time of an ejected box of the pool is over, so that it may be probed.
+// mayProbeAny reports whether any box of the pool has been ejected for long enough to be probed.
 func (e *Entry) mayProbeAny(pool string, now time.Time) bool {
 	for _, box := range e.ownBoxes(pool) {
 		if box.inUse == 0 && e.ejections.MayProbe(box.Info.Name, now) {
@@ -194,7 +196,7 @@
 	return false
 }
 
-// grantBox takes the slots of a request on a box and sends it the grant.
+// grantBox reserves a request's slots on a box and sends the grant to the request's goroutine.
 func (e *Entry) grantBox(item queue.Item, name string) {
 	row, _ := e.state.Table().Row(item.Service)
 	box := e.boxes[name]
@@ -207,7 +209,7 @@
 	request.reply <- grant{box: name, address: box.Info.Address, row: row}
 }
 
-// handleFinish takes back the slots of a grant and records the attempt that was made with it.
+// handleFinish frees the slots of a grant and records the attempt that was made with it.
 func (e *Entry) handleFinish(m finishMessage) {
 	request := e.requests[m.id]
 	if request == nil {
@@ -282,8 +284,8 @@
 	}
 }
 
-// agingLeadRuns is the time before its deadline at which a waiting request becomes as urgent as any, as
-// a multiple of the average run time of its service.
+// agingLeadRuns is how long before its deadline a waiting request gets the rank of an urgent one, as a
+// multiple of the average run time of its service.
 const agingLeadRuns = 2
 
 // ageQueues raises the rank of requests that have waited long.
@@ -295,8 +297,8 @@
 	}
 }
 
-// requeueMoved moves waiting requests whose service is in another pool now to that pool's queue, and
-// refuses those whose service is no longer in the table.
+// requeueMoved moves each waiting request whose service has moved to another pool into that pool's queue,
+// and refuses those whose service is no longer in the table.
 func (e *Entry) requeueMoved() {
 	for id, waiting := range e.requests {
 		pool := poolOf(e.state, waiting.item.Service)
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -64,8 +64,8 @@
 // Entry is a running entry. New starts it, Stop and Close stop it.
 type Entry struct {
 	deps Deps
-	// incarnation is the start time of the process. key identifies the entry's current sender; the
-	// sender's incarnation is higher than the process's after rejoin, and only the loop uses it.
+	// incarnation is the start time of the process, in nanoseconds since 1970. key identifies the entry as
+	// a sender in the log. Only the loop uses key.Incarnation, which rejoin replaces by a higher one.
 	incarnation    int
 	key            fold.SenderKey
 	inbox          chan any
@@ -170,7 +170,7 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-// start starts the goroutines that follow the log, run the loop and serve HTTP.
+// start starts the goroutines that follow the log, run the loop and serve HTTP, until ctx ends.
 func (e *Entry) start(ctx context.Context) {
 	sources := make([]damsonwinch.RecordSource, 0, len(e.keepers))
 	for _, keeper := range e.keepers {
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -12,14 +12,15 @@
 	// handoverDivisor limits how many boxes an entry hands over at once, to about this fraction of its
 	// boxes, so that the pools keep most of their slots.
 	handoverDivisor = 4
-	// minImbalance is the difference in boxes between two entries of a zone from which on the one with
-	// more hands boxes over.
+	// minImbalance is the smallest difference in the number of boxes between two entries of a zone at
+	// which the one with more boxes hands some over.
 	minImbalance = 2
 )
 
-// handoverProposals returns proposals to hand boxes over to other entries: all of them in a planned
-// stop, otherwise those of other zones that have entries of their own, and as many as balance the
-// entries of this entry's zone.
+// handoverProposals returns proposals to hand boxes over to other entries. In a planned stop all boxes are
+// handed over. Otherwise these are the boxes of other zones that have entries of their own or, if there
+// are none, as many as balance the entries of this entry's zone. Earlier handovers that are due for
+// another try come before new ones.
 func (e *Entry) handoverProposals(now time.Time) []wire.Proposal {
 	successors := e.successors()
 	if repeated := e.repeatHandovers(successors, now); len(repeated) > 0 {
@@ -55,9 +56,9 @@
 	return e.handOverBoxes([]fold.Sender{least}, surplus/2, now, func(*ownBox) bool { return true })
 }
 
-// handOverBoxes returns proposals to hand eligible boxes without requests in flight over to successors,
-// at most maxBoxes and a part of all boxes at once. Such a box gets no new work until the log has
-// accepted or superseded the handover.
+// handOverBoxes returns proposals to hand over to successors eligible boxes that have no requests in
+// flight: at most maxBoxes, and at most a part of all boxes (see handoverDivisor). These boxes get no new
+// work until the log has accepted or superseded their handover.
 func (e *Entry) handOverBoxes(successors []fold.Sender, maxBoxes int, now time.Time, eligible func(*ownBox) bool) []wire.Proposal {
 	maxBoxes = min(maxBoxes, 1+len(e.boxes)/handoverDivisor)
 	var proposals []wire.Proposal
@@ -73,8 +74,8 @@
 	return proposals
 }
 
-// successorFor returns a successor in the box's zone, or any if there is none. turn selects one, so that
-// the boxes are spread over the successors.
+// successorFor returns the successor that gets a box: one in the box's zone or, if there is none, any. The
+// caller counts turn up from box to box, which spreads the boxes over the successors.
 func successorFor(box *ownBox, successors []fold.Sender, turn int) fold.SenderKey {
 	if inZone := sendersInZone(successors, box.Info.Hall); len(inZone) > 0 {
 		successors = inZone
@@ -93,7 +94,7 @@
 	return found
 }
 
-// newHandover returns a proposal to hand a box over and marks the box accordingly.
+// newHandover returns a proposal to hand a box over, and marks the box so that it gets no new work.
 func (e *Entry) newHandover(box *ownBox, successor fold.SenderKey, now time.Time) wire.Proposal {
 	box.proposedAt, box.handoverPending = now, true
 	proposal := e.newProposal(wire.KindHandover, box, "its sender stops as planned, or has more boxes than others")
--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -10,7 +10,7 @@
 const (
 	// retriesPerRequest is the number of retries that each new request adds to its service's budget.
 	retriesPerRequest = 0.2
-	// maxRetryBudget is the largest number of retries in a service's budget, and the number at first.
+	// maxRetryBudget is the largest number of retries in a service's budget, and the initial number.
 	maxRetryBudget = 50
 )
 
--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -21,8 +21,7 @@
 
 // HTTP headers of clients' requests and of the responses to them.
 const (
-	// HeaderOutcome says in a response whether the request was answered or not run, or that this is
-	// unknown.
+	// HeaderOutcome says in a response whether the request was answered, was not run or may have run.
 	HeaderOutcome = "Damsonwinch-Outcome"
 	// HeaderClass is the request's class: urgent, normal or same-day.
 	HeaderClass = "Damsonwinch-Class"
@@ -122,7 +121,7 @@
 
 const maxRequestSlots = 1_000_000
 
-// parseClass returns the class that a header names, or the normal class if the header is missing.
+// parseClass returns the class that the text of a header names, or the normal class if the text is empty.
 func parseClass(text string) (wire.Class, *refusal) {
 	switch class := wire.Class(text); class {
 	case "":
--- a/pkg/front/leasing.go
+++ b/pkg/front/leasing.go
@@ -21,7 +21,8 @@
 	lastSeq     int // The number of the last renewal that was issued.
 	nextRenewal time.Time
 	renewing    bool // A renewal is on its way to a keeper.
-	// registered says that the log's state has shown this sender.
+	// registered says that the log has listed this sender. If it lists the sender no longer, the sender
+	// was released.
 	registered        bool
 	extensionsPending map[lease.Peer]bool // The keepers that have been asked and have not replied.
 }
@@ -30,8 +31,8 @@
 	return leaseState{holder: lease.New(timing), extensionsPending: map[lease.Peer]bool{}}
 }
 
-// renew issues the next renewal when it is due, and asks for extensions if the log's lease runs out
-// soon.
+// renew issues the next renewal when it is due. It then also asks for extensions if the lease that the log
+// confirms ends soon.
 func (e *Entry) renew(ctx context.Context) {
 	now := e.now()
 	e.publishLease(now)
@@ -55,7 +56,7 @@
 	})
 }
 
-// membership returns what the next renewal says of this entry.
+// membership returns this entry's next renewal, with the number lease.lastSeq.
 func (e *Entry) membership() wire.Member {
 	return wire.Member{
 		Node:         e.key.Node,
@@ -82,7 +83,8 @@
 	return false
 }
 
-// updateLease takes over the last renewal that the log's state shows, and the members of the zone.
+// updateLease updates the lease to the last renewal and the members of the zone that the log shows. If the
+// log has released this sender, the entry rejoins.
 func (e *Entry) updateLease() {
 	sender, known := e.state.Sender(e.key)
 	switch {
@@ -126,8 +128,8 @@
 	return e.now().Before(*e.leaseValidUntil.Load())
 }
 
-// requestExtensions asks the zone's keepers for extensions if the log's lease ends within half of a
-// lease's duration: those whose last extension ends within that time as well.
+// requestExtensions asks keepers of the zone for extensions if the lease that the log confirms ends within
+// half of a lease's duration. It asks those keepers whose last extension ends within that time too.
 func (e *Entry) requestExtensions(ctx context.Context, now time.Time) {
 	half := milliseconds(e.deps.Settings.LeaseMs) / 2
 	if e.lease.holder.CoveredByLog(now.Add(half)) {
@@ -166,7 +168,7 @@
 	return message
 }
 
-// handleExtended takes over the outcome of a request for an extension.
+// handleExtended records the outcome of a request for an extension of the lease.
 func (e *Entry) handleExtended(m extendedMessage) {
 	if m.key != e.key {
 		// The extension is for the sender that this entry was before it was released.
@@ -183,7 +185,7 @@
 	e.publishLease(e.now())
 }
 
-// peerClient returns the RPC client for an address, which it creates if there is none.
+// peerClient returns the RPC client for an address. It adds one if there is none.
 func (e *Entry) peerClient(address string) *call.Client {
 	if e.peerClients[address] == nil {
 		e.peerClients[address] = call.New(address, e.deps.Dial, e.deps.Clock)
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -90,6 +90,9 @@
 	successors int
 }
 
+// While it has timed work, the loop ticks every busyTickInterval and ages the queues every ticksPerAging
+// ticks. Otherwise it ticks idleTicksPerRenewal times per renewal interval and ages the queues at each
+// tick. Every ticksPerCleanup ticks it forgets old failures of boxes and sets the gauges.
 const (
 	busyTickInterval    = 20 * time.Millisecond
 	idleTicksPerRenewal = 8
@@ -160,7 +163,8 @@
 	}
 }
 
-// handleUpdate takes over a newer state of the log, and the platform's list of leaving boxes.
+// handleUpdate makes a newer state of the log the current one, and updates which boxes are leaving. It
+// ignores a state that is older than the current one.
 func (e *Entry) handleUpdate(update follow.Update) {
 	if update.LeavingBoxesKnown {
 		e.updateLeaving(update.LeavingBoxes)
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -60,8 +60,8 @@
 	tried map[string]bool
 	// maybeSent says that bytes of the request may have reached an endpoint.
 	maybeSent bool
-	// sendCount is the number of attempts on this entry's boxes that may have reached an endpoint, and
-	// of calls to other entries that failed and may have.
+	// sendCount is the number of attempts that may have reached an endpoint: attempts on this entry's
+	// boxes, and calls to other entries that failed.
 	sendCount int
 	// lastFailure is the response of the last attempt that was not final.
 	lastFailure *Response
@@ -189,9 +189,9 @@
 // before the response, it doesn't. If the deadline passes, it counts only if the attempt had at least
 // half of the service's longest run time.
 func countsAgainstBox(ctx context.Context, granted grant, result send.Result, took time.Duration) bool {
-	const enough = 2
+	const runTimeDivisor = 2
 	if ctx.Err() != nil && result.Kind != send.Answered {
-		return errors.Is(ctx.Err(), context.DeadlineExceeded) && enough*took >= milliseconds(granted.row.RunMs)
+		return errors.Is(ctx.Err(), context.DeadlineExceeded) && runTimeDivisor*took >= milliseconds(granted.row.RunMs)
 	}
 	return result.Kind != send.Answered || (result.Status >= http.StatusInternalServerError && !isBusy(result))
 }
@@ -307,8 +307,8 @@
 	}
 }
 
-// refusedResponse returns the response for a request that gets no further grant: the last attempt's if
-// that was answered or may have run, else the refusal.
+// refusedResponse returns the response for a request that gets no further grant: that of the last attempt
+// if it was answered or if any attempt may have reached an endpoint, else the refusal.
 func (x *execution) refusedResponse(why refusal) Response {
 	if x.lastFailure != nil && (x.maybeSent || x.lastFailure.Outcome == wire.OutcomeAnswered) {
 		return *x.lastFailure
--- a/pkg/front/route.go
+++ b/pkg/front/route.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// drawRoute draws a route at random, weighted by slots. Routes that were tried are left out, with
-// onlyFree also busy ones.
+// drawRoute draws a route of the pool at random, weighted by slots. It leaves out routes that were tried
+// and, with onlyFree, routes that are busy at now. It returns nil if no route is left.
 func (e *Entry) drawRoute(pool string, tried map[string]bool, now time.Time, onlyFree bool) *route {
 	var chosen *route
 	total := 0
@@ -79,8 +79,8 @@
 
 // reroute forwards waiting requests whose pool this entry can't send to any more, because its boxes went
 // to other entries or its lease ran out. Otherwise they would wait until their deadlines although other
-// entries have free boxes. A request that was forwarded to this entry is refused, so that the first
-// entry can try another one.
+// entries have free boxes. A request that was forwarded to this entry is refused, so that the entry that
+// forwarded it can try another one.
 func (e *Entry) reroute() {
 	for id, waiting := range e.requests {
 		if waiting.box != "" || e.canSendTo(waiting.pool) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// handleForwarded notes whether the entry to which a request was forwarded is busy.
+// handleForwarded updates how long the entry to which a request was forwarded counts as busy.
 func (e *Entry) handleForwarded(m forwardedMessage) {
 	for i := range e.routes[m.pool] {
 		peer := &e.routes[m.pool][i]
--- a/pkg/front/service.go
+++ b/pkg/front/service.go
@@ -53,7 +53,7 @@
 }
 
 // reserveMemory counts a request body of the given size against the entry's memory limit. It returns a
-// function that gives the bytes back, or a refusal if the limit would be exceeded.
+// function that releases the bytes, or a refusal if the limit would be exceeded.
 func (e *Entry) reserveMemory(bytes int) (func(), *refusal) {
 	size := int64(bytes)
 	if e.heldBytes.Add(size) > int64(e.deps.Settings.QueueKb)*bytesPerKilobyte {
--- a/pkg/front/stop.go
+++ b/pkg/front/stop.go
@@ -14,8 +14,8 @@
 )
 
 // Stop stops the entry as planned, without cutting off requests: it fails the load balancer's readiness
-// checks, hands its boxes over to other entries, waits until no request is in flight, and closes. When
-// ctx ends, it closes at once.
+// checks for the time in Settings.StopMs, hands its boxes over to other entries, waits until no request is
+// in flight, and closes. When ctx ends, it closes at once.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.stopping.Store(true)
 	e.deps.Logger.Info("planned stop: the balancer is told")
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a client of the platform's log, list of boxes and box control. Its protocol is
-// HTTP with JSON.
+// Package platform is the client through which dw-entry and dw-keeper use the platform's log, its list of
+// boxes and its control of boxes. The protocol is HTTP with JSON. For dw-node, see damsonwinch/platform.
 package platform
 
 import (
@@ -69,8 +69,8 @@
 	return reply.Offset, err
 }
 
-// Read returns a page of a stream of the log: at most maximum records, from the offset from on. If
-// there are none yet, the platform waits up to waitMs milliseconds for one.
+// Read returns a page of a stream of the log: at most maximum records, beginning with the one at offset
+// from. If there are none yet, the platform waits up to waitMs milliseconds for one.
 func (c *Client) Read(ctx context.Context, stream string, from, maximum, waitMs int) (wire.LogPage, error) {
 	query := url.Values{}
 	query.Set("from", strconv.Itoa(from))
@@ -82,8 +82,8 @@
 }
 
 // Boxes returns the platform's list of a zone's boxes. The caller must not change the list. If the
-// list has not changed since the last call, the platform doesn't send it again: to transfer and decode
-// thousands of boxes twice a second would be most of what control costs a node.
+// list has not changed since the last call, the platform doesn't send it again: transferring and decoding
+// thousands of boxes twice a second would be most of the cost of control on a node.
 func (c *Client) Boxes(ctx context.Context, zone string) ([]wire.ListedBox, error) {
 	cached := c.cachedListOf(zone)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/v1/list?hall="+url.QueryEscape(zone), nil)
--- a/pkg/send/send.go
+++ b/pkg/send/send.go
@@ -113,8 +113,8 @@
 }
 
 // Do sends a request once and waits for the complete response, until ctx ends. It counts the request
-// as sent from the moment when a connection is available: a request that was in fact not sent is then
-// reported as Unanswered, which is the safe error.
+// as sent as soon as a connection is available. An error that follows is thus reported as Unanswered even
+// if no byte was sent, which errs on the safe side.
 func (c *Client) Do(ctx context.Context, attempt Attempt) Result {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
