--- a/pkg/check/check.go
+++ b/pkg/check/check.go
@@ -79,7 +79,8 @@
 	return checker, nil
 }
 
-// checkAddress checks the format ip-port of a string.
+// checkAddress returns an error if a string value is not an IP address and a port. It
+// accepts values of other types, which the schema checks.
 func checkAddress(value any) error {
 	text, isString := value.(string)
 	if !isString {
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// CheckJSON checks JSON text against a definition and returns all faults.
+// CheckJSON checks JSON text against the definition of the given name, one of the
+// constants above, and returns all faults.
 func (c *Checker) CheckJSON(definition string, text []byte) []Fault {
 	value, err := jsonschema.UnmarshalJSON(strings.NewReader(string(text)))
 	if err != nil {
@@ -108,8 +110,8 @@
 	return c.innermostFaults(invalid, nil)
 }
 
-// innermostFaults appends the faults of the innermost validation errors to found. The
-// outer errors only repeat them.
+// innermostFaults appends to found a fault for each of the innermost causes of a
+// validation error. The outer errors only repeat them.
 func (c *Checker) innermostFaults(invalid *jsonschema.ValidationError, found []Fault) []Fault {
 	for _, cause := range invalid.Causes {
 		found = c.innermostFaults(cause, found)
@@ -147,8 +149,8 @@
 	return append(append([]string{}, path...), last)
 }
 
-// Decode checks JSON text against a definition, decodes it into the value that into
-// points to, and returns all faults. If there are faults, the value may be incomplete.
+// Decode checks JSON text as CheckJSON does, decodes it into the value that into points
+// to, and returns all faults. If there are faults, the value may be incomplete.
 func (c *Checker) Decode(definition string, text []byte, into any) []Fault {
 	faults := c.CheckJSON(definition, text)
 	if err := json.Unmarshal(text, into); err != nil && len(faults) == 0 {
--- a/pkg/check/cross.go
+++ b/pkg/check/cross.go
@@ -8,8 +8,9 @@
 	"damsonwinch/pkg/settings"
 )
 
-// crossCheck returns the faults that only several fields together show: duplicate
-// names, and names of availability zones or pools that the value doesn't declare.
+// crossCheck returns the faults that show only in several fields together: duplicate
+// names, and names of availability zones or pools that the value doesn't declare. value
+// is a pointer to decoded settings; other values have no such faults.
 func crossCheck(value any) []Fault {
 	switch file := value.(type) {
 	case *settings.Keeper:
@@ -24,8 +25,8 @@
 	return nil
 }
 
-// peerFaults checks a list of peers under a key, and a process's own zone, against the
-// zones of the deployment.
+// peerFaults returns the faults of a process's own zone and of the peers listed under a
+// key: duplicate peers, and zones that aren't among the deployment's zones.
 func peerFaults(key string, peers []settings.Peer, zone string, zones []string) []Fault {
 	var found []Fault
 	if len(zones) > 0 && !slices.Contains(zones, zone) {
--- a/pkg/check/file.go
+++ b/pkg/check/file.go
@@ -40,8 +40,8 @@
 	standard := root.Clone()
 	standard.Standardize()
 	faults := append(duplicateKeys(root, nil), c.Decode(definition, standard.Pack(), into)...)
-	// Even if there are faults, what could be decoded is checked further, so that the
-	// error lists all faults at once.
+	// Even if there are faults, the part that could be decoded is checked further, so
+	// that the error lists all faults at once.
 	faults = append(faults, crossCheck(into)...)
 	if len(faults) == 0 {
 		return nil
--- a/pkg/keeper/carry.go
+++ b/pkg/keeper/carry.go
@@ -14,8 +14,8 @@
 // maintenanceTimeout bounds one attempt at the maintenance of a box.
 const maintenanceTimeout = 10 * time.Minute
 
-// planZones plans each zone that this keeper leads: it proposes senders for boxes
-// that have none, and itself as the maintainer of boxes in maintenance.
+// planZones makes the proposals for each zone that this keeper leads: senders for
+// boxes that have none, and itself as the maintainer of boxes in maintenance.
 func (k *Keeper) planZones() {
 	for _, zone := range k.deps.Settings.Halls {
 		if !k.leadsZone(zone) {
@@ -47,8 +47,8 @@
 )
 
 // proposeMaintainer proposes this keeper as the maintainer of the zone's boxes in
-// maintenance that have none, or one that is no longer a member. Once the log has
-// made it the maintainer, runMaintenances maintains the boxes.
+// maintenance that have no maintainer, or one that is no longer a member. Once the
+// log has accepted this, runMaintenances carries out the maintenance.
 func (k *Keeper) proposeMaintainer(zone string) {
 	for _, box := range k.state.Boxes() {
 		if box.Info.Hall != zone || box.Phase != fold.Maintenance {
@@ -87,13 +87,13 @@
 	}
 }
 
-// key identifies this keeper in the state.
+// key returns the key by which the state names this run of the keeper.
 func (k *Keeper) key() fold.KeeperKey {
 	return fold.KeeperKey{Node: k.node(), Incarnation: k.incarnation}
 }
 
-// proposeBoxChange proposes a change of a box that needs no more than the box's
-// name and epoch.
+// proposeBoxChange proposes a change of a kind that needs no data but the box's name
+// and epoch. The cause is for the audit trail.
 func (k *Keeper) proposeBoxChange(kind wire.Kind, box fold.Box, cause string) {
 	k.propose(wire.Proposal{Kind: kind, Cause: cause, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch}})
 }
@@ -111,8 +111,8 @@
 	})
 }
 
-// handleMaintained notes the end of a maintenance. One that has failed is retried;
-// the maintenance wave that it belongs to halts meanwhile.
+// handleMaintained records that a maintenance has ended. One that has failed is
+// retried; the maintenance wave that it belongs to halts meanwhile.
 func (k *Keeper) handleMaintained(message maintainedMessage) {
 	if message.err != nil {
 		delete(k.maintenances, message.box)
@@ -123,7 +123,8 @@
 	k.maintenances[message.box] = maintenanceDone
 }
 
-// planFleet proposes moves and maintenance of boxes if this keeper leads the fleet.
+// planFleet proposes moves and maintenance of boxes if this keeper leads the fleet
+// and the log has a table.
 func (k *Keeper) planFleet() {
 	if !k.leadsFleet() || k.state.Table().Version() == 0 {
 		return
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -3,8 +3,9 @@
 // the lease renewals of senders, which are the entries that send requests to
 // boxes; it extends the leases of senders that are cut off from the log, and
 // releases senders that are lost. It plans moves and maintenance of boxes and
-// carries out the maintenance. One goroutine, run, owns the state; calls, replies
-// and lists reach it as messages.
+// carries out the maintenance. One goroutine, which executes run, owns the state;
+// RPC calls, the results of the keeper's own calls, and lists of boxes reach it as
+// messages.
 package keeper
 
 import (
@@ -30,7 +31,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// ServiceName is the net/rpc name under which a keeper serves calls.
+// ServiceName is the name of the net/rpc service that a keeper serves.
 const ServiceName = "Keeper"
 
 const (
@@ -56,7 +57,7 @@
 	PlanOptions plan.Options
 }
 
-// Keeper is a running keeper.
+// Keeper is a running keeper. New starts it, Close stops it.
 type Keeper struct {
 	deps        Deps
 	incarnation int
@@ -66,7 +67,7 @@
 	group       *errgroup.Group
 	server      *call.Server
 	peers       map[string]*call.Client // By node.
-	// listedZones are the availability zones whose lists pollList reads.
+	// listedZones are the availability zones whose lists of boxes pollList reads.
 	listedZones atomic.Pointer[[]string]
 
 	// The fields below are used by run only.
@@ -79,7 +80,7 @@
 	outbox       outbox
 	list         listView
 	maintenances map[string]maintenanceState // By box.
-	logReadAt    time.Time
+	logReadAt    time.Time                   // When the last read of the log itself began.
 	// fleetChanged says that the fleet has changed since plannedAt, when the last
 	// plan was made.
 	fleetChanged bool
@@ -145,7 +146,7 @@
 }
 
 // sources returns the sources of records in the order in which they are tried:
-// the log, the keepers of the own zone, and the other keepers.
+// the log, the other keepers of this keeper's zone, and those of other zones.
 func (k *Keeper) sources() []damsonwinch.RecordSource {
 	sources := []damsonwinch.RecordSource{follow.LogSource{Log: k.deps.Log}}
 	for _, inOwnZone := range []bool{true, false} {
@@ -191,7 +192,7 @@
 	return k.deps.Clock.Now()
 }
 
-// isLogFresh says whether the keeper itself has read the log recently: within
+// isLogFresh reports whether the keeper itself has read the log recently: within
 // three renewal intervals and a second. Records that other keepers relay don't
 // count.
 func (k *Keeper) isLogFresh() bool {
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -7,7 +7,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Messages to run. A reply function passes the reply to a call on to its caller.
+// Messages to run. The first five stand for calls of the keeper's RPC methods; their
+// reply functions send the reply to the caller.
 type (
 	readMessage struct {
 		args  wire.ReadArgs
@@ -15,7 +16,7 @@
 	}
 	renewMessage struct {
 		member wire.Member
-		reply  func(bool)
+		reply  func(bool) // Whether the renewal is accepted.
 	}
 	extendMessage struct {
 		args  wire.ExtendArgs
@@ -23,35 +24,44 @@
 	}
 	proposeMessage struct {
 		proposals []wire.Proposal
-		reply     func(bool)
+		reply     func(bool) // Whether the proposals are queued.
 	}
 	statusMessage struct {
 		args  wire.StatusArgs
 		reply func(wire.StatusReply)
 	}
+	// listMessage brings the platform's list of a zone's boxes.
 	listMessage struct {
 		zone  string
 		boxes []wire.ListedBox
 	}
+	// appendedMessage reports that the append of the batch with a number has
+	// succeeded, or failed with err.
 	appendedMessage struct {
 		number int
 		err    error
 	}
+	// forwardedMessage reports whether the zone's leader has accepted this keeper's
+	// renewal.
 	forwardedMessage struct {
 		member   wire.Member
 		accepted bool
 	}
+	// maintainedMessage reports that the maintenance of a box has succeeded, or
+	// failed with err.
 	maintainedMessage struct {
 		box string
 		err error
 	}
+	// entryExitedMessage reports that an incarnation of the entry on this box has
+	// exited.
 	entryExitedMessage struct {
 		incarnation int
 	}
 )
 
-// run handles updates of the state, messages and ticks until ctx ends. It returns
-// nil.
+// run handles updates of the state, messages and ticks until ctx ends. It always
+// returns nil.
 func (k *Keeper) run(ctx context.Context) error {
 	const ticksPerRenewal = 4
 	ticker := k.deps.Clock.NewTicker(milliseconds(k.deps.Settings.RenewMs) / ticksPerRenewal)
@@ -105,8 +115,8 @@
 	}
 }
 
-// applyUpdate takes over the state of an update and handles the records that led to
-// it. It ignores a state that is older than the present one.
+// applyUpdate makes the state of an update the present one and handles the records
+// that led to it. It ignores a state that is older than the present one.
 func (k *Keeper) applyUpdate(update follow.Update) {
 	if update.Source == follow.LogSourceName {
 		k.logReadAt = update.ReadStartedAt
@@ -141,7 +151,7 @@
 }
 
 // proposeChanges renews the keeper's membership when this is due, and proposes the
-// changes that the state calls for.
+// releases, moves and maintenance that the present state requires.
 func (k *Keeper) proposeChanges(ctx context.Context) {
 	k.renew(ctx)
 	if !k.isLogFresh() || k.outbox.awaitsLastBatch(k.state, k.now()) {
@@ -158,9 +168,9 @@
 	k.planFleet()
 }
 
-// beginPlanIfDue says whether a plan is due, and if so notes that it is made now.
-// Since each plan looks at every box, it is due only if the fleet has changed by
-// more than renewals since the last one, or idlePlanRenewals after it.
+// beginPlanIfDue reports whether a plan is due and, if so, sets plannedAt to now.
+// Since each plan looks at every box, a plan is due only if the fleet has changed by
+// more than renewals since the last plan, or idlePlanRenewals after it.
 func (k *Keeper) beginPlanIfDue() bool {
 	now := k.now()
 	if !k.fleetChanged && now.Sub(k.plannedAt) < idlePlanRenewals*milliseconds(k.deps.Settings.RenewMs) {
@@ -170,8 +180,9 @@
 	return true
 }
 
-// renewalTimeoutMs returns the log time without a renewal, in milliseconds, after
-// which a member isn't chosen as a leader and a sender gets no boxes.
+// renewalTimeoutMs returns for how long, by the log's time and in milliseconds, a
+// member may go without a renewal and still become a leader, and a sender without
+// one and still get boxes.
 func (k *Keeper) renewalTimeoutMs() int {
 	return k.deps.Settings.LeaseMs
 }
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -6,7 +6,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// noteRenewals notes when the newest renewal of each sender was first read.
+// noteRenewals tells the grantor which renewal of each sender is the newest in the
+// state. The grantor remembers when it was first read.
 func (k *Keeper) noteRenewals() {
 	now := k.now()
 	present := map[string]bool{}
@@ -45,12 +46,14 @@
 	}
 }
 
-// canRelease says whether this keeper may release a sender, and how it knows that
-// the sender no longer sends: it has seen the entry on its own box exit; it has
-// waited until the sender's lease and its own extensions of it have expired, and the
-// sender has asked it for extensions; or it leads the sender's zone and the platform's
-// list has not shown the entry's box for the time of a lease. Package fold checks the
-// release again when it is applied, as far as the state allows.
+// canRelease reports whether this keeper may propose to release a sender, and how it
+// knows that the sender no longer sends. There are three ways. The keeper has seen the
+// entry on its own box exit. Or the sender's lease and this keeper's extensions of it
+// have expired, and the sender asks this keeper for extensions (see
+// lease.KnownToSender). Or these have expired, the keeper leads the sender's zone, and
+// the platform's list has not shown the entry's box for longer than a lease and the
+// drift of clocks. Package fold checks the release again when it is applied, as far as
+// the state allows.
 func (k *Keeper) canRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
 	member, isMember := k.state.Member(k.node())
 	if !isMember || member.KeeperIncarnation != k.incarnation {
@@ -73,14 +76,14 @@
 	return wire.ReleaseHowList, isMissing && waited && k.leadsZone(sender.Zone)
 }
 
-// hasExited says whether an incarnation of the entry on this box has exited: its
-// address has refused a connection, or a later incarnation has the address.
+// hasExited reports whether an incarnation of the entry on this box has exited: its
+// address has refused a connection, or a later incarnation has handed in a renewal.
 func (k *Keeper) hasExited(incarnation int) bool {
 	return k.renewals.exitedEntries[incarnation] || incarnation < k.renewals.own.Entry
 }
 
 // proposeRelease proposes to release a sender. From then on the grantor denies the
-// sender extensions, because the log may take the proposal at any later time.
+// sender extensions, because the log may accept the proposal at any later time.
 func (k *Keeper) proposeRelease(sender fold.Sender, how wire.ReleaseHow) {
 	k.grantor = k.grantor.WithReleaseProposed(sender.Key.String())
 	k.propose(wire.Proposal{
--- a/pkg/keeper/members.go
+++ b/pkg/keeper/members.go
@@ -12,10 +12,11 @@
 // callTimeout bounds a call to another keeper and a probe of an entry.
 const callTimeout = time.Second
 
-// renewals holds the renewals that are to be appended, and what the keeper knows
+// renewals holds the renewals that this keeper has still to append, and what it knows
 // about the entry on its box.
 type renewals struct {
-	// own is the last renewal that the entry on this box has handed in.
+	// own is the last renewal that the entry on this box has handed in. Its Entry is
+	// 0 before the first one.
 	own wire.Member
 	// received holds the renewals that other boxes have handed in since the last
 	// proposal, by node.
@@ -33,8 +34,8 @@
 }
 
 // handleRenewal accepts a renewal, which the keeper then proposes or forwards together
-// with its own. It refuses the renewal if the keeper has not read the log recently;
-// that of the entry on its own box it keeps nevertheless.
+// with its own. It refuses the renewal if the keeper has not read the log recently, but
+// even then keeps it if it comes from the entry on the keeper's own box.
 func (k *Keeper) handleRenewal(message renewMessage) {
 	member := message.member
 	if member.Node == k.node() {
@@ -81,8 +82,8 @@
 }
 
 // withoutUnchanged returns a renewal without the zone and the addresses if the state
-// has them already. Every keeper reads every renewal, so renewals make up most of the
-// traffic for the control of the fleet.
+// has them already. Every keeper reads every renewal, so the size of renewals makes up
+// most of the cost of controlling the fleet.
 func (k *Keeper) withoutUnchanged(renewal wire.Member) wire.Member {
 	member, isMember := k.state.Member(renewal.Node)
 	sender, isSender := k.state.Sender(fold.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
@@ -96,7 +97,8 @@
 	return renewal
 }
 
-// ownRenewal returns the renewal of this keeper and of the entry on its box.
+// ownRenewal returns the renewal of this keeper's membership and of the lease of the
+// entry on its box.
 func (k *Keeper) ownRenewal() wire.Member {
 	member := k.renewals.own
 	member.Node = k.node()
@@ -112,8 +114,8 @@
 }
 
 // oldestMember returns the member that joined first among those that have renewed
-// their membership recently, and whether there is one. It is the leader of these
-// members.
+// their membership recently, and whether there is one. That member is the leader of
+// the given members.
 func (k *Keeper) oldestMember(members []fold.Member) (fold.Member, bool) {
 	var oldest fold.Member
 	found := false
@@ -128,7 +130,7 @@
 	return oldest, found
 }
 
-// forwardRenewal hands this keeper's renewal to the keeper of another node.
+// forwardRenewal hands this keeper's renewal to the keeper on the node to.
 func (k *Keeper) forwardRenewal(ctx context.Context, to string) {
 	member := k.ownRenewal()
 	client := k.peers[to]
@@ -175,9 +177,9 @@
 // probedMessage says that the probe of the entry on this box is done.
 type probedMessage struct{}
 
-// leadsZone says whether this keeper is the leader of a zone, which does the work
-// that only one keeper should do for it. A zone without members is led by the
-// fleet's leader.
+// leadsZone reports whether this keeper is the leader of a zone. The leader does the
+// work that only one keeper should do for the zone. A zone without members is led by
+// the fleet's leader.
 func (k *Keeper) leadsZone(zone string) bool {
 	leader, found := k.oldestMember(k.state.MembersInZone(zone))
 	if !found {
@@ -186,8 +188,8 @@
 	return leader.Node == k.node() && leader.KeeperIncarnation == k.incarnation
 }
 
-// leadsFleet says whether this keeper is the fleet's leader, which makes the plans.
-// For a time two keepers may both take themselves for the leader. That is safe: a
+// leadsFleet reports whether this keeper is the fleet's leader, which makes the plans.
+// Two keepers may consider themselves the leader at the same time. That is safe: a
 // proposal about a box is refused if the box is no longer at the epoch on which the
 // proposal was decided.
 func (k *Keeper) leadsFleet() bool {
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -20,8 +20,9 @@
 	appendInterval = 50 * time.Millisecond
 	// maxAppendBackoff bounds the pause after failed appends.
 	maxAppendBackoff = 2 * time.Second
-	// maxBatchProposals bounds the proposals that wait for the next batch, without
-	// operators' edits. Further proposals are dropped; they are made again later.
+	// maxBatchProposals is the maximum number of proposals that wait for the next
+	// batch, not counting operators' edits. Further proposals are dropped; they are
+	// made again later.
 	maxBatchProposals = 500
 )
 
@@ -30,7 +31,7 @@
 	incarnation int
 	// lastNumber is the number of the last batch.
 	lastNumber int
-	// queued are the proposals for the next batch, without edits.
+	// queued holds the proposals for the next batch, except edits.
 	queued []wire.Proposal
 	// edits are the operators' edits whose results are not known yet. Unlike other
 	// proposals they must not get lost.
@@ -70,8 +71,9 @@
 	}
 }
 
-// sameSubject says whether two proposals are of the same kind and about the same box
-// or release. Renewals, enrollments and checkpoints always have the same subject.
+// sameSubject reports whether two proposals are of the same kind and about the same
+// box or release. Two renewals always have the same subject, and so have two
+// enrollments or two checkpoints.
 func sameSubject(a, b wire.Proposal) bool {
 	if a.Kind != b.Kind {
 		return false
@@ -110,8 +112,8 @@
 	o.edits = kept
 }
 
-// hasSentEdit says whether there is an edit that was sent and whose result is not
-// known.
+// hasSentEdit reports whether there is an edit that is in a sent batch and whose
+// result is not known.
 func (o *outbox) hasSentEdit() bool {
 	for _, edit := range o.edits {
 		if edit.batchNumber != 0 {
@@ -121,8 +123,8 @@
 	return false
 }
 
-// awaitsLastBatch says whether the state doesn't include the last batch yet, which may
-// still be applied. After appendTimeout the batch counts as lost.
+// awaitsLastBatch reports whether the last batch may still be applied but the state
+// doesn't include it yet. After appendTimeout the batch counts as lost.
 func (o *outbox) awaitsLastBatch(state fold.State, now time.Time) bool {
 	if o.inFlight {
 		return true
--- a/pkg/keeper/relay.go
+++ b/pkg/keeper/relay.go
@@ -9,7 +9,8 @@
 )
 
 // maxRelayedRecords is the number of records that a keeper holds for its readers. It
-// holds up to a quarter more, so that it need not copy them for each record.
+// lets them grow by up to a quarter before it drops the oldest ones, so that it doesn't
+// copy the records each time one is added.
 const maxRelayedRecords = 4096
 
 // relay holds the newest records, and the reads that wait for the next one. The
@@ -20,7 +21,7 @@
 	waiting     []waitingRead
 }
 
-// waitingRead is a read that waits for a record, at most until a time.
+// waitingRead is a read that waits for a record, at most until the time in until.
 type waitingRead struct {
 	message readMessage
 	until   time.Time
@@ -41,8 +42,8 @@
 	r.firstOffset = update.State.Offset() - len(r.records)
 }
 
-// recordsFrom returns at most maximum records from an offset on. It returns false if
-// the relay no longer holds the first of them.
+// recordsFrom returns at most maximum records, beginning with the one at an offset. It
+// returns false if the relay no longer holds that record.
 func (r *relay) recordsFrom(offset, maximum int) ([]wire.Entry, bool) {
 	if offset < r.firstOffset {
 		return nil, false
@@ -52,7 +53,7 @@
 	return r.records[start:end], true
 }
 
-// removeExpired removes and returns the reads that have waited until their end.
+// removeExpired removes and returns the waiting reads whose time is over.
 func (r *relay) removeExpired(now time.Time) []waitingRead {
 	var expired []waitingRead
 	waiting := r.waiting
@@ -114,8 +115,7 @@
 	return reply
 }
 
-// replyToExpired replies without records to the reads that have waited until their
-// end.
+// replyToExpired replies without records to the waiting reads whose time is over.
 func (k *Keeper) replyToExpired() {
 	for _, read := range k.relay.removeExpired(k.now()) {
 		read.message.reply(k.readReply([]wire.Entry{}))
--- a/pkg/keeper/service.go
+++ b/pkg/keeper/service.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Read returns records of the fleet stream, or a snapshot if the keeper no longer
-// has them.
+// Read returns records of the fleet stream. If the keeper no longer has the requested
+// ones, it returns a snapshot of the state instead.
 func (s *service) Read(args wire.ReadArgs, reply *wire.ReadReply) error {
 	results := make(chan func(), 1)
 	return s.call(readMessage{args: args, reply: func(result wire.ReadReply) {
@@ -40,7 +40,7 @@
 	}}, results)
 }
 
-// Renew accepts a renewal that the keeper will append to the log.
+// Renew hands a renewal to the keeper, which appends it to the log if it accepts it.
 func (s *service) Renew(args wire.RenewArgs, reply *wire.RenewReply) error {
 	results := make(chan func(), 1)
 	return s.call(renewMessage{member: args.Member, reply: func(accepted bool) {
@@ -56,7 +56,8 @@
 	}}, results)
 }
 
-// Propose queues proposals for the next append.
+// Propose queues proposals for the keeper's next append. The reply doesn't say whether
+// they are accepted when they are applied.
 func (s *service) Propose(args wire.ProposeArgs, reply *wire.ProposeReply) error {
 	results := make(chan func(), 1)
 	return s.call(proposeMessage{proposals: args.Proposals, reply: func(queued bool) {
@@ -64,7 +65,8 @@
 	}}, results)
 }
 
-// Status returns the status of the keeper.
+// Status returns the keeper's status with the parts that args asks for: the audit
+// trail, the state, a plan.
 func (s *service) Status(args wire.StatusArgs, reply *wire.StatusReply) error {
 	results := make(chan func(), 1)
 	return s.call(statusMessage{args: args, reply: func(result wire.StatusReply) {
--- a/pkg/keeper/snapshot.go
+++ b/pkg/keeper/snapshot.go
@@ -9,9 +9,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// writeSnapshot appends the state of a checkpoint to the log if this keeper leads the
-// fleet: the records that led to it will expire. It also proposes the state's hash,
-// with which all processes compare their own.
+// writeSnapshot appends a snapshot of the state to the log if this keeper leads the
+// fleet, because the records that led to the state will expire. It also proposes the
+// state's hash, with which all processes compare the hash of their own state.
 func (k *Keeper) writeSnapshot(ctx context.Context, snapshot fold.Snapshot) {
 	if !k.leadsFleet() {
 		return
--- a/pkg/keeper/watch.go
+++ b/pkg/keeper/watch.go
@@ -10,7 +10,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// listView is what this keeper has read of the platform's list.
+// listView holds what this keeper has read of the platform's list of boxes.
 type listView struct {
 	// boxesByZone holds the listed boxes, by zone and name.
 	boxesByZone map[string]map[string]wire.ListedBox
@@ -31,7 +31,7 @@
 	return listView{boxesByZone: map[string]map[string]wire.ListedBox{}, entryBoxes: map[string]entryBoxSighting{}}
 }
 
-// update takes over the list of a zone that was read at a time.
+// update replaces the list of a zone by the boxes that were read at the time now.
 func (l *listView) update(zone string, boxes []wire.ListedBox, now time.Time) {
 	shown := make(map[string]wire.ListedBox, len(boxes))
 	for _, box := range boxes {
@@ -50,8 +50,9 @@
 }
 
 // missingSince returns since when the list no longer shows an entry box that it once
-// showed. It returns false if the list shows the box, or no boxes of the box's zone:
-// the zone is then cut off from the platform rather than lost.
+// showed. It returns false if the list shows the box. It also does if the list shows no
+// boxes of the zone at all: the zone is then cut off from the platform rather than
+// lost.
 func (l *listView) missingSince(node, zone string) (time.Time, bool) {
 	sighting, known := l.entryBoxes[node]
 	if !known || !sighting.shown || sighting.missingSince.IsZero() || !l.showsZone(zone) {
@@ -60,7 +61,8 @@
 	return sighting.missingSince, true
 }
 
-// showsZone says whether the list shows any box of a zone that is not leaving.
+// showsZone reports whether the list shows at least one box of a zone that is not
+// leaving.
 func (l *listView) showsZone(zone string) bool {
 	for _, box := range l.boxesByZone[zone] {
 		if !box.Leaving {
@@ -70,7 +72,7 @@
 	return false
 }
 
-// wasRead says whether the list of any zone was read.
+// wasRead reports whether the list of any zone was read.
 func (l *listView) wasRead() bool {
 	return len(l.boxesByZone) > 0
 }
@@ -89,8 +91,8 @@
 	return names
 }
 
-// pollList reads the platform's list of each zone in listedZones, again and again
-// until ctx ends. It returns nil.
+// pollList reads the platform's list of each zone in listedZones every ListMs
+// milliseconds until ctx ends. It always returns nil.
 func (k *Keeper) pollList(ctx context.Context) error {
 	ticker := k.deps.Clock.NewTicker(milliseconds(k.deps.Settings.ListMs))
 	defer ticker.Stop()
@@ -118,9 +120,9 @@
 	k.send(ctx, listMessage{zone: zone, boxes: boxes})
 }
 
-// handleList takes over the list of a zone and, if this keeper leads the zone,
-// proposes what follows from it. It also sets listedZones to the keeper's own zone
-// and those that it leads.
+// handleList stores the list of a zone and, if this keeper leads the zone, proposes
+// the changes that the list shows. It also sets listedZones to the keeper's own zone
+// and the zones that it leads.
 func (k *Keeper) handleList(message listMessage) {
 	k.list.update(message.zone, message.boxes, k.now())
 	zones := []string{k.deps.Settings.Hall}
@@ -165,9 +167,9 @@
 	return wire.HealthUp
 }
 
-// proposeHealth proposes the health that the list shows for a box, if it isn't the
-// recorded one. It never replaces down by up: only the box's sender can tell whether
-// the endpoint answers. Boxes in maintenance are left alone.
+// proposeHealth proposes the health that the list shows for a box, if it differs from
+// the recorded one. It never replaces down by up: only the box's sender can tell
+// whether the endpoint answers. It proposes nothing for boxes in maintenance.
 func (k *Keeper) proposeHealth(box fold.Box, health wire.Health) {
 	if box.Health == health || (health == wire.HealthUp && box.Health == wire.HealthDown) {
 		return
--- a/pkg/operator/operator.go
+++ b/pkg/operator/operator.go
@@ -80,9 +80,9 @@
 	return c.initialState.Restore(snapshot)
 }
 
-// Publish edits the table so that it becomes the wanted one, and waits for the result.
-// It sets only the cells that differ from the table in force, so that other operators'
-// edits of other cells remain.
+// Publish edits the table so that it becomes the wanted one, and waits for the result
+// as Edit does. It sets only the cells that differ from the table in force, so that
+// other operators' edits of other cells remain.
 func (c *Client) Publish(ctx context.Context, wanted settings.Table, cause string) (wire.AuditLine, error) {
 	state, err := c.State(ctx)
 	if err != nil {
@@ -115,7 +115,9 @@
 	return c.await(ctx, id, before.Offset)
 }
 
-// await polls the keeper's audit trail from an offset on until it holds a proposal.
+// await polls the keeper's audit trail from an offset on until it holds the line of the
+// proposal with the given ID, and returns that line. If ctx ends first, the error is
+// ErrUndecided.
 func (c *Client) await(ctx context.Context, id string, from int) (wire.AuditLine, error) {
 	for ctx.Err() == nil {
 		status, err := c.Status(ctx, wire.StatusArgs{AuditFrom: from})
