--- a/pkg/command/command.go
+++ b/pkg/command/command.go
@@ -29,7 +29,7 @@
 	ExitViolations = 4 // A trial found violations of invariants.
 )
 
-// trialLogLevel is the log level of dw-trial, which prints its own progress.
+// trialLogLevel is the log level of dw-trial. It prints its own progress, so that only errors are logged.
 const trialLogLevel = logrus.ErrorLevel
 
 // ExitError is an error that makes the program exit with Code.
@@ -38,7 +38,7 @@
 	Err  error
 }
 
-// Error implements error.
+// Error returns the text of Err.
 func (e *ExitError) Error() string {
 	return e.Err.Error()
 }
--- a/pkg/command/control.go
+++ b/pkg/command/control.go
@@ -20,9 +20,9 @@
 	keeper string
 	// author is recorded as the author of edits.
 	author string
-	// output is the form of the output.
+	// output is the form of the output: outputText or outputJSON.
 	output string
-	// timeout is the time for all calls of a command.
+	// timeout limits the time of all calls of a command together.
 	timeout time.Duration
 }
 
@@ -62,13 +62,13 @@
 	return current.Username
 }
 
-// newClient returns a client of the keeper.
+// newClient returns a client of the keeper that the flags name. It connects upon its first call.
 func (c *control) newClient() (*operator.Client, error) {
-	empty, err := process.InitialState()
+	initialState, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
-	return operator.New(c.keeper, (&net.Dialer{}).DialContext, clockwork.NewRealClock(), empty, c.author), nil
+	return operator.New(c.keeper, (&net.Dialer{}).DialContext, clockwork.NewRealClock(), initialState, c.author), nil
 }
 
 // print writes a command's result: value as JSON, or lines as text.
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// formatTime formats a time in Unix milliseconds.
+// formatTime formats a time in Unix milliseconds as a date and time in UTC.
 func formatTime(unixMs int) string {
 	return time.UnixMilli(int64(unixMs)).UTC().Format("2006-01-02 15:04:05.000")
 }
--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -31,7 +31,7 @@
 // boxExplanation is the output of dwctl explain box.
 type boxExplanation struct {
 	Box fold.Box `json:"box"`
-	// Chain holds the audit lines about the box.
+	// Chain holds the audit lines about the box, in the order of their records.
 	Chain []wire.AuditLine `json:"chain"`
 }
 
@@ -54,7 +54,8 @@
 	})
 }
 
-// formatBox returns sentences that describe the state of a box.
+// formatBox returns lines of text that describe the state of a box and end with the heading of its audit
+// lines.
 func formatBox(box fold.Box) []string {
 	lines := []string{
 		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, formatTime(box.EpochStartedAt)),
@@ -106,7 +107,8 @@
 	})
 }
 
-// newServiceExplanation collects what state and the audit lines say about the service of the given name.
+// newServiceExplanation returns the explanation of the service with the given name and row: the status and
+// boxes of its pool in state, and the lines of audit that concern the service or these boxes.
 func newServiceExplanation(name string, row settings.Row, state fold.State, audit []wire.AuditLine) serviceExplanation {
 	pool := state.Pool(row.Pool)
 	explanation := serviceExplanation{
--- a/pkg/command/control_status.go
+++ b/pkg/command/control_status.go
@@ -31,13 +31,13 @@
 	// Offset is the offset of the next record that the keeper will apply.
 	Offset       int `json:"offset"`
 	TableVersion int `json:"table_version"`
-	// LogFresh reports whether the keeper reads the log, so that its state is current.
+	// LogFresh says that the keeper has read the log recently, so that its state is current.
 	LogFresh bool          `json:"log_fresh"`
 	Pools    []poolStatus  `json:"pools"`
 	Senders  []fold.Sender `json:"senders"`
 }
 
-// poolStatus is the status of a pool. All numbers but Boxes and Down count slots.
+// poolStatus is the status of a pool. Boxes and Down count boxes, the other numbers slots.
 type poolStatus struct {
 	Pool     string `json:"pool"`
 	Boxes    int    `json:"boxes"`
@@ -69,7 +69,7 @@
 	}
 }
 
-// newFleetStatus returns the status by the reply and the state of a keeper.
+// newFleetStatus returns the fleet's status from a keeper's reply to a Status call and the keeper's state.
 func newFleetStatus(reply wire.StatusReply, state fold.State) fleetStatus {
 	status := fleetStatus{
 		Keeper: reply.Node, Offset: state.Offset(), TableVersion: state.Table().Version(), LogFresh: reply.LogFresh, Senders: state.Senders(),
@@ -122,7 +122,7 @@
 	return (f.author == "" || line.Author == f.author) && line.Offset >= f.from
 }
 
-// isAbout reports whether the subject of a line contains a name.
+// isAbout reports whether the subject of a line, a list of names, contains a name.
 func isAbout(line wire.AuditLine, name string) bool {
 	return slices.Contains(strings.Fields(line.Subject), name)
 }
--- a/pkg/command/control_table.go
+++ b/pkg/command/control_table.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// diff returns the edit that changes the table in force into the table of a file.
+// diff returns the edit that changes the table in force into the table of a file. The edit is empty if they
+// are equal.
 func (c *control) diff(cmd *cobra.Command, file string) (wire.Edit, error) {
 	wanted, err := readTable(file)
 	if err != nil {
--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -21,7 +21,7 @@
 // stopTimeout limits the duration of a planned stop of dw-entry.
 const stopTimeout = 2 * time.Minute
 
-// Keeper returns the command line of dw-keeper.
+// Keeper returns the command line of dw-keeper, which runs a keeper until SIGTERM or an interrupt.
 func Keeper() *cobra.Command {
 	root := newRootCommand("dw-keeper", "Follow the platform's log and decide moves and waves for this box's hall")
 	var file string
@@ -44,7 +44,7 @@
 	return root
 }
 
-// Entry returns the command line of dw-entry.
+// Entry returns the command line of dw-entry, which runs an entry until SIGTERM or an interrupt.
 func Entry() *cobra.Command {
 	root := newRootCommand("dw-entry", "Take callers' requests and send them to endpoints")
 	root.Long += "\n\nA first SIGTERM or interrupt begins a planned stop, which ends when nothing is in flight."
@@ -92,9 +92,9 @@
 	}
 }
 
-// newSuspendedTime returns a function that returns for how long the machine has been suspended. If the
-// machine has no clock that counts suspensions, it logs a warning and returns nil; the process then runs
-// as if there were no suspensions.
+// newSuspendedTime returns a function that returns for how long the machine has been suspended since now.
+// If the machine has no clock that counts suspensions, newSuspendedTime logs a warning and returns nil; the
+// process then runs as if there were no suspensions.
 func newSuspendedTime(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.SuspendedTime {
 	watch, err := suspend.New(clock, suspend.BootTime)
 	if err != nil {
--- a/pkg/command/measure.go
+++ b/pkg/command/measure.go
@@ -14,8 +14,8 @@
 	"damsonwinch/pkg/planbench"
 )
 
-// addSizeFlags sets sizes to those of the large fleet and adds flags to change them, since the users'
-// requirements may change.
+// addSizeFlags sets sizes to the default sizes of the large fleet and adds flags that change them, since
+// the users' requirements may change.
 func addSizeFlags(cmd *cobra.Command, sizes *planbench.Sizes) {
 	*sizes = planbench.SizesInTwoYears()
 	cmd.Flags().IntVar(&sizes.Boxes, "boxes", sizes.Boxes, "boxes of the large fleet")
@@ -130,7 +130,7 @@
 	return cmd
 }
 
-// writePlanBench prints results as a table, followed by a line of JSON.
+// writePlanBench prints the results of dw-trial plan-bench as a table, followed by a line of JSON.
 func writePlanBench(cmd *cobra.Command, results []planbench.Result) error {
 	const padding = 2
 	out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, padding, ' ', 0)
--- a/pkg/command/node.go
+++ b/pkg/command/node.go
@@ -20,7 +20,7 @@
 // maxStopShare is the part of the time between the request to stop and the kill that a planned stop may take.
 const maxStopShare = 0.7
 
-// Node returns the command line of dw-node.
+// Node returns the command line of dw-node, which runs a node until SIGTERM or an interrupt.
 func Node() *cobra.Command {
 	root := newRootCommand("dw-node", "Take clients' jobs, run them on the pools' boxes and plan moves and maintenance")
 	root.Long += "\n\nWithout --settings, the file is the one that the platform names in " + platform.SettingsVariable + "."
--- a/pkg/command/settings.go
+++ b/pkg/command/settings.go
@@ -8,8 +8,8 @@
 	"damsonwinch/pkg/check"
 )
 
-// readSettings checks a settings file by the schema's definition of the given name and decodes it into the
-// value that into points to. The error lists every fault of the file.
+// readSettings reads a settings file, checks it against the schema's definition of the given name, and
+// decodes it into the value that into points to. The error lists every fault of the file.
 func readSettings(definition, file string, into any) error {
 	checker, err := check.New()
 	if err != nil {
--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -115,7 +115,7 @@
 
 // serveEndpoints starts a stand-in endpoint for each box.
 func serveEndpoints(boxes []wire.BoxInfo) ([]*standin.Endpoint, error) {
-	clock, book := clockwork.NewRealClock(), standin.NewObservations()
+	clock, observations := clockwork.NewRealClock(), standin.NewObservations()
 	var endpoints []*standin.Endpoint
 	for _, info := range boxes {
 		if _, err := netip.ParseAddrPort(info.Address); err != nil {
@@ -125,7 +125,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("listen at %s: %w", info.Address, err)
 		}
-		endpoints = append(endpoints, standin.NewEndpoint(info.Name, clock, listener, book, func(service string) string { return service }))
+		endpoints = append(endpoints, standin.NewEndpoint(info.Name, clock, listener, observations, func(service string) string { return service }))
 	}
 	return endpoints, nil
 }
--- a/pkg/command/trial.go
+++ b/pkg/command/trial.go
@@ -15,7 +15,7 @@
 	maxSeconds     = 600
 )
 
-// Trial returns the command line of dw-trial.
+// Trial returns the command line of dw-trial, whose subcommands run trials, benchmarks and stand-ins.
 func Trial() *cobra.Command {
 	root := newRootCommand("dw-trial", "Run damsonwinch with stand-ins on this machine")
 	root.AddCommand(trialRun(), trialPlatform(), trialEndpoints(), trialPlanBench(), trialLoad(), trialSlopes())
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -47,13 +47,17 @@
 }
 
 // canRelease reports whether this keeper may propose to release a sender, and how it
-// knows that the sender no longer sends. There are three ways. The keeper has seen the
-// entry on its own box exit. Or the sender's lease and this keeper's extensions of it
-// have expired, and the sender asks this keeper for extensions (see
-// lease.KnownToSender). Or these have expired, the keeper leads the sender's zone, and
-// the platform's list has not shown the entry's box for longer than a lease and the
-// drift of clocks. Package fold checks the release again when it is applied, as far as
-// the state allows.
+// knows that the sender no longer sends:
+//   - The sender's lease and this keeper's extensions of it have expired, and the
+//     sender knows this keeper, so that it can't go on without it (see
+//     lease.KnownToSender).
+//   - The keeper has seen the entry on its own box exit. It must be known to the sender
+//     or have waited until the lease and its extensions have expired.
+//   - The lease and this keeper's extensions have expired, it leads the sender's zone,
+//     and the platform's list has not shown the entry's box for longer than a lease
+//     and the drift of clocks.
+//
+// Package fold checks the release again when it is applied, as far as the state allows.
 func (k *Keeper) canRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
 	member, isMember := k.state.Member(k.node())
 	if !isMember || member.KeeperIncarnation != k.incarnation {
