--- a/pkg/settings/settings.gen.go
+++ b/pkg/settings/settings.gen.go
@@ -12,8 +12,8 @@
 	// milliseconds. From 1 to 600000.
 	DrainMs int `json:"drain_ms"`
 
-	// Factor by which a task takes longer if it runs away from its data. From 1 to
-	// 100; the default is 1.
+	// Factor by which a task takes longer if it does not run where its data is. From
+	// 1 to 100; the default is 1.
 	Far float64 `json:"far,omitempty,omitzero"`
 
 	// How long a task of a gang waits for the gang's other tasks, in milliseconds.
@@ -48,8 +48,8 @@
 	// the default is 1.5.
 	MoveS float64 `json:"move_s,omitempty,omitzero"`
 
-	// How long a serving task must be unavailable to count as unavailable, in
-	// milliseconds. From 1 to 600000; the default is 4500.
+	// Shortest time out of service that counts as an interruption of a serving task,
+	// in milliseconds. From 1 to 600000; the default is 4500.
 	NoticeMs int `json:"notice_ms,omitempty,omitzero"`
 
 	// Time that a task takes to resume from a checkpoint, in milliseconds. From 0 to
@@ -66,8 +66,8 @@
 	// revoke_fail_closed. From 1 to 600000; the default is 5000.
 	RevokeMs int `json:"revoke_ms,omitempty,omitzero"`
 
-	// Work of a task between two of its checkpoints, in seconds. From 0 to 3600; the
-	// default is 0.
+	// Amount of work that a task does between two of its checkpoints, in seconds.
+	// From 0 to 3600; the default is 0.
 	SaveS float64 `json:"save_s,omitempty,omitzero"`
 
 	// Longest time that a task takes to end after it was told to stop, in
@@ -136,9 +136,9 @@
 	// IP and port of the platform's API, of which the entry uses the log.
 	Platform string `json:"platform"`
 
-	// Largest total size of the bodies of the requests that wait or run, in units of
-	// 1024 bytes. Further requests are refused. From 64 to 1048576; the default is
-	// 32768.
+	// Largest total size of the bodies of the requests that wait or run at the entry,
+	// in units of 1024 bytes. Further requests are refused. From 64 to 1048576; the
+	// default is 32768.
 	QueueKb int `json:"queue_kb,omitempty,omitzero"`
 
 	// Time between two renewals of the entry's lease, in milliseconds. From 20 to
@@ -227,16 +227,16 @@
 	// on this box has the same name.
 	Node string `json:"node"`
 
-	// The other keepers. This keeper reads records from them when the log does not
-	// answer, first from those of its own zone.
+	// The other keepers. When the log does not answer, this keeper reads records from
+	// them, first from those of its own zone.
 	Peers []Peer `json:"peers"`
 
 	// IP and port of the platform's API: the log, the list of boxes and the control
 	// of boxes.
 	Platform string `json:"platform"`
 
-	// Time between two renewals by the keeper, in milliseconds. From 20 to 60000; the
-	// default is 4000.
+	// Time between two renewals of the keeper's membership, in milliseconds. From 20
+	// to 60000; the default is 4000.
 	RenewMs int `json:"renew_ms,omitempty,omitzero"`
 
 	// Number of log records between two snapshots of the state. From 10 to 1000000;
@@ -261,7 +261,7 @@
 	// Time limits of the platform.
 	Bounds Bounds `json:"bounds"`
 
-	// IP and port of the platform's control of boxes.
+	// IP and port of the platform's service that lists and controls boxes.
 	Boxes string `json:"boxes"`
 
 	// IP and port on which the node serves the RPC calls of other nodes.
@@ -270,22 +270,25 @@
 	// IP and port on which the node serves the clients' HTTP requests.
 	ClientAddress string `json:"client_address"`
 
-	// Number of processor cores that the node may use; it may be a fraction. From
+	// Number of processor cores that the node may use; it may be a fraction. A node
+	// owns cells in proportion to it, unless its link is slow (see link_mbps). From
 	// 0.01 to 1024.
 	CoreShare float64 `json:"core_share"`
 
 	// IP and port on which the node serves its metrics over HTTP, at /debug/vars.
 	DebugAddress string `json:"debug_address"`
 
-	// Whether the whole system is started for the first time. The default is false.
+	// Whether the whole system is started for the first time. The node then gives the
+	// others time to join before it claims cells. The default is false.
 	FirstStart bool `json:"first_start,omitempty,omitzero"`
 
 	// Shortest time for which the log keeps a silent member in a group, in
 	// milliseconds. From 100 to 60000; the default is 1000.
 	GroupTtlMs int `json:"group_ttl_ms,omitempty,omitzero"`
 
-	// Speed of the node's network link, in Mbit/s. A node with a slow link owns cells
-	// only where there is no other node. From 0.1 to 1000000; the default is 1000.
+	// Speed of the node's network link, in Mbit/s. If it is less than 100 Mbit/s for
+	// each core of core_share, the node owns cells in proportion to the link's speed
+	// instead. From 0.1 to 1000000; the default is 1000.
 	LinkMbps float64 `json:"link_mbps,omitempty,omitzero"`
 
 	// Largest number of log lines per second. The lines left out are counted by kind.
@@ -377,7 +380,8 @@
 	// limit of its own.
 	Quotas []Quota `json:"quotas,omitempty,omitzero"`
 
-	// Whether a request may be sent again after an attempt with an unknown outcome.
+	// Whether a request may be sent again after an attempt whose outcome is unknown,
+	// so that it may run twice.
 	Repeatable bool `json:"repeatable"`
 
 	// Largest size of the body of a request, in units of 1024 bytes. From 1 to 65536;
--- a/pkg/wire/wire.gen.go
+++ b/pkg/wire/wire.gen.go
@@ -29,21 +29,21 @@
 	Spec JobSpec `json:"spec"`
 }
 
-// AllottedRecord holds the most that each cell may have running of one customer.
-// It is a record of the planner's stream, which is appended before any cell is
-// sent a higher allowance.
+// AllottedRecord holds the limits of each cell for one customer. It is a record of
+// the planner's stream, which is appended before any cell is sent a higher
+// allowance.
 type AllottedRecord struct {
 	// The customer's cap. For a kind of resource without a limit it is 0.
 	Cap Amount `json:"cap"`
 
-	// Limits of the cells.
+	// Limits of the cells, one for each cell.
 	Limits []CellLimit `json:"limits"`
 }
 
 // AllowanceRow is the allowance of a customer in a cell: the most that the
 // customer may have running there.
 type AllowanceRow struct {
-	// The allowance.
+	// Resources that the customer's running tasks in the cell may use together.
 	Amount Amount `json:"amount"`
 
 	// The customer's cap, of which the allowance is a part. For a kind of resource
@@ -55,7 +55,7 @@
 }
 
 // AllowancesRecord holds the allowances of a cell. It is a record of the cell's
-// stream, so that a later owner does not go by higher allowances.
+// stream, so that a later owner does not apply higher allowances.
 type AllowancesRecord struct {
 	// Allowances by customer.
 	Allowances []AllowanceRow `json:"allowances,omitempty,omitzero"`
@@ -142,13 +142,13 @@
 	// Name of the box.
 	Box string `json:"box"`
 
-	// Incarnation of the sender that node names.
+	// Incarnation of the sender that the field node names.
 	Entry int `json:"entry,omitempty,omitzero"`
 
 	// Epoch of the box on which the change was decided.
 	Epoch int `json:"epoch"`
 
-	// New health of the box.
+	// New health of the box, for the kind health; empty for other kinds.
 	Health Health `json:"health,omitempty,omitzero"`
 
 	// Whether the box goes into maintenance after its drain.
@@ -229,9 +229,10 @@
 	Topics int `json:"topics,omitempty,omitzero"`
 }
 
-// CellLimit is the most that a cell may have running of a customer.
+// CellLimit limits the resources that a customer's running tasks in a cell may use
+// together.
 type CellLimit struct {
-	// The limit.
+	// Largest amount of each kind of resource.
 	Amount Amount `json:"amount"`
 
 	// Name of the cell.
@@ -261,8 +262,8 @@
 	// Outcome of the request; empty in the claim itself.
 	Outcome Outcome `json:"outcome,omitempty,omitzero"`
 
-	// Identifies the claim by the node and incarnation of the entry and the number of
-	// its attempt to claim a key.
+	// ID of the claim: the entry's node and incarnation, and the number of the
+	// entry's attempt to claim a key.
 	Owner string `json:"owner"`
 
 	// HTTP status of the outcome; 0 in the claim itself.
@@ -365,8 +366,8 @@
 	// Box on which the endpoint runs.
 	Box string `json:"box"`
 
-	// Estimated time until the tasks that run there have ended, in milliseconds,
-	// without long-running tasks.
+	// Estimated time until the tasks that run there have ended, not counting
+	// long-running tasks, in milliseconds.
 	EmptyMs int `json:"empty_ms,omitempty,omitzero"`
 
 	// Life of the endpoint.
@@ -521,8 +522,7 @@
 	// request.
 	Free int `json:"free,omitempty,omitzero"`
 
-	// ID of the request, so that the outcome of another request is not taken for this
-	// one's.
+	// ID of the request. It shows that the reply does not belong to another request.
 	Id string `json:"id,omitempty,omitzero"`
 
 	// Whether the request was answered, did not run or may have run.
@@ -609,12 +609,12 @@
 // under the job's ID. Because it is written each time a task starts or ends, its
 // rows have no field names, which saves space.
 type JobRecord struct {
-	// Tasks under which endpoints were lost. The columns are the index of the task's
-	// row in tasks, the number of losses, the number of those where the task
-	// certainly ran, the number of the last losses in a row at which the task may
-	// have had the same age, the lower and upper bound of that age in milliseconds,
-	// the weight of the evidence of the task's probations, and the number of starts
-	// since the task had too many losses.
+	// Tasks under which endpoints were lost. The columns are: the index of the task's
+	// row in tasks; the number of losses; the number of losses at which the task
+	// certainly ran; the number of the last losses in a row at which the task may
+	// have had the same age; the lower and the upper bound of that age in
+	// milliseconds; the weight of the evidence of the task's probations; the number
+	// of starts since the task had too many losses.
 	Crashed [][]int `json:"crashed,omitempty,omitzero"`
 
 	// Customer whose key the submission had. It is set only when there is no
@@ -629,8 +629,8 @@
 	Endpoints []string `json:"endpoints,omitempty,omitzero"`
 
 	// Attempts on unreachable endpoints whose leases have certainly expired and whose
-	// results are unknown. The columns are the index of the task's row in tasks, the
-	// number of the attempt and the index of its endpoint in endpoints.
+	// results are unknown. The columns are: the index of the task's row in tasks; the
+	// number of the attempt; the index of its endpoint in endpoints.
 	Lapsed [][]int `json:"lapsed,omitempty,omitzero"`
 
 	// Newest checkpoints of the tasks that are not done.
@@ -639,11 +639,11 @@
 	// State of the job.
 	State JobState `json:"state"`
 
-	// A row for each task that has been started. Its columns are the round, the
-	// phase, the index of the task in its phase, the highest attempt that may have
-	// been started, the number of failed attempts, 1 if the task is done, and then,
-	// for each attempt that may be running, its number and the index of its endpoint
-	// in endpoints.
+	// A row for each task that has been started. Its columns are: the round; the
+	// phase; the index of the task in its phase; the highest attempt that may have
+	// been started; the number of failed attempts; 1 if the task is done, else 0; and
+	// then, for each attempt that may be running, its number and the index of its
+	// endpoint in endpoints.
 	Tasks [][]int `json:"tasks,omitempty,omitzero"`
 }
 
@@ -758,8 +758,8 @@
 	// the record at this offset is not included.
 	Folded int `json:"folded"`
 
-	// Availability zone of the box. It is empty, like the addresses, if the log has
-	// it already.
+	// Availability zone of the box. It is left empty, like the addresses, if the
+	// state has it already.
 	Hall string `json:"hall,omitempty,omitzero"`
 
 	// Incarnation of the keeper.
@@ -794,7 +794,7 @@
 	// Life that ran on the box when the order was decided; empty for none.
 	Endpoint string `json:"endpoint,omitempty,omitzero"`
 
-	// Shard that the order takes the box to.
+	// Shard of the box after the order and before it.
 	Placement *PlacementRecord `json:"placement,omitempty,omitzero"`
 
 	// Pool that the box moves to; empty for maintenance.
@@ -885,15 +885,15 @@
 
 // PlacementRecord says to which shard an order takes a box.
 type PlacementRecord struct {
-	// Number of the shard of the box until then.
+	// Number of the shard of the box until that life starts.
 	Before int `json:"before"`
 
-	// Number of the shard of the box's next life.
+	// Number of the shard of the next life on the box.
 	Shard int `json:"shard"`
 }
 
-// Proposal asks for one change of the fleet's state. When a process applies it, it
-// accepts it or refuses it with a reason.
+// Proposal asks for one change of the fleet's state. When it is applied, it is
+// accepted, or refused with a reason.
 type Proposal struct {
 	// Who wants the change; empty for the keeper that wrote the batch.
 	Author string `json:"author,omitempty,omitzero"`
@@ -944,13 +944,15 @@
 // QueueRecord holds an owner's statistics on a queue for later owners. It is
 // written from time to time.
 type QueueRecord struct {
-	// Logarithms of the times that tasks took.
+	// Statistics of the natural logarithms of the times that tasks took, in
+	// milliseconds.
 	Actual Spread `json:"actual"`
 
 	// Mean time that a job takes if none of its tasks waits, in milliseconds.
 	ChainMs float64 `json:"chain_ms,omitempty,omitzero"`
 
-	// Logarithms of the ratios of the times that tasks took and their estimates.
+	// Statistics of the natural logarithms of the ratios between the times that tasks
+	// took and their estimates.
 	Error Spread `json:"error"`
 
 	// Number of jobs in the statistics.
@@ -965,7 +967,8 @@
 	// Mean time that a job can wait and still be done in time, in milliseconds.
 	SlackMs float64 `json:"slack_ms,omitempty,omitzero"`
 
-	// Logarithms of the jobs' work, in thousandths of a core times milliseconds.
+	// Statistics of the natural logarithms of the jobs' work, in thousandths of a
+	// core times milliseconds.
 	Work Spread `json:"work"`
 }
 
@@ -990,8 +993,8 @@
 	Avoid []string `json:"avoid,omitempty,omitzero"`
 
 	// Whether the keeper has read the platform's list, so that an empty avoid means
-	// that no box is leaving. The codec makes no difference between an empty list and
-	// a missing one.
+	// that no box is leaving. The encoding does not distinguish an empty list from a
+	// missing one.
 	AvoidKnown bool `json:"avoid_known,omitempty,omitzero"`
 
 	// Records from the requested offset on.
@@ -1005,8 +1008,8 @@
 	Snapshot string `json:"snapshot"`
 }
 
-// Refusal is the body of each HTTP response that an entry gives itself, instead of
-// passing on that of an endpoint.
+// Refusal is the body of an HTTP response that an entry produces itself, because
+// there is no endpoint's response to pass on.
 type Refusal struct {
 	// Whether the request was answered, did not run or may have run.
 	Outcome Outcome `json:"outcome"`
@@ -1066,7 +1069,7 @@
 	Row int `json:"row"`
 }
 
-// Spread is a running mean and variance.
+// Spread is a running mean and variance, in which recent values have more weight.
 type Spread struct {
 	// Number of values.
 	Count int `json:"count"`
@@ -1111,7 +1114,7 @@
 	// Offset of the next record to apply.
 	Offset int `json:"offset"`
 
-	// Proposals of the plan.
+	// Proposals of the plan; empty if no plan was requested.
 	Planned []Proposal `json:"planned,omitempty,omitzero"`
 
 	// Snapshot of the state, as JSON text; empty if it was not requested.
@@ -1120,7 +1123,7 @@
 	// Version of the table in force.
 	TableVersion int `json:"table_version"`
 
-	// Changes that the plan wants but does not propose now, each as a sentence with
+	// Changes that the plan needs but does not propose now, each as a sentence with
 	// the reason.
 	Waits []string `json:"waits,omitempty,omitzero"`
 }
@@ -1168,7 +1171,8 @@
 	Withdraw []string `json:"withdraw,omitempty,omitzero"`
 }
 
-// SyncReply is the report of a cell's owner to the fleet planner.
+// SyncReply is the report of a cell's owner to the fleet planner. Its fields call
+// a task short if it is not long-running.
 type SyncReply struct {
 	// Fencing token of the newest planner from which the owner has received
 	// allowances.
@@ -1191,27 +1195,30 @@
 	// Number of boxes on which long-running tasks run.
 	LastingBoxes int `json:"lasting_boxes,omitempty,omitzero"`
 
-	// CPU that long-running tasks use or wait for, in thousandths of a core.
+	// CPU that long-running tasks use or, if they are ready but not running, need, in
+	// thousandths of a core.
 	LastingCpu int `json:"lasting_cpu,omitempty,omitzero"`
 
-	// CPU that ready tasks wait for whose jobs can no longer be done in time, in
-	// thousandths of a core.
+	// CPU that ready short tasks need whose jobs can no longer be done in time, as
+	// far as their customers' allowances permit, in thousandths of a core.
 	LateCpu int `json:"late_cpu,omitempty,omitzero"`
 
-	// Memory that running and waiting tasks need, in thousandths of the memory of the
-	// cell's largest box.
+	// Memory that running and ready tasks need, in thousandths of the memory of the
+	// cell's largest box. Short tasks of late jobs are not counted.
 	MemoryShare int `json:"memory_share,omitempty,omitzero"`
 
-	// CPU that the arriving jobs will need if the present trend of their rate
-	// continues, in thousandths of a core.
+	// CPU that arriving jobs will need if the rate of arrivals keeps its present
+	// trend, in thousandths of a core.
 	OfferedCpu int `json:"offered_cpu,omitempty,omitzero"`
 
-	// CPU that other tasks use whose jobs could still be done in time when the tasks
-	// were started, in thousandths of a core.
+	// CPU that short tasks use, in thousandths of a core. It counts tasks that were
+	// started while their jobs could still be done in time, but none on endpoints
+	// that do not answer.
 	RunningCpu int `json:"running_cpu,omitempty,omitzero"`
 
-	// CPU that other tasks use whose jobs could no longer be done in time when the
-	// tasks were started, in thousandths of a core.
+	// CPU that short tasks use, in thousandths of a core. It counts tasks that were
+	// started when their jobs could no longer be done in time, but none on endpoints
+	// that do not answer.
 	RunningLateCpu int `json:"running_late_cpu,omitempty,omitzero"`
 
 	// Mean time that arriving jobs can wait and still be done in time, in
@@ -1222,12 +1229,12 @@
 	// of one phase.
 	Spread int `json:"spread,omitempty,omitzero"`
 
-	// CPU of one ready task of each late job of which nothing runs, in thousandths of
-	// a core.
+	// CPU that one ready task needs of each late job that has no running task, in
+	// thousandths of a core.
 	StalledCpu int `json:"stalled_cpu,omitempty,omitzero"`
 
-	// CPU that the arriving jobs need at their present rate, in thousandths of a
-	// core.
+	// CPU that arriving jobs need at the present rate of arrivals, in thousandths of
+	// a core.
 	SteadyCpu int `json:"steady_cpu,omitempty,omitzero"`
 
 	// Mean time that a task takes, in milliseconds.
@@ -1236,17 +1243,18 @@
 	// Fencing token of the owner.
 	Token int `json:"token,omitempty,omitzero"`
 
-	// CPU that ready tasks wait for whose jobs can be done in time, in thousandths of
-	// a core.
+	// CPU that ready short tasks need whose jobs can be done in time, as far as their
+	// customers' allowances permit, in thousandths of a core.
 	WaitingCpu int `json:"waiting_cpu,omitempty,omitzero"`
 
-	// Boxes that tasks of jobs that can be done in time use or wait for because they
-	// are too large to fit beside a long-running task, in thousandths of a box.
+	// Boxes without long-running tasks that are needed for running and ready tasks
+	// too large to fit beside a long-running task, in thousandths of a box. It counts
+	// tasks whose jobs can be done in time.
 	WholeBoxes int `json:"whole_boxes,omitempty,omitzero"`
 
-	// Boxes that tasks of jobs that can no longer be done in time use or wait for
-	// because they are too large to fit beside a long-running task, in thousandths of
-	// a box.
+	// Boxes without long-running tasks that are needed for running and ready tasks
+	// too large to fit beside a long-running task, in thousandths of a box. It counts
+	// tasks whose jobs can no longer be done in time.
 	WholeLateBoxes int `json:"whole_late_boxes,omitempty,omitzero"`
 }
 
@@ -1256,8 +1264,8 @@
 	// When a planner first saw the wave, in milliseconds since 1970.
 	BegunMs int `json:"begun_ms,omitempty,omitzero"`
 
-	// Whether all boxes that stay in the fleet are done, and the operator has been
-	// told.
+	// Whether all boxes of the wave that remain in the fleet have been maintained and
+	// this has been reported to the operator.
 	Completed bool `json:"completed,omitempty,omitzero"`
 
 	// Boxes whose maintenance has been ordered.
