--- a/pkg/cell/advice.go
+++ b/pkg/cell/advice.go
@@ -9,11 +9,12 @@
 
 // Limits of the calls for permits.
 const (
-	// maxEndpointsPerCall is the number of endpoints in one call. Each of them adds to the time
-	// that the call takes, and the time targets of phases assume a call for 30 endpoints.
+	// maxEndpointsPerCall is the highest number of endpoints in one call. Each of them adds to the
+	// time that the call takes, and the time targets of phases assume a call for 30 endpoints.
 	maxEndpointsPerCall = 30
-	// maxPermitCalls is the number of calls in flight. The service handles one call at a time from
-	// each node and rejects calls when 32 are waiting, including those of other cells on this node.
+	// maxPermitCalls is the highest number of calls in flight. The service handles one call at a
+	// time from each node and rejects calls when 32 are waiting, including those of other cells on
+	// this node.
 	maxPermitCalls = 6
 	// permitMargin is the part of a permit's validity that is kept for the start request to arrive.
 	permitMargin = 250 * time.Millisecond
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -53,7 +53,8 @@
 	// later requests extend them.
 	leasesExpireBy time.Time
 	polls          polls
-	// lapsedAttempts holds the attempts on the endpoint whose results aren't known.
+	// lapsedAttempts holds the attempts on the endpoint whose leases expired while it was out of
+	// reach. Their results aren't known.
 	lapsedAttempts []lapsedAttempt
 	// pollWanted requests a poll that the endpoint answers at once.
 	pollWanted bool
@@ -78,8 +79,8 @@
 	reservedFor *task
 	// overdue is set while a call to the endpoint has been unanswered for longer than usual.
 	overdue bool
-	// backoffUntil is until when no starts are sent, after a start was refused or could not be
-	// sent.
+	// backoffUntil is the time until which no runs are planned here, after a start was refused or
+	// could not be sent.
 	backoffUntil time.Time
 	health       health
 	// speedChangedAt is when the speed of a filler task on the endpoint was last changed.
--- a/pkg/cell/job.go
+++ b/pkg/cell/job.go
@@ -84,7 +84,7 @@
 	unfinishedDeps int
 	// unfinishedTasks is the number of tasks that are not done.
 	unfinishedTasks int
-	// ready holds the tasks that can start now, in order.
+	// ready holds the tasks that can start now, in the order in which they became ready.
 	ready []*task
 	// gangReadySince is when all members of a gang were first ready to be placed. gangReserved
 	// counts, by endpoint, the members for which capacity is reserved while the gang is being
@@ -140,7 +140,7 @@
 	// givenUp is set when the task must not be started again.
 	givenUp bool
 	// lapsedAttempts is the number of attempts with unknown results, whose leases expired while
-	// their endpoints were unreachable.
+	// their endpoints were out of reach.
 	lapsedAttempts int
 	// refusals counts the starts that endpoints have refused since the last one that was accepted,
 	// not counting refusals by another life or for an invalid ticket. notBefore is the earliest
--- a/pkg/cell/look.go
+++ b/pkg/cell/look.go
@@ -30,7 +30,8 @@
 	maxWait time.Duration
 }
 
-// maxResults is the number of results that an endpoint lists in one reply at most. More may follow.
+// maxResults is the highest number of results in one reply to a poll. If a reply has that many,
+// more may follow.
 const maxResults = 500
 
 // sendDuePolls sends the polls that are due. It checks the endpoints for which schedulePoll was
@@ -110,7 +111,8 @@
 	}
 	request := damsonwinch.PollRequest{Token: c.token, AckedSequence: e.recordedSequence, MaxWait: maxWait}
 	if e.silent {
-		// If another life answers under the same ID, it would discard its own first results.
+		// If a later life answers under the same ID, it would take the number for one of its own
+		// and discard its first results.
 		request.AckedSequence = 0
 	}
 	if e.attached && !e.silent && c.mayRenewLeases() {
--- a/pkg/cell/run.go
+++ b/pkg/cell/run.go
@@ -63,8 +63,7 @@
 	// load is the load that the endpoint last reported for the run: for a serving task, its tail
 	// latency in milliseconds.
 	load int
-	// speedPercent is the speed that the run was last told to work at, in percent of its full
-	// speed.
+	// speedPercent is the speed that was last requested for the run, in percent of its full speed.
 	speedPercent int
 }
 
