--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -19,142 +19,151 @@
 	"damsonwinch/pkg/send"
 )
 
-// EndpointFault is what an endpoint does wrong with requests.
+// EndpointFault is a fault with which an endpoint handles every request.
 type EndpointFault string
 
 // Faults of an endpoint.
 const (
 	FaultNone           EndpointFault = ""
-	FaultRefuse         EndpointFault = "refuse"       // Takes no connection's request at all.
-	FaultFailAll        EndpointFault = "fail-all"     // Answers 500 at once.
-	FaultResetBefore    EndpointFault = "reset-before" // Breaks off before it runs.
-	FaultResetAfter     EndpointFault = "reset-after"  // Runs and breaks off.
-	FaultPartialBody    EndpointFault = "half"         // Runs and answers half.
-	FaultSlow           EndpointFault = "late"         // Runs much longer than asked.
-	FaultHang           EndpointFault = "hang"         // Never answers.
-	FaultWrongRequestID EndpointFault = "other"        // Answers as to another request.
-	FaultExcessBody     EndpointFault = "more"         // Sends more than it declared.
-	FaultOversizedBody  EndpointFault = "long"         // Answers with more than any limit allows.
-	FaultBusy           EndpointFault = "busy"         // Says that it has no room.
+	FaultRefuse         EndpointFault = "refuse"       // Closes the connection without reading the request.
+	FaultFailAll        EndpointFault = "fail-all"     // Responds with status 500 at once.
+	FaultResetBefore    EndpointFault = "reset-before" // Closes the connection before it runs the request.
+	FaultResetAfter     EndpointFault = "reset-after"  // Runs the request and closes the connection.
+	FaultPartialBody    EndpointFault = "half"         // Runs the request and sends half of the response.
+	FaultSlow           EndpointFault = "late"         // Runs the request for much longer than it asks for.
+	FaultHang           EndpointFault = "hang"         // Begins to run the request and never responds.
+	FaultWrongRequestID EndpointFault = "other"        // Responds with the ID of another request.
+	FaultExcessBody     EndpointFault = "more"         // Sends a longer body than Content-Length declares.
+	FaultOversizedBody  EndpointFault = "long"         // Sends a body longer than any limit allows.
+	FaultBusy           EndpointFault = "busy"         // Refuses the request for lack of capacity, with status 503.
 )
 
-// Work is the body of a trial request.
+// Work is the body of a request to a stand-in endpoint.
 type Work struct {
-	Nonce   string `json:"nonce"`
-	WorkMs  int    `json:"work_ms"`
+	// Nonce identifies the request among the runs that the endpoints count.
+	Nonce string `json:"nonce"`
+	// WorkMs is how long the endpoint runs the request, in milliseconds.
+	WorkMs int `json:"work_ms"`
+	// Padding makes the request larger and has no other effect.
 	Padding string `json:"pad,omitempty"`
-	// Poison makes every endpoint fail on it.
+	// Poison makes every endpoint fail on the request.
 	Poison bool `json:"poison,omitempty"`
 }
 
-// ExpectedResponse is the one right answer to a body.
+// ExpectedResponse returns the only correct body of a response to a request with the given body.
 func ExpectedResponse(body []byte) string {
 	return "done " + string(body) + " done"
 }
 
-// Observations is what endpoints saw: the truth that callers' books are compared with.
+// Observations counts what a group of endpoints has observed. Trials compare it with what the clients
+// have observed.
 type Observations struct {
 	mutex sync.Mutex
-	// runs counts the runs that began, by nonce.
-	runs map[string]int
-	// overlaps counts boxes that held requests of two pools at once.
-	overlaps int
-	// cut counts requests in flight when their box rebooted.
-	cut int
-	// refusedLate counts requests that reached a box marked as leaving too late.
-	late int
+	// runCounts holds, by nonce, how many runs of a request have begun.
+	runCounts map[string]int
+	// poolOverlaps counts the requests that began while their box ran requests of another pool.
+	poolOverlaps int
+	// cutRequests counts the requests that were in flight when their box rebooted.
+	cutRequests int
+	// lateArrivals counts the requests that reached a box more than leavingGrace after the list
+	// began to show it as leaving.
+	lateArrivals int
 }
 
-// NewObservations returns an empty book.
+// NewObservations returns observations with all counts 0.
 func NewObservations() *Observations {
-	return &Observations{runs: map[string]int{}}
+	return &Observations{runCounts: map[string]int{}}
 }
 
-// Runs returns how often a request ran.
-func (b *Observations) Runs(nonce string) int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.runs[nonce]
+// Runs returns how often the request with a nonce began to run.
+func (o *Observations) Runs(nonce string) int {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	return o.runCounts[nonce]
 }
 
-// Violations returns the counted pool overlaps, cut requests and late arrivals.
-func (b *Observations) Violations() (overlaps, cut, late int) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.overlaps, b.cut, b.late
+// Violations returns the number of requests that began while their box ran requests of another pool,
+// that were cut off by a reboot, and that reached a box long after it began to leave.
+func (o *Observations) Violations() (poolOverlaps, cutRequests, lateArrivals int) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	return o.poolOverlaps, o.cutRequests, o.lateArrivals
 }
 
-func (b *Observations) note(change func()) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// update calls change with the lock held.
+func (o *Observations) update(change func()) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	change()
 }
 
-// Endpoint is one stand-in endpoint box.
+// Endpoint is a box with a stand-in endpoint, which serves requests over HTTP.
 type Endpoint struct {
-	Name     string
-	clock    damsonwinch.Clock
-	book     *Observations
-	poolOf   func(service string) string
-	listener net.Listener
-	server   *http.Server
-	group    errgroup.Group
+	Name         string
+	clock        damsonwinch.Clock
+	observations *Observations
+	poolOf       func(service string) string
+	listener     net.Listener
+	server       *http.Server
+	group        errgroup.Group
 
-	mutex     sync.Mutex
-	fault     EndpointFault
-	inFlight  map[string]int // By pool.
-	rebooting bool
-	leaving   time.Time
+	mutex        sync.Mutex
+	fault        EndpointFault
+	inFlight     map[string]int // By pool.
+	rebooting    bool
+	leavingSince time.Time
 }
 
-// leavingGrace is how long a leaving box may still get work.
+// leavingGrace is how long a box may still get requests after the list began to show it as leaving.
 const leavingGrace = 2 * time.Second
 
-// NewEndpoint serves on a listener until Close.
-func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, book *Observations, poolOf func(string) string) *Endpoint {
-	e := &Endpoint{Name: name, clock: clock, book: book, poolOf: poolOf, listener: listener, inFlight: map[string]int{}}
+// NewEndpoint returns an endpoint that serves on a listener until Close. It records what it observes in
+// observations. The function poolOf returns the pool of a service.
+func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, observations *Observations, poolOf func(string) string) *Endpoint {
+	e := &Endpoint{Name: name, clock: clock, observations: observations, poolOf: poolOf, listener: listener, inFlight: map[string]int{}}
 	router := mux.NewRouter()
-	router.HandleFunc("/run/{service}", e.run).Methods(http.MethodPost)
-	router.HandleFunc("/reboot", e.reboot).Methods(http.MethodPost)
+	router.HandleFunc("/run/{service}", e.handleRun).Methods(http.MethodPost)
+	router.HandleFunc("/reboot", e.handleReboot).Methods(http.MethodPost)
 	e.server = &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}
 	e.group.Go(func() error { return e.server.Serve(listener) })
 	return e
 }
 
-// Address returns the endpoint's address.
+// Address returns the IP address and port at which the endpoint serves.
 func (e *Endpoint) Address() string {
 	return e.listener.Addr().String()
 }
 
-// Close stops the endpoint and waits.
+// Close stops the endpoint and waits for its goroutines.
 func (e *Endpoint) Close() {
 	_ = e.server.Close()
 	_ = e.group.Wait()
 }
 
-// SetFault changes what the endpoint does wrong.
+// SetFault sets the fault of the endpoint from now on.
 func (e *Endpoint) SetFault(fault EndpointFault) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.fault = fault
 }
 
-// IsServing says whether the endpoint would answer now.
+// IsServing reports whether the endpoint would serve a request now.
 func (e *Endpoint) IsServing() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return !e.rebooting && e.fault != FaultFailAll && e.fault != FaultRefuse
 }
 
-// MarkLeaving notes when the platform's list began to show the box as leaving.
+// MarkLeaving records that the platform's list shows the box as leaving from now on.
 func (e *Endpoint) MarkLeaving() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.leaving = e.clock.Now()
+	e.leavingSince = e.clock.Now()
 }
 
-// Reboot takes the box away for a time. What is in flight then is cut.
-func (e *Endpoint) Reboot(ctx context.Context, takes time.Duration) error {
+// Reboot makes the box unavailable for a duration, or until ctx ends. The requests in flight are counted
+// as cut off.
+func (e *Endpoint) Reboot(ctx context.Context, duration time.Duration) error {
 	e.mutex.Lock()
 	e.rebooting = true
 	cut := 0
@@ -162,9 +171,9 @@
 		cut += count
 	}
 	e.mutex.Unlock()
-	e.book.note(func() { e.book.cut += cut })
+	e.observations.update(func() { e.observations.cutRequests += cut })
 	select {
-	case <-e.clock.After(takes):
+	case <-e.clock.After(duration):
 	case <-ctx.Done():
 	}
 	e.mutex.Lock()
@@ -173,26 +182,26 @@
 	return ctx.Err()
 }
 
-// rebootTakes is the length of a reboot that a stand-in platform in another
-// process asks for.
-const rebootTakes = 2 * time.Second
+// remoteRebootTime is how long a reboot takes that a stand-in platform in another process requests.
+const remoteRebootTime = 2 * time.Second
 
-func (e *Endpoint) reboot(w http.ResponseWriter, r *http.Request) {
-	answer(w, struct{}{}, e.Reboot(r.Context(), rebootTakes))
+func (e *Endpoint) handleReboot(w http.ResponseWriter, r *http.Request) {
+	respond(w, struct{}{}, e.Reboot(r.Context(), remoteRebootTime))
 }
 
-var errBroken = errors.New("the endpoint breaks off")
+// errClosed means that the endpoint closes the connection instead of sending a response.
+var errClosed = errors.New("the endpoint closes the connection")
 
-func (e *Endpoint) run(w http.ResponseWriter, r *http.Request) {
-	fault, down := e.present()
-	if down || fault == FaultRefuse {
-		breakOff(w)
+func (e *Endpoint) handleRun(w http.ResponseWriter, r *http.Request) {
+	fault, rebooting := e.status()
+	if rebooting || fault == FaultRefuse {
+		closeConnection(w)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	var work Work
 	if err != nil || json.Unmarshal(body, &work) != nil {
-		http.Error(w, "a body of work is wanted", http.StatusBadRequest)
+		http.Error(w, "the request body is not a Work", http.StatusBadRequest)
 		return
 	}
 	w.Header().Set(send.HeaderRequestID, r.Header.Get(send.HeaderRequestID))
@@ -202,63 +211,65 @@
 	case fault == FaultFailAll || work.Poison:
 		http.Error(w, "failed", http.StatusInternalServerError)
 	case fault == FaultResetBefore:
-		breakOff(w)
-	case e.work(r, work, fault) != nil:
-		breakOff(w)
+		closeConnection(w)
+	case e.doWork(r, work, fault) != nil:
+		closeConnection(w)
 	default:
-		e.answer(w, body, fault)
+		e.sendResponse(w, body, fault)
 	}
 }
 
-func (e *Endpoint) present() (EndpointFault, bool) {
+// status returns the current fault, and whether the box is rebooting.
+func (e *Endpoint) status() (EndpointFault, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.fault, e.rebooting
 }
 
-// work runs the request and writes the book.
-func (e *Endpoint) work(r *http.Request, work Work, fault EndpointFault) error {
+// doWork runs a request and records it. It returns errClosed if the endpoint sends no response.
+func (e *Endpoint) doWork(r *http.Request, work Work, fault EndpointFault) error {
 	pool := e.poolOf(mux.Vars(r)["service"])
-	e.begin(pool, work.Nonce)
-	defer e.end(pool)
-	takes := time.Duration(work.WorkMs) * time.Millisecond
-	const muchLonger = 20
+	e.beginRequest(pool, work.Nonce)
+	defer e.endRequest(pool)
+	duration := time.Duration(work.WorkMs) * time.Millisecond
+	const slowdown = 20
 	switch fault {
 	case FaultSlow:
-		takes *= muchLonger
+		duration *= slowdown
 	case FaultHang:
 		<-r.Context().Done()
-		return errBroken
+		return errClosed
 	}
 	select {
-	case <-e.clock.After(takes):
+	case <-e.clock.After(duration):
 	case <-r.Context().Done():
-		return errBroken
+		return errClosed
 	}
 	if fault == FaultResetAfter {
-		return errBroken
+		return errClosed
 	}
 	return nil
 }
 
-func (e *Endpoint) begin(pool, nonce string) {
+// beginRequest counts a request that begins to run, and its violations.
+func (e *Endpoint) beginRequest(pool, nonce string) {
 	e.mutex.Lock()
 	e.inFlight[pool]++
 	overlap := len(e.inFlight) > 1
-	late := !e.leaving.IsZero() && e.clock.Since(e.leaving) > leavingGrace
+	late := !e.leavingSince.IsZero() && e.clock.Since(e.leavingSince) > leavingGrace
 	e.mutex.Unlock()
-	e.book.note(func() {
-		e.book.runs[nonce]++
+	e.observations.update(func() {
+		e.observations.runCounts[nonce]++
 		if overlap {
-			e.book.overlaps++
+			e.observations.poolOverlaps++
 		}
 		if late {
-			e.book.late++
+			e.observations.lateArrivals++
 		}
 	})
 }
 
-func (e *Endpoint) end(pool string) {
+func (e *Endpoint) endRequest(pool string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.inFlight[pool]--
@@ -267,12 +278,13 @@
 	}
 }
 
-func (e *Endpoint) answer(w http.ResponseWriter, body []byte, fault EndpointFault) {
+// sendResponse sends the response to a request that has run, as the fault says.
+func (e *Endpoint) sendResponse(w http.ResponseWriter, body []byte, fault EndpointFault) {
 	text := ExpectedResponse(body)
 	switch fault {
 	case FaultOversizedBody:
-		const longAnswer = 1 << 21
-		text = strings.Repeat("x", longAnswer)
+		const oversizedBytes = 1 << 21
+		text = strings.Repeat("x", oversizedBytes)
 	case FaultWrongRequestID:
 		w.Header().Set(send.HeaderRequestID, "another")
 	case FaultPartialBody:
@@ -282,6 +294,6 @@
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		text += strings.Repeat("x", len(text))
 	}
-	// An entry that has gone away needs no answer.
+	// If the write fails, the entry has gone and needs no response.
 	_, _ = io.WriteString(w, text)
 }
--- a/pkg/standin/log.go
+++ b/pkg/standin/log.go
@@ -1,6 +1,6 @@
-// Package standin holds small fakes of what the system meets outside: the
-// platform, endpoints and the network between halls, with faults on a script.
-// It serves tests and dw-trial only.
+// Package standin holds substitutes for what surrounds the system: the platform, endpoints and the
+// network between availability zones. Their faults can be switched on and off. Only tests and the
+// command dw-trial use it.
 package standin
 
 import (
@@ -14,27 +14,27 @@
 	"damsonwinch/pkg/wire"
 )
 
-// LogFaults are what a log does wrong until told otherwise.
+// LogFaults are the faults of a log. Of the faults that have a rate, at most one hits an append.
 type LogFaults struct {
-	// Down refuses every append and read.
+	// Down makes every append and read fail.
 	Down bool
-	// LostAnswerRate is the part of appends, from 0 to 1, that take effect while
-	// their answer is lost.
+	// LostAnswerRate is the share of appends, from 0 to 1, that take effect but return an error.
 	LostAnswerRate float64
-	// DropRate is the part of appends, from 0 to 1, that are lost without effect.
+	// DropRate is the share of appends, from 0 to 1, that return an error and take no effect.
 	DropRate float64
-	// LateRate is the part of appends, from 0 to 1, that fail at once and take
-	// effect after LateBy.
+	// LateRate is the share of appends, from 0 to 1, that return an error at once and take effect
+	// after LateDelay.
 	LateRate  float64
 	LateDelay time.Duration
-	// AppendDelay delays every append.
+	// AppendDelay is how long every append is delayed.
 	AppendDelay time.Duration
 }
 
 // Errors of the stand-in log.
 var (
 	errDown = errors.New("the log is down")
-	errLost = errors.New("the answer was lost")
+	// errAnswerLost means that the append may have taken effect.
+	errAnswerLost = errors.New("the answer was lost")
 )
 
 // Log is an append-only log in memory.
@@ -44,49 +44,56 @@
 	random  *rand.Rand
 	streams map[string]*stream
 	faults  LogFaults
+	// appends is the number of appends that took effect.
 	appends int
-	keep    int
+	// maxRecords is the number of records kept in each stream, or 0 for all.
+	maxRecords int
 }
 
+// stream is one stream of a Log.
 type stream struct {
+	// first is the offset of the first one of records, which holds the records that have not
+	// expired.
 	first   int
 	records []wire.Entry
+	// changed is closed by the next append.
 	changed chan struct{}
 }
 
 var _ damsonwinch.Log = (*Log)(nil)
 
-// NewLog returns an empty log that keeps a number of records a stream, 0 for all.
-func NewLog(clock damsonwinch.Clock, seed uint64, keep int) *Log {
-	return &Log{clock: clock, random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*stream{}, keep: keep}
+// NewLog returns an empty log that keeps the last maxRecords records of each stream, or all if maxRecords
+// is 0. The seed determines which appends are hit by faults.
+func NewLog(clock damsonwinch.Clock, seed uint64, maxRecords int) *Log {
+	return &Log{clock: clock, random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*stream{}, maxRecords: maxRecords}
 }
 
-// SetFaults changes what the log does wrong.
+// SetFaults sets the faults of the log from now on.
 func (l *Log) SetFaults(faults LogFaults) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.faults = faults
 }
 
-// Appends counts the appends that took effect.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.appends
 }
 
-// Expire drops the records of a stream below an offset.
+// Expire drops the records of a stream whose offsets are below first.
 func (l *Log) Expire(name string, first int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.stream(name).expire(first)
 }
 
-// Append adds a record, as the present faults allow.
+// Append adds a record to a stream and returns its offset, subject to the current faults.
 func (l *Log) Append(ctx context.Context, name, data string) (int, error) {
 	l.mutex.Lock()
 	faults := l.faults
-	chance := l.random.Float64()
+	draw := l.random.Float64()
 	l.mutex.Unlock()
 	if faults.Down {
 		return 0, errDown
@@ -94,21 +101,22 @@
 	if faults.AppendDelay > 0 && !l.sleep(ctx, faults.AppendDelay) {
 		return 0, ctx.Err()
 	}
-	if chance < faults.DropRate {
-		return 0, errLost
+	if draw < faults.DropRate {
+		return 0, errAnswerLost
 	}
-	chance -= faults.DropRate
-	if chance < faults.LateRate && chance >= 0 {
-		l.clock.AfterFunc(faults.LateDelay, func() { l.take(name, data) })
-		return 0, errLost
+	draw -= faults.DropRate
+	if draw < faults.LateRate && draw >= 0 {
+		l.clock.AfterFunc(faults.LateDelay, func() { l.add(name, data) })
+		return 0, errAnswerLost
 	}
-	offset := l.take(name, data)
-	if chance -= faults.LateRate; chance < faults.LostAnswerRate && chance >= 0 {
-		return 0, errLost
+	offset := l.add(name, data)
+	if draw -= faults.LateRate; draw < faults.LostAnswerRate && draw >= 0 {
+		return 0, errAnswerLost
 	}
 	return offset, nil
 }
 
+// sleep waits for a duration and reports whether it has passed before ctx ended.
 func (l *Log) sleep(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-l.clock.After(wait):
@@ -118,22 +126,24 @@
 	}
 }
 
-func (l *Log) take(name, data string) int {
+// add adds a record to a stream, wakes its readers and returns the record's offset.
+func (l *Log) add(name, data string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.appends++
 	s := l.stream(name)
 	offset := s.next()
 	s.records = append(s.records, wire.Entry{Offset: offset, At: int(l.clock.Now().UnixMilli()), Data: data})
-	if l.keep > 0 {
-		s.expire(s.next() - l.keep)
+	if l.maxRecords > 0 {
+		s.expire(s.next() - l.maxRecords)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return offset
 }
 
-// Read returns a page, waiting for a first record as long as asked.
+// Read returns at most maximum records of a stream, starting at offset from. If there is none yet it
+// waits up to waitMs milliseconds for the first one.
 func (l *Log) Read(ctx context.Context, name string, from, maximum, waitMs int) (wire.LogPage, error) {
 	page, changed, err := l.page(name, from, maximum)
 	if err != nil || len(page.Records) > 0 || waitMs <= 0 || page.First > from {
@@ -149,13 +159,15 @@
 	return page, err
 }
 
-// Peek returns records whatever the faults are, for observers beside the system.
+// Peek returns at most maximum records of a stream, starting at offset from, regardless of faults. It is
+// for observers outside the system.
 func (l *Log) Peek(name string, from, maximum int) []wire.Entry {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.stream(name).page(from, maximum).Records
 }
 
+// page returns a page of a stream, and a channel that the next append to the stream closes.
 func (l *Log) page(name string, from, maximum int) (wire.LogPage, chan struct{}, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -166,6 +178,7 @@
 	return s.page(from, maximum), s.changed, nil
 }
 
+// stream returns the named stream, which is created if it doesn't exist. The caller holds the lock.
 func (l *Log) stream(name string) *stream {
 	if l.streams[name] == nil {
 		l.streams[name] = &stream{changed: make(chan struct{})}
@@ -183,10 +196,12 @@
 	return page
 }
 
+// next returns the offset that the next record will get.
 func (s *stream) next() int {
 	return s.first + len(s.records)
 }
 
+// expire drops the records whose offsets are below first.
 func (s *stream) expire(first int) {
 	if first <= s.first {
 		return
--- a/pkg/standin/network.go
+++ b/pkg/standin/network.go
@@ -8,37 +8,42 @@
 	"damsonwinch"
 )
 
-// Network joins halls by real sockets and cuts them on a script. A cut drops
-// the connections that stand and leaves new ones without an answer.
+// Network connects processes in different availability zones over real sockets, and can cut the links
+// between zones. A cut closes the existing connections from one zone to another. New connections are
+// not established: dialing blocks until its context ends.
 type Network struct {
 	mutex sync.Mutex
-	halls map[string]string
-	cuts  map[[2]string]bool
-	conns map[*cuttable]bool
+	// zones holds the zone of each address.
+	zones map[string]string
+	// cuts holds the links that are cut. A link is the zone that dials and the zone of the address.
+	cuts map[[2]string]bool
+	// conns holds the open connections.
+	conns map[*trackedConn]bool
 }
 
-type cuttable struct {
+// trackedConn is a connection that a cut of its link closes.
+type trackedConn struct {
 	net.Conn
 	network *Network
-	way     [2]string
+	link    [2]string
 }
 
 // NewNetwork returns a network without cuts.
 func NewNetwork() *Network {
-	return &Network{halls: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*cuttable]bool{}}
+	return &Network{zones: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*trackedConn]bool{}}
 }
 
-// SetZone says in which hall an address is.
-func (n *Network) SetZone(address, hall string) {
+// SetZone sets the zone of an address. An address without one is in the zone "".
+func (n *Network) SetZone(address, zone string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.halls[address] = hall
+	n.zones[address] = zone
 }
 
-// Dialer returns the dial function of a process in a hall.
-func (n *Network) Dialer(hall string) damsonwinch.Dial {
+// Dialer returns the function with which the processes of a zone open connections.
+func (n *Network) Dialer(zone string) damsonwinch.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		way, cut := n.way(hall, address)
+		link, cut := n.link(zone, address)
 		if cut {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -48,53 +53,56 @@
 		if err != nil {
 			return nil, err
 		}
-		return n.keep(conn, way), nil
+		return n.track(conn, link), nil
 	}
 }
 
-func (n *Network) way(from, address string) ([2]string, bool) {
+// link returns the link from a zone to an address, and whether it is cut.
+func (n *Network) link(from, address string) ([2]string, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	way := [2]string{from, n.halls[address]}
-	return way, n.cuts[way]
+	link := [2]string{from, n.zones[address]}
+	return link, n.cuts[link]
 }
 
-func (n *Network) keep(conn net.Conn, way [2]string) net.Conn {
-	kept := &cuttable{Conn: conn, network: n, way: way}
+// track adds a connection to the open ones. It closes the connection if the link has been cut while
+// the connection was being established.
+func (n *Network) track(conn net.Conn, link [2]string) net.Conn {
+	tracked := &trackedConn{Conn: conn, network: n, link: link}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.conns[kept] = true
-	if n.cuts[way] {
+	n.conns[tracked] = true
+	if n.cuts[link] {
 		_ = conn.Close()
 	}
-	return kept
+	return tracked
 }
 
-// Close closes the connection and forgets it.
-func (c *cuttable) Close() error {
+// Close closes the connection and removes it from those that the network tracks.
+func (c *trackedConn) Close() error {
 	c.network.mutex.Lock()
 	delete(c.network.conns, c)
 	c.network.mutex.Unlock()
 	return c.Conn.Close()
 }
 
-// Cut parts two halls in the direction of new connections.
+// Cut cuts the link on which processes in one zone open connections to another zone.
 func (n *Network) Cut(from, to string) {
 	n.mutex.Lock()
 	n.cuts[[2]string{from, to}] = true
-	var dropped []net.Conn
+	var cut []net.Conn
 	for conn := range n.conns {
-		if conn.way == [2]string{from, to} {
-			dropped = append(dropped, conn.Conn)
+		if conn.link == [2]string{from, to} {
+			cut = append(cut, conn.Conn)
 		}
 	}
 	n.mutex.Unlock()
-	for _, conn := range dropped {
+	for _, conn := range cut {
 		_ = conn.Close()
 	}
 }
 
-// CutBoth parts two halls in both directions.
+// CutBoth cuts the links between two zones in both directions.
 func (n *Network) CutBoth(one, other string) {
 	n.Cut(one, other)
 	n.Cut(other, one)
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -24,55 +24,57 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Platform is the stand-in platform: a log, a lagging list and box control
-// behind its published HTTP protocol.
+// Platform is the stand-in platform. It serves a log, the list of boxes and box control by the
+// platform's published HTTP protocol. The list shows what tests have put there, so that it can lag
+// behind the boxes' actual state.
 type Platform struct {
-	Log    *Log
-	clock  damsonwinch.Clock
-	mutex  sync.Mutex
+	Log   *Log
+	clock damsonwinch.Clock
+	mutex sync.Mutex
+	// boxes is the list of boxes, by name.
 	boxes  map[string]wire.ListedBox
 	reboot func(ctx context.Context, box string) error
 	server *http.Server
 	group  errgroup.Group
 }
 
-// NewPlatform returns a platform over a log. Reboot is what maintenance does to
-// a box.
+// NewPlatform returns a platform that serves the given log. It maintains a box by calling reboot.
 func NewPlatform(clock damsonwinch.Clock, log *Log, reboot func(ctx context.Context, box string) error) *Platform {
 	return &Platform{Log: log, clock: clock, boxes: map[string]wire.ListedBox{}, reboot: reboot}
 }
 
-// PutBox shows a box in the list.
+// PutBox adds a box to the list, or replaces its entry there.
 func (p *Platform) PutBox(box wire.ListedBox) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.boxes[box.Info.Name] = box
 }
 
-// SetLeaving marks a box of the list as leaving or not.
+// SetLeaving sets whether the list shows a box as leaving.
 func (p *Platform) SetLeaving(name string, leaving bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if box, known := p.boxes[name]; known {
+	if box, listed := p.boxes[name]; listed {
 		box.Leaving = leaving
 		p.boxes[name] = box
 	}
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the list.
 func (p *Platform) RemoveBox(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.boxes, name)
 }
 
-// Boxes returns the list of a hall, or of all for "", in order of the names.
-func (p *Platform) Boxes(_ context.Context, hall string) ([]wire.ListedBox, error) {
+// Boxes returns the listed boxes of a zone, ordered by name. If the zone is empty it returns the boxes
+// of all zones.
+func (p *Platform) Boxes(_ context.Context, zone string) ([]wire.ListedBox, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	boxes := make([]wire.ListedBox, 0, len(p.boxes))
 	for _, box := range p.boxes {
-		if hall == "" || box.Info.Hall == hall {
+		if zone == "" || box.Info.Hall == zone {
 			boxes = append(boxes, box)
 		}
 	}
@@ -80,38 +82,38 @@
 	return boxes, nil
 }
 
-// Maintain reboots a box.
+// Maintain reboots a box and returns once it serves again.
 func (p *Platform) Maintain(ctx context.Context, box string) error {
 	return p.reboot(ctx, box)
 }
 
-// Serve answers the platform's protocol on a listener until Close.
+// Serve starts to serve the platform's protocol on a listener, until Close.
 func (p *Platform) Serve(listener net.Listener) {
 	router := mux.NewRouter()
-	router.HandleFunc("/v1/log/{stream}", p.append).Methods(http.MethodPost)
-	router.HandleFunc("/v1/log/{stream}", p.read).Methods(http.MethodGet)
-	router.HandleFunc("/v1/list", p.list).Methods(http.MethodGet)
-	router.HandleFunc("/v1/boxes/{box}/maintain", p.maintain).Methods(http.MethodPost)
+	router.HandleFunc("/v1/log/{stream}", p.handleAppend).Methods(http.MethodPost)
+	router.HandleFunc("/v1/log/{stream}", p.handleRead).Methods(http.MethodGet)
+	router.HandleFunc("/v1/list", p.handleList).Methods(http.MethodGet)
+	router.HandleFunc("/v1/boxes/{box}/maintain", p.handleMaintain).Methods(http.MethodPost)
 	p.server = &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}
 	p.group.Go(func() error { return p.server.Serve(listener) })
 }
 
-// Close stops serving and waits.
+// Close stops the server and waits for its goroutines. Serve must have been called.
 func (p *Platform) Close() {
 	_ = p.server.Close()
 	_ = p.group.Wait()
 }
 
-func (p *Platform) append(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleAppend(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	offset, err := p.Log.Append(r.Context(), mux.Vars(r)["stream"], string(data))
-	answer(w, wire.AppendReply{Offset: offset}, err)
+	respond(w, wire.AppendReply{Offset: offset}, err)
 }
 
-func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	var numbers [3]int
 	for i, name := range []string{"from", "max", "wait_ms"} {
 		number, err := strconv.Atoi(r.URL.Query().Get(name))
@@ -122,10 +124,10 @@
 		numbers[i] = number
 	}
 	page, err := p.Log.Read(r.Context(), mux.Vars(r)["stream"], numbers[0], numbers[1], numbers[2])
-	answer(w, page, err)
+	respond(w, page, err)
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
 	boxes, err := p.Boxes(r.Context(), r.URL.Query().Get("hall"))
 	text, marshalErr := json.Marshal(boxes)
 	tag := `"` + strconv.FormatUint(xxhash.Sum64(text), 16) + `"`
@@ -134,16 +136,18 @@
 		return
 	}
 	w.Header().Set("ETag", tag)
-	answer(w, boxes, errors.Join(err, marshalErr))
+	respond(w, boxes, errors.Join(err, marshalErr))
 }
 
-func (p *Platform) maintain(w http.ResponseWriter, r *http.Request) {
-	answer(w, struct{}{}, p.Maintain(r.Context(), mux.Vars(r)["box"]))
+func (p *Platform) handleMaintain(w http.ResponseWriter, r *http.Request) {
+	respond(w, struct{}{}, p.Maintain(r.Context(), mux.Vars(r)["box"]))
 }
 
-func answer(w http.ResponseWriter, value any, err error) {
-	if errors.Is(err, errLost) {
-		breakOff(w)
+// respond sends a value as JSON, or status 503 with an error. If the error is errAnswerLost it closes
+// the connection instead.
+func respond(w http.ResponseWriter, value any, err error) {
+	if errors.Is(err, errAnswerLost) {
+		closeConnection(w)
 		return
 	}
 	if err != nil {
@@ -151,12 +155,12 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A reader that has gone away needs no answer.
+	// If the write fails, the caller has gone and needs no response.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// breakOff closes the connection without an answer.
-func breakOff(w http.ResponseWriter) {
+// closeConnection closes the connection of a request without a response.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
