--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -20,15 +20,15 @@
 	waitTimeout = 30 * time.Second
 )
 
-// TestABadBoxIsEjectedAndRepaired: a box that fails everything is taken out,
-// replaced from the free pool, and nearly every repeatable request is answered.
-func TestABadBoxIsEjectedAndRepaired(t *testing.T) {
-	s := newFixture(t, smallUser())
-	bad := s.firstPoolBox()
-	s.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
-	load := startLoadGenerator(s.cluster, testClients)
-	s.waitFor("the box is in the free pool", func() bool {
-		box, _ := s.run.observer.currentState().Box(bad)
+// TestFailingBoxIsReplacedFromFreePool: a box that fails every request is ejected and
+// replaced by a box of the free pool. At most one in 1000 repeatable requests fails.
+func TestFailingBoxIsReplacedFromFreePool(t *testing.T) {
+	f := newFixture(t, smallUser())
+	bad := f.firstPoolBox()
+	f.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
+	load := startLoadGenerator(f.cluster, testClients)
+	f.waitFor("the box is in the free pool", func() bool {
+		box, _ := f.run.observer.currentState().Box(bad)
 		return box.Pool == fold.FreePool
 	})
 	load.stop()
@@ -42,110 +42,112 @@
 		}
 	}
 	assert.Assert(t, failed*1000 <= count, "%d of %d repeatable requests failed", failed, count)
-	assert.Assert(t, s.run.observer.poolsFilled())
+	assert.Assert(t, f.run.observer.poolsFilled())
 }
 
-// TestABadJobEjectsNoBox: a request that fails everywhere is stopped, and no box
-// is blamed for it.
-func TestABadJobEjectsNoBox(t *testing.T) {
-	s := newFixture(t, smallUser())
-	const jobs = 30
-	for range jobs {
-		got := s.call("view", standin.Work{Nonce: s.nonce(), Poison: true}, nil)
+// TestRequestThatFailsEverywhereEjectsNoBox: the client gets the failure, and the
+// boxes that ran the request are not ejected for it.
+func TestRequestThatFailsEverywhereEjectsNoBox(t *testing.T) {
+	f := newFixture(t, smallUser())
+	const requests = 30
+	for range requests {
+		got := f.call("view", standin.Work{Nonce: f.nonce(), Poison: true}, nil)
 		assert.Equal(t, got.status, http.StatusInternalServerError, got.body)
 	}
-	assert.Equal(t, s.cluster.Nodes[0].entryProcess.Metrics.Count("ejections"), 0)
-	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
+	assert.Equal(t, f.cluster.Nodes[0].entryProcess.Metrics.Count("ejections"), 0)
+	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
-// TestALeavingBoxGetsNoNewWork, not even while the log is down.
-func TestALeavingBoxGetsNoNewWork(t *testing.T) {
-	s := newFixture(t, smallUser())
-	load := startLoadGenerator(s.cluster, testClients)
-	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
-	leaving := s.firstPoolBox()
-	s.cluster.Endpoints[leaving].MarkLeaving()
-	s.cluster.Platform.SetLeaving(leaving, true)
-	s.run.wait(context.Background(), 3*time.Second)
+// TestLeavingBoxGetsNoNewRequestsWhileLogIsDown: the entries learn that a box leaves
+// from the platform's list even if they can't read the log.
+func TestLeavingBoxGetsNoNewRequestsWhileLogIsDown(t *testing.T) {
+	f := newFixture(t, smallUser())
+	load := startLoadGenerator(f.cluster, testClients)
+	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	leaving := f.firstPoolBox()
+	f.cluster.Endpoints[leaving].MarkLeaving()
+	f.cluster.Platform.SetLeaving(leaving, true)
+	f.run.wait(context.Background(), 3*time.Second)
 	load.stop()
-	_, _, late := s.cluster.Observations.Violations()
+	_, _, late := f.cluster.Observations.Violations()
 	assert.Equal(t, late, 0)
 	assert.Assert(t, len(load.results()) > 0)
 }
 
-// TestABoxThatStaysAfterAllGetsWorkAgain: the list marked it as leaving and takes
-// that back, when no other box leaves.
-func TestABoxThatStaysAfterAllGetsWorkAgain(t *testing.T) {
-	s := newFixture(t, smallUser())
-	s.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
-	boxes := s.run.observer.currentState().Boxes()
+// TestBoxGetsRequestsAgainWhenListWithdrawsLeaving: the list marks all boxes as
+// leaving, so that no request can run, and then marks none.
+func TestBoxGetsRequestsAgainWhenListWithdrawsLeaving(t *testing.T) {
+	f := newFixture(t, smallUser())
+	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	boxes := f.run.observer.currentState().Boxes()
 	for _, leaving := range []bool{true, false} {
 		for _, box := range boxes {
-			s.cluster.Platform.SetLeaving(box.Info.Name, leaving)
+			f.cluster.Platform.SetLeaving(box.Info.Name, leaving)
 		}
 		wanted := http.StatusOK
 		if leaving {
 			wanted = http.StatusServiceUnavailable
 		}
-		s.waitFor(fmt.Sprintf("the answer is %d", wanted), func() bool {
+		f.waitFor(fmt.Sprintf("the response has status %d", wanted), func() bool {
 			header := map[string]string{front.HeaderDeadline: "100"}
-			return s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, header).status == wanted
+			return f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, header).status == wanted
 		})
 	}
 }
 
-// TestABurstOfCancellationsLeavesTheQueue: callers that go while they wait free
-// their places at once.
-func TestABurstOfCancellationsLeavesTheQueue(t *testing.T) {
-	s := newFixture(t, smallUser())
-	s.setFault(standin.FaultHang, allBoxes)
+// TestCancelledRequestsLeaveQueue: clients that disconnect while their requests wait
+// free the places in the queue.
+func TestCancelledRequestsLeaveQueue(t *testing.T) {
+	f := newFixture(t, smallUser())
+	f.setFault(standin.FaultHang, allBoxes)
 	ctx, cancel := context.WithCancel(context.Background())
 	const burst = 300
-	entry := s.cluster.Nodes[0].entryProcess
+	entry := f.cluster.Nodes[0].entryProcess
 	for range burst {
-		body := standin.Work{Nonce: s.nonce(), WorkMs: 1}
-		s.runInBackground(func() { s.callUntilDone(ctx, "view", body) })
+		body := standin.Work{Nonce: f.nonce(), WorkMs: 1}
+		f.runInBackground(func() { f.callUntilDone(ctx, "view", body) })
 	}
-	s.waitFor("many wait", func() bool { return entry.Metrics.Count("waiting") > 100 })
+	f.waitFor("many requests wait", func() bool { return entry.Metrics.Count("waiting") > 100 })
 	cancel()
-	s.waitFor("none waits", func() bool { return entry.Metrics.Count("waiting") == 0 })
-	s.endFaults()
-	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
+	f.waitFor("no request waits", func() bool { return entry.Metrics.Count("waiting") == 0 })
+	f.endFaults()
+	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
-// TestAWaveCutsNothing maintains every box under load.
-func TestAWaveCutsNothing(t *testing.T) {
-	s := newFixture(t, smallUser())
-	load := startLoadGenerator(s.cluster, testClients)
-	s.run.options.Seconds = 100
-	assert.NilError(t, s.run.maintainAllBoxes(context.Background()))
+// TestMaintenanceWaveInterruptsNoRequest maintains every box under load.
+func TestMaintenanceWaveInterruptsNoRequest(t *testing.T) {
+	f := newFixture(t, smallUser())
+	load := startLoadGenerator(f.cluster, testClients)
+	f.run.options.Seconds = 100
+	assert.NilError(t, f.run.maintainAllBoxes(context.Background()))
 	load.stop()
-	assert.Equal(t, s.run.observer.dueBoxes(), 0)
-	overlaps, cut, _ := s.cluster.Observations.Violations()
+	assert.Equal(t, f.run.observer.dueBoxes(), 0)
+	overlaps, cut, _ := f.cluster.Observations.Violations()
 	assert.Equal(t, overlaps+cut, 0)
 	for _, line := range load.results() {
 		assert.Equal(t, line.outcome, wire.OutcomeAnswered, "%+v", line)
 	}
 }
 
-// TestAWaveHaltsWhenBoxesDoNotComeBack and says which.
-func TestAWaveHaltsWhenBoxesDoNotComeBack(t *testing.T) {
-	s := newFixture(t, smallUser())
-	s.cluster.SetReboot(func(ctx context.Context, _ string) error {
+// TestMaintenanceWaveHaltsWhenBoxDoesNotComeBack: while one box has not come back from
+// its reboot, no other box goes into maintenance and the pool keeps its headroom.
+func TestMaintenanceWaveHaltsWhenBoxDoesNotComeBack(t *testing.T) {
+	f := newFixture(t, smallUser())
+	f.cluster.SetReboot(func(ctx context.Context, _ string) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	s.run.options.Seconds = 1
-	assert.NilError(t, s.run.maintainAllBoxes(context.Background()))
-	s.waitFor("the wave is halted", func() bool { return len(s.deferredChanges("halted")) > 0 })
+	f.run.options.Seconds = 1
+	assert.NilError(t, f.run.maintainAllBoxes(context.Background()))
+	f.waitFor("the wave is halted", func() bool { return len(f.deferredChanges("halted")) > 0 })
 	down := 0
-	for _, box := range s.run.observer.currentState().Boxes() {
+	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Phase == fold.Maintenance && box.Pool != fold.FreePool {
 			down++
 		}
 	}
 	assert.Equal(t, down, 1)
-	assert.Assert(t, s.run.observer.currentState().Headroom("clerks") >= 0)
+	assert.Assert(t, f.run.observer.currentState().Headroom("clerks") >= 0)
 }
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -20,8 +20,8 @@
 	"damsonwinch/pkg/standin"
 )
 
-// smallUser has one hall, five boxes in racks of their own and two services: one
-// that may be repeated and one that may not.
+// smallUser returns a user with one zone, one entry, five boxes in five racks, and two
+// services in one pool: the requests of view may be repeated, those of pay may not.
 func smallUser() User {
 	table := newTable(settings.Deployment{Pools: []string{"clerks"}, Moves: 1, Rollout: 1, Buffer: 1, MaintainDays: 42},
 		serviceSpec{"view", "clerks", 1, 8, 0, 3000, true},
@@ -37,16 +37,19 @@
 	return User{Name: "small", Fleet: fleet, Table: table}
 }
 
-// fixture is a small fleet and a caller.
+// fixture is a small fleet with an HTTP client of its entries.
 type fixture struct {
 	t          *testing.T
 	cluster    *Cluster
 	run        *run
 	client     *http.Client
-	nonces     int
-	background errgroup.Group
+	nonces     int            // Number of nonces given out.
+	background errgroup.Group // Goroutines for which the cleanup waits.
 }
 
+// newFixture starts a user's fleet and publishes its table. The test's cleanup ends
+// the fleet, and fails the test if a process reported a violation.
+
 func newFixture(t *testing.T, user User) *fixture {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -54,20 +57,20 @@
 	assert.NilError(t, err)
 	obs, err := startObserver(cluster)
 	assert.NilError(t, err)
-	s := &fixture{t: t, cluster: cluster, client: &http.Client{Timeout: time.Minute}}
-	s.run = &run{options: Options{Progress: io.Discard, Seconds: 1}, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
+	f := &fixture{t: t, cluster: cluster, client: &http.Client{Timeout: time.Minute}}
+	f.run = &run{options: Options{Progress: io.Discard, Seconds: 1}, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
 	t.Cleanup(func() {
-		assert.NilError(t, s.background.Wait())
+		assert.NilError(t, f.background.Wait())
 		obs.stop()
-		s.client.CloseIdleConnections()
+		f.client.CloseIdleConnections()
 		assert.NilError(t, cluster.Close())
 		assert.Equal(t, len(cluster.reportedViolations()), 0, "%v", cluster.violations.details)
 	})
-	assert.NilError(t, s.run.publishFirstTable(context.Background()))
-	return s
+	assert.NilError(t, f.run.publishFirstTable(context.Background()))
+	return f
 }
 
-// reply is what a caller was reply, beside what the endpoints saw.
+// reply is the response that a client got.
 type reply struct {
 	outcome    string
 	status     int
@@ -76,26 +79,30 @@
 	nonce      string
 }
 
-func (s *fixture) call(service string, work standin.Work, header map[string]string) reply {
-	s.t.Helper()
+// call sends work to the first entry, which must respond.
+func (f *fixture) call(service string, work standin.Work, header map[string]string) reply {
+	f.t.Helper()
 	body, err := json.Marshal(work)
-	assert.NilError(s.t, err)
-	return s.callWithBody(service, body, header, work.Nonce)
+	assert.NilError(f.t, err)
+	return f.callWithBody(service, body, header, work.Nonce)
 }
 
-func (s *fixture) callWithBody(service string, body []byte, header map[string]string, nonce string) reply {
-	s.t.Helper()
-	return s.callNode(s.cluster.Nodes[0], service, body, header, nonce)
+// callWithBody sends a body to the first entry, which must respond.
+func (f *fixture) callWithBody(service string, body []byte, header map[string]string, nonce string) reply {
+	f.t.Helper()
+	return f.callNode(f.cluster.Nodes[0], service, body, header, nonce)
 }
 
-func (s *fixture) nonce() string {
-	s.nonces++
-	return fmt.Sprintf("n%d", s.nonces)
+// nonce returns a new nonce, by which the endpoints' observations identify a request.
+func (f *fixture) nonce() string {
+	f.nonces++
+	return fmt.Sprintf("n%d", f.nonces)
 }
 
-// setFault makes the first so many boxes of the pool, or all, do wrong.
-func (s *fixture) setFault(fault standin.EndpointFault, boxes int) {
-	for _, box := range s.run.observer.currentState().Boxes() {
+// setFault gives a fault to the first boxes that are not in the free pool, as many as
+// the given number or all of them.
+func (f *fixture) setFault(fault standin.EndpointFault, boxes int) {
+	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Pool == "free" {
 			continue
 		}
@@ -103,51 +110,54 @@
 			return
 		}
 		boxes--
-		s.cluster.Endpoints[box.Info.Name].SetFault(fault)
+		f.cluster.Endpoints[box.Info.Name].SetFault(fault)
 	}
 }
 
-func (s *fixture) endFaults() {
-	for _, endpoint := range s.cluster.Endpoints {
+// endFaults makes all endpoints work correctly again.
+func (f *fixture) endFaults() {
+	for _, endpoint := range f.cluster.Endpoints {
 		endpoint.SetFault(standin.FaultNone)
 	}
 }
 
+// allBoxes is more than any test has boxes.
 const allBoxes = 100
 
-// TestFaultsOfEndpoints tells, for each fault of every box, what the caller is
-// told, what the endpoints' book says and what the next try with the same key
-// gets. A repeatable request comes first, then one that isn't.
-func TestFaultsOfEndpoints(t *testing.T) {
+// TestClientGetsCorrectOutcomeForEachEndpointFault shows, for each fault of all boxes,
+// the outcome that the client gets, whether the endpoints ran the request at most
+// once, and the outcome of a second request with the same key. A request that may be
+// repeated comes first, then one that may not.
+func TestClientGetsCorrectOutcomeForEachEndpointFault(t *testing.T) {
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, d *datadriven.TestData) string {
-		// A fleet a row, so that no row sees the ejections of another.
-		s := newFixture(t, smallUser())
+		// Each row has a fleet of its own, so that ejections in one row don't affect another.
+		f := newFixture(t, smallUser())
 		var fault string
 		boxes, services := allBoxes, []string{"view", "pay"}
 		d.ScanArgs(t, "fault", &fault)
 		if d.HasArg("boxes") {
 			d.ScanArgs(t, "boxes", &boxes)
-			// Chance decides which box a request goes to, so that only one which is
-			// tried again has a certain outcome.
+			// The box for a request is chosen at random. Only a request that is sent again
+			// has the same outcome whichever box comes first.
 			services = services[:1]
 		}
 		var lines strings.Builder
 		for _, service := range services {
-			s.setFault(standin.EndpointFault(fault), boxes)
-			nonce := s.nonce()
+			f.setFault(standin.EndpointFault(fault), boxes)
+			nonce := f.nonce()
 			work := standin.Work{Nonce: nonce, WorkMs: 50}
 			header := map[string]string{front.HeaderIdempotencyKey: nonce}
-			first := s.call(service, work, header)
-			s.endFaults()
+			first := f.call(service, work, header)
+			f.endFaults()
 			fmt.Fprintf(&lines, "%s: %s %d", service, first.outcome, first.status)
 			if first.status == http.StatusOK {
 				assert.Equal(t, first.body, standin.ExpectedResponse(mustJSON(t, work)))
 			}
 			if service == "pay" {
-				fmt.Fprintf(&lines, ", ran at most once: %v", s.cluster.Observations.Runs(nonce) <= 1)
-				second := s.callAfterOutcome(service, work, header)
+				fmt.Fprintf(&lines, ", ran at most once: %v", f.cluster.Observations.Runs(nonce) <= 1)
+				second := f.callAfterOutcome(service, work, header)
 				fmt.Fprintf(&lines, "; again with the key: %s %d", second.outcome, second.status)
-				assert.Assert(t, s.cluster.Observations.Runs(nonce) <= 1, "it ran %d times", s.cluster.Observations.Runs(nonce))
+				assert.Assert(t, f.cluster.Observations.Runs(nonce) <= 1, "it ran %d times", f.cluster.Observations.Runs(nonce))
 			}
 			lines.WriteString("\n")
 		}
@@ -155,12 +165,13 @@
 	})
 }
 
-// callAfterOutcome tries a key again until the log knows the first try's outcome.
-func (s *fixture) callAfterOutcome(service string, work standin.Work, header map[string]string) reply {
-	s.run.waitUntil(context.Background(), 5*time.Second, func() bool {
-		return s.cluster.Nodes[0].entryProcess.Metrics.Count("claim_outcomes") > 0
+// callAfterOutcome repeats a request with the same key once the entry has recorded an
+// outcome in the log, or after 5 s.
+func (f *fixture) callAfterOutcome(service string, work standin.Work, header map[string]string) reply {
+	f.run.waitUntil(context.Background(), 5*time.Second, func() bool {
+		return f.cluster.Nodes[0].entryProcess.Metrics.Count("claim_outcomes") > 0
 	})
-	return s.call(service, work, header)
+	return f.call(service, work, header)
 }
 
 func mustJSON(t *testing.T, value any) []byte {
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -14,9 +14,10 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestBadInput gives each wrong request its status, its outcome and a reason.
-func TestBadInput(t *testing.T) {
-	s := newFixture(t, smallUser())
+// TestInvalidRequestIsRefusedWithReason: each invalid request gets its own status, the
+// outcome "not-run" and a reason that names what is wrong.
+func TestInvalidRequestIsRefusedWithReason(t *testing.T) {
+	f := newFixture(t, smallUser())
 	for _, row := range []struct {
 		name    string
 		service string
@@ -35,7 +36,7 @@
 		{"key too long", "pay", "{}", map[string]string{front.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got := s.callWithBody(row.service, []byte(row.body), row.header, "")
+			got := f.callWithBody(row.service, []byte(row.body), row.header, "")
 			assert.Equal(t, got.status, row.status, got.body)
 			assert.Equal(t, got.outcome, string(wire.OutcomeNotRun))
 			var refusal wire.Refusal
@@ -46,32 +47,34 @@
 	}
 }
 
-// TestQuotaAndQueue refuses what is over a team's quota with a time to come back.
-func TestQuotaAndQueue(t *testing.T) {
-	s := newFixture(t, smallUser())
-	team := map[string]string{front.HeaderCustomer: "small"}
+// TestRequestOverQuotaIsRefusedWithRetryAfter: a request over its customer's quota is
+// refused and the response says when to try again. It runs once the quota is free.
+func TestRequestOverQuotaIsRefusedWithRetryAfter(t *testing.T) {
+	f := newFixture(t, smallUser())
+	customer := map[string]string{front.HeaderCustomer: "small"}
 	first := make(chan reply, 1)
-	long := standin.Work{Nonce: s.nonce(), WorkMs: 500}
-	s.runInBackground(func() { first <- s.call("view", long, team) })
-	s.waitFor("the first request runs", func() bool { return s.cluster.Observations.Runs(long.Nonce) == 1 })
+	long := standin.Work{Nonce: f.nonce(), WorkMs: 500}
+	f.runInBackground(func() { first <- f.call("view", long, customer) })
+	f.waitFor("the first request runs", func() bool { return f.cluster.Observations.Runs(long.Nonce) == 1 })
 
-	second := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, team)
+	second := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 
 	assert.Equal(t, second.status, http.StatusTooManyRequests, second.body)
 	assert.Equal(t, second.outcome, string(wire.OutcomeNotRun))
 	assert.Assert(t, second.retryAfter != "")
 	assert.Equal(t, (<-first).status, http.StatusOK)
-	again := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1}, team)
+	again := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 	assert.Equal(t, again.status, http.StatusOK, again.body)
 }
 
-// TestALargeAnswerIsAClearError and never a part of the answer.
-func TestALargeAnswerIsAClearError(t *testing.T) {
-	s := newFixture(t, smallUser())
-	got := s.call("view", standin.Work{Nonce: s.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
+// TestOversizedResponseIsAnError: the client gets an error that names the limit, not a
+// truncated response.
+func TestOversizedResponseIsAnError(t *testing.T) {
+	f := newFixture(t, smallUser())
+	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
-	s.setFault(standin.FaultOversizedBody, allBoxes)
-	got = s.call("pay", standin.Work{Nonce: s.nonce(), WorkMs: 1}, nil)
+	f.setFault(standin.FaultOversizedBody, allBoxes)
+	got = f.call("pay", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusBadGateway, fmt.Sprint(len(got.body)))
 	assert.Equal(t, got.outcome, string(wire.OutcomeUnknown))
 	assert.Assert(t, strings.Contains(got.body, "larger than"), got.body)
