--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -15,31 +15,38 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Cost compares calls through an entry with direct calls, without a queue.
+// Cost compares requests through an entry and through the plain gateway with requests
+// sent directly to an endpoint. There are so few at once that none waits in a queue.
 type Cost struct {
-	// DirectUs is the processor time of a direct call, caller and endpoint
-	// together, in microseconds; ThroughUs the same through an entry.
+	// DirectUs is the processor time of a direct request in microseconds, and EntryUs
+	// that of a request through an entry. Both include client and endpoint.
 	DirectUs float64 `json:"direct_us"`
 	EntryUs  float64 `json:"through_us"`
-	// Ratio is ThroughUs over DirectUs, PlainRatio the same for the plain gateway.
+	// Ratio is EntryUs divided by DirectUs. PlainRatio is the same for the plain
+	// gateway.
 	Ratio      float64 `json:"ratio"`
 	PlainRatio float64 `json:"plain_ratio"`
-	// AddedUs is the median latency that an entry adds, in microseconds.
+	// AddedUs is the median latency through an entry minus that of a direct request, in
+	// microseconds.
 	AddedUs float64 `json:"added_us"`
-	// IdleUsPerSecond is the processor time a second of all processes without a request.
+	// IdleUsPerSecond is the processor time that the whole fleet uses per second while
+	// there are no requests, in microseconds.
 	IdleUsPerSecond float64 `json:"idle_us_per_second"`
 }
 
+// Requests by which the cost of a route is measured: costRequests in each round, from
+// costClients clients.
 const (
-	costWorkers  = 4
+	costClients  = 4
 	costRequests = 2000
 	costRounds   = 3
 	idleTime     = 2 * time.Second
 )
 
-// measureCost runs the ways in turn, so that a noisy machine treats them alike.
-func measureCost(ctx context.Context, cluster *trial.Cluster, p *plain, options Options) (Cost, error) {
-	idle, err := spent(func() error {
+// measureCost measures the three routes in turn in each round, so that other load on
+// the machine affects them alike.
+func measureCost(ctx context.Context, cluster *trial.Cluster, plain *plainGateway, options Options) (Cost, error) {
+	idle, err := processorTimeOf(func() error {
 		options.Clock.Sleep(idleTime)
 		return nil
 	})
@@ -47,71 +54,75 @@
 		return Cost{}, err
 	}
 	idlePerSecond := idle / idleTime.Seconds()
-	ways := [][]string{{p.boxes[0].address, "/run/"}, {cluster.ReadyAddresses()[0], "/v1/run/"}, {p.address, "/v1/run/"}}
-	costs, latencies := make([][]float64, len(ways)), make([][]float64, len(ways))
+	routes := [][]string{{plain.boxes[0].address, "/run/"}, {cluster.ReadyAddresses()[0], "/v1/run/"}, {plain.address, "/v1/run/"}}
+	costs, latencies := make([][]float64, len(routes)), make([][]float64, len(routes))
 	for range costRounds {
-		for i, way := range ways {
-			cost, latency, err := measureWay(ctx, options, way[0], way[1], idlePerSecond)
+		for i, route := range routes {
+			cost, latency, err := measureRoute(ctx, options, route[0], route[1], idlePerSecond)
 			if err != nil {
 				return Cost{}, err
 			}
 			costs[i], latencies[i] = append(costs[i], cost), append(latencies[i], latency)
 		}
 	}
-	direct, through, plainCost := middle(costs[0]), middle(costs[1]), middle(costs[2])
+	direct, entry, plainCost := median(costs[0]), median(costs[1]), median(costs[2])
 	return Cost{
-		DirectUs: direct, EntryUs: through, Ratio: through / direct, PlainRatio: plainCost / direct,
-		AddedUs: middle(latencies[1]) - middle(latencies[0]), IdleUsPerSecond: idlePerSecond,
+		DirectUs: direct, EntryUs: entry, Ratio: entry / direct, PlainRatio: plainCost / direct,
+		AddedUs: median(latencies[1]) - median(latencies[0]), IdleUsPerSecond: idlePerSecond,
 	}, nil
 }
 
-// measureWay returns processor time and median latency a request, in
-// microseconds.
-func measureWay(ctx context.Context, options Options, address, path string, idlePerSecond float64) (float64, float64, error) {
-	client := newClient(costWorkers)
+// measureRoute returns the processor time per request, without that of the idle fleet,
+// and the median latency, both in microseconds.
+func measureRoute(ctx context.Context, options Options, address, path string, idlePerSecond float64) (float64, float64, error) {
+	client := newClient(costClients)
 	defer client.CloseIdleConnections()
-	all := make([][]float64, costWorkers)
-	begun := options.Clock.Now()
-	total, err := spent(func() error {
+	latencies := make([][]float64, costClients)
+	startedAt := options.Clock.Now()
+	total, err := processorTimeOf(func() error {
 		var group errgroup.Group
-		for worker := range costWorkers {
+		for clientNumber := range costClients {
 			group.Go(func() error {
-				for count := range costRequests / costWorkers {
-					nonce := fmt.Sprintf("cost-%s-%d-%d-%d", address, begun.UnixNano(), worker, count)
-					status, took := post(options, client, "http://"+address+path+service, nonce)
+				for count := range costRequests / costClients {
+					nonce := fmt.Sprintf("cost-%s-%d-%d-%d", address, startedAt.UnixNano(), clientNumber, count)
+					status, latency := sendWithoutWork(options, client, "http://"+address+path+service, nonce)
 					if status != http.StatusOK || ctx.Err() != nil {
-						return errors.Join(fmt.Errorf("call of %s: status %d", address, status), ctx.Err())
+						return errors.Join(fmt.Errorf("request to %s: status %d", address, status), ctx.Err())
 					}
-					all[worker] = append(all[worker], float64(took.Microseconds()))
+					latencies[clientNumber] = append(latencies[clientNumber], float64(latency.Microseconds()))
 				}
 				return nil
 			})
 		}
 		return group.Wait()
 	})
-	idle := idlePerSecond * options.Clock.Since(begun).Seconds()
-	return (total - idle) / costRequests, middle(slices.Concat(all...)), err
+	idle := idlePerSecond * options.Clock.Since(startedAt).Seconds()
+	return (total - idle) / costRequests, median(slices.Concat(latencies...)), err
 }
 
-func post(options Options, client *http.Client, url, nonce string) (int, time.Duration) {
-	return oneAt(options, client, url, nonce, wire.ClassNormal, normalDeadline, 0)
+// sendWithoutWork sends a request that an endpoint answers at once, and returns the
+// status and the latency of the response.
+func sendWithoutWork(options Options, client *http.Client, url, nonce string) (int, time.Duration) {
+	return sendTo(options, client, url, nonce, wire.ClassNormal, normalDeadline, 0)
 }
 
-// spent returns the processor time that this process uses meanwhile, in
-// microseconds.
-func spent(do func() error) (float64, error) {
-	before, err := used()
+// processorTimeOf returns the processor time in microseconds that this operating
+// system process uses while the function runs.
+func processorTimeOf(do func() error) (float64, error) {
+	before, err := processorTime()
 	if err != nil {
 		return 0, err
 	}
 	if err := do(); err != nil {
 		return 0, err
 	}
-	after, err := used()
+	after, err := processorTime()
 	return float64((after - before).Microseconds()), err
 }
 
-func used() (time.Duration, error) {
+// processorTime returns the processor time that this operating system process has used
+// so far.
+func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0, fmt.Errorf("read processor time: %w", err)
@@ -119,7 +130,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-func middle(values []float64) float64 {
+// median returns the median, or for an even number of values the upper of the two in
+// the middle.
+func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
--- a/pkg/loadtest/cost_test.go
+++ b/pkg/loadtest/cost_test.go
@@ -14,17 +14,17 @@
 	"damsonwinch/pkg/trial"
 )
 
-// BenchmarkCalls compares a direct call with one through an entry and one
-// through the plain gateway, in one run.
+// BenchmarkCalls compares direct requests to an endpoint with requests through an
+// entry and through the plain gateway.
 func BenchmarkCalls(b *testing.B) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	user, err := fleetUser()
+	user, err := loadUser()
 	assert.NilError(b, err)
 	cluster, err := trial.StartReady(context.Background(), user, 1, logger)
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, cluster.Close()) }()
-	gateway, err := startPlain(cluster)
+	gateway, err := startPlainGateway(cluster)
 	assert.NilError(b, err)
 	defer gateway.close()
 	options := Options{Clock: clockwork.NewRealClock()}
@@ -35,7 +35,7 @@
 			client := newClient(1)
 			defer client.CloseIdleConnections()
 			for count := 0; b.Loop(); count++ {
-				status, _ := post(options, client, "http://"+url+service, fmt.Sprint(name, count))
+				status, _ := sendWithoutWork(options, client, "http://"+url+service, fmt.Sprint(name, count))
 				assert.Equal(b, status, http.StatusOK)
 			}
 		})
--- a/pkg/loadtest/drive.go
+++ b/pkg/loadtest/drive.go
@@ -20,45 +20,49 @@
 	"damsonwinch/pkg/wire"
 )
 
-// gateway is a way to the endpoints.
+// gateway is what requests are sent through: an entry or the plain gateway.
 type gateway struct {
-	name      string
+	name string
+	// addresses get requests in turn.
 	addresses []string
 }
 
 const (
-	longestUs     = 60_000_000
-	figures       = 3
-	usPerMs       = 1000
-	half          = 50
-	nearlyAll     = 99
-	clientTimeout = 40 * time.Second
+	maxLatencyUs = 60_000_000
+	// significantFigures is the precision of the histograms.
+	significantFigures = 3
+	usPerMs            = 1000
+	medianPercent      = 50
+	tailPercent        = 99
+	clientTimeout      = 40 * time.Second
 )
 
-// book collects a phase's results.
-type book struct {
+// classResults collects the results of a phase for each class of requests.
+type classResults struct {
 	mutex   sync.Mutex
 	classes map[string]*ClassResult
 }
 
-func newBook() *book {
-	b := &book{classes: map[string]*ClassResult{}}
+func newClassResults() *classResults {
+	c := &classResults{classes: map[string]*ClassResult{}}
 	for _, class := range []wire.Class{wire.ClassUrgent, wire.ClassNormal, wire.ClassSameDay} {
-		b.classes[string(class)] = &ClassResult{histogram: hdrhistogram.New(1, longestUs, figures)}
+		c.classes[string(class)] = &ClassResult{histogram: hdrhistogram.New(1, maxLatencyUs, significantFigures)}
 	}
-	return b
+	return c
 }
 
-func (b *book) add(class wire.Class, status int, took, deadline time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	result := b.classes[string(class)]
+// add counts a response. Status is 0 if there was none.
+func (c *classResults) add(class wire.Class, status int, latency, deadline time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	result := c.classes[string(class)]
 	result.Requests++
 	switch {
 	case status == http.StatusOK:
-		// A value over the longest is cut to it by the bounds of the phase.
-		_ = result.histogram.RecordValue(min(longestUs, took.Microseconds()))
-		if took <= deadline {
+		// A latency above the histogram's range counts as its maximum, so that RecordValue
+		// doesn't fail.
+		_ = result.histogram.RecordValue(min(maxLatencyUs, latency.Microseconds()))
+		if latency <= deadline {
 			result.InTime++
 		}
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
@@ -68,26 +72,28 @@
 	}
 }
 
-// drive offers requests at a rate, open loop, over at most so many connections.
-func drive(ctx context.Context, options Options, way gateway, rate float64) PhaseResult {
+// offerLoad sends requests at random times, on average rate per second, for the length
+// of a phase. It doesn't wait for responses before it sends more, unless all
+// connections are in use.
+func offerLoad(ctx context.Context, options Options, g gateway, rate float64) PhaseResult {
 	random := rand.New(rand.NewPCG(options.Seed, uint64(rate)))
-	results := newBook()
+	results := newClassResults()
 	client := newClient(options.Connections)
 	var group errgroup.Group
 	group.SetLimit(options.Connections)
-	begun := options.Clock.Now()
-	next := begun
-	for count := 0; options.Clock.Since(begun) < options.Phase && ctx.Err() == nil; count++ {
-		next = next.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-		if wait := next.Sub(options.Clock.Now()); wait > 0 {
+	startedAt := options.Clock.Now()
+	arrival := startedAt
+	for count := 0; options.Clock.Since(startedAt) < options.Phase && ctx.Err() == nil; count++ {
+		arrival = arrival.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
+		if wait := arrival.Sub(options.Clock.Now()); wait > 0 {
 			options.Clock.Sleep(wait)
 		}
-		class, deadline := mix(random)
-		address := way.addresses[count%len(way.addresses)]
-		nonce := fmt.Sprintf("%s-%.0f-%d", way.name, rate, count)
+		class, deadline := drawClass(random)
+		address := g.addresses[count%len(g.addresses)]
+		nonce := fmt.Sprintf("%s-%.0f-%d", g.name, rate, count)
 		group.Go(func() error {
-			status, took := one(options, client, address, nonce, class, deadline)
-			results.add(class, status, took, deadline)
+			status, latency := sendWork(options, client, address, nonce, class, deadline)
+			results.add(class, status, latency, deadline)
 			return nil
 		})
 	}
@@ -96,17 +102,22 @@
 	return summarise(results, options.Phase)
 }
 
+// newClient returns an HTTP client that keeps up to the given number of idle
+// connections.
 func newClient(connections int) *http.Client {
 	transport := &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: connections}
 	return &http.Client{Transport: transport, Timeout: clientTimeout}
 }
 
-// one makes one request and returns its status, 0 if it had no answer.
-func one(options Options, client *http.Client, address, nonce string, class wire.Class, deadline time.Duration) (int, time.Duration) {
-	return oneAt(options, client, "http://"+address+"/v1/run/"+service, nonce, class, deadline, serviceMs)
+// sendWork sends a request that works for serviceMs on an endpoint, and returns the
+// status and the latency of the response. The status is 0 if there is no response.
+func sendWork(options Options, client *http.Client, address, nonce string, class wire.Class, deadline time.Duration) (int, time.Duration) {
+	return sendTo(options, client, "http://"+address+"/v1/run/"+service, nonce, class, deadline, serviceMs)
 }
 
-func oneAt(options Options, client *http.Client, url, nonce string, class wire.Class, deadline time.Duration, workMs int) (int, time.Duration) {
+// sendTo sends a request with the given work to a URL. It returns the status and the
+// latency of the response; the status is 0 if there is no complete response.
+func sendTo(options Options, client *http.Client, url, nonce string, class wire.Class, deadline time.Duration, workMs int) (int, time.Duration) {
 	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: workMs})
 	if err != nil {
 		return 0, 0
@@ -117,25 +128,26 @@
 	}
 	request.Header.Set(front.HeaderClass, string(class))
 	request.Header.Set(front.HeaderDeadline, fmt.Sprint(deadline.Milliseconds()))
-	begun := options.Clock.Now()
+	sentAt := options.Clock.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return 0, options.Clock.Since(begun)
+		return 0, options.Clock.Since(sentAt)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return 0, options.Clock.Since(begun)
+		return 0, options.Clock.Since(sentAt)
 	}
-	return response.StatusCode, options.Clock.Since(begun)
+	return response.StatusCode, options.Clock.Since(sentAt)
 }
 
-func summarise(results *book, length time.Duration) PhaseResult {
+// summarise computes the goodput and the quantiles of a phase.
+func summarise(results *classResults, duration time.Duration) PhaseResult {
 	inTime := 0
 	for _, result := range results.classes {
 		inTime += result.InTime
-		result.P50Ms = float64(result.histogram.ValueAtQuantile(half)) / usPerMs
-		result.P99Ms = float64(result.histogram.ValueAtQuantile(nearlyAll)) / usPerMs
+		result.P50Ms = float64(result.histogram.ValueAtQuantile(medianPercent)) / usPerMs
+		result.P99Ms = float64(result.histogram.ValueAtQuantile(tailPercent)) / usPerMs
 		result.WaitP99Ms = max(0, result.P99Ms-serviceMs)
 	}
-	return PhaseResult{Goodput: float64(inTime) / length.Seconds(), Classes: results.classes}
+	return PhaseResult{Goodput: float64(inTime) / duration.Seconds(), Classes: results.classes}
 }
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -1,5 +1,7 @@
-// Package loadtest measures a request's way under load and faults, beside a
-// plain gateway in the same run: round robin, no classes, no ejection.
+// Package loadtest measures the latency, goodput and processor time of requests
+// through the entries of a fleet, under overload and with failing boxes. In the same
+// run it measures a plain gateway for comparison, which has round robin and no classes
+// or ejection.
 package loadtest
 
 import (
@@ -19,42 +21,55 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Options of a run.
+// Options are the options of Run.
 type Options struct {
-	Seed        uint64
+	// Seed determines the times and classes of the requests.
+	Seed uint64
+	// Connections is the largest number of requests that are sent at once.
 	Connections int
 	// Phase is the length of each phase.
-	Phase    time.Duration
+	Phase time.Duration
+	// Progress gets a line for each phase.
 	Progress io.Writer
 	Logger   logrus.FieldLogger
 	Clock    damsonwinch.Clock
 }
 
-// ClassResult is what became of one class in a phase.
+// ClassResult is the result of one class of requests in a phase.
 type ClassResult struct {
-	Requests  int     `json:"requests"`
-	InTime    int     `json:"in_time"`
-	Refused   int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	P50Ms     float64 `json:"p50_ms"`
-	P99Ms     float64 `json:"p99_ms"`
-	WaitP99Ms float64 `json:"wait_p99_ms"`
-	histogram *hdrhistogram.Histogram
+	Requests int `json:"requests"`
+	// InTime counts the responses with status 200 within the deadline.
+	InTime int `json:"in_time"`
+	// Refused counts the responses with status 429 or 503.
+	Refused int `json:"refused"`
+	// Failed counts the requests with another status or without a response.
+	Failed int `json:"failed"`
+	// P50Ms and P99Ms are quantiles of the latency of responses with status 200, in
+	// milliseconds.
+	P50Ms float64 `json:"p50_ms"`
+	P99Ms float64 `json:"p99_ms"`
+	// WaitP99Ms is P99Ms without the time that a request works on an endpoint.
+	WaitP99Ms float64                 `json:"wait_p99_ms"`
+	histogram *hdrhistogram.Histogram // Of the latency in microseconds.
 }
 
-// PhaseResult is one phase through one gateway.
+// PhaseResult is the result of one phase through one gateway.
 type PhaseResult struct {
-	Phase   string                  `json:"phase"`
-	Gateway string                  `json:"gateway"`
-	Offered float64                 `json:"offered_per_second"`
+	Phase   string `json:"phase"`
+	Gateway string `json:"gateway"`
+	// Offered is the number of requests that were to be sent per second.
+	Offered float64 `json:"offered_per_second"`
+	// Goodput is the number of requests answered within their deadlines per second.
 	Goodput float64                 `json:"goodput_per_second"`
-	Classes map[string]*ClassResult `json:"classes"`
+	Classes map[string]*ClassResult `json:"classes"` // By the name of the class.
 }
 
-// Report is a whole run.
+// Report is the result of a run.
 type Report struct {
-	Seed        uint64        `json:"seed"`
-	Connections int           `json:"connections"`
+	Seed        uint64 `json:"seed"`
+	Connections int    `json:"connections"`
+	// Slots is the number of requests that the boxes of the fleet can run at once, and
+	// ServiceMs how long each request runs, in milliseconds.
 	Slots       int           `json:"slots"`
 	ServiceMs   int           `json:"service_ms"`
 	Cost        Cost          `json:"cost"`
@@ -62,50 +77,55 @@
 	GoalResults []GoalResult  `json:"goals"`
 }
 
-// GoalResult is one goal and what was measured.
+// GoalResult is a goal with the value that was measured for it.
 type GoalResult struct {
+	// Goal says what is measured and whether Limit is the largest or the smallest value
+	// that meets the goal.
 	Goal     string  `json:"goal"`
 	Limit    float64 `json:"limit"`
 	Measured float64 `json:"measured"`
 	Met      bool    `json:"met"`
 }
 
+// The service that is measured, the settings of its pool, and the mix of the requests.
+// slots is what the boxes of trial.Lisbon have together.
 const (
-	serviceMs      = 200
-	service        = "quotes"
-	poolName       = "all"
-	slots          = 400
-	floorSlots     = 352
-	queueLimit     = 600
-	urgentDeadline = 3 * time.Second
-	normalDeadline = 3 * time.Second
-	dayDeadline    = 30 * time.Second
-	urgentPercent  = 20
-	dayPercent     = 20
-	percent        = 100
-	badBoxEvery    = 10
+	serviceMs          = 200
+	service            = "quotes"
+	poolName           = "all"
+	slots              = 400
+	floorSlots         = 352
+	queueLimit         = 600
+	urgentDeadline     = 3 * time.Second
+	normalDeadline     = 3 * time.Second
+	sameDayDeadline    = 30 * time.Second
+	urgentPercent      = 20
+	sameDayPercent     = 20
+	percent            = 100
+	failingBoxInterval = 10
 )
 
-// mix returns the class of a request and its deadline.
-func mix(random *rand.Rand) (wire.Class, time.Duration) {
+// drawClass returns a random class and the deadline of its requests.
+func drawClass(random *rand.Rand) (wire.Class, time.Duration) {
 	switch drawn := random.IntN(percent); {
 	case drawn < urgentPercent:
 		return wire.ClassUrgent, urgentDeadline
-	case drawn < urgentPercent+dayPercent:
-		return wire.ClassSameDay, dayDeadline
+	case drawn < urgentPercent+sameDayPercent:
+		return wire.ClassSameDay, sameDayDeadline
 	}
 	return wire.ClassNormal, normalDeadline
 }
 
-// fleetUser is a user's fleet with one service on all of its boxes.
-func fleetUser() (trial.User, error) {
+// loadUser returns the fleet of a user of package trial, with a table of one service
+// that uses all boxes.
+func loadUser() (trial.User, error) {
 	user, err := trial.NewUser(trial.Lisbon)
 	if err != nil {
 		return user, err
 	}
 	row := settings.Row{
 		Pool: poolName, Weight: 1, Floor: floorSlots, Most: slots, Down: 1, Queue: queueLimit,
-		DeadlineMs: int(dayDeadline.Milliseconds()), RunMs: 5000, Repeatable: true, AnswerKb: 64, RequestKb: 64,
+		DeadlineMs: int(sameDayDeadline.Milliseconds()), RunMs: 5000, Repeatable: true, AnswerKb: 64, RequestKb: 64,
 	}
 	user.Table = settings.Table{
 		Deployment: settings.Deployment{Pools: []string{poolName}, Moves: 1, Rollout: 1, Buffer: 1, MaintainDays: 42},
@@ -114,10 +134,12 @@
 	return user, nil
 }
 
-// Run measures cost, overload and a bad box in ten.
+// Run measures the cost of a request, then phases with 100, 150 and 200 % of the load
+// that the fleet can serve, then a phase in which one box in ten fails. Each phase goes
+// through the entries first and through the plain gateway after that.
 func Run(ctx context.Context, options Options) (Report, error) {
 	report := Report{Seed: options.Seed, Connections: options.Connections, Slots: slots, ServiceMs: serviceMs}
-	user, err := fleetUser()
+	user, err := loadUser()
 	if err != nil {
 		return report, err
 	}
@@ -126,15 +148,16 @@
 		return report, err
 	}
 	err = report.measure(ctx, cluster, options)
-	if closed := cluster.Close(); err == nil {
-		err = closed
+	if closeErr := cluster.Close(); err == nil {
+		err = closeErr
 	}
-	report.judge()
+	report.checkGoals()
 	return report, err
 }
 
+// measure adds the cost and the results of all phases to the report.
 func (r *Report) measure(ctx context.Context, cluster *trial.Cluster, options Options) error {
-	plain, err := startPlain(cluster)
+	plain, err := startPlainGateway(cluster)
 	if err != nil {
 		return err
 	}
@@ -142,67 +165,71 @@
 	if r.Cost, err = measureCost(ctx, cluster, plain, options); err != nil {
 		return err
 	}
-	say(options, "a direct call costs %.0f us of processor time, one through an entry %.2f times that", r.Cost.DirectUs, r.Cost.Ratio)
+	logLine(options, "a direct call costs %.0f us of processor time, one through an entry %.2f times that", r.Cost.DirectUs, r.Cost.Ratio)
 	for _, load := range []int{100, 150, 200} {
-		for _, way := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
-			r.add(ctx, options, fmt.Sprintf("%d%%", load), way, load)
+		for _, g := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
+			r.measurePhase(ctx, options, fmt.Sprintf("%d%%", load), g, load)
 		}
 	}
-	breakBoxes(cluster)
-	const light = 60
-	for _, way := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
-		r.add(ctx, options, "bad-boxes", way, light)
+	failBoxes(cluster)
+	const lightLoad = 60 // Per cent.
+	for _, g := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
+		r.measurePhase(ctx, options, "bad-boxes", g, lightLoad)
 	}
 	return ctx.Err()
 }
 
-// breakBoxes makes one box in ten fail everything.
-func breakBoxes(cluster *trial.Cluster) {
+// failBoxes makes one box in ten fail every request.
+func failBoxes(cluster *trial.Cluster) {
 	number := 0
 	for _, endpoint := range cluster.Endpoints {
-		if number%badBoxEvery == 0 {
+		if number%failingBoxInterval == 0 {
 			endpoint.SetFault(standin.FaultFailAll)
 		}
 		number++
 	}
 }
 
-func (r *Report) add(ctx context.Context, options Options, name string, way gateway, load int) {
+// measurePhase runs a phase through a gateway and adds its result to the report. Load
+// is a percentage of what the fleet can serve.
+func (r *Report) measurePhase(ctx context.Context, options Options, name string, g gateway, load int) {
 	if ctx.Err() != nil {
 		return
 	}
 	rate := float64(slots) * float64(time.Second/time.Millisecond) / serviceMs * float64(load) / percent
-	result := drive(ctx, options, way, rate)
-	result.Phase, result.Gateway, result.Offered = name, way.name, rate
+	result := offerLoad(ctx, options, g, rate)
+	result.Phase, result.Gateway, result.Offered = name, g.name, rate
 	r.Phases = append(r.Phases, result)
 	urgent := result.Classes[string(wire.ClassUrgent)]
-	day := result.Classes[string(wire.ClassSameDay)]
-	say(options, "%-9s %-11s goodput %5.0f/s; urgent p99 wait %6.0f ms; same-day in time %d of %d accepted", name, way.name, result.Goodput,
-		urgent.WaitP99Ms, day.InTime, day.Requests-day.Refused)
+	sameDay := result.Classes[string(wire.ClassSameDay)]
+	logLine(options, "%-9s %-11s goodput %5.0f/s; urgent p99 wait %6.0f ms; same-day in time %d of %d accepted", name, g.name, result.Goodput,
+		urgent.WaitP99Ms, sameDay.InTime, sameDay.Requests-sameDay.Refused)
 }
 
-func say(options Options, format string, values ...any) {
+// logLine writes a line to the progress output.
+func logLine(options Options, format string, values ...any) {
 	_, _ = fmt.Fprintf(options.Progress, format+"\n", values...)
 }
 
-// judge compares the figures with the goals.
-func (r *Report) judge() {
-	r.verdict("processor time through an entry / of a direct call, at most", 1.5, r.Cost.Ratio, false)
-	r.verdict("median added latency in us, at most", 300, r.Cost.AddedUs, false)
+// checkGoals compares the measured values with the goals.
+func (r *Report) checkGoals() {
+	r.addGoal("processor time through an entry / of a direct call, at most", 1.5, r.Cost.Ratio, false)
+	r.addGoal("median added latency in us, at most", 300, r.Cost.AddedUs, false)
 	urgent := r.class("150%", wire.ClassUrgent)
-	r.verdict("urgent p99 wait / service time at 150%, at most", 2, urgent.WaitP99Ms/serviceMs, false)
-	day := r.class("150%", wire.ClassSameDay)
-	r.verdict("same-day accepted and in time at 150%, at least", 1, ratio(day.InTime, day.Requests-day.Refused), true)
-	r.verdict("goodput at 200% / at 100%, at least", 0.95, r.goodput("200%")/max(1, r.goodput("100%")), true)
-	bad := 0
+	r.addGoal("urgent p99 wait / service time at 150%, at most", 2, urgent.WaitP99Ms/serviceMs, false)
+	sameDay := r.class("150%", wire.ClassSameDay)
+	r.addGoal("same-day accepted and in time at 150%, at least", 1, ratio(sameDay.InTime, sameDay.Requests-sameDay.Refused), true)
+	r.addGoal("goodput at 200% / at 100%, at least", 0.95, r.goodput("200%")/max(1, r.goodput("100%")), true)
+	failed := 0
 	total := 0
 	for _, class := range r.phase("bad-boxes").Classes {
-		bad += class.Failed
+		failed += class.Failed
 		total += class.Requests
 	}
-	r.verdict("repeatable answered with one box in ten bad, at least", 0.999, 1-ratio(bad, total), true)
+	r.addGoal("repeatable answered with one box in ten bad, at least", 0.999, 1-ratio(failed, total), true)
 }
 
+// ratio returns part divided by whole, or 0 if whole is 0.
 func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
@@ -210,7 +237,9 @@
 	return float64(part) / float64(whole)
 }
 
-func (r *Report) verdict(goal string, limit, measured float64, atLeast bool) {
+// addGoal adds a goal to the report. The limit is the smallest value that meets it if
+// atLeast is set, otherwise the largest.
+func (r *Report) addGoal(goal string, limit, measured float64, atLeast bool) {
 	met := measured <= limit
 	if atLeast {
 		met = measured >= limit
@@ -218,7 +247,8 @@
 	r.GoalResults = append(r.GoalResults, GoalResult{Goal: goal, Limit: limit, Measured: measured, Met: met})
 }
 
-// phase returns damsonwinch's part of a phase.
+// phase returns the result of a phase through the entries, or a zero result if the
+// phase didn't run.
 func (r *Report) phase(name string) PhaseResult {
 	for _, phase := range r.Phases {
 		if phase.Phase == name && phase.Gateway == "damsonwinch" {
@@ -228,10 +258,12 @@
 	return PhaseResult{}
 }
 
+// goodput returns the goodput of a phase through the entries.
 func (r *Report) goodput(name string) float64 {
 	return r.phase(name).Goodput
 }
 
+// class returns the result of a class in a phase through the entries.
 func (r *Report) class(name string, class wire.Class) ClassResult {
 	if result := r.phase(name).Classes[string(class)]; result != nil {
 		return *result
--- a/pkg/loadtest/plain.go
+++ b/pkg/loadtest/plain.go
@@ -14,9 +14,9 @@
 	"damsonwinch/pkg/trial"
 )
 
-// plain is the gateway that damsonwinch is compared with: it sends to the boxes
-// in turn, each with a queue of its own in order of arrival.
-type plain struct {
+// plainGateway is the gateway that damsonwinch is compared with. It sends requests to
+// the boxes in turn. Each box has a queue of its own in order of arrival.
+type plainGateway struct {
 	address string
 	boxes   []*plainBox
 	next    atomic.Int64
@@ -25,45 +25,51 @@
 	group   errgroup.Group
 }
 
+// plainBox is an endpoint as the plain gateway sees it.
 type plainBox struct {
 	address string
-	slots   chan struct{}
+	// slots holds an element for each request that runs on the box.
+	slots chan struct{}
+	// waiting counts the requests that run on the box or wait for it.
 	waiting atomic.Int64
 }
 
-const plainTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-func startPlain(cluster *trial.Cluster) (*plain, error) {
+// startPlainGateway starts a plain gateway to the endpoints of a cluster.
+func startPlainGateway(cluster *trial.Cluster) (*plainGateway, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &plain{address: listener.Addr().String(), client: newClient(slots)}
+	g := &plainGateway{address: listener.Addr().String(), client: newClient(slots)}
 	for _, endpoint := range cluster.Endpoints {
 		box := &plainBox{address: endpoint.Address(), slots: make(chan struct{}, cluster.User.Fleet.BoxSlots)}
-		p.boxes = append(p.boxes, box)
+		g.boxes = append(g.boxes, box)
 	}
 	router := mux.NewRouter()
-	router.HandleFunc("/v1/run/{service}", p.run).Methods(http.MethodPost)
-	p.server = &http.Server{Handler: router, ReadHeaderTimeout: plainTimeout}
-	p.group.Go(func() error { return p.server.Serve(listener) })
-	return p, nil
+	router.HandleFunc("/v1/run/{service}", g.forward).Methods(http.MethodPost)
+	g.server = &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}
+	g.group.Go(func() error { return g.server.Serve(listener) })
+	return g, nil
 }
 
-func (p *plain) close() {
-	_ = p.server.Close()
-	_ = p.group.Wait()
-	p.client.CloseIdleConnections()
+func (g *plainGateway) close() {
+	_ = g.server.Close()
+	_ = g.group.Wait()
+	g.client.CloseIdleConnections()
 }
 
-func (p *plain) run(w http.ResponseWriter, r *http.Request) {
+// forward sends a request to the next box and passes the response on. It refuses the
+// request if too many wait for that box.
+func (g *plainGateway) forward(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	box := p.boxes[int(p.next.Add(1))%len(p.boxes)]
+	box := g.boxes[int(g.next.Add(1))%len(g.boxes)]
 	defer box.waiting.Add(-1)
-	if box.waiting.Add(1) > int64(queueLimit/len(p.boxes)+cap(box.slots)) {
+	if box.waiting.Add(1) > int64(queueLimit/len(g.boxes)+cap(box.slots)) {
 		http.Error(w, "full", http.StatusTooManyRequests)
 		return
 	}
@@ -77,13 +83,13 @@
 	if err != nil {
 		return
 	}
-	response, err := p.client.Do(request)
+	response, err := g.client.Do(request)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	w.WriteHeader(response.StatusCode)
-	// A caller that has gone needs no answer.
+	// The copy fails if the client has gone away, which does no harm.
 	_, _ = io.Copy(w, response.Body)
 }
