--- a/pkg/command/control.go
+++ b/pkg/command/control.go
@@ -34,7 +34,7 @@
 
 const defaultTimeout = 10 * time.Second
 
-// Control returns the command line of dwctl.
+// Control returns the command line of dwctl, with which operators edit the table and query a keeper.
 func Control() *cobra.Command {
 	c := &control{}
 	root := newRootCommand("dwctl", "Edit the shared table and see what the fleet does")
--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -35,6 +35,7 @@
 	Chain []wire.AuditLine `json:"chain"`
 }
 
+// explainBox prints the state of a box and the audit lines about it.
 func (c *control) explainBox(cmd *cobra.Command, name string) error {
 	return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		state, err := client.State(ctx)
@@ -88,6 +89,7 @@
 	Headroom int `json:"headroom"`
 }
 
+// explainService prints what a service has and the audit lines that led to it.
 func (c *control) explainService(cmd *cobra.Command, name string) error {
 	return c.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		state, err := client.State(ctx)
--- a/pkg/front/admit.go
+++ b/pkg/front/admit.go
@@ -191,9 +191,9 @@
 	e.queue(row.Pool).Push(m.item)
 }
 
-// refuseIfQueueFull refuses a request that was enqueued, could not start at once, and exceeds this
-// entry's share of the limit on its service's queue. For an urgent request, it refuses instead the
-// request that would be served last.
+// refuseIfQueueFull refuses the request with the given ID if it still waits after dispatch and its service
+// has more waiting requests than this entry's share of the limit. If the request is urgent, it refuses
+// instead the request of the service that would be served last.
 func (e *Entry) refuseIfQueueFull(id string, row settings.Row) {
 	waiting := e.requests[id]
 	if waiting == nil || waiting.box != "" {
@@ -215,7 +215,7 @@
 		"%d requests of service %s wait at this entry, its share of the limit of %d", maxWaiting, waiting.item.Service, row.Queue))
 }
 
-// refuseWaiting refuses a request that waits and is no longer in a queue.
+// refuseWaiting refuses a waiting request, which the caller has removed from its queue.
 func (e *Entry) refuseWaiting(waiting *requestState, refused *refusal) {
 	e.forget(waiting)
 	waiting.reply <- grant{refusal: refused}
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -127,8 +127,8 @@
 const (
 	// urgentReservePeriod is how long slots stay reserved after the last urgent request.
 	urgentReservePeriod = time.Minute
-	// slotsPerReservedSlot is the number of slots for each of which one slot is reserved, in addition to
-	// the first one.
+	// slotsPerReservedSlot determines how many slots are reserved: one, and one more for every
+	// slotsPerReservedSlot slots.
 	slotsPerReservedSlot = 16
 	// minSlotsToReserve is the number of slots in a pool below which none is reserved.
 	minSlotsToReserve = 4
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -170,7 +170,7 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-// start starts the goroutines that follow the log, run the loop and serve HTTP, until ctx ends.
+// start starts the goroutines that follow the log, run the loop and serve HTTP. The first two end with ctx.
 func (e *Entry) start(ctx context.Context) {
 	sources := make([]damsonwinch.RecordSource, 0, len(e.keepers))
 	for _, keeper := range e.keepers {
--- a/pkg/front/handover.go
+++ b/pkg/front/handover.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// handoverDivisor limits how many boxes an entry hands over at once, to about this fraction of its
-	// boxes, so that the pools keep most of their slots.
+	// handoverDivisor limits how many boxes an entry hands over at once, to about one in handoverDivisor
+	// of its boxes, so that the pools keep most of their slots.
 	handoverDivisor = 4
 	// minImbalance is the smallest difference in the number of boxes between two entries of a zone at
 	// which the one with more boxes hands some over.
@@ -120,8 +120,8 @@
 	return proposals
 }
 
-// successors returns the entries that can take over boxes: those that renew their leases, are not in a
-// planned stop themselves, and whose boxes could be released in turn if they were lost.
+// successors returns the other entries that can take over boxes: those that have renewed their leases
+// recently, are not in a planned stop, and could be released in turn if they were lost.
 func (e *Entry) successors() []fold.Sender {
 	var successors []fold.Sender
 	for _, sender := range e.state.Senders() {
--- a/pkg/front/http.go
+++ b/pkg/front/http.go
@@ -119,6 +119,7 @@
 	return request, refused
 }
 
+// maxRequestSlots is the largest value of HeaderSize that is accepted.
 const maxRequestSlots = 1_000_000
 
 // parseClass returns the class that the text of a header names, or the normal class if the text is empty.
--- a/pkg/front/request.go
+++ b/pkg/front/request.go
@@ -39,7 +39,7 @@
 
 // Response is what the client gets for a request: an endpoint's response, or a refusal with a reason.
 type Response struct {
-	// Outcome says whether an endpoint answered the request, it was not run, or that is unknown.
+	// Outcome says whether an endpoint answered the request, or the request was not run or may have run.
 	Outcome wire.Outcome
 	// Status is an HTTP status.
 	Status int
--- a/pkg/front/service.go
+++ b/pkg/front/service.go
@@ -22,8 +22,8 @@
 		return nil
 	}
 	defer release()
-	// net/rpc doesn't tell when the calling entry stops waiting for the reply. It waits at most for
-	// args.BudgetMs, which the deadline below enforces.
+	// net/rpc doesn't tell when the calling entry stops waiting for the reply. That entry waits at most
+	// for args.BudgetMs, so the request gets this deadline here as well.
 	ctx, cancel := context.WithCancel(e.ctx)
 	defer cancel()
 	response := e.RunRequest(ctx, Request{
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -53,7 +53,7 @@
 	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
 	InitialState fold.State
-	// PlanOptions are the options of the fleet's plans.
+	// PlanOptions configures the plans for moves and maintenance of the fleet's boxes.
 	PlanOptions plan.Options
 }
 
--- a/pkg/keeper/loop.go
+++ b/pkg/keeper/loop.go
@@ -86,6 +86,7 @@
 	}
 }
 
+// handle handles one message to run. It makes no use of ctx.
 func (k *Keeper) handle(ctx context.Context, message any) {
 	switch m := message.(type) {
 	case readMessage:
--- a/pkg/keeper/lost.go
+++ b/pkg/keeper/lost.go
@@ -49,8 +49,8 @@
 // canRelease reports whether this keeper may propose to release a sender, and how it
 // knows that the sender no longer sends:
 //   - The sender's lease and this keeper's extensions of it have expired, and the
-//     sender knows this keeper, so that it can't go on without it (see
-//     lease.KnownToSender).
+//     sender knows this keeper, so that it doesn't send without this keeper's
+//     extensions (see lease.KnownToSender).
 //   - The keeper has seen the entry on its own box exit. It must be known to the sender
 //     or have waited until the lease and its extensions have expired.
 //   - The lease and this keeper's extensions have expired, it leads the sender's zone,
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -148,7 +148,7 @@
 
 // flush starts the next append if it is due and there are proposals. After a failed
 // append it also appends an empty batch while the result of an edit is not known:
-// once that batch is applied, the edit's own batch can no longer be.
+// once that batch is applied, the edit's own batch can no longer be applied.
 func (k *Keeper) flush(ctx context.Context) {
 	now := k.now()
 	if k.outbox.inFlight || now.Before(k.outbox.nextAppendAt) {
--- a/pkg/keeper/watch.go
+++ b/pkg/keeper/watch.go
@@ -18,10 +18,10 @@
 	entryBoxes map[string]entryBoxSighting
 }
 
-// entryBoxSighting says when the list has shown an entry box.
+// entryBoxSighting is what the list has shown of an entry box.
 type entryBoxSighting struct {
 	zone  string
-	shown bool
+	shown bool // The list has shown the box at least once.
 	// missingSince is since when the list doesn't show the box, by the keeper's
 	// clock. It is zero if the list shows it.
 	missingSince time.Time
--- a/pkg/wire/wire.gen.go
+++ b/pkg/wire/wire.gen.go
@@ -1195,11 +1195,10 @@
 	// Number of boxes on which long-running tasks run.
 	LastingBoxes int `json:"lasting_boxes,omitempty,omitzero"`
 
-	// CPU that long-running tasks use or, if they are ready but not running, need, in
-	// thousandths of a core.
+	// CPU needed by running and ready long-running tasks, in thousandths of a core.
 	LastingCpu int `json:"lasting_cpu,omitempty,omitzero"`
 
-	// CPU that ready short tasks need whose jobs can no longer be done in time, as
+	// CPU needed by ready short tasks of jobs that can no longer be done in time, as
 	// far as their customers' allowances permit, in thousandths of a core.
 	LateCpu int `json:"late_cpu,omitempty,omitzero"`
 
@@ -1229,7 +1228,7 @@
 	// of one phase.
 	Spread int `json:"spread,omitempty,omitzero"`
 
-	// CPU that one ready task needs of each late job that has no running task, in
+	// CPU needed by one ready task of each late job that has no running task, in
 	// thousandths of a core.
 	StalledCpu int `json:"stalled_cpu,omitempty,omitzero"`
 
@@ -1243,8 +1242,8 @@
 	// Fencing token of the owner.
 	Token int `json:"token,omitempty,omitzero"`
 
-	// CPU that ready short tasks need whose jobs can be done in time, as far as their
-	// customers' allowances permit, in thousandths of a core.
+	// CPU needed by ready short tasks of jobs that can be done in time, as far as
+	// their customers' allowances permit, in thousandths of a core.
 	WaitingCpu int `json:"waiting_cpu,omitempty,omitzero"`
 
 	// Boxes without long-running tasks that are needed for running and ready tasks
