--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -43,7 +43,7 @@
 	idlePollInterval  = 2 * time.Second
 	pollRetryInterval = 300 * time.Millisecond
 	// scaleDownDelay is how long a pool keeps boxes that it no longer needs. Moving a box
-	// away and back costs users about 6 s of the box, including the time that it is moving.
+	// away and back costs users about 6 s of its work, including the time in transit.
 	scaleDownDelay = 1 * time.Second
 )
 
