--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -18,109 +18,122 @@
 	"damsonwinch/pkg/wire"
 )
 
-// called is one line of the callers' book.
-type called struct {
+// clientResult is what a client knows of one of its requests.
+type clientResult struct {
 	nonce      string
 	repeatable bool
 	outcome    wire.Outcome
 	status     int
-	// wrong says that an answer wasn't the one to this request's body.
-	wrong bool
-	// broken says that the connection ended without an answer.
-	broken bool
-	took   time.Duration
-	class  wire.Class
+	// wrongAnswer says that the response has status 200, but isn't the one to this
+	// request's body.
+	wrongAnswer bool
+	// noResponse says that the request could not be sent, or that the connection
+	// failed before the end of the response.
+	noResponse bool
+	latency    time.Duration
+	class      wire.Class
+	// reason is the body of a response with another status than 200, or the error.
 	reason string
 }
 
-// callers make requests and keep the book of what they were told.
-type callers struct {
-	cluster *Cluster
-	client  *http.Client
-	mutex   sync.Mutex
-	book    []called
-	cancel  context.CancelFunc
-	group   errgroup.Group
+// loadGenerator sends requests as many clients do, and records the results.
+type loadGenerator struct {
+	cluster  *Cluster
+	client   *http.Client
+	mutex    sync.Mutex
+	recorded []clientResult
+	cancel   context.CancelFunc
+	group    errgroup.Group
 }
 
+// The load: how long requests work on an endpoint, how large their bodies are, how
+// long a client waits between two requests, and how many requests have which
+// properties.
 const (
-	callerTimeout  = 40 * time.Second
-	callersIdle    = 64
-	mostWorkMs     = 25
-	pauseMs        = 10
-	padBytes       = 200
-	oneInKeyed     = 3
-	oneInUrgent    = 5
-	oneInSameDay   = 4
-	tradeDeadlines = 2500
+	clientTimeout   = 40 * time.Second
+	idleConnections = 64
+	maxWorkMs       = 25
+	maxPauseMs      = 10
+	maxPadBytes     = 200
+	// One in oneInKeyed requests that may not be repeated has an idempotency key. One
+	// in oneInUrgent requests is urgent, and of the others one in oneInSameDay has
+	// the class same-day.
+	oneInKeyed       = 3
+	oneInUrgent      = 5
+	oneInSameDay     = 4
+	urgentDeadlineMs = 2500
 )
 
-func startCallers(c *Cluster, count int) *callers {
+// startLoadGenerator starts a number of clients, each of which sends one request after
+// another until stop.
+func startLoadGenerator(cluster *Cluster, clients int) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	transport := &http.Transport{DialContext: c.Network.Dialer(callerHall), MaxIdleConnsPerHost: callersIdle}
-	made := &callers{cluster: c, client: &http.Client{Transport: transport, Timeout: callerTimeout}, cancel: cancel}
-	for number := range count {
-		made.group.Go(func() error {
-			made.call(ctx, number)
+	transport := &http.Transport{DialContext: cluster.Network.Dialer(clientZone), MaxIdleConnsPerHost: idleConnections}
+	g := &loadGenerator{cluster: cluster, client: &http.Client{Transport: transport, Timeout: clientTimeout}, cancel: cancel}
+	for number := range clients {
+		g.group.Go(func() error {
+			g.runClient(ctx, number)
 			return nil
 		})
 	}
-	return made
+	return g
 }
 
-// stop ends the load and waits for the last answers.
-func (c *callers) stop() {
-	c.cancel()
-	_ = c.group.Wait()
-	c.client.CloseIdleConnections()
+// stop ends the load and waits for the responses to the requests in flight.
+func (g *loadGenerator) stop() {
+	g.cancel()
+	_ = g.group.Wait()
+	g.client.CloseIdleConnections()
 }
 
-// call is one caller's life: a request, a pause, and so on. A request that has
-// begun is always waited for.
-func (c *callers) call(ctx context.Context, number int) {
-	random := rand.New(rand.NewPCG(c.cluster.Seed, uint64(number)))
+// runClient sends requests with random pauses between them until the context ends.
+// The context doesn't cancel a request in flight, so that each result is recorded.
+func (g *loadGenerator) runClient(ctx context.Context, number int) {
+	random := rand.New(rand.NewPCG(g.cluster.Seed, uint64(number)))
 	for count := 0; ctx.Err() == nil; count++ {
-		line := c.one(random, fmt.Sprintf("%d-%d-%d", c.cluster.Seed, number, count))
-		c.mutex.Lock()
-		c.book = append(c.book, line)
-		c.mutex.Unlock()
+		result := g.sendRandom(random, fmt.Sprintf("%d-%d-%d", g.cluster.Seed, number, count))
+		g.mutex.Lock()
+		g.recorded = append(g.recorded, result)
+		g.mutex.Unlock()
 		select {
-		case <-c.cluster.clock.After(time.Duration(random.IntN(pauseMs)) * time.Millisecond):
+		case <-g.cluster.clock.After(time.Duration(random.IntN(maxPauseMs)) * time.Millisecond):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// one makes one request.
-func (c *callers) one(random *rand.Rand, nonce string) called {
-	services := c.cluster.User.Table.Services
+// sendRandom sends a random request to a random entry that is ready, and returns the
+// result. The nonce identifies the request in the endpoints' observations.
+func (g *loadGenerator) sendRandom(random *rand.Rand, nonce string) clientResult {
+	services := g.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
-	line := called{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(mostWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(padBytes)))})
+	result := clientResult{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
+	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
 	if err != nil {
-		line.broken = true
-		return line
+		result.noResponse = true
+		return result
 	}
-	open := c.cluster.ReadyAddresses()
-	address := open[random.IntN(len(open))]
+	addresses := g.cluster.ReadyAddresses()
+	address := addresses[random.IntN(len(addresses))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/run/"+service.Service, bytes.NewReader(body))
 	if err != nil {
-		line.broken = true
-		return line
+		result.noResponse = true
+		return result
 	}
-	request.Header.Set(front.HeaderClass, string(line.class))
-	if line.class == wire.ClassUrgent {
-		request.Header.Set(front.HeaderDeadline, fmt.Sprint(tradeDeadlines))
+	request.Header.Set(front.HeaderClass, string(result.class))
+	if result.class == wire.ClassUrgent {
+		request.Header.Set(front.HeaderDeadline, fmt.Sprint(urgentDeadlineMs))
 	}
 	if !service.Row.Repeatable && random.IntN(oneInKeyed) == 0 {
 		request.Header.Set(front.HeaderIdempotencyKey, nonce)
 	}
-	begun := c.cluster.clock.Now()
-	c.send(request, body, &line)
-	line.took = c.cluster.clock.Since(begun)
-	return line
+	sentAt := g.cluster.clock.Now()
+	g.send(request, body, &result)
+	result.latency = g.cluster.clock.Since(sentAt)
+	return result
 }
 
+// drawClass returns a random class.
 func drawClass(random *rand.Rand) wire.Class {
 	switch {
 	case random.IntN(oneInUrgent) == 0:
@@ -131,29 +144,30 @@
 	return wire.ClassNormal
 }
 
-func (c *callers) send(request *http.Request, body []byte, line *called) {
-	response, err := c.client.Do(request)
+// send sends a request and completes its result.
+func (g *loadGenerator) send(request *http.Request, body []byte, result *clientResult) {
+	response, err := g.client.Do(request)
 	if err != nil {
-		line.broken, line.reason = true, err.Error()
+		result.noResponse, result.reason = true, err.Error()
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		line.broken, line.reason = true, err.Error()
+		result.noResponse, result.reason = true, err.Error()
 		return
 	}
-	line.status = response.StatusCode
-	line.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
-	line.wrong = line.status == http.StatusOK && string(answer) != standin.ExpectedResponse(body)
-	if line.status != http.StatusOK {
-		line.reason = string(answer)
+	result.status = response.StatusCode
+	result.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
+	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.ExpectedResponse(body)
+	if result.status != http.StatusOK {
+		result.reason = string(responseBody)
 	}
 }
 
-// lines returns the book so far.
-func (c *callers) lines() []called {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return append([]called{}, c.book...)
+// results returns the results so far.
+func (g *loadGenerator) results() []clientResult {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return append([]clientResult{}, g.recorded...)
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -24,24 +24,29 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Times of the trial, short so that a run shows much.
+// Intervals and timeouts of a trial's processes. They are much shorter than the
+// defaults, so that many events fit into a run of some seconds. The names of the
+// first six are those of the settings.
 const (
-	leaseMs        = 1500
-	driftMs        = 100
-	renewMs        = 300
-	listMs         = 200
-	stopMs         = 300
-	snapshotEvery  = 50
-	rebootTakes    = 300 * time.Millisecond
-	repairAfter    = 3 * time.Second
-	backAfter      = 4 * time.Second
-	platformHall   = "platform"
-	callerHall     = "callers"
-	addressesANode = 5
-	loopback       = "127.0.0.1:0"
+	leaseMs            = 1500
+	driftMs            = 100
+	renewMs            = 300
+	listMs             = 200
+	stopMs             = 300
+	snapshotEvery      = 50
+	rebootTime         = 300 * time.Millisecond
+	downTimeout        = 3 * time.Second
+	maintenanceTimeout = 4 * time.Second
+	// platformZone and clientZone are the zones of the platform, and of the clients
+	// and operators, in the stand-in network.
+	platformZone = "platform"
+	clientZone   = "callers"
+	// addressesPerNode is the number of ports on which a keeper and an entry listen.
+	addressesPerNode = 5
+	anyLoopbackPort  = "127.0.0.1:0"
 )
 
-// Node is one entry box with its two processes.
+// Node is a box that runs a keeper and an entry.
 type Node struct {
 	Name   string
 	Zone   string
@@ -51,29 +56,37 @@
 	mutex         sync.Mutex
 	keeperProcess *process.Keeper
 	entryProcess  *process.Entry
-	stopped       bool
+	// stopped says that the entry has been stopped or killed and not started again.
+	stopped bool
 }
 
-// Cluster is a user's whole fleet on loopback.
+// Cluster is the whole fleet of a user in this process: the stand-in platform, the
+// stand-in endpoints and the keepers and entries, which talk to each other over
+// loopback sockets.
 type Cluster struct {
-	User      User
-	Seed      uint64
-	Platform  *standin.Platform
-	Network   *standin.Network
+	User     User
+	Seed     uint64
+	Platform *standin.Platform
+	Network  *standin.Network
+	// Endpoints are the stand-in endpoints by the names of their boxes.
 	Endpoints map[string]*standin.Endpoint
-	Book      *standin.Observations
-	Nodes     []*Node
-	clock     clockwork.Clock
-	logger    logrus.FieldLogger
-	harm      *harmBook
-	nextPort  int
-	reboot    atomic.Pointer[func(ctx context.Context, box string) error]
+	// Observations is what the endpoints have seen of the clients' requests.
+	Observations *standin.Observations
+	Nodes        []*Node
+	clock        clockwork.Clock
+	logger       logrus.FieldLogger
+	violations   *violationLog
+	// nextPort is the next port that freeAddresses tries, 0 before its first call.
+	nextPort int
+	// reboot is what the platform's maintenance does to a box.
+	reboot atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
-// NewestSnapshotOffset returns the offset of the newest snapshot in the log, 0 if none.
+// NewestSnapshotOffset returns the offset up to which the newest snapshot in the log
+// covers the records, or 0 if there is no snapshot.
 func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
-	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, mostSnapshots) {
+	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, maxSnapshots) {
 		var snapshot fold.Snapshot
 		if json.Unmarshal([]byte(record.Data), &snapshot) == nil {
 			newest = max(newest, snapshot.Offset)
@@ -82,32 +95,34 @@
 	return newest
 }
 
-const mostSnapshots = 1000
+const maxSnapshots = 1000
 
-// SetReboot changes what the platform's maintenance of a box does.
+// SetReboot replaces the function by which the platform reboots a box for its
+// maintenance.
 func (c *Cluster) SetReboot(reboot func(ctx context.Context, box string) error) {
 	c.reboot.Store(&reboot)
 }
 
-// harmBook collects the breaches that the programs themselves report.
-type harmBook struct {
-	mutex    sync.Mutex
-	breaches map[string]int
-	details  []string
+// violationLog collects the violations of invariants that the processes report.
+type violationLog struct {
+	mutex   sync.Mutex
+	counts  map[string]int // By the name of the invariant.
+	details []string
 }
 
-func (h *harmBook) breach(name, detail string) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.breaches[name]++
-	h.details = append(h.details, name+": "+detail)
+func (l *violationLog) add(name, detail string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.counts[name]++
+	l.details = append(l.details, name+": "+detail)
 }
 
-// NewCluster starts the stand-ins and all nodes.
+// NewCluster starts the stand-ins, and a keeper and an entry on each node. The table
+// is still empty then; see StartReady.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
-		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Book: standin.NewObservations(),
-		clock: clockwork.NewRealClock(), logger: logger, harm: &harmBook{breaches: map[string]int{}},
+		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Observations: standin.NewObservations(),
+		clock: clockwork.NewRealClock(), logger: logger, violations: &violationLog{counts: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
 		return nil, err
@@ -115,7 +130,7 @@
 	if err := c.startEndpoints(); err != nil {
 		return nil, err
 	}
-	if err := c.planNodes(); err != nil {
+	if err := c.configureNodes(); err != nil {
 		return nil, err
 	}
 	for _, node := range c.Nodes {
@@ -128,44 +143,47 @@
 
 func (c *Cluster) startPlatform() error {
 	log := standin.NewLog(c.clock, c.Seed, 0)
-	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTakes) })
+	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTime) })
 	c.Platform = standin.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
 		return (*c.reboot.Load())(ctx, box)
 	})
-	listener, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return fmt.Errorf("listen for the platform: %w", err)
 	}
 	c.User.Fleet.Platform = listener.Addr().String()
-	c.Network.SetZone(listener.Addr().String(), platformHall)
+	c.Network.SetZone(listener.Addr().String(), platformZone)
 	c.Platform.Serve(listener)
 	return nil
 }
 
 func (c *Cluster) startEndpoints() error {
-	for _, hall := range c.User.Fleet.Halls {
-		for number := range hall.Boxes {
-			listener, err := net.Listen("tcp", loopback)
+	for _, zone := range c.User.Fleet.Halls {
+		for number := range zone.Boxes {
+			listener, err := net.Listen("tcp", anyLoopbackPort)
 			if err != nil {
 				return fmt.Errorf("listen for an endpoint: %w", err)
 			}
-			info := NewBoxInfo(hall.Name, number, c.User.Fleet, listener.Addr().String())
-			c.Network.SetZone(info.Address, hall.Name)
-			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Book, c.poolOf)
+			info := NewBoxInfo(zone.Name, number, c.User.Fleet, listener.Addr().String())
+			c.Network.SetZone(info.Address, zone.Name)
+			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Observations, c.poolOf)
 			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
 	}
 	return nil
 }
 
-// NewBoxInfo describes the numbered box of a hall as the platform's list does.
-func NewBoxInfo(hall string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
+// NewBoxInfo returns the description of an endpoint box as it stands in the
+// platform's list. Number counts the boxes of the zone from 0.
+func NewBoxInfo(zone string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
 	return wire.BoxInfo{
-		Name: fmt.Sprintf("%s-box-%02d", hall, number+1), Hall: hall, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
+		Name: fmt.Sprintf("%s-box-%02d", zone, number+1), Hall: zone, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
 		Address: address, Slots: fleet.BoxSlots,
 	}
 }
 
+// poolOf returns the pool of a service in the user's first table, or the service's
+// own name if it isn't in the table.
 func (c *Cluster) poolOf(service string) string {
 	for _, row := range c.User.Table.Services {
 		if row.Service == service {
@@ -175,77 +193,81 @@
 	return service
 }
 
-// planNodes chooses every node's addresses before any starts, because each is
-// told of the others.
-func (c *Cluster) planNodes() error {
-	for _, hall := range c.User.Fleet.Halls {
-		for number := range hall.Entries {
-			node := &Node{Name: entryName(hall.Name, number), Zone: hall.Name}
-			addresses, err := c.freeAddresses(addressesANode)
+// configureNodes chooses the addresses of all nodes before any node starts, because
+// the settings of each node name the others.
+func (c *Cluster) configureNodes() error {
+	for _, zone := range c.User.Fleet.Halls {
+		for number := range zone.Entries {
+			node := &Node{Name: entryName(zone.Name, number), Zone: zone.Name}
+			addresses, err := c.freeAddresses(addressesPerNode)
 			if err != nil {
 				return err
 			}
 			for _, address := range addresses {
-				c.Network.SetZone(address, hall.Name)
+				c.Network.SetZone(address, zone.Name)
 			}
 			node.keeper = settings.Keeper{
-				Node: node.Name, Hall: hall.Name, Halls: c.hallNames(), Address: addresses[0], DebugAddress: addresses[1],
+				Node: node.Name, Hall: zone.Name, Halls: c.zoneNames(), Address: addresses[0], DebugAddress: addresses[1],
 				Platform: c.User.Fleet.Platform, LeaseMs: leaseMs, DriftMs: driftMs, RenewMs: renewMs, ListMs: listMs, SnapshotEvery: snapshotEvery,
 			}
 			node.entry = settings.Entry{
-				Node: node.Name, Hall: hall.Name, Halls: c.hallNames(), Address: addresses[2], HttpAddress: addresses[3], DebugAddress: addresses[4],
+				Node: node.Name, Hall: zone.Name, Halls: c.zoneNames(), Address: addresses[2], HttpAddress: addresses[3], DebugAddress: addresses[4],
 				Platform: c.User.Fleet.Platform, LeaseMs: leaseMs, RenewMs: renewMs, StopMs: stopMs,
 			}
 			c.Nodes = append(c.Nodes, node)
 		}
 	}
 	for _, node := range c.Nodes {
-		c.introduce(node)
+		c.addPeers(node)
 	}
 	return nil
 }
 
-func (c *Cluster) hallNames() []string {
+func (c *Cluster) zoneNames() []string {
 	var names []string
-	for _, hall := range c.User.Fleet.Halls {
-		names = append(names, hall.Name)
+	for _, zone := range c.User.Fleet.Halls {
+		names = append(names, zone.Name)
 	}
 	return names
 }
 
-// introduce tells a node of its peers, those of its own hall first.
-func (c *Cluster) introduce(node *Node) {
-	own := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
-	node.entry.Keepers = []settings.Peer{own}
-	for _, near := range []bool{true, false} {
+// addPeers adds the other nodes to a node's settings. Its keeper gets all other
+// keepers as peers, those of its own zone first. Its entry gets the keepers of its
+// zone, the one on its own node first.
+func (c *Cluster) addPeers(node *Node) {
+	ownKeeper := settings.Peer{Node: node.Name, Hall: node.Zone, Address: node.keeper.Address}
+	node.entry.Keepers = []settings.Peer{ownKeeper}
+	for _, sameZone := range []bool{true, false} {
 		for _, other := range c.Nodes {
-			if other == node || (other.Zone == node.Zone) != near {
+			if other == node || (other.Zone == node.Zone) != sameZone {
 				continue
 			}
 			peer := settings.Peer{Node: other.Name, Hall: other.Zone, Address: other.keeper.Address}
 			node.keeper.Peers = append(node.keeper.Peers, peer)
-			if near {
+			if sameZone {
 				node.entry.Keepers = append(node.entry.Keepers, peer)
 			}
 		}
 	}
 }
 
-// Ports of the nodes lie below those that the system gives to connections, which
-// could otherwise take a port between its choice and its use, or while a process
-// is replaced. Processes that run at once begin at different ones.
+// The ports of the nodes are below those that the operating system assigns to
+// outgoing connections. Such a connection could otherwise take a port after it was
+// chosen and before it is used, or while a process is replaced. Trials that run at
+// the same time start at different ports: each operating system process has one of
+// portRanges ranges, by its process ID.
 const (
-	firstPort     = 15_000
-	portsAProcess = 100
-	processes     = 150
+	firstPort       = 15_000
+	portsPerProcess = 100
+	portRanges      = 150
 )
 
-// freeAddresses finds ports that nobody uses now.
+// freeAddresses returns loopback addresses on whose ports nobody listens now.
 func (c *Cluster) freeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < count {
 		if c.nextPort == 0 {
-			c.nextPort = firstPort + os.Getpid()%processes*portsAProcess
+			c.nextPort = firstPort + os.Getpid()%portRanges*portsPerProcess
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", c.nextPort)
 		c.nextPort++
@@ -262,11 +284,11 @@
 	return addresses, nil
 }
 
-func (c *Cluster) env(node *Node) process.Env {
-	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, OnViolation: c.harm.breach, Seed: c.Seed}
+func (c *Cluster) processEnv(node *Node) process.Env {
+	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, OnViolation: c.violations.add, Seed: c.Seed}
 }
 
-// StartNode starts a node's keeper and entry.
+// StartNode adds a node to the platform's list and starts its keeper and its entry.
 func (c *Cluster) StartNode(node *Node) error {
 	c.Platform.PutBox(wire.ListedBox{
 		Info:     wire.BoxInfo{Name: node.Name, Hall: node.Zone, Rack: "entry", Address: node.entry.Address, Slots: 1},
@@ -278,9 +300,9 @@
 	return c.StartEntry(node)
 }
 
-// StartKeeper starts a node's keeper.
+// StartKeeper starts a new process of a node's keeper.
 func (c *Cluster) StartKeeper(node *Node) error {
-	started, err := process.NewKeeper(node.keeper, plan.Options{DownTimeout: repairAfter, MaintenanceTimeout: backAfter}, c.env(node))
+	started, err := process.NewKeeper(node.keeper, plan.Options{DownTimeout: downTimeout, MaintenanceTimeout: maintenanceTimeout}, c.processEnv(node))
 	if err != nil {
 		return err
 	}
@@ -290,9 +312,9 @@
 	return nil
 }
 
-// StartEntry starts a node's entry.
+// StartEntry starts a new process of a node's entry.
 func (c *Cluster) StartEntry(node *Node) error {
-	started, err := process.NewEntry(node.entry, c.env(node))
+	started, err := process.NewEntry(node.entry, c.processEnv(node))
 	if err != nil {
 		return err
 	}
@@ -302,8 +324,8 @@
 	return nil
 }
 
-// StopEntry ends a node's entry as planned. The balancer sends it no callers
-// from then on.
+// StopEntry makes a planned stop of a node's entry: requests in flight are answered.
+// ReadyAddresses leaves the entry out from the beginning of the stop.
 func (c *Cluster) StopEntry(ctx context.Context, node *Node) error {
 	node.mutex.Lock()
 	node.stopped = true
@@ -312,12 +334,12 @@
 	return entry.Stop(ctx)
 }
 
-// StopKeeper ends a node's keeper.
+// StopKeeper stops a node's keeper at once.
 func (c *Cluster) StopKeeper(node *Node) error {
 	return node.keeperProcess.Close()
 }
 
-// KillEntry ends a node's entry at once, as a crash does.
+// KillEntry ends a node's entry at once, as a crash would.
 func (c *Cluster) KillEntry(node *Node) error {
 	node.mutex.Lock()
 	node.stopped = true
@@ -326,7 +348,8 @@
 	return entry.Close()
 }
 
-// ReadyAddresses returns the HTTP addresses to which the balancer sends callers.
+// ReadyAddresses returns the HTTP addresses to which a load balancer sends the
+// clients' requests: those of the entries that run and have a table.
 func (c *Cluster) ReadyAddresses() []string {
 	var addresses []string
 	for _, node := range c.Nodes {
@@ -339,21 +362,21 @@
 	return addresses
 }
 
-// Close ends every process and stand-in.
+// Close ends all processes and stand-ins and returns the first error.
 func (c *Cluster) Close() error {
 	var first error
-	keep := func(err error) {
+	keepFirst := func(err error) {
 		if first == nil {
 			first = err
 		}
 	}
 	for _, node := range c.Nodes {
 		if !node.stopped {
-			keep(node.entryProcess.Close())
+			keepFirst(node.entryProcess.Close())
 		}
 	}
 	for _, node := range c.Nodes {
-		keep(node.keeperProcess.Close())
+		keepFirst(node.keeperProcess.Close())
 	}
 	for _, endpoint := range c.Endpoints {
 		endpoint.Close()
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -17,31 +17,40 @@
 	"damsonwinch/pkg/table"
 )
 
-// Options of a run.
+// Options are the options of Run.
 type Options struct {
-	User    string
-	Seed    uint64
+	// User is the name of the user whose fleet is started; see UserNames.
+	User string
+	// Seed determines the random choices of the clients, the stand-in log and the
+	// processes.
+	Seed uint64
+	// Seconds is the approximate length of the run. Waits in the scenario are
+	// percentages of it.
 	Seconds int
-	// Progress takes a line for each step of the script.
+	// Progress gets a line for each step of the scenario.
 	Progress io.Writer
 	Logger   logrus.FieldLogger
 }
 
 const (
-	callerCount = 60
-	formTimeout = 10 * time.Second
+	clientCount = 60
+	// stepTimeout bounds an operator's call and the wait for its effect.
+	stepTimeout = 10 * time.Second
 )
 
-// run is one run's standing.
+// run holds the cluster of one run, with its observer and its load.
 type run struct {
 	options  Options
 	cluster  *Cluster
 	observer *observer
-	callers  *callers
-	began    time.Time
+	// generator is nil until the load starts.
+	generator *loadGenerator
+	startedAt time.Time
 }
 
-// Run plays the whole story and returns its report.
+// Run starts a user's fleet, takes it through the scenario under load and returns
+// the report. The report is valid even if there is an error, as far as the scenario
+// got; see playScenario for the steps.
 func Run(ctx context.Context, options Options) (Report, error) {
 	user, err := NewUser(options.User)
 	if err != nil {
@@ -51,102 +60,108 @@
 	if err != nil {
 		return Report{}, err
 	}
-	watching, err := startObserver(cluster)
+	obs, err := startObserver(cluster)
 	if err != nil {
 		return Report{}, err
 	}
-	r := &run{options: options, cluster: cluster, observer: watching, began: cluster.clock.Now()}
-	err = r.script(ctx)
-	if r.callers != nil {
-		r.callers.stop()
+	r := &run{options: options, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
+	err = r.playScenario(ctx)
+	if r.generator != nil {
+		r.generator.stop()
 	}
-	watching.stop()
+	obs.stop()
 	report := r.report()
-	if closed := cluster.Close(); err == nil {
-		err = closed
+	if closeErr := cluster.Close(); err == nil {
+		err = closeErr
 	}
 	return report, err
 }
 
-func (r *run) say(format string, values ...any) {
-	at := r.cluster.clock.Since(r.began).Seconds()
-	_, _ = fmt.Fprintf(r.options.Progress, "%5.1fs  %s\n", at, fmt.Sprintf(format, values...))
+// logStep writes a line to the run's progress output, with the time since its start.
+func (r *run) logStep(format string, values ...any) {
+	elapsed := r.cluster.clock.Since(r.startedAt).Seconds()
+	_, _ = fmt.Fprintf(r.options.Progress, "%5.1fs  %s\n", elapsed, fmt.Sprintf(format, values...))
 }
 
-// part waits for a part of the run's length.
-func (r *run) part(ctx context.Context, percent int) {
-	length := time.Duration(r.options.Seconds) * time.Second
-	r.wait(ctx, length*time.Duration(percent)/100)
+// waitPercent waits for a percentage of the run's length.
+func (r *run) waitPercent(ctx context.Context, percent int) {
+	duration := time.Duration(r.options.Seconds) * time.Second
+	r.wait(ctx, duration*time.Duration(percent)/100)
 }
 
-func (r *run) wait(ctx context.Context, length time.Duration) {
+// wait returns after a duration, or when the context ends.
+func (r *run) wait(ctx context.Context, duration time.Duration) {
 	select {
-	case <-r.cluster.clock.After(length):
+	case <-r.cluster.clock.After(duration):
 	case <-ctx.Done():
 	}
 }
 
-// until polls a condition; it returns false when the time is over first.
-func (r *run) until(ctx context.Context, limit time.Duration, holds func() bool) bool {
-	const poll = 20 * time.Millisecond
-	deadline := r.cluster.clock.Now().Add(limit)
+// waitUntil polls a condition until it holds or the timeout is over, and returns
+// whether it holds.
+func (r *run) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	const pollInterval = 20 * time.Millisecond
+	deadline := r.cluster.clock.Now().Add(timeout)
 	for r.cluster.clock.Now().Before(deadline) && ctx.Err() == nil {
-		if holds() {
+		if condition() {
 			return true
 		}
-		r.wait(ctx, poll)
+		r.wait(ctx, pollInterval)
 	}
-	return holds()
+	return condition()
 }
 
-// script is the story, in order.
-func (r *run) script(ctx context.Context) error {
+// playScenario runs the steps of the scenario in order: normal operation first, then
+// one fault after another. It stops at the first step that fails.
+func (r *run) playScenario(ctx context.Context) error {
 	steps := []func(context.Context) error{
-		r.publish, r.load, r.raceOperators, r.shiftDemand, r.wave, r.cutHall, r.replaceEntry, r.killEntry, r.takeLogDown, r.breakBoxes,
+		r.publishFirstTable, r.startLoad, r.editConcurrently, r.raiseFloor, r.maintainAllBoxes, r.cutOffZone, r.restartEntry, r.killAndRestartEntry, r.takeLogDown, r.breakBoxes,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
 		}
 	}
-	r.part(ctx, 5)
+	r.waitPercent(ctx, 5)
 	return nil
 }
 
-func (r *run) operator(author string, node int) (*operator.Client, error) {
-	empty, err := process.InitialState()
+// operatorClient returns a client with which an operator talks to the keeper of a
+// node. Edits name the author as theirs.
+func (r *run) operatorClient(author string, nodeIndex int) (*operator.Client, error) {
+	initialState, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
-	address := r.cluster.Nodes[node].keeper.Address
-	return operator.New(address, r.cluster.Network.Dialer(callerHall), r.cluster.clock, empty, author), nil
+	address := r.cluster.Nodes[nodeIndex].keeper.Address
+	return operator.New(address, r.cluster.Network.Dialer(clientZone), r.cluster.clock, initialState, author), nil
 }
 
-// StartReady starts a fleet and returns once its table is in force and its
-// pools are formed.
+// StartReady starts a user's fleet and returns once its table is in force and its
+// pools have the boxes that their services need.
 func StartReady(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	cluster, err := NewCluster(user, seed, logger)
 	if err != nil {
 		return nil, err
 	}
-	watching, err := startObserver(cluster)
+	obs, err := startObserver(cluster)
 	if err != nil {
 		return nil, err
 	}
-	defer watching.stop()
-	forming := &run{options: Options{Progress: io.Discard}, cluster: cluster, observer: watching, began: cluster.clock.Now()}
-	return cluster, forming.publish(ctx)
+	defer obs.stop()
+	r := &run{options: Options{Progress: io.Discard}, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
+	return cluster, r.publishFirstTable(ctx)
 }
 
-// edit publishes a changed table in an operator's name. While no keeper has
-// read the log yet it is tried again.
-func (r *run) edit(ctx context.Context, author string, node int, change func(*settings.Table)) error {
-	client, err := r.operator(author, node)
+// editTable publishes a changed table in an operator's name, through the keeper of a
+// node. It returns once the log has accepted the edit, or with an error.
+func (r *run) editTable(ctx context.Context, author string, nodeIndex int, change func(*settings.Table)) error {
+	client, err := r.operatorClient(author, nodeIndex)
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	limited, cancel := context.WithTimeout(ctx, formTimeout)
+	limited, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	state, err := client.State(limited)
 	if err != nil {
@@ -158,175 +173,189 @@
 	return err
 }
 
-func (r *run) publish(ctx context.Context) error {
-	r.until(ctx, formTimeout, func() bool { return len(r.observer.present().Boxes()) == len(r.cluster.Endpoints) })
-	err := r.edit(ctx, "ana", 0, func(wanted *settings.Table) { *wanted = r.cluster.User.Table })
+// publishFirstTable publishes the user's table once all boxes are enrolled. It
+// returns once the pools have their boxes and all entries have the table. The check
+// of the pools' floors starts then, since the pools are below them before.
+func (r *run) publishFirstTable(ctx context.Context) error {
+	r.waitUntil(ctx, stepTimeout, func() bool { return len(r.observer.currentState().Boxes()) == len(r.cluster.Endpoints) })
+	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) { *wanted = r.cluster.User.Table })
 	if err != nil {
 		return fmt.Errorf("publish the first table: %w", err)
 	}
-	if !r.until(ctx, formTimeout, r.observer.formed) {
-		return errors.New("the pools were not formed in time")
+	if !r.waitUntil(ctx, stepTimeout, r.observer.poolsFilled) {
+		return errors.New("the pools did not get the boxes that their services need in time")
 	}
-	r.until(ctx, formTimeout, r.inForceEverywhere)
-	r.say("table published: %d services in %d pools, %d boxes in %d halls", len(r.cluster.User.Table.Services),
+	r.waitUntil(ctx, stepTimeout, r.newestTableInForce)
+	r.logStep("table published: %d services in %d pools, %d boxes in %d zones", len(r.cluster.User.Table.Services),
 		len(r.cluster.User.Table.Deployment.Pools), len(r.cluster.Endpoints), len(r.cluster.User.Fleet.Halls))
-	r.observer.watch()
+	r.observer.startFloorChecks()
 	return nil
 }
 
-func (r *run) inForceEverywhere() bool {
+// newestTableInForce says whether every entry has the newest table of the log.
+func (r *run) newestTableInForce() bool {
 	for _, node := range r.cluster.Nodes {
-		if node.entryProcess.Metrics.Count("table_version") < r.observer.present().Table().Version() {
+		if node.entryProcess.Metrics.Count("table_version") < r.observer.currentState().Table().Version() {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *run) load(ctx context.Context) error {
-	r.callers = startCallers(r.cluster, callerCount)
-	r.say("%d callers call", callerCount)
-	r.part(ctx, 8)
+// startLoad starts the clients, which send requests until the end of the run.
+func (r *run) startLoad(ctx context.Context) error {
+	r.generator = startLoadGenerator(r.cluster, clientCount)
+	r.logStep("%d clients send requests", clientCount)
+	r.waitPercent(ctx, 8)
 	return nil
 }
 
-// raceOperators lets two operators edit from the same version: other cells
-// merge, the same cell is refused to the second.
-func (r *run) raceOperators(ctx context.Context) error {
-	base := r.observer.present().Table()
+// editConcurrently has two operators edit the table on the basis of the same
+// version. Edits of different cells must both be accepted. The second edit of the
+// same cell must be refused.
+func (r *run) editConcurrently(ctx context.Context) error {
+	base := r.observer.currentState().Table()
 	service := base.Services()[0]
 	edits := []struct {
-		author string
-		node   int
-		column string
-		value  int
+		author    string
+		nodeIndex int
+		column    string
+		value     int
 	}{
 		{"ana", 0, "weight", 5}, {"rui", 1, "queue", 700}, {"rui", 1, "weight", 6},
 	}
 	for _, edit := range edits {
-		client, err := r.operator(edit.author, edit.node)
+		client, err := r.operatorClient(edit.author, edit.nodeIndex)
 		if err != nil {
 			return err
 		}
-		limited, cancel := context.WithTimeout(ctx, formTimeout)
+		limited, cancel := context.WithTimeout(ctx, stepTimeout)
 		_, err = client.Edit(limited, table.CellEdit(base.Version(), service, edit.column, edit.value), "trial: two operators")
 		cancel()
 		client.Close()
-		r.say("%s sets %s.%s from version %d: %s", edit.author, service, edit.column, base.Version(), accepted(err))
+		r.logStep("%s sets %s.%s, based on table version %d: %s", edit.author, service, edit.column, base.Version(), editOutcome(err))
 		var refused *operator.RefusedError
 		if err != nil && !errors.As(err, &refused) {
 			return err
 		}
 	}
-	r.part(ctx, 4)
+	r.waitPercent(ctx, 4)
 	return nil
 }
 
-func accepted(err error) string {
+// editOutcome describes the result of an edit for the progress output.
+func editOutcome(err error) string {
 	if err == nil {
 		return "accepted"
 	}
 	return err.Error()
 }
 
-// shiftDemand raises one pool's floor, so that boxes move to it.
-func (r *run) shiftDemand(ctx context.Context) error {
-	const more = 48
-	first := r.cluster.User.Table.Services[0].Service
-	err := r.edit(ctx, "ana", 0, func(wanted *settings.Table) {
+// raiseFloor raises the floor of the table's first service, so that boxes move to
+// its pool, and waits until the pools have their boxes.
+func (r *run) raiseFloor(ctx context.Context) error {
+	const addedSlots = 48
+	service := r.cluster.User.Table.Services[0].Service
+	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) {
 		for i := range wanted.Services {
-			if wanted.Services[i].Service == first {
-				wanted.Services[i].Row.Floor += more
+			if wanted.Services[i].Service == service {
+				wanted.Services[i].Row.Floor += addedSlots
 			}
 		}
 	})
-	r.say("floor of %s up by %d slots: %s", first, more, accepted(err))
-	r.until(ctx, formTimeout, r.observer.formed)
-	r.part(ctx, 5)
+	r.logStep("floor of %s raised by %d slots: %s", service, addedSlots, editOutcome(err))
+	r.waitUntil(ctx, stepTimeout, r.observer.poolsFilled)
+	r.waitPercent(ctx, 5)
 	return err
 }
 
-// wave asks for the maintenance of every box.
-func (r *run) wave(ctx context.Context) error {
-	begun := r.cluster.clock.Now()
-	err := r.edit(ctx, "ana", 0, func(wanted *settings.Table) {
-		wanted.Deployment.MaintainBefore = int(begun.UnixMilli())
+// maintainAllBoxes starts a maintenance wave over all boxes, and waits for its end or
+// for about a third of the run's length.
+func (r *run) maintainAllBoxes(ctx context.Context) error {
+	startedAt := r.cluster.clock.Now()
+	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) {
+		wanted.Deployment.MaintainBefore = int(startedAt.UnixMilli())
 	})
 	if err != nil {
 		return err
 	}
-	limit := time.Duration(r.options.Seconds) * time.Second * 35 / 100
-	r.until(ctx, limit, func() bool {
-		return r.observer.present().Table().Deployment().MaintainBefore == int(begun.UnixMilli())
+	timeout := time.Duration(r.options.Seconds) * time.Second * 35 / 100
+	r.waitUntil(ctx, timeout, func() bool {
+		return r.observer.currentState().Table().Deployment().MaintainBefore == int(startedAt.UnixMilli())
 	})
-	done := r.until(ctx, limit, func() bool { return r.observer.due() == 0 })
-	r.say("wave: %d boxes maintained in %.1f s, done %v", r.observer.maintained, r.cluster.clock.Since(begun).Seconds(), done)
+	done := r.waitUntil(ctx, timeout, func() bool { return r.observer.dueBoxes() == 0 })
+	r.logStep("maintenance wave: %d boxes maintained in %.1f s, complete: %v", r.observer.maintained, r.cluster.clock.Since(startedAt).Seconds(), done)
 	return nil
 }
 
-// cutHall cuts one hall off from the platform and from the other halls.
-func (r *run) cutHall(ctx context.Context) error {
-	halls := r.cluster.hallNames()
-	lost := halls[0]
-	for _, other := range append([]string{platformHall}, halls[1:]...) {
-		r.cluster.Network.CutBoth(lost, other)
+// cutOffZone cuts the first zone off from the platform and from the other zones for a
+// part of the run.
+func (r *run) cutOffZone(ctx context.Context) error {
+	zones := r.cluster.zoneNames()
+	cutOff := zones[0]
+	for _, other := range append([]string{platformZone}, zones[1:]...) {
+		r.cluster.Network.CutBoth(cutOff, other)
 	}
-	r.say("hall %s is cut off", lost)
-	r.part(ctx, 15)
+	r.logStep("zone %s is cut off from the platform and the other zones", cutOff)
+	r.waitPercent(ctx, 15)
 	r.cluster.Network.Heal()
-	r.say("hall %s is joined again", lost)
-	r.part(ctx, 4)
+	r.logStep("zone %s is connected again", cutOff)
+	r.waitPercent(ctx, 4)
 	return nil
 }
 
-// replaceEntry stops an entry as planned and starts it anew.
-func (r *run) replaceEntry(ctx context.Context) error {
+// restartEntry makes a planned stop of an entry and starts it again.
+func (r *run) restartEntry(ctx context.Context) error {
 	node := r.cluster.Nodes[1]
 	if err := r.cluster.StopEntry(ctx, node); err != nil {
 		return fmt.Errorf("planned stop of %s: %w", node.Name, err)
 	}
-	r.say("%s stopped as planned", node.Name)
+	r.logStep("%s stopped as planned", node.Name)
 	return r.cluster.StartEntry(node)
 }
 
-// killEntry ends another entry without warning and starts it anew.
-func (r *run) killEntry(ctx context.Context) error {
+// killAndRestartEntry ends another entry without a planned stop and starts it again.
+func (r *run) killAndRestartEntry(ctx context.Context) error {
 	node := r.cluster.Nodes[len(r.cluster.Nodes)-1]
-	r.say("%s is killed", node.Name)
+	r.logStep("%s is killed", node.Name)
 	if err := r.cluster.KillEntry(node); err != nil {
 		return err
 	}
-	r.part(ctx, 3)
+	r.waitPercent(ctx, 3)
 	return r.cluster.StartEntry(node)
 }
 
+// takeLogDown makes the log unavailable for a time. After that the log loses the
+// answers to some appends, which take effect nevertheless; this lasts to the end of
+// the run.
 func (r *run) takeLogDown(ctx context.Context) error {
 	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
-	r.say("the log is down")
-	r.part(ctx, 8)
+	r.logStep("the log is down")
+	r.waitPercent(ctx, 8)
 	r.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 0.05})
-	r.say("the log is back and loses one answer in twenty")
-	r.part(ctx, 4)
+	r.logStep("the log is back and loses one answer in twenty")
+	r.waitPercent(ctx, 4)
 	return nil
 }
 
-// breakBoxes makes one box fail everything and takes another off the list.
+// breakBoxes makes one box fail every request, and marks a box of another zone as
+// leaving in the platform's list.
 func (r *run) breakBoxes(ctx context.Context) error {
-	bad, hallOfBad, leaving := "", "", ""
-	for _, box := range r.observer.present().Boxes() {
+	failing, failingZone, leaving := "", "", ""
+	for _, box := range r.observer.currentState().Boxes() {
 		if !box.Usable() || box.Pool == fold.FreePool {
 			continue
 		}
-		if bad == "" {
-			bad, hallOfBad = box.Info.Name, box.Info.Hall
-		} else if leaving == "" && box.Info.Hall != hallOfBad {
+		if failing == "" {
+			failing, failingZone = box.Info.Name, box.Info.Hall
+		} else if leaving == "" && box.Info.Hall != failingZone {
 			leaving = box.Info.Name
 		}
 	}
-	r.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
+	r.cluster.Endpoints[failing].SetFault(standin.FaultFailAll)
 	r.cluster.Endpoints[leaving].MarkLeaving()
 	r.cluster.Platform.SetLeaving(leaving, true)
-	r.say("%s fails everything, %s is leaving", bad, leaving)
-	r.part(ctx, 12)
+	r.logStep("%s fails everything, %s is leaving", failing, leaving)
+	r.waitPercent(ctx, 12)
 	return nil
 }
