--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -32,25 +32,20 @@
 	client   *standin.Client
 	nodes    []*Node
 	configs  []settings.Node
-	// closed holds the indexes of the nodes that have been stopped or killed.
-	closed map[int]bool
-	// dial, coreShare, maxKeyAgeMs, revokeFailClosed and logger apply to the nodes that are started
-	// from now on.
+	closed   map[int]bool // By index of the node: it has been stopped or killed.
+	// The fields below, except suspended, apply to the nodes that are started from now on.
 	dial damsonwinch.Dial
 	// suspended holds, by node, how long its machine has been suspended, in nanoseconds.
 	suspended []*atomic.Int64
-	// coreShare is the number of cores that a node may use.
-	coreShare float64
+	coreShare float64 // The number of cores that a node may use.
 	// maxKeyAgeMs is how long a node accepts keys after the configuration was last confirmed. It
 	// has an effect only with revokeFailClosed.
 	maxKeyAgeMs      int
 	revokeFailClosed bool
-	// logger receives the nodes' log lines. If it is nil, only errors are logged, to stderr.
-	logger *logrus.Logger
+	logger           *logrus.Logger // If nil, only errors are logged, to stderr.
 }
 
-// newCluster starts a platform with six boxes and the given number of nodes, and stops them when the
-// test ends.
+// newCluster starts a platform with six boxes and the given number of nodes until the test ends.
 func newCluster(t *testing.T, nodes int) *testCluster {
 	return newClusterWithOptions(t, nodes, platformOptions())
 }
@@ -119,9 +114,8 @@
 	return Env{Clock: clockwork.NewRealClock(), Dial: c.dial, Logger: logger, OnViolation: func(string, string) {}}
 }
 
-// The nodes' ports are below the range from which systems assign ports to outgoing connections
-// and to listeners without a port. Otherwise such a connection could take a port after it was
-// found free and before the node starts.
+// The nodes' ports are below the range from which systems assign ports. Otherwise an outgoing
+// connection, or a listener without a port, could take a free port before the node starts.
 const (
 	firstPort = 12000
 	portCount = 20000
@@ -150,8 +144,7 @@
 	return ""
 }
 
-// clientAddress returns the address at which a running node serves clients. Successive values of
-// try select different nodes.
+// clientAddress returns the client address of a running node. Successive tries select different nodes.
 func (c *testCluster) clientAddress(try int) string {
 	for step := range c.nodes {
 		if number := (try + step) % len(c.nodes); !c.closed[number] {
@@ -164,8 +157,7 @@
 // waitTimeout bounds each wait. It is long because everything takes longer on a busy machine.
 const waitTimeout = 30 * time.Second
 
-// waitUntil waits until the condition holds, and fails the test after waitTimeout. The description
-// says in the failure message what was waited for.
+// waitUntil waits until the condition holds, and after waitTimeout fails the test with the description.
 func (c *testCluster) waitUntil(description string, condition func() bool) {
 	c.t.Helper()
 	clock := clockwork.NewRealClock()
@@ -221,8 +213,7 @@
 	return fmt.Sprintf("%016x", number+1)
 }
 
-// TestSubmittedJobCompletes runs a job of two phases, one after the other. Every node reports its
-// state, and reports a job that was never submitted as gone.
+// TestSubmittedJobCompletes runs a job of two phases in sequence. Every node reports its state.
 func TestSubmittedJobCompletes(t *testing.T) {
 	c := newCluster(t, 3)
 	c.submit(jobID(0), standin.Work{Ms: 50}, standin.Phase{Count: 3, MilliCPU: 1000, MemoryMB: 100, EstimatedMs: 50}, standin.Phase{Count: 2, MilliCPU: 1000, MemoryMB: 100, DependsOn: []int{0}})
@@ -239,8 +230,7 @@
 	assert.Equal(t, status, http.StatusGone, "a job that was never submitted")
 }
 
-// TestInvalidRequestsAreRejectedAndNothingIsKept sends requests that are malformed, too large or
-// for an unknown queue or job.
+// TestInvalidRequestsAreRejectedAndNothingIsKept sends malformed, oversized and misdirected requests.
 func TestInvalidRequestsAreRejectedAndNothingIsKept(t *testing.T) {
 	c := newCluster(t, 1)
 	c.submit(jobID(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
@@ -275,8 +265,7 @@
 	return string(letters)
 }
 
-// TestAnotherNodeTakesOverFromKilledOwner kills the owner of a cell while a job runs. The new owner
-// completes that job and accepts others.
+// TestAnotherNodeTakesOverFromKilledOwner kills a cell's owner while a job runs and another one follows.
 func TestAnotherNodeTakesOverFromKilledOwner(t *testing.T) {
 	c := newCluster(t, 3)
 	c.submit(jobID(0), standin.Work{Ms: 1500}, standin.Phase{Count: 4, MilliCPU: 1000, EstimatedMs: 1500}, standin.Phase{Count: 1, DependsOn: []int{0}})
@@ -316,9 +305,8 @@
 	c.waitUntil("the job is completed", func() bool { return c.jobState(jobID(0)) == "completed" })
 }
 
-// TestAcceptedJobsSurviveStoreFaults makes the store refuse all calls, leave them unanswered, and
-// lose the answers to writes. Accepted jobs are completed afterwards. At the end the store's history
-// expires, and new jobs are still completed.
+// TestAcceptedJobsSurviveStoreFaults makes the store refuse all calls, leave them unanswered and lose
+// the answers to writes. At the end the store's history expires.
 func TestAcceptedJobsSurviveStoreFaults(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit(jobID(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
@@ -335,8 +323,7 @@
 	c.waitUntil("the job submitted after the history expired is completed", func() bool { return c.jobState(jobID(20)) == "completed" })
 }
 
-// TestLongRunningJobRunsUntilCancelled cancels a long-running job. Its tasks have been started again
-// after their endpoints crashed.
+// TestLongRunningJobRunsUntilCancelled cancels a long-running job after it survived endpoint crashes.
 func TestLongRunningJobRunsUntilCancelled(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit(jobID(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MaxMissing: 1, MaxPerBox: 1})
