--- a/pkg/planbench/baseline.go
+++ b/pkg/planbench/baseline.go
@@ -6,18 +6,18 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Baseline is the plain planner that ours is compared with: first fit by name,
-// without regard to racks, one box in maintenance at a time, and whatever a pool
-// doesn't need goes back at once.
+// Baseline is the simple planner with which plan.New is compared. It gives pools the
+// first free boxes by name, whatever their racks, frees boxes as soon as their pool
+// doesn't need them, and maintains one box at a time.
 func Baseline(state fold.State, _ plan.Options) plan.Plan {
 	b := &baseline{state: state}
 	for _, box := range state.Boxes() {
 		if box.Pool != fold.FreePool && box.Health != wire.HealthUp && box.Phase == fold.Serving {
-			b.drain(box, fold.FreePool, false)
+			b.proposeDrain(box, fold.FreePool, false)
 		}
 	}
 	for _, pool := range state.Table().Deployment().Pools {
-		b.fit(pool)
+		b.fillPool(pool)
 	}
 	if len(b.plan.Proposals) == 0 {
 		b.maintainOne()
@@ -25,12 +25,15 @@
 	return b.plan
 }
 
+// baseline holds the data of one run of Baseline.
 type baseline struct {
-	state fold.State
+	state fold.State // With the drains applied that are proposed so far.
 	plan  plan.Plan
 }
 
-func (b *baseline) drain(box fold.Box, target string, maintain bool) bool {
+// proposeDrain proposes a drain and returns true, or returns false if the drain would
+// be refused.
+func (b *baseline) proposeDrain(box fold.Box, target string, maintain bool) bool {
 	next, err := b.state.WithDrain(box.Info.Name, target, maintain)
 	if err != nil {
 		return false
@@ -41,53 +44,57 @@
 	return true
 }
 
-// fit gives a pool the first free boxes until it has what it needs with its
-// worst rack lost and one box in maintenance, and takes the last ones it has too
-// many of.
-func (b *baseline) fit(pool string) {
-	racks := map[string]int{}
-	slots, size := 0, 1
+// fillPool gives a pool free boxes until it has wantedSlots, or frees its last boxes as
+// long as it keeps them.
+func (b *baseline) fillPool(pool string) {
+	rackSlots := map[string]int{}
+	slots, boxSlots := 0, 1
 	var own, free []fold.Box
 	for _, box := range b.state.Boxes() {
-		size = max(size, box.Info.Slots)
+		boxSlots = max(boxSlots, box.Info.Slots)
 		switch {
 		case box.Pool == pool && box.Health == wire.HealthUp:
 			own = append(own, box)
 			slots += box.Info.Slots
-			racks[box.Info.Hall+box.Info.Rack] += box.Info.Slots
+			rackSlots[box.Info.Hall+box.Info.Rack] += box.Info.Slots
 		case box.Pool == fold.FreePool && box.Health == wire.HealthUp && box.Phase == fold.Serving:
 			free = append(free, box)
 		}
 	}
-	for len(free) > 0 && slots < b.wanted(pool, racks, size) {
+	for len(free) > 0 && slots < b.wantedSlots(pool, rackSlots, boxSlots) {
 		box := free[0]
 		free = free[1:]
-		if b.drain(box, pool, false) {
+		if b.proposeDrain(box, pool, false) {
 			slots += box.Info.Slots
-			racks[box.Info.Hall+box.Info.Rack] += box.Info.Slots
+			rackSlots[box.Info.Hall+box.Info.Rack] += box.Info.Slots
 		}
 	}
-	for last := len(own) - 1; last >= 0 && slots-own[last].Info.Slots >= b.wanted(pool, racks, size); last-- {
-		if !b.drain(own[last], fold.FreePool, false) {
+	for last := len(own) - 1; last >= 0 && slots-own[last].Info.Slots >= b.wantedSlots(pool, rackSlots, boxSlots); last-- {
+		if !b.proposeDrain(own[last], fold.FreePool, false) {
 			return
 		}
 		slots -= own[last].Info.Slots
-		racks[own[last].Info.Hall+own[last].Info.Rack] -= own[last].Info.Slots
+		rackSlots[own[last].Info.Hall+own[last].Info.Rack] -= own[last].Info.Slots
 	}
 }
 
-func (b *baseline) wanted(pool string, racks map[string]int, size int) int {
-	worst := 0
-	for _, slots := range racks {
-		worst = max(worst, slots)
+// wantedSlots returns how many slots a pool needs so that its services keep theirs with
+// the rack with the most slots lost and one box in maintenance. rackSlots are the pool's
+// slots by rack, and boxSlots those of the largest box.
+func (b *baseline) wantedSlots(pool string, rackSlots map[string]int, boxSlots int) int {
+	maxRackSlots := 0
+	for _, slots := range rackSlots {
+		maxRackSlots = max(maxRackSlots, slots)
 	}
-	return b.state.Table().NeededSlots(pool) + worst + size
+	return b.state.Table().NeededSlots(pool) + maxRackSlots + boxSlots
 }
 
+// maintainOne proposes the maintenance of the first box that is due and whose drain
+// isn't refused.
 func (b *baseline) maintainOne() {
 	before := b.state.Table().Deployment().MaintainBefore
 	for _, box := range b.state.Boxes() {
-		if box.MaintainedAt < before && box.Phase == fold.Serving && b.drain(box, box.Pool, true) {
+		if box.MaintainedAt < before && box.Phase == fold.Serving && b.proposeDrain(box, box.Pool, true) {
 			return
 		}
 	}
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -1,5 +1,6 @@
-// Package planbench measures the planner: a month of a fleet, played at the fold
-// alone, against a plain baseline and computed lower bounds.
+// Package planbench measures the planner of package plan. It simulates a month of a
+// fleet by applying log records to the fleet's state, without any process, and compares
+// the result with that of a simple planner and with computed lower bounds.
 package planbench
 
 import (
@@ -14,160 +15,176 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Sizes describes a fleet of any size.
+// Sizes describes how large a fleet is. Package capacity writes it as JSON under the
+// names of its fields.
 type Sizes struct {
-	Boxes     int
-	Pools     int
-	Halls     int
+	// Boxes is the number of endpoint boxes, Pools that of pools and Halls that of
+	// availability zones.
+	Boxes int
+	Pools int
+	Halls int
+	// RackBoxes is the number of boxes in a rack, and BoxSlots the number of requests
+	// that a box can run at once.
 	RackBoxes int
 	BoxSlots  int
-	// Entries is the number of entry boxes in all halls.
+	// Entries is the number of entry boxes in all zones.
 	Entries int
-	// Teams is the number of teams with quotas in each service.
+	// Teams is the number of customers with a quota in each service.
 	Teams int
 }
 
-// SizesInTwoYears is the size that the users' first letter names. It doesn't give the
-// number of entry boxes: twelve a hall is our assumption.
+// SizesInTwoYears returns the sizes of the fleet that the users expect to have in two
+// years. They don't state the number of entry boxes; twelve in each zone is an
+// assumption.
 func SizesInTwoYears() Sizes {
 	return Sizes{Boxes: 5800, Pools: 45, Halls: 8, RackBoxes: 4, BoxSlots: 8, Entries: 96, Teams: 4}
 }
 
-// Planner makes plans.
+// Planner is a function that makes a plan for the fleet's state, as plan.New does.
 type Planner func(state fold.State, options plan.Options) plan.Plan
 
-// bench is a fleet whose records this package writes itself.
-type bench struct {
-	planner Planner
-	state   fold.State
-	at      int
-	number  int
+// simulation is a fleet without processes: this package makes the log records and
+// applies them to the state.
+type simulation struct {
+	planner     Planner
+	state       fold.State
+	nowMs       int // The log time, in milliseconds since 1970.
+	batchNumber int // Of the newest batch.
+	// moves counts the boxes that left a pool, and evicted those of them that were not
+	// up.
 	moves   int
 	evicted int
 }
 
 const (
-	benchNode  = "bench"
-	startAt    = 1_800_000_000_000 // Milliseconds since 1970: 2027-01-15.
-	dayMs      = 24 * 60 * 60 * 1000
-	stepMs     = 60 * 1000
-	neededPart = 70 // Per cent of the slots that services need in a large fleet.
-	percent    = 100
+	nodeName      = "bench"
+	startMs       = 1_800_000_000_000 // Milliseconds since 1970: 2027-01-15.
+	dayMs         = 24 * 60 * 60 * 1000
+	stepMs        = 60 * 1000 // Log time between two rounds.
+	neededPercent = 70        // Percentage of the slots that the services of a large fleet need.
+	percent       = 100
 )
 
-func newBench(planner Planner) (*bench, error) {
-	empty, err := process.InitialState()
+// newSimulation returns a simulation without boxes and without a table.
+func newSimulation(planner Planner) (*simulation, error) {
+	initialState, err := process.InitialState()
 	if err != nil {
 		return nil, err
 	}
-	return &bench{planner: planner, state: empty, at: startAt}, nil
+	return &simulation{planner: planner, state: initialState, nowMs: startMs}, nil
 }
 
-// append folds one record and returns its verdicts.
-func (b *bench) append(proposals ...wire.Proposal) []fold.Result {
-	b.number++
-	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(b.number), Node: benchNode, Incarnation: 1, Number: b.number, Proposals: proposals})
+// appendBatch applies a log record with the proposals to the state and returns their
+// results.
+func (s *simulation) appendBatch(proposals ...wire.Proposal) []fold.Result {
+	s.batchNumber++
+	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(s.batchNumber), Node: nodeName, Incarnation: 1, Number: s.batchNumber, Proposals: proposals})
 	if err != nil {
 		return nil
 	}
-	next, verdicts := b.state.Apply(wire.Entry{Offset: b.state.Offset(), At: b.at, Data: string(data)})
-	b.state = next
-	return verdicts
+	next, results := s.state.Apply(wire.Entry{Offset: s.state.Offset(), At: s.nowMs, Data: string(data)})
+	s.state = next
+	return results
 }
 
-// start enrolls a fleet, one sender a hall, and its table.
-func (b *bench) start(boxes []wire.BoxInfo, table settings.Table) error {
-	halls := map[string]bool{}
+// enroll adds one sender in each zone, enrolls the boxes and publishes the table.
+func (s *simulation) enroll(boxes []wire.BoxInfo, table settings.Table) error {
+	zones := map[string]bool{}
 	for _, box := range boxes {
-		halls[box.Hall] = true
+		zones[box.Hall] = true
 	}
-	for hall := range halls {
-		b.append(wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{b.member(hall)}})
+	for zone := range zones {
+		s.appendBatch(wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{s.member(zone)}})
 	}
-	b.append(wire.Proposal{Kind: wire.KindEnroll, Boxes: boxes})
-	return b.edit(func(wanted *settings.Table) { *wanted = table })
+	s.appendBatch(wire.Proposal{Kind: wire.KindEnroll, Boxes: boxes})
+	return s.editTable(func(wanted *settings.Table) { *wanted = table })
 }
 
-func (b *bench) member(hall string) wire.Member {
-	return wire.Member{Node: benchNode + "-" + hall, Hall: hall, Keeper: 1, Entry: 1, Seq: b.number + 1, Folded: b.state.Offset()}
+// member returns the next renewal of the one keeper and entry of a zone.
+func (s *simulation) member(zone string) wire.Member {
+	return wire.Member{Node: nodeName + "-" + zone, Hall: zone, Keeper: 1, Entry: 1, Seq: s.batchNumber + 1, Folded: s.state.Offset()}
 }
 
-// edit publishes a changed table.
-func (b *bench) edit(change func(*settings.Table)) error {
-	wanted := b.state.Table().File()
+// editTable publishes a changed table.
+func (s *simulation) editTable(change func(*settings.Table)) error {
+	wanted := s.state.Table().File()
 	change(&wanted)
-	edit, err := b.state.Table().Diff(wanted)
+	edit, err := s.state.Table().Diff(wanted)
 	if err != nil {
 		return err
 	}
-	for _, verdict := range b.append(wire.Proposal{Kind: wire.KindEdit, Author: benchNode, Edit: &edit}) {
-		if !verdict.Accepted {
-			return fmt.Errorf("edit of the benchmark's table: %s", verdict.Reason)
+	for _, result := range s.appendBatch(wire.Proposal{Kind: wire.KindEdit, Author: nodeName, Edit: &edit}) {
+		if !result.Accepted {
+			return fmt.Errorf("edit of the simulated fleet's table refused: %s", result.Reason)
 		}
 	}
 	return nil
 }
 
-// UserFleet returns the boxes and the table of one of the users.
+// UserFleet returns the endpoint boxes and the table of a user of package trial.
 func UserFleet(name string) ([]wire.BoxInfo, settings.Table, error) {
 	user, err := trial.NewUser(name)
 	if err != nil {
 		return nil, settings.Table{}, err
 	}
 	var boxes []wire.BoxInfo
-	for _, hall := range user.Fleet.Halls {
-		for number := range hall.Boxes {
-			boxes = append(boxes, trial.NewBoxInfo(hall.Name, number, user.Fleet, ""))
+	for _, zone := range user.Fleet.Halls {
+		for number := range zone.Boxes {
+			boxes = append(boxes, trial.NewBoxInfo(zone.Name, number, user.Fleet, ""))
 		}
 	}
 	return boxes, user.Table, nil
 }
 
-// LargeFleet returns boxes and a table of any size, with two services a pool.
+// LargeFleet returns the endpoint boxes and the table of a fleet with the given sizes.
+// Each pool has two services.
 func LargeFleet(sizes Sizes) ([]wire.BoxInfo, settings.Table) {
 	var boxes []wire.BoxInfo
 	fleet := settings.Fleet{RackBoxes: sizes.RackBoxes, BoxSlots: sizes.BoxSlots}
 	for number := range sizes.Boxes {
-		hall := number % sizes.Halls
-		boxes = append(boxes, trial.NewBoxInfo(fmt.Sprintf("hall-%d", hall+1), number/sizes.Halls, fleet, ""))
+		zone := number % sizes.Halls
+		boxes = append(boxes, trial.NewBoxInfo(fmt.Sprintf("hall-%d", zone+1), number/sizes.Halls, fleet, ""))
 	}
 	table := settings.Table{Deployment: settings.Deployment{Moves: 5, Rollout: 2, Buffer: 2, MaintainDays: 42}}
-	slots := sizes.Boxes * sizes.BoxSlots * neededPart / percent / sizes.Pools
+	slots := sizes.Boxes * sizes.BoxSlots * neededPercent / percent / sizes.Pools
 	for number := range sizes.Pools {
 		pool := fmt.Sprintf("pool-%02d", number+1)
 		table.Deployment.Pools = append(table.Deployment.Pools, pool)
-		for _, part := range []string{"a", "b"} {
-			table.Services = append(table.Services, settings.NamedRow{Service: pool + "-" + part, Row: largeRow(pool, slots/2, sizes)})
+		for _, suffix := range []string{"a", "b"} {
+			table.Services = append(table.Services, settings.NamedRow{Service: pool + "-" + suffix, Row: largeRow(pool, slots/2, sizes)})
 		}
 	}
 	return boxes, table
 }
 
+// largeRow returns the row of a service that needs the given slots, a tenth of them as
+// spare slots. A twentieth of the boxes of its pool, or one, may be down at once.
 func largeRow(pool string, slots int, sizes Sizes) settings.Row {
-	const spareParts, downParts = 10, 20
+	const spareDivisor, downDivisor = 10, 20
 	row := settings.Row{
-		Pool: pool, Weight: 1, Floor: slots - slots/spareParts, Spare: slots / spareParts, Most: slots * 2,
-		Down: max(1, 2*slots/sizes.BoxSlots/downParts), Queue: 600, DeadlineMs: 30_000, RunMs: 5000, Repeatable: true,
+		Pool: pool, Weight: 1, Floor: slots - slots/spareDivisor, Spare: slots / spareDivisor, Most: slots * 2,
+		Down: max(1, 2*slots/sizes.BoxSlots/downDivisor), Queue: 600, DeadlineMs: 30_000, RunMs: 5000, Repeatable: true,
 	}
-	for team := range sizes.Teams {
-		row.Quotas = append(row.Quotas, settings.Quota{Team: fmt.Sprintf("team-%03d", team+1), Weight: 1, Most: slots})
+	for customer := range sizes.Teams {
+		row.Quotas = append(row.Quotas, settings.Quota{Team: fmt.Sprintf("team-%03d", customer+1), Weight: 1, Most: slots})
 	}
 	return row
 }
 
-// Fleet is a fleet for measurements of single parts.
+// Fleet is a simulated fleet on which single functions are measured.
 type Fleet struct {
-	bench *bench
+	simulation *simulation
 }
 
-// NewFleet returns an enrolled fleet whose boxes are all free yet.
+// NewFleet returns a fleet with a table and enrolled boxes, which are all in the free
+// pool.
 func NewFleet(sizes Sizes) (*Fleet, error) {
-	b, err := newBench(plan.New)
+	s, err := newSimulation(plan.New)
 	if err != nil {
 		return nil, err
 	}
 	boxes, table := LargeFleet(sizes)
-	return &Fleet{bench: b}, b.start(boxes, table)
+	return &Fleet{simulation: s}, s.enroll(boxes, table)
 }
 
 // InitialState returns the state before the first record.
@@ -177,15 +194,16 @@
 
 // State returns the fleet's state.
 func (f *Fleet) State() fold.State {
-	return f.bench.state
+	return f.simulation.state
 }
 
-// MakePlan makes a plan and drops it.
+// MakePlan makes a plan for the fleet and discards it.
 func (f *Fleet) MakePlan() {
-	plan.New(f.bench.state, plan.Options{})
+	plan.New(f.simulation.state, plan.Options{})
 }
 
-// PlanUntilStable carries plans out until there is nothing left to do.
+// PlanUntilStable makes and carries out plans until a plan proposes nothing, or for 400
+// rounds.
 func (f *Fleet) PlanUntilStable() {
-	f.bench.settle(mostRounds)
+	f.simulation.planUntilStable(maxRounds)
 }
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -14,42 +14,56 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Result compares one fleet's month with the baseline and the bounds.
+// Result compares a simulated month of a fleet under the planner with the same month
+// under Baseline, and with lower bounds.
 type Result struct {
-	Fleet           string  `json:"fleet"`
-	Boxes           int     `json:"boxes"`
-	Moves           int     `json:"moves"`
-	MovesBaseline   int     `json:"moves_baseline"`
-	MovesBound      int     `json:"moves_bound"`
-	RolloutRounds   int     `json:"rollout_rounds"`
-	RolloutBaseline int     `json:"rollout_baseline"`
-	RolloutBound    int     `json:"rollout_bound"`
-	Spare           int     `json:"spare"`
-	SpareBaseline   int     `json:"spare_baseline"`
-	SpareBound      int     `json:"spare_bound"`
-	PlanMs          float64 `json:"plan_ms"`
-	IncrementalMs   float64 `json:"incremental_ms"`
-	HeapGrowthMb    float64 `json:"peak_mb"`
-	BrokenBudgets   int     `json:"broken_budgets"`
+	Fleet string `json:"fleet"`
+	Boxes int    `json:"boxes"`
+	// Moves counts the boxes that left a pool. The bound is the number that had to: the
+	// failed boxes, and those that other pools lacked.
+	Moves         int `json:"moves"`
+	MovesBaseline int `json:"moves_baseline"`
+	MovesBound    int `json:"moves_bound"`
+	// RolloutRounds is the number of rounds in which all boxes were maintained.
+	RolloutRounds   int `json:"rollout_rounds"`
+	RolloutBaseline int `json:"rollout_baseline"`
+	RolloutBound    int `json:"rollout_bound"`
+	// Spare is the number of slots that all pools together had above their floors.
+	Spare         int `json:"spare"`
+	SpareBaseline int `json:"spare_baseline"`
+	SpareBound    int `json:"spare_bound"`
+	// PlanMs is the median time of a plan for a fleet whose boxes are all free, and
+	// IncrementalMs that of a plan for a fleet that lacks one box after an edit, in
+	// milliseconds.
+	PlanMs        float64 `json:"plan_ms"`
+	IncrementalMs float64 `json:"incremental_ms"`
+	// HeapGrowthMb is by how much the heap grew while the fleet was enrolled and PlanMs
+	// was measured, in units of 1024 x 1024 bytes.
+	HeapGrowthMb float64 `json:"peak_mb"`
+	// BrokenBudgets counts the pools whose budget did not hold after an event of the
+	// month had been dealt with, summed over all events.
+	BrokenBudgets int `json:"broken_budgets"`
 }
 
 const (
-	twoYears   = "two-years"
-	mostRounds = 400
-	repeats    = 7
-	// playedBoxes is the largest fleet whose wave is played one box at a time.
-	playedBoxes = 500
+	largeFleetName = "two-years"
+	maxRounds      = 400
+	timedRuns      = 7
+	// maxSimulatedWaveBoxes is the number of boxes up to which a maintenance wave is
+	// simulated even if it maintains only one box in each round.
+	maxSimulatedWaveBoxes = 500
 )
 
-// Run measures both users' fleets and one of the given sizes.
+// Run measures the planner on the fleets of both users of package trial and on a fleet
+// of the given sizes.
 func Run(ctx context.Context, clock damsonwinch.Clock, sizes Sizes) ([]Result, error) {
 	var results []Result
-	for _, name := range append(trial.UserNames(), twoYears) {
+	for _, name := range append(trial.UserNames(), largeFleetName) {
 		if ctx.Err() != nil {
 			return results, ctx.Err()
 		}
 		boxes, table := LargeFleet(sizes)
-		if name != twoYears {
+		if name != largeFleetName {
 			var err error
 			if boxes, table, err = UserFleet(name); err != nil {
 				return nil, err
@@ -64,222 +78,238 @@
 	return results, nil
 }
 
+// measure simulates a month under the planner and under Baseline, and measures the time
+// of plans.
 func measure(clock damsonwinch.Clock, name string, boxes []wire.BoxInfo, table settings.Table) (Result, error) {
 	result := Result{Fleet: name, Boxes: len(boxes)}
-	ours, err := playMonth(plan.New, boxes, table)
+	ours, err := simulateMonth(plan.New, boxes, table)
 	if err != nil {
 		return result, err
 	}
-	plain, err := playMonth(Baseline, boxes, table)
+	baseline, err := simulateMonth(Baseline, boxes, table)
 	if err != nil {
 		return result, err
 	}
-	result.Moves, result.MovesBaseline, result.MovesBound = ours.moves, plain.moves, ours.evicted+ours.forced
-	result.RolloutRounds, result.RolloutBaseline, result.RolloutBound = ours.rounds, plain.rounds, ours.roundsBound
-	result.Spare, result.SpareBaseline, result.SpareBound = ours.spare, plain.spare, ours.spareBound
-	result.BrokenBudgets = ours.broken
+	result.Moves, result.MovesBaseline, result.MovesBound = ours.moves, baseline.moves, ours.evicted+ours.forced
+	result.RolloutRounds, result.RolloutBaseline, result.RolloutBound = ours.rounds, baseline.rounds, ours.roundsBound
+	result.Spare, result.SpareBaseline, result.SpareBound = ours.spare, baseline.spare, ours.spareBound
+	result.BrokenBudgets = ours.brokenBudgets
 	return result, timePlans(clock, &result, boxes, table)
 }
 
-// month is what one planner's month came to.
-type month struct {
-	moves, evicted, forced    int
-	rounds, roundsBound       int
-	spare, spareBound, broken int
+// monthResult is the result of a simulated month under one planner.
+type monthResult struct {
+	// moves counts the boxes that left a pool, evicted those of them that were not up,
+	// and forced those that other pools lacked.
+	moves, evicted, forced int
+	// rounds is the number of rounds of the maintenance wave.
+	rounds, roundsBound int
+	// spare is the number of slots above the pools' floors, and brokenBudgets the number
+	// of pools whose budget did not hold, summed over the events.
+	spare, spareBound, brokenBudgets int
 }
 
-// playMonth plays 30 days: demand shifts to pay day and back, a pool grows, a
-// rack fails every week, small edits come and go, and every box is maintained.
-func playMonth(planner Planner, boxes []wire.BoxInfo, table settings.Table) (month, error) {
-	b, err := newBench(planner)
+// simulateMonth simulates the events of a month, one a day: demand rises towards pay
+// day and falls again, racks fail and come back, and small edits are made and undone.
+// At the end it maintains every box.
+func simulateMonth(planner Planner, boxes []wire.BoxInfo, table settings.Table) (monthResult, error) {
+	s, err := newSimulation(planner)
 	if err != nil {
-		return month{}, err
+		return monthResult{}, err
 	}
-	if err := b.start(boxes, table); err != nil {
-		return month{}, err
+	if err := s.enroll(boxes, table); err != nil {
+		return monthResult{}, err
 	}
-	b.settle(mostRounds)
-	var m month
-	m.spare, m.spareBound = b.spare(), b.spareBound()
-	for _, step := range monthSteps(boxes) {
-		b.at += dayMs
-		if err := step(b); err != nil {
-			return month{}, err
+	s.planUntilStable(maxRounds)
+	var m monthResult
+	m.spare, m.spareBound = s.spareSlots(), s.spareSlotsBound()
+	for _, event := range monthEvents(boxes) {
+		s.nowMs += dayMs
+		if err := event(s); err != nil {
+			return monthResult{}, err
 		}
-		m.forced += b.forcedMoves()
-		b.settle(mostRounds)
-		m.broken += b.brokenBudgets()
+		m.forced += s.forcedMoves()
+		s.planUntilStable(maxRounds)
+		m.brokenBudgets += s.brokenBudgets()
 	}
-	m.roundsBound = b.roundsBound()
-	if err := b.edit(func(wanted *settings.Table) { wanted.Deployment.MaintainBefore = b.at }); err != nil {
-		return month{}, err
+	m.roundsBound = s.roundsBound()
+	if err := s.editTable(func(wanted *settings.Table) { wanted.Deployment.MaintainBefore = s.nowMs }); err != nil {
+		return monthResult{}, err
 	}
-	m.moves, m.evicted = b.moves, b.evicted
-	m.rounds = b.waveRounds(len(boxes))
+	m.moves, m.evicted = s.moves, s.evicted
+	m.rounds = s.waveRounds(len(boxes))
 	return m, nil
 }
 
-// waveRounds plays the wave. One box at a time is only counted in a large fleet:
-// playing thousands of rounds that each do the same shows nothing more.
-func (b *bench) waveRounds(boxes int) int {
-	due := b.dueBoxes()
-	b.round()
-	if done := due - b.dueBoxes(); boxes > playedBoxes && done <= 1 {
+// waveRounds returns the number of rounds of a maintenance wave over the given number of
+// boxes. If the first round maintains at most one box of a large fleet, it returns the
+// number of boxes without simulating the other rounds: thousands of rounds that all do
+// the same would show nothing more.
+func (s *simulation) waveRounds(boxes int) int {
+	due := s.dueBoxes()
+	s.runRound()
+	if maintained := due - s.dueBoxes(); boxes > maxSimulatedWaveBoxes && maintained <= 1 {
 		return due
 	}
-	return 1 + b.settle(mostRounds)
+	return 1 + s.planUntilStable(maxRounds)
 }
 
-func (b *bench) dueBoxes() int {
+// dueBoxes counts the boxes that are up and due for maintenance.
+func (s *simulation) dueBoxes() int {
 	due := 0
-	for _, box := range b.state.Boxes() {
-		if box.MaintainedAt < b.state.Table().Deployment().MaintainBefore && box.Health == wire.HealthUp {
+	for _, box := range s.state.Boxes() {
+		if box.MaintainedAt < s.state.Table().Deployment().MaintainBefore && box.Health == wire.HealthUp {
 			due++
 		}
 	}
 	return due
 }
 
-// monthSteps are the month's events, one a day.
-func monthSteps(boxes []wire.BoxInfo) []func(*bench) error {
-	shift := func(percentUp int) func(*bench) error {
-		return func(b *bench) error {
-			return b.edit(func(wanted *settings.Table) {
+// monthEvents returns the events of a month, one a day: changes of the last service's
+// spare slots and of the first service's floor, and racks that fail and come back.
+func monthEvents(boxes []wire.BoxInfo) []func(*simulation) error {
+	changeFloor := func(percentChange int) func(*simulation) error {
+		return func(s *simulation) error {
+			return s.editTable(func(wanted *settings.Table) {
 				row := &wanted.Services[0].Row
-				row.Floor += row.Floor * percentUp / percent
+				row.Floor += row.Floor * percentChange / percent
 			})
 		}
 	}
-	nudge := func(by int) func(*bench) error {
-		return func(b *bench) error {
-			return b.edit(func(wanted *settings.Table) { wanted.Services[len(wanted.Services)-1].Row.Spare += by })
+	changeSpare := func(by int) func(*simulation) error {
+		return func(s *simulation) error {
+			return s.editTable(func(wanted *settings.Table) { wanted.Services[len(wanted.Services)-1].Row.Spare += by })
 		}
 	}
-	rack := func(box int, health wire.Health) func(*bench) error {
-		return func(b *bench) error {
-			b.setRack(boxes[box].Hall, boxes[box].Rack, health)
+	changeRack := func(box int, health wire.Health) func(*simulation) error {
+		return func(s *simulation) error {
+			s.setRackHealth(boxes[box].Hall, boxes[box].Rack, health)
 			return nil
 		}
 	}
 	last := len(boxes) - 1
-	return []func(*bench) error{
-		nudge(4), nudge(-4), rack(0, wire.HealthGone), rack(0, wire.HealthUp), nudge(8), nudge(-8),
-		shift(20), rack(last, wire.HealthGone), rack(last, wire.HealthUp), nudge(4),
-		shift(15), rack(last/2, wire.HealthGone), rack(last/2, wire.HealthUp), nudge(-4),
-		shift(-25), rack(last/3, wire.HealthGone), rack(last/3, wire.HealthUp),
+	return []func(*simulation) error{
+		changeSpare(4), changeSpare(-4), changeRack(0, wire.HealthGone), changeRack(0, wire.HealthUp), changeSpare(8), changeSpare(-8),
+		changeFloor(20), changeRack(last, wire.HealthGone), changeRack(last, wire.HealthUp), changeSpare(4),
+		changeFloor(15), changeRack(last/2, wire.HealthGone), changeRack(last/2, wire.HealthUp), changeSpare(-4),
+		changeFloor(-25), changeRack(last/3, wire.HealthGone), changeRack(last/3, wire.HealthUp),
 	}
 }
 
-// spare counts the slots that pools hold above what their floors need.
-func (b *bench) spare() int {
+// spareSlots returns the number of slots that all pools together have above their
+// floors.
+func (s *simulation) spareSlots() int {
 	spare := 0
-	for _, pool := range b.state.Table().Deployment().Pools {
-		spare += b.state.Pool(pool).Slots - b.state.Table().FloorSlots(pool)
+	for _, pool := range s.state.Table().Deployment().Pools {
+		spare += s.state.Pool(pool).Slots - s.state.Table().FloorSlots(pool)
 	}
 	return spare
 }
 
-// spareBound is the least spare with which every pool keeps its services' needs
-// with one rack lost and as many boxes in maintenance as the weights ask for, if
-// the pool could use all racks alike.
-func (b *bench) spareBound() int {
+// spareSlotsBound returns a lower bound for spareSlots: every pool has the slots that
+// its services need even if one rack has failed and as many boxes are in maintenance as
+// the table's weights ask for. It assumes that the boxes of a pool can be spread evenly
+// over all racks.
+func (s *simulation) spareSlotsBound() int {
 	bound := 0
-	size := b.boxSlots()
+	size := s.maxBoxSlots()
 	names := map[string]bool{}
-	for _, box := range b.state.Boxes() {
+	for _, box := range s.state.Boxes() {
 		names[box.Info.Hall+"/"+box.Info.Rack] = true
 	}
 	racks := len(names)
-	for _, pool := range b.state.Table().Deployment().Pools {
-		needed := b.state.Table().NeededSlots(pool)
-		kept := (needed+size-1)/size + plan.ConcurrentMaintenance(b.state.Table(), pool, size)
+	for _, pool := range s.state.Table().Deployment().Pools {
+		needed := s.state.Table().NeededSlots(pool)
+		kept := (needed+size-1)/size + plan.ConcurrentMaintenance(s.state.Table(), pool, size)
 		boxes := kept + 1
 		for boxes-(boxes+racks-1)/racks < kept {
 			boxes++
 		}
-		bound += boxes*size - b.state.Table().FloorSlots(pool)
+		bound += boxes*size - s.state.Table().FloorSlots(pool)
 	}
 	return bound
 }
 
-// roundsBound is the least number of rounds in which every box is maintained
-// with as many at once as the weights ask for.
-func (b *bench) roundsBound() int {
+// roundsBound returns a lower bound for the rounds in which every box is maintained, if
+// as many boxes of each pool are maintained at once as the table's weights ask for.
+func (s *simulation) roundsBound() int {
 	bound := 0
-	for _, pool := range b.state.Table().Deployment().Pools {
-		together := plan.ConcurrentMaintenance(b.state.Table(), pool, b.boxSlots())
-		bound = max(bound, (b.state.Pool(pool).Boxes+together-1)/together)
+	for _, pool := range s.state.Table().Deployment().Pools {
+		atOnce := plan.ConcurrentMaintenance(s.state.Table(), pool, s.maxBoxSlots())
+		bound = max(bound, (s.state.Pool(pool).Boxes+atOnce-1)/atOnce)
 	}
 	return bound
 }
 
-func (b *bench) boxSlots() int {
+// maxBoxSlots returns the number of slots of the largest box.
+func (s *simulation) maxBoxSlots() int {
 	largest := 1
-	for _, box := range b.state.Boxes() {
+	for _, box := range s.state.Boxes() {
 		largest = max(largest, box.Info.Slots)
 	}
 	return largest
 }
 
-// forcedMoves counts the boxes that must leave a pool because pools lack more
-// than the free boxes give.
-func (b *bench) forcedMoves() int {
-	size := b.boxSlots()
-	free, lacking := 0, 0
-	for _, box := range b.state.Boxes() {
+// forcedMoves returns how many boxes must leave a pool because other pools lack more
+// boxes than are free.
+func (s *simulation) forcedMoves() int {
+	size := s.maxBoxSlots()
+	freeBoxes, neededBoxes := 0, 0
+	for _, box := range s.state.Boxes() {
 		if box.Pool == fold.FreePool && box.Health == wire.HealthUp {
-			free++
+			freeBoxes++
 		}
 	}
-	for _, pool := range b.state.Table().Deployment().Pools {
-		short := b.state.Table().NeededSlots(pool) - b.state.Pool(pool).Slots
-		lacking += max(0, (short+size-1)/size)
+	for _, pool := range s.state.Table().Deployment().Pools {
+		short := s.state.Table().NeededSlots(pool) - s.state.Pool(pool).Slots
+		neededBoxes += max(0, (short+size-1)/size)
 	}
-	return max(0, lacking-free)
+	return max(0, neededBoxes-freeBoxes)
 }
 
-// brokenBudgets counts pools whose budget doesn't hold after the fleet has
-// settled.
-func (b *bench) brokenBudgets() int {
-	broken := 0
-	for _, pool := range b.state.Table().Deployment().Pools {
-		if b.state.Headroom(pool) < 0 {
-			broken++
+// brokenBudgets counts the pools whose budget doesn't hold: if their largest rack
+// failed, their services would lack slots.
+func (s *simulation) brokenBudgets() int {
+	count := 0
+	for _, pool := range s.state.Table().Deployment().Pools {
+		if s.state.Headroom(pool) < 0 {
+			count++
 		}
 	}
-	return broken
+	return count
 }
 
-// timePlans measures a full plan, of the empty fleet, and one after one edit.
+// timePlans measures the time of a plan for a fleet whose boxes are all free, and of a
+// plan after one edit of a fleet for which there was nothing left to plan.
 func timePlans(clock damsonwinch.Clock, result *Result, boxes []wire.BoxInfo, table settings.Table) error {
-	b, err := newBench(plan.New)
+	s, err := newSimulation(plan.New)
 	if err != nil {
 		return err
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	if err := b.start(boxes, table); err != nil {
+	if err := s.enroll(boxes, table); err != nil {
 		return err
 	}
-	result.PlanMs = MedianMs(clock, func() { plan.New(b.state, plan.Options{}) })
+	result.PlanMs = MedianMs(clock, func() { plan.New(s.state, plan.Options{}) })
 	runtime.ReadMemStats(&after)
 	result.HeapGrowthMb = float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc)) / (1 << 20)
-	b.settle(mostRounds)
-	if err := b.edit(func(wanted *settings.Table) { wanted.Services[0].Row.Floor += b.boxSlots() }); err != nil {
+	s.planUntilStable(maxRounds)
+	if err := s.editTable(func(wanted *settings.Table) { wanted.Services[0].Row.Floor += s.maxBoxSlots() }); err != nil {
 		return err
 	}
-	result.IncrementalMs = MedianMs(clock, func() { plan.New(b.state, plan.Options{}) })
+	result.IncrementalMs = MedianMs(clock, func() { plan.New(s.state, plan.Options{}) })
 	return nil
 }
 
-// MedianMs returns the median time of a piece of work, in milliseconds.
-func MedianMs(clock damsonwinch.Clock, do func()) float64 {
+// MedianMs returns the median time that work takes in seven runs, in milliseconds.
+func MedianMs(clock damsonwinch.Clock, work func()) float64 {
 	var times []float64
-	for range repeats {
-		begun := clock.Now()
-		do()
-		times = append(times, float64(clock.Since(begun))/float64(time.Millisecond))
+	for range timedRuns {
+		startedAt := clock.Now()
+		work()
+		times = append(times, float64(clock.Since(startedAt))/float64(time.Millisecond))
 	}
 	slices.Sort(times)
 	return times[len(times)/2]
--- a/pkg/planbench/month_test.go
+++ b/pkg/planbench/month_test.go
@@ -11,97 +11,102 @@
 	"damsonwinch/pkg/wire"
 )
 
-// TestAMonthKeepsItsBudgetsAndBounds plays both users' months. The counts are
-// of decisions and don't depend on the machine.
-func TestAMonthKeepsItsBudgetsAndBounds(t *testing.T) {
+// TestMonthKeepsBudgetsAndStaysNearBounds simulates a month of both users' fleets. It
+// compares counts of decisions, which don't depend on the machine's speed.
+func TestMonthKeepsBudgetsAndStaysNearBounds(t *testing.T) {
 	for _, name := range trial.UserNames() {
 		t.Run(name, func(t *testing.T) {
 			boxes, table, err := UserFleet(name)
 			assert.NilError(t, err)
-			ours, err := playMonth(plan.New, boxes, table)
+			ours, err := simulateMonth(plan.New, boxes, table)
 			assert.NilError(t, err)
-			plain, err := playMonth(Baseline, boxes, table)
+			baseline, err := simulateMonth(Baseline, boxes, table)
 			assert.NilError(t, err)
 
-			assert.Equal(t, ours.broken, 0)
-			assert.Assert(t, ours.moves <= plain.moves, "%+v", ours)
-			assert.Assert(t, ours.rounds <= plain.rounds, "%+v", ours)
-			assert.Assert(t, ours.spare <= plain.spare, "%+v", ours)
-			assert.Assert(t, within(ours.spare, ours.spareBound), "%+v", ours)
-			assert.Assert(t, within(ours.rounds, ours.roundsBound), "%+v", ours)
+			assert.Equal(t, ours.brokenBudgets, 0)
+			assert.Assert(t, ours.moves <= baseline.moves, "%+v", ours)
+			assert.Assert(t, ours.rounds <= baseline.rounds, "%+v", ours)
+			assert.Assert(t, ours.spare <= baseline.spare, "%+v", ours)
+			assert.Assert(t, isWithinTenPercent(ours.spare, ours.spareBound), "%+v", ours)
+			assert.Assert(t, isWithinTenPercent(ours.rounds, ours.roundsBound), "%+v", ours)
 		})
 	}
 }
 
-// within says whether a measure is at most a tenth over its bound.
-func within(measure, bound int) bool {
-	const most = 110
-	return measure*percent <= bound*most
+// isWithinTenPercent says whether a value is at most 10 % above its lower bound.
+func isWithinTenPercent(measure, bound int) bool {
+	const maxPercent = 110
+	return measure*percent <= bound*maxPercent
 }
 
-// TestASmallEditToAndFroMovesNothing shows the hysteresis of moves.
-func TestASmallEditToAndFroMovesNothing(t *testing.T) {
+// TestSmallEditAndItsReversalMoveNoBox guards the hysteresis of the planner: a small
+// change of demand that is soon undone must not move boxes.
+func TestSmallEditAndItsReversalMoveNoBox(t *testing.T) {
 	boxes, table, err := UserFleet(trial.Podkarpacie)
 	assert.NilError(t, err)
-	b, err := newBench(plan.New)
+	sim, err := newSimulation(plan.New)
 	assert.NilError(t, err)
-	assert.NilError(t, b.start(boxes, table))
-	b.settle(mostRounds)
-	for _, step := range monthSteps(boxes)[:2] {
-		assert.NilError(t, step(b))
-		b.settle(mostRounds)
+	assert.NilError(t, sim.enroll(boxes, table))
+	sim.planUntilStable(maxRounds)
+	for _, event := range monthEvents(boxes)[:2] {
+		assert.NilError(t, event(sim))
+		sim.planUntilStable(maxRounds)
 	}
-	assert.Equal(t, b.moves, 0)
+	assert.Equal(t, sim.moves, 0)
 }
 
-// TestAPlanIsSettled: what a plan proposes is accepted, and carried out it leaves
-// nothing to propose.
-func TestAPlanIsSettled(t *testing.T) {
+// TestPlanIsAcceptedAndLeavesNothingToPropose: all proposals of the first plan of a
+// fleet are accepted, and once they are carried out, plans soon propose nothing.
+func TestPlanIsAcceptedAndLeavesNothingToPropose(t *testing.T) {
 	boxes, table := LargeFleet(Sizes{Boxes: 400, Pools: 5, Halls: 4, RackBoxes: 4, BoxSlots: 8, Teams: 1})
-	b, err := newBench(plan.New)
+	sim, err := newSimulation(plan.New)
 	assert.NilError(t, err)
-	assert.NilError(t, b.start(boxes, table))
-	for _, verdict := range b.append(plan.New(b.state, plan.Options{}).Proposals...) {
-		assert.Assert(t, verdict.Accepted, verdict.Reason)
+	assert.NilError(t, sim.enroll(boxes, table))
+	for _, result := range sim.appendBatch(plan.New(sim.state, plan.Options{}).Proposals...) {
+		assert.Assert(t, result.Accepted, result.Reason)
 	}
-	rounds := b.settle(mostRounds)
+	rounds := sim.planUntilStable(maxRounds)
 	assert.Assert(t, rounds < 3, "%d rounds", rounds)
-	assert.Equal(t, len(plan.New(b.state, plan.Options{}).Proposals), 0)
+	assert.Equal(t, len(plan.New(sim.state, plan.Options{}).Proposals), 0)
 }
 
-// fleetOf returns a settled fleet of a size.
-func fleetOf(b *testing.B, boxes int) *bench {
+// newStableFleet returns a fleet with a number of boxes for which there is nothing left
+// to plan.
+func newStableFleet(b *testing.B, boxes int) *simulation {
 	sizes := SizesInTwoYears()
 	sizes.Boxes, sizes.Pools = boxes, max(2, sizes.Pools*boxes/sizes.Boxes)
 	infos, table := LargeFleet(sizes)
-	made, err := newBench(plan.New)
+	sim, err := newSimulation(plan.New)
 	assert.NilError(b, err)
-	assert.NilError(b, made.start(infos, table))
-	made.settle(mostRounds)
-	return made
+	assert.NilError(b, sim.enroll(infos, table))
+	sim.planUntilStable(maxRounds)
+	return sim
 }
 
+// BenchmarkPlan makes a plan for a fleet that needs no change.
 func BenchmarkPlan(b *testing.B) {
 	for _, boxes := range []int{50, 500, 5800} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
-			made := fleetOf(b, boxes)
+			sim := newStableFleet(b, boxes)
 			b.ReportAllocs()
 			for b.Loop() {
-				plan.New(made.state, plan.Options{})
+				plan.New(sim.state, plan.Options{})
 			}
 		})
 	}
 }
 
-func BenchmarkFoldOneRecord(b *testing.B) {
+// BenchmarkApplyHealthChange applies two records in each iteration: a box goes down and
+// comes up again.
+func BenchmarkApplyHealthChange(b *testing.B) {
 	for _, boxes := range []int{50, 500, 5800} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
-			made := fleetOf(b, boxes)
-			box := made.state.Boxes()[boxes/2]
+			sim := newStableFleet(b, boxes)
+			box := sim.state.Boxes()[boxes/2]
 			b.ReportAllocs()
 			for b.Loop() {
-				made.append(wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthDown}})
-				made.append(wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthUp}})
+				sim.appendBatch(wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthDown}})
+				sim.appendBatch(wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthUp}})
 			}
 		})
 	}
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -6,53 +6,57 @@
 	"damsonwinch/pkg/wire"
 )
 
-// settle plans and carries out until there is nothing left to do. It returns the
-// number of rounds in which something was done.
-func (b *bench) settle(mostRounds int) int {
-	for round := range mostRounds {
-		if !b.round() {
+// planUntilStable makes and carries out plans until a plan proposes nothing, or for
+// maxRounds rounds. It returns the number of rounds whose plans proposed something.
+func (s *simulation) planUntilStable(maxRounds int) int {
+	for round := range maxRounds {
+		if !s.runRound() {
 			return round
 		}
 	}
-	return mostRounds
+	return maxRounds
 }
 
-// round lets one plan be carried out whole: drains, empties, reboots, senders.
-func (b *bench) round() bool {
-	b.at += stepMs
-	b.renew()
-	made := b.planner(b.state, plan.Options{})
-	b.countMoves(b.append(made.Proposals...))
-	b.append(b.steps(fold.Draining, wire.KindEmpty)...)
-	b.append(b.steps(fold.Maintenance, wire.KindCarry)...)
-	b.append(b.steps(fold.Maintenance, wire.KindBack)...)
-	b.assign()
-	return len(made.Proposals) > 0
+// runRound makes one plan and carries it out completely: draining boxes become empty,
+// boxes in maintenance are rebooted, and boxes without a sender get one. It returns
+// whether the plan proposed anything.
+func (s *simulation) runRound() bool {
+	s.nowMs += stepMs
+	s.renewLeases()
+	p := s.planner(s.state, plan.Options{})
+	s.countMoves(s.appendBatch(p.Proposals...))
+	s.appendBatch(s.proposeForBoxes(fold.Draining, wire.KindEmpty)...)
+	s.appendBatch(s.proposeForBoxes(fold.Maintenance, wire.KindCarry)...)
+	s.appendBatch(s.proposeForBoxes(fold.Maintenance, wire.KindBack)...)
+	s.assignSenders()
+	return len(p.Proposals) > 0
 }
 
-func (b *bench) renew() {
+// renewLeases renews the leases of all senders.
+func (s *simulation) renewLeases() {
 	var members []wire.Member
-	for _, sender := range b.state.Senders() {
-		members = append(members, b.member(sender.Zone))
+	for _, sender := range s.state.Senders() {
+		members = append(members, s.member(sender.Zone))
 	}
-	b.append(wire.Proposal{Kind: wire.KindRenew, Members: members})
+	s.appendBatch(wire.Proposal{Kind: wire.KindRenew, Members: members})
 }
 
-func (b *bench) assign() {
-	live := b.state.Senders()
+// assignSenders assigns senders to the boxes that have none.
+func (s *simulation) assignSenders() {
+	live := s.state.Senders()
 	seen := map[string]bool{}
 	for _, sender := range live {
 		if !seen[sender.Zone] {
 			seen[sender.Zone] = true
-			b.append(plan.AssignSenders(b.state, sender.Zone, live, b.at)...)
+			s.appendBatch(plan.AssignSenders(s.state, sender.Zone, live, s.nowMs)...)
 		}
 	}
 }
 
-// steps proposes one step for every box of a phase.
-func (b *bench) steps(phase fold.Phase, kind wire.Kind) []wire.Proposal {
+// proposeForBoxes returns a proposal of the given kind for every box in a phase.
+func (s *simulation) proposeForBoxes(phase fold.Phase, kind wire.Kind) []wire.Proposal {
 	var proposals []wire.Proposal
-	for _, box := range b.state.Boxes() {
+	for _, box := range s.state.Boxes() {
 		if box.Phase == phase {
 			change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Node: box.Sender.Node, Entry: box.Sender.Incarnation}
 			proposals = append(proposals, wire.Proposal{Kind: kind, Change: change})
@@ -61,31 +65,31 @@
 	return proposals
 }
 
-// countMoves counts boxes that leave a pool. A box that has failed must leave, so
-// that the bound counts it too.
-func (b *bench) countMoves(verdicts []fold.Result) {
-	for _, verdict := range verdicts {
-		if !verdict.Accepted || verdict.Proposal.Kind != wire.KindDrain {
+// countMoves counts the boxes that leave a pool by accepted drains. It also counts those
+// of them that are not up: these must leave, so that the lower bound includes them.
+func (s *simulation) countMoves(results []fold.Result) {
+	for _, result := range results {
+		if !result.Accepted || result.Proposal.Kind != wire.KindDrain {
 			continue
 		}
-		box, _ := b.state.Box(verdict.Subject)
+		box, _ := s.state.Box(result.Subject)
 		if box.Phase != fold.Draining || box.Target == box.Pool {
 			continue
 		}
-		b.moves++
+		s.moves++
 		if box.Health != wire.HealthUp {
-			b.evicted++
+			s.evicted++
 		}
 	}
 }
 
-// failRack takes all boxes of the rack in which a box stands off the list.
-func (b *bench) setRack(hall, rack string, health wire.Health) {
+// setRackHealth changes the health of all boxes of a rack.
+func (s *simulation) setRackHealth(zone, rack string, health wire.Health) {
 	var proposals []wire.Proposal
-	for _, box := range b.state.Boxes() {
-		if box.Info.Hall == hall && box.Info.Rack == rack {
+	for _, box := range s.state.Boxes() {
+		if box.Info.Hall == zone && box.Info.Rack == rack {
 			proposals = append(proposals, wire.Proposal{Kind: wire.KindHealth, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: health}})
 		}
 	}
-	b.append(proposals...)
+	s.appendBatch(proposals...)
 }
