--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -16,13 +16,13 @@
 	store := newMemoryStore()
 	a, b := startNode(t, store, "a", "one"), startNode(t, store, "b", "one")
 
-	a.ProposeLayout(shard.NewLayout(3, []string{"p"}))
-	b.ProposeLayout(shard.NewLayout(5, []string{"p", "q"}))
+	a.ProposeLayout(shard.New(3, []string{"p"}))
+	b.ProposeLayout(shard.New(5, []string{"p", "q"}))
 
 	waitFor(t, "both nodes know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
 	decided := a.view.Load().Layout
 	assert.Assert(t, decided.Equal(b.view.Load().Layout), "%v and %v", decided, b.view.Load().Layout)
-	b.ProposeLayout(shard.NewLayout(7, nil))
+	b.ProposeLayout(shard.New(7, nil))
 	later := startNode(t, store, "c", "one", "two")
 	waitFor(t, "a later node knows the layout", func() bool { return later.view.Load().Layout.Decided() })
 	assert.Assert(t, later.view.Load().Layout.Equal(decided))
@@ -43,8 +43,9 @@
 	waitFor(t, "the list counts as complete once it has spare partitions", func() bool { return n.view.Load().MembersComplete })
 }
 
-// TestMemberListIsCompleteWhenGroupUsesAllTopics has more nodes than the partitions of all topics that
-// the group may use. If that kept the list from counting as complete, no layout would be decided.
+// TestMemberListIsCompleteWhenGroupUsesAllTopics uses a group with more members than there are
+// partitions in all topics that the group may use. If that kept the list from counting as complete, no
+// layout would ever be decided.
 func TestMemberListIsCompleteWhenGroupUsesAllTopics(t *testing.T) {
 	store := newMemoryStore()
 	store.partitionsPerTopic = 1
