--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -7,7 +7,10 @@
 	"damsonwinch/pkg/planbench"
 )
 
-// Row is what one cause costs one role.
+// Row is a row of the capacity page: what a cause costs a role, such as the keeper, in
+// three fleets. Formula says how the values follow from the slopes and the demand,
+// Mechanism which code determines them, and Verdict whether TwoYears is within Limit.
+// The values and Limit are in the unit Unit; a Limit of 0 means that there is none.
 type Row struct {
 	Role        string  `json:"role"`
 	Cause       string  `json:"cause"`
@@ -21,98 +24,113 @@
 	Mechanism   string  `json:"mechanism"`
 }
 
-// Demand is what happens to a fleet of a size.
+// Demand describes a fleet's size and how often things happen in it.
 type Demand struct {
 	Sizes          planbench.Sizes `json:"sizes"`
 	EditsPerDay    float64         `json:"edits_a_day"`
 	RestartsPerDay float64         `json:"restarts_a_day"`
 	FailuresPerDay float64         `json:"failures_a_day"`
-	// MaintainDays is the time in which every box is maintained once.
+	// MaintainDays is the number of days in which every box is maintained once.
 	MaintainDays float64 `json:"maintain_days"`
-	// MovesPerDay is our assumption; the letter gives none.
+	// MovesPerDay is the number of boxes that change to another pool in a day. The users
+	// state none, so that it is an assumption.
 	MovesPerDay float64 `json:"moves_a_day"`
-	// KeysPerSecond is our assumption of requests with an idempotency key.
-	KeysPerSecond  float64 `json:"keys_a_second"`
+	// KeysPerSecond is the number of requests with an idempotency key in a second. It is
+	// an assumption.
+	KeysPerSecond float64 `json:"keys_a_second"`
+	// RenewIntervalS is the time between two renewals of a zone, and ListIntervalS the
+	// time between two reads of the platform's list, in seconds.
 	RenewIntervalS float64 `json:"renew_s"`
 	ListIntervalS  float64 `json:"list_s"`
 }
 
-// DemandInTwoYears is the demand of the users' first letter at two years.
+// DemandInTwoYears returns the demand that the users expect in two years, for a fleet of
+// the given sizes.
 func DemandInTwoYears(sizes planbench.Sizes) Demand {
 	return Demand{
 		Sizes: sizes, EditsPerDay: 14_000, RestartsPerDay: 780, FailuresPerDay: 37, MaintainDays: 42, MovesPerDay: 200, KeysPerSecond: 5, RenewIntervalS: 4, ListIntervalS: 0.5,
 	}
 }
 
-// DemandToday is the demand of a user today; what the brief doesn't say is assumed.
-func DemandToday(boxes, halls int) Demand {
-	sizes := planbench.Sizes{Boxes: boxes, Pools: 3, Halls: halls, RackBoxes: 4, BoxSlots: 8, Entries: 6, Teams: 4}
+// DemandToday returns the demand of a user's fleet today. What the users don't state is
+// assumed.
+func DemandToday(boxes, zones int) Demand {
+	sizes := planbench.Sizes{Boxes: boxes, Pools: 3, Halls: zones, RackBoxes: 4, BoxSlots: 8, Entries: 6, Teams: 4}
 	return Demand{Sizes: sizes, EditsPerDay: 20, RestartsPerDay: 7, FailuresPerDay: 1, MaintainDays: 42, MovesPerDay: 5, KeysPerSecond: 1, RenewIntervalS: 4, ListIntervalS: 0.5}
 }
 
-// Limits of the letter.
+// Limits that the users state.
 const (
-	limitMemory  = 128.0 // MB a node.
-	limitState   = 64.0  // MB.
-	limitCPU     = 1.2   // Per cent of a core a node.
-	limitBytes   = 5.0   // KB a second a node.
-	limitAppends = 100.0 // A second for everybody.
-	secondsADay  = 86_400
-	noLimit      = 0.0
+	nodeMemoryLimitMB       = 128.0 // For the keeper and the entry of a node together.
+	stateMemoryLimitMB      = 64.0  // For the fleet's state in one process.
+	cpuLimitPercent         = 1.2   // Per cent of a core, for a node.
+	trafficLimitKBPerSecond = 5.0   // For a node.
+	appendLimitPerSecond    = 100.0 // For all processes together.
+	secondsPerDay           = 86_400
+	noLimit                 = 0.0
 )
 
-// boxRecordBytes is the size of a record of one change, with its share of a
-// batch, as written by the keepers of the trial.
+// boxRecordBytes is the size of a record of one change of a box, with its share of the
+// batch that carries it.
 const boxRecordBytes = 330
 
-// recordsAMaintenance are drain, empty, carry and back.
-const recordsAMaintenance = 4
+// recordsPerMaintenance counts the records of a box's maintenance: drain, empty, carry
+// and back.
+const recordsPerMaintenance = 4
 
-// recordsARestart are a leaving renewal, a hand-over of its boxes and a join, in
+// recordsPerRestart counts the records of an entry's restart: the renewal that announces
+// that it leaves, the hand-over of its boxes and the renewal by which it joins, in
 // batches.
-const recordsARestart = 6
+const recordsPerRestart = 6
 
-// recordsAMove are drain, empty and, for the receiver, nothing more.
-const recordsAMove = 2
+// recordsPerMove counts the records of a move to another pool: drain and empty. The new
+// pool needs no record of its own.
+const recordsPerMove = 2
 
-// book looks slopes up by their names.
-type book map[string]Slope
+// slopesByName holds slopes by their names.
+type slopesByName map[string]Slope
 
-func (b book) at(name string, size float64) float64 {
-	return b[name].At(size)
+// valueAt returns the value of a slope at a size.
+func (s slopesByName) valueAt(name string, size float64) float64 {
+	return s[name].At(size)
 }
 
-// Rows works every row out from the slopes.
-func Rows(slopes []Slope, two Demand) []Row {
-	b := book{}
+// Rows computes all rows from the measured slopes, for both users today and for the
+// demand in two years.
+func Rows(slopes []Slope, inTwoYears Demand) []Row {
+	byName := slopesByName{}
 	for _, slope := range slopes {
-		b[slope.Name] = slope
+		byName[slope.Name] = slope
 	}
-	const lisbonHalls, podkaHalls, usersBoxes = 4, 3, 50
-	demands := [3]Demand{DemandToday(usersBoxes, lisbonHalls), DemandToday(usersBoxes, podkaHalls), two}
-	rows := append(stateRows(b), messageRows(b)...)
-	rows = append(rows, workRows(b)...)
-	made := make([]Row, 0, len(rows))
-	for _, rule := range rows {
-		made = append(made, rule.row(demands))
+	const lisbonZones, podkarpacieZones, userBoxes = 4, 3, 50
+	demands := [3]Demand{DemandToday(userBoxes, lisbonZones), DemandToday(userBoxes, podkarpacieZones), inTwoYears}
+	rules := append(stateRules(byName), messageRules(byName)...)
+	rules = append(rules, workRules(byName)...)
+	rows := make([]Row, 0, len(rules))
+	for _, rule := range rules {
+		rows = append(rows, rule.row(demands))
 	}
-	return made
+	return rows
 }
 
-// rule is a row with its formula as code.
+// rule computes a row.
 type rule struct {
+	// Row has the texts and the limit of the row.
 	Row
+	// value computes what Formula says.
 	value func(Demand) float64
-	// note replaces the verdict where a figure alone can't tell.
-	note string
+	// fixedVerdict replaces the verdict if a comparison with the limit can't give it.
+	fixedVerdict string
 }
 
+// row returns the row with its values for lisbon, podkarpacie and two years from now,
+// and with its verdict.
 func (r rule) row(demands [3]Demand) Row {
 	row := r.Row
 	row.Lisbon, row.Podkarpacie, row.TwoYears = r.value(demands[0]), r.value(demands[1]), r.value(demands[2])
 	switch {
-	case r.note != "":
-		row.Verdict = r.note
+	case r.fixedVerdict != "":
+		row.Verdict = r.fixedVerdict
 	case row.Limit == noLimit:
 		row.Verdict = "no limit of its own"
 	case row.TwoYears <= row.Limit:
@@ -123,12 +141,12 @@
 	return row
 }
 
-// Markdown returns slopes and rows as the tables of docs/CAPACITY.md.
+// Markdown returns the slopes and the rows as the two tables of docs/CAPACITY.md.
 func Markdown(slopes []Slope, rows []Row) string {
 	var text strings.Builder
 	text.WriteString("| slope | unit | at sizes | values | line | scatter |\n|---|---|---|---|---|---|\n")
 	for _, s := range slopes {
-		fmt.Fprintf(&text, "| %s | %s | %s by %s | %s | %.4g + %.4g a %s | %.0f%% |\n", s.Name, s.Unit, list(s.Sizes), s.Per, list(s.Values), s.Intercept, s.Slope, s.Per, 100*s.Scatter)
+		fmt.Fprintf(&text, "| %s | %s | %s by %s | %s | %.4g + %.4g a %s | %.0f%% |\n", s.Name, s.Unit, joinValues(s.Sizes), s.Per, joinValues(s.Values), s.Intercept, s.Slope, s.Per, 100*s.Scatter)
 	}
 	text.WriteString("\n| role | cause | formula | lisbon | podkarpacie | two years | limit | verdict | mechanism |\n|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
@@ -142,10 +160,11 @@
 	return text.String()
 }
 
-func list(values []float64) string {
-	words := make([]string, 0, len(values))
+// joinValues returns the values with four significant digits, separated by commas.
+func joinValues(values []float64) string {
+	texts := make([]string, 0, len(values))
 	for _, value := range values {
-		words = append(words, fmt.Sprintf("%.4g", value))
+		texts = append(texts, fmt.Sprintf("%.4g", value))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(texts, ", ")
 }
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -1,5 +1,6 @@
-// Package capacity measures what each part costs at several sizes and works out
-// what it costs at the size of two years from now.
+// Package capacity measures memory, sizes and times of the system for fleets of several
+// sizes, fits lines through them, and computes from these what each part costs in the
+// users' fleets today and in two years. The result is a capacity page.
 package capacity
 
 import (
@@ -18,23 +19,26 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Slope is a measure at several sizes and the line through it.
+// Slope is a quantity measured at several sizes, and the line fitted through its values
+// by linear regression.
 type Slope struct {
 	Name string `json:"name"`
+	// Unit is the unit of Values and Intercept. Slope is in Unit for each Per.
 	Unit string `json:"unit"`
-	// Per is what the size counts.
+	// Per says what Sizes count, such as boxes.
 	Per       string    `json:"per"`
 	Sizes     []float64 `json:"sizes"`
-	Values    []float64 `json:"values"`
+	Values    []float64 `json:"values"` // One for each element of Sizes.
 	Intercept float64   `json:"intercept"`
 	Slope     float64   `json:"slope"`
-	// Scatter is the largest distance of a value from the line, as a part of the
+	// Scatter is the largest distance of a value from the line, as a fraction of the
 	// largest value.
 	Scatter float64 `json:"scatter"`
 }
 
-// At returns the line's value at a size. Below the smallest measured size the
-// line says nothing and the smallest value is taken.
+// At returns the value of the line at a size. At the smallest measured size and below
+// it returns the value that was measured there, since the line doesn't hold for smaller
+// sizes.
 func (s Slope) At(size float64) float64 {
 	if size <= s.Sizes[0] {
 		return s.Values[0]
@@ -42,7 +46,9 @@
 	return s.Intercept + s.Slope*size
 }
 
-func fit(name, unit, per string, sizes, values []float64) Slope {
+// fitLine returns the slope with the line through the values at the sizes. The first
+// size must be the smallest.
+func fitLine(name, unit, per string, sizes, values []float64) Slope {
 	intercept, slope := stat.LinearRegression(sizes, values, nil, false)
 	fitted := Slope{Name: name, Unit: unit, Per: per, Sizes: sizes, Values: values, Intercept: intercept, Slope: slope}
 	largest := slices.Max(values)
@@ -54,13 +60,16 @@
 }
 
 const (
-	mega    = 1 << 20
-	smallBy = 10
+	bytesPerMB = 1 << 20
+	// sizeFactor is the factor between two sizes at which fleets are measured.
+	sizeFactor = 10
 )
 
-// Slopes measures everything that grows with the fleet.
+// Slopes measures what grows with the fleet, at the given sizes and at a tenth and a
+// hundredth of their boxes and pools, and what grows with the members of a zone and with
+// the keys in a batch of claims.
 func Slopes(ctx context.Context, clock damsonwinch.Clock, sizes planbench.Sizes) ([]Slope, error) {
-	boxes := []float64{float64(sizes.Boxes) / (smallBy * smallBy), float64(sizes.Boxes) / smallBy, float64(sizes.Boxes)}
+	boxes := []float64{float64(sizes.Boxes) / (sizeFactor * sizeFactor), float64(sizes.Boxes) / sizeFactor, float64(sizes.Boxes)}
 	measured := map[string][]float64{}
 	for _, count := range boxes {
 		if ctx.Err() != nil {
@@ -71,68 +80,73 @@
 		}
 	}
 	var slopes []Slope
-	for _, known := range fleetMeasures() {
-		slopes = append(slopes, fit(known[0], known[1], "box", boxes, measured[known[0]]))
+	for _, measure := range fleetSlopes() {
+		slopes = append(slopes, fitLine(measure[0], measure[1], "box", boxes, measured[measure[0]]))
 	}
-	return append(slopes, renewalSlopes(clock)...), nil
+	return append(slopes, recordSlopes(clock)...), nil
 }
 
 // Names of the slopes.
 const (
-	slopeMemory     = "state memory"
-	slopeSnapshot   = "snapshot size"
-	slopeRestore    = "restore from a snapshot"
-	slopeFold       = "fold of one box record"
-	slopePlan       = "plan upon a settled fleet"
-	slopeFull       = "plan of an empty fleet"
-	slopeScan       = "one pass over all boxes"
-	slopeList       = "one reading of the list"
-	slopeRenewBytes = "renewal record"
-	slopeRenewFold  = "fold of one renewal record"
-	slopeClaimBytes = "claim and outcome records"
+	slopeMemory       = "state memory"
+	slopeSnapshot     = "snapshot size"
+	slopeRestore      = "restore from a snapshot"
+	slopeApply        = "fold of one box record"
+	slopePlan         = "plan upon a settled fleet"
+	slopeFirstPlan    = "plan of an empty fleet"
+	slopePass         = "one pass over all boxes"
+	slopeList         = "one reading of the list"
+	slopeRenewalSize  = "renewal record"
+	slopeRenewalApply = "fold of one renewal record"
+	slopeClaimSize    = "claim and outcome records"
 )
 
-func fleetMeasures() [][2]string {
+// fleetSlopes returns the names and the units of the slopes that measureFleet measures.
+func fleetSlopes() [][2]string {
 	return [][2]string{
-		{slopeMemory, "MB"}, {slopeSnapshot, "KB"}, {slopeRestore, "ms"}, {slopeFold, "us"}, {slopePlan, "ms"}, {slopeFull, "ms"},
-		{slopeScan, "ms"}, {slopeList, "KB"},
+		{slopeMemory, "MB"}, {slopeSnapshot, "KB"}, {slopeRestore, "ms"}, {slopeApply, "us"}, {slopePlan, "ms"}, {slopeFirstPlan, "ms"},
+		{slopePass, "ms"}, {slopeList, "KB"},
 	}
 }
 
-func measureFleet(clock damsonwinch.Clock, sizes planbench.Sizes, boxes int, into map[string][]float64) error {
+// measureFleet measures a fleet with a number of boxes, and as many pools as are in
+// proportion to it. It appends a value for each slope of fleetSlopes to values.
+func measureFleet(clock damsonwinch.Clock, sizes planbench.Sizes, boxes int, values map[string][]float64) error {
 	sizes.Pools = max(1, sizes.Pools*boxes/sizes.Boxes)
 	sizes.Boxes = boxes
-	before := heap()
+	before := heapBytes()
 	fleet, err := planbench.NewFleet(sizes)
 	if err != nil {
 		return err
 	}
-	note := func(name string, value float64) { into[name] = append(into[name], value) }
-	note(slopeFull, planbench.MedianMs(clock, fleet.MakePlan))
+	addValue := func(name string, value float64) { values[name] = append(values[name], value) }
+	addValue(slopeFirstPlan, planbench.MedianMs(clock, fleet.MakePlan))
 	fleet.PlanUntilStable()
-	note(slopeMemory, (heap()-before)/mega)
+	addValue(slopeMemory, (heapBytes()-before)/bytesPerMB)
 	snapshot, err := fleet.State().Snapshot()
 	if err != nil {
 		return err
 	}
-	note(slopeSnapshot, kilobytes(snapshot))
-	empty, err := planbench.InitialState()
+	addValue(slopeSnapshot, jsonKB(snapshot))
+	initialState, err := planbench.InitialState()
 	if err != nil {
 		return err
 	}
-	note(slopeRestore, planbench.MedianMs(clock, func() { _, err = empty.Restore(snapshot) }))
+	addValue(slopeRestore, planbench.MedianMs(clock, func() { _, err = initialState.Restore(snapshot) }))
 	if err != nil {
 		return err
 	}
-	note(slopePlan, planbench.MedianMs(clock, fleet.MakePlan))
-	note(slopeScan, planbench.MedianMs(clock, func() { fleet.State().Boxes() }))
-	note(slopeFold, foldTime(clock, fleet.State(), boxRecord(fleet.State())))
-	note(slopeList, kilobytes(listOf(fleet.State())))
+	addValue(slopePlan, planbench.MedianMs(clock, fleet.MakePlan))
+	addValue(slopePass, planbench.MedianMs(clock, func() { fleet.State().Boxes() }))
+	addValue(slopeApply, applyTimeUs(clock, fleet.State(), healthBatch(fleet.State())))
+	addValue(slopeList, jsonKB(platformList(fleet.State())))
 	runtime.KeepAlive(fleet)
 	return nil
 }
 
-func heap() float64 {
+// heapBytes returns the size of the allocated objects on the heap after two garbage
+// collections.
+func heapBytes() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -140,7 +154,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-func kilobytes(value any) float64 {
+// jsonKB returns the size of a value as JSON, in units of 1024 bytes.
+func jsonKB(value any) float64 {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return 0
@@ -148,7 +163,8 @@
 	return float64(len(text)) / 1024
 }
 
-func listOf(state fold.State) []wire.ListedBox {
+// platformList returns the platform's list of the boxes of a state.
+func platformList(state fold.State) []wire.ListedBox {
 	var listed []wire.ListedBox
 	for _, box := range state.Boxes() {
 		listed = append(listed, wire.ListedBox{Info: box.Info})
@@ -156,61 +172,63 @@
 	return listed
 }
 
-// boxRecord is a record that changes one box.
-func boxRecord(state fold.State) wire.Batch {
+// healthBatch returns a batch that changes the health of one box.
+func healthBatch(state fold.State) wire.Batch {
 	box := state.Boxes()[len(state.Boxes())/2]
 	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthDown}
 	return wire.Batch{Id: "x", Node: "node", Proposals: []wire.Proposal{{Kind: wire.KindHealth, Cause: "measured", Change: change}}}
 }
 
-// foldTime returns the median time of folding a record, in microseconds.
-func foldTime(clock damsonwinch.Clock, state fold.State, batch wire.Batch) float64 {
+// applyTimeUs returns the median time of applying a batch to a state, in microseconds.
+func applyTimeUs(clock damsonwinch.Clock, state fold.State, batch wire.Batch) float64 {
 	data, err := json.Marshal(batch)
 	if err != nil {
 		return 0
 	}
-	const together = 200
+	const timesPerRun = 200
 	record := wire.Entry{Offset: state.Offset(), At: state.LogTimeMs(), Data: string(data)}
-	took := planbench.MedianMs(clock, func() {
-		for range together {
+	medianMs := planbench.MedianMs(clock, func() {
+		for range timesPerRun {
 			state.Apply(record)
 		}
 	})
-	return took * float64(time.Millisecond/time.Microsecond) / together
+	return medianMs * float64(time.Millisecond/time.Microsecond) / timesPerRun
 }
 
-// renewalSlopes measures records by the number of members and of claims in them.
-func renewalSlopes(clock damsonwinch.Clock) []Slope {
+// recordSlopes measures renewals by the number of their members, and batches of claims
+// by the number of their keys.
+func recordSlopes(clock damsonwinch.Clock) []Slope {
 	counts := []float64{1, 4, 12}
-	var bytes, folds, claims []float64
+	var renewalSizes, applyTimes, claimSizes []float64
 	for _, count := range counts {
-		batch := renewal(int(count), false)
+		batch := renewalBatch(int(count), false)
 		text, _ := json.Marshal(batch)
-		bytes = append(bytes, float64(len(text)))
-		empty, err := planbench.InitialState()
+		renewalSizes = append(renewalSizes, float64(len(text)))
+		initialState, err := planbench.InitialState()
 		if err != nil {
 			return nil
 		}
-		known, _ := json.Marshal(renewal(int(count), true))
-		state, _ := empty.Apply(wire.Entry{Data: string(known)})
-		folds = append(folds, foldTime(clock, state, batch))
-		claims = append(claims, claimBytes(int(count)))
+		firstRenewal, _ := json.Marshal(renewalBatch(int(count), true))
+		state, _ := initialState.Apply(wire.Entry{Data: string(firstRenewal)})
+		applyTimes = append(applyTimes, applyTimeUs(clock, state, batch))
+		claimSizes = append(claimSizes, claimBatchBytes(int(count)))
 	}
 	return []Slope{
-		fit(slopeRenewBytes, "B", "member", counts, bytes),
-		fit(slopeRenewFold, "us", "member", counts, folds),
-		fit(slopeClaimBytes, "B", "key", counts, claims),
+		fitLine(slopeRenewalSize, "B", "member", counts, renewalSizes),
+		fitLine(slopeRenewalApply, "us", "member", counts, applyTimes),
+		fitLine(slopeClaimSize, "B", "key", counts, claimSizes),
 	}
 }
 
-// renewal is a hall's record as its writer makes it; the first one says more.
-func renewal(members int, first bool) wire.Batch {
-	const moment = 1796213881457816681
-	batch := wire.Batch{Id: "hall-1-entry-01/1796213881457816681/100000", Node: "hall-1-entry-01", Incarnation: moment, Number: 100_000}
+// renewalBatch returns a batch that renews the members of a zone. The first renewal
+// of a member has its addresses and its zone as well.
+func renewalBatch(members int, isFirst bool) wire.Batch {
+	const incarnation = 1796213881457816681
+	batch := wire.Batch{Id: "hall-1-entry-01/1796213881457816681/100000", Node: "hall-1-entry-01", Incarnation: incarnation, Number: 100_000}
 	proposal := wire.Proposal{Kind: wire.KindRenew}
 	for number := range members {
-		member := wire.Member{Node: fmt.Sprintf("hall-1-entry-%02d", number+1), Keeper: moment + number, Entry: moment - number, Seq: 100_000 + number, Folded: 1_000_000}
-		if first {
+		member := wire.Member{Node: fmt.Sprintf("hall-1-entry-%02d", number+1), Keeper: incarnation + number, Entry: incarnation - number, Seq: 100_000 + number, Folded: 1_000_000}
+		if isFirst {
 			member.Hall, member.KeeperAddress, member.EntryAddress, member.Seq = "hall-1", "10.1.100.1:7101", "10.1.100.1:7103", 1
 			batch.Number = 1
 		}
@@ -220,7 +238,9 @@
 	return batch
 }
 
-func claimBytes(keys int) float64 {
+// claimBatchBytes returns the size of a batch with the claim and the outcome of a number
+// of keys, in bytes.
+func claimBatchBytes(keys int) float64 {
 	var claims wire.ClaimBatch
 	for number := range keys {
 		claim := wire.Claim{Key: fmt.Sprintf("bank-files/2027-01-15-run-%06d", number), Owner: "hall-1-entry-01/1796213881457816681/100000", Until: 1_800_000_000_000, Digest: "a1b2c3d4e5f60718"}
