--- a/pkg/dial/dial_test.go
+++ b/pkg/dial/dial_test.go
@@ -20,6 +20,7 @@
 	err error
 }
 
+// dial is a damsonwinch.Dial.
 func (n *lossyNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	n.attempts++
 	if n.attempts <= n.lost {
@@ -39,17 +40,18 @@
 	network := &lossyNetwork{lost: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
-	conn, err := WithRetry(network.dial)(ctx, "tcp", "peer")
+	conn, err := New(network.dial)(ctx, "tcp", "peer")
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
 	assert.Equal(t, network.attempts, 2)
 }
 
-// TestRefusalIsNotRetried: a refused connection means that the process has ended.
+// TestRefusalIsNotRetried checks that a refusal is final, since it means that the peer's process has
+// ended.
 func TestRefusalIsNotRetried(t *testing.T) {
 	refusal := errors.New("connection refused")
 	network := &lossyNetwork{err: refusal}
-	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
+	_, err := New(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, refusal))
 	assert.Equal(t, network.attempts, 1)
 }
@@ -58,14 +60,14 @@
 // context has ended.
 func TestSilentPeerFailsAfterAllAttempts(t *testing.T) {
 	network := &lossyNetwork{lost: len(attemptTimeouts)}
-	_, err := WithRetry(network.dial)(context.Background(), "tcp", "peer")
+	_, err := New(network.dial)(context.Background(), "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	assert.Equal(t, network.attempts, len(attemptTimeouts))
 
 	network = &lossyNetwork{lost: len(attemptTimeouts)}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	_, err = WithRetry(network.dial)(ctx, "tcp", "peer")
+	_, err = New(network.dial)(ctx, "tcp", "peer")
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	assert.Equal(t, network.attempts, 1)
 }
--- a/pkg/owner/messages.go
+++ b/pkg/owner/messages.go
@@ -13,24 +13,25 @@
 	apply(o *Owner, now time.Time)
 }
 
-// configured reports that a configuration is in force.
+// configured reports that a configuration has come into force.
 type configured struct {
 	configuration   damsonwinch.Configuration
 	rejectsOverload bool
 }
 
+// apply puts the configuration in force in the cell.
 func (m configured) apply(o *Owner, now time.Time) {
 	o.cell.SetQueues(now, m.configuration.Queues)
 	o.cell.SetCustomers(now, m.configuration.Version, m.configuration.Customers)
 	o.cell.SetRejectsOverload(now, m.rejectsOverload)
 }
 
-// ownershipConfirmed reports that the owner's claim was in force at some time.
+// ownershipConfirmed reports that the owner's claim was in force at the time at.
 type ownershipConfirmed struct{ at time.Time }
 
 func (m ownershipConfirmed) apply(o *Owner, _ time.Time) { o.cell.ConfirmOwnership(m.at) }
 
-// endpointsListed holds the cell's endpoints as the registry has them now.
+// endpointsListed holds all endpoints of the cell, as registered now.
 type endpointsListed struct{ endpoints []damsonwinch.Endpoint }
 
 func (m endpointsListed) apply(o *Owner, now time.Time) { o.cell.SetEndpoints(now, m.endpoints) }
@@ -41,6 +42,7 @@
 	err   error
 }
 
+// apply passes the list to the cell. If the request failed it only logs the error.
 func (m boxesListed) apply(o *Owner, now time.Time) {
 	o.boxListInFlight = false
 	if m.err != nil {
@@ -53,6 +55,8 @@
 // committed reports that a commit of the cell is stored.
 type committed struct{ number int }
 
+// apply tells the cell that the commit is stored, and answers calls of the planner that waited for it. While
+// the cell is being moved, the message is withheld.
 func (m committed) apply(o *Owner, now time.Time) {
 	if o.move.frozen {
 		o.move.withheldCommit = &m
@@ -123,6 +127,8 @@
 	reply      chan<- wire.JobReply
 }
 
+// apply passes the call to the cell, which replies later by the call's ID. A submission that has waited too
+// long is refused.
 func (m jobChange) apply(o *Owner, now time.Time) {
 	if !m.cancel && o.isOverloaded(now, m) {
 		m.reply <- o.refuseOverloaded(now, m)
@@ -143,6 +149,8 @@
 	reply chan<- wire.SyncReply
 }
 
+// apply passes the planner's directives and allowances to the cell. It replies at once, or, if there are
+// allowances, once they are stored. Calls of an earlier planner are refused.
 func (m syncCall) apply(o *Owner, now time.Time) {
 	if m.args.Token < o.plannerToken {
 		m.reply <- wire.SyncReply{}
@@ -164,8 +172,8 @@
 	since time.Time
 }
 
-// maxSyncWait is how long a call of the planner waits at most. The planner needs reports on the cell also
-// while the store doesn't answer.
+// maxSyncWait is the longest time for which a call of the planner waits for the store: the planner needs
+// reports on the cell even while the store doesn't answer.
 const maxSyncWait = 80 * time.Millisecond
 
 // replyToSyncs answers the planner's calls that have waited for maxSyncWait, or all of them.
@@ -176,13 +184,14 @@
 	}
 }
 
-// jobQuery is a client's call that changes nothing. With a job's ID it asks for the job's state, without
-// one for the number of pending jobs of a queue.
+// jobQuery is a client's call that changes nothing. It asks for the state of a job or, if its arguments
+// have no job's ID, for the number of pending jobs of a queue.
 type jobQuery struct {
 	args  wire.JobArgs
 	reply chan<- wire.JobReply
 }
 
+// apply replies at once.
 func (m jobQuery) apply(o *Owner, _ time.Time) {
 	if m.args.Id == "" {
 		m.reply <- wire.JobReply{Outcome: wire.JobOutcomeFound, Pending: o.cell.Pending(m.args.Queue)}
