--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -22,10 +22,10 @@
 				size := float64(d.Sizes.Boxes)
 				return 2 * (slopes.valueAt(slopeMemory, size) + 3*slopes.valueAt(slopeSnapshot, size)/bytesPerKB)
 			}},
-		{Row: Row{Role: "log streams", Cause: "one snapshot record", Formula: "snapshot(boxes)", Unit: "KB", Mechanism: "one append in pkg/keeper/carry.go"},
+		{Row: Row{Role: "log streams", Cause: "one snapshot record", Formula: "snapshot(boxes)", Unit: "KB", Mechanism: "one append in pkg/keeper/maintenance.go"},
 			value:        func(d Demand) float64 { return slopes.valueAt(slopeSnapshot, float64(d.Sizes.Boxes)) },
 			fixedVerdict: "the platform names no largest record; if it has one, snapshots must be cut in parts: NOT BUILT"},
-		{Row: Row{Role: "entry", Cause: "200 teams' quotas", Formula: "overshoot of a quota at most entries - 1", Unit: "requests", Mechanism: "shares by slots, pkg/limit/limit.go, pkg/front/admit.go"},
+		{Row: Row{Role: "entry", Cause: "200 teams' quotas", Formula: "overshoot of a quota at most entries - 1", Unit: "requests", Mechanism: "shares by slots, pkg/limit/limit.go, pkg/front/admission.go"},
 			value:        func(d Demand) float64 { return float64(d.Sizes.Entries - 1) },
 			fixedVerdict: "worked out: each sender's share is at least 1"},
 	}
@@ -80,10 +80,10 @@
 	otherRecordKB := func(d Demand) float64 { return d.recordRate() * boxRecordBytes / bytesPerKB }
 	claimKB := func(d Demand) float64 { return d.KeysPerSecond * slopes.valueAt(slopeClaimSize, 1) / bytesPerKB }
 	return []rule{
-		{Row: Row{Role: "keeper", Cause: "renewals read", Formula: "halls / renew x renewal(members a hall)", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "one writer a hall, pkg/keeper/members.go"}, value: renewalKB},
+		{Row: Row{Role: "keeper", Cause: "renewals read", Formula: "halls / renew x renewal(members a hall)", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "one writer a hall, pkg/keeper/renewals.go"}, value: renewalKB},
 		readRule("table edits read", "edits x 330 B", "cells, not tables, pkg/table/edit.go", Demand.editRate),
-		readRule("health and failures read", "failures x 2 records x 330 B", "pkg/front/health.go, pkg/keeper/watch.go", Demand.failureRate),
-		readRule("moves and waves read", "(moves x 2 + boxes / days x 4) x 330 B", "pkg/fold/life.go", Demand.moveRate),
+		readRule("health and failures read", "failures x 2 records x 330 B", "pkg/front/health.go, pkg/keeper/list.go", Demand.failureRate),
+		readRule("moves and waves read", "(moves x 2 + boxes / days x 4) x 330 B", "pkg/fold/box_change.go", Demand.moveRate),
 		readRule("restarts read", "restarts x 6 records x 330 B", "hand-overs in batches, pkg/front/handover.go", Demand.restartRate),
 		{Row: Row{Role: "entry", Cause: "claims read", Formula: "keys x claim", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "every entry follows the claims stream, pkg/claim/claim.go"}, value: claimKB},
 		{Row: Row{Role: "entry", Cause: "relay from its keeper, on the same box", Formula: "the log without claims", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "long polls, pkg/keeper/relay.go"},
@@ -129,14 +129,14 @@
 	}
 	boxes := func(d Demand) float64 { return float64(d.Sizes.Boxes) }
 	return []rule{
-		{Row: Row{Role: "keeper", Cause: "folding", Formula: "records x fold + renewals x fold(members)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "pkg/fold/fold.go"}, value: applyLoad},
+		{Row: Row{Role: "keeper", Cause: "folding", Formula: "records x fold + renewals x fold(members)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "pkg/fold/apply.go"}, value: applyLoad},
 		{Row: Row{Role: "keeper", Cause: "looking at its hall's boxes", Formula: "plans x 6 passes", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "only upon changes, pkg/keeper/loop.go"}, value: passLoad},
-		{Row: Row{Role: "keeper", Cause: "planning the fleet, on one node at a time", Formula: "plans x plan(boxes)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "the eldest keeper, pkg/keeper/carry.go"}, value: planLoad},
+		{Row: Row{Role: "keeper", Cause: "planning the fleet, on one node at a time", Formula: "plans x plan(boxes)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "the eldest keeper, pkg/keeper/maintenance.go"}, value: planLoad},
 		{Row: Row{Role: "node", Cause: "control in all, on the node that plans", Formula: "keeper's three rows, and folding and one pass a change in the entry", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "ticks follow the work, pkg/pace/pace.go"},
 			value: func(d Demand) float64 {
 				return 2*applyLoad(d) + passLoad(d) + planLoad(d) + d.recordRate()*slopes.valueAt(slopePass, boxes(d))*cpuPercentPerMs
 			}},
-		{Row: Row{Role: "keeper", Cause: "a full plan, of an empty fleet", Formula: "plan(boxes)", Unit: "ms", Limit: 250, Mechanism: "pkg/plan/grow.go, pkg/plan/shelf.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopeFirstPlan, boxes(d)) }},
+		{Row: Row{Role: "keeper", Cause: "a full plan, of an empty fleet", Formula: "plan(boxes)", Unit: "ms", Limit: 250, Mechanism: "pkg/plan/grow.go, pkg/plan/free_boxes.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopeFirstPlan, boxes(d)) }},
 		{Row: Row{Role: "keeper", Cause: "a plan after one change", Formula: "plan(boxes)", Unit: "ms", Limit: 10, Mechanism: "pkg/plan/plan.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopePlan, boxes(d)) }},
 		{Row: Row{Role: "keeper, entry", Cause: "start-up from a snapshot", Formula: "restore(boxes)", Unit: "ms", Mechanism: "pkg/fold/snapshot.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopeRestore, boxes(d)) }},
 		{Row: Row{Role: "keeper", Cause: "a zone lost: its boxes' records folded", Formula: "boxes / halls x fold", Unit: "ms", Mechanism: "batches of 500, pkg/keeper/outbox.go"},
