--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"damsonwinch"
-	"damsonwinch/pkg/agenda"
 	"damsonwinch/pkg/cell"
 	"damsonwinch/pkg/crash"
+	"damsonwinch/pkg/eventqueue"
 	"damsonwinch/pkg/wire"
 )
 
@@ -54,7 +54,7 @@
 type world struct {
 	random   *rand.Rand
 	now      time.Time
-	agenda   agenda.Queue
+	agenda   eventqueue.Queue
 	mutation mutation
 	rules    *rules
 	// streams holds the cell's streams. The last one is the newest and in use. streamDown says, by
--- a/pkg/agenda/agenda.go
+++ b/pkg/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package agenda provides the event queue of a discrete-event simulation.
-package agenda
+// Package eventqueue provides the event queue of a discrete-event simulation.
+package eventqueue
 
 import (
 	"container/heap"
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"damsonwinch"
-	"damsonwinch/pkg/agenda"
+	"damsonwinch/pkg/eventqueue"
 	"damsonwinch/pkg/wire"
 )
 
@@ -46,7 +46,7 @@
 type world struct {
 	random       *rand.Rand
 	now          time.Time
-	agenda       agenda.Queue
+	agenda       eventqueue.Queue
 	mutation     mutation
 	injectFaults bool
 	// oversizedPart is the part of tasks that need more than any cap.
