--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -132,7 +132,7 @@
 		{Row: Row{Role: "keeper", Cause: "folding", Formula: "records x fold + renewals x fold(members)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "pkg/fold/apply.go"}, value: applyLoad},
 		{Row: Row{Role: "keeper", Cause: "looking at its hall's boxes", Formula: "plans x 6 passes", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "only upon changes, pkg/keeper/loop.go"}, value: passLoad},
 		{Row: Row{Role: "keeper", Cause: "planning the fleet, on one node at a time", Formula: "plans x plan(boxes)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "the eldest keeper, pkg/keeper/maintenance.go"}, value: planLoad},
-		{Row: Row{Role: "node", Cause: "control in all, on the node that plans", Formula: "keeper's three rows, and folding and one pass a change in the entry", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "ticks follow the work, pkg/pace/pace.go"},
+		{Row: Row{Role: "node", Cause: "control in all, on the node that plans", Formula: "keeper's three rows, and folding and one pass a change in the entry", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "ticks follow the work, pkg/ticker/ticker.go"},
 			value: func(d Demand) float64 {
 				return 2*applyLoad(d) + passLoad(d) + planLoad(d) + d.recordRate()*slopes.valueAt(slopePass, boxes(d))*cpuPercentPerMs
 			}},
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -11,7 +11,7 @@
 
 	"damsonwinch"
 	"damsonwinch/pkg/metrics"
-	"damsonwinch/pkg/pace"
+	"damsonwinch/pkg/ticker"
 	"damsonwinch/pkg/wire"
 )
 
@@ -182,10 +182,10 @@
 // run handles the messages, appends claims and outcomes, and gives up claims whose
 // time has come. It returns when ctx is cancelled.
 func (c *Claimer) run(ctx context.Context) error {
-	ticker := pace.New(c.deps.Clock, busyInterval, idleInterval)
-	defer ticker.Stop()
+	loopTicker := ticker.New(c.deps.Clock, busyInterval, idleInterval)
+	defer loopTicker.Stop()
 	for {
-		ticker.SetBusy(len(c.pending) > 0 || len(c.outbox) > 0)
+		loopTicker.SetBusy(len(c.pending) > 0 || len(c.outbox) > 0)
 		select {
 		case <-ctx.Done():
 			c.giveUpAll()
@@ -193,7 +193,7 @@
 			return nil
 		case message := <-c.inbox:
 			c.handle(message)
-		case <-ticker.Chan():
+		case <-loopTicker.Chan():
 			c.giveUpExpired()
 		}
 		c.flush(ctx)
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -9,8 +9,8 @@
 	"damsonwinch/pkg/fold"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/lease"
-	"damsonwinch/pkg/pace"
 	"damsonwinch/pkg/queue"
+	"damsonwinch/pkg/ticker"
 )
 
 // Messages to the loop.
@@ -116,10 +116,10 @@
 
 // run is the loop: it handles messages, updates of the log's state and ticks one by one, until ctx ends.
 func (e *Entry) run(ctx context.Context) error {
-	ticker := pace.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
-	defer ticker.Stop()
+	loopTicker := ticker.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
+	defer loopTicker.Stop()
 	for ticks := 0; ; {
-		ticker.SetBusy(e.hasTimedWork())
+		loopTicker.SetBusy(e.hasTimedWork())
 		select {
 		case <-ctx.Done():
 			e.refuseAllWaiting()
@@ -128,7 +128,7 @@
 			e.handleUpdate(update)
 		case message := <-e.inbox:
 			e.handleMessage(message)
-		case <-ticker.Chan():
+		case <-loopTicker.Chan():
 			ticks++
 			e.handleTick(ctx, ticks)
 		}
--- a/pkg/pace/pace.go
+++ b/pkg/ticker/ticker.go
@@ -1,6 +1,6 @@
-// Package pace provides a ticker with two intervals: a loop ticks often while it has work and
+// Package ticker provides a ticker with two intervals: a loop ticks often while it has work and
 // seldom while it is idle, because idle ticks are most of what an idle process costs.
-package pace
+package ticker
 
 import (
 	"time"
--- a/pkg/pace/pace_test.go
+++ b/pkg/ticker/ticker_test.go
@@ -1,4 +1,4 @@
-package pace
+package ticker
 
 import (
 	"testing"
