--- a/pkg/limit/limit.go
+++ b/pkg/apportion/apportion.go
@@ -1,7 +1,7 @@
-// Package limit divides a limit of the configured table (package table) among the processes that
+// Package apportion divides a limit of the configured table (package table) among the processes that
 // enforce it. Each process computes the same shares from the same state. So the shares add up to the
 // limit without messages between the processes.
-package limit
+package apportion
 
 import "slices"
 
--- a/pkg/limit/limit_test.go
+++ b/pkg/apportion/apportion_test.go
@@ -1,4 +1,4 @@
-package limit
+package apportion
 
 import (
 	"math/rand/v2"
--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -25,7 +25,7 @@
 		{Row: Row{Role: "log streams", Cause: "one snapshot record", Formula: "snapshot(boxes)", Unit: "KB", Mechanism: "one append in pkg/keeper/maintenance.go"},
 			value:        func(d Demand) float64 { return slopes.valueAt(slopeSnapshot, float64(d.Sizes.Boxes)) },
 			fixedVerdict: "the platform names no largest record; if it has one, snapshots must be cut in parts: NOT BUILT"},
-		{Row: Row{Role: "entry", Cause: "200 teams' quotas", Formula: "overshoot of a quota at most entries - 1", Unit: "requests", Mechanism: "shares by slots, pkg/limit/limit.go, pkg/front/admission.go"},
+		{Row: Row{Role: "entry", Cause: "200 teams' quotas", Formula: "overshoot of a quota at most entries - 1", Unit: "requests", Mechanism: "shares by slots, pkg/apportion/apportion.go, pkg/front/admission.go"},
 			value:        func(d Demand) float64 { return float64(d.Sizes.Entries - 1) },
 			fixedVerdict: "worked out: each sender's share is at least 1"},
 	}
--- a/pkg/front/admission.go
+++ b/pkg/front/admission.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
+	"damsonwinch/pkg/apportion"
 	"damsonwinch/pkg/fold"
-	"damsonwinch/pkg/limit"
 	"damsonwinch/pkg/queue"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/wire"
@@ -173,7 +173,7 @@
 	if len(weights) == index {
 		weights = append(weights, e.ownSlots(pool))
 	}
-	return limit.Share(total, weights, index)
+	return apportion.Share(total, weights, index)
 }
 
 // usage returns the usage of a service. It adds an empty one if there is none.
