--- a/pkg/cell/deferral.go
+++ b/pkg/cell/deferral.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"damsonwinch"
-	"damsonwinch/pkg/triage"
+	"damsonwinch/pkg/overload"
 )
 
 // fixedValueShare is the part of a job's value that does not depend on its work. By the users'
@@ -25,11 +25,11 @@
 		return
 	}
 	slices.SortStableFunc(waiting, func(a, b *phase) int { return a.startByMs() - b.startByMs() })
-	items := make([]triage.Item, len(waiting))
+	items := make([]overload.Item, len(waiting))
 	for at, p := range waiting {
 		items[at] = c.triageItem(p, nowMs)
 	}
-	for at, isDeferred := range triage.Defer(items, capacity) {
+	for at, isDeferred := range overload.Defer(items, capacity) {
 		waiting[at].deferred = isDeferred
 	}
 }
@@ -48,7 +48,7 @@
 
 // capacity returns the free CPU of the endpoints that may get work, and how much more becomes free
 // per millisecond as tasks end.
-func (c *Cell) capacity() triage.Capacity {
+func (c *Cell) capacity() overload.Capacity {
 	free, turnover := 0, 0
 	for _, e := range c.sortedEndpoints {
 		if !e.usable() || e.overdue || e.zone.mayBeCutOff() || !c.healthAllows(e) {
@@ -61,7 +61,7 @@
 	if taskMs == 0 {
 		taskMs = int(defaultTaskTime.Milliseconds())
 	}
-	return triage.Capacity{FreeCPU: free, FreedCPUPerMs: float64(turnover) / float64(taskMs)}
+	return overload.Capacity{FreeCPU: free, FreedCPUPerMs: float64(turnover) / float64(taskMs)}
 }
 
 // defaultTaskTime is the assumed time of a task while none has ended yet.
@@ -80,7 +80,7 @@
 
 // triageItem returns how much CPU a phase's waiting tasks need, within what time they have to
 // start, the value of the job, and the work that is left of its round.
-func (c *Cell) triageItem(p *phase, nowMs int) triage.Item {
+func (c *Cell) triageItem(p *phase, nowMs int) overload.Item {
 	j := p.job()
 	rest := 0
 	for _, other := range p.round.phases {
@@ -91,7 +91,7 @@
 		rest += left * other.spec.Cpu * j.taskMs[other.number]
 	}
 	mean := c.statsOf(j.queue).meanWork()
-	return triage.Item{
+	return overload.Item{
 		CPU: len(p.ready) * p.need().MilliCPU, StartWithinMs: p.startByMs() - nowMs,
 		Value: fixedValueShare*mean + (1-fixedValueShare)*float64(j.work), RemainingWork: float64(rest),
 	}
--- a/pkg/triage/heap.go
+++ b/pkg/overload/heap.go
@@ -1,4 +1,4 @@
-package triage
+package overload
 
 import "container/heap"
 
--- a/pkg/triage/triage.go
+++ b/pkg/overload/overload.go
@@ -1,7 +1,7 @@
-// Package triage decides which waiting work is deferred when there is more of it than can be done
+// Package overload decides which waiting work is deferred when there is more of it than can be done
 // in time. If all work were started in order of urgency then, nearly all of it would be late: the
 // wait would grow until each task starts just too late.
-package triage
+package overload
 
 import "container/heap"
 
--- a/pkg/triage/triage_test.go
+++ b/pkg/overload/overload_test.go
@@ -1,4 +1,4 @@
-package triage_test
+package overload_test
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/triage"
+	"damsonwinch/pkg/overload"
 )
 
 // The load is like that of the users' short queues: jobs of one or two phases, with some six tasks
@@ -210,15 +210,15 @@
 // split divides jobs into those that come first and those that are deferred, none if deferring isn't
 // set. capacity is the CPU of all boxes and free the unused part of it, in thousandths of a core.
 func split(jobs []*job, at, capacity, free int, deferring bool) (first, last []*job) {
-	items := make([]triage.Item, len(jobs))
+	items := make([]overload.Item, len(jobs))
 	for number, j := range jobs {
-		items[number] = triage.Item{
+		items[number] = overload.Item{
 			CPU: len(j.phases[0]) * taskCPU, StartWithinMs: j.startBy() - at, Value: j.value(meanTasks), RemainingWork: float64(j.remainingTasks()),
 		}
 	}
 	deferred := make([]bool, len(jobs))
 	if deferring {
-		deferred = triage.Defer(items, triage.Capacity{FreeCPU: free, FreedCPUPerMs: float64(capacity) / taskMs})
+		deferred = overload.Defer(items, overload.Capacity{FreeCPU: free, FreedCPUPerMs: float64(capacity) / taskMs})
 	}
 	for number, j := range jobs {
 		if deferred[number] {
@@ -258,38 +258,38 @@
 
 // TestNothingIsDeferredIfAllFits: free capacity that is enough for all items defers none.
 func TestNothingIsDeferredIfAllFits(t *testing.T) {
-	items := []triage.Item{{CPU: 900, StartWithinMs: 0, Value: 1, RemainingWork: 1}, {CPU: 900, StartWithinMs: 500, Value: 1, RemainingWork: 9}}
-	assert.DeepEqual(t, triage.Defer(items, triage.Capacity{FreeCPU: 1800}), []bool{false, false})
+	items := []overload.Item{{CPU: 900, StartWithinMs: 0, Value: 1, RemainingWork: 1}, {CPU: 900, StartWithinMs: 500, Value: 1, RemainingWork: 9}}
+	assert.DeepEqual(t, overload.Defer(items, overload.Capacity{FreeCPU: 1800}), []bool{false, false})
 }
 
 // TestNearlyDoneJobIsNotDeferred: of two jobs of the same value, the one with more work left is
 // deferred.
 func TestNearlyDoneJobIsNotDeferred(t *testing.T) {
-	items := []triage.Item{{CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 6}, {CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 1}}
-	assert.DeepEqual(t, triage.Defer(items, triage.Capacity{FreeCPU: 900}), []bool{true, false})
+	items := []overload.Item{{CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 6}, {CPU: 900, StartWithinMs: 0, Value: 6, RemainingWork: 1}}
+	assert.DeepEqual(t, overload.Defer(items, overload.Capacity{FreeCPU: 900}), []bool{true, false})
 }
 
 // TestSameItemsAreDeferredAgain: with equal items and capacity the choice is always the same.
 func TestSameItemsAreDeferredAgain(t *testing.T) {
-	items := make([]triage.Item, 50)
+	items := make([]overload.Item, 50)
 	for i := range items {
-		items[i] = triage.Item{CPU: 900, StartWithinMs: 100, Value: 6, RemainingWork: 6}
+		items[i] = overload.Item{CPU: 900, StartWithinMs: 100, Value: 6, RemainingWork: 6}
 	}
-	capacity := triage.Capacity{FreeCPU: 9000, FreedCPUPerMs: 9}
-	first := triage.Defer(items, capacity)
+	capacity := overload.Capacity{FreeCPU: 9000, FreedCPUPerMs: 9}
+	first := overload.Defer(items, capacity)
 	for range 10 {
-		assert.DeepEqual(t, triage.Defer(items, capacity), first)
+		assert.DeepEqual(t, overload.Defer(items, capacity), first)
 	}
 }
 
 // BenchmarkDefer decides on a thousand phases, ten times as many as wait on a bad day.
 func BenchmarkDefer(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
-	items := make([]triage.Item, 1000)
+	items := make([]overload.Item, 1000)
 	for i := range items {
-		items[i] = triage.Item{CPU: 5400, StartWithinMs: i, Value: 6, RemainingWork: 1 + 20*random.Float64()}
+		items[i] = overload.Item{CPU: 5400, StartWithinMs: i, Value: 6, RemainingWork: 1 + 20*random.Float64()}
 	}
 	for b.Loop() {
-		triage.Defer(items, triage.Capacity{FreeCPU: 9000, FreedCPUPerMs: 300})
+		overload.Defer(items, overload.Capacity{FreeCPU: 9000, FreedCPUPerMs: 300})
 	}
 }
