--- a/pkg/pick/pick.go
+++ b/pkg/balance/balance.go
@@ -1,7 +1,7 @@
-// Package pick chooses a box for a request by free slots and by latency. It learns
+// Package balance chooses a box for a request by free slots and by latency. It learns
 // the latencies and how many slots each box can really use, because the declared
 // sizes are far off.
-package pick
+package balance
 
 import (
 	"math/rand/v2"
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"damsonwinch/pkg/balance"
 	"damsonwinch/pkg/fold"
 	"damsonwinch/pkg/invariant"
-	"damsonwinch/pkg/pick"
 	"damsonwinch/pkg/queue"
 	"damsonwinch/pkg/send"
 	"damsonwinch/pkg/settings"
@@ -93,10 +93,10 @@
 	}
 }
 
-// candidate returns a box as package pick sees it.
-func (e *Entry) candidate(box *ownBox) pick.Box {
+// candidate returns a box as package balance sees it.
+func (e *Entry) candidate(box *ownBox) balance.Box {
 	name := box.Info.Name
-	return pick.Box{
+	return balance.Box{
 		Name: name, Slots: box.Info.Slots, InUse: box.inUse,
 		Limit: e.learner.Limit(name, box.Info.Slots), RelativeLatency: e.learner.RelativeLatency(name),
 	}
@@ -104,9 +104,9 @@
 
 // candidates returns this entry's boxes of a pool that take new work, without those that may only be
 // probed.
-func (e *Entry) candidates(pool string) []pick.Box {
+func (e *Entry) candidates(pool string) []balance.Box {
 	boxes := e.ownBoxes(pool)
-	candidates := make([]pick.Box, 0, len(boxes))
+	candidates := make([]balance.Box, 0, len(boxes))
 	for _, box := range boxes {
 		if e.mayStartOn(box, false) {
 			candidates = append(candidates, e.candidate(box))
@@ -116,7 +116,7 @@
 }
 
 // totalFreeSlots returns the number of free slots on all candidates.
-func totalFreeSlots(candidates []pick.Box) int {
+func totalFreeSlots(candidates []balance.Box) int {
 	free := 0
 	for _, candidate := range candidates {
 		free += candidate.Free()
@@ -147,7 +147,7 @@
 
 // chooseBox returns the name of the box on which a request may start now, or "" if there is none. free
 // is the number of free slots on all candidates.
-func (e *Entry) chooseBox(item queue.Item, pool string, candidates []pick.Box, free int) string {
+func (e *Entry) chooseBox(item queue.Item, pool string, candidates []balance.Box, free int) string {
 	row, known := e.state.Table().Row(item.Service)
 	if !known || e.usage(item.Service).slots+item.Size > max(1, e.limitShare(row.Most, pool)) {
 		return ""
@@ -162,9 +162,9 @@
 	}
 	tried := e.requests[item.ID].tried
 	if len(tried) > 0 {
-		candidates = slices.DeleteFunc(slices.Clone(candidates), func(candidate pick.Box) bool { return tried[candidate.Name] })
+		candidates = slices.DeleteFunc(slices.Clone(candidates), func(candidate balance.Box) bool { return tried[candidate.Name] })
 	}
-	i := pick.Choose(candidates, item.Size, e.random)
+	i := balance.Choose(candidates, item.Size, e.random)
 	if i < 0 {
 		return ""
 	}
--- a/pkg/front/entry.go
+++ b/pkg/front/entry.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch"
+	"damsonwinch/pkg/balance"
 	"damsonwinch/pkg/call"
 	"damsonwinch/pkg/claim"
 	"damsonwinch/pkg/eject"
@@ -26,7 +27,6 @@
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/lease"
 	"damsonwinch/pkg/metrics"
-	"damsonwinch/pkg/pick"
 	"damsonwinch/pkg/queue"
 	"damsonwinch/pkg/send"
 	"damsonwinch/pkg/settings"
@@ -96,7 +96,7 @@
 	routes          map[string][]route      // The other entries that send to boxes of a pool, by pool.
 	queues          map[string]*queue.Queue // By pool.
 	usages          map[string]*usage       // By service.
-	learner         *pick.Learner
+	learner         *balance.Learner
 	ejections       *eject.Tracker
 	random          *rand.Rand
 	boxLeavingSince map[string]time.Time // When a box was first read as leaving, for those that still are.
@@ -153,7 +153,7 @@
 		routes:          map[string][]route{},
 		queues:          map[string]*queue.Queue{},
 		usages:          map[string]*usage{},
-		learner:         pick.New(),
+		learner:         balance.New(),
 		ejections:       eject.New(),
 		random:          rand.New(rand.NewPCG(e.deps.Seed, uint64(e.incarnation))),
 		boxLeavingSince: map[string]time.Time{},
