--- a/pkg/audit/audit.go
+++ b/pkg/audit/audit.go
@@ -3,7 +3,7 @@
 package audit
 
 import (
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -20,7 +20,7 @@
 
 // Add adds a line for each result of a record. It leaves out accepted renewals and checkpoints, which
 // change nothing that an operator asks about.
-func (t *Trail) Add(record wire.Entry, results []fold.Result) {
+func (t *Trail) Add(record wire.Entry, results []fleetstate.Result) {
 	for i, result := range results {
 		if kind := result.Proposal.Kind; result.Accepted && (kind == wire.KindRenew || kind == wire.KindCheckpoint) {
 			continue
@@ -33,7 +33,7 @@
 }
 
 // line returns the audit line of a result, which is that of the record's proposal at index.
-func line(record wire.Entry, index int, result fold.Result) wire.AuditLine {
+func line(record wire.Entry, index int, result fleetstate.Result) wire.AuditLine {
 	return wire.AuditLine{
 		Offset:   record.Offset,
 		Index:    index,
--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -13,11 +13,11 @@
 // stateRules returns the rules for memory and for sizes that grow with the state.
 func stateRules(slopes slopesByName) []rule {
 	return []rule{
-		{Row: Row{Role: "keeper", Cause: "state of the fleet", Formula: "memory(boxes)", Unit: "MB", Limit: stateMemoryLimitMB, Mechanism: "persistent maps, pkg/fold/state.go"},
+		{Row: Row{Role: "keeper", Cause: "state of the fleet", Formula: "memory(boxes)", Unit: "MB", Limit: stateMemoryLimitMB, Mechanism: "persistent maps, pkg/fleetstate/state.go"},
 			value: func(d Demand) float64 { return slopes.valueAt(slopeMemory, float64(d.Sizes.Boxes)) }},
 		{Row: Row{Role: "entry", Cause: "state of the fleet, beside its queues", Formula: "memory(boxes)", Unit: "MB", Limit: stateMemoryLimitMB, Mechanism: "the same fold, pkg/follow/follow.go"},
 			value: func(d Demand) float64 { return slopes.valueAt(slopeMemory, float64(d.Sizes.Boxes)) }},
-		{Row: Row{Role: "node", Cause: "keeper and entry together, with a snapshot in the making in each", Formula: "2 (memory + 3 snapshots)", Unit: "MB", Limit: nodeMemoryLimitMB, Mechanism: "pkg/fold/snapshot.go"},
+		{Row: Row{Role: "node", Cause: "keeper and entry together, with a snapshot in the making in each", Formula: "2 (memory + 3 snapshots)", Unit: "MB", Limit: nodeMemoryLimitMB, Mechanism: "pkg/fleetstate/snapshot.go"},
 			value: func(d Demand) float64 {
 				size := float64(d.Sizes.Boxes)
 				return 2 * (slopes.valueAt(slopeMemory, size) + 3*slopes.valueAt(slopeSnapshot, size)/bytesPerKB)
@@ -83,7 +83,7 @@
 		{Row: Row{Role: "keeper", Cause: "renewals read", Formula: "halls / renew x renewal(members a hall)", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "one writer a hall, pkg/keeper/renewals.go"}, value: renewalKB},
 		readRule("table edits read", "edits x 330 B", "cells, not tables, pkg/table/edit.go", Demand.editRate),
 		readRule("health and failures read", "failures x 2 records x 330 B", "pkg/front/health.go, pkg/keeper/list.go", Demand.failureRate),
-		readRule("moves and waves read", "(moves x 2 + boxes / days x 4) x 330 B", "pkg/fold/box_change.go", Demand.moveRate),
+		readRule("moves and waves read", "(moves x 2 + boxes / days x 4) x 330 B", "pkg/fleetstate/box_change.go", Demand.moveRate),
 		readRule("restarts read", "restarts x 6 records x 330 B", "hand-overs in batches, pkg/front/handover.go", Demand.restartRate),
 		{Row: Row{Role: "entry", Cause: "claims read", Formula: "keys x claim", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "every entry follows the claims stream, pkg/claim/claim.go"}, value: claimKB},
 		{Row: Row{Role: "entry", Cause: "relay from its keeper, on the same box", Formula: "the log without claims", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "long polls, pkg/keeper/relay.go"},
@@ -129,7 +129,7 @@
 	}
 	boxes := func(d Demand) float64 { return float64(d.Sizes.Boxes) }
 	return []rule{
-		{Row: Row{Role: "keeper", Cause: "folding", Formula: "records x fold + renewals x fold(members)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "pkg/fold/apply.go"}, value: applyLoad},
+		{Row: Row{Role: "keeper", Cause: "folding", Formula: "records x fold + renewals x fold(members)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "pkg/fleetstate/apply.go"}, value: applyLoad},
 		{Row: Row{Role: "keeper", Cause: "looking at its hall's boxes", Formula: "plans x 6 passes", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "only upon changes, pkg/keeper/loop.go"}, value: passLoad},
 		{Row: Row{Role: "keeper", Cause: "planning the fleet, on one node at a time", Formula: "plans x plan(boxes)", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "the eldest keeper, pkg/keeper/maintenance.go"}, value: planLoad},
 		{Row: Row{Role: "node", Cause: "control in all, on the node that plans", Formula: "keeper's three rows, and folding and one pass a change in the entry", Unit: "% of a core", Limit: cpuLimitPercent, Mechanism: "ticks follow the work, pkg/ticker/ticker.go"},
@@ -138,7 +138,7 @@
 			}},
 		{Row: Row{Role: "keeper", Cause: "a full plan, of an empty fleet", Formula: "plan(boxes)", Unit: "ms", Limit: 250, Mechanism: "pkg/plan/grow.go, pkg/plan/free_boxes.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopeFirstPlan, boxes(d)) }},
 		{Row: Row{Role: "keeper", Cause: "a plan after one change", Formula: "plan(boxes)", Unit: "ms", Limit: 10, Mechanism: "pkg/plan/plan.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopePlan, boxes(d)) }},
-		{Row: Row{Role: "keeper, entry", Cause: "start-up from a snapshot", Formula: "restore(boxes)", Unit: "ms", Mechanism: "pkg/fold/snapshot.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopeRestore, boxes(d)) }},
+		{Row: Row{Role: "keeper, entry", Cause: "start-up from a snapshot", Formula: "restore(boxes)", Unit: "ms", Mechanism: "pkg/fleetstate/snapshot.go"}, value: func(d Demand) float64 { return slopes.valueAt(slopeRestore, boxes(d)) }},
 		{Row: Row{Role: "keeper", Cause: "a zone lost: its boxes' records folded", Formula: "boxes / halls x fold", Unit: "ms", Mechanism: "batches of 500, pkg/keeper/outbox.go"},
 			value: func(d Demand) float64 {
 				return boxes(d) / float64(d.Sizes.Halls) * slopes.valueAt(slopeApply, boxes(d)) / usPerMs
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/gonum/stat"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/planbench"
 	"damsonwinch/pkg/wire"
 )
@@ -164,7 +164,7 @@
 }
 
 // platformList returns the platform's list of the boxes of a state.
-func platformList(state fold.State) []wire.ListedBox {
+func platformList(state fleetstate.State) []wire.ListedBox {
 	var listed []wire.ListedBox
 	for _, box := range state.Boxes() {
 		listed = append(listed, wire.ListedBox{Info: box.Info})
@@ -173,14 +173,14 @@
 }
 
 // healthBatch returns a batch that changes the health of one box.
-func healthBatch(state fold.State) wire.Batch {
+func healthBatch(state fleetstate.State) wire.Batch {
 	box := state.Boxes()[len(state.Boxes())/2]
 	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthDown}
 	return wire.Batch{Id: "x", Node: "node", Proposals: []wire.Proposal{{Kind: wire.KindHealth, Cause: "measured", Change: change}}}
 }
 
 // applyTimeUs returns the median time of applying a batch to a state, in microseconds.
-func applyTimeUs(clock damsonwinch.Clock, state fold.State, batch wire.Batch) float64 {
+func applyTimeUs(clock damsonwinch.Clock, state fleetstate.State, batch wire.Batch) float64 {
 	data, err := json.Marshal(batch)
 	if err != nil {
 		return 0
--- a/pkg/command/control_explain.go
+++ b/pkg/command/control_explain.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/operator"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/wire"
@@ -30,7 +30,7 @@
 
 // boxExplanation is the output of dwctl explain box.
 type boxExplanation struct {
-	Box fold.Box `json:"box"`
+	Box fleetstate.Box `json:"box"`
 	// Chain holds the audit lines about the box, in the order of their records.
 	Chain []wire.AuditLine `json:"chain"`
 }
@@ -57,7 +57,7 @@
 
 // formatBox returns lines of text that describe the state of a box and end with the heading of its audit
 // lines.
-func formatBox(box fold.Box) []string {
+func formatBox(box fleetstate.Box) []string {
 	lines := []string{
 		fmt.Sprintf("%s is in pool %s, %s and %s, since %s.", box.Info.Name, box.Pool, box.Phase, box.Health, formatTime(box.EpochStartedAt)),
 		fmt.Sprintf("It stands in hall %s, %s, with %d slots; it was last maintained at %s.", box.Info.Hall, box.Info.Rack, box.Info.Slots, formatTime(box.MaintainedAt)),
@@ -68,7 +68,7 @@
 	default:
 		lines = append(lines, fmt.Sprintf("Entry %s sends to it.", box.Sender.Node))
 	}
-	if box.Phase == fold.Draining {
+	if box.Phase == fleetstate.Draining {
 		lines = append(lines, fmt.Sprintf("It goes to pool %s when its last request has ended (maintenance: %v).", box.Target, box.Maintain))
 	}
 	return append(lines, "Record by record:")
@@ -79,8 +79,8 @@
 	Service string       `json:"service"`
 	Row     settings.Row `json:"row"`
 	// Pool and Boxes describe the pool that the service runs in.
-	Pool  poolStatus `json:"pool"`
-	Boxes []fold.Box `json:"boxes"`
+	Pool  poolStatus       `json:"pool"`
+	Boxes []fleetstate.Box `json:"boxes"`
 	// Edits holds the audit lines of edits of Row.
 	Edits []wire.AuditLine `json:"edits"`
 	// Changes holds the audit line of the last change of each box, if the keeper has it.
@@ -111,7 +111,7 @@
 
 // newServiceExplanation returns the explanation of the service with the given name and row: the status and
 // boxes of its pool in state, and the lines of audit that concern the service or these boxes.
-func newServiceExplanation(name string, row settings.Row, state fold.State, audit []wire.AuditLine) serviceExplanation {
+func newServiceExplanation(name string, row settings.Row, state fleetstate.State, audit []wire.AuditLine) serviceExplanation {
 	pool := state.Pool(row.Pool)
 	explanation := serviceExplanation{
 		Service: name, Row: row, Headroom: state.Headroom(row.Pool), Edits: auditFilter{service: name}.apply(audit),
--- a/pkg/command/control_status.go
+++ b/pkg/command/control_status.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/operator"
 	"damsonwinch/pkg/wire"
 )
@@ -32,9 +32,9 @@
 	Offset       int `json:"offset"`
 	TableVersion int `json:"table_version"`
 	// LogFresh says that the keeper has read the log recently, so that its state is current.
-	LogFresh bool          `json:"log_fresh"`
-	Pools    []poolStatus  `json:"pools"`
-	Senders  []fold.Sender `json:"senders"`
+	LogFresh bool                `json:"log_fresh"`
+	Pools    []poolStatus        `json:"pools"`
+	Senders  []fleetstate.Sender `json:"senders"`
 }
 
 // poolStatus is the status of a pool. Boxes and Down count boxes, the other numbers slots.
@@ -70,11 +70,11 @@
 }
 
 // newFleetStatus returns the fleet's status from a keeper's reply to a Status call and the keeper's state.
-func newFleetStatus(reply wire.StatusReply, state fold.State) fleetStatus {
+func newFleetStatus(reply wire.StatusReply, state fleetstate.State) fleetStatus {
 	status := fleetStatus{
 		Keeper: reply.Node, Offset: state.Offset(), TableVersion: state.Table().Version(), LogFresh: reply.LogFresh, Senders: state.Senders(),
 	}
-	for _, name := range append(append([]string{}, state.Table().Deployment().Pools...), fold.FreePool) {
+	for _, name := range append(append([]string{}, state.Table().Deployment().Pools...), fleetstate.FreePool) {
 		pool := state.Pool(name)
 		status.Pools = append(status.Pools, poolStatus{
 			Pool: name, Boxes: pool.Boxes, Down: pool.Down, Slots: pool.Slots, Needed: state.Table().NeededSlots(name), Headroom: state.Headroom(name),
--- a/pkg/fold/box_change.go
+++ b/pkg/fleetstate/box_change.go
@@ -1,4 +1,4 @@
-package fold
+package fleetstate
 
 import (
 	"fmt"
--- a/pkg/fold/state.go
+++ b/pkg/fleetstate/state.go
@@ -1,7 +1,7 @@
-// Package fold applies the records of the fleet stream to the fleet's state. It
+// Package fleetstate applies the records of the fleet stream to the fleet's state. It
 // is pure and deterministic: every process that applies the same records has
 // the same state and has refused the same proposals.
-package fold
+package fleetstate
 
 import (
 	"github.com/benbjohnson/immutable"
--- a/pkg/follow/checkpoint.go
+++ b/pkg/follow/checkpoint.go
@@ -1,7 +1,7 @@
 package follow
 
 import (
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/wire"
 )
@@ -28,7 +28,7 @@
 
 // compareCheckpoints checks the invariant StateDiverged: the hashes that other processes have published
 // equal the hashes of this follower at the same offsets.
-func (f *Follower) compareCheckpoints(results []fold.Result) {
+func (f *Follower) compareCheckpoints(results []fleetstate.Result) {
 	for _, result := range results {
 		published := result.Proposal.Checkpoint
 		if result.Proposal.Kind != wire.KindCheckpoint || published == nil {
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -11,7 +11,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/wire"
 )
@@ -36,7 +36,7 @@
 // AppliedRecord is a record that has been applied, with the results of its proposals.
 type AppliedRecord struct {
 	Record  wire.Entry
-	Results []fold.Result
+	Results []fleetstate.Result
 }
 
 // ChangesFleet reports whether the record contains an accepted proposal that isn't a renewal or a
@@ -53,14 +53,14 @@
 
 // Update is what a follower passes on after a successful read.
 type Update struct {
-	State   fold.State
+	State   fleetstate.State
 	Records []AppliedRecord
 	// Restored reports whether the state was taken from a snapshot, so that the records in between
 	// are missing from Records.
 	Restored bool
 	// Checkpoint is the snapshot of the state at the newest checkpoint that the records have passed,
 	// or nil if they have passed none.
-	Checkpoint *fold.Snapshot
+	Checkpoint *fleetstate.Snapshot
 	// LeavingBoxes names the boxes that are leaving or gone in the platform's list. It is valid if
 	// LeavingBoxesKnown, which means that the source has read the list.
 	LeavingBoxes      []string
@@ -81,7 +81,7 @@
 	Sources    []damsonwinch.RecordSource
 	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
-	InitialState fold.State
+	InitialState fleetstate.State
 	// Updates receives an update after each successful read.
 	Updates chan<- Update
 	// CheckpointEvery is the number of records between two checkpoints, or 0 for none.
@@ -94,7 +94,7 @@
 // Follower applies the records of the fleet stream to its copy of the state.
 type Follower struct {
 	deps  Deps
-	state fold.State
+	state fleetstate.State
 	// skipUntil is the time before which a source isn't read, and failures the number of its failures
 	// in a row, both by the source's index in Sources.
 	skipUntil []time.Time
@@ -219,7 +219,7 @@
 
 // restore replaces the state by a snapshot in JSON if that is newer. It reports whether it did.
 func (f *Follower) restore(text string) (bool, error) {
-	var snapshot fold.Snapshot
+	var snapshot fleetstate.Snapshot
 	if err := json.Unmarshal([]byte(text), &snapshot); err != nil {
 		return false, fmt.Errorf("read snapshot: %w", err)
 	}
@@ -239,13 +239,13 @@
 // checkBudgets checks the invariant BelowFloor: an accepted drain of a usable box leaves the pool with
 // the slots that its services need. It checks only records with one proposal, since other proposals of
 // the record may change the pool after the drain.
-func (f *Follower) checkBudgets(previous fold.State, results []fold.Result) {
+func (f *Follower) checkBudgets(previous fleetstate.State, results []fleetstate.Result) {
 	for _, result := range results {
 		if !result.Accepted || result.Proposal.Kind != wire.KindDrain {
 			continue
 		}
 		box, _ := previous.Box(result.Proposal.Change.Box)
-		if box.Usable() && box.Pool != fold.FreePool && len(results) == 1 {
+		if box.Usable() && box.Pool != fleetstate.FreePool && len(results) == 1 {
 			f.deps.Invariants.Check(invariant.BelowFloor, f.state.Headroom(box.Pool) >= 0,
 				"the drain of %s leaves pool %s a headroom of %d", box.Info.Name, box.Pool, f.state.Headroom(box.Pool))
 		}
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -13,7 +13,7 @@
 
 	"damsonwinch"
 	"damsonwinch/pkg/check"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/table"
@@ -35,7 +35,7 @@
 	f := &testFollower{t: t, log: log, updates: make(chan Update, 1), violations: map[string]int{}}
 	f.follower = New(Deps{
 		Clock: clockwork.NewFakeClock(), Sources: []damsonwinch.RecordSource{LogSource{Log: log}}, Updates: f.updates, CheckpointEvery: 4,
-		Invariants: invariant.New(func(name, _ string) { f.violations[name]++ }), InitialState: fold.New(table.New(checker)), WaitMs: -1,
+		Invariants: invariant.New(func(name, _ string) { f.violations[name]++ }), InitialState: fleetstate.New(table.New(checker)), WaitMs: -1,
 	})
 	return f
 }
--- a/pkg/front/admission.go
+++ b/pkg/front/admission.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"damsonwinch/pkg/apportion"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/queue"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/wire"
@@ -35,7 +35,7 @@
 	address string
 	// row is the row of the request's service. It is not set in a refusal.
 	row       settings.Row
-	forwardTo fold.SenderKey
+	forwardTo fleetstate.SenderKey
 }
 
 // requestState is what the loop keeps of a request that waits in a queue or has been granted a box.
@@ -128,7 +128,7 @@
 		return false
 	}
 	for _, box := range e.ownBoxes(pool) {
-		if box.Phase == fold.Serving {
+		if box.Phase == fleetstate.Serving {
 			return true
 		}
 	}
--- a/pkg/front/boxes.go
+++ b/pkg/front/boxes.go
@@ -4,14 +4,14 @@
 	"context"
 	"time"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/wire"
 )
 
 // ownBox is a box that this entry sends to.
 type ownBox struct {
-	fold.Box
+	fleetstate.Box
 	// inUse is the number of slots that this entry's requests use.
 	inUse int
 	// mayStillRunUntil is the time until which the last request that was sent and not answered may still
@@ -28,7 +28,7 @@
 // route is another entry that sends to boxes of a pool, so that requests for the pool can be forwarded
 // to it.
 type route struct {
-	key fold.SenderKey
+	key fleetstate.SenderKey
 	// address is the host and port for RPC calls to the entry.
 	address string
 	// slots is the number of slots on its boxes of the pool that accept work.
@@ -45,7 +45,7 @@
 
 // updateFleet updates the boxes, the routes and the number of entries to the current state. old is the
 // state before it.
-func (e *Entry) updateFleet(old fold.State) {
+func (e *Entry) updateFleet(old fleetstate.State) {
 	routes := map[string][]route{}
 	own := map[string]bool{}
 	entries := 0
@@ -60,7 +60,7 @@
 		case box.Sender == e.key:
 			own[box.Info.Name] = true
 			e.updateOwnBox(box)
-		case box.AcceptsWork() && box.Pool != fold.FreePool && !box.Sender.IsNone():
+		case box.AcceptsWork() && box.Pool != fleetstate.FreePool && !box.Sender.IsNone():
 			e.addRoute(routes, box)
 		}
 	}
@@ -79,7 +79,7 @@
 
 // updateOwnBox updates one of this entry's boxes to the state that the log has of it, and adds the box if
 // it is new here.
-func (e *Entry) updateOwnBox(box fold.Box) {
+func (e *Entry) updateOwnBox(box fleetstate.Box) {
 	own := e.boxes[box.Info.Name]
 	if own == nil {
 		e.boxes[box.Info.Name] = &ownBox{Box: box}
@@ -111,7 +111,7 @@
 
 // addRoute adds the slots of another entry's box to the route to that entry, which it adds if there is
 // none. routes holds the routes by pool.
-func (e *Entry) addRoute(routes map[string][]route, box fold.Box) {
+func (e *Entry) addRoute(routes map[string][]route, box fleetstate.Box) {
 	for i := range routes[box.Pool] {
 		if routes[box.Pool][i].key == box.Sender {
 			routes[box.Pool][i].slots += box.Info.Slots
@@ -157,7 +157,7 @@
 // time, as a probe, and only if mayProbe is set and the box has been ejected for long enough.
 func (e *Entry) mayStartOn(box *ownBox, mayProbe bool) bool {
 	name := box.Info.Name
-	if _, leaving := e.boxLeavingSince[name]; leaving || box.handoverPending || box.Phase != fold.Serving {
+	if _, leaving := e.boxLeavingSince[name]; leaving || box.handoverPending || box.Phase != fleetstate.Serving {
 		return false
 	}
 	if e.ejections.IsEjected(name) {
@@ -186,7 +186,7 @@
 		if box.inUse > 0 || now.Before(box.mayStillRunUntil) {
 			continue
 		}
-		if box.Phase == fold.Draining && e.state.LogTimeMs() >= box.HeldUntil {
+		if box.Phase == fleetstate.Draining && e.state.LogTimeMs() >= box.HeldUntil {
 			box.proposedAt = now
 			proposals = append(proposals, e.newProposal(wire.KindEmpty, box, "its last request has ended"))
 		}
--- a/pkg/front/dispatch.go
+++ b/pkg/front/dispatch.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"damsonwinch/pkg/balance"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/queue"
 	"damsonwinch/pkg/send"
@@ -225,7 +225,7 @@
 	if m.report.last {
 		e.ejections.ForgetRequest(m.id)
 	}
-	if box != nil && box.Phase == fold.Draining && box.inUse == 0 {
+	if box != nil && box.Phase == fleetstate.Draining && box.inUse == 0 {
 		e.proposeDrainedAndHandovers(e.ctx)
 	}
 	e.dispatch(request.pool)
--- a/pkg/front/entry.go
+++ b/pkg/front/entry.go
@@ -22,7 +22,7 @@
 	"damsonwinch/pkg/call"
 	"damsonwinch/pkg/claim"
 	"damsonwinch/pkg/eject"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/lease"
@@ -56,7 +56,7 @@
 	Metrics      *metrics.Set
 	Invariants   *invariant.Checker
 	// InitialState is the state before the first log record.
-	InitialState fold.State
+	InitialState fleetstate.State
 	// Seed seeds the random choices of boxes and of entries to forward to.
 	Seed uint64
 }
@@ -67,7 +67,7 @@
 	// incarnation is the start time of the process, in nanoseconds since 1970. key identifies the entry as
 	// a sender in the log. Only the loop uses key.Incarnation, which rejoin replaces by a higher one.
 	incarnation    int
-	key            fold.SenderKey
+	key            fleetstate.SenderKey
 	inbox          chan any
 	updates        chan follow.Update
 	ctx            context.Context //nolint:containedctx // Ends with the entry, for work that outlives a client's request.
@@ -83,7 +83,7 @@
 	heldBytes      atomic.Int64 // Total size of the request bodies in memory.
 	entryCount     atomic.Int64 // Entries that append claims, as the log lists them.
 	// currentState and leaseValidUntil are copies of the loop's state for other goroutines.
-	currentState    atomic.Pointer[fold.State]
+	currentState    atomic.Pointer[fleetstate.State]
 	leaseValidUntil atomic.Pointer[time.Time]
 
 	loopState
@@ -91,7 +91,7 @@
 
 // loopState is the state that only the loop, the goroutine of run, reads and writes.
 type loopState struct {
-	state           fold.State
+	state           fleetstate.State
 	boxes           map[string]*ownBox      // The boxes that this entry sends to, by name.
 	routes          map[string][]route      // The other entries that send to boxes of a pool, by pool.
 	queues          map[string]*queue.Queue // By pool.
@@ -118,7 +118,7 @@
 	e := &Entry{
 		deps:           deps,
 		incarnation:    incarnation,
-		key:            fold.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
+		key:            fleetstate.SenderKey{Node: deps.Settings.Node, Incarnation: incarnation},
 		inbox:          make(chan any, inboxCapacity),
 		updates:        make(chan follow.Update),
 		ctx:            ctx,
--- a/pkg/front/health.go
+++ b/pkg/front/health.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -68,7 +68,7 @@
 // mayReportHealth reports whether this entry may propose a health for a box. Only the platform says
 // that a box is leaving or gone, so the entry doesn't change those.
 func (e *Entry) mayReportHealth(box *ownBox, health wire.Health) bool {
-	if box.Phase == fold.Maintenance || box.Health == health {
+	if box.Phase == fleetstate.Maintenance || box.Health == health {
 		return false
 	}
 	return box.Health == wire.HealthUp || box.Health == wire.HealthDown
@@ -77,7 +77,7 @@
 // mayEject reports whether the pool keeps its floor of usable slots if a box is ejected. Below the floor,
 // a box that answers some requests is better than none.
 func (e *Entry) mayEject(box *ownBox) bool {
-	if box.Pool == fold.FreePool {
+	if box.Pool == fleetstate.FreePool {
 		return false
 	}
 	slots := e.state.Pool(box.Pool).Slots
--- a/pkg/front/lease.go
+++ b/pkg/front/lease.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"damsonwinch/pkg/call"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/lease"
 	"damsonwinch/pkg/wire"
 )
@@ -151,7 +151,7 @@
 
 // requestExtension asks one keeper for an extension for the sender named by key. A keeper counts as
 // exited if its address refuses connections or another incarnation replies.
-func requestExtension(ctx context.Context, client *call.Client, peer lease.Peer, key fold.SenderKey, requestedAt time.Time) extendedMessage {
+func requestExtension(ctx context.Context, client *call.Client, peer lease.Peer, key fleetstate.SenderKey, requestedAt time.Time) extendedMessage {
 	limited, cancel := context.WithTimeout(ctx, keeperCallTimeout)
 	defer cancel()
 	var reply wire.ExtendReply
--- a/pkg/front/lease_test.go
+++ b/pkg/front/lease_test.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/lease"
 	"damsonwinch/pkg/metrics"
 	"damsonwinch/pkg/settings"
@@ -19,7 +19,7 @@
 )
 
 // applyOne returns the state after a log record with one proposal, which must be accepted.
-func applyOne(t *testing.T, state fold.State, proposal wire.Proposal) fold.State {
+func applyOne(t *testing.T, state fleetstate.State, proposal wire.Proposal) fleetstate.State {
 	data, err := json.Marshal(wire.Batch{Id: "x", Node: "a", Incarnation: 1, Number: state.Offset() + 1, Proposals: []wire.Proposal{proposal}})
 	assert.NilError(t, err)
 	next, results := state.Apply(wire.Entry{Offset: state.Offset(), Data: string(data)})
@@ -36,11 +36,11 @@
 	clock := clockwork.NewFakeClock()
 	e := &Entry{deps: Deps{Clock: clock, Metrics: metrics.New(), Logger: logger, Settings: settings.Entry{Node: "a", Hall: "north", LeaseMs: 1000}}}
 	e.loopState = e.newLoopState()
-	e.key = fold.SenderKey{Node: "a", Incarnation: 11}
+	e.key = fleetstate.SenderKey{Node: "a", Incarnation: 11}
 	old := e.key
 	e.lease.holder = e.lease.holder.WithRenewalIssued(1, clock.Now())
 	renewal := wire.Member{Node: "a", Hall: "north", Keeper: 1, Entry: 11, Seq: 1}
-	e.state = applyOne(t, fold.New(table.Table{}), wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{renewal}})
+	e.state = applyOne(t, fleetstate.New(table.Table{}), wire.Proposal{Kind: wire.KindRenew, Members: []wire.Member{renewal}})
 	e.updateLease()
 	assert.Assert(t, e.leaseValid())
 
--- a/pkg/front/loop.go
+++ b/pkg/front/loop.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"damsonwinch/pkg/call"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/lease"
 	"damsonwinch/pkg/queue"
@@ -36,7 +36,7 @@
 	// forwardedMessage reports that another entry, to which a request was forwarded, replied whether it
 	// has free slots, or did not reply.
 	forwardedMessage struct {
-		peer       fold.SenderKey
+		peer       fleetstate.SenderKey
 		pool       string
 		busy       bool
 		unanswered bool
@@ -54,7 +54,7 @@
 	// zone: the keeper granted it, is found to have exited, or neither.
 	extendedMessage struct {
 		// key names the sender that the extension is for.
-		key         fold.SenderKey
+		key         fleetstate.SenderKey
 		peer        lease.Peer
 		requestedAt time.Time
 		granted     bool
@@ -107,7 +107,7 @@
 		return true
 	}
 	for _, box := range e.boxes {
-		if box.Phase == fold.Draining || box.handoverPending || e.ejections.IsEjected(box.Info.Name) {
+		if box.Phase == fleetstate.Draining || box.handoverPending || e.ejections.IsEjected(box.Info.Name) {
 			return true
 		}
 	}
--- a/pkg/front/route.go
+++ b/pkg/front/route.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/settings"
 )
 
@@ -119,7 +119,7 @@
 }
 
 // poolOf returns the pool of a service, or "" if the service is not in the table.
-func poolOf(state fold.State, service string) string {
+func poolOf(state fleetstate.State, service string) string {
 	row, _ := state.Table().Row(service)
 	return row.Pool
 }
--- a/pkg/front/route_test.go
+++ b/pkg/front/route_test.go
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/metrics"
 	"damsonwinch/pkg/queue"
 )
@@ -29,7 +29,7 @@
 }
 
 func otherEntry() route {
-	return route{key: fold.SenderKey{Node: "other", Incarnation: 1}, address: "127.0.0.1:1", slots: 8}
+	return route{key: fleetstate.SenderKey{Node: "other", Incarnation: 1}, address: "127.0.0.1:1", slots: 8}
 }
 
 // TestWaitingRequestsFollowHandedOverBoxes: the entry's boxes were handed over to another entry while a
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -21,7 +21,7 @@
 	"damsonwinch"
 	"damsonwinch/pkg/audit"
 	"damsonwinch/pkg/call"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/lease"
@@ -52,7 +52,7 @@
 	Metrics    *metrics.Set
 	Invariants *invariant.Checker
 	// InitialState is the state before the first record.
-	InitialState fold.State
+	InitialState fleetstate.State
 	// PlanOptions configures the plans for moves and maintenance of the fleet's boxes.
 	PlanOptions plan.Options
 }
@@ -72,7 +72,7 @@
 
 	// The fields below are used by run only.
 
-	state        fold.State
+	state        fleetstate.State
 	relay        relay
 	auditTrail   *audit.Trail
 	grantor      lease.Grantor
--- a/pkg/keeper/list.go
+++ b/pkg/keeper/list.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -170,11 +170,11 @@
 // proposeHealth proposes the health that the list shows for a box, if it differs from
 // the recorded one. It never replaces down by up: only the box's sender can tell
 // whether the endpoint answers. It proposes nothing for boxes in maintenance.
-func (k *Keeper) proposeHealth(box fold.Box, health wire.Health) {
+func (k *Keeper) proposeHealth(box fleetstate.Box, health wire.Health) {
 	if box.Health == health || (health == wire.HealthUp && box.Health == wire.HealthDown) {
 		return
 	}
-	if box.Phase == fold.Maintenance {
+	if box.Phase == fleetstate.Maintenance {
 		return
 	}
 	k.propose(wire.Proposal{
--- a/pkg/keeper/maintenance.go
+++ b/pkg/keeper/maintenance.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/wire"
 )
@@ -28,8 +28,8 @@
 
 // assignableSenders returns the senders that may get boxes: those that have renewed
 // their lease recently, aren't leaving, and could be released if they were lost.
-func (k *Keeper) assignableSenders() []fold.Sender {
-	var found []fold.Sender
+func (k *Keeper) assignableSenders() []fleetstate.Sender {
+	var found []fleetstate.Sender
 	for _, sender := range k.state.Senders() {
 		if sender.RenewedAt >= k.state.LogTimeMs()-k.renewalTimeoutMs() && !sender.Leaving && k.state.Releasable(sender) {
 			found = append(found, sender)
@@ -51,7 +51,7 @@
 // log has accepted this, runMaintenances carries out the maintenance.
 func (k *Keeper) proposeMaintainer(zone string) {
 	for _, box := range k.state.Boxes() {
-		if box.Info.Hall != zone || box.Phase != fold.Maintenance {
+		if box.Info.Hall != zone || box.Phase != fleetstate.Maintenance {
 			continue
 		}
 		if member, known := k.state.Member(box.Maintainer.Node); !known || member.KeeperIncarnation != box.Maintainer.Incarnation {
@@ -66,7 +66,7 @@
 func (k *Keeper) runMaintenances(ctx context.Context) {
 	ours := map[string]bool{}
 	for _, box := range k.state.Boxes() {
-		if box.Phase != fold.Maintenance || box.Maintainer != k.key() {
+		if box.Phase != fleetstate.Maintenance || box.Maintainer != k.key() {
 			continue
 		}
 		name := box.Info.Name
@@ -88,13 +88,13 @@
 }
 
 // key returns the key by which the state names this run of the keeper.
-func (k *Keeper) key() fold.KeeperKey {
-	return fold.KeeperKey{Node: k.node(), Incarnation: k.incarnation}
+func (k *Keeper) key() fleetstate.KeeperKey {
+	return fleetstate.KeeperKey{Node: k.node(), Incarnation: k.incarnation}
 }
 
 // proposeBoxChange proposes a change of a kind that needs no data but the box's name
 // and epoch. The cause is for the audit trail.
-func (k *Keeper) proposeBoxChange(kind wire.Kind, box fold.Box, cause string) {
+func (k *Keeper) proposeBoxChange(kind wire.Kind, box fleetstate.Box, cause string) {
 	k.propose(wire.Proposal{Kind: kind, Cause: cause, Change: &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch}})
 }
 
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/wire"
 )
@@ -90,7 +90,7 @@
 // applyRecords drops the edits whose results are in applied records, and marks those
 // to be sent again whose batch can no longer be applied. state is the state after
 // the records.
-func (o *outbox) applyRecords(state fold.State, records []follow.AppliedRecord) {
+func (o *outbox) applyRecords(state fleetstate.State, records []follow.AppliedRecord) {
 	applied := map[string]bool{}
 	for _, record := range records {
 		for _, result := range record.Results {
@@ -125,7 +125,7 @@
 
 // awaitsLastBatch reports whether the last batch may still be applied but the state
 // doesn't include it yet. After appendTimeout the batch counts as lost.
-func (o *outbox) awaitsLastBatch(state fold.State, now time.Time) bool {
+func (o *outbox) awaitsLastBatch(state fleetstate.State, now time.Time) bool {
 	if o.inFlight {
 		return true
 	}
--- a/pkg/keeper/outbox_test.go
+++ b/pkg/keeper/outbox_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch/pkg/check"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/table"
 	"damsonwinch/pkg/wire"
@@ -18,13 +18,13 @@
 // testLog is a log with the state after its records.
 type testLog struct {
 	t     *testing.T
-	state fold.State
+	state fleetstate.State
 }
 
 func newTestLog(t *testing.T) *testLog {
 	checker, err := check.New()
 	assert.NilError(t, err)
-	return &testLog{t: t, state: fold.New(table.New(checker))}
+	return &testLog{t: t, state: fleetstate.New(table.New(checker))}
 }
 
 // appendBatch appends and applies a batch with a number, and returns its record as
--- a/pkg/keeper/release.go
+++ b/pkg/keeper/release.go
@@ -1,7 +1,7 @@
 package keeper
 
 import (
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/lease"
 	"damsonwinch/pkg/wire"
 )
@@ -26,7 +26,7 @@
 // extend replies to a sender that asks for an extension of its lease because it can't
 // renew it through the log.
 func (k *Keeper) extend(args wire.ExtendArgs) wire.ExtendReply {
-	key := fold.SenderKey{Node: args.Node, Incarnation: args.Entry}
+	key := fleetstate.SenderKey{Node: args.Node, Incarnation: args.Entry}
 	reply := wire.ExtendReply{Keeper: k.incarnation, LogFresh: k.isLogFresh()}
 	k.grantor, reply.Granted = k.grantor.Extend(key.String(), k.now())
 	if reply.Granted {
@@ -57,8 +57,8 @@
 //     and the platform's list has not shown the entry's box for longer than a lease
 //     and the drift of clocks.
 //
-// Package fold checks the release again when it is applied, as far as the state allows.
-func (k *Keeper) canRelease(sender fold.Sender) (wire.ReleaseHow, bool) {
+// Package fleetstate checks the release again when it is applied, as far as the state allows.
+func (k *Keeper) canRelease(sender fleetstate.Sender) (wire.ReleaseHow, bool) {
 	member, isMember := k.state.Member(k.node())
 	if !isMember || member.KeeperIncarnation != k.incarnation {
 		return "", false
@@ -88,7 +88,7 @@
 
 // proposeRelease proposes to release a sender. From then on the grantor denies the
 // sender extensions, because the log may accept the proposal at any later time.
-func (k *Keeper) proposeRelease(sender fold.Sender, how wire.ReleaseHow) {
+func (k *Keeper) proposeRelease(sender fleetstate.Sender, how wire.ReleaseHow) {
 	k.grantor = k.grantor.WithReleaseProposed(sender.Key.String())
 	k.propose(wire.Proposal{
 		Kind:    wire.KindRelease,
--- a/pkg/keeper/renewals.go
+++ b/pkg/keeper/renewals.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"damsonwinch/pkg/call"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -86,7 +86,7 @@
 // most of the cost of controlling the fleet.
 func (k *Keeper) withoutUnchanged(renewal wire.Member) wire.Member {
 	member, isMember := k.state.Member(renewal.Node)
-	sender, isSender := k.state.Sender(fold.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
+	sender, isSender := k.state.Sender(fleetstate.SenderKey{Node: renewal.Node, Incarnation: renewal.Entry})
 	if !isMember || member.KeeperIncarnation != renewal.Keeper || member.Address != renewal.KeeperAddress {
 		return renewal
 	}
@@ -109,15 +109,15 @@
 }
 
 // zoneLeader returns the leader of this keeper's zone and whether there is one.
-func (k *Keeper) zoneLeader() (fold.Member, bool) {
+func (k *Keeper) zoneLeader() (fleetstate.Member, bool) {
 	return k.oldestMember(k.state.MembersInZone(k.deps.Settings.Hall))
 }
 
 // oldestMember returns the member that joined first among those that have renewed
 // their membership recently, and whether there is one. That member is the leader of
 // the given members.
-func (k *Keeper) oldestMember(members []fold.Member) (fold.Member, bool) {
-	var oldest fold.Member
+func (k *Keeper) oldestMember(members []fleetstate.Member) (fleetstate.Member, bool) {
+	var oldest fleetstate.Member
 	found := false
 	for _, member := range members {
 		if member.RenewedAt < k.state.LogTimeMs()-k.renewalTimeoutMs() {
--- a/pkg/keeper/snapshot.go
+++ b/pkg/keeper/snapshot.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
 // writeSnapshot appends a snapshot of the state to the log if this keeper leads the
 // fleet, because the records that led to the state will expire. It also proposes the
 // state's hash, with which all processes compare the hash of their own state.
-func (k *Keeper) writeSnapshot(ctx context.Context, snapshot fold.Snapshot) {
+func (k *Keeper) writeSnapshot(ctx context.Context, snapshot fleetstate.Snapshot) {
 	if !k.leadsFleet() {
 		return
 	}
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -138,7 +138,7 @@
 	return w
 }
 
-// apply appends a record to the log and applies it, as pkg/fold does.
+// apply appends a record to the log and applies it, as package fleetstate does.
 func (w *world) apply(r record) {
 	offset := len(w.log)
 	w.log = append(w.log, r)
--- a/pkg/operator/operator.go
+++ b/pkg/operator/operator.go
@@ -11,7 +11,7 @@
 
 	"damsonwinch"
 	"damsonwinch/pkg/call"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/wire"
 )
@@ -39,14 +39,14 @@
 type Client struct {
 	keeper       *call.Client
 	clock        damsonwinch.Clock
-	initialState fold.State
+	initialState fleetstate.State
 	author       string
 	editCount    int
 }
 
 // New returns a client of the keeper at an address. The author is the operator's name.
 // initialState is the state before the first record.
-func New(address string, dial damsonwinch.Dial, clock damsonwinch.Clock, initialState fold.State, author string) *Client {
+func New(address string, dial damsonwinch.Dial, clock damsonwinch.Clock, initialState fleetstate.State, author string) *Client {
 	return &Client{keeper: call.New(address, dial, clock), clock: clock, initialState: initialState, author: author}
 }
 
@@ -68,12 +68,12 @@
 const noAudit = -1
 
 // State returns the fleet's state as the keeper has it.
-func (c *Client) State(ctx context.Context) (fold.State, error) {
+func (c *Client) State(ctx context.Context) (fleetstate.State, error) {
 	reply, err := c.Status(ctx, wire.StatusArgs{AuditFrom: noAudit, WithState: true})
 	if err != nil {
 		return c.initialState, err
 	}
-	var snapshot fold.Snapshot
+	var snapshot fleetstate.Snapshot
 	if err := json.Unmarshal([]byte(reply.State), &snapshot); err != nil {
 		return c.initialState, fmt.Errorf("read state of %s: %w", c.keeper.Peer(), err)
 	}
--- a/pkg/plan/assign_senders.go
+++ b/pkg/plan/assign_senders.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -15,7 +15,7 @@
 // zones get only boxes whose epoch started at adoptBefore or earlier, in
 // milliseconds of log time since 1970. So a zone whose entries are just starting
 // keeps its boxes.
-func AssignSenders(state fold.State, zone string, live []fold.Sender, adoptBefore int) []wire.Proposal {
+func AssignSenders(state fleetstate.State, zone string, live []fleetstate.Sender, adoptBefore int) []wire.Proposal {
 	candidates := stayingInZone(live, zone)
 	adopting := len(candidates) == 0
 	if adopting {
@@ -27,7 +27,7 @@
 	counts := countSenderBoxes(state)
 	var proposals []wire.Proposal
 	for _, box := range state.Boxes() {
-		if box.Info.Hall != zone || box.Pool == fold.FreePool || !box.Sender.IsNone() || (adopting && box.EpochStartedAt > adoptBefore) {
+		if box.Info.Hall != zone || box.Pool == fleetstate.FreePool || !box.Sender.IsNone() || (adopting && box.EpochStartedAt > adoptBefore) {
 			continue
 		}
 		chosen := leastLoaded(candidates, counts, box.Pool)
@@ -42,8 +42,8 @@
 }
 
 // stayingInZone returns the senders of a zone that are not leaving.
-func stayingInZone(senders []fold.Sender, zone string) []fold.Sender {
-	var found []fold.Sender
+func stayingInZone(senders []fleetstate.Sender, zone string) []fleetstate.Sender {
+	var found []fleetstate.Sender
 	for _, sender := range senders {
 		if sender.Zone == zone && !sender.Leaving {
 			found = append(found, sender)
@@ -54,18 +54,18 @@
 
 // boxCounts counts the boxes of each sender, in total and by pool.
 type boxCounts struct {
-	total  map[fold.SenderKey]int
+	total  map[fleetstate.SenderKey]int
 	byPool map[senderPool]int
 }
 
 type senderPool struct {
-	key  fold.SenderKey
+	key  fleetstate.SenderKey
 	pool string
 }
 
 // countSenderBoxes counts the boxes that have a sender.
-func countSenderBoxes(state fold.State) boxCounts {
-	counts := boxCounts{total: map[fold.SenderKey]int{}, byPool: map[senderPool]int{}}
+func countSenderBoxes(state fleetstate.State) boxCounts {
+	counts := boxCounts{total: map[fleetstate.SenderKey]int{}, byPool: map[senderPool]int{}}
 	for _, box := range state.Boxes() {
 		if !box.Sender.IsNone() {
 			counts.add(box.Sender, box.Pool)
@@ -74,7 +74,7 @@
 	return counts
 }
 
-func (c boxCounts) add(key fold.SenderKey, pool string) {
+func (c boxCounts) add(key fleetstate.SenderKey, pool string) {
 	c.total[key]++
 	c.byPool[senderPool{key, pool}]++
 }
@@ -82,8 +82,8 @@
 // leastLoaded returns the candidate with the fewest boxes of a pool, so that each
 // pool's boxes are spread over the senders. Among equals it prefers the one with
 // the fewest boxes in total, then the first by node name.
-func leastLoaded(candidates []fold.Sender, counts boxCounts, pool string) fold.Sender {
-	return slices.MinFunc(candidates, func(a, b fold.Sender) int {
+func leastLoaded(candidates []fleetstate.Sender, counts boxCounts, pool string) fleetstate.Sender {
+	return slices.MinFunc(candidates, func(a, b fleetstate.Sender) int {
 		if difference := counts.byPool[senderPool{a.Key, pool}] - counts.byPool[senderPool{b.Key, pool}]; difference != 0 {
 			return difference
 		}
--- a/pkg/plan/cancel_drains.go
+++ b/pkg/plan/cancel_drains.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -12,7 +12,7 @@
 // count against the same budget as boxes that are drained.
 func (p *planner) cancelDrains() {
 	for _, box := range p.boxes {
-		if box.Phase != fold.Draining || box.Health != wire.HealthUp || box.Pool == fold.FreePool {
+		if box.Phase != fleetstate.Draining || box.Health != wire.HealthUp || box.Pool == fleetstate.FreePool {
 			continue
 		}
 		floor := p.state.Table().FloorSlots(box.Pool)
--- a/pkg/plan/free_boxes.go
+++ b/pkg/plan/free_boxes.go
@@ -3,21 +3,21 @@
 import (
 	"slices"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 )
 
 // freeBoxes holds the free boxes by the number of their rack.
 type freeBoxes struct {
-	racks     [][]fold.Box
+	racks     [][]fleetstate.Box
 	locations []location // Of each rack that has or had a free box.
 	count     int        // Number of boxes in all racks.
 }
 
 func newFreeBoxes(rackCount int) *freeBoxes {
-	return &freeBoxes{racks: make([][]fold.Box, rackCount), locations: make([]location, rackCount)}
+	return &freeBoxes{racks: make([][]fleetstate.Box, rackCount), locations: make([]location, rackCount)}
 }
 
-func (f *freeBoxes) add(box fold.Box, at location) {
+func (f *freeBoxes) add(box fleetstate.Box, at location) {
 	f.racks[at.rack] = append(f.racks[at.rack], box)
 	f.locations[at.rack] = at
 	f.count++
@@ -26,7 +26,7 @@
 // take removes a free box from the rack that suits a pool best, and returns it
 // with its location. Of that rack it takes the box whose last maintenance is
 // oldest. See prefersRack for slotLimit. It returns false if no box is free.
-func (f *freeBoxes) take(pool *poolCount, slotLimit int) (fold.Box, location, bool) {
+func (f *freeBoxes) take(pool *poolCount, slotLimit int) (fleetstate.Box, location, bool) {
 	best := -1
 	for rack := range f.racks {
 		if len(f.racks[rack]) > 0 && (best < 0 || f.prefersRack(pool, slotLimit, rack, best)) {
@@ -34,7 +34,7 @@
 		}
 	}
 	if best < 0 {
-		return fold.Box{}, location{}, false
+		return fleetstate.Box{}, location{}, false
 	}
 	boxes := f.racks[best]
 	oldest := 0
--- a/pkg/plan/grow.go
+++ b/pkg/plan/grow.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/table"
 )
 
@@ -13,11 +13,11 @@
 func (p *planner) evictBroken() {
 	for _, name := range p.poolNames() {
 		for _, box := range p.pools[name].broken {
-			if box.Phase != fold.Serving {
+			if box.Phase != fleetstate.Serving {
 				continue
 			}
 			cause := fmt.Sprintf("repair: %s has been %s since %d", box.Info.Name, box.Health, box.HealthChangedAt)
-			if err := p.proposeDrain(box, fold.FreePool, false, cause); err != nil {
+			if err := p.proposeDrain(box, fleetstate.FreePool, false, cause); err != nil {
 				p.deferChange(fmt.Sprintf("%s of pool %s is broken and can't be moved out: %v", box.Info.Name, name, err))
 			}
 		}
@@ -156,7 +156,7 @@
 // among those, the box whose last maintenance is oldest.
 func (p *planner) moveBox(donor, receiver *poolCount) bool {
 	candidates := slices.Clone(donor.serving)
-	slices.SortStableFunc(candidates, func(a, b fold.Box) int {
+	slices.SortStableFunc(candidates, func(a, b fleetstate.Box) int {
 		if difference := receiver.rackSlots[p.locator.locate(a).rack] - receiver.rackSlots[p.locator.locate(b).rack]; difference != 0 {
 			return difference
 		}
@@ -177,8 +177,8 @@
 }
 
 // withoutBox returns a copy of the boxes without one of them.
-func withoutBox(boxes []fold.Box, removed fold.Box) []fold.Box {
-	return slices.DeleteFunc(slices.Clone(boxes), func(box fold.Box) bool { return box.Info.Name == removed.Info.Name })
+func withoutBox(boxes []fleetstate.Box, removed fleetstate.Box) []fleetstate.Box {
+	return slices.DeleteFunc(slices.Clone(boxes), func(box fleetstate.Box) bool { return box.Info.Name == removed.Info.Name })
 }
 
 // freeSurplus proposes to move the surplus boxes of each pool to the free pool, if
@@ -205,12 +205,12 @@
 // it did. It prefers boxes in the racks where the pool has the most slots.
 func (p *planner) freeBox(pool *poolCount) bool {
 	candidates := slices.Clone(pool.serving)
-	slices.SortStableFunc(candidates, func(a, b fold.Box) int {
+	slices.SortStableFunc(candidates, func(a, b fleetstate.Box) int {
 		return pool.rackSlots[p.locator.locate(b).rack] - pool.rackSlots[p.locator.locate(a).rack]
 	})
 	for _, box := range candidates {
 		cause := fmt.Sprintf("pool %s has %d slots, %d are wanted", pool.name, pool.slots, p.wantedSlots(pool))
-		if p.proposeDrain(box, fold.FreePool, false, cause) == nil {
+		if p.proposeDrain(box, fleetstate.FreePool, false, cause) == nil {
 			pool.remove(box, p.locator.locate(box))
 			pool.serving = withoutBox(pool.serving, box)
 			return true
--- a/pkg/plan/maintenance.go
+++ b/pkg/plan/maintenance.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -57,14 +57,14 @@
 
 // dueBoxes returns the usable boxes of a pool that are due for maintenance, in
 // order of their last maintenance, oldest first.
-func (p *planner) dueBoxes(pool *poolCount) []fold.Box {
-	var due []fold.Box
+func (p *planner) dueBoxes(pool *poolCount) []fleetstate.Box {
+	var due []fleetstate.Box
 	for _, box := range pool.serving {
 		if box.Usable() && p.isMaintenanceDue(box) {
 			due = append(due, box)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b fold.Box) int { return a.MaintainedAt - b.MaintainedAt })
+	slices.SortStableFunc(due, func(a, b fleetstate.Box) int { return a.MaintainedAt - b.MaintainedAt })
 	return due
 }
 
@@ -79,7 +79,7 @@
 func (p *planner) maintainFreeBoxes() {
 	inMaintenance := 0
 	for _, box := range p.boxes {
-		if box.Pool == fold.FreePool && box.Phase == fold.Maintenance {
+		if box.Pool == fleetstate.FreePool && box.Phase == fleetstate.Maintenance {
 			inMaintenance++
 		}
 	}
@@ -89,7 +89,7 @@
 			if inMaintenance >= limit {
 				return
 			}
-			if box.Health == wire.HealthUp && p.isMaintenanceDue(box) && p.proposeDrain(box, fold.FreePool, true, "maintenance of a free box") == nil {
+			if box.Health == wire.HealthUp && p.isMaintenanceDue(box) && p.proposeDrain(box, fleetstate.FreePool, true, "maintenance of a free box") == nil {
 				inMaintenance++
 			}
 		}
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -1,6 +1,6 @@
 // Package plan decides which boxes each pool has, when boxes are maintained and
 // which entry sends requests to which box. It is a pure function of the fleet's
-// state: it returns proposals with their causes. Package fold defines the pools'
+// state: it returns proposals with their causes. Package fleetstate defines the pools'
 // budgets and checks each drain against them; this package only asks it which
 // drains are possible.
 package plan
@@ -8,7 +8,7 @@
 import (
 	"time"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/wire"
 )
@@ -57,8 +57,8 @@
 
 // planner holds the data of one run of New.
 type planner struct {
-	state   fold.State // After the drains that have been planned so far.
-	boxes   []fold.Box // As they were at the start of the run.
+	state   fleetstate.State // After the drains that have been planned so far.
+	boxes   []fleetstate.Box // As they were at the start of the run.
 	locator locator
 	pools   map[string]*poolCount // By name, without the free pool.
 	free    *freeBoxes
@@ -68,7 +68,7 @@
 
 // New returns the plan for the fleet's pools and the maintenance of its boxes. See
 // AssignSenders for the boxes' senders.
-func New(state fold.State, options Options) Plan {
+func New(state fleetstate.State, options Options) Plan {
 	p := &planner{state: state, options: options.withDefaults()}
 	p.countBoxes()
 	p.cancelDrains()
@@ -87,7 +87,7 @@
 
 // proposeDrain adds a drain to the plan. It returns an error if the drain would be
 // refused after those that are already in the plan.
-func (p *planner) proposeDrain(box fold.Box, target string, maintain bool, cause string) error {
+func (p *planner) proposeDrain(box fleetstate.Box, target string, maintain bool, cause string) error {
 	next, err := p.state.WithDrain(box.Info.Name, target, maintain)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 // isMaintenanceDue reports whether a box should be maintained: its last maintenance
 // was before the moment that the table sets, or at least a maintenance interval
 // ago.
-func (p *planner) isMaintenanceDue(box fold.Box) bool {
+func (p *planner) isMaintenanceDue(box fleetstate.Box) bool {
 	interval := time.Duration(p.deployment().MaintainDays) * day
 	if interval == 0 {
 		interval = defaultMaintenanceDays * day
--- a/pkg/plan/pool_count.go
+++ b/pkg/plan/pool_count.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -11,19 +11,19 @@
 // drains and maintenances that are under way have ended.
 type poolCount struct {
 	name    string
-	serving []fold.Box // Boxes that serve and are not broken.
+	serving []fleetstate.Box // Boxes that serve and are not broken.
 	// slots counts the slots of all boxes that serve the pool or will do so without
 	// another move.
 	slots        int
-	rackSlots    []int      // These slots by rack number.
-	zoneSlots    []int      // These slots by zone number.
-	maxRackSlots int        // The largest of rackSlots.
-	broken       []fold.Box // Boxes that are to be replaced; see isBroken.
-	overdue      []fold.Box // Boxes in maintenance for longer than the timeout.
+	rackSlots    []int            // These slots by rack number.
+	zoneSlots    []int            // These slots by zone number.
+	maxRackSlots int              // The largest of rackSlots.
+	broken       []fleetstate.Box // Boxes that are to be replaced; see isBroken.
+	overdue      []fleetstate.Box // Boxes in maintenance for longer than the timeout.
 }
 
 // add adds a box's slots to the pool's.
-func (c *poolCount) add(box fold.Box, at location) {
+func (c *poolCount) add(box fleetstate.Box, at location) {
 	c.slots += box.Info.Slots
 	c.rackSlots[at.rack] += box.Info.Slots
 	c.zoneSlots[at.zone] += box.Info.Slots
@@ -31,7 +31,7 @@
 }
 
 // remove subtracts a box's slots from the pool's.
-func (c *poolCount) remove(box fold.Box, at location) {
+func (c *poolCount) remove(box fleetstate.Box, at location) {
 	c.slots -= box.Info.Slots
 	c.rackSlots[at.rack] -= box.Info.Slots
 	c.zoneSlots[at.zone] -= box.Info.Slots
@@ -57,7 +57,7 @@
 }
 
 // newLocator numbers the racks and zones of the given boxes.
-func newLocator(boxes []fold.Box) locator {
+func newLocator(boxes []fleetstate.Box) locator {
 	l := locator{racks: map[rackKey]location{}, zones: map[string]int{}}
 	for _, box := range boxes {
 		key := rackKey{box.Info.Hall, box.Info.Rack}
@@ -73,7 +73,7 @@
 }
 
 // locate returns the location of one of the boxes that the locator was made for.
-func (l locator) locate(box fold.Box) location {
+func (l locator) locate(box fleetstate.Box) location {
 	return l.racks[rackKey{box.Info.Hall, box.Info.Rack}]
 }
 
@@ -93,10 +93,10 @@
 
 // countBox counts a box in the pool that it serves or, if it is being drained for
 // a move, in its target pool. Boxes that are broken or overdue add no slots.
-func (p *planner) countBox(box fold.Box) {
+func (p *planner) countBox(box fleetstate.Box) {
 	at := p.locator.locate(box)
-	if box.Pool == fold.FreePool {
-		if box.Phase == fold.Serving && box.Health == wire.HealthUp {
+	if box.Pool == fleetstate.FreePool {
+		if box.Phase == fleetstate.Serving && box.Health == wire.HealthUp {
 			p.free.add(box, at)
 		}
 		return
@@ -106,18 +106,18 @@
 		pool.broken = append(pool.broken, box)
 		return
 	}
-	if box.Phase == fold.Maintenance && p.elapsedSince(box.EpochStartedAt) > p.options.MaintenanceTimeout {
+	if box.Phase == fleetstate.Maintenance && p.elapsedSince(box.EpochStartedAt) > p.options.MaintenanceTimeout {
 		pool.overdue = append(pool.overdue, box)
 		return
 	}
-	if box.Phase == fold.Draining && box.Target != box.Pool {
-		if box.Target != fold.FreePool {
+	if box.Phase == fleetstate.Draining && box.Target != box.Pool {
+		if box.Target != fleetstate.FreePool {
 			p.pool(box.Target).add(box, at)
 		}
 		return
 	}
 	pool.add(box, at)
-	if box.Phase == fold.Serving {
+	if box.Phase == fleetstate.Serving {
 		pool.serving = append(pool.serving, box)
 	}
 }
@@ -132,8 +132,8 @@
 
 // isBroken reports whether a box is to be replaced: it is leaving or gone, or has
 // been down for as long as the timeout. A box in maintenance never is.
-func (p *planner) isBroken(box fold.Box) bool {
-	if box.Phase == fold.Maintenance || box.Health == wire.HealthUp {
+func (p *planner) isBroken(box fleetstate.Box) bool {
+	if box.Phase == fleetstate.Maintenance || box.Health == wire.HealthUp {
 		return false
 	}
 	return box.Health != wire.HealthDown || p.elapsedSince(box.HealthChangedAt) >= p.options.DownTimeout
--- a/pkg/planbench/baseline.go
+++ b/pkg/planbench/baseline.go
@@ -1,7 +1,7 @@
 package planbench
 
 import (
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/wire"
 )
@@ -9,11 +9,11 @@
 // Baseline is the simple planner with which plan.New is compared. It gives pools the
 // first free boxes by name, whatever their racks, frees boxes as soon as their pool
 // doesn't need them, and maintains one box at a time.
-func Baseline(state fold.State, _ plan.Options) plan.Plan {
+func Baseline(state fleetstate.State, _ plan.Options) plan.Plan {
 	b := &baseline{state: state}
 	for _, box := range state.Boxes() {
-		if box.Pool != fold.FreePool && box.Health != wire.HealthUp && box.Phase == fold.Serving {
-			b.proposeDrain(box, fold.FreePool, false)
+		if box.Pool != fleetstate.FreePool && box.Health != wire.HealthUp && box.Phase == fleetstate.Serving {
+			b.proposeDrain(box, fleetstate.FreePool, false)
 		}
 	}
 	for _, pool := range state.Table().Deployment().Pools {
@@ -27,13 +27,13 @@
 
 // baseline holds the data of one run of Baseline.
 type baseline struct {
-	state fold.State // With the drains applied that are proposed so far.
+	state fleetstate.State // With the drains applied that are proposed so far.
 	plan  plan.Plan
 }
 
 // proposeDrain proposes a drain and returns true, or returns false if the drain would
 // be refused.
-func (b *baseline) proposeDrain(box fold.Box, target string, maintain bool) bool {
+func (b *baseline) proposeDrain(box fleetstate.Box, target string, maintain bool) bool {
 	next, err := b.state.WithDrain(box.Info.Name, target, maintain)
 	if err != nil {
 		return false
@@ -49,7 +49,7 @@
 func (b *baseline) fillPool(pool string) {
 	rackSlots := map[string]int{}
 	slots, boxSlots := 0, 1
-	var own, free []fold.Box
+	var own, free []fleetstate.Box
 	for _, box := range b.state.Boxes() {
 		boxSlots = max(boxSlots, box.Info.Slots)
 		switch {
@@ -57,7 +57,7 @@
 			own = append(own, box)
 			slots += box.Info.Slots
 			rackSlots[box.Info.Hall+box.Info.Rack] += box.Info.Slots
-		case box.Pool == fold.FreePool && box.Health == wire.HealthUp && box.Phase == fold.Serving:
+		case box.Pool == fleetstate.FreePool && box.Health == wire.HealthUp && box.Phase == fleetstate.Serving:
 			free = append(free, box)
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	for last := len(own) - 1; last >= 0 && slots-own[last].Info.Slots >= b.wantedSlots(pool, rackSlots, boxSlots); last-- {
-		if !b.proposeDrain(own[last], fold.FreePool, false) {
+		if !b.proposeDrain(own[last], fleetstate.FreePool, false) {
 			return
 		}
 		slots -= own[last].Info.Slots
@@ -94,7 +94,7 @@
 func (b *baseline) maintainOne() {
 	before := b.state.Table().Deployment().MaintainBefore
 	for _, box := range b.state.Boxes() {
-		if box.MaintainedAt < before && box.Phase == fold.Serving && b.proposeDrain(box, box.Pool, true) {
+		if box.MaintainedAt < before && box.Phase == fleetstate.Serving && b.proposeDrain(box, box.Pool, true) {
 			return
 		}
 	}
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"fmt"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/settings"
@@ -41,13 +41,13 @@
 }
 
 // Planner is a function that makes a plan for the fleet's state, as plan.New does.
-type Planner func(state fold.State, options plan.Options) plan.Plan
+type Planner func(state fleetstate.State, options plan.Options) plan.Plan
 
 // simulation is a fleet without processes: this package makes the log records and
 // applies them to the state.
 type simulation struct {
 	planner     Planner
-	state       fold.State
+	state       fleetstate.State
 	nowMs       int // The log time, in milliseconds since 1970.
 	batchNumber int // Of the newest batch.
 	// moves counts the boxes that left a pool, and evicted those of them that were not
@@ -76,7 +76,7 @@
 
 // appendBatch applies a log record with the proposals to the state and returns their
 // results.
-func (s *simulation) appendBatch(proposals ...wire.Proposal) []fold.Result {
+func (s *simulation) appendBatch(proposals ...wire.Proposal) []fleetstate.Result {
 	s.batchNumber++
 	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(s.batchNumber), Node: nodeName, Incarnation: 1, Number: s.batchNumber, Proposals: proposals})
 	if err != nil {
@@ -188,12 +188,12 @@
 }
 
 // InitialState returns the state before the first record.
-func InitialState() (fold.State, error) {
+func InitialState() (fleetstate.State, error) {
 	return process.InitialState()
 }
 
 // State returns the fleet's state.
-func (f *Fleet) State() fold.State {
+func (f *Fleet) State() fleetstate.State {
 	return f.simulation.state
 }
 
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/trial"
@@ -256,7 +256,7 @@
 	size := s.maxBoxSlots()
 	freeBoxes, neededBoxes := 0, 0
 	for _, box := range s.state.Boxes() {
-		if box.Pool == fold.FreePool && box.Health == wire.HealthUp {
+		if box.Pool == fleetstate.FreePool && box.Health == wire.HealthUp {
 			freeBoxes++
 		}
 	}
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -1,7 +1,7 @@
 package planbench
 
 import (
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/wire"
 )
@@ -25,9 +25,9 @@
 	s.renewLeases()
 	p := s.planner(s.state, plan.Options{})
 	s.countMoves(s.appendBatch(p.Proposals...))
-	s.appendBatch(s.proposeForBoxes(fold.Draining, wire.KindEmpty)...)
-	s.appendBatch(s.proposeForBoxes(fold.Maintenance, wire.KindCarry)...)
-	s.appendBatch(s.proposeForBoxes(fold.Maintenance, wire.KindBack)...)
+	s.appendBatch(s.proposeForBoxes(fleetstate.Draining, wire.KindEmpty)...)
+	s.appendBatch(s.proposeForBoxes(fleetstate.Maintenance, wire.KindCarry)...)
+	s.appendBatch(s.proposeForBoxes(fleetstate.Maintenance, wire.KindBack)...)
 	s.assignSenders()
 	return len(p.Proposals) > 0
 }
@@ -54,7 +54,7 @@
 }
 
 // proposeForBoxes returns a proposal of the given kind for every box in a phase.
-func (s *simulation) proposeForBoxes(phase fold.Phase, kind wire.Kind) []wire.Proposal {
+func (s *simulation) proposeForBoxes(phase fleetstate.Phase, kind wire.Kind) []wire.Proposal {
 	var proposals []wire.Proposal
 	for _, box := range s.state.Boxes() {
 		if box.Phase == phase {
@@ -67,13 +67,13 @@
 
 // countMoves counts the boxes that leave a pool by accepted drains. It also counts those
 // of them that are not up: these must leave, so that the lower bound includes them.
-func (s *simulation) countMoves(results []fold.Result) {
+func (s *simulation) countMoves(results []fleetstate.Result) {
 	for _, result := range results {
 		if !result.Accepted || result.Proposal.Kind != wire.KindDrain {
 			continue
 		}
 		box, _ := s.state.Box(result.Subject)
-		if box.Phase != fold.Draining || box.Target == box.Pool {
+		if box.Phase != fleetstate.Draining || box.Target == box.Pool {
 			continue
 		}
 		s.moves++
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -13,7 +13,7 @@
 
 	"damsonwinch"
 	"damsonwinch/pkg/check"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/metrics"
 	"damsonwinch/pkg/table"
@@ -37,12 +37,12 @@
 }
 
 // InitialState returns the state of the fleet before the first record of the log is applied.
-func InitialState() (fold.State, error) {
+func InitialState() (fleetstate.State, error) {
 	checker, err := check.New()
 	if err != nil {
-		return fold.State{}, err
+		return fleetstate.State{}, err
 	}
-	return fold.New(table.New(checker)), nil
+	return fleetstate.New(table.New(checker)), nil
 }
 
 // debugServer serves the counters of a process over HTTP at /debug/vars.
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/front"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
@@ -29,7 +29,7 @@
 	load := startLoadGenerator(f.cluster, testClients)
 	f.waitFor("the box is in the free pool", func() bool {
 		box, _ := f.run.observer.currentState().Box(bad)
-		return box.Pool == fold.FreePool
+		return box.Pool == fleetstate.FreePool
 	})
 	load.stop()
 	count, failed := 0, 0
@@ -144,7 +144,7 @@
 	f.waitFor("the wave is halted", func() bool { return len(f.deferredChanges("halted")) > 0 })
 	down := 0
 	for _, box := range f.run.observer.currentState().Boxes() {
-		if box.Phase == fold.Maintenance && box.Pool != fold.FreePool {
+		if box.Phase == fleetstate.Maintenance && box.Pool != fleetstate.FreePool {
 			down++
 		}
 	}
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/settings"
@@ -87,7 +87,7 @@
 func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
 	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, maxSnapshots) {
-		var snapshot fold.Snapshot
+		var snapshot fleetstate.Snapshot
 		if json.Unmarshal([]byte(record.Data), &snapshot) == nil {
 			newest = max(newest, snapshot.Offset)
 		}
--- a/pkg/trial/helpers_test.go
+++ b/pkg/trial/helpers_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/front"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
@@ -34,7 +34,7 @@
 // firstPoolBox returns the name of the first box that isn't in the free pool.
 func (f *fixture) firstPoolBox() string {
 	for _, box := range f.run.observer.currentState().Boxes() {
-		if box.Pool != fold.FreePool {
+		if box.Pool != fleetstate.FreePool {
 			return box.Info.Name
 		}
 	}
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/wire"
 )
@@ -24,7 +24,7 @@
 	cancel  context.CancelFunc
 	group   errgroup.Group
 	mutex   sync.Mutex
-	state   fold.State
+	state   fleetstate.State
 	// acceptedAt is when each table version entered the log.
 	acceptedAt map[int]time.Time
 	// versionInForce is the highest table version seen in force at each process,
@@ -105,14 +105,14 @@
 }
 
 // countChange counts a move or a maintenance that an accepted proposal has ended.
-func (o *observer) countChange(result fold.Result, previous, next fold.State) {
+func (o *observer) countChange(result fleetstate.Result, previous, next fleetstate.State) {
 	change := result.Proposal.Change
 	if change == nil {
 		return
 	}
 	before, _ := previous.Box(change.Box)
 	after, _ := next.Box(change.Box)
-	if before.Pool != after.Pool && before.Pool != fold.FreePool {
+	if before.Pool != after.Pool && before.Pool != fleetstate.FreePool {
 		o.moved++
 	}
 	if result.Proposal.Kind == wire.KindBack {
@@ -166,7 +166,7 @@
 	}
 	slots := map[string]int{}
 	for _, box := range o.state.Boxes() {
-		if box.Phase == fold.Serving && o.cluster.Endpoints[box.Info.Name].IsServing() {
+		if box.Phase == fleetstate.Serving && o.cluster.Endpoints[box.Info.Name].IsServing() {
 			slots[box.Pool] += box.Info.Slots
 		}
 	}
@@ -186,7 +186,7 @@
 }
 
 // currentState returns the state after the log records that the observer has read.
-func (o *observer) currentState() fold.State {
+func (o *observer) currentState() fleetstate.State {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.state
--- a/pkg/trial/outage_test.go
+++ b/pkg/trial/outage_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
@@ -139,7 +139,7 @@
 
 	f.waitFor("the box is replaced", func() bool {
 		box, _ := f.run.observer.currentState().Box(dropped)
-		return box.Pool == fold.FreePool && f.run.observer.poolsFilled()
+		return box.Pool == fleetstate.FreePool && f.run.observer.poolsFilled()
 	})
 	f.run.wait(context.Background(), longerThanLease)
 	assert.Assert(t, f.boxesSentTo(0) > 0, "an entry that renews its lease lost its boxes")
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/operator"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/settings"
@@ -343,7 +343,7 @@
 func (r *run) breakBoxes(ctx context.Context) error {
 	failing, failingZone, leaving := "", "", ""
 	for _, box := range r.observer.currentState().Boxes() {
-		if !box.Usable() || box.Pool == fold.FreePool {
+		if !box.Usable() || box.Pool == fleetstate.FreePool {
 			continue
 		}
 		if failing == "" {
