--- a/pkg/supply/supply.go
+++ b/pkg/boxplan/boxplan.go
@@ -1,9 +1,9 @@
-// Package supply decides which pool has which boxes and when each box is maintained.
+// Package boxplan decides which pool has which boxes and when each box is maintained.
 // It does no I/O and reads no clock. Its inputs are the cells' reports, the platform's list of
 // boxes and the maintenance waves. Its outputs are orders on boxes and directives to the owners
 // of the cells. It issues an order on a box only after the owner of the box's cell has recorded
 // that nothing runs there and that nothing more will be started.
-package supply
+package boxplan
 
 import (
 	"cmp"
--- a/pkg/supply/cut_off_zones.go
+++ b/pkg/boxplan/cut_off_zones.go
@@ -1,4 +1,4 @@
-package supply
+package boxplan
 
 // A zone counts as cut off if at least cutOffPercent percent of its reported boxes, and at least
 // cutOffMinBoxes of them, are silent. A rack that fails is a smaller part of its zone.
--- a/pkg/supply/lives_test.go
+++ b/pkg/boxplan/lives_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package boxplan_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch"
-	"damsonwinch/pkg/supply"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/wire"
 )
 
@@ -45,18 +45,18 @@
 }
 
 // plan lets time pass and returns the orders that are due then.
-func (f *oneBoxFleet) plan(after time.Duration) []supply.Order {
+func (f *oneBoxFleet) plan(after time.Duration) []boxplan.Order {
 	f.now = f.now.Add(after)
 	return f.planner.Plan(f.now)
 }
 
 // maintain adds a wave for the box, plans until the maintenance is ordered, accepts the order as the
 // platform does, and returns it. The life that the order ends started at startedUnixMs.
-func (f *oneBoxFleet) maintain(t *testing.T, wave, startedUnixMs int) supply.Order {
+func (f *oneBoxFleet) maintain(t *testing.T, wave, startedUnixMs int) boxplan.Order {
 	f.planner.SetWave(f.now, damsonwinch.Wave{Number: wave, MaxDown: 1, Duration: 10 * time.Second, Boxes: []string{f.box.Name}})
 	f.list(damsonwinch.BoxUp)
 	f.report(startedUnixMs, false)
-	var orders []supply.Order
+	var orders []boxplan.Order
 	for range 30 {
 		f.list(damsonwinch.BoxUp)
 		f.report(startedUnixMs, len(f.planner.Directives("held").Withdraw) > 0)
--- a/pkg/supply/long_running_test.go
+++ b/pkg/boxplan/long_running_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package boxplan_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/shard"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/pkg/wire"
 )
 
@@ -18,14 +18,14 @@
 type shardedFleet struct {
 	now     time.Time
 	layout  shard.Layout
-	planner *supply.Planner
+	planner *boxplan.Planner
 	boxes   []damsonwinch.Box
 }
 
 // newShardedFleet returns a fleet with its three pools and without boxes.
 func newShardedFleet() *shardedFleet {
 	f := &shardedFleet{now: time.Unix(1_000_000, 0), layout: shard.New(fleetShards, []string{"held", "short"})}
-	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
+	f.planner = boxplan.New(boxplan.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	f.planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, f.layout)
 	return f
 }
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/boxplan/plan_bench_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package boxplan_test
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 	"time"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/shard"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/pkg/wire"
 )
 
 // benchFleet is a planner with the boxes of a simulated platform, spread over pools of which one is
 // powered off. The demand of each pool changes each second.
 type benchFleet struct {
-	planner *supply.Planner
+	planner *boxplan.Planner
 	pools   []damsonwinch.Pool
 	boxes   []damsonwinch.Box
 	now     time.Time
@@ -23,7 +23,7 @@
 // newBenchFleet returns a fleet with the given numbers of boxes and pools, which the planner knows.
 func newBenchFleet(boxes, pools int) *benchFleet {
 	f := &benchFleet{now: time.Unix(1_000_000, 0)}
-	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
+	f.planner = boxplan.New(boxplan.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for i := range pools {
 		f.pools = append(f.pools, damsonwinch.Pool{Name: fmt.Sprintf("pool-%02d", i), PoweredOff: i == 0})
 	}
@@ -58,7 +58,7 @@
 }
 
 // move carries out an order.
-func (f *benchFleet) move(order supply.Order) {
+func (f *benchFleet) move(order boxplan.Order) {
 	for i := range f.boxes {
 		if f.boxes[i].Name == order.Box && order.Pool != "" {
 			f.boxes[i].Pool = order.Pool
--- a/pkg/supply/script_test.go
+++ b/pkg/boxplan/script_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package boxplan_test
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/shard"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/pkg/wire"
 )
 
@@ -26,7 +26,7 @@
 // script is a planner with the boxes and reports of a data file.
 type script struct {
 	t       *testing.T
-	planner *supply.Planner
+	planner *boxplan.Planner
 	layout  shard.Layout
 	pools   []damsonwinch.Pool
 	boxes   []damsonwinch.Box
@@ -92,7 +92,7 @@
 // fleet creates the pools and boxes that the lines of the input give, and the planner.
 func (s *script) fleet(shards int, input string) {
 	s.layout = shard.New(shards, nil)
-	s.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
+	s.planner = boxplan.New(boxplan.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	for i, line := range strings.Split(input, "\n") {
 		fields := strings.Fields(line)
 		count, err := strconv.Atoi(fields[1])
--- a/pkg/supply/shortage_test.go
+++ b/pkg/boxplan/shortage_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package boxplan_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/shard"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/pkg/wire"
 )
 
@@ -29,7 +29,7 @@
 func TestShortCellGetsPoweredOffBoxesOfOtherShards(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	layout := shard.New(fleetShards, []string{"held", "short"})
-	planner := supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
+	planner := boxplan.New(boxplan.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
 	planner.SetPools([]damsonwinch.Pool{{Name: "off", PoweredOff: true}, {Name: "held"}, {Name: "short"}}, layout)
 	var boxes []damsonwinch.Box
 	add := func(pool string, count int, fits func(name string) bool) {
--- a/pkg/supply/waves.go
+++ b/pkg/boxplan/waves.go
@@ -1,4 +1,4 @@
-package supply
+package boxplan
 
 import (
 	"fmt"
--- a/pkg/follow/source.go
+++ b/pkg/follow/source.go
@@ -12,7 +12,7 @@
 // LogSourceName is the name of the source that reads the platform's log.
 const LogSourceName = "log"
 
-// ReadMethod is the net/rpc method by which keepers supply records.
+// ReadMethod is the net/rpc method by which keepers return records.
 const ReadMethod = "Keeper.Read"
 
 // LogSource is a damsonwinch.RecordSource that reads the platform's log.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/call"
 	"damsonwinch/pkg/cell"
 	"damsonwinch/pkg/customer"
@@ -22,7 +23,6 @@
 	"damsonwinch/pkg/ownership"
 	"damsonwinch/pkg/relay"
 	"damsonwinch/pkg/shard"
-	"damsonwinch/pkg/supply"
 )
 
 // Platform gives a node access to the platform: to its store, endpoints, boxes and advice service, and to the
@@ -64,9 +64,9 @@
 
 // Options identify a node and configure it.
 type Options struct {
-	Self        ownership.Member
-	CellOptions cell.Options
-	Supply      supply.Options
+	Self           ownership.Member
+	CellOptions    cell.Options
+	BoxPlanOptions boxplan.Options
 	// MembershipTTL is how long the group of nodes keeps a member that is silent.
 	MembershipTTL time.Duration
 	// Partitions is the number of partitions of each topic of the store.
@@ -254,8 +254,8 @@
 	}
 }
 
-// Reload makes CellOptions and Supply of the given options apply to cells that this node takes over from now
-// on. It ignores all other options.
+// Reload makes CellOptions and BoxPlanOptions of the given options apply to cells that this node takes over
+// from now on. It ignores all other options.
 func (n *Node) Reload(options Options) {
 	n.send(optionsChanged{options: options})
 }
@@ -327,7 +327,7 @@
 		n.state.boxCount = m.count
 		n.proposeLayout()
 	case optionsChanged:
-		n.options.CellOptions, n.options.Supply = m.options.CellOptions, m.options.Supply
+		n.options.CellOptions, n.options.BoxPlanOptions = m.options.CellOptions, m.options.BoxPlanOptions
 	case stopRunners:
 		n.state.stopping = true
 		n.updateRunners()
--- a/pkg/node/runners.go
+++ b/pkg/node/runners.go
@@ -109,7 +109,7 @@
 		Metrics: n.deps.Metrics, Sync: n.router.Sync, WaveReport: n.deps.Platform.WaveReport,
 		SuspendedTime:  n.deps.SuspendedTime,
 		OnFirstBoxList: func(count int) { n.send(boxCountReceived{count: count}) },
-	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, Supply: n.options.Supply})
+	}, planner.Options{Node: n.options.Self.Node, Cell: claim.Cell, Stream: ownership.CellStream(claim, n.options.Partitions), Token: claim.Token, BoxPlanOptions: n.options.BoxPlanOptions})
 	started.Configure(n.state.configuration, n.state.layout)
 	for _, wave := range n.state.waves {
 		started.SetWave(wave)
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -1,5 +1,5 @@
 // Package planner runs the fleet planner on the one node that owns the fleet's cell. The planner gets
-// reports from the owners of all cells, has package supply decide on the boxes, records each order and
+// reports from the owners of all cells, has package boxplan decide on the boxes, records each order and
 // then sends it to the platform. It also divides the customers' caps among the cells by package quota.
 package planner
 
@@ -14,12 +14,12 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/idle"
 	"damsonwinch/pkg/metrics"
 	"damsonwinch/pkg/quota"
 	"damsonwinch/pkg/shard"
 	"damsonwinch/pkg/stream"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/pkg/wire"
 )
 
@@ -55,18 +55,18 @@
 
 // Options identify a Planner and hold the durations by which it plans.
 type Options struct {
-	Node   string             // The name of this node.
-	Cell   string             // The name of the fleet's cell.
-	Stream damsonwinch.Stream // The planner's stream: orders, progress of waves, allowances.
-	Token  int                // The epoch by which this node owns the fleet's cell.
-	Supply supply.Options
+	Node           string             // The name of this node.
+	Cell           string             // The name of the fleet's cell.
+	Stream         damsonwinch.Stream // The planner's stream: orders, progress of waves, allowances.
+	Token          int                // The epoch by which this node owns the fleet's cell.
+	BoxPlanOptions boxplan.Options
 }
 
 // Planner is a running fleet planner. One goroutine handles messages and plans, calls run in others.
 type Planner struct {
 	deps      Deps
 	options   Options
-	supply    *supply.Planner
+	boxPlan   *boxplan.Planner
 	allocator *quota.Allocator
 	inbox     chan any
 	group     *errgroup.Group
@@ -86,7 +86,7 @@
 	// pendingRecords are the records for the next append. After that append pendingOrders are sent to
 	// the platform, and the raised allowances of pendingCustomers to the cells.
 	pendingRecords   []damsonwinch.Record
-	pendingOrders    []supply.Order
+	pendingOrders    []boxplan.Order
 	pendingCustomers []string
 	appendInFlight   bool
 	reportInFlight   map[int]bool // By wave.
@@ -113,12 +113,12 @@
 		err         error
 	}
 	appended struct { // The result of an append, with the orders and customers that waited for it.
-		orders    []supply.Order
+		orders    []boxplan.Order
 		customers []string
 		err       error
 	}
 	orderAnswered struct { // The platform's answer to an order.
-		order supply.Order
+		order boxplan.Order
 		err   error
 	}
 	waveReported struct { // The result of a report to the operator.
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	p := &Planner{
-		deps: deps, options: options, supply: supply.New(options.Supply), allocator: quota.NewAllocator(), inbox: make(chan any, inboxSize),
+		deps: deps, options: options, boxPlan: boxplan.New(options.BoxPlanOptions), allocator: quota.NewAllocator(), inbox: make(chan any, inboxSize),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncInFlight: map[string]bool{}, syncedAt: map[string]time.Time{}, reportInFlight: map[int]bool{},
 		suspendedBefore: deps.SuspendedTime.Total(),
@@ -243,18 +243,18 @@
 	switch m := m.(type) {
 	case configured:
 		p.pools, p.layout = m.configuration.Pools, m.layout
-		p.supply.SetPools(p.pools, p.layout)
+		p.boxPlan.SetPools(p.pools, p.layout)
 		p.allocator.Configure(m.configuration.Version, m.configuration.Customers)
 		if p.layout.Decided() {
 			p.allocator.SetCells(now, p.cellNames())
 		}
 		p.allocate()
 	case waveRequested:
-		p.supply.SetWave(now, m.wave)
+		p.boxPlan.SetWave(now, m.wave)
 	case synced:
 		delete(p.syncInFlight, m.cell)
 		if m.err == nil {
-			p.supply.SetReport(now, m.cell, m.reply)
+			p.boxPlan.SetReport(now, m.cell, m.reply)
 			p.allocator.HandleReply(m.cell, p.options.Token, m.reply)
 			p.allocateThrottled(now)
 		}
@@ -268,7 +268,7 @@
 			p.boxListReceived = true
 			p.deps.OnFirstBoxList(len(m.boxes))
 		}
-		p.supply.SetBoxes(m.requestedAt, m.boxes)
+		p.boxPlan.SetBoxes(m.requestedAt, m.boxes)
 	case appended:
 		return p.handleAppended(m)
 	case orderAnswered:
@@ -276,7 +276,7 @@
 	case waveReported:
 		delete(p.reportInFlight, m.wave)
 		if m.err == nil {
-			p.supply.WaveReported(m.wave, m.completed)
+			p.boxPlan.WaveReported(m.wave, m.completed)
 		}
 	}
 	return nil
@@ -288,7 +288,7 @@
 	if m.err != nil {
 		p.deps.Logger.WithError(m.err).WithFields(fields).Warn("order on box not carried out")
 	}
-	p.supply.HandleOrderResult(now, m.order, m.err)
+	p.boxPlan.HandleOrderResult(now, m.order, m.err)
 	if errors.Is(m.err, damsonwinch.ErrStaleToken) {
 		p.deps.Logger.Warn("planning lost: a newer planner has ordered")
 		p.cancel()
@@ -306,7 +306,7 @@
 		return
 	}
 	if p.boxListReceived {
-		for _, order := range p.supply.Plan(now) {
+		for _, order := range p.boxPlan.Plan(now) {
 			p.queueOrder(order, now)
 		}
 		p.flush()
@@ -325,7 +325,7 @@
 		return
 	}
 	p.poolsLoggedAt = now
-	p.deps.Logger.WithField("pools", p.supply.Summary()).Info("pools")
+	p.deps.Logger.WithField("pools", p.boxPlan.Summary()).Info("pools")
 	if lines := p.allocator.Summary(); len(lines) > 0 {
 		p.deps.Logger.WithField("customers", lines).Info("customers that want more than their allowances")
 	}
@@ -343,7 +343,7 @@
 }
 
 // sendOrder sends the platform an order that has been recorded.
-func (p *Planner) sendOrder(order supply.Order) {
+func (p *Planner) sendOrder(order boxplan.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
 	issuer := damsonwinch.Issuer{Node: p.options.Node, Token: p.options.Token}
 	p.group.Go(func() error {
@@ -362,7 +362,7 @@
 
 // reportWaves reports to the operator which waves have started or been completed.
 func (p *Planner) reportWaves() {
-	for _, report := range p.supply.PendingWaveReports() {
+	for _, report := range p.boxPlan.PendingWaveReports() {
 		if p.reportInFlight[report.Wave] {
 			continue
 		}
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/shard"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/pkg/wire"
 )
 
@@ -19,7 +19,7 @@
 	if err := json.Unmarshal(record.Value, &order); err != nil {
 		return fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
-	p.supply.LoadOrder(order)
+	p.boxPlan.LoadOrder(order)
 	return nil
 }
 
@@ -34,7 +34,7 @@
 	if err := json.Unmarshal(record.Value, &order); err != nil {
 		return "", nil, fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
-	return order.Box, supply.PlacementFromRecord(order), nil
+	return order.Box, boxplan.PlacementFromRecord(order), nil
 }
 
 // loadWave takes over the progress of a wave from the record of an earlier planner.
@@ -43,19 +43,19 @@
 	if err := json.Unmarshal(record.Value, &wave); err != nil {
 		return fmt.Errorf("decode record %s: %w", record.Key, err)
 	}
-	p.supply.LoadWave(p.deps.Clock.Now(), wave)
+	p.boxPlan.LoadWave(p.deps.Clock.Now(), wave)
 	return nil
 }
 
 // queueOrder queues the records of an order, decided at now, and of the progress of its wave for the next
 // append. The order is sent to the platform once they have been appended.
-func (p *Planner) queueOrder(order supply.Order, now time.Time) {
+func (p *Planner) queueOrder(order boxplan.Order, now time.Time) {
 	p.queueRecord(orderPrefix+order.Box, wire.OrderRecord{
 		Box: order.Box, Pool: order.Pool, Wave: order.Wave, AtMs: int(now.UnixMilli()), Endpoint: order.Life.String(), Cause: order.Cause,
 		Placement: &wire.PlacementRecord{Shard: order.Shard, Before: order.PreviousShard},
 	})
 	if order.Wave > 0 {
-		p.queueRecord(wavePrefix+strconv.Itoa(order.Wave), p.supply.WaveRecord(order.Wave))
+		p.queueRecord(wavePrefix+strconv.Itoa(order.Wave), p.boxPlan.WaveRecord(order.Wave))
 	}
 	p.pendingOrders = append(p.pendingOrders, order)
 }
--- a/pkg/planner/sync.go
+++ b/pkg/planner/sync.go
@@ -17,7 +17,7 @@
 // sync calls the owner of a cell with the directives for its endpoints and the allowances that it hasn't
 // confirmed. The reply is a report on the cell.
 func (p *Planner) sync(cell string) {
-	directives := p.supply.Directives(cell)
+	directives := p.boxPlan.Directives(cell)
 	update := p.allocator.NextUpdate(cell)
 	args := wire.SyncArgs{
 		Cell: cell, Token: p.options.Token, Withdraw: directives.Withdraw, Hurry: directives.WithdrawUrgently, Restore: directives.Restore, Gone: directives.Exited, Due: directives.DueForMaintenance,
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -12,13 +12,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch"
+	"damsonwinch/pkg/boxplan"
 	"damsonwinch/pkg/cell"
 	"damsonwinch/pkg/customer"
 	"damsonwinch/pkg/metrics"
 	"damsonwinch/pkg/node"
 	"damsonwinch/pkg/ownership"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/supply"
 	"damsonwinch/platform"
 )
 
@@ -29,7 +29,7 @@
 	defaultMaxAppendBytes  = 2 << 20
 )
 
-// Times of owners and of the planner that no setting changes. cell.Options and supply.Options
+// Times of owners and of the planner that no setting changes. cell.Options and boxplan.Options
 // describe them.
 const (
 	// renewalGrace bounds how long an owner that cannot reach the store renews leases.
@@ -140,9 +140,9 @@
 		CellOptions: cell.Options{
 			MaxLease: milliseconds(bounds.LeaseMostMs), RenewalGrace: renewalGrace, MaxStartDelay: maxStartDelay, MaxStopTime: milliseconds(bounds.StopMs), RestoreTime: milliseconds(bounds.RestoreMs), MinCommitInterval: minCommitInterval,
 			PollWait: pollWait, IdlePollInterval: idlePollInterval, PollRetryInterval: pollRetryInterval, EndedJobRetention: time.Duration(bounds.KeepEndedS) * time.Second,
-			BoxLeadTime: seconds(bounds.MoveS) + supply.FirstTaskDelay,
+			BoxLeadTime: seconds(bounds.MoveS) + boxplan.FirstTaskDelay,
 		},
-		Supply: supply.Options{
+		BoxPlanOptions: boxplan.Options{
 			MoveTime: seconds(bounds.MoveS), MaintainTime: seconds(bounds.MaintainS), ScaleDownDelay: scaleDownDelay, TakeoverDelay: milliseconds(bounds.HolderMs),
 		},
 		MembershipTTL:  milliseconds(orDefault(config.GroupTtlMs, defaultMembershipTTLMs)),
