--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -25,7 +25,7 @@
 		{Row: Row{Role: "log streams", Cause: "one snapshot record", Formula: "snapshot(boxes)", Unit: "KB", Mechanism: "one append in pkg/keeper/maintenance.go"},
 			value:        func(d Demand) float64 { return slopes.valueAt(slopeSnapshot, float64(d.Sizes.Boxes)) },
 			fixedVerdict: "the platform names no largest record; if it has one, snapshots must be cut in parts: NOT BUILT"},
-		{Row: Row{Role: "entry", Cause: "200 teams' quotas", Formula: "overshoot of a quota at most entries - 1", Unit: "requests", Mechanism: "shares by slots, pkg/apportion/apportion.go, pkg/front/admission.go"},
+		{Row: Row{Role: "entry", Cause: "200 teams' quotas", Formula: "overshoot of a quota at most entries - 1", Unit: "requests", Mechanism: "shares by slots, pkg/apportion/apportion.go, pkg/entry/admission.go"},
 			value:        func(d Demand) float64 { return float64(d.Sizes.Entries - 1) },
 			fixedVerdict: "worked out: each sender's share is at least 1"},
 	}
@@ -82,9 +82,9 @@
 	return []rule{
 		{Row: Row{Role: "keeper", Cause: "renewals read", Formula: "halls / renew x renewal(members a hall)", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "one writer a hall, pkg/keeper/renewals.go"}, value: renewalKB},
 		readRule("table edits read", "edits x 330 B", "cells, not tables, pkg/table/edit.go", Demand.editRate),
-		readRule("health and failures read", "failures x 2 records x 330 B", "pkg/front/health.go, pkg/keeper/list.go", Demand.failureRate),
+		readRule("health and failures read", "failures x 2 records x 330 B", "pkg/entry/health.go, pkg/keeper/list.go", Demand.failureRate),
 		readRule("moves and waves read", "(moves x 2 + boxes / days x 4) x 330 B", "pkg/fleetstate/box_change.go", Demand.moveRate),
-		readRule("restarts read", "restarts x 6 records x 330 B", "hand-overs in batches, pkg/front/handover.go", Demand.restartRate),
+		readRule("restarts read", "restarts x 6 records x 330 B", "hand-overs in batches, pkg/entry/handover.go", Demand.restartRate),
 		{Row: Row{Role: "entry", Cause: "claims read", Formula: "keys x claim", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "every entry follows the claims stream, pkg/claim/claim.go"}, value: claimKB},
 		{Row: Row{Role: "entry", Cause: "relay from its keeper, on the same box", Formula: "the log without claims", Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: "long polls, pkg/keeper/relay.go"},
 			value: func(d Demand) float64 { return renewalKB(d) + otherRecordKB(d) }},
--- a/pkg/front/cache.go
+++ b/pkg/entry/cache.go
@@ -1,4 +1,4 @@
-package front
+package entry
 
 // cache holds values that are computed from the log's state alone and are needed for every request. It
 // is replaced by an empty one whenever the fleet changes.
--- a/pkg/front/entry.go
+++ b/pkg/entry/entry.go
@@ -1,9 +1,9 @@
-// Package front implements the entry, the process that accepts clients' requests over HTTP. An entry
+// Package entry implements the entry, the process that accepts clients' requests over HTTP. An entry
 // admits and queues requests, sends each to an endpoint on one of its boxes, or forwards it to another
 // entry that has boxes of the pool, and returns the response. One goroutine, the loop, owns the queues,
 // the boxes and the lease; each request has a goroutine of its own, which waits for the loop to grant
 // it a box. The log lists each incarnation of an entry as a sender; a box has one sender at a time.
-package front
+package entry
 
 import (
 	"context"
--- a/pkg/front/health.go
+++ b/pkg/entry/health.go
@@ -1,4 +1,4 @@
-package front
+package entry
 
 import (
 	"context"
--- a/pkg/loadtest/load.go
+++ b/pkg/loadtest/load.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"damsonwinch/pkg/front"
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
@@ -126,8 +126,8 @@
 	if err != nil {
 		return 0, 0
 	}
-	request.Header.Set(front.HeaderClass, string(class))
-	request.Header.Set(front.HeaderDeadline, fmt.Sprint(deadline.Milliseconds()))
+	request.Header.Set(entry.HeaderClass, string(class))
+	request.Header.Set(entry.HeaderDeadline, fmt.Sprint(deadline.Milliseconds()))
 	sentAt := options.Clock.Now()
 	response, err := client.Do(request)
 	if err != nil {
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"damsonwinch/pkg/front"
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/invariant"
 	"damsonwinch/pkg/metrics"
 	"damsonwinch/pkg/platform"
@@ -12,7 +12,7 @@
 
 // Entry is a running dw-entry.
 type Entry struct {
-	entry      *front.Entry
+	entry      *entry.Entry
 	platform   *platform.Client
 	debug      *debugServer
 	Metrics    *metrics.Set
@@ -31,7 +31,7 @@
 	}
 	set, checker := newMetrics(env)
 	client := platform.New(config.Platform, env.Dial)
-	started, err := front.New(front.Deps{
+	started, err := entry.New(entry.Deps{
 		Settings: entryWithDefaults(config), Clock: env.Clock, Log: client, Dial: env.Dial,
 		Listener: listeners[0], HTTPListener: listeners[1],
 		Logger: env.Logger.WithField("entry", config.Node), Metrics: set, Invariants: checker, InitialState: initialState, Seed: env.Seed,
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/fleetstate"
-	"damsonwinch/pkg/front"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
@@ -90,7 +90,7 @@
 			wanted = http.StatusServiceUnavailable
 		}
 		f.waitFor(fmt.Sprintf("the response has status %d", wanted), func() bool {
-			header := map[string]string{front.HeaderDeadline: "100"}
+			header := map[string]string{entry.HeaderDeadline: "100"}
 			return f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, header).status == wanted
 		})
 	}
@@ -103,14 +103,14 @@
 	f.setFault(standin.FaultHang, allBoxes)
 	ctx, cancel := context.WithCancel(context.Background())
 	const burst = 300
-	entry := f.cluster.Nodes[0].entryProcess
+	entryProcess := f.cluster.Nodes[0].entryProcess
 	for range burst {
 		body := standin.Work{Nonce: f.nonce(), WorkMs: 1}
 		f.runInBackground(func() { f.callUntilDone(ctx, "view", body) })
 	}
-	f.waitFor("many requests wait", func() bool { return entry.Metrics.Count("waiting") > 100 })
+	f.waitFor("many requests wait", func() bool { return entryProcess.Metrics.Count("waiting") > 100 })
 	cancel()
-	f.waitFor("no request waits", func() bool { return entry.Metrics.Count("waiting") == 0 })
+	f.waitFor("no request waits", func() bool { return entryProcess.Metrics.Count("waiting") == 0 })
 	f.endFaults()
 	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/front"
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/standin"
 )
@@ -146,7 +146,7 @@
 			f.setFault(standin.EndpointFault(fault), boxes)
 			nonce := f.nonce()
 			work := standin.Work{Nonce: nonce, WorkMs: 50}
-			header := map[string]string{front.HeaderIdempotencyKey: nonce}
+			header := map[string]string{entry.HeaderIdempotencyKey: nonce}
 			first := f.call(service, work, header)
 			f.endFaults()
 			fmt.Fprintf(&lines, "%s: %s %d", service, first.outcome, first.status)
--- a/pkg/trial/helpers_test.go
+++ b/pkg/trial/helpers_test.go
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/fleetstate"
-	"damsonwinch/pkg/front"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
@@ -65,7 +65,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
-	return reply{outcome: response.Header.Get(front.HeaderOutcome), status: response.StatusCode, body: string(answer),
+	return reply{outcome: response.Header.Get(entry.HeaderOutcome), status: response.StatusCode, body: string(answer),
 		retryAfter: response.Header.Get("Retry-After")}, err
 }
 
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/front"
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
@@ -28,12 +28,12 @@
 	}{
 		{"unknown service", "none", "{}", nil, http.StatusNotFound, "not in the table"},
 		{"too large", "view", strings.Repeat("x", 5000), nil, http.StatusRequestEntityTooLarge, "4096 bytes"},
-		{"unknown class", "view", "{}", map[string]string{front.HeaderClass: "soon"}, http.StatusBadRequest, "urgent, normal, same-day"},
-		{"deadline is no number", "view", "{}", map[string]string{front.HeaderDeadline: "1s"}, http.StatusBadRequest, "from 1 to 3000"},
-		{"deadline too long", "view", "{}", map[string]string{front.HeaderDeadline: "3001"}, http.StatusBadRequest, "from 1 to 3000"},
-		{"size zero", "view", "{}", map[string]string{front.HeaderSize: "0"}, http.StatusBadRequest, front.HeaderSize},
-		{"can never fit", "view", "{}", map[string]string{front.HeaderSize: "9"}, http.StatusUnprocessableEntity, "largest box"},
-		{"key too long", "pay", "{}", map[string]string{front.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
+		{"unknown class", "view", "{}", map[string]string{entry.HeaderClass: "soon"}, http.StatusBadRequest, "urgent, normal, same-day"},
+		{"deadline is no number", "view", "{}", map[string]string{entry.HeaderDeadline: "1s"}, http.StatusBadRequest, "from 1 to 3000"},
+		{"deadline too long", "view", "{}", map[string]string{entry.HeaderDeadline: "3001"}, http.StatusBadRequest, "from 1 to 3000"},
+		{"size zero", "view", "{}", map[string]string{entry.HeaderSize: "0"}, http.StatusBadRequest, entry.HeaderSize},
+		{"can never fit", "view", "{}", map[string]string{entry.HeaderSize: "9"}, http.StatusUnprocessableEntity, "largest box"},
+		{"key too long", "pay", "{}", map[string]string{entry.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := f.callWithBody(row.service, []byte(row.body), row.header, "")
@@ -51,7 +51,7 @@
 // refused and the response says when to try again. It runs once the quota is free.
 func TestRequestOverQuotaIsRefusedWithRetryAfter(t *testing.T) {
 	f := newFixture(t, smallUser())
-	customer := map[string]string{front.HeaderCustomer: "small"}
+	customer := map[string]string{entry.HeaderCustomer: "small"}
 	first := make(chan reply, 1)
 	long := standin.Work{Nonce: f.nonce(), WorkMs: 500}
 	f.runInBackground(func() { first <- f.call("view", long, customer) })
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch"
-	"damsonwinch/pkg/front"
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/standin"
 )
@@ -28,7 +28,7 @@
 		answers := make([]reply, 2)
 		for i, node := range f.cluster.Nodes {
 			both.Go(func() error {
-				answers[i] = f.callNode(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderIdempotencyKey: nonce}, nonce)
+				answers[i] = f.callNode(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{entry.HeaderIdempotencyKey: nonce}, nonce)
 				return nil
 			})
 		}
@@ -44,7 +44,7 @@
 // second request with the key runs once the log is back.
 func TestKeyedRequestIsNotRunWhileLogIsDown(t *testing.T) {
 	f := newFixture(t, smallUser())
-	header := map[string]string{front.HeaderIdempotencyKey: "k"}
+	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: f.nonce(), WorkMs: 1}
 	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 
@@ -65,7 +65,7 @@
 // then, and the entry must release the key.
 func TestLateClaimNeitherRunsRequestNorBlocksKey(t *testing.T) {
 	f := newFixture(t, smallUser())
-	header := map[string]string{front.HeaderIdempotencyKey: "k"}
+	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
 	work := standin.Work{Nonce: f.nonce(), WorkMs: 1}
 	f.cluster.Platform.Log.SetFaults(standin.LogFaults{LateRate: 1, LateDelay: 4 * time.Second})
 	first := f.call("pay", work, header)
@@ -90,7 +90,7 @@
 	f.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 1})
 	work := standin.Work{Nonce: f.nonce(), WorkMs: 1}
 
-	first := f.call("pay", work, map[string]string{front.HeaderIdempotencyKey: "k"})
+	first := f.call("pay", work, map[string]string{entry.HeaderIdempotencyKey: "k"})
 
 	assert.Equal(t, first.status, http.StatusOK, first.body)
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 1)
@@ -99,7 +99,7 @@
 // TestKeyWithAnotherBodyIsRefused: a key belongs to the body of its first request.
 func TestKeyWithAnotherBodyIsRefused(t *testing.T) {
 	f := newFixture(t, smallUser())
-	header := map[string]string{front.HeaderIdempotencyKey: "k"}
+	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
 	first := f.call("pay", standin.Work{Nonce: f.nonce(), WorkMs: 1}, header)
 	assert.Equal(t, first.status, http.StatusOK, first.body)
 	other := standin.Work{Nonce: f.nonce(), WorkMs: 1}
@@ -119,7 +119,7 @@
 	user.Fleet.Halls = []settings.Hall{newZone("north", 5, 1), newZone("south", 5, 1)}
 	f := newFixture(t, user)
 	work := standin.Work{Nonce: f.nonce(), WorkMs: 400}
-	header := map[string]string{front.HeaderIdempotencyKey: "k"}
+	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
 	f.runInBackground(func() { f.tryCallNode(f.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
 	f.waitFor("the request runs", func() bool { return f.cluster.Observations.Runs(work.Nonce) == 1 })
 	assert.NilError(t, f.cluster.KillEntry(f.cluster.Nodes[0]))
--- a/pkg/trial/load.go
+++ b/pkg/trial/load.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"damsonwinch/pkg/front"
+	"damsonwinch/pkg/entry"
 	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
@@ -120,12 +120,12 @@
 		result.noResponse = true
 		return result
 	}
-	request.Header.Set(front.HeaderClass, string(result.class))
+	request.Header.Set(entry.HeaderClass, string(result.class))
 	if result.class == wire.ClassUrgent {
-		request.Header.Set(front.HeaderDeadline, fmt.Sprint(urgentDeadlineMs))
+		request.Header.Set(entry.HeaderDeadline, fmt.Sprint(urgentDeadlineMs))
 	}
 	if !service.Row.Repeatable && random.IntN(oneInKeyed) == 0 {
-		request.Header.Set(front.HeaderIdempotencyKey, nonce)
+		request.Header.Set(entry.HeaderIdempotencyKey, nonce)
 	}
 	sentAt := g.cluster.clock.Now()
 	g.send(request, body, &result)
@@ -158,7 +158,7 @@
 		return
 	}
 	result.status = response.StatusCode
-	result.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
+	result.outcome = wire.Outcome(response.Header.Get(entry.HeaderOutcome))
 	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.ExpectedResponse(body)
 	if result.status != http.StatusOK {
 		result.reason = string(responseBody)
