--- a/pkg/command/standins.go
+++ b/pkg/command/standins.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 
 	"damsonwinch/pkg/check"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/trial"
 	"damsonwinch/pkg/wire"
 )
@@ -50,10 +50,10 @@
 }
 
 // newPlatform returns a stand-in platform that lists the boxes of endpoints and the fleet's entry boxes.
-func newPlatform(fleet settings.Fleet, boxes []wire.BoxInfo) *standin.Platform {
+func newPlatform(fleet settings.Fleet, boxes []wire.BoxInfo) *fakes.Platform {
 	clock := clockwork.NewRealClock()
 	addresses := map[string]string{}
-	platform := standin.NewPlatform(clock, standin.NewLog(clock, 1, 0), func(ctx context.Context, box string) error {
+	platform := fakes.NewPlatform(clock, fakes.NewLog(clock, 1, 0), func(ctx context.Context, box string) error {
 		return requestReboot(ctx, addresses[box])
 	})
 	for _, info := range boxes {
@@ -114,9 +114,9 @@
 }
 
 // serveEndpoints starts a stand-in endpoint for each box.
-func serveEndpoints(boxes []wire.BoxInfo) ([]*standin.Endpoint, error) {
-	clock, observations := clockwork.NewRealClock(), standin.NewObservations()
-	var endpoints []*standin.Endpoint
+func serveEndpoints(boxes []wire.BoxInfo) ([]*fakes.Endpoint, error) {
+	clock, observations := clockwork.NewRealClock(), fakes.NewObservations()
+	var endpoints []*fakes.Endpoint
 	for _, info := range boxes {
 		if _, err := netip.ParseAddrPort(info.Address); err != nil {
 			return nil, fmt.Errorf("address of %s: %w", info.Name, err)
@@ -125,7 +125,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("listen at %s: %w", info.Address, err)
 		}
-		endpoints = append(endpoints, standin.NewEndpoint(info.Name, clock, listener, observations, func(service string) string { return service }))
+		endpoints = append(endpoints, fakes.NewEndpoint(info.Name, clock, listener, observations, func(service string) string { return service }))
 	}
 	return endpoints, nil
 }
--- a/pkg/standin/log.go
+++ b/pkg/fakes/log.go
@@ -1,7 +1,7 @@
-// Package standin holds substitutes for what surrounds the system: the platform, endpoints and the
-// network between availability zones. Their faults can be switched on and off. Only tests and the
-// command dw-trial use it.
-package standin
+// Package fakes holds stand-ins for what surrounds the system: the platform, endpoints and the network
+// between availability zones. Their faults can be switched on and off. Only tests and the command
+// dw-trial use them. For the platform that dw-node uses, see damsonwinch/platform/standin.
+package fakes
 
 import (
 	"context"
--- a/pkg/standin/network.go
+++ b/pkg/fakes/network.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -13,9 +13,9 @@
 
 	"damsonwinch"
 	"damsonwinch/pkg/check"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/invariant"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/table"
 	"damsonwinch/pkg/wire"
 )
@@ -23,13 +23,13 @@
 // testFollower is a follower that reads from a stand-in log, once per call of read.
 type testFollower struct {
 	t          *testing.T
-	log        *standin.Log
+	log        *fakes.Log
 	follower   *Follower
 	updates    chan Update
 	violations map[string]int
 }
 
-func newTestFollower(t *testing.T, log *standin.Log) *testFollower {
+func newTestFollower(t *testing.T, log *fakes.Log) *testFollower {
 	checker, err := check.New()
 	assert.NilError(t, err)
 	f := &testFollower{t: t, log: log, updates: make(chan Update, 1), violations: map[string]int{}}
@@ -62,8 +62,8 @@
 	}}
 }
 
-func newLog() *standin.Log {
-	return standin.NewLog(clockwork.NewFakeClock(), 1, 0)
+func newLog() *fakes.Log {
+	return fakes.NewLog(clockwork.NewFakeClock(), 1, 0)
 }
 
 func TestDifferentCheckpointIsCounted(t *testing.T) {
--- a/pkg/loadtest/load.go
+++ b/pkg/loadtest/load.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch/pkg/entry"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/wire"
 )
 
@@ -118,7 +118,7 @@
 // sendTo sends a request with the given work to a URL. It returns the status and the
 // latency of the response; the status is 0 if there is no complete response.
 func sendTo(options Options, client *http.Client, url, nonce string, class wire.Class, deadline time.Duration, workMs int) (int, time.Duration) {
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: workMs})
+	body, err := json.Marshal(fakes.Work{Nonce: nonce, WorkMs: workMs})
 	if err != nil {
 		return 0, 0
 	}
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 
 	"damsonwinch"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/trial"
 	"damsonwinch/pkg/wire"
 )
@@ -184,7 +184,7 @@
 	number := 0
 	for _, endpoint := range cluster.Endpoints {
 		if number%failingBoxInterval == 0 {
-			endpoint.SetFault(standin.FaultFailAll)
+			endpoint.SetFault(fakes.FaultFailAll)
 		}
 		number++
 	}
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/fleetstate"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
 
@@ -25,7 +25,7 @@
 func TestFailingBoxIsReplacedFromFreePool(t *testing.T) {
 	f := newFixture(t, smallUser())
 	bad := f.firstPoolBox()
-	f.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
+	f.cluster.Endpoints[bad].SetFault(fakes.FaultFailAll)
 	load := startLoadGenerator(f.cluster, testClients)
 	f.waitFor("the box is in the free pool", func() bool {
 		box, _ := f.run.observer.currentState().Box(bad)
@@ -51,11 +51,11 @@
 	f := newFixture(t, smallUser())
 	const requests = 30
 	for range requests {
-		got := f.call("view", standin.Work{Nonce: f.nonce(), Poison: true}, nil)
+		got := f.call("view", fakes.Work{Nonce: f.nonce(), Poison: true}, nil)
 		assert.Equal(t, got.status, http.StatusInternalServerError, got.body)
 	}
 	assert.Equal(t, f.cluster.Nodes[0].entryProcess.Metrics.Count("ejections"), 0)
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
@@ -64,7 +64,7 @@
 func TestLeavingBoxGetsNoNewRequestsWhileLogIsDown(t *testing.T) {
 	f := newFixture(t, smallUser())
 	load := startLoadGenerator(f.cluster, testClients)
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	leaving := f.firstPoolBox()
 	f.cluster.Endpoints[leaving].MarkLeaving()
 	f.cluster.Platform.SetLeaving(leaving, true)
@@ -79,7 +79,7 @@
 // leaving, so that no request can run, and then marks none.
 func TestBoxGetsRequestsAgainWhenListWithdrawsLeaving(t *testing.T) {
 	f := newFixture(t, smallUser())
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	boxes := f.run.observer.currentState().Boxes()
 	for _, leaving := range []bool{true, false} {
 		for _, box := range boxes {
@@ -91,7 +91,7 @@
 		}
 		f.waitFor(fmt.Sprintf("the response has status %d", wanted), func() bool {
 			header := map[string]string{entry.HeaderDeadline: "100"}
-			return f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, header).status == wanted
+			return f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, header).status == wanted
 		})
 	}
 }
@@ -100,19 +100,19 @@
 // free the places in the queue.
 func TestCancelledRequestsLeaveQueue(t *testing.T) {
 	f := newFixture(t, smallUser())
-	f.setFault(standin.FaultHang, allBoxes)
+	f.setFault(fakes.FaultHang, allBoxes)
 	ctx, cancel := context.WithCancel(context.Background())
 	const burst = 300
 	entryProcess := f.cluster.Nodes[0].entryProcess
 	for range burst {
-		body := standin.Work{Nonce: f.nonce(), WorkMs: 1}
+		body := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
 		f.runInBackground(func() { f.callUntilDone(ctx, "view", body) })
 	}
 	f.waitFor("many requests wait", func() bool { return entryProcess.Metrics.Count("waiting") > 100 })
 	cancel()
 	f.waitFor("no request waits", func() bool { return entryProcess.Metrics.Count("waiting") == 0 })
 	f.endFaults()
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -16,11 +16,11 @@
 	"github.com/sirupsen/logrus"
 
 	"damsonwinch"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
 
@@ -66,12 +66,12 @@
 type Cluster struct {
 	User     User
 	Seed     uint64
-	Platform *standin.Platform
-	Network  *standin.Network
+	Platform *fakes.Platform
+	Network  *fakes.Network
 	// Endpoints are the stand-in endpoints by the names of their boxes.
-	Endpoints map[string]*standin.Endpoint
+	Endpoints map[string]*fakes.Endpoint
 	// Observations is what the endpoints have seen of the clients' requests.
-	Observations *standin.Observations
+	Observations *fakes.Observations
 	Nodes        []*Node
 	clock        clockwork.Clock
 	logger       logrus.FieldLogger
@@ -121,7 +121,7 @@
 // is still empty then; see StartReady.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
-		User: user, Seed: seed, Network: standin.NewNetwork(), Endpoints: map[string]*standin.Endpoint{}, Observations: standin.NewObservations(),
+		User: user, Seed: seed, Network: fakes.NewNetwork(), Endpoints: map[string]*fakes.Endpoint{}, Observations: fakes.NewObservations(),
 		clock: clockwork.NewRealClock(), logger: logger, violations: &violationLog{counts: map[string]int{}},
 	}
 	if err := c.startPlatform(); err != nil {
@@ -142,9 +142,9 @@
 }
 
 func (c *Cluster) startPlatform() error {
-	log := standin.NewLog(c.clock, c.Seed, 0)
+	log := fakes.NewLog(c.clock, c.Seed, 0)
 	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTime) })
-	c.Platform = standin.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
+	c.Platform = fakes.NewPlatform(c.clock, log, func(ctx context.Context, box string) error {
 		return (*c.reboot.Load())(ctx, box)
 	})
 	listener, err := net.Listen("tcp", anyLoopbackPort)
@@ -166,7 +166,7 @@
 			}
 			info := NewBoxInfo(zone.Name, number, c.User.Fleet, listener.Addr().String())
 			c.Network.SetZone(info.Address, zone.Name)
-			c.Endpoints[info.Name] = standin.NewEndpoint(info.Name, c.clock, listener, c.Observations, c.poolOf)
+			c.Endpoints[info.Name] = fakes.NewEndpoint(info.Name, c.clock, listener, c.Observations, c.poolOf)
 			c.Platform.PutBox(wire.ListedBox{Info: info})
 		}
 	}
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 )
 
 // smallUser returns a user with one zone, one entry, five boxes in five racks, and two
@@ -80,7 +80,7 @@
 }
 
 // call sends work to the first entry, which must respond.
-func (f *fixture) call(service string, work standin.Work, header map[string]string) reply {
+func (f *fixture) call(service string, work fakes.Work, header map[string]string) reply {
 	f.t.Helper()
 	body, err := json.Marshal(work)
 	assert.NilError(f.t, err)
@@ -101,7 +101,7 @@
 
 // setFault gives a fault to the first boxes that are not in the free pool, as many as
 // the given number or all of them.
-func (f *fixture) setFault(fault standin.EndpointFault, boxes int) {
+func (f *fixture) setFault(fault fakes.EndpointFault, boxes int) {
 	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Pool == "free" {
 			continue
@@ -117,7 +117,7 @@
 // endFaults makes all endpoints work correctly again.
 func (f *fixture) endFaults() {
 	for _, endpoint := range f.cluster.Endpoints {
-		endpoint.SetFault(standin.FaultNone)
+		endpoint.SetFault(fakes.FaultNone)
 	}
 }
 
@@ -143,15 +143,15 @@
 		}
 		var lines strings.Builder
 		for _, service := range services {
-			f.setFault(standin.EndpointFault(fault), boxes)
+			f.setFault(fakes.EndpointFault(fault), boxes)
 			nonce := f.nonce()
-			work := standin.Work{Nonce: nonce, WorkMs: 50}
+			work := fakes.Work{Nonce: nonce, WorkMs: 50}
 			header := map[string]string{entry.HeaderIdempotencyKey: nonce}
 			first := f.call(service, work, header)
 			f.endFaults()
 			fmt.Fprintf(&lines, "%s: %s %d", service, first.outcome, first.status)
 			if first.status == http.StatusOK {
-				assert.Equal(t, first.body, standin.ExpectedResponse(mustJSON(t, work)))
+				assert.Equal(t, first.body, fakes.ExpectedResponse(mustJSON(t, work)))
 			}
 			if service == "pay" {
 				fmt.Fprintf(&lines, ", ran at most once: %v", f.cluster.Observations.Runs(nonce) <= 1)
@@ -167,7 +167,7 @@
 
 // callAfterOutcome repeats a request with the same key once the entry has recorded an
 // outcome in the log, or after 5 s.
-func (f *fixture) callAfterOutcome(service string, work standin.Work, header map[string]string) reply {
+func (f *fixture) callAfterOutcome(service string, work fakes.Work, header map[string]string) reply {
 	f.run.waitUntil(context.Background(), 5*time.Second, func() bool {
 		return f.cluster.Nodes[0].entryProcess.Metrics.Count("claim_outcomes") > 0
 	})
--- a/pkg/trial/helpers_test.go
+++ b/pkg/trial/helpers_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/fleetstate"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
 
@@ -71,7 +71,7 @@
 
 // callUntilDone sends a request to the first entry and gives it up when the context
 // ends.
-func (f *fixture) callUntilDone(ctx context.Context, service string, work standin.Work) {
+func (f *fixture) callUntilDone(ctx context.Context, service string, work fakes.Work) {
 	address := f.cluster.Nodes[0].entry.HttpAddress
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/run/"+service, bytes.NewReader(mustJSON(f.t, work)))
 	assert.NilError(f.t, err)
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"damsonwinch/pkg/entry"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/wire"
 )
 
@@ -53,17 +53,17 @@
 	f := newFixture(t, smallUser())
 	customer := map[string]string{entry.HeaderCustomer: "small"}
 	first := make(chan reply, 1)
-	long := standin.Work{Nonce: f.nonce(), WorkMs: 500}
+	long := fakes.Work{Nonce: f.nonce(), WorkMs: 500}
 	f.runInBackground(func() { first <- f.call("view", long, customer) })
 	f.waitFor("the first request runs", func() bool { return f.cluster.Observations.Runs(long.Nonce) == 1 })
 
-	second := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
+	second := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 
 	assert.Equal(t, second.status, http.StatusTooManyRequests, second.body)
 	assert.Equal(t, second.outcome, string(wire.OutcomeNotRun))
 	assert.Assert(t, second.retryAfter != "")
 	assert.Equal(t, (<-first).status, http.StatusOK)
-	again := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
+	again := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 	assert.Equal(t, again.status, http.StatusOK, again.body)
 }
 
@@ -71,10 +71,10 @@
 // truncated response.
 func TestOversizedResponseIsAnError(t *testing.T) {
 	f := newFixture(t, smallUser())
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
-	f.setFault(standin.FaultOversizedBody, allBoxes)
-	got = f.call("pay", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	f.setFault(fakes.FaultOversizedBody, allBoxes)
+	got = f.call("pay", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusBadGateway, fmt.Sprint(len(got.body)))
 	assert.Equal(t, got.outcome, string(wire.OutcomeUnknown))
 	assert.Assert(t, strings.Contains(got.body, "larger than"), got.body)
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -11,8 +11,8 @@
 
 	"damsonwinch"
 	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 )
 
 // TestKeySentToTwoEntriesAtOnceRunsOnce sends each of 30 keys to two entries at the
@@ -28,7 +28,7 @@
 		answers := make([]reply, 2)
 		for i, node := range f.cluster.Nodes {
 			both.Go(func() error {
-				answers[i] = f.callNode(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{entry.HeaderIdempotencyKey: nonce}, nonce)
+				answers[i] = f.callNode(node, "pay", mustJSON(t, fakes.Work{Nonce: nonce, WorkMs: 1}), map[string]string{entry.HeaderIdempotencyKey: nonce}, nonce)
 				return nil
 			})
 		}
@@ -45,8 +45,8 @@
 func TestKeyedRequestIsNotRunWhileLogIsDown(t *testing.T) {
 	f := newFixture(t, smallUser())
 	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
-	work := standin.Work{Nonce: f.nonce(), WorkMs: 1}
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	work := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 
 	first := f.call("pay", work, header)
 
@@ -54,7 +54,7 @@
 	assert.Equal(t, first.status, http.StatusServiceUnavailable)
 	assert.Assert(t, first.retryAfter != "")
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 0)
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 	second := f.call("pay", work, header)
 	assert.Equal(t, second.status, http.StatusOK, second.body)
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 1)
@@ -66,11 +66,11 @@
 func TestLateClaimNeitherRunsRequestNorBlocksKey(t *testing.T) {
 	f := newFixture(t, smallUser())
 	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
-	work := standin.Work{Nonce: f.nonce(), WorkMs: 1}
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{LateRate: 1, LateDelay: 4 * time.Second})
+	work := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{LateRate: 1, LateDelay: 4 * time.Second})
 	first := f.call("pay", work, header)
 	assert.Equal(t, first.outcome, "not-run")
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 
 	landed := f.run.waitUntil(context.Background(), 20*time.Second, func() bool {
 		return len(f.cluster.Platform.Log.Peek(damsonwinch.StreamClaims, 0, 10)) >= 2
@@ -87,8 +87,8 @@
 // lost. The entry reads the claim back from the log.
 func TestRequestRunsIfAnswerToItsClaimIsLost(t *testing.T) {
 	f := newFixture(t, smallUser())
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 1})
-	work := standin.Work{Nonce: f.nonce(), WorkMs: 1}
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{LostAnswerRate: 1})
+	work := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
 
 	first := f.call("pay", work, map[string]string{entry.HeaderIdempotencyKey: "k"})
 
@@ -100,9 +100,9 @@
 func TestKeyWithAnotherBodyIsRefused(t *testing.T) {
 	f := newFixture(t, smallUser())
 	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
-	first := f.call("pay", standin.Work{Nonce: f.nonce(), WorkMs: 1}, header)
+	first := f.call("pay", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, header)
 	assert.Equal(t, first.status, http.StatusOK, first.body)
-	other := standin.Work{Nonce: f.nonce(), WorkMs: 1}
+	other := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
 
 	second := f.call("pay", other, header)
 
@@ -118,7 +118,7 @@
 	user := smallUser()
 	user.Fleet.Halls = []settings.Hall{newZone("north", 5, 1), newZone("south", 5, 1)}
 	f := newFixture(t, user)
-	work := standin.Work{Nonce: f.nonce(), WorkMs: 400}
+	work := fakes.Work{Nonce: f.nonce(), WorkMs: 400}
 	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
 	f.runInBackground(func() { f.tryCallNode(f.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
 	f.waitFor("the request runs", func() bool { return f.cluster.Observations.Runs(work.Nonce) == 1 })
--- a/pkg/trial/load.go
+++ b/pkg/trial/load.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"damsonwinch/pkg/entry"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/wire"
 )
 
@@ -108,7 +108,7 @@
 	services := g.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
 	result := clientResult{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
+	body, err := json.Marshal(fakes.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
 	if err != nil {
 		result.noResponse = true
 		return result
@@ -159,7 +159,7 @@
 	}
 	result.status = response.StatusCode
 	result.outcome = wire.Outcome(response.Header.Get(entry.HeaderOutcome))
-	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.ExpectedResponse(body)
+	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != fakes.ExpectedResponse(body)
 	if result.status != http.StatusOK {
 		result.reason = string(responseBody)
 	}
--- a/pkg/trial/outage_test.go
+++ b/pkg/trial/outage_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/wire"
 )
 
@@ -37,7 +37,7 @@
 	f.cluster.Network.CutBoth("north", "south")
 	f.run.wait(context.Background(), longerThanLease)
 
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 	for _, box := range f.run.observer.currentState().Boxes() {
 		was, _ := before.Box(box.Info.Name)
@@ -55,22 +55,22 @@
 // and the keepers of their zone extend the entries' leases.
 func TestLogOutageStopsNoRequest(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	f.run.wait(context.Background(), longerThanLease)
 
 	const requests = 20
 	for range requests {
-		got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+		got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 		assert.Equal(t, got.status, http.StatusOK, got.body)
 	}
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 }
 
 // TestReplacedProcessesServeOnceLogIsBack: if all processes are replaced while the log
 // is down, the new ones have no state and refuse requests until the log is back.
 func TestReplacedProcessesServeOnceLogIsBack(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	for _, node := range f.cluster.Nodes {
 		assert.NilError(t, f.cluster.KillEntry(node))
 		assert.NilError(t, f.cluster.StopKeeper(node))
@@ -78,14 +78,14 @@
 	for _, node := range f.cluster.Nodes {
 		assert.NilError(t, f.cluster.StartNode(node))
 	}
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable, got.body)
 	assert.Equal(t, got.outcome, "not-run")
 
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 
 	f.waitFor("requests are answered again", func() bool {
-		return f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil).status == http.StatusOK
+		return f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil).status == http.StatusOK
 	})
 	assert.Equal(t, f.run.observer.currentState().Table().Version(), 1)
 }
@@ -104,7 +104,7 @@
 		assert.NilError(t, f.cluster.StartNode(node))
 	}
 	f.waitFor("requests are answered again", func() bool {
-		return f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil).status == http.StatusOK
+		return f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil).status == http.StatusOK
 	})
 }
 
@@ -119,7 +119,7 @@
 	assert.NilError(t, f.run.editTable(context.Background(), "ana", south, func(wanted *settings.Table) { wanted.Services[0].Row.Queue++ }))
 
 	f.waitFor("the edit is in force in the zone that is cut off", f.run.newestTableInForce)
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 	f.cluster.Network.Heal()
 }
@@ -168,7 +168,7 @@
 	lost, _ := f.run.observer.currentState().Box(f.firstPoolBox())
 	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Info.Rack == lost.Info.Rack {
-			f.cluster.Endpoints[box.Info.Name].SetFault(standin.FaultRefuse)
+			f.cluster.Endpoints[box.Info.Name].SetFault(fakes.FaultRefuse)
 			f.cluster.Platform.RemoveBox(box.Info.Name)
 		}
 	}
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 )
 
 const (
@@ -53,7 +53,7 @@
 		f.run.wait(context.Background(), time.Duration(random.IntN(maxPauseBetweenEventsMs))*time.Millisecond)
 	}
 	f.cluster.Network.Heal()
-	f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 	f.endFaults()
 	for number := range stopped {
 		assert.NilError(t, f.cluster.StartNode(f.cluster.Nodes[number]))
@@ -82,10 +82,10 @@
 		return "cut " + from + " to " + to
 	case 2, 3:
 		f.cluster.Network.Heal()
-		f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
+		f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 		return "healed"
 	case 4:
-		faults := standin.LogFaults{
+		faults := fakes.LogFaults{
 			Down: random.IntN(3) == 0, LostAnswerRate: random.Float64() / 3, DropRate: random.Float64() / 5, LateRate: random.Float64() / 5,
 			LateDelay: time.Duration(random.IntN(4000)) * time.Millisecond, AppendDelay: time.Duration(random.IntN(200)) * time.Millisecond,
 		}
@@ -94,7 +94,7 @@
 	case 5:
 		return f.killOrStart(node, stopped)
 	case 6:
-		faults := []standin.EndpointFault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultPartialBody, standin.FaultWrongRequestID, standin.FaultNone, standin.FaultNone}
+		faults := []fakes.EndpointFault{fakes.FaultFailAll, fakes.FaultResetAfter, fakes.FaultPartialBody, fakes.FaultWrongRequestID, fakes.FaultNone, fakes.FaultNone}
 		fault := faults[random.IntN(len(faults))]
 		f.setFault(fault, 1+random.IntN(2))
 		return "boxes " + string(fault)
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -9,11 +9,11 @@
 
 	"github.com/sirupsen/logrus"
 
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/operator"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/settings"
-	"damsonwinch/pkg/standin"
 	"damsonwinch/pkg/table"
 )
 
@@ -329,10 +329,10 @@
 // answers to some appends, which take effect nevertheless; this lasts to the end of
 // the run.
 func (r *run) takeLogDown(ctx context.Context) error {
-	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
+	r.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	r.logStep("the log is down")
 	r.waitPercent(ctx, 8)
-	r.cluster.Platform.Log.SetFaults(standin.LogFaults{LostAnswerRate: 0.05})
+	r.cluster.Platform.Log.SetFaults(fakes.LogFaults{LostAnswerRate: 0.05})
 	r.logStep("the log is back and loses one answer in twenty")
 	r.waitPercent(ctx, 4)
 	return nil
@@ -352,7 +352,7 @@
 			leaving = box.Info.Name
 		}
 	}
-	r.cluster.Endpoints[failing].SetFault(standin.FaultFailAll)
+	r.cluster.Endpoints[failing].SetFault(fakes.FaultFailAll)
 	r.cluster.Endpoints[leaving].MarkLeaving()
 	r.cluster.Platform.SetLeaving(leaving, true)
 	r.logStep("%s fails everything, %s is leaving", failing, leaving)
