--- a/endpoint.go
+++ b/endpoint.go
@@ -157,7 +157,7 @@
 	Checkpoint string
 }
 
-// PollReply is an endpoint's answer to a PollRequest.
+// PollReply is an endpoint's reply to a PollRequest.
 type PollReply struct {
 	// StartedUnixMs is the start time of the life that answers, as in Life.StartedUnixMs.
 	StartedUnixMs int
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -103,9 +103,9 @@
 	return time.Duration(l.averages[service] * float64(time.Second))
 }
 
-// RecordAnswer records that a box answered a request of a service, and how long
+// RecordResponse records that a box answered a request of a service, and how long
 // that took. slots is the box's declared number of slots.
-func (l *Learner) RecordAnswer(service, box string, took time.Duration, slots int) {
+func (l *Learner) RecordResponse(service, box string, took time.Duration, slots int) {
 	seconds := took.Seconds()
 	average, known := l.averages[service]
 	if !known {
--- a/pkg/boxplan/box.go
+++ b/pkg/boxplan/box.go
@@ -66,8 +66,8 @@
 	// updatedAt is when the order was issued, and later when the platform accepted it. Only a
 	// list of boxes that was requested after that can show the effect.
 	updatedAt time.Time
-	// answered says that the platform has accepted the order. Until then the order is repeated.
-	answered bool
+	// accepted says that the platform has accepted the order. Until then the order is repeated.
+	accepted bool
 	// inherited says that an earlier planner recorded the order.
 	inherited bool
 	// inFlight says that a call to the platform is in progress; sentAt is when the newest began.
@@ -160,7 +160,7 @@
 		b.issued = nil
 		return
 	}
-	if !o.answered {
+	if !o.accepted {
 		return
 	}
 	moved := o.Pool != "" && b.info.Pool == o.Pool
@@ -205,7 +205,7 @@
 		switch {
 		case b.planned != nil && b.report != nil && b.report.Withdrawn:
 			p.issueOrder(b, *b.planned)
-		case b.issued != nil && !b.issued.answered && !b.issued.inFlight && p.now.Sub(b.issued.sentAt) >= orderRetryDelay &&
+		case b.issued != nil && !b.issued.accepted && !b.issued.inFlight && p.now.Sub(b.issued.sentAt) >= orderRetryDelay &&
 			p.now.Sub(b.inheritedAt) >= p.options.TakeoverDelay:
 			b.issued.inFlight, b.issued.sentAt = true, p.now
 			p.orders = append(p.orders, b.issued.Order)
@@ -213,7 +213,7 @@
 	}
 }
 
-// HandleOrderResult handles the platform's answer to an order, received at now. A nil err means that
+// HandleOrderResult handles the platform's response to an order, received at now. A nil err means that
 // the platform has accepted the order.
 func (p *Planner) HandleOrderResult(now time.Time, order Order, err error) {
 	b := p.boxes[order.Box]
@@ -224,7 +224,7 @@
 	o.inFlight = false
 	switch {
 	case err == nil:
-		o.answered, o.updatedAt = true, now
+		o.accepted, o.updatedAt = true, now
 	case errors.Is(err, damsonwinch.ErrInvalid):
 		b.refusedPools[order.Pool] = true
 		p.revertOrder(b, order)
--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -76,7 +76,7 @@
 	return c.peer
 }
 
-// Do makes one call of a net/rpc method. It waits for the answer until ctx ends or the peer has answered
+// Do makes one call of a net/rpc method. It waits for the reply until ctx ends or the peer has answered
 // neither calls nor pings for deadAfter. reply is a pointer, to which Do writes only if it returns nil. All
 // errors are of type *Error. The error of a call that was given up says that the call may have been carried
 // out, since net/rpc can't cancel a call.
@@ -85,11 +85,11 @@
 	if err != nil {
 		return &Error{Method: method, Peer: c.peer, Err: err}
 	}
-	// The answer is decoded into a separate value. Otherwise an answer that comes after Do has
-	// returned would be written into the caller's reply, which may hold the answer of another peer by
+	// The decoded is decoded into a separate value. Otherwise an decoded that comes after Do has
+	// returned would be written into the caller's reply, which may hold the decoded of another peer by
 	// then.
-	answer := reflect.New(reflect.TypeOf(reply).Elem())
-	call := conn.client.Go(method, args, answer.Interface(), make(chan *rpc.Call, 1))
+	decoded := reflect.New(reflect.TypeOf(reply).Elem())
+	call := conn.client.Go(method, args, decoded.Interface(), make(chan *rpc.Call, 1))
 	defer c.release(conn)
 	watch := c.clock.NewTicker(checkInterval)
 	defer watch.Stop()
@@ -97,9 +97,9 @@
 		select {
 		case <-call.Done:
 			if call.Error == nil {
-				reflect.ValueOf(reply).Elem().Set(answer.Elem())
+				reflect.ValueOf(reply).Elem().Set(decoded.Elem())
 			}
-			conn.recordAnswer(c.clock.Now())
+			conn.recordReply(c.clock.Now())
 			return c.result(conn, method, call.Error)
 		case <-ctx.Done():
 			return &Error{Method: method, Peer: c.peer, MayHaveExecuted: true, Err: ctx.Err()}
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -40,7 +40,7 @@
 	return g, client, server
 }
 
-// TestLateReplyIsDiscarded checks that an answer isn't written into the caller's reply if it comes after Do
+// TestLateReplyIsDiscarded checks that a reply isn't written into the caller's reply if it comes after Do
 // has returned.
 func TestLateReplyIsDiscarded(t *testing.T) {
 	g, client, server := serveGate(t)
--- a/pkg/call/connection.go
+++ b/pkg/call/connection.go
@@ -25,7 +25,7 @@
 	client       *rpc.Client
 	mutex        sync.Mutex
 	pendingCalls int
-	// silentSince is when the last answer came, or when the first of the pending calls was made,
+	// silentSince is when the last reply came, or when the first of the pending calls was made,
 	// whichever is later.
 	silentSince time.Time
 	// pendingPing is the ping in flight, or nil.
@@ -55,8 +55,8 @@
 	return c.pendingCalls == 0
 }
 
-// recordAnswer records that the peer has answered a call at the time now.
-func (c *connection) recordAnswer(now time.Time) {
+// recordReply records that the peer has answered a call at the time now.
+func (c *connection) recordReply(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.silentSince = now
@@ -75,7 +75,7 @@
 }
 
 // silence returns how long the peer has been silent. If the pending ping has been answered, it first records
-// an answer at the time now. The caller holds the mutex.
+// a reply at the time now. The caller holds the mutex.
 func (c *connection) silence(now time.Time) time.Duration {
 	if c.pendingPing != nil {
 		select {
--- a/pkg/call/server.go
+++ b/pkg/call/server.go
@@ -18,7 +18,7 @@
 // presence is the net/rpc service that answers pings.
 type presence struct{}
 
-// Ping does nothing. Its answer shows that the process is alive.
+// Ping does nothing. Its reply shows that the process is alive.
 func (*presence) Ping(int, *int) error {
 	return nil
 }
--- a/pkg/cell/effects.go
+++ b/pkg/cell/effects.go
@@ -20,7 +20,7 @@
 	// PermitRequests are calls to the advice service. The owner calls Advised with each reply.
 	PermitRequests []PermitRequest
 	Polls          []Poll
-	// Replies are answers to clients' calls, identified by the call IDs that came with the calls.
+	// Replies go to clients. The call ID of each says which call it is the reply to.
 	Replies []Reply
 	// OwnershipLost is set when an endpoint has seen a newer owner, or when the machine was
 	// suspended so that there may be a newer owner. The owner must send no more requests.
@@ -58,7 +58,7 @@
 	Number   int
 }
 
-// Reply is the answer to a client's call. CallID is the ID that came with the call.
+// Reply is sent to a client. CallID is the ID that came with the client's call.
 type Reply struct {
 	CallID int
 	Reply  wire.JobReply
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -62,7 +62,7 @@
 	// and recordedSequence that of the last one whose effect is recorded in the stream.
 	appliedSequence  int
 	recordedSequence int
-	// silent is set if the last poll failed without an answer, and silentSince is when it did.
+	// silent is set if the last poll failed without a reply, and silentSince is when it did.
 	// pollBroken is set if the connection of that poll broke while the endpoint held the poll: if
 	// the endpoint has exited, it did so at that moment.
 	silent      bool
@@ -70,7 +70,7 @@
 	pollBroken  bool
 	// silentStep is the step at silentSince.
 	silentStep int
-	// lastAnsweredAt is when the endpoint last answered a call, not counting answers that were
+	// lastAnsweredAt is when the endpoint last answered a call, not counting replies that were
 	// handled before the owner had caught up after a pause.
 	lastAnsweredAt time.Time
 	// probation is the run that is on probation on the endpoint, and reservedFor the task that is
--- a/pkg/cell/poll.go
+++ b/pkg/cell/poll.go
@@ -135,7 +135,7 @@
 }
 
 // errExitedLife is the error of a poll that was answered by a life that is known to have exited.
-var errExitedLife = errors.New("the answer is from a life that has exited")
+var errExitedLife = errors.New("the reply is from a life that has exited")
 
 // Polled handles the reply to the poll with the given number, which was sent to life, or the error
 // that the poll failed with.
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -12,8 +12,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// errNoAnswer is the error of a call that got no reply.
-var errNoAnswer = errors.New("no answer")
+// errNoReply is the error of a call that got no reply.
+var errNoReply = errors.New("no reply")
 
 // simOwner is an owner of the cell and its connections to the store and the endpoints.
 type simOwner struct {
@@ -318,7 +318,7 @@
 			o.callLife(e, handle, done)
 			return
 		}
-		done(errNoAnswer)
+		done(errNoReply)
 	})
 }
 
@@ -328,19 +328,19 @@
 	w := o.world
 	unreachable := w.cuts[o.name+e.info.Box]
 	if unreachable || w.chance(0.02) {
-		w.after(callTimeout, func() { done(errNoAnswer) })
+		w.after(callTimeout, func() { done(errNoReply) })
 		return
 	}
 	delayed := w.chance(0.03)
 	delay := w.randomDuration(time.Millisecond, 20*time.Millisecond)
 	if delayed {
 		delay = w.randomDuration(300*time.Millisecond, 3*time.Second)
-		w.after(callTimeout, func() { done(errNoAnswer) })
+		w.after(callTimeout, func() { done(errNoReply) })
 	}
 	w.after(delay, func() {
 		if e.exited {
 			if !delayed {
-				done(errNoAnswer)
+				done(errNoReply)
 			}
 			return
 		}
@@ -351,7 +351,7 @@
 			return
 		}
 		if w.chance(0.02) {
-			w.after(callTimeout, func() { done(errNoAnswer) })
+			w.after(callTimeout, func() { done(errNoReply) })
 			return
 		}
 		w.after(w.randomDuration(time.Millisecond, 20*time.Millisecond), func() { done(result()) })
@@ -430,9 +430,9 @@
 	answer := func() { respond(w.randomDuration(time.Millisecond, 10*time.Millisecond), nil) }
 	breakConnection := func() {
 		if w.resetsOnExit {
-			respond(2*time.Millisecond, errNoAnswer)
+			respond(2*time.Millisecond, errNoReply)
 		} else {
-			respond(request.MaxWait+200*time.Millisecond, errNoAnswer)
+			respond(request.MaxWait+200*time.Millisecond, errNoReply)
 		}
 	}
 	switch {
--- a/pkg/cell/zone.go
+++ b/pkg/cell/zone.go
@@ -20,7 +20,7 @@
 	cutOffAfter = 300 * time.Millisecond
 )
 
-// zone is an availability zone, as far as the owner can tell from the answers of its endpoints.
+// zone is an availability zone, as far as the owner can tell from the replies of its endpoints.
 type zone struct {
 	name        string
 	byFreeCores freeCoreIndex
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	pageRecords   = 500  // Largest number of records in the answer to one read.
+	pageRecords   = 500  // Largest number of records in the response to one read.
 	readWaitMs    = 1000 // How long the log waits for a record before it answers a read.
 	readTimeout   = 3 * time.Second
 	appendTimeout = 2 * time.Second
--- a/pkg/command/control.go
+++ b/pkg/command/control.go
@@ -41,7 +41,7 @@
 	flags := root.PersistentFlags()
 	flags.StringVar(&c.keeper, "keeper", "127.0.0.1:7101", "address of any keeper, an IP number and a port")
 	flags.StringVar(&c.author, "author", loginName(), "name that stands in the audit trail")
-	flags.StringVarP(&c.output, "output", "o", outputText, "form of the answer: text or json")
+	flags.StringVarP(&c.output, "output", "o", outputText, "form of the output: text or json")
 	flags.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to wait for the fleet")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if c.output != outputText && c.output != outputJSON {
--- a/pkg/dial/dial_test.go
+++ b/pkg/dial/dial_test.go
@@ -12,11 +12,11 @@
 
 // lossyNetwork loses the first packet of the first connections.
 type lossyNetwork struct {
-	// lost is how many attempts get no answer.
+	// lost is how many attempts get no response.
 	lost int
 	// attempts counts the attempts so far.
 	attempts int
-	// err is the answer to all further attempts, or nil if they succeed.
+	// err is the result of all further attempts, or nil if they succeed.
 	err error
 }
 
--- a/pkg/entry/dispatch.go
+++ b/pkg/entry/dispatch.go
@@ -252,7 +252,7 @@
 		}
 		e.ejections.AddFailure(request.item.ID, name, e.now())
 	default:
-		e.learner.RecordAnswer(request.item.Service, name, report.took, box.Info.Slots)
+		e.learner.RecordResponse(request.item.Service, name, report.took, box.Info.Slots)
 		e.ejections.AddSuccess(request.item.ID, name)
 		if e.ejections.IsEjected(name) {
 			e.ejections.Reinstate(name)
--- a/pkg/fakes/log.go
+++ b/pkg/fakes/log.go
@@ -18,8 +18,8 @@
 type LogFaults struct {
 	// Down makes every append and read fail.
 	Down bool
-	// LostAnswerRate is the share of appends, from 0 to 1, that take effect but return an error.
-	LostAnswerRate float64
+	// LostResponseRate is the share of appends, from 0 to 1, that take effect but return an error.
+	LostResponseRate float64
 	// DropRate is the share of appends, from 0 to 1, that return an error and take no effect.
 	DropRate float64
 	// LateRate is the share of appends, from 0 to 1, that return an error at once and take effect
@@ -33,8 +33,8 @@
 // Errors of the stand-in log.
 var (
 	errDown = errors.New("the log is down")
-	// errAnswerLost means that the append may have taken effect.
-	errAnswerLost = errors.New("the answer was lost")
+	// errResponseLost means that the append may have taken effect.
+	errResponseLost = errors.New("the response was lost")
 )
 
 // Log is an append-only log in memory.
@@ -102,16 +102,16 @@
 		return 0, ctx.Err()
 	}
 	if draw < faults.DropRate {
-		return 0, errAnswerLost
+		return 0, errResponseLost
 	}
 	draw -= faults.DropRate
 	if draw < faults.LateRate && draw >= 0 {
 		l.clock.AfterFunc(faults.LateDelay, func() { l.add(name, data) })
-		return 0, errAnswerLost
+		return 0, errResponseLost
 	}
 	offset := l.add(name, data)
-	if draw -= faults.LateRate; draw < faults.LostAnswerRate && draw >= 0 {
-		return 0, errAnswerLost
+	if draw -= faults.LateRate; draw < faults.LostResponseRate && draw >= 0 {
+		return 0, errResponseLost
 	}
 	return offset, nil
 }
--- a/pkg/fakes/platform.go
+++ b/pkg/fakes/platform.go
@@ -146,7 +146,7 @@
 // respond sends a value as JSON, or status 503 with an error. If the error is errAnswerLost it closes
 // the connection instead.
 func respond(w http.ResponseWriter, value any, err error) {
-	if errors.Is(err, errAnswerLost) {
+	if errors.Is(err, errResponseLost) {
 		closeConnection(w)
 		return
 	}
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -19,13 +19,13 @@
 	// initialRetryDelay is the time until the next read after one that has failed. It grows while the
 	// store refuses reads.
 	initialRetryDelay = 200 * time.Millisecond
-	// defaultAnswerTimeout bounds the time until the answer to a read starts, in addition to the wait
-	// that the read asks for, and the time between two parts of the answer. The store answers within
-	// a few milliseconds, and takes 70 times as long on a bad day. The duration of the whole answer
+	// defaultResponseTimeout bounds the time until the response to a read starts, in addition to the wait
+	// that the read asks for, and the time between two parts of the response. The store answers within
+	// a few milliseconds, and takes 70 times as long on a bad day. The duration of the whole response
 	// has no limit. In this time a link of 10 Mbit/s carries 600 KB of a configuration of 870 KB;
-	// when the whole answer was limited, 35 of 43 nodes read these 600 KB again and again and never
+	// when the whole response was limited, 35 of 43 nodes read these 600 KB again and again and never
 	// got the rest.
-	defaultAnswerTimeout = 600 * time.Millisecond
+	defaultResponseTimeout = 600 * time.Millisecond
 	// snapshotLag is the number of records that a feed with NewestOnly must be behind to read the
 	// newest record of each key instead. These records are a third larger, since they are sent in
 	// base64, but they are sent only once.
@@ -126,10 +126,10 @@
 }
 
 // Refresh cancels the read in flight, so that the stream is read again at once and over another
-// connection. Call it when there is a sign of new records. A read whose answer has started to arrive
-// goes on: the answer may be large, and would never arrive if it were requested again each time.
+// connection. Call it when there is a sign of new records. A read whose response has started to arrive
+// goes on: the response may be large, and would never arrive if it were requested again each time.
 func (f *Feed) Refresh() {
-	if r := f.pendingRead.Load(); r != nil && !idle.AnswerStarted(r.ctx) {
+	if r := f.pendingRead.Load(); r != nil && !idle.ResponseStarted(r.ctx) {
 		r.cancel(errRefreshed)
 	}
 }
@@ -145,7 +145,7 @@
 		wait = 0
 	}
 	requestedAt := f.Clock.Now()
-	limited, cancel := idle.WithTimeout(ctx, f.Clock, wait+f.retryPolicy.answerTimeout, defaultAnswerTimeout)
+	limited, cancel := idle.WithTimeout(ctx, f.Clock, wait+f.retryPolicy.responseTimeout, defaultResponseTimeout)
 	defer cancel(nil)
 	f.pendingRead.Store(&pendingRead{ctx: limited, cancel: cancel})
 	page, err := f.Store.Read(limited, f.options.Stream, f.next, wait)
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -16,7 +16,7 @@
 	"damsonwinch/pkg/metrics"
 )
 
-var errAnswerLost = errors.New("answer lost")
+var errResponseLost = errors.New("response lost")
 
 // fakeStore is a store with one keyed stream whose reads call the functions of the test.
 type fakeStore struct {
@@ -74,7 +74,7 @@
 		requests[after]++
 		end++
 		if requests[after] == 1 && after != "" {
-			return damsonwinch.KeyPage{}, errAnswerLost
+			return damsonwinch.KeyPage{}, errResponseLost
 		}
 		key := after + "k"
 		return damsonwinch.KeyPage{Records: []damsonwinch.Record{{Key: key}}, More: len(key) < pages, End: end}, nil
@@ -102,7 +102,7 @@
 			tries++
 			clock.Advance(time.Second)
 			if tries < 5 {
-				return damsonwinch.KeyPage{}, errAnswerLost
+				return damsonwinch.KeyPage{}, errResponseLost
 			}
 			return damsonwinch.KeyPage{Records: []damsonwinch.Record{{Key: "last"}}, End: 1}, nil
 		},
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestRefreshKeepsAnAnswerThatHasStarted checks that Refresh cancels only a read without any answer.
-func TestRefreshKeepsAnAnswerThatHasStarted(t *testing.T) {
-	started, answer, calls := make(chan bool), make(chan struct{}), 0
+// TestRefreshKeepsAResponseThatHasStarted checks that Refresh cancels only a read without any response.
+func TestRefreshKeepsAResponseThatHasStarted(t *testing.T) {
+	started, respond, calls := make(chan bool), make(chan struct{}), 0
 	store := &fakeStore{
 		newest: func(string) (damsonwinch.KeyPage, error) { return damsonwinch.KeyPage{End: 1}, nil },
 		read: func(ctx context.Context, from int) (damsonwinch.Page, error) {
@@ -168,7 +168,7 @@
 			select {
 			case <-ctx.Done():
 				return damsonwinch.Page{}, ctx.Err()
-			case <-answer:
+			case <-respond:
 				return damsonwinch.Page{Records: keyRecord("large"), End: from + 1}, nil
 			}
 		},
@@ -178,6 +178,6 @@
 	f.Refresh()
 	<-started
 	f.Refresh()
-	answer <- struct{}{}
+	respond <- struct{}{}
 	assert.Equal(t, <-received, "large")
 }
--- a/pkg/feed/overload_test.go
+++ b/pkg/feed/overload_test.go
@@ -80,7 +80,7 @@
 
 // TestOverloadedStoreServesAllReaders guards against a retry storm. A store of 80 MB/s that serves
 // 1.15 MB to each of 147 nodes answers most of them after their answer timeout. If all give up and
-// read again, the store first serves the reads that were given up, and no node ever gets its answer.
+// read again, the store first serves the reads that were given up, and no node ever gets its response.
 // This test has the same proportions at a smaller size: 8 MB/s, 100 readers and 240 KB, which takes
 // 3 s if nothing is read twice.
 func TestOverloadedStoreServesAllReaders(t *testing.T) {
--- a/pkg/feed/retry.go
+++ b/pkg/feed/retry.go
@@ -10,29 +10,29 @@
 	"damsonwinch/pkg/idle"
 )
 
-// retryPolicy holds how long a feed waits for the start of an answer, and how long it waits after a
+// retryPolicy holds how long a feed waits for the start of a response, and how long it waits after a
 // failed read. Both grow while the store is overloaded, because each read that is given up and sent
 // again makes the store serve the same records once more. Otherwise 147 feeds that read 1.15 MB each
 // from a store of 80 MB/s would never be served.
 type retryPolicy struct {
-	answerTimeout time.Duration
-	retryDelay    time.Duration
+	responseTimeout time.Duration
+	retryDelay      time.Duration
 }
 
 const (
-	// overloadAnswerTimeout is the answer timeout for a store that answers other calls. Such a store
+	// overloadResponseTimeout is the response timeout for a store that answers other calls. Such a store
 	// refuses a call that would wait for more than two seconds.
-	overloadAnswerTimeout = 2400 * time.Millisecond
+	overloadResponseTimeout = 2400 * time.Millisecond
 	// maxRetryDelay bounds the time between two reads that the store refuses, before jitter.
 	maxRetryDelay = 1600 * time.Millisecond
 )
 
 // newRetryPolicy returns the policy for a store that isn't overloaded.
 func newRetryPolicy() retryPolicy {
-	return retryPolicy{answerTimeout: defaultAnswerTimeout, retryDelay: initialRetryDelay}
+	return retryPolicy{responseTimeout: defaultResponseTimeout, retryDelay: initialRetryDelay}
 }
 
-// reset returns to the initial policy after an answer.
+// reset returns to the initial policy after a response.
 func (p *retryPolicy) reset() {
 	*p = newRetryPolicy()
 }
@@ -44,9 +44,9 @@
 func (p *retryPolicy) recordFailure(readCtx context.Context, err error, answeredOthers bool) {
 	switch {
 	case errors.Is(err, damsonwinch.ErrRefused):
-		p.answerTimeout, p.retryDelay = overloadAnswerTimeout, min(maxRetryDelay, 2*p.retryDelay)
-	case answeredOthers && errors.Is(context.Cause(readCtx), idle.ErrTimeout) && !idle.AnswerStarted(readCtx):
-		p.answerTimeout, p.retryDelay = overloadAnswerTimeout, initialRetryDelay
+		p.responseTimeout, p.retryDelay = overloadResponseTimeout, min(maxRetryDelay, 2*p.retryDelay)
+	case answeredOthers && errors.Is(context.Cause(readCtx), idle.ErrTimeout) && !idle.ResponseStarted(readCtx):
+		p.responseTimeout, p.retryDelay = overloadResponseTimeout, initialRetryDelay
 	default:
 		*p = newRetryPolicy()
 	}
--- a/pkg/feed/scan.go
+++ b/pkg/feed/scan.go
@@ -52,7 +52,7 @@
 
 // readPage reads the page after the last record.
 func (s *Scan) readPage(ctx context.Context) error {
-	limited, cancel := idle.WithTimeout(ctx, s.clock, s.retryPolicy.answerTimeout, defaultAnswerTimeout)
+	limited, cancel := idle.WithTimeout(ctx, s.clock, s.retryPolicy.responseTimeout, defaultResponseTimeout)
 	defer cancel(nil)
 	after := ""
 	if last := len(s.records) - 1; last >= 0 {
--- a/pkg/idle/idle.go
+++ b/pkg/idle/idle.go
@@ -1,5 +1,5 @@
 // Package idle limits how long a call may go without progress. A limit on the duration of the whole
-// call would limit the size of its answer: a large answer would never get through a slow link,
+// call would limit the size of its response: a large response would never get through a slow link,
 // however often the call is retried.
 package idle
 
@@ -24,17 +24,17 @@
 // watchdog cancels a context unless progress is reported to it in time.
 type watchdog struct {
 	timer clockwork.Timer
-	// startTimeout bounds the time until the answer starts to arrive, and gapTimeout the time
+	// startTimeout bounds the time until the response starts to arrive, and gapTimeout the time
 	// between two parts of it.
 	startTimeout time.Duration
 	gapTimeout   time.Duration
-	// answerStarted is set once the answer has started to arrive.
-	answerStarted atomic.Bool
+	// responseStarted is set once the response has started to arrive.
+	responseStarted atomic.Bool
 	// outer is the watchdog of the parent context, or nil.
 	outer *watchdog
 }
 
-// WithTimeout returns a context for one call. It is cancelled with ErrTimeout if the answer doesn't
+// WithTimeout returns a context for one call. It is cancelled with ErrTimeout if the response doesn't
 // start to arrive within startTimeout after the last part of the call was sent. After that it is
 // cancelled if no further part arrives for gapTimeout. Sent and Received report progress to the context.
 // Only ctx limits the duration of the whole call. The caller must call the cancel function.
@@ -59,18 +59,18 @@
 }
 
 // Received reports to the context of a call, and to the contexts from which it is derived, that a
-// part of the answer has arrived.
+// part of the response has arrived.
 func Received(ctx context.Context) {
 	for w := watchdogOf(ctx); w != nil; w = w.outer {
-		w.answerStarted.Store(true)
+		w.responseStarted.Store(true)
 		w.timer.Reset(w.gapTimeout)
 	}
 }
 
-// AnswerStarted reports whether the answer to a call has started to arrive.
-func AnswerStarted(ctx context.Context) bool {
+// ResponseStarted reports whether the response to a call has started to arrive.
+func ResponseStarted(ctx context.Context) bool {
 	w := watchdogOf(ctx)
-	return w != nil && w.answerStarted.Load()
+	return w != nil && w.responseStarted.Load()
 }
 
 // watchdogOf returns the watchdog of ctx or of the nearest context from which it is derived, or nil.
--- a/pkg/idle/idle_test.go
+++ b/pkg/idle/idle_test.go
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestCallIsCancelledWithoutAnAnswer(t *testing.T) {
+func TestCallIsCancelledWithoutAResponse(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := WithTimeout(t.Context(), clock, startTimeout, gapTimeout)
 	defer cancel(nil)
 	clock.Advance(startTimeout)
 	assert.Assert(t, cancelled(ctx))
 	assert.Assert(t, errors.Is(context.Cause(ctx), context.DeadlineExceeded))
-	assert.Assert(t, !AnswerStarted(ctx))
+	assert.Assert(t, !ResponseStarted(ctx))
 }
 
 func TestCallContinuesWhileItMakesProgress(t *testing.T) {
@@ -53,9 +53,9 @@
 		clock.Advance(step)
 	}
 	assert.NilError(t, ctx.Err())
-	assert.Assert(t, AnswerStarted(ctx))
+	assert.Assert(t, ResponseStarted(ctx))
 	clock.Advance(gapTimeout)
-	assert.Assert(t, cancelled(ctx), "the call is cancelled when its answer stops arriving")
+	assert.Assert(t, cancelled(ctx), "the call is cancelled when its response stops arriving")
 }
 
 // TestProgressOfInnerCallIsProgressOfOuterCall guards against the cancellation of a takeover that reads
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -18,7 +18,7 @@
 	ConfigReverted = "config_reverted"
 	// StateDiverged means that two processes applied the same records and got different states.
 	StateDiverged = "state_diverged"
-	// WrongAnswer means that a client got the answer to another request.
+	// WrongAnswer means that a client got the response to another request.
 	WrongAnswer = "wrong_answer"
 	// NotRunButSent means that a request was reported as "not run" after bytes of it had been sent to a box.
 	NotRunButSent = "not_run_but_sent"
--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -12,7 +12,7 @@
 )
 
 // The search below tries every order of events for one sender and the keepers of its zone, which may
-// release it. They share a log that accepts appends late, loses the answers to them or never accepts
+// release it. They share a log that accepts appends late, loses the responses to them or never accepts
 // them. The search models a network partition, in any direction, by reads or requests that don't happen,
 // and a suspended process by one that does nothing for a time.
 
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -212,7 +212,7 @@
 // maxReadySilence is how recently the store, or an owner that carried out a call, must have answered for the
 // node to be ready. Clients of a node that is cut off from both are sent to other nodes, and the load
 // balancer needs 2 s to notice. The node renews its membership at the store every 300 ms, and waits 600 ms
-// for an answer that is lost.
+// for a response that is lost.
 const maxReadySilence = 800 * time.Millisecond
 
 // View implements intake.Cells. It returns an empty view until the first one is known.
@@ -226,7 +226,7 @@
 	return owner, isLocal
 }
 
-// StoreAnsweredAt implements intake.Cells. Only answers to heartbeats and to reads of the claims count.
+// StoreAnsweredAt implements intake.Cells. Only responses to heartbeats and to reads of the claims count.
 func (n *Node) StoreAnsweredAt() time.Time {
 	return n.ownership.StoreAnsweredAt()
 }
--- a/pkg/node/operator.go
+++ b/pkg/node/operator.go
@@ -17,7 +17,7 @@
 // followOperator reads the operator's stream, through the relay, until the node is closed.
 func (n *Node) followOperator() error {
 	// wait is how long a read waits for new records. It is short because a configuration must be in force
-	// within 2 s, even if an answer is lost and the read has to be given up.
+	// within 2 s, even if a response is lost and the read has to be given up.
 	const wait = time.Second
 	deps := n.feedDeps()
 	deps.Store = n.relay
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -24,7 +24,7 @@
 	// move. If the store as a whole is unavailable, a move would fail too.
 	maxStoreSilence = 400 * time.Millisecond
 	// outageSilence is how long the store must have answered no call of this node for it to count as
-	// unavailable as a whole. A node calls the store every 0.3 s, and an answer may take 0.35 s.
+	// unavailable as a whole. A node calls the store every 0.3 s, and a response may take 0.35 s.
 	outageSilence = 750 * time.Millisecond
 	// outageRecoveryTime is how long after such an outage the cell doesn't move. A try of an append that
 	// was sent during the outage is given up after 0.8 s, and the next try is answered at once.
--- a/pkg/ownership/health.go
+++ b/pkg/ownership/health.go
@@ -21,9 +21,9 @@
 	// checkTimeout is how long the reply to a health check may take. It usually takes 5 ms, and has
 	// taken 250 ms from an overloaded node.
 	checkTimeout = 500 * time.Millisecond
-	// maxStoreAge is the time without an answer from the store after which an owner counts as cut off
+	// maxStoreAge is the time without a response from the store after which an owner counts as cut off
 	// from it. Such an owner can start nothing, so it isn't alive to others once the group doesn't list
-	// it. An owner sends the store a heartbeat every 300 ms, and a lost answer costs it another 600 ms.
+	// it. An owner sends the store a heartbeat every 300 ms, and a lost response costs it another 600 ms.
 	maxStoreAge = joinInterval + callTimeout
 )
 
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -43,10 +43,10 @@
 	// gone. They use slowMemberReadInterval, because each read costs bandwidth.
 	fastMemberReadInterval = 500 * time.Millisecond
 	slowMemberReadInterval = 2500 * time.Millisecond
-	// callTimeout limits a call to the store. A slower answer is of no use, because what it reports
+	// callTimeout limits a call to the store. A slower response is of no use, because what it reports
 	// is out of date.
 	callTimeout = 600 * time.Millisecond
-	// claimReadWait is how long a read of the claims waits for new records. Each answer, even an
+	// claimReadWait is how long a read of the claims waits for new records. Each response, even an
 	// empty one, also confirms that the node's own claims are still the newest.
 	claimReadWait = time.Second
 	// tickInterval is the longest time after which run checks again which calls are due.
@@ -83,7 +83,7 @@
 	// Layout is the division of the pools into cells. It is the zero value until one is decided.
 	Layout shard.Layout
 	// ConfirmedAt is when the newest answered read of the claims was sent. At that time no newer claims
-	// existed than those in Claims. It is zero until the first answer, and after a suspension until the
+	// existed than those in Claims. It is zero until the first response, and after a suspension until the
 	// next one.
 	ConfirmedAt time.Time
 }
@@ -232,7 +232,7 @@
 }
 
 // StoreAnsweredAt returns when the store last answered a heartbeat or a read of the claims. Before
-// the first answer it returns the start of 1970.
+// the first response it returns the start of 1970.
 func (o *Ownership) StoreAnsweredAt() time.Time {
 	return time.Unix(0, o.answeredAt.Load())
 }
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestPartitionWithUnknownReservationIsSkipped loses the answer to the append that reserves a
+// TestPartitionWithUnknownReservationIsSkipped loses the response to the append that reserves a
 // partition. The partition may be reserved, so the next one is used instead.
 func TestPartitionWithUnknownReservationIsSkipped(t *testing.T) {
 	store := newMemoryStore()
--- a/pkg/ownership/store_test.go
+++ b/pkg/ownership/store_test.go
@@ -49,7 +49,7 @@
 	return &memoryStore{appended: make(chan struct{}), topicCounts: map[string]int{}, replying: map[string]Member{}, cutOff: map[string]bool{}}
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 // locked calls a function that reads or changes the store, and holds the mutex meanwhile.
 func (s *memoryStore) locked(change func()) {
@@ -79,7 +79,7 @@
 	s.appends++
 	if s.failures > 0 {
 		s.failures--
-		return errNoAnswer
+		return errNoResponse
 	}
 	if at != len(s.claims) {
 		return damsonwinch.ErrConflict
@@ -206,7 +206,7 @@
 	defer s.mutex.Unlock()
 	member, replies := s.replying[address]
 	if !replies {
-		return wire.ClaimsReply{}, errNoAnswer
+		return wire.ClaimsReply{}, errNoResponse
 	}
 	reply := wire.ClaimsReply{Node: member.Node, Incarnation: member.Incarnation, AgeMs: int(time.Hour.Milliseconds())}
 	if s.cutOff[address] {
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -117,7 +117,7 @@
 		customers []string
 		err       error
 	}
-	orderAnswered struct { // The platform's answer to an order.
+	orderResultReceived struct { // The platform's response to an order.
 		order boxplan.Order
 		err   error
 	}
@@ -271,8 +271,8 @@
 		p.boxPlan.SetBoxes(m.requestedAt, m.boxes)
 	case appended:
 		return p.handleAppended(m)
-	case orderAnswered:
-		p.handleOrderAnswer(now, m)
+	case orderResultReceived:
+		p.handleOrderResult(now, m)
 	case waveReported:
 		delete(p.reportInFlight, m.wave)
 		if m.err == nil {
@@ -282,8 +282,8 @@
 	return nil
 }
 
-// handleOrderAnswer handles the platform's answer to an order. ErrStaleToken stops the planner.
-func (p *Planner) handleOrderAnswer(now time.Time, m orderAnswered) {
+// handleOrderResult handles the platform's response to an order. ErrStaleToken stops the planner.
+func (p *Planner) handleOrderResult(now time.Time, m orderResultReceived) {
 	fields := logrus.Fields{"box": m.order.Box, "pool": m.order.Pool, "wave": m.order.Wave}
 	if m.err != nil {
 		p.deps.Logger.WithError(m.err).WithFields(fields).Warn("order on box not carried out")
@@ -355,7 +355,7 @@
 		} else {
 			err = p.deps.Fleet.Move(ctx, issuer, order.Box, order.Pool)
 		}
-		p.send(orderAnswered{order: order, err: err})
+		p.send(orderResultReceived{order: order, err: err})
 		return nil
 	})
 }
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -310,7 +310,7 @@
 func TestAcceptedJobsSurviveStoreFaults(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit(jobID(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
-	for number, fault := range []standin.StoreFault{standin.FaultBusy, standin.FaultSilent, standin.FaultLostAnswers} {
+	for number, fault := range []standin.StoreFault{standin.FaultBusy, standin.FaultSilent, standin.FaultLostResponses} {
 		job := jobID(10 + number)
 		c.submit(job, standin.Work{Ms: 300}, standin.Phase{Count: 2, MilliCPU: 500, EstimatedMs: 300}, standin.Phase{Count: 1, DependsOn: []int{0}})
 		c.platform.SetStoreFault(fault)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -267,7 +267,7 @@
 // from the store, after a failed or unusable reply: the upstream node can't be reached, has stale data,
 // is behind the follower or sends records that can't be unpacked.
 func TestFollowerRejectsUnusableReplies(t *testing.T) {
-	for name, answer := range map[string]func(args wire.FollowArgs) (wire.FollowReply, error){
+	for name, respond := range map[string]func(args wire.FollowArgs) (wire.FollowReply, error){
 		"cut off": func(wire.FollowArgs) (wire.FollowReply, error) { return wire.FollowReply{}, errCut },
 		"stale reply": func(args wire.FollowArgs) (wire.FollowReply, error) {
 			return wire.FollowReply{Known: true, End: args.Next, AgeMs: 1501}, nil
@@ -287,7 +287,7 @@
 			calledAddresses := []string{}
 			f.follow = func(_ context.Context, address string, args wire.FollowArgs) (wire.FollowReply, error) {
 				calledAddresses = append(calledAddresses, address)
-				return answer(args)
+				return respond(args)
 			}
 			for range maxFailures {
 				_, err := r.Read(t.Context(), operatorStream, 1, 0)
--- a/pkg/stream/hedge.go
+++ b/pkg/stream/hedge.go
@@ -11,15 +11,15 @@
 
 // Small appends are hedged requests (Dean and Barroso, 2013): if a try isn't answered soon, the append
 // is sent again while the first try is still in flight. Without hedging, half of the jobs were late when
-// three in ten answers of the store were lost for 5 s: each commit waited 0.25 s or more for the next try.
+// three in ten responses of the store were lost for 5 s: each commit waited 0.25 s or more for the next try.
 const (
 	// minHedgeDelay is the shortest time between two tries while none has been answered. The store
-	// answers within 5 ms, and a busy node takes 20 ms to read the answer.
+	// answers within 5 ms, and a busy node takes 20 ms to read the response.
 	minHedgeDelay = 40 * time.Millisecond
 	// hedgeDelayFactor times the duration of the last successful try replaces minHedgeDelay if that
 	// product is longer. A store that becomes slow thus gets one additional try at first and none later.
 	hedgeDelayFactor = 4
-	// maxConcurrentTries bounds the tries in flight. If three in ten answers are lost, three tries
+	// maxConcurrentTries bounds the tries in flight. If three in ten responses are lost, three tries
 	// are all lost in 3 of 100 calls.
 	maxConcurrentTries = 3
 	// maxHedgedBytes bounds the size of the records of a hedged append. That many bytes take 60 ms on
@@ -48,7 +48,7 @@
 	}()
 	lastDuration := time.Duration(w.lastDuration.Load())
 	timeout, hedgeDelay, retryDelay := min(maxTimeout, max(minTimeout, timeoutFactor*lastDuration)), max(minHedgeDelay, hedgeDelayFactor*lastDuration), minRetryDelay
-	answers := make(chan error, maxConcurrentTries)
+	results := make(chan error, maxConcurrentTries)
 	timer := w.deps.Clock.NewTimer(0)
 	defer timer.Stop()
 	for inFlight := 0; ; {
@@ -62,7 +62,7 @@
 			inFlight++
 			limit := timeout
 			tries.Go(func() error {
-				answers <- w.try(ctx, limit, call)
+				results <- w.try(ctx, limit, call)
 				return nil
 			})
 			timeout = min(2*timeout, maxTimeout)
@@ -70,7 +70,7 @@
 				timer.Reset(hedgeDelay)
 				hedgeDelay *= 2
 			}
-		case err := <-answers:
+		case err := <-results:
 			inFlight--
 			if done, err := w.checkResult(ctx, err); done {
 				return err
--- a/pkg/stream/hedge_test.go
+++ b/pkg/stream/hedge_test.go
@@ -21,10 +21,10 @@
 	return clock.Since(started)
 }
 
-// TestLostAnswerIsHedged guards against appends that wait for a lost answer: while three in ten answers
+// TestLostResponseIsHedged guards against appends that wait for a lost response: while three in ten responses
 // were lost, commits that wait for each other took 0.4 s instead of 5 ms.
-func TestLostAnswerIsHedged(t *testing.T) {
-	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}, {silent: true}}}
+func TestLostResponseIsHedged(t *testing.T) {
+	store := &scriptedStore{responses: []scriptedResponse{{silent: true}, {silent: true}}}
 	took := appendTime(t, store)
 	assert.Assert(t, took >= 3*minHedgeDelay && took < minTimeout, "%v", took)
 	assert.Equal(t, len(store.fences), 3)
@@ -34,7 +34,7 @@
 // TestLargeAppendIsNotHedged checks that a large append is only retried after its timeout. On a slow
 // link it takes longer than the hedge delay, so that a second copy would only slow it down.
 func TestLargeAppendIsNotHedged(t *testing.T) {
-	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}}}
+	store := &scriptedStore{responses: []scriptedResponse{{silent: true}}}
 	took := appendTime(t, store, damsonwinch.Record{Key: "job", Value: make([]byte, maxHedgedBytes)})
 	assert.Assert(t, took >= minTimeout, "%v", took)
 	assert.Equal(t, len(store.fences), 2)
@@ -46,7 +46,7 @@
 	store := &scriptedStore{}
 	w := newWriter(store)
 	w.lastDuration.Store(int64(minHedgeDelay))
-	store.answers = []scriptedAnswer{{after: 2 * minHedgeDelay}}
+	store.responses = []scriptedResponse{{after: 2 * minHedgeDelay}}
 	assert.NilError(t, w.Append(context.Background(), nil, w.NextFence()))
 	assert.Equal(t, len(store.fences), 1)
 	assert.Equal(t, w.deps.Metrics.Count("store_hedges"), 0)
@@ -55,11 +55,11 @@
 // TestConcurrentTriesAreLimited checks that a store which doesn't answer gets no more than
 // maxConcurrentTries tries within a timeout.
 func TestConcurrentTriesAreLimited(t *testing.T) {
-	silent := make([]scriptedAnswer, 20)
+	silent := make([]scriptedResponse, 20)
 	for i := range silent {
 		silent[i].silent = true
 	}
-	store := &scriptedStore{answers: silent}
+	store := &scriptedStore{responses: silent}
 	ctx, cancel := context.WithTimeout(context.Background(), minTimeout)
 	defer cancel()
 	w := newWriter(store)
--- a/pkg/stream/writer_test.go
+++ b/pkg/stream/writer_test.go
@@ -14,21 +14,21 @@
 	"damsonwinch/pkg/metrics"
 )
 
-// scriptedAnswer says how the store answers one append.
-type scriptedAnswer struct {
+// scriptedResponse says how the store answers one append.
+type scriptedResponse struct {
 	err error
 	// silent means that the store doesn't answer. Otherwise it answers after the time after.
 	silent bool
 	after  time.Duration
 }
 
-// scriptedStore is a store that takes its answers to appends from a list, and accepts all further
+// scriptedStore is a store that takes its responses to appends from a list, and accepts all further
 // appends. It keeps the fences of all appends.
 type scriptedStore struct {
 	damsonwinch.Store
-	mutex   sync.Mutex
-	answers []scriptedAnswer
-	fences  []damsonwinch.Fence
+	mutex     sync.Mutex
+	responses []scriptedResponse
+	fences    []damsonwinch.Fence
 }
 
 func (s *scriptedStore) Append(ctx context.Context, _ damsonwinch.Stream, _ []damsonwinch.Record, fence damsonwinch.Fence) (int, error) {
@@ -42,15 +42,15 @@
 }
 
 // next stores the fence of an append and returns the next answer.
-func (s *scriptedStore) next(fence damsonwinch.Fence) scriptedAnswer {
+func (s *scriptedStore) next(fence damsonwinch.Fence) scriptedResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fences = append(s.fences, fence)
-	if len(s.answers) == 0 {
-		return scriptedAnswer{}
+	if len(s.responses) == 0 {
+		return scriptedResponse{}
 	}
-	next := s.answers[0]
-	s.answers = s.answers[1:]
+	next := s.responses[0]
+	s.responses = s.responses[1:]
 	return next
 }
 
@@ -66,7 +66,7 @@
 // TestAppendIsRetriedWithTheSameFence checks that a retry has the fence of the first try, by which the
 // store detects that it has carried out the append already.
 func TestAppendIsRetriedWithTheSameFence(t *testing.T) {
-	store := &scriptedStore{answers: []scriptedAnswer{{silent: true}, {err: damsonwinch.ErrRefused}}}
+	store := &scriptedStore{responses: []scriptedResponse{{silent: true}, {err: damsonwinch.ErrRefused}}}
 	w := newWriter(store)
 	fence := w.NextFence()
 	assert.NilError(t, w.Append(context.Background(), nil, fence))
@@ -77,11 +77,11 @@
 // TestSilentStoreIsRetriedSoon guards against long timeouts. A call that is sent during an outage of the
 // store is never answered. With a timeout of two seconds cells stay idle that long after the outage.
 func TestSilentStoreIsRetriedSoon(t *testing.T) {
-	silent := make([]scriptedAnswer, 5)
+	silent := make([]scriptedResponse, 5)
 	for i := range silent {
 		silent[i].silent = true
 	}
-	store := &scriptedStore{answers: silent}
+	store := &scriptedStore{responses: silent}
 	w := newWriter(store)
 	clock := clockwork.NewRealClock()
 	started := clock.Now()
@@ -92,7 +92,7 @@
 // TestFencedWriterReturnsErrOwnershipLost also checks that a writer doesn't retry after this error.
 func TestFencedWriterReturnsErrOwnershipLost(t *testing.T) {
 	for _, refusal := range []error{damsonwinch.ErrFenced, damsonwinch.ErrOutOfSequence} {
-		store := &scriptedStore{answers: []scriptedAnswer{{err: refusal}}}
+		store := &scriptedStore{responses: []scriptedResponse{{err: refusal}}}
 		w := newWriter(store)
 		_, err := w.TakeOver(context.Background())
 		assert.Assert(t, errors.Is(err, ErrOwnershipLost))
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -70,8 +70,8 @@
 	return f
 }
 
-// reply is the response that a client got.
-type reply struct {
+// clientResponse is the response that a client got.
+type clientResponse struct {
 	outcome    string
 	status     int
 	body       string
@@ -80,7 +80,7 @@
 }
 
 // call sends work to the first entry, which must respond.
-func (f *fixture) call(service string, work fakes.Work, header map[string]string) reply {
+func (f *fixture) call(service string, work fakes.Work, header map[string]string) clientResponse {
 	f.t.Helper()
 	body, err := json.Marshal(work)
 	assert.NilError(f.t, err)
@@ -88,7 +88,7 @@
 }
 
 // callWithBody sends a body to the first entry, which must respond.
-func (f *fixture) callWithBody(service string, body []byte, header map[string]string, nonce string) reply {
+func (f *fixture) callWithBody(service string, body []byte, header map[string]string, nonce string) clientResponse {
 	f.t.Helper()
 	return f.callNode(f.cluster.Nodes[0], service, body, header, nonce)
 }
@@ -167,7 +167,7 @@
 
 // callAfterOutcome repeats a request with the same key once the entry has recorded an
 // outcome in the log, or after 5 s.
-func (f *fixture) callAfterOutcome(service string, work fakes.Work, header map[string]string) reply {
+func (f *fixture) callAfterOutcome(service string, work fakes.Work, header map[string]string) clientResponse {
 	f.run.waitUntil(context.Background(), 5*time.Second, func() bool {
 		return f.cluster.Nodes[0].entryProcess.Metrics.Count("claim_outcomes") > 0
 	})
--- a/pkg/trial/helpers_test.go
+++ b/pkg/trial/helpers_test.go
@@ -43,7 +43,7 @@
 }
 
 // callNode sends a request to the entry of a node, which must respond.
-func (f *fixture) callNode(node *Node, service string, body []byte, header map[string]string, nonce string) reply {
+func (f *fixture) callNode(node *Node, service string, body []byte, header map[string]string, nonce string) clientResponse {
 	f.t.Helper()
 	response, err := f.tryCallNode(node, service, body, header)
 	assert.NilError(f.t, err)
@@ -53,7 +53,7 @@
 
 // tryCallNode sends a request to the entry of a node, which may end meanwhile: the
 // error says that there was no response.
-func (f *fixture) tryCallNode(node *Node, service string, body []byte, header map[string]string) (reply, error) {
+func (f *fixture) tryCallNode(node *Node, service string, body []byte, header map[string]string) (clientResponse, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+node.entry.HttpAddress+"/v1/run/"+service, bytes.NewReader(body))
 	assert.NilError(f.t, err)
 	for name, value := range header {
@@ -61,11 +61,11 @@
 	}
 	response, err := f.client.Do(request)
 	if err != nil {
-		return reply{}, err
+		return clientResponse{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	return reply{outcome: response.Header.Get(entry.HeaderOutcome), status: response.StatusCode, body: string(answer),
+	responseBody, err := io.ReadAll(response.Body)
+	return clientResponse{outcome: response.Header.Get(entry.HeaderOutcome), status: response.StatusCode, body: string(responseBody),
 		retryAfter: response.Header.Get("Retry-After")}, err
 }
 
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -52,7 +52,7 @@
 func TestRequestOverQuotaIsRefusedWithRetryAfter(t *testing.T) {
 	f := newFixture(t, smallUser())
 	customer := map[string]string{entry.HeaderCustomer: "small"}
-	first := make(chan reply, 1)
+	first := make(chan clientResponse, 1)
 	long := fakes.Work{Nonce: f.nonce(), WorkMs: 500}
 	f.runInBackground(func() { first <- f.call("view", long, customer) })
 	f.waitFor("the first request runs", func() bool { return f.cluster.Observations.Runs(long.Nonce) == 1 })
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -25,18 +25,18 @@
 	for range keys {
 		nonce := f.nonce()
 		var both errgroup.Group
-		answers := make([]reply, 2)
+		responses := make([]clientResponse, 2)
 		for i, node := range f.cluster.Nodes {
 			both.Go(func() error {
-				answers[i] = f.callNode(node, "pay", mustJSON(t, fakes.Work{Nonce: nonce, WorkMs: 1}), map[string]string{entry.HeaderIdempotencyKey: nonce}, nonce)
+				responses[i] = f.callNode(node, "pay", mustJSON(t, fakes.Work{Nonce: nonce, WorkMs: 1}), map[string]string{entry.HeaderIdempotencyKey: nonce}, nonce)
 				return nil
 			})
 		}
 		assert.NilError(t, both.Wait())
-		assert.Equal(t, f.cluster.Observations.Runs(nonce), 1, "%+v", answers)
-		statuses := []int{answers[0].status, answers[1].status}
-		assert.Assert(t, statuses[0] == http.StatusOK || statuses[1] == http.StatusOK, "%+v", answers)
-		assert.Assert(t, statuses[0] == http.StatusConflict || statuses[1] == http.StatusConflict, "%+v", answers)
+		assert.Equal(t, f.cluster.Observations.Runs(nonce), 1, "%+v", responses)
+		statuses := []int{responses[0].status, responses[1].status}
+		assert.Assert(t, statuses[0] == http.StatusOK || statuses[1] == http.StatusOK, "%+v", responses)
+		assert.Assert(t, statuses[0] == http.StatusConflict || statuses[1] == http.StatusConflict, "%+v", responses)
 	}
 }
 
@@ -83,11 +83,11 @@
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 1)
 }
 
-// TestRequestRunsIfAnswerToItsClaimIsLost: the log takes the claim but its answer is
+// TestRequestRunsIfResponseToItsClaimIsLost: the log takes the claim but its answer is
 // lost. The entry reads the claim back from the log.
-func TestRequestRunsIfAnswerToItsClaimIsLost(t *testing.T) {
+func TestRequestRunsIfResponseToItsClaimIsLost(t *testing.T) {
 	f := newFixture(t, smallUser())
-	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{LostAnswerRate: 1})
+	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{LostResponseRate: 1})
 	work := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
 
 	first := f.call("pay", work, map[string]string{entry.HeaderIdempotencyKey: "k"})
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -86,7 +86,7 @@
 		return "healed"
 	case 4:
 		faults := fakes.LogFaults{
-			Down: random.IntN(3) == 0, LostAnswerRate: random.Float64() / 3, DropRate: random.Float64() / 5, LateRate: random.Float64() / 5,
+			Down: random.IntN(3) == 0, LostResponseRate: random.Float64() / 3, DropRate: random.Float64() / 5, LateRate: random.Float64() / 5,
 			LateDelay: time.Duration(random.IntN(4000)) * time.Millisecond, AppendDelay: time.Duration(random.IntN(200)) * time.Millisecond,
 		}
 		f.cluster.Platform.Log.SetFaults(faults)
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -332,7 +332,7 @@
 	r.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	r.logStep("the log is down")
 	r.waitPercent(ctx, 8)
-	r.cluster.Platform.Log.SetFaults(fakes.LogFaults{LostAnswerRate: 0.05})
+	r.cluster.Platform.Log.SetFaults(fakes.LogFaults{LostResponseRate: 0.05})
 	r.logStep("the log is back and loses one answer in twenty")
 	r.waitPercent(ctx, 4)
 	return nil
--- a/store.go
+++ b/store.go
@@ -34,7 +34,7 @@
 	Producer string
 	Epoch    int
 	// Sequence rises by one with each append of an epoch. If an append repeats one of the last
-	// five sequence numbers, the store returns the answer to the first one again.
+	// five sequence numbers, the store returns the response to the first one again.
 	Sequence int
 }
 
@@ -96,10 +96,10 @@
 	ErrRefused = errors.New("refused, nothing was done")
 )
 
-// PartialError means that a call ended after a part of its answer had arrived: the peer was slow
-// or the answer large, but the peer was not silent.
+// PartialError means that a call ended after a part of its response had arrived: the peer was slow
+// or the response large, but the peer was not silent.
 type PartialError struct {
-	// Received is the number of bytes of the answer that had arrived.
+	// Received is the number of bytes of the response that had arrived.
 	Received int
 	// Err is the error that ended the call.
 	Err error
@@ -107,7 +107,7 @@
 
 // Error returns the number of bytes received and the error that ended the call.
 func (e *PartialError) Error() string {
-	return fmt.Sprintf("after %d bytes of the answer: %v", e.Received, e.Err)
+	return fmt.Sprintf("after %d bytes of the response: %v", e.Received, e.Err)
 }
 
 // Unwrap returns the error that ended the call.
