--- a/pkg/cell/batches.go
+++ b/pkg/cell/batches.go
@@ -11,7 +11,7 @@
 const recordOverhead = 16
 
 // Batches splits a commit into appends of at most maxBytes each, as far as that is possible: the
-// records of a job stay together. The store always rejects a larger call, and a commit may become
+// records of a job stay together. The store always refuses a larger call, and a commit may become
 // larger while the store is down: 500 jobs with specifications of 4 KB are 2 MB. If only some of
 // the batches are appended, the jobs in the others stay in the stream as they were before.
 func (c Commit) Batches(maxBytes int) [][]damsonwinch.Record {
--- a/pkg/cell/batches_test.go
+++ b/pkg/cell/batches_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestLargeCommitIsSplitBetweenJobs guards against a commit that can never be appended. The store
-// always rejects a call of more than 2 MB, and the changes that accumulate while it is down may be
+// always refuses a call of more than 2 MB, and the changes that accumulate while it is down may be
 // larger.
 func TestLargeCommitIsSplitBetweenJobs(t *testing.T) {
 	const maxBytes, jobs, textBytes = 100_000, 200, 4000
--- a/pkg/cell/permits.go
+++ b/pkg/cell/permits.go
@@ -13,7 +13,7 @@
 	// time that the call takes, and the time targets of phases assume a call for 30 endpoints.
 	maxEndpointsPerCall = 30
 	// maxPermitCalls is the highest number of calls in flight. The service handles one call at a
-	// time from each node and rejects calls when 32 are waiting, including those of other cells on
+	// time from each node and refuses calls when 32 are waiting, including those of other cells on
 	// this node.
 	maxPermitCalls = 6
 	// permitMargin is the part of a permit's validity that is kept for the start request to arrive.
--- a/pkg/cell/sim_crash_test.go
+++ b/pkg/cell/sim_crash_test.go
@@ -83,7 +83,7 @@
 // nor expired leases.
 //
 // Here two jobs with such a task run beside forty sound jobs, with crashes, network cuts, new
-// owners and rejected calls to the store. A task that has crashed three endpoints must be started
+// owners and refused calls to the store. A task that has crashed three endpoints must be started
 // fewer than three times after that. Both jobs must end, but a long-running one must go on with its
 // other tasks. The tasks of sound jobs often lose their endpoints; at most one sound job in a
 // thousand may be given up.
--- a/pkg/cell/sim_faults_test.go
+++ b/pkg/cell/sim_faults_test.go
@@ -138,7 +138,7 @@
 		w.crashBox(box)
 	case 8:
 		stream := len(w.streams) - 1
-		w.logf("the store rejects calls for stream %d", stream)
+		w.logf("the store refuses calls for stream %d", stream)
 		w.streamDown[stream] = true
 		w.after(w.randomDuration(100*time.Millisecond, 5*time.Second), func() { delete(w.streamDown, stream) })
 	}
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -218,7 +218,7 @@
 			return
 		}
 		if o.cutOffFromStore || w.streamDown[o.stream] || w.chance(0.05) {
-			// The call gets lost on its way, or the store rejects it.
+			// The call gets lost on its way, or the store refuses it.
 			w.after(250*time.Millisecond, send)
 			return
 		}
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -58,7 +58,7 @@
 	mutation mutation
 	rules    *rules
 	// streams holds the cell's streams. The last one is the newest and in use. streamDown says, by
-	// index, for which of them the store rejects calls.
+	// index, for which of them the store refuses calls.
 	streams    []*simStream
 	streamDown map[int]bool
 	// endpoints holds all lives of endpoints, and owners all owners, both in order of their starts.
@@ -246,7 +246,7 @@
 	return &simStream{newest: map[string][]byte{}}
 }
 
-// append works as in the store: it appends all records or none, rejects earlier epochs, and appends
+// append works as in the store: it appends all records or none, refuses earlier epochs, and appends
 // each sequence number once.
 func (s *simStream) append(epoch, sequence int, records []damsonwinch.Record) error {
 	switch {
--- a/pkg/cell/snapshot.go
+++ b/pkg/cell/snapshot.go
@@ -18,7 +18,7 @@
 }
 
 // Snapshot returns records that hold the present state of the cell, for another stream, so that the
-// cell can continue there while the store rejects calls for its own stream. After that, Committed
+// cell can continue there while the store refuses calls for its own stream. After that, Committed
 // must not be called, because its effects are not in the snapshot.
 //
 // Jobs that were never sent to the store are left out. They may still be refused, and a refused job
--- a/pkg/owner/move.go
+++ b/pkg/owner/move.go
@@ -66,7 +66,7 @@
 	if storeSilence > outageSilence {
 		o.move.storeOutageAt = now
 	}
-	if o.move.frozen || now.Sub(o.move.attemptedAt) < moveRetryInterval || !o.appendRejected(now) || storeSilence > maxStoreSilence || now.Sub(o.move.storeOutageAt) < outageRecoveryTime {
+	if o.move.frozen || now.Sub(o.move.attemptedAt) < moveRetryInterval || !o.appendRefused(now) || storeSilence > maxStoreSilence || now.Sub(o.move.storeOutageAt) < outageRecoveryTime {
 		return
 	}
 	o.move.attemptedAt = now
@@ -75,16 +75,16 @@
 	o.deps.ReservePartition(func(number int) { o.send(partitionReserved{number: number}) })
 }
 
-// appendRejected reports whether the append in flight is old enough, and has failed often enough, for the cell
+// appendRefused reports whether the append in flight is old enough, and has failed often enough, for the cell
 // to move.
-func (o *Owner) appendRejected(now time.Time) bool {
+func (o *Owner) appendRefused(now time.Time) bool {
 	return o.cell.CommitAge(now) >= minCommitAge && o.writer.FailedTries() >= minFailedTries
 }
 
 // apply writes a snapshot of the cell to the reserved partition, unless the store has accepted the append
 // in the meantime.
 func (m partitionReserved) apply(o *Owner, now time.Time) {
-	if o.move.frozen || !o.appendRejected(now) {
+	if o.move.frozen || !o.appendRefused(now) {
 		return
 	}
 	o.move.frozen, o.move.attemptedAt = true, now
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -16,7 +16,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// partialOutageStore rejects appends to partition 0 and accepts those to all others.
+// partialOutageStore refuses appends to partition 0 and accepts those to all others.
 type partialOutageStore struct {
 	damsonwinch.Store
 	recordsWritten atomic.Int64
@@ -26,7 +26,7 @@
 	slow bool
 }
 
-var errAppendRejected = errors.New("append rejected")
+var errAppendRefused = errors.New("append refused")
 
 // Append implements damsonwinch.Store.
 func (s *partialOutageStore) Append(ctx context.Context, at damsonwinch.Stream, records []damsonwinch.Record, _ damsonwinch.Fence) (int, error) {
@@ -35,7 +35,7 @@
 		return 0, ctx.Err()
 	}
 	if at.Partition == 0 {
-		return 0, errAppendRejected
+		return 0, errAppendRefused
 	}
 	s.recordsWritten.Add(int64(len(records)))
 	return 0, nil
@@ -86,9 +86,9 @@
 // applyNext waits for the next message and applies it.
 func (f *ownerFixture) applyNext() { (<-f.inbox).apply(f.Owner, f.clock.Now()) }
 
-// waitUntilRejected waits until the append has failed often enough, and advances the clock until the append
+// waitUntilRefused waits until the append has failed often enough, and advances the clock until the append
 // is old enough, for the cell to move.
-func (f *ownerFixture) waitUntilRejected(t *testing.T) {
+func (f *ownerFixture) waitUntilRefused(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	for f.writer.FailedTries() < minFailedTries {
 		assert.NilError(t, t.Context().Err())
@@ -99,9 +99,9 @@
 
 // If the commit in flight succeeds after the snapshot was taken, its effects must not be carried out,
 // because the snapshot doesn't include them.
-func TestCellMovesWhenItsPartitionRejectsAppends(t *testing.T) {
+func TestCellMovesWhenItsPartitionRefusesAppends(t *testing.T) {
 	f := newFixture(t, &partialOutageStore{})
-	f.waitUntilRejected(t)
+	f.waitUntilRefused(t)
 	f.maybeStartMove(f.clock.Now())
 	f.applyNext()
 	f.applyNext()
@@ -120,7 +120,7 @@
 // that succeeded meanwhile are then carried out.
 func TestMoveIsAbortedIfPartitionHoldsRecords(t *testing.T) {
 	f := newFixture(t, &partialOutageStore{occupied: true})
-	f.waitUntilRejected(t)
+	f.waitUntilRefused(t)
 	f.maybeStartMove(f.clock.Now())
 	f.applyNext()
 	committed{number: 1}.apply(f.Owner, f.clock.Now())
@@ -140,7 +140,7 @@
 	f.maybeStartMove(f.clock.Now())
 	assert.Equal(t, len(f.reserved), 0, "the append has not been in flight for long enough")
 
-	f.waitUntilRejected(t)
+	f.waitUntilRefused(t)
 	answered := f.clock.Now().Add(-2 * maxStoreSilence)
 	f.deps.StoreAnsweredAt = func() time.Time { return answered }
 	f.maybeStartMove(f.clock.Now())
@@ -162,7 +162,7 @@
 // second and left the outcome of 700 clients' calls unknown.
 func TestCellDoesNotMoveRightAfterStoreOutage(t *testing.T) {
 	f := newFixture(t, &partialOutageStore{})
-	f.waitUntilRejected(t)
+	f.waitUntilRefused(t)
 	answered := f.clock.Now().Add(-2 * maxStoreSilence)
 	f.deps.StoreAnsweredAt = func() time.Time { return answered }
 	f.maybeStartMove(f.clock.Now())
@@ -173,7 +173,7 @@
 	assert.Equal(t, len(f.reserved), 0, "the store has only just recovered")
 	f.clock.Advance(outageRecoveryTime / 2)
 	f.maybeStartMove(f.clock.Now())
-	assert.Equal(t, len(f.reserved), 1, "the partition still rejects appends")
+	assert.Equal(t, len(f.reserved), 1, "the partition still refuses appends")
 }
 
 // On a slow link 2 MB of records take 1.6 s, and a snapshot of the cell would take even longer.
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -122,10 +122,10 @@
 	assert.Equal(t, status, http.StatusGone, "the job is hidden after its end too")
 }
 
-// TestRevokedKeyIsRejectedAndItsJobRunsOn replaces a customer's key. Calls with the old key are
+// TestRevokedKeyIsRefusedAndItsJobRunsOn replaces a customer's key. Calls with the old key are
 // rejected. The job that was submitted with it runs on, and the new key gives access to it, even
 // after another node has taken over its cell.
-func TestRevokedKeyIsRejectedAndItsJobRunsOn(t *testing.T) {
+func TestRevokedKeyIsRefusedAndItsJobRunsOn(t *testing.T) {
 	c := newClusterWithCustomers(t, 3)
 	c.submit(jobID(0), standin.Work{Ms: 3000}, oneTask)
 	c.configureCustomers(3, []string{bakeryNewKey}, []string{millKey})
