--- a/pkg/apportion/apportion.go
+++ b/pkg/apportion/apportion.go
@@ -5,11 +5,11 @@
 
 import "slices"
 
-// Apportion divides a total in proportion to weights, by the largest remainder method: each share
-// is rounded down, and the units that are left go to the shares with the largest remainders, one each.
-// Of equal remainders the first comes first. The shares are 0 if all weights are, or if the total isn't
-// positive. Weights must not be negative.
-func Apportion(total int, weights []int) []int {
+// Shares returns the shares of a total that are proportional to weights, one for each weight, by the largest
+// remainder method: each share is rounded down, and the units that are left go to the shares with the largest
+// remainders, one each. Of equal remainders the first comes first. The shares are 0 if all weights are, or if
+// the total is not positive. Weights must not be negative.
+func Shares(total int, weights []int) []int {
 	sum := 0
 	for _, weight := range weights {
 		sum += weight
@@ -34,11 +34,11 @@
 	return shares
 }
 
-// Share returns the share that Apportion gives to the process with the given index in weights, 0 for an
+// Share returns the share that Shares gives to the process with the given index in weights, 0 for an
 // index out of range.
 func Share(total int, weights []int, index int) int {
 	if index < 0 || index >= len(weights) {
 		return 0
 	}
-	return Apportion(total, weights)[index]
+	return Shares(total, weights)[index]
 }
--- a/pkg/apportion/apportion_test.go
+++ b/pkg/apportion/apportion_test.go
@@ -19,7 +19,7 @@
 		}
 		total := random.IntN(300)
 		got := 0
-		for i, share := range Apportion(total, weights) {
+		for i, share := range Shares(total, weights) {
 			got += share
 			assert.Assert(t, sum == 0 || share >= total*weights[i]/sum && share <= total*weights[i]/sum+1, "seed %d round %d", seed, round)
 		}
@@ -28,7 +28,7 @@
 }
 
 func TestSharesAreProportionalToWeights(t *testing.T) {
-	assert.DeepEqual(t, Apportion(10, []int{1, 1, 1}), []int{4, 3, 3})
-	assert.DeepEqual(t, Apportion(7, []int{8, 0, 8}), []int{4, 0, 3})
+	assert.DeepEqual(t, Shares(10, []int{1, 1, 1}), []int{4, 3, 3})
+	assert.DeepEqual(t, Shares(7, []int{8, 0, 8}), []int{4, 0, 3})
 	assert.Equal(t, Share(10, []int{1, 1}, 2), 0)
 }
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -44,8 +44,8 @@
 	Settings   settings.Keeper
 	Clock      damsonwinch.Clock
 	Log        damsonwinch.Log
-	List       damsonwinch.BoxLister
-	Boxes      damsonwinch.BoxControl
+	BoxLister  damsonwinch.BoxLister
+	BoxControl damsonwinch.BoxControl
 	Dial       damsonwinch.Dial
 	Listener   net.Listener
 	Logger     logrus.FieldLogger
--- a/pkg/keeper/list.go
+++ b/pkg/keeper/list.go
@@ -112,7 +112,7 @@
 func (k *Keeper) readList(ctx context.Context, zone string) {
 	readCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	boxes, err := k.deps.List.Boxes(readCtx, zone)
+	boxes, err := k.deps.BoxLister.Boxes(readCtx, zone)
 	if err != nil {
 		k.deps.Metrics.Add("list_failures", 1)
 		return
--- a/pkg/keeper/maintenance.go
+++ b/pkg/keeper/maintenance.go
@@ -105,7 +105,7 @@
 	k.group.Go(func() error {
 		maintainCtx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 		defer cancel()
-		err := k.deps.Boxes.Maintain(maintainCtx, name)
+		err := k.deps.BoxControl.Maintain(maintainCtx, name)
 		k.send(ctx, maintainedMessage{box: name, err: err})
 		return nil
 	})
--- a/pkg/process/keeper.go
+++ b/pkg/process/keeper.go
@@ -43,7 +43,7 @@
 	set, checker := newMetrics(env)
 	client := platform.New(config.Platform, env.Dial)
 	started, err := keeper.New(keeper.Deps{
-		Settings: keeperWithDefaults(config), Clock: env.Clock, Log: client, List: client, Boxes: client, Dial: env.Dial,
+		Settings: keeperWithDefaults(config), Clock: env.Clock, Log: client, BoxLister: client, BoxControl: client, Dial: env.Dial,
 		Listener: listeners[0], Logger: env.Logger.WithField("keeper", config.Node), Metrics: set, Invariants: checker, InitialState: initialState, PlanOptions: options,
 	})
 	if err != nil {
