--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -149,16 +149,16 @@
 	optionsChanged struct{ options Options }
 )
 
-// inboxSize is how many messages can wait while the main goroutine is busy. A feed blocks while the inbox
+// inboxCapacity is how many messages can wait while the main goroutine is busy. A feed blocks while the inbox
 // is full.
-const inboxSize = 64
+const inboxCapacity = 64
 
 // New starts a node. Other nodes can call it when New returns.
 func New(deps Deps, options Options) (*Node, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	n := &Node{
-		deps: deps, options: options, inbox: make(chan any, inboxSize), group: group, ctx: ctx, cancel: cancel,
+		deps: deps, options: options, inbox: make(chan any, inboxCapacity), group: group, ctx: ctx, cancel: cancel,
 		done: make(chan struct{}), wakeEndpointFeed: make(chan struct{}, 1), wakePlacementFeed: make(chan struct{}, 1),
 		state: state{registry: newRegistry(deps.Platform.DecodeEndpoint), placements: newPlacements(), stoppedTokens: map[string]int{}, waves: map[int]damsonwinch.Wave{}},
 	}
--- a/pkg/owner/move_test.go
+++ b/pkg/owner/move_test.go
@@ -66,7 +66,7 @@
 	f := &ownerFixture{Owner: newUnstartedOwner(clock), clock: clock, store: store, replies: make(chan wire.JobReply, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
 	f.group, f.ctx = errgroup.WithContext(ctx)
-	f.cancel, f.inbox = cancel, make(chan message, inboxSize)
+	f.cancel, f.inbox = cancel, make(chan message, inboxCapacity)
 	f.deps.Store = f.store
 	f.deps.StoreAnsweredAt = clock.Now
 	f.deps.ReservePartition = func(onReserved func(int)) { f.reserved = append(f.reserved, 0); onReserved(len(f.reserved)) }
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -21,9 +21,9 @@
 	"damsonwinch/pkg/workers"
 )
 
-// inboxSize is how many messages can wait while the owner's goroutine is busy. A sender blocks while
+// inboxCapacity is how many messages can wait while the owner's goroutine is busy. A sender blocks while
 // the inbox is full.
-const inboxSize = 256
+const inboxCapacity = 256
 
 // Deps are the dependencies of an Owner.
 type Deps struct {
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	o := &Owner{
-		deps: deps, options: options, cell: cell.New(options.CellOptions, options.Token), inbox: make(chan message, inboxSize),
+		deps: deps, options: options, cell: cell.New(options.CellOptions, options.Token), inbox: make(chan message, inboxCapacity),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, requestPool: workers.New(ctx, group), ctx: ctx, cancel: cancel, pendingCalls: map[int]chan<- wire.JobReply{},
 		ready: make(chan struct{}), done: make(chan struct{}), suspendedBefore: deps.SuspendedTime.Total(),
@@ -216,7 +216,7 @@
 func (o *Owner) applyMessages(m message) {
 	for applied := 1; ; applied++ {
 		m.apply(o, o.deps.Clock.Now())
-		if applied >= inboxSize {
+		if applied >= inboxCapacity {
 			return
 		}
 		select {
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -32,7 +32,7 @@
 	// list grows with the fleet and has 1.7 MB for 5,800 boxes.
 	callTimeout     = 800 * time.Millisecond
 	poolLogInterval = time.Second // Between two log lines on the pools.
-	inboxSize       = 64          // Messages.
+	inboxCapacity   = 64          // Messages.
 )
 
 // Deps are the dependencies of a Planner.
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	p := &Planner{
-		deps: deps, options: options, boxPlan: boxplan.New(options.BoxPlanOptions), allocator: quota.NewAllocator(), inbox: make(chan any, inboxSize),
+		deps: deps, options: options, boxPlan: boxplan.New(options.BoxPlanOptions), allocator: quota.NewAllocator(), inbox: make(chan any, inboxCapacity),
 		writer: stream.New(stream.Deps{Store: deps.Store, Clock: deps.Clock, Metrics: deps.Metrics}, options.Stream, options.Cell, options.Token),
 		group:  group, ctx: ctx, cancel: cancel, done: make(chan struct{}), syncInFlight: map[string]bool{}, syncedAt: map[string]time.Time{}, reportInFlight: map[int]bool{},
 		suspendedBefore: deps.SuspendedTime.Total(),
