--- a/pkg/quota/allocate.go
+++ b/pkg/quota/allocate.go
@@ -298,8 +298,8 @@
 		if !reported || row.largest[kind] == 0 || row.neededForLargest(kind, c.cap[kind]) <= s.want {
 			continue
 		}
-		turn, chosenTurn := c.lastTurns[s.cell], c.lastTurns[c.reserved.cell]
-		if c.reserved.cell == "" || turn < chosenTurn || turn == chosenTurn && row.largest[kind] > c.reserved.report.largest[kind] {
+		number, chosenNumber := c.lastReservations[s.cell], c.lastReservations[c.reserved.cell]
+		if c.reserved.cell == "" || number < chosenNumber || number == chosenNumber && row.largest[kind] > c.reserved.report.largest[kind] {
 			c.reserved = reservation{cell: s.cell, kind: kind, report: row}
 		}
 	}
@@ -324,8 +324,8 @@
 	}
 	expired := !c.reserved.fitsSince.IsZero() && now.Sub(c.reserved.fitsSince) >= reservationTime
 	if !reported || started || expired || c.cap[kind] == 0 {
-		c.turn++
-		c.lastTurns[c.reserved.cell] = c.turn
+		c.reservationCount++
+		c.lastReservations[c.reserved.cell] = c.reservationCount
 		c.reserved = reservation{}
 	}
 }
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -42,11 +42,12 @@
 	// or more. A cell without a report needs no more than it has.
 	reports map[string]report
 	// reserved is the capacity that is reserved in a cell for a large task, whatever that leaves
-	// for the other cells. Reservations are numbered: turn is the number of the last one that has
-	// ended, and lastTurns holds the number of each cell's last one.
-	reserved  reservation
-	lastTurns map[string]int
-	turn      int
+	// for the other cells. Reservations are numbered in the order in which they end:
+	// reservationCount is the number of those that have ended, and lastReservations holds the number of
+	// the last one of each cell.
+	reserved         reservation
+	lastReservations map[string]int
+	reservationCount int
 	// mustRecordUnknown is set when the cap on a kind of resource was removed. The limits of that
 	// kind must be recorded as unknown before cells are told that there is no cap any more.
 	mustRecordUnknown bool
@@ -78,7 +79,7 @@
 func (a *Allocator) stateOf(customer string) *customerState {
 	state := a.customers[customer]
 	if state == nil {
-		state = &customerState{limits: map[string]amounts{}, targets: map[string]amounts{}, reports: map[string]report{}, changedTargets: map[string]bool{}, lastTurns: map[string]int{}, deferredUsed: map[string]amounts{}}
+		state = &customerState{limits: map[string]amounts{}, targets: map[string]amounts{}, reports: map[string]report{}, changedTargets: map[string]bool{}, lastReservations: map[string]int{}, deferredUsed: map[string]amounts{}}
 		a.customers[customer] = state
 	}
 	return state
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -38,10 +38,10 @@
 	// maxReplyAge is how recently the store must have confirmed the data of a reply for a follower to
 	// use it. An upstream node asks the store once a second.
 	maxReplyAge = 1500 * time.Millisecond
-	// maxFailures is the number of consecutive failures after which a follower reads from the
+	// maxFailuresInRow is the number of consecutive failures after which a follower reads from the
 	// store, for directPeriod.
-	maxFailures  = 2
-	directPeriod = 5 * time.Second
+	maxFailuresInRow = 2
+	directPeriod     = 5 * time.Second
 )
 
 // Deps holds the dependencies of a relay.
@@ -68,11 +68,11 @@
 	tail   *tail
 
 	mutex sync.Mutex
-	// failures counts consecutive failed calls, and shift counts all failed calls: each makes this
+	// failuresInRow counts consecutive failed calls, and totalFailures counts all failed calls: each makes this
 	// node choose the next upstream node. Until directUntil this node reads from the store.
-	failures    int
-	shift       int
-	directUntil time.Time
+	failuresInRow int
+	totalFailures int
+	directUntil   time.Time
 }
 
 // New returns the relay of the node self for a stream.
@@ -157,7 +157,7 @@
 	if slices.ContainsFunc(upstreams, func(m ownership.Member) bool { return m.Node == r.self.Node }) {
 		return "", false
 	}
-	index := (xxhash.Sum64String(r.self.Node) + uint64(r.shift)) % uint64(len(upstreams))
+	index := (xxhash.Sum64String(r.self.Node) + uint64(r.totalFailures)) % uint64(len(upstreams))
 	return upstreams[index].Address, true
 }
 
@@ -184,7 +184,7 @@
 	r.deps.Metrics.Add("relay_reads", 1)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.failures = 0
+	r.failuresInRow = 0
 	return reply, records, nil
 }
 
@@ -201,17 +201,17 @@
 	return nil
 }
 
-// recordFailure makes the next read go to another upstream node, or to the store after maxFailures
-// consecutive failures. It logs err and returns it with the stream and the address.
+// recordFailure makes the next read go to another upstream node, or to the store after
+// maxFailuresInRow consecutive failures. It logs err and returns it with the stream and the address.
 func (r *Relay) recordFailure(address string, err error) error {
 	r.deps.Metrics.Add("relay_failures", 1)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.failures++
-	r.shift++
-	logger := r.deps.Logger.WithError(err).WithFields(logrus.Fields{"stream": r.stream.String(), "peer": address, "failures": r.failures})
-	if r.failures >= maxFailures {
-		r.failures, r.directUntil = 0, r.deps.Clock.Now().Add(directPeriod)
+	r.failuresInRow++
+	r.totalFailures++
+	logger := r.deps.Logger.WithError(err).WithFields(logrus.Fields{"stream": r.stream.String(), "peer": address, "failures": r.failuresInRow})
+	if r.failuresInRow >= maxFailuresInRow {
+		r.failuresInRow, r.directUntil = 0, r.deps.Clock.Now().Add(directPeriod)
 		logger.Warn("upstream nodes failed, stream is read from the store for a while")
 	} else {
 		logger.Info("upstream node failed, stream is read from another node")
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -289,7 +289,7 @@
 				calledAddresses = append(calledAddresses, address)
 				return respond(args)
 			}
-			for range maxFailures {
+			for range maxFailuresInRow {
 				_, err := r.Read(t.Context(), operatorStream, 1, 0)
 				assert.ErrorContains(t, err, "follow keyed.operator/0 at node-")
 			}
@@ -298,7 +298,7 @@
 			page, err := r.Read(t.Context(), operatorStream, 1, 0)
 			assert.NilError(t, err)
 			assert.Equal(t, string(page.Records[0].Value), "two")
-			assert.Equal(t, len(calledAddresses), maxFailures)
+			assert.Equal(t, len(calledAddresses), maxFailuresInRow)
 			clock.Advance(directPeriod)
 			_, relayed := r.upstream()
 			assert.Assert(t, relayed, "the node reads from an upstream node again")
