--- a/pkg/boxplan/box.go
+++ b/pkg/boxplan/box.go
@@ -73,9 +73,9 @@
 	// inFlight says that a call to the platform is in progress; sentAt is when the newest began.
 	inFlight bool
 	sentAt   time.Time
-	// lifeEnded says that a list has shown the box not up, so that the life which the order ends
+	// lifeExited says that a list has shown the box not up, so that the life which the order ends
 	// is over. A later life may have the same ID.
-	lifeEnded bool
+	lifeExited bool
 }
 
 // SetBoxes sets the boxes to those of a list of the platform. The list was requested at requestedAt
@@ -100,7 +100,7 @@
 			b.life = damsonwinch.Life{ID: info.EndpointID}
 		}
 		if b.issued != nil && info.State != damsonwinch.BoxUp {
-			b.issued.lifeEnded = true
+			b.issued.lifeExited = true
 		}
 		p.updateShard(b)
 		p.clearCompletedOrder(b, requestedAt)
@@ -155,8 +155,8 @@
 	if o == nil || requestedAt.Before(o.updatedAt) || b.info.State != damsonwinch.BoxUp {
 		return
 	}
-	lifeEnded := o.lifeEnded || !b.life.MayBeSame(o.Life)
-	if o.inherited && (lifeEnded || b.info.Pool == o.Pool) {
+	lifeExited := o.lifeExited || !b.life.MayBeSame(o.Life)
+	if o.inherited && (lifeExited || b.info.Pool == o.Pool) {
 		b.issued = nil
 		return
 	}
@@ -164,7 +164,7 @@
 		return
 	}
 	moved := o.Pool != "" && b.info.Pool == o.Pool
-	maintained := o.Pool == "" && requestedAt.Sub(o.updatedAt) >= p.options.MaintainTime && (lifeEnded || b.info.EndpointID == "")
+	maintained := o.Pool == "" && requestedAt.Sub(o.updatedAt) >= p.options.MaintainTime && (lifeExited || b.info.EndpointID == "")
 	if moved || maintained {
 		b.issued = nil
 	}
--- a/pkg/boxplan/long_running_test.go
+++ b/pkg/boxplan/long_running_test.go
@@ -39,7 +39,7 @@
 		}
 		count--
 		box := damsonwinch.Box{
-			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
+			Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptMilliCPU, MemoryMB: scriptMemoryMB},
 		}
 		if pool != "off" {
 			box.EndpointID = "at-" + name
@@ -75,7 +75,7 @@
 			held := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, LastingCpu: 100_000, Spread: longRunningTasks + 1}
 			held.Endpoints = f.reports("held", 1)
 			f.planner.SetReport(f.now, shard.CellName("held", 2), held)
-			backlog := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 300 * scriptCPU}
+			backlog := wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 300 * scriptMilliCPU}
 			backlog.Endpoints = f.reports("short", 0)
 			f.planner.SetReport(f.now, shard.CellName("short", 0), backlog)
 
--- a/pkg/boxplan/script_test.go
+++ b/pkg/boxplan/script_test.go
@@ -19,8 +19,8 @@
 
 // Capacity of a box in scripts, in thousandths of a core and in mebibytes.
 const (
-	scriptCPU    = 16_000
-	scriptMemory = 32_768
+	scriptMilliCPU = 16_000
+	scriptMemoryMB = 32_768
 )
 
 // script is a planner with the boxes and reports of a data file.
@@ -102,7 +102,7 @@
 			name := fmt.Sprintf("%s-%02d", fields[0], box)
 			s.boxes = append(s.boxes, damsonwinch.Box{
 				Name: name, Pool: fields[0], State: damsonwinch.BoxUp, Zone: fmt.Sprintf("zone-%d", box%3), EndpointID: "at-" + name,
-				Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
+				Capacity: damsonwinch.Resources{MilliCPU: scriptMilliCPU, MemoryMB: scriptMemoryMB},
 			})
 		}
 	}
--- a/pkg/boxplan/shortage_test.go
+++ b/pkg/boxplan/shortage_test.go
@@ -40,7 +40,7 @@
 			}
 			count--
 			boxes = append(boxes, damsonwinch.Box{
-				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptCPU, MemoryMB: scriptMemory},
+				Name: name, Pool: pool, State: damsonwinch.BoxUp, Zone: "zone", Capacity: damsonwinch.Resources{MilliCPU: scriptMilliCPU, MemoryMB: scriptMemoryMB},
 			})
 			if pool != "off" {
 				boxes[len(boxes)-1].EndpointID = "at-" + name
@@ -59,7 +59,7 @@
 	}
 	planner.SetReport(now, shard.CellName("held", shortShard), held)
 	// Work for 25 boxes in one cell.
-	planner.SetReport(now, shard.CellName("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptCPU})
+	planner.SetReport(now, shard.CellName("short", shortShard), wire.SyncReply{Known: true, TaskMs: 1000, SlackMs: 1200, WaitingCpu: 25 * scriptMilliCPU})
 
 	received := 0
 	for _, order := range planner.Plan(now) {
--- a/pkg/cell/deferral.go
+++ b/pkg/cell/deferral.go
@@ -27,7 +27,7 @@
 	slices.SortStableFunc(waiting, func(a, b *phase) int { return a.startByMs() - b.startByMs() })
 	items := make([]overload.Item, len(waiting))
 	for at, p := range waiting {
-		items[at] = c.triageItem(p, nowMs)
+		items[at] = c.overloadItem(p, nowMs)
 	}
 	for at, isDeferred := range overload.Defer(items, capacity) {
 		waiting[at].deferred = isDeferred
@@ -78,9 +78,9 @@
 	return sum
 }
 
-// triageItem returns how much CPU a phase's waiting tasks need, within what time they have to
+// overloadItem returns how much CPU a phase's waiting tasks need, within what time they have to
 // start, the value of the job, and the work that is left of its round.
-func (c *Cell) triageItem(p *phase, nowMs int) overload.Item {
+func (c *Cell) overloadItem(p *phase, nowMs int) overload.Item {
 	j := p.job()
 	rest := 0
 	for _, other := range p.round.phases {
--- a/pkg/cell/sim_client_test.go
+++ b/pkg/cell/sim_client_test.go
@@ -43,8 +43,8 @@
 	return cappedCustomer
 }
 
-// pickOwner returns the owner that a node takes for the present one, or nil: usually the newest.
-func (w *world) pickOwner() *simOwner {
+// chooseOwner returns the owner that a node takes for the present one, or nil: usually the newest.
+func (w *world) chooseOwner() *simOwner {
 	for i := len(w.owners) - 1; i >= 0; i-- {
 		o := w.owners[i]
 		if !o.exited && o.ready && (i == len(w.owners)-1 || !w.chance(0.5)) {
@@ -63,7 +63,7 @@
 	retry := func() {
 		w.after(w.randomDuration(50*time.Millisecond, 400*time.Millisecond), func() { c.submit(try + 1) })
 	}
-	o := w.pickOwner()
+	o := w.chooseOwner()
 	if o == nil {
 		c.unsentSubmits++
 		if try < maxSubmitTries {
@@ -93,7 +93,7 @@
 func (c *simClient) cancel() {
 	w := c.world
 	c.cancelRequested = true
-	o := w.pickOwner()
+	o := w.chooseOwner()
 	if o == nil {
 		w.after(200*time.Millisecond, c.cancel)
 		return
@@ -142,7 +142,7 @@
 // checkState asks for the job's state and checks it.
 func (c *simClient) checkState() {
 	w := c.world
-	o := w.pickOwner()
+	o := w.chooseOwner()
 	if o == nil || w.now.Before(o.pausedUntil) {
 		return
 	}
--- a/pkg/cell/sim_quota_test.go
+++ b/pkg/cell/sim_quota_test.go
@@ -116,7 +116,7 @@
 	}
 	p.allocator.MarkRecorded(changed)
 	p.syncCell(otherCellName, func(args wire.SyncArgs, respond func(wire.SyncReply)) { respond(p.syncOtherCell(args)) })
-	o := w.pickOwner()
+	o := w.chooseOwner()
 	if o == nil {
 		return
 	}
--- a/pkg/cell/sim_world_test.go
+++ b/pkg/cell/sim_world_test.go
@@ -54,7 +54,7 @@
 type world struct {
 	random   *rand.Rand
 	now      time.Time
-	agenda   eventqueue.Queue
+	events   eventqueue.Queue
 	mutation mutation
 	rules    *rules
 	// streams holds the cell's streams. The last one is the newest and in use. streamDown says, by
@@ -129,7 +129,7 @@
 
 // at schedules an action at the given time.
 func (w *world) at(at time.Time, action func()) {
-	w.agenda.Schedule(at, action)
+	w.events.Schedule(at, action)
 }
 
 // after schedules an action after a delay.
@@ -160,7 +160,7 @@
 // run runs the events up to the given time, or until a rule is violated.
 func (w *world) run(until time.Time) {
 	for w.rules.violation == "" {
-		at, action, found := w.agenda.PopUntil(until)
+		at, action, found := w.events.PopUntil(until)
 		if !found {
 			break
 		}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -216,8 +216,8 @@
 	return e.deps.Clock.Now()
 }
 
-// post sends a message to the loop. It returns false if the entry has stopped.
-func (e *Entry) post(message any) bool {
+// send sends a message to the loop. It returns false if the entry has stopped.
+func (e *Entry) send(message any) bool {
 	select {
 	case e.inbox <- message:
 		return true
--- a/pkg/entry/lease.go
+++ b/pkg/entry/lease.go
@@ -51,7 +51,7 @@
 	e.group.Go(func() error {
 		var reply wire.RenewReply
 		accepted := e.callKeepers(ctx, "Keeper.Renew", wire.RenewArgs{Member: member}, &reply, func() bool { return reply.Accepted })
-		e.post(renewedMessage{accepted: accepted})
+		e.send(renewedMessage{accepted: accepted})
 		return nil
 	})
 }
@@ -143,7 +143,7 @@
 		e.lease.extensionsPending[peer] = true
 		client, key := e.peerClient(member.Address), e.key
 		e.group.Go(func() error {
-			e.post(requestExtension(ctx, client, peer, key, now))
+			e.send(requestExtension(ctx, client, peer, key, now))
 			return nil
 		})
 	}
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -111,7 +111,7 @@
 func (x *execution) waitForGrant(ctx context.Context) grant {
 	reply := make(chan grant, 1)
 	message := acquireMessage{item: x.queueItem(), forwarded: x.request.Forwarded, tried: x.tried, reply: reply}
-	if !x.entry.post(message) {
+	if !x.entry.send(message) {
 		return grant{refusal: newRefusal(http.StatusServiceUnavailable, unavailableRetryAfter, "this entry has stopped")}
 	}
 	select {
@@ -120,7 +120,7 @@
 	case <-ctx.Done():
 	case <-x.entry.ctx.Done():
 	}
-	x.entry.post(cancelMessage{id: x.request.ID})
+	x.entry.send(cancelMessage{id: x.request.ID})
 	select {
 	case granted := <-reply:
 		return granted
@@ -230,7 +230,7 @@
 		return false
 	}
 	reply := make(chan bool, 1)
-	if !x.entry.post(retryMessage{service: x.request.Service, reply: reply}) {
+	if !x.entry.send(retryMessage{service: x.request.Service, reply: reply}) {
 		return false
 	}
 	select {
@@ -243,7 +243,7 @@
 
 // finish returns the grant's slots and reports the attempt to the loop.
 func (x *execution) finish(report attemptReport) {
-	x.entry.post(finishMessage{id: x.request.ID, report: report})
+	x.entry.send(finishMessage{id: x.request.ID, report: report})
 }
 
 // forward forwards the request to the entry that the grant names and waits for its reply. It returns
@@ -257,7 +257,7 @@
 	}
 	var reply wire.ForwardReply
 	err := x.entry.callPeer(ctx, granted.address, args, &reply)
-	x.entry.post(forwardedMessage{peer: granted.forwardTo, pool: granted.row.Pool, busy: reply.Free == 0, unanswered: err != nil})
+	x.entry.send(forwardedMessage{peer: granted.forwardTo, pool: granted.row.Pool, busy: reply.Free == 0, unanswered: err != nil})
 	if err == nil && reply.Id != x.request.ID {
 		x.entry.deps.Invariants.Check(invariant.WrongAnswer, false, "%s answered %q to request %s", granted.address, reply.Id, x.request.ID)
 		err = &call.Error{Method: ServiceName + ".Forward", Peer: granted.address, MayHaveExecuted: true, Err: send.ErrWrongRequestID}
@@ -296,7 +296,7 @@
 // callPeer calls Forward of the entry at the given address.
 func (e *Entry) callPeer(ctx context.Context, address string, args wire.ForwardArgs, reply *wire.ForwardReply) error {
 	client := make(chan *call.Client, 1)
-	if !e.post(peerClientMessage{address: address, reply: client}) {
+	if !e.send(peerClientMessage{address: address, reply: client}) {
 		return &call.Error{Method: "Entry.Forward", Peer: address, Err: context.Canceled}
 	}
 	select {
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -41,7 +41,7 @@
 // freeSlots returns the number of free slots on this entry's boxes of a service's pool.
 func (e *Entry) freeSlots(service string) int {
 	reply := make(chan int, 1)
-	if !e.post(freeSlotsMessage{service: service, reply: reply}) {
+	if !e.send(freeSlotsMessage{service: service, reply: reply}) {
 		return 0
 	}
 	select {
--- a/pkg/entry/stop.go
+++ b/pkg/entry/stop.go
@@ -20,7 +20,7 @@
 	e.stopping.Store(true)
 	e.deps.Logger.Info("planned stop: the balancer is told")
 	e.sleep(ctx, milliseconds(e.deps.Settings.StopMs))
-	e.post(leaveMessage{})
+	e.send(leaveMessage{})
 	limited, cancel := context.WithTimeout(ctx, maxHandoverWait)
 	e.waitUntil(limited, func(s summary) bool { return s.boxes == 0 || s.successors == 0 })
 	cancel()
@@ -47,7 +47,7 @@
 func (e *Entry) waitUntil(ctx context.Context, satisfied func(summary) bool) {
 	for ctx.Err() == nil {
 		reply := make(chan summary, 1)
-		if !e.post(summaryMessage{reply: reply}) {
+		if !e.send(summaryMessage{reply: reply}) {
 			return
 		}
 		select {
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -1,5 +1,5 @@
 // Package invariant counts violations of the invariants of the system. Each invariant has a counter. Tests
-// and randomised runs fail upon a violation.
+// and randomized runs fail upon a violation.
 package invariant
 
 import (
--- a/pkg/loadtest/load.go
+++ b/pkg/loadtest/load.go
@@ -99,7 +99,7 @@
 	}
 	_ = group.Wait()
 	client.CloseIdleConnections()
-	return summarise(results, options.Phase)
+	return summarize(results, options.Phase)
 }
 
 // newClient returns an HTTP client that keeps up to the given number of idle
@@ -140,8 +140,8 @@
 	return response.StatusCode, options.Clock.Since(sentAt)
 }
 
-// summarise computes the goodput and the quantiles of a phase.
-func summarise(results *classResults, duration time.Duration) PhaseResult {
+// summarize computes the goodput and the quantiles of a phase.
+func summarize(results *classResults, duration time.Duration) PhaseResult {
 	inTime := 0
 	for _, result := range results.classes {
 		inTime += result.InTime
--- a/pkg/overload/overload_test.go
+++ b/pkg/overload/overload_test.go
@@ -17,7 +17,7 @@
 const (
 	tickMs          = 50   // Between two decisions, as in the owner of a cell.
 	taskMs          = 1000 // Mean time of a task.
-	taskCPU         = 900
+	taskMilliCPU    = 900
 	meanTasks       = 6
 	phaseSpread     = 0.6 // Standard deviation of the logarithm of a phase's number of tasks.
 	jobSpread       = 0.4 // Standard deviation of the logarithm of a job's task time, half of it known.
@@ -25,7 +25,7 @@
 	twoPhasePart    = 0.6 // Part of the jobs that have a second phase.
 	targetMs        = 600
 	extension       = 1.6
-	boxCPU          = 16_000
+	boxMilliCPU     = 16_000
 	fixedValue      = 0.3 // Part of a job's value that doesn't depend on its tasks.
 	certainPercent  = 60  // Of the remaining chain: a job is late once even this part can't be done in time.
 	secondMs        = 1000
@@ -170,7 +170,7 @@
 		for ; owed >= 1; owed-- {
 			p.jobs = append(p.jobs, newJob(random, at))
 		}
-		p.start(at, s.boxes(at)*boxCPU, deferring)
+		p.start(at, s.boxes(at)*boxMilliCPU, deferring)
 	}
 	return p.value
 }
@@ -178,7 +178,7 @@
 // end ends the tasks that are done at a time, and adds the value of the jobs that are done in time.
 func (p *pool) end(at int) {
 	for _, j := range p.ends[at] {
-		p.used -= taskCPU
+		p.used -= taskMilliCPU
 		j.running--
 		if j.running == 0 && len(j.phases) == 0 && at <= j.dueAt {
 			p.value += j.value(meanTasks)
@@ -213,7 +213,7 @@
 	items := make([]overload.Item, len(jobs))
 	for number, j := range jobs {
 		items[number] = overload.Item{
-			CPU: len(j.phases[0]) * taskCPU, StartWithinMs: j.startBy() - at, Value: j.value(meanTasks), RemainingWork: float64(j.remainingTasks()),
+			CPU: len(j.phases[0]) * taskMilliCPU, StartWithinMs: j.startBy() - at, Value: j.value(meanTasks), RemainingWork: float64(j.remainingTasks()),
 		}
 	}
 	deferred := make([]bool, len(jobs))
@@ -232,9 +232,9 @@
 
 // startPhase starts the tasks of a job's present phase as far as they fit into the capacity.
 func (p *pool) startPhase(j *job, at, capacity int) {
-	for p.used+taskCPU <= capacity {
+	for p.used+taskMilliCPU <= capacity {
 		tasks := j.phases[0]
-		p.used += taskCPU
+		p.used += taskMilliCPU
 		j.running++
 		p.ends[at+tasks[0]] = append(p.ends[at+tasks[0]], j)
 		j.phases[0], j.partlyStarted = tasks[1:], true
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -307,7 +307,7 @@
 	case streamEndsRead:
 		o.handleStreamEnds(m, now)
 	case partitionRequested:
-		s.partitionWaiters = append(s.partitionWaiters, m.use)
+		s.partitionWaiters = append(s.partitionWaiters, m.onReserved)
 	case partitionAppended:
 		s.appendPending = false
 		o.handlePartitionAppended(m)
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -45,7 +45,7 @@
 type (
 	// partitionRequested asks run to reserve a partition and to pass its number to use, which must
 	// not block.
-	partitionRequested struct{ use func(number int) }
+	partitionRequested struct{ onReserved func(number int) }
 	// partitionAppended is the result of the append that reserves a partition. reserved is the number
 	// of reserved partitions including this one.
 	partitionAppended struct {
@@ -62,10 +62,10 @@
 	}
 )
 
-// ReservePartition reserves a partition that no cell has ever used, and passes its number to use, which
-// must not block. If no partition is left, use is never called.
-func (o *Ownership) ReservePartition(use func(number int)) {
-	o.send(partitionRequested{use: use})
+// ReservePartition reserves a partition that no cell has ever used, and passes its number to onReserved, which
+// must not block. If no partition is left, onReserved is never called.
+func (o *Ownership) ReservePartition(onReserved func(number int)) {
+	o.send(partitionRequested{onReserved: onReserved})
 }
 
 // MoveClaim claims a cell of this node again, with the number of another partition for its records. It
@@ -119,10 +119,10 @@
 	if !succeeded {
 		return
 	}
-	use := s.partitionWaiters[0]
+	onReserved := s.partitionWaiters[0]
 	s.partitionWaiters = s.partitionWaiters[1:]
 	o.group.Go(func() error {
-		use(m.reserved - 1)
+		onReserved(m.reserved - 1)
 		return nil
 	})
 }
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -46,7 +46,7 @@
 type world struct {
 	random       *rand.Rand
 	now          time.Time
-	agenda       eventqueue.Queue
+	events       eventqueue.Queue
 	mutation     mutation
 	injectFaults bool
 	// oversizedPart is the part of tasks that need more than any cap.
@@ -140,7 +140,7 @@
 
 // after schedules a function to run when some time has passed.
 func (w *world) after(length time.Duration, do func()) {
-	w.agenda.Schedule(w.now.Add(length), do)
+	w.events.Schedule(w.now.Add(length), do)
 }
 
 // between returns a random duration between two bounds, both included.
@@ -161,7 +161,7 @@
 // run runs the simulation until a time, or until the first violation.
 func (w *world) run(until time.Time) {
 	for w.violation == "" {
-		at, do, found := w.agenda.PopUntil(until)
+		at, do, found := w.events.PopUntil(until)
 		if !found {
 			break
 		}
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -72,11 +72,11 @@
 	assert.Equal(t, first.outcome, "not-run")
 	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 
-	landed := f.run.waitUntil(context.Background(), 20*time.Second, func() bool {
+	reachedLog := f.run.waitUntil(context.Background(), 20*time.Second, func() bool {
 		return len(f.cluster.Platform.Log.Peek(damsonwinch.StreamClaims, 0, 10)) >= 2
 	})
 
-	assert.Assert(t, landed, "the late claim and its release did not reach the log")
+	assert.Assert(t, reachedLog, "the late claim and its release did not reach the log")
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 0)
 	second := f.call("pay", work, header)
 	assert.Equal(t, second.status, http.StatusOK, second.body)
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -65,7 +65,7 @@
 		return Report{}, err
 	}
 	r := &run{options: options, cluster: cluster, observer: obs, startedAt: cluster.clock.Now()}
-	err = r.playScenario(ctx)
+	err = r.runScenario(ctx)
 	if r.generator != nil {
 		r.generator.stop()
 	}
@@ -111,9 +111,9 @@
 	return condition()
 }
 
-// playScenario runs the steps of the scenario in order: normal operation first, then
+// runScenario runs the steps of the scenario in order: normal operation first, then
 // one fault after another. It stops at the first step that fails.
-func (r *run) playScenario(ctx context.Context) error {
+func (r *run) runScenario(ctx context.Context) error {
 	steps := []func(context.Context) error{
 		r.publishFirstTable, r.startLoad, r.editConcurrently, r.raiseFloor, r.maintainAllBoxes, r.cutOffZone, r.restartEntry, r.killAndRestartEntry, r.takeLogDown, r.breakBoxes,
 	}
