--- a/pkg/eject/eject.go
+++ b/pkg/eject/eject.go
@@ -11,9 +11,9 @@
 	// boxesToBlameRequest is the number of different boxes on which a request must have failed
 	// before the request itself is to blame.
 	boxesToBlameRequest = 3
-	// failuresInRowToEject is the number of failures in a row after which a box should be ejected.
+	// consecutiveFailuresToEject is the number of failures in a row after which a box should be ejected.
 	// These count even if the requests were not tried on other boxes.
-	failuresInRowToEject = 5
+	consecutiveFailuresToEject = 5
 	// firstEjection is how long a first ejection lasts. Each further one in a row lasts twice as
 	// long, up to maxEjection. A row ends once the box has had failedRequestsToEject successes.
 	firstEjection = 2 * time.Second
@@ -32,13 +32,13 @@
 // boxState holds the evidence for and against one box, and its ejection.
 type boxState struct {
 	// failedRequests are the requests that failed on the box and succeeded on another one.
-	failedRequests map[string]bool
-	failuresInRow  int
-	ejected        bool
+	failedRequests      map[string]bool
+	consecutiveFailures int
+	ejected             bool
 	// ejectedUntil is when an ejected box may be probed.
-	ejectedUntil    time.Time
-	ejectionsInRow  int
-	recentSuccesses int // Since the box was reinstated, or last blamed for a failure.
+	ejectedUntil         time.Time
+	consecutiveEjections int
+	recentSuccesses      int // Since the box was reinstated, or last blamed for a failure.
 }
 
 // requestFailures holds the boxes on which one request has failed, and when it failed last.
@@ -70,7 +70,7 @@
 	}
 	failures.boxes = append(failures.boxes, box)
 	failures.at = now
-	t.box(box).failuresInRow++
+	t.box(box).consecutiveFailures++
 	if t.FailsEverywhere(request) {
 		t.excuseBoxes(request, failures)
 	}
@@ -81,7 +81,7 @@
 	for _, name := range failures.boxes {
 		box := t.box(name)
 		delete(box.failedRequests, request)
-		box.failuresInRow = max(0, box.failuresInRow-1)
+		box.consecutiveFailures = max(0, box.consecutiveFailures-1)
 	}
 }
 
@@ -89,10 +89,10 @@
 // blame for that.
 func (t *Tracker) AddSuccess(request, box string) {
 	succeeded := t.box(box)
-	succeeded.failuresInRow = 0
+	succeeded.consecutiveFailures = 0
 	succeeded.recentSuccesses++
 	if succeeded.recentSuccesses >= failedRequestsToEject {
-		succeeded.ejectionsInRow = 0
+		succeeded.consecutiveEjections = 0
 		succeeded.failedRequests = map[string]bool{}
 	}
 	failures := t.requests[request]
@@ -136,17 +136,17 @@
 	if box == nil || box.ejected {
 		return false
 	}
-	return len(box.failedRequests) >= failedRequestsToEject || box.failuresInRow >= failuresInRowToEject
+	return len(box.failedRequests) >= failedRequestsToEject || box.consecutiveFailures >= consecutiveFailuresToEject
 }
 
 // Eject ejects a box, for a time that doubles with each ejection in a row. For a box that is ejected the
 // time starts anew, so that Eject is also for boxes that have failed a probe.
 func (t *Tracker) Eject(name string, now time.Time) {
 	box := t.box(name)
-	pause := min(maxEjection, firstEjection<<min(box.ejectionsInRow, 10))
+	pause := min(maxEjection, firstEjection<<min(box.consecutiveEjections, 10))
 	box.ejected, box.ejectedUntil = true, now.Add(pause)
-	box.ejectionsInRow++
-	box.failuresInRow, box.recentSuccesses = 0, 0
+	box.consecutiveEjections++
+	box.consecutiveFailures, box.recentSuccesses = 0, 0
 	box.failedRequests = map[string]bool{}
 }
 
@@ -167,7 +167,7 @@
 // Reinstate ends the ejection of a box. It is for boxes that have answered a probe.
 func (t *Tracker) Reinstate(name string) {
 	box := t.box(name)
-	box.ejected, box.failuresInRow, box.recentSuccesses = false, 0, 0
+	box.ejected, box.consecutiveFailures, box.recentSuccesses = false, 0, 0
 }
 
 // ForgetOldFailures drops the failures of the requests whose last failure is more than
--- a/pkg/eject/eject_test.go
+++ b/pkg/eject/eject_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-func TestFailuresInRowEjectWithoutRetries(t *testing.T) {
+func TestConsecutiveFailuresEjectWithoutRetries(t *testing.T) {
 	tracker := New()
-	for number := range failuresInRowToEject {
+	for number := range consecutiveFailuresToEject {
 		tracker.AddFailure(fmt.Sprint(number), "bad", start)
 		tracker.AddSuccess(fmt.Sprint("other", number), "good")
 	}
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -95,10 +95,10 @@
 type Follower struct {
 	deps  Deps
 	state fleetstate.State
-	// skipUntil is the time before which a source isn't read, and failures the number of its failures
-	// in a row, both by the source's index in Sources.
-	skipUntil []time.Time
-	failures  []int
+	// skipUntil is the time before which a source isn't read, and consecutiveFailures the number of its
+	// failures in a row, both by the source's index in Sources.
+	skipUntil           []time.Time
+	consecutiveFailures []int
 	// checkpoints holds the hashes of the newest checkpoints by their offsets.
 	checkpoints map[int]string
 }
@@ -109,7 +109,7 @@
 		deps.WaitMs = defaultWaitMs
 	}
 	return &Follower{deps: deps, state: deps.InitialState, skipUntil: make([]time.Time, len(deps.Sources)),
-		failures: make([]int, len(deps.Sources)), checkpoints: map[int]string{}}
+		consecutiveFailures: make([]int, len(deps.Sources)), checkpoints: map[int]string{}}
 }
 
 // Run reads and applies records until ctx ends. It always returns nil.
@@ -145,7 +145,7 @@
 			f.skip(i)
 			continue
 		}
-		f.failures[i] = 0
+		f.consecutiveFailures[i] = 0
 		answered = true
 		update.ReadStartedAt = started
 		update.Source = source.Name()
@@ -167,8 +167,8 @@
 // skip makes the follower skip a source, given by its index, after a failure. The time doubles with each
 // further failure in a row.
 func (f *Follower) skip(source int) {
-	pause := min(maxSkip, initialSkip<<min(f.failures[source], maxSkipDoublings))
-	f.failures[source]++
+	pause := min(maxSkip, initialSkip<<min(f.consecutiveFailures[source], maxSkipDoublings))
+	f.consecutiveFailures[source]++
 	f.skipUntil[source] = f.deps.Clock.Now().Add(pause)
 }
 
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -168,7 +168,7 @@
 	f.follower.deps.Updates = f.updates
 	f.follower.deps.WaitMs = 500
 	f.follower.deps.Sources = []damsonwinch.RecordSource{failing, idle, fresh, last}
-	f.follower.skipUntil, f.follower.failures = make([]time.Time, 4), make([]int, 4)
+	f.follower.skipUntil, f.follower.consecutiveFailures = make([]time.Time, 4), make([]int, 4)
 
 	assert.Assert(t, f.follower.readFromAny(context.Background()))
 
--- a/pkg/keeper/outbox.go
+++ b/pkg/keeper/outbox.go
@@ -37,10 +37,10 @@
 	// proposals they must not get lost.
 	edits    []pendingEdit
 	inFlight bool // An append is in progress.
-	// failures is the number of failed appends in a row.
-	failures     int
-	nextAppendAt time.Time
-	lastSentAt   time.Time
+	// consecutiveFailures is the number of failed appends in a row.
+	consecutiveFailures int
+	nextAppendAt        time.Time
+	lastSentAt          time.Time
 }
 
 // pendingEdit is an operator's edit whose result is not known yet. It is sent again
@@ -155,7 +155,7 @@
 		return
 	}
 	proposals := k.outbox.takeBatch()
-	if len(proposals) == 0 && (k.outbox.failures == 0 || !k.outbox.hasSentEdit()) {
+	if len(proposals) == 0 && (k.outbox.consecutiveFailures == 0 || !k.outbox.hasSentEdit()) {
 		return
 	}
 	k.outbox.lastNumber++
@@ -192,14 +192,14 @@
 	k.outbox.inFlight = false
 	pause := appendInterval
 	if message.err != nil {
-		k.outbox.failures++
+		k.outbox.consecutiveFailures++
 		k.deps.Metrics.Add("append_failures", 1)
-		pause = min(maxAppendBackoff, appendInterval<<min(k.outbox.failures, 8))
-		if k.outbox.failures == 1 {
+		pause = min(maxAppendBackoff, appendInterval<<min(k.outbox.consecutiveFailures, 8))
+		if k.outbox.consecutiveFailures == 1 {
 			k.deps.Logger.WithError(message.err).Warn("log does not take appends")
 		}
-	} else if k.outbox.failures > 0 {
-		k.outbox.failures = 0
+	} else if k.outbox.consecutiveFailures > 0 {
+		k.outbox.consecutiveFailures = 0
 		k.deps.Logger.Info("log takes appends again")
 	}
 	k.outbox.nextAppendAt = k.now().Add(pause)
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -38,10 +38,10 @@
 	// maxReplyAge is how recently the store must have confirmed the data of a reply for a follower to
 	// use it. An upstream node asks the store once a second.
 	maxReplyAge = 1500 * time.Millisecond
-	// maxFailuresInRow is the number of consecutive failures after which a follower reads from the
+	// maxConsecutiveFailures is the number of consecutive failures after which a follower reads from the
 	// store, for directPeriod.
-	maxFailuresInRow = 2
-	directPeriod     = 5 * time.Second
+	maxConsecutiveFailures = 2
+	directPeriod           = 5 * time.Second
 )
 
 // Deps holds the dependencies of a relay.
@@ -68,11 +68,12 @@
 	tail   *tail
 
 	mutex sync.Mutex
-	// failuresInRow counts consecutive failed calls, and totalFailures counts all failed calls: each makes this
-	// node choose the next upstream node. Until directUntil this node reads from the store.
-	failuresInRow int
-	totalFailures int
-	directUntil   time.Time
+	// consecutiveFailures counts the last failed calls in a row, and totalFailures counts all failed calls:
+	// each of them makes this node choose the next upstream node. Until directUntil this node reads from
+	// the store.
+	consecutiveFailures int
+	totalFailures       int
+	directUntil         time.Time
 }
 
 // New returns the relay of the node self for a stream.
@@ -184,7 +185,7 @@
 	r.deps.Metrics.Add("relay_reads", 1)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.failuresInRow = 0
+	r.consecutiveFailures = 0
 	return reply, records, nil
 }
 
@@ -202,16 +203,16 @@
 }
 
 // recordFailure makes the next read go to another upstream node, or to the store after
-// maxFailuresInRow consecutive failures. It logs err and returns it with the stream and the address.
+// maxConsecutiveFailures consecutive failures. It logs err and returns it with the stream and the address.
 func (r *Relay) recordFailure(address string, err error) error {
 	r.deps.Metrics.Add("relay_failures", 1)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.failuresInRow++
+	r.consecutiveFailures++
 	r.totalFailures++
-	logger := r.deps.Logger.WithError(err).WithFields(logrus.Fields{"stream": r.stream.String(), "peer": address, "failures": r.failuresInRow})
-	if r.failuresInRow >= maxFailuresInRow {
-		r.failuresInRow, r.directUntil = 0, r.deps.Clock.Now().Add(directPeriod)
+	logger := r.deps.Logger.WithError(err).WithFields(logrus.Fields{"stream": r.stream.String(), "peer": address, "failures": r.consecutiveFailures})
+	if r.consecutiveFailures >= maxConsecutiveFailures {
+		r.consecutiveFailures, r.directUntil = 0, r.deps.Clock.Now().Add(directPeriod)
 		logger.Warn("upstream nodes failed, stream is read from the store for a while")
 	} else {
 		logger.Info("upstream node failed, stream is read from another node")
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -198,7 +198,7 @@
 
 // TestFollowersWaitForUpstreamNodesAtStartup guards against followers that all read from the store
 // when the whole fleet starts. At that time upstream nodes have read nothing yet. If they said so at
-// once, each follower would count maxFailures failures and read from the store.
+// once, each follower would count maxConsecutiveFailures failures and read from the store.
 func TestFollowersWaitForUpstreamNodesAtStartup(t *testing.T) {
 	const nodes = 147
 	store := gatedStore{fakeStore: newFakeStore(strings.Repeat("queue", 1000)), gate: make(chan struct{})}
@@ -289,7 +289,7 @@
 				calledAddresses = append(calledAddresses, address)
 				return respond(args)
 			}
-			for range maxFailuresInRow {
+			for range maxConsecutiveFailures {
 				_, err := r.Read(t.Context(), operatorStream, 1, 0)
 				assert.ErrorContains(t, err, "follow keyed.operator/0 at node-")
 			}
@@ -298,7 +298,7 @@
 			page, err := r.Read(t.Context(), operatorStream, 1, 0)
 			assert.NilError(t, err)
 			assert.Equal(t, string(page.Records[0].Value), "two")
-			assert.Equal(t, len(calledAddresses), maxFailuresInRow)
+			assert.Equal(t, len(calledAddresses), maxConsecutiveFailures)
 			clock.Advance(directPeriod)
 			_, relayed := r.upstream()
 			assert.Assert(t, relayed, "the node reads from an upstream node again")
