--- a/pkg/ownership/alive.go
+++ b/pkg/ownership/alive.go
@@ -17,9 +17,9 @@
 	at          time.Time
 }
 
-// ownerAlive reports whether the node that made a claim is probably alive. A wrong result costs a
+// isOwnerAlive reports whether the node that made a claim is probably alive. A wrong result costs a
 // needless or a late takeover, but is safe: a later claim fences off the earlier one.
-func (o *Ownership) ownerAlive(claim Claim) bool {
+func (o *Ownership) isOwnerAlive(claim Claim) bool {
 	switch {
 	case claim.HeldBy(o.options.Self):
 		return true
@@ -44,8 +44,8 @@
 	return known && last.incarnation == incarnation && o.deps.Clock.Since(last.at) < refusalLifetime
 }
 
-// livingMembers returns the members that haven't refused a connection recently and aren't lost.
-func (o *Ownership) livingMembers() []Member {
+// liveMembers returns the members that haven't refused a connection recently and aren't lost.
+func (o *Ownership) liveMembers() []Member {
 	return slices.DeleteFunc(slices.Clone(o.state.memberList.members), func(m Member) bool {
 		return o.refusedRecently(m.Node, m.Incarnation) || o.isLost(m.Node, m.Incarnation)
 	})
--- a/pkg/ownership/claims.go
+++ b/pkg/ownership/claims.go
@@ -87,10 +87,10 @@
 	s := &o.state
 	for _, cell := range s.cells {
 		claim, known := s.claims[cell]
-		if known && o.ownerAlive(claim) {
+		if known && o.isOwnerAlive(claim) {
 			continue
 		}
-		chosen, found := successor(cell, o.livingMembers(), o.liveClaims())
+		chosen, found := successor(cell, o.liveMembers(), o.liveClaims())
 		if found && chosen.sameIncarnation(o.options.Self) {
 			o.claim(cell, claim, known)
 			return
@@ -102,7 +102,7 @@
 func (o *Ownership) liveClaims() map[string]Claim {
 	live := map[string]Claim{}
 	for cell, claim := range o.state.claims {
-		if o.ownerAlive(claim) {
+		if o.isOwnerAlive(claim) {
 			live[cell] = claim
 		}
 	}
--- a/pkg/ownership/handover.go
+++ b/pkg/ownership/handover.go
@@ -50,14 +50,14 @@
 	if !slices.ContainsFunc(s.cells, func(cell string) bool { return s.claims[cell].HeldBy(o.options.Self) }) {
 		return Claim{}, Member{}, false
 	}
-	living, live := o.livingMembers(), o.liveClaims()
+	members, claims := o.liveMembers(), o.liveClaims()
 	for _, cell := range s.cells {
 		claim := s.claims[cell]
 		if !claim.HeldBy(o.options.Self) {
 			continue
 		}
-		best, found := successor(cell, living, live)
-		if found && best.Node != o.options.Self.Node && loadPerWeight(best, cell, live)*minHandOverRatio <= loadPerWeight(o.options.Self, cell, live) {
+		best, found := successor(cell, members, claims)
+		if found && best.Node != o.options.Self.Node && loadPerWeight(best, cell, claims)*minHandOverRatio <= loadPerWeight(o.options.Self, cell, claims) {
 			return claim, best, true
 		}
 	}
--- a/pkg/ownership/health.go
+++ b/pkg/ownership/health.go
@@ -99,15 +99,15 @@
 // successorCells returns the cells that this node would claim if their owners were lost.
 func (o *Ownership) successorCells() []string {
 	s := &o.state
-	living, live := o.livingMembers(), o.liveClaims()
+	members, claims := o.liveMembers(), o.liveClaims()
 	var cells []string
 	for _, cell := range s.cells {
 		claim, known := s.claims[cell]
 		if !known || claim.Released || claim.HeldBy(o.options.Self) || o.byEarlierIncarnation(claim) {
 			continue
 		}
-		others := slices.DeleteFunc(slices.Clone(living), claim.HeldBy)
-		if best, found := successor(cell, others, live); found && best.sameIncarnation(o.options.Self) {
+		others := slices.DeleteFunc(slices.Clone(members), claim.HeldBy)
+		if best, found := successor(cell, others, claims); found && best.sameIncarnation(o.options.Self) {
 			cells = append(cells, cell)
 		}
 	}
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -213,8 +213,8 @@
 	o.send(connectionRefused{node: node, incarnation: incarnation})
 }
 
-// ReleaseClaim releases this node's claim of a cell, after the task that ran the cell here has
-// stopped by itself. It does nothing if token is not that of the cell's newest claim.
+// ReleaseClaim releases this node's claim of a cell, after the owner or the planner that ran here for
+// that cell has stopped by itself. It does nothing if token is not that of the cell's newest claim.
 func (o *Ownership) ReleaseClaim(cell string, token int) {
 	o.send(releaseRequested{cell: cell, token: token})
 }
--- a/pkg/ownership/partitions.go
+++ b/pkg/ownership/partitions.go
@@ -43,7 +43,7 @@
 
 // Messages about partitions.
 type (
-	// partitionRequested asks run to reserve a partition and to pass its number to use, which must
+	// partitionRequested asks run to reserve a partition and to pass its number to onReserved, which must
 	// not block.
 	partitionRequested struct{ onReserved func(number int) }
 	// partitionAppended is the result of the append that reserves a partition. reserved is the number
