--- a/pkg/cell/commit.go
+++ b/pkg/cell/commit.go
@@ -152,7 +152,7 @@
 	return records
 }
 
-// Committed handles the news that the append with the given number is in the stream.
+// Committed handles the success of the append with the given number: its records are in the stream.
 func (c *Cell) Committed(now time.Time, number int) {
 	c.beginEvent(now)
 	defer c.finishEvent()
--- a/pkg/cell/endpoint.go
+++ b/pkg/cell/endpoint.go
@@ -123,16 +123,16 @@
 	}
 	e := &endpoint{info: damsonwinch.Endpoint{Life: life}, runs: map[damsonwinch.Run]*run{}, lastBusy: c.now}
 	// An earlier owner may have renewed leases until it noticed that it was no longer the owner.
-	e.leasesExpireBy = c.now.Add(c.options.RenewalGrace + withClockSlack(c.options.MaxLease))
+	e.leasesExpireBy = c.now.Add(c.options.RenewalGrace + withClockDrift(c.options.MaxLease))
 	c.endpoints[life] = e
 	c.updateZone(e)
 	c.sortedEndpoints = slices.Insert(c.sortedEndpoints, c.indexOfLife(life), e)
 	return e
 }
 
-// withClockSlack returns how long a lease of the given duration may last on this machine's clock if
+// withClockDrift returns how long a lease of the given duration may last on this machine's clock if
 // the endpoint's clock is as slow as the platform allows.
-func withClockSlack(lease time.Duration) time.Duration {
+func withClockDrift(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * clockDriftFactor)
 }
 
@@ -143,7 +143,7 @@
 // milliseconds on the endpoint's clock.
 func (c *Cell) extendLeaseBound(e *endpoint, untilMs int) {
 	left := time.Duration(untilMs-e.clockSampleMs) * time.Millisecond
-	bound := e.clockSampledAt.Add(withClockSlack(left) + leaseMargin)
+	bound := e.clockSampledAt.Add(withClockDrift(left) + leaseMargin)
 	if bound.After(e.leasesExpireBy) {
 		e.leasesExpireBy = bound
 	}
--- a/pkg/entry/handover.go
+++ b/pkg/entry/handover.go
@@ -75,12 +75,12 @@
 }
 
 // successorFor returns the successor that gets a box: one in the box's zone or, if there is none, any. The
-// caller counts turn up from box to box, which spreads the boxes over the successors.
-func successorFor(box *ownBox, successors []fleetstate.Sender, turn int) fleetstate.SenderKey {
+// caller raises index by one from box to box, which spreads the boxes over the successors.
+func successorFor(box *ownBox, successors []fleetstate.Sender, index int) fleetstate.SenderKey {
 	if inZone := sendersInZone(successors, box.Info.Hall); len(inZone) > 0 {
 		successors = inZone
 	}
-	return successors[turn%len(successors)].Key
+	return successors[index%len(successors)].Key
 }
 
 // sendersInZone returns those of the senders that are in a zone.
--- a/pkg/fakes/platform.go
+++ b/pkg/fakes/platform.go
@@ -43,7 +43,7 @@
 	return &Platform{Log: log, clock: clock, boxes: map[string]wire.ListedBox{}, reboot: reboot}
 }
 
-// PutBox adds a box to the list, or replaces its entry there.
+// PutBox adds a box to the list, or replaces it there.
 func (p *Platform) PutBox(box wire.ListedBox) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -143,7 +143,7 @@
 	respond(w, struct{}{}, p.Maintain(r.Context(), mux.Vars(r)["box"]))
 }
 
-// respond sends a value as JSON, or status 503 with an error. If the error is errAnswerLost it closes
+// respond sends a value as JSON, or status 503 with an error. If the error is errResponseLost it closes
 // the connection instead.
 func respond(w http.ResponseWriter, value any, err error) {
 	if errors.Is(err, errResponseLost) {
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -237,7 +237,7 @@
 	f.answeredAt = f.Clock.Now()
 }
 
-// logger returns a logger with the stream, the next offset and the time since the last answer.
+// logger returns a logger with the stream, the next offset and the time since the last response.
 func (f *Feed) logger() logrus.FieldLogger {
 	fields := logrus.Fields{"stream": f.options.Stream.String(), "next": f.next}
 	if !f.answeredAt.IsZero() {
--- a/pkg/keeper/list.go
+++ b/pkg/keeper/list.go
@@ -15,11 +15,11 @@
 	// boxesByZone holds the listed boxes, by zone and name.
 	boxesByZone map[string]map[string]wire.ListedBox
 	// entryBoxes holds the entry boxes that were ever listed, by name.
-	entryBoxes map[string]entryBoxSighting
+	entryBoxes map[string]listedEntryBox
 }
 
-// entryBoxSighting is what the list has shown of an entry box.
-type entryBoxSighting struct {
+// listedEntryBox is what the list has shown of an entry box.
+type listedEntryBox struct {
 	zone  string
 	shown bool // The list has shown the box at least once.
 	// missingSince is since when the list doesn't show the box, by the keeper's
@@ -28,7 +28,7 @@
 }
 
 func newListView() listView {
-	return listView{boxesByZone: map[string]map[string]wire.ListedBox{}, entryBoxes: map[string]entryBoxSighting{}}
+	return listView{boxesByZone: map[string]map[string]wire.ListedBox{}, entryBoxes: map[string]listedEntryBox{}}
 }
 
 // update replaces the list of a zone by the boxes that were read at the time now.
@@ -37,7 +37,7 @@
 	for _, box := range boxes {
 		shown[box.Info.Name] = box
 		if box.EntryBox {
-			l.entryBoxes[box.Info.Name] = entryBoxSighting{zone: zone, shown: true}
+			l.entryBoxes[box.Info.Name] = listedEntryBox{zone: zone, shown: true}
 		}
 	}
 	l.boxesByZone[zone] = shown
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// applyMessages applies a message and those that wait behind it in the inbox, at most inboxSize in total.
+// applyMessages applies a message and those that wait behind it in the inbox, at most inboxCapacity in total.
 func (o *Owner) applyMessages(m message) {
 	for applied := 1; ; applied++ {
 		m.apply(o, o.deps.Clock.Now())
--- a/pkg/quota/session.go
+++ b/pkg/quota/session.go
@@ -37,8 +37,8 @@
 	cap    amounts
 }
 
-// equals reports whether two allowances are the same, whatever updates they were sent in.
-func (a sentAllowance) equals(other sentAllowance) bool {
+// equal reports whether two allowances are the same, whatever updates they were sent in.
+func (a sentAllowance) equal(other sentAllowance) bool {
 	return a.amount == other.amount && a.cap == other.cap
 }
 
@@ -154,7 +154,7 @@
 	if unconfirmed := s.unconfirmed[customer]; len(unconfirmed) > 0 {
 		last, sent = unconfirmed[len(unconfirmed)-1], true
 	}
-	if sent && last.equals(next) || !sent && next.cap.isUnlimited() {
+	if sent && last.equal(next) || !sent && next.cap.isUnlimited() {
 		return
 	}
 	s.unconfirmed[customer] = append(s.unconfirmed[customer], next)
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -50,7 +50,7 @@
 
 // Run starts a user's fleet, takes it through the scenario under load and returns
 // the report. The report is valid even if there is an error, as far as the scenario
-// got; see playScenario for the steps.
+// got; see runScenario for the steps.
 func Run(ctx context.Context, options Options) (Report, error) {
 	user, err := NewUser(options.User)
 	if err != nil {
--- a/store.go
+++ b/store.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s/%d", s.Topic, s.Partition)
 }
 
-// Record is an entry of a stream.
+// Record is one record of a stream.
 type Record struct {
 	// Key identifies the subject of the record. It is empty in streams without keys.
 	Key string
