--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -24,19 +24,19 @@
 // replaced by a box of the free pool. At most one in 1000 repeatable requests fails.
 func TestFailingBoxIsReplacedFromFreePool(t *testing.T) {
 	f := newFixture(t, smallUser())
-	bad := f.firstPoolBox()
-	f.cluster.Endpoints[bad].SetFault(standin.FaultFailAll)
+	failing := f.firstPoolBox()
+	f.cluster.Endpoints[failing].SetFault(standin.FaultFailAll)
 	load := startLoadGenerator(f.cluster, testClients)
 	f.waitFor("the box is in the free pool", func() bool {
-		box, _ := f.run.observer.currentState().Box(bad)
+		box, _ := f.run.observer.currentState().Box(failing)
 		return box.Pool == fold.FreePool
 	})
 	load.stop()
 	count, failed := 0, 0
-	for _, line := range load.results() {
-		if line.repeatable {
+	for _, result := range load.results() {
+		if result.repeatable {
 			count++
-			if line.status != http.StatusOK {
+			if result.status != http.StatusOK {
 				failed++
 			}
 		}
@@ -124,10 +124,10 @@
 	assert.NilError(t, f.run.maintainAllBoxes(context.Background()))
 	load.stop()
 	assert.Equal(t, f.run.observer.dueBoxes(), 0)
-	overlaps, cut, _ := f.cluster.Observations.Violations()
-	assert.Equal(t, overlaps+cut, 0)
-	for _, line := range load.results() {
-		assert.Equal(t, line.outcome, wire.OutcomeAnswered, "%+v", line)
+	overlaps, cutInFlight, _ := f.cluster.Observations.Violations()
+	assert.Equal(t, overlaps+cutInFlight, 0)
+	for _, result := range load.results() {
+		assert.Equal(t, result.outcome, wire.OutcomeAnswered, "%+v", result)
 	}
 }
 
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -40,9 +40,9 @@
 	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 	for _, box := range f.run.observer.currentState().Boxes() {
-		was, _ := before.Box(box.Info.Name)
+		previous, _ := before.Box(box.Info.Name)
 		if box.Info.Hall == "north" {
-			assert.Equal(t, box.Sender, was.Sender, "a box of the zone that is cut off got another sender")
+			assert.Equal(t, box.Sender, previous.Sender, "a box of the zone that is cut off got another sender")
 		}
 	}
 	f.cluster.Network.Heal()
@@ -149,8 +149,8 @@
 		return box.Health == wire.HealthUp
 	})
 	load.stop()
-	for _, line := range load.results() {
-		assert.Equal(t, line.outcome, wire.OutcomeAnswered, "%+v", line)
+	for _, result := range load.results() {
+		assert.Equal(t, result.outcome, wire.OutcomeAnswered, "%+v", result)
 	}
 }
 
@@ -176,6 +176,6 @@
 	f.waitFor("the other boxes are maintained and the pool has the slots that it needs", func() bool { return f.run.observer.dueBoxes() == 0 && f.run.observer.poolsFilled() })
 
 	load.stop()
-	overlaps, cut, _ := f.cluster.Observations.Violations()
-	assert.Equal(t, overlaps+cut, 0)
+	overlaps, cutInFlight, _ := f.cluster.Observations.Violations()
+	assert.Equal(t, overlaps+cutInFlight, 0)
 }
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -21,7 +21,8 @@
 )
 
 // smallUser returns a user with one zone, one entry, five boxes in five racks, and two
-// services in one pool: the requests of view may be repeated, those of pay may not.
+// services in one pool: the requests of view may be repeated, those of pay may not. Both
+// allow the customer "small" one slot.
 func smallUser() User {
 	table := newTable(settings.Deployment{Pools: []string{"clerks"}, Moves: 1, Rollout: 1, Buffer: 1, MaintainDays: 42},
 		serviceSpec{"view", "clerks", 1, 8, 0, 3000, true},
@@ -49,7 +50,6 @@
 
 // newFixture starts a user's fleet and publishes its table. The test's cleanup ends
 // the fleet, and fails the test if a process reported a violation.
-
 func newFixture(t *testing.T, user User) *fixture {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -99,8 +99,8 @@
 	return fmt.Sprintf("n%d", f.nonces)
 }
 
-// setFault gives a fault to the first boxes that are not in the free pool, as many as
-// the given number or all of them.
+// setFault gives a fault to the first boxes that are not in the free pool, up to the
+// given number of boxes.
 func (f *fixture) setFault(fault standin.EndpointFault, boxes int) {
 	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Pool == "free" {
@@ -121,7 +121,7 @@
 	}
 }
 
-// allBoxes is more than any test has boxes.
+// allBoxes exceeds the number of boxes in every test.
 const allBoxes = 100
 
 // TestClientGetsCorrectOutcomeForEachEndpointFault shows, for each fault of all boxes,
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -25,18 +25,18 @@
 	for range keys {
 		nonce := f.nonce()
 		var both errgroup.Group
-		answers := make([]reply, 2)
+		replies := make([]reply, 2)
 		for i, node := range f.cluster.Nodes {
 			both.Go(func() error {
-				answers[i] = f.callNode(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderIdempotencyKey: nonce}, nonce)
+				replies[i] = f.callNode(node, "pay", mustJSON(t, standin.Work{Nonce: nonce, WorkMs: 1}), map[string]string{front.HeaderIdempotencyKey: nonce}, nonce)
 				return nil
 			})
 		}
 		assert.NilError(t, both.Wait())
-		assert.Equal(t, f.cluster.Observations.Runs(nonce), 1, "%+v", answers)
-		statuses := []int{answers[0].status, answers[1].status}
-		assert.Assert(t, statuses[0] == http.StatusOK || statuses[1] == http.StatusOK, "%+v", answers)
-		assert.Assert(t, statuses[0] == http.StatusConflict || statuses[1] == http.StatusConflict, "%+v", answers)
+		assert.Equal(t, f.cluster.Observations.Runs(nonce), 1, "%+v", replies)
+		statuses := []int{replies[0].status, replies[1].status}
+		assert.Assert(t, statuses[0] == http.StatusOK || statuses[1] == http.StatusOK, "%+v", replies)
+		assert.Assert(t, statuses[0] == http.StatusConflict || statuses[1] == http.StatusConflict, "%+v", replies)
 	}
 }
 
@@ -72,11 +72,11 @@
 	assert.Equal(t, first.outcome, "not-run")
 	f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
 
-	landed := f.run.waitUntil(context.Background(), 20*time.Second, func() bool {
+	bothInLog := f.run.waitUntil(context.Background(), 20*time.Second, func() bool {
 		return len(f.cluster.Platform.Log.Peek(damsonwinch.StreamClaims, 0, 10)) >= 2
 	})
 
-	assert.Assert(t, landed, "the late claim and its release did not reach the log")
+	assert.Assert(t, bothInLog, "the late claim and its release did not reach the log")
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 0)
 	second := f.call("pay", work, header)
 	assert.Equal(t, second.status, http.StatusOK, second.body)
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -38,6 +38,7 @@
 	}
 }
 
+// testRandomFaults applies the random events of one seed.
 func testRandomFaults(t *testing.T, seed uint64) {
 	user := smallUser()
 	user.Fleet.Halls = []settings.Hall{newZone("north", 7, 2), newZone("south", 7, 2), newZone("west", 4, 1)}
@@ -59,7 +60,7 @@
 		assert.NilError(t, f.cluster.StartNode(f.cluster.Nodes[number]))
 	}
 	f.waitFor("the pools have the slots that they need again", f.run.observer.poolsFilled)
-	f.waitFor("every process has the newest table", f.run.newestTableInForce)
+	f.waitFor("every entry has the newest table", f.run.newestTableInForce)
 	load.stop()
 	report := f.run.report()
 	report.BelowFloor = 0
@@ -79,7 +80,7 @@
 			to = platformZone
 		}
 		f.cluster.Network.Cut(from, to)
-		return "cut " + from + " to " + to
+		return "cut connections from " + from + " to " + to
 	case 2, 3:
 		f.cluster.Network.Heal()
 		f.cluster.Platform.Log.SetFaults(standin.LogFaults{})
@@ -90,14 +91,14 @@
 			LateDelay: time.Duration(random.IntN(4000)) * time.Millisecond, AppendDelay: time.Duration(random.IntN(200)) * time.Millisecond,
 		}
 		f.cluster.Platform.Log.SetFaults(faults)
-		return fmt.Sprintf("log %+v", faults)
+		return fmt.Sprintf("faults of the log: %+v", faults)
 	case 5:
 		return f.killOrStart(node, stopped)
 	case 6:
 		faults := []standin.EndpointFault{standin.FaultFailAll, standin.FaultResetAfter, standin.FaultPartialBody, standin.FaultWrongRequestID, standin.FaultNone, standin.FaultNone}
 		fault := faults[random.IntN(len(faults))]
 		f.setFault(fault, 1+random.IntN(2))
-		return "boxes " + string(fault)
+		return "fault of boxes: " + string(fault)
 	case 7:
 		err := f.run.editTable(context.Background(), "ana", node, func(wanted *settings.Table) {
 			wanted.Services[0].Row.Floor = 8 + random.IntN(3)*8
--- a/pkg/trial/stop_test.go
+++ b/pkg/trial/stop_test.go
@@ -31,8 +31,8 @@
 	assert.NilError(t, f.cluster.StartEntry(node))
 	f.waitFor("the new process has boxes", func() bool { return f.boxesSentTo(1) > 0 })
 	load.stop()
-	for _, line := range load.results() {
-		assert.Equal(t, line.outcome, wire.OutcomeAnswered, "%+v", line)
+	for _, result := range load.results() {
+		assert.Equal(t, result.outcome, wire.OutcomeAnswered, "%+v", result)
 	}
 }
 
@@ -47,8 +47,8 @@
 
 	f.waitFor("its boxes are released", func() bool { return f.boxesSentTo(1) == 0 && f.run.observer.poolsFilled() })
 	load.stop()
-	for _, line := range load.results() {
-		assert.Assert(t, line.repeatable || f.cluster.Observations.Runs(line.nonce) <= 1, "%+v", line)
+	for _, result := range load.results() {
+		assert.Assert(t, result.repeatable || f.cluster.Observations.Runs(result.nonce) <= 1, "%+v", result)
 	}
 }
 
