--- a/pkg/front/loop.go
+++ b/pkg/entry/loop.go
@@ -1,4 +1,4 @@
-package front
+package entry
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"time"
 
 	"damsonwinch/pkg/call"
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/follow"
 	"damsonwinch/pkg/lease"
-	"damsonwinch/pkg/pace"
 	"damsonwinch/pkg/queue"
+	"damsonwinch/pkg/ticker"
 )
 
 // Messages to the loop.
@@ -36,7 +36,7 @@
 	// forwardedMessage reports that another entry, to which a request was forwarded, replied whether it
 	// has free slots, or did not reply.
 	forwardedMessage struct {
-		peer       fold.SenderKey
+		peer       fleetstate.SenderKey
 		pool       string
 		busy       bool
 		unanswered bool
@@ -54,7 +54,7 @@
 	// zone: the keeper granted it, is found to have exited, or neither.
 	extendedMessage struct {
 		// key names the sender that the extension is for.
-		key         fold.SenderKey
+		key         fleetstate.SenderKey
 		peer        lease.Peer
 		requestedAt time.Time
 		granted     bool
@@ -107,7 +107,7 @@
 		return true
 	}
 	for _, box := range e.boxes {
-		if box.Phase == fold.Draining || box.handoverPending || e.ejections.IsEjected(box.Info.Name) {
+		if box.Phase == fleetstate.Draining || box.handoverPending || e.ejections.IsEjected(box.Info.Name) {
 			return true
 		}
 	}
@@ -116,10 +116,10 @@
 
 // run is the loop: it handles messages, updates of the log's state and ticks one by one, until ctx ends.
 func (e *Entry) run(ctx context.Context) error {
-	ticker := pace.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
-	defer ticker.Stop()
+	loopTicker := ticker.New(e.deps.Clock, busyTickInterval, milliseconds(e.deps.Settings.RenewMs)/idleTicksPerRenewal)
+	defer loopTicker.Stop()
 	for ticks := 0; ; {
-		ticker.SetBusy(e.hasTimedWork())
+		loopTicker.SetBusy(e.hasTimedWork())
 		select {
 		case <-ctx.Done():
 			e.refuseAllWaiting()
@@ -128,7 +128,7 @@
 			e.handleUpdate(update)
 		case message := <-e.inbox:
 			e.handleMessage(message)
-		case <-ticker.Chan():
+		case <-loopTicker.Chan():
 			ticks++
 			e.handleTick(ctx, ticks)
 		}
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/front"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/wire"
 )
 
@@ -28,12 +28,12 @@
 	}{
 		{"unknown service", "none", "{}", nil, http.StatusNotFound, "not in the table"},
 		{"too large", "view", strings.Repeat("x", 5000), nil, http.StatusRequestEntityTooLarge, "4096 bytes"},
-		{"unknown class", "view", "{}", map[string]string{front.HeaderClass: "soon"}, http.StatusBadRequest, "urgent, normal, same-day"},
-		{"deadline is no number", "view", "{}", map[string]string{front.HeaderDeadline: "1s"}, http.StatusBadRequest, "from 1 to 3000"},
-		{"deadline too long", "view", "{}", map[string]string{front.HeaderDeadline: "3001"}, http.StatusBadRequest, "from 1 to 3000"},
-		{"size zero", "view", "{}", map[string]string{front.HeaderSize: "0"}, http.StatusBadRequest, front.HeaderSize},
-		{"can never fit", "view", "{}", map[string]string{front.HeaderSize: "9"}, http.StatusUnprocessableEntity, "largest box"},
-		{"key too long", "pay", "{}", map[string]string{front.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
+		{"unknown class", "view", "{}", map[string]string{entry.HeaderClass: "soon"}, http.StatusBadRequest, "urgent, normal, same-day"},
+		{"deadline is no number", "view", "{}", map[string]string{entry.HeaderDeadline: "1s"}, http.StatusBadRequest, "from 1 to 3000"},
+		{"deadline too long", "view", "{}", map[string]string{entry.HeaderDeadline: "3001"}, http.StatusBadRequest, "from 1 to 3000"},
+		{"size zero", "view", "{}", map[string]string{entry.HeaderSize: "0"}, http.StatusBadRequest, entry.HeaderSize},
+		{"can never fit", "view", "{}", map[string]string{entry.HeaderSize: "9"}, http.StatusUnprocessableEntity, "largest box"},
+		{"key too long", "pay", "{}", map[string]string{entry.HeaderIdempotencyKey: strings.Repeat("k", 201)}, http.StatusBadRequest, "too long"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := f.callWithBody(row.service, []byte(row.body), row.header, "")
@@ -51,19 +51,19 @@
 // refused and the response says when to try again. It runs once the quota is free.
 func TestRequestOverQuotaIsRefusedWithRetryAfter(t *testing.T) {
 	f := newFixture(t, smallUser())
-	customer := map[string]string{front.HeaderCustomer: "small"}
+	customer := map[string]string{entry.HeaderCustomer: "small"}
 	first := make(chan reply, 1)
-	long := standin.Work{Nonce: f.nonce(), WorkMs: 500}
+	long := fakes.Work{Nonce: f.nonce(), WorkMs: 500}
 	f.runInBackground(func() { first <- f.call("view", long, customer) })
 	f.waitFor("the first request runs", func() bool { return f.cluster.Observations.Runs(long.Nonce) == 1 })
 
-	second := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
+	second := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 
 	assert.Equal(t, second.status, http.StatusTooManyRequests, second.body)
 	assert.Equal(t, second.outcome, string(wire.OutcomeNotRun))
 	assert.Assert(t, second.retryAfter != "")
 	assert.Equal(t, (<-first).status, http.StatusOK)
-	again := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
+	again := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 	assert.Equal(t, again.status, http.StatusOK, again.body)
 }
 
@@ -71,10 +71,10 @@
 // truncated response.
 func TestOversizedResponseIsAnError(t *testing.T) {
 	f := newFixture(t, smallUser())
-	got := f.call("view", standin.Work{Nonce: f.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
+	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1, Padding: strings.Repeat("x", 3000)}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
-	f.setFault(standin.FaultOversizedBody, allBoxes)
-	got = f.call("pay", standin.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
+	f.setFault(fakes.FaultOversizedBody, allBoxes)
+	got = f.call("pay", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusBadGateway, fmt.Sprint(len(got.body)))
 	assert.Equal(t, got.outcome, string(wire.OutcomeUnknown))
 	assert.Assert(t, strings.Contains(got.body, "larger than"), got.body)
--- a/pkg/trial/callers.go
+++ b/pkg/trial/load.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"damsonwinch/pkg/front"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/wire"
 )
 
@@ -108,7 +108,7 @@
 	services := g.cluster.User.Table.Services
 	service := services[random.IntN(len(services))]
 	result := clientResult{nonce: nonce, repeatable: service.Row.Repeatable, class: drawClass(random), outcome: wire.OutcomeUnknown}
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
+	body, err := json.Marshal(fakes.Work{Nonce: nonce, WorkMs: 1 + random.IntN(maxWorkMs), Padding: string(bytes.Repeat([]byte("p"), random.IntN(maxPadBytes)))})
 	if err != nil {
 		result.noResponse = true
 		return result
@@ -120,12 +120,12 @@
 		result.noResponse = true
 		return result
 	}
-	request.Header.Set(front.HeaderClass, string(result.class))
+	request.Header.Set(entry.HeaderClass, string(result.class))
 	if result.class == wire.ClassUrgent {
-		request.Header.Set(front.HeaderDeadline, fmt.Sprint(urgentDeadlineMs))
+		request.Header.Set(entry.HeaderDeadline, fmt.Sprint(urgentDeadlineMs))
 	}
 	if !service.Row.Repeatable && random.IntN(oneInKeyed) == 0 {
-		request.Header.Set(front.HeaderIdempotencyKey, nonce)
+		request.Header.Set(entry.HeaderIdempotencyKey, nonce)
 	}
 	sentAt := g.cluster.clock.Now()
 	g.send(request, body, &result)
@@ -158,8 +158,8 @@
 		return
 	}
 	result.status = response.StatusCode
-	result.outcome = wire.Outcome(response.Header.Get(front.HeaderOutcome))
-	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != standin.ExpectedResponse(body)
+	result.outcome = wire.Outcome(response.Header.Get(entry.HeaderOutcome))
+	result.wrongAnswer = result.status == http.StatusOK && string(responseBody) != fakes.ExpectedResponse(body)
 	if result.status != http.StatusOK {
 		result.reason = string(responseBody)
 	}
