--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -140,12 +140,12 @@
 	catchUpTime = 100 * time.Millisecond
 )
 
-// Suspended takes the total time for which the machine has been suspended since this owner began.
-// The monotonic clock does not count that time, so leases and claims that look valid may have
-// expired long ago, and another node may own the cell. If the total has grown by at least
-// damsonwinch.NegligibleSuspension since Suspended last returned true, Suspended returns true: the
-// owner has to give up the cell and send no more requests.
-func (c *Cell) Suspended(total time.Duration) bool {
+// CheckSuspension takes the total time for which the machine has been suspended since this owner
+// began. The monotonic clock does not count that time, so leases and claims that look valid may have
+// expired long ago, and another node may own the cell. CheckSuspension returns true if the total has
+// grown by at least damsonwinch.NegligibleSuspension since it last did: the owner then has to give up
+// the cell and send no more requests.
+func (c *Cell) CheckSuspension(total time.Duration) bool {
 	suspended := total - c.suspendedFor
 	if suspended < damsonwinch.NegligibleSuspension {
 		return false
--- a/pkg/cell/sim_owner_test.go
+++ b/pkg/cell/sim_owner_test.go
@@ -124,7 +124,7 @@
 	}
 	action()
 	if !o.world.mutation.hideSuspensions {
-		o.cell.Suspended(o.suspendedTime)
+		o.cell.CheckSuspension(o.suspendedTime)
 	}
 	o.performEffects()
 }
--- a/pkg/command/daemon.go
+++ b/pkg/command/daemon.go
@@ -96,12 +96,12 @@
 // If the machine has no clock that counts suspensions, newSuspendedTime logs a warning and returns nil; the
 // process then runs as if there were no suspensions.
 func newSuspendedTime(clock damsonwinch.Clock, logger logrus.FieldLogger) damsonwinch.SuspendedTime {
-	watch, err := suspend.New(clock, suspend.BootTime)
+	detector, err := suspend.New(clock, suspend.BootTime)
 	if err != nil {
 		logger.WithError(err).Warn("suspensions of the machine are not seen")
 		return nil
 	}
-	return watch.Suspended
+	return detector.SuspendedTime
 }
 
 // newEnv returns the environment of a process outside tests: the real clock and network, a logger to
--- a/pkg/loadtest/cost_test.go
+++ b/pkg/loadtest/cost_test.go
@@ -21,7 +21,7 @@
 	logger.SetOutput(io.Discard)
 	user, err := loadUser()
 	assert.NilError(b, err)
-	cluster, err := trial.StartReady(context.Background(), user, 1, logger)
+	cluster, err := trial.NewReadyCluster(context.Background(), user, 1, logger)
 	assert.NilError(b, err)
 	defer func() { assert.NilError(b, cluster.Close()) }()
 	gateway, err := startPlainGateway(cluster)
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return report, err
 	}
-	cluster, err := trial.StartReady(ctx, user, options.Seed, options.Logger)
+	cluster, err := trial.NewReadyCluster(ctx, user, options.Seed, options.Logger)
 	if err != nil {
 		return report, err
 	}
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -196,7 +196,7 @@
 // and reports whether the cell may have a newer owner because of that. It must be called immediately
 // before requests are sent, because decisions from before a suspension are out of date.
 func (o *Owner) checkSuspension() bool {
-	return o.cell.Suspended(o.deps.SuspendedTime.Total() - o.suspendedBefore)
+	return o.cell.CheckSuspension(o.deps.SuspendedTime.Total() - o.suspendedBefore)
 }
 
 // HasWaitingTasks reports whether tasks of the cell wait for capacity. Any goroutine may call it.
--- a/pkg/ownership/health_test.go
+++ b/pkg/ownership/health_test.go
@@ -18,13 +18,13 @@
 	store.appendRecord(claimRecord(t, "one", unlisted))
 	store.replying[unlisted.Address] = unlisted
 	n := startNode(t, store, "a", "one", "two")
-	waitFor(t, "the free cell is owned", func() bool { return n.owns("two") })
+	waitUntil(t, "the free cell is owned", func() bool { return n.owns("two") })
 
 	clockwork.NewRealClock().Sleep(5 * time.Second / 2)
 
 	assert.Assert(t, !n.owns("one"), "the cell was taken from an owner that is alive")
 	store.locked(func() { delete(store.replying, unlisted.Address) })
-	waitFor(t, "the cell of an owner that has exited is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell of an owner that has exited is owned", func() bool { return n.owns("one") })
 }
 
 // TestOwnerCutOffFromStoreLosesItsCell checks that an owner that is cut off from the store loses its
@@ -36,7 +36,7 @@
 	store.replying[owner.Address], store.cutOff[owner.Address] = owner, true
 	n := startNode(t, store, "a", "one")
 
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 }
 
 // TestRestartedOwnersKeepTheirCells restarts a fleet whose group has fewer partitions than there are
@@ -58,7 +58,7 @@
 		weak = append(weak, startMember(t, store, Member{Node: name, Address: name + ":1", Weight: 19, Incarnation: 2}, cells...))
 	}
 	first, second := startMember(t, store, strong, cells...), startMember(t, store, other, cells...)
-	waitFor(t, "the owners have claimed their cells again", func() bool { return first.owns("one") && second.owns("two") })
+	waitUntil(t, "the owners have claimed their cells again", func() bool { return first.owns("one") && second.owns("two") })
 
 	clock := clockwork.NewRealClock()
 	for start := clock.Now(); clock.Since(start) < 4*time.Second; clock.Sleep(20 * time.Millisecond) {
@@ -76,11 +76,11 @@
 func TestWeakNodeHandsCellOverToStrongNode(t *testing.T) {
 	store := newMemoryStore()
 	weak := startMember(t, store, Member{Node: "a", Address: "a:1", Weight: 19, Incarnation: 1}, "one")
-	waitFor(t, "the cell is owned", func() bool { return weak.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return weak.owns("one") })
 
 	strong := startMember(t, store, Member{Node: "b", Address: "b:1", Weight: 800, Incarnation: 1}, "one")
 
-	waitFor(t, "the strong node owns the cell", func() bool { return strong.owns("one") })
+	waitUntil(t, "the strong node owns the cell", func() bool { return strong.owns("one") })
 	store.locked(func() { assert.Equal(t, store.appends, 3, "want a claim, its release and the other node's claim") })
 }
 
@@ -89,7 +89,7 @@
 func TestNearlyEqualNodesKeepTheirCells(t *testing.T) {
 	store := newMemoryStore()
 	first := startNode(t, store, "a", "one", "two")
-	waitFor(t, "the cells are owned", func() bool { return first.owns("one") && first.owns("two") })
+	waitUntil(t, "the cells are owned", func() bool { return first.owns("one") && first.owns("two") })
 	startNode(t, store, "b", "one", "two")
 
 	clockwork.NewRealClock().Sleep(handOverDelay + time.Second)
@@ -110,7 +110,7 @@
 	store.appendRecord(claimRecord(t, "one", other))
 	store.members = []string{other.Name()}
 	n := startNode(t, store, "a", "one", "two")
-	waitFor(t, "the free cell is owned", func() bool { return n.owns("two") })
+	waitUntil(t, "the free cell is owned", func() bool { return n.owns("two") })
 	clock := clockwork.NewRealClock()
 	worksUntil := clock.Now().Add(3 * time.Second)
 	store.locked(func() { store.appendsUntil = worksUntil })
@@ -120,7 +120,7 @@
 		clock.Sleep(20 * time.Millisecond)
 	}
 	start := clock.Now()
-	waitFor(t, "the cell of an owner that has stopped working is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell of an owner that has stopped working is owned", func() bool { return n.owns("one") })
 	assert.Assert(t, clock.Since(start) < time.Second, "%v", clock.Since(start))
 }
 
@@ -133,14 +133,14 @@
 	store.members = []string{other.Name()}
 	store.replying[other.Address] = other
 	n := startNode(t, store, "a", "one", "two")
-	waitFor(t, "the free cell is owned", func() bool { return n.owns("two") })
+	waitUntil(t, "the free cell is owned", func() bool { return n.owns("two") })
 	clock := clockwork.NewRealClock()
 	clock.Sleep(2 * minSilence)
 	assert.Assert(t, !n.owns("one"))
 	store.locked(func() { delete(store.replying, other.Address) })
 	start := clock.Now()
 
-	waitFor(t, "the cell of the silent node is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell of the silent node is owned", func() bool { return n.owns("one") })
 
 	took := clock.Since(start)
 	assert.Assert(t, took >= minSilence && took < time.Second, "%v", took)
--- a/pkg/ownership/layout_test.go
+++ b/pkg/ownership/layout_test.go
@@ -19,12 +19,12 @@
 	a.ProposeLayout(shard.New(3, []string{"p"}))
 	b.ProposeLayout(shard.New(5, []string{"p", "q"}))
 
-	waitFor(t, "both nodes know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
+	waitUntil(t, "both nodes know a layout", func() bool { return a.view.Load().Layout.Decided() && b.view.Load().Layout.Decided() })
 	decided := a.view.Load().Layout
 	assert.Assert(t, decided.Equal(b.view.Load().Layout), "%v and %v", decided, b.view.Load().Layout)
 	b.ProposeLayout(shard.New(7, nil))
 	later := startNode(t, store, "c", "one", "two")
-	waitFor(t, "a later node knows the layout", func() bool { return later.view.Load().Layout.Decided() })
+	waitUntil(t, "a later node knows the layout", func() bool { return later.view.Load().Layout.Decided() })
 	assert.Assert(t, later.view.Load().Layout.Equal(decided))
 	assert.Assert(t, b.view.Load().Layout.Equal(decided))
 }
@@ -35,12 +35,12 @@
 	store := newMemoryStore()
 	store.locked(func() { store.listFull = true })
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 	assert.Assert(t, !n.view.Load().MembersComplete)
 
 	store.locked(func() { store.listFull = false })
 
-	waitFor(t, "the list counts as complete once it has spare partitions", func() bool { return n.view.Load().MembersComplete })
+	waitUntil(t, "the list counts as complete once it has spare partitions", func() bool { return n.view.Load().MembersComplete })
 }
 
 // TestMemberListIsCompleteWhenGroupUsesAllTopics uses a group with more members than there are
@@ -55,7 +55,7 @@
 		store.topicCounts[name] = maxTopics
 	}
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the list counts as complete", func() bool { return n.view.Load().MembersComplete })
+	waitUntil(t, "the list counts as complete", func() bool { return n.view.Load().MembersComplete })
 }
 
 // TestGroupOfSmallTopicsListsLargeFleet checks that the group can list 300 nodes on topics of 12
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -70,8 +70,8 @@
 	return owned && claim.HeldBy(n.options.Self)
 }
 
-// waitFor waits until a condition holds, and fails the test after waitTimeout.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until a condition holds, and fails the test after waitTimeout.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	for start := clock.Now(); clock.Since(start) < waitTimeout; clock.Sleep(10 * time.Millisecond) {
@@ -87,7 +87,7 @@
 func TestNodeClaimsEachUnownedCellOnce(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one", "two", "three")
-	waitFor(t, "all cells are owned", func() bool { return n.owns("one") && n.owns("two") && n.owns("three") })
+	waitUntil(t, "all cells are owned", func() bool { return n.owns("one") && n.owns("two") && n.owns("three") })
 	store.locked(func() { assert.Equal(t, store.appends, 3) })
 }
 
@@ -96,7 +96,7 @@
 func TestConflictingClaimIsNotRetriedBeforeNewRecordsAreRead(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 	lost := member("gone", 1)
 	var before int
 	store.locked(func() {
@@ -105,7 +105,7 @@
 	})
 	// The read that waits now returns this claim. The next read hangs.
 	store.locked(func() { store.appendRecord(claimRecord(t, "other", lost)) })
-	waitFor(t, "the read hangs", func() bool {
+	waitUntil(t, "the read hangs", func() bool {
 		hung := false
 		store.locked(func() { hung = !store.hangNextRead })
 		return hung
@@ -114,7 +114,7 @@
 
 	n.SetCells([]string{"one", "two"})
 
-	waitFor(t, "the cell of the lost node is owned", func() bool { return n.owns("two") })
+	waitUntil(t, "the cell of the lost node is owned", func() bool { return n.owns("two") })
 	store.locked(func() { assert.Assert(t, store.appends-before <= 2, "%d appends", store.appends-before) })
 }
 
@@ -123,13 +123,13 @@
 func TestClaimIsReleasedDespiteFailedAppends(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 	token := n.view.Load().Claims["one"].Token
 	store.locked(func() { store.failures = 2 })
 
 	n.ReleaseClaim("one", token)
 
-	waitFor(t, "the cell is owned by a newer claim", func() bool { return n.owns("one") && n.view.Load().Claims["one"].Token > token })
+	waitUntil(t, "the cell is owned by a newer claim", func() bool { return n.owns("one") && n.view.Load().Claims["one"].Token > token })
 }
 
 // TestFailedClaimIsRetriedAfterDelay guards against a flood of appends: the store refused the
@@ -140,7 +140,7 @@
 	clock := clockwork.NewRealClock()
 	start := clock.Now()
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "three appends have been tried", func() bool {
+	waitUntil(t, "three appends have been tried", func() bool {
 		tried := 0
 		store.locked(func() { tried = store.appends })
 		return tried >= 3
@@ -150,7 +150,7 @@
 		assert.Assert(t, store.appends <= 2+int(took/appendRetryDelay), "%d appends in %v", store.appends, took)
 		store.failures = 0
 	})
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 }
 
 // TestRestartedNodeReclaimsItsCellsAtOnce uses a group that still lists the node's earlier incarnation
@@ -165,7 +165,7 @@
 
 	n := startMember(t, store, later, "one")
 
-	waitFor(t, "the cell is owned by the later incarnation", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned by the later incarnation", func() bool { return n.owns("one") })
 }
 
 // TestNodeThatRefusesConnectionsLosesItsCell checks that a reported refused connection suffices for a
@@ -176,12 +176,12 @@
 	store.appendRecord(claimRecord(t, "one", other))
 	store.members = []string{other.Name()}
 	n := startNode(t, store, "a", "one", "two")
-	waitFor(t, "the free cell is owned", func() bool { return n.owns("two") })
+	waitUntil(t, "the free cell is owned", func() bool { return n.owns("two") })
 	assert.Assert(t, !n.owns("one"))
 
 	n.ReportRefusedConnection("b", 1)
 
-	waitFor(t, "the cell of the exited node is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell of the exited node is owned", func() bool { return n.owns("one") })
 }
 
 // TestUnlistedIncarnationKeepsItsClaimWhileItReplies checks that a restarted node that has reclaimed its
@@ -189,7 +189,7 @@
 func TestUnlistedIncarnationKeepsItsClaimWhileItReplies(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the free cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the free cell is owned", func() bool { return n.owns("one") })
 	unlisted := member("b", 2)
 	store.locked(func() {
 		store.replying[unlisted.Address] = unlisted
@@ -201,5 +201,5 @@
 
 	assert.Assert(t, !n.owns("two"), "the cell was taken from an owner that is alive")
 	store.locked(func() { delete(store.replying, unlisted.Address) })
-	waitFor(t, "the cell of a node that doesn't reply is owned", func() bool { return n.owns("two") })
+	waitUntil(t, "the cell of a node that doesn't reply is owned", func() bool { return n.owns("two") })
 }
--- a/pkg/ownership/partitions_test.go
+++ b/pkg/ownership/partitions_test.go
@@ -12,7 +12,7 @@
 func TestPartitionIsReservedOnce(t *testing.T) {
 	store := newMemoryStore()
 	nodes := []*testNode{startNode(t, store, "a", "one", "two"), startNode(t, store, "b", "one", "two")}
-	waitFor(t, "both cells have a partition", func() bool { return len(nodes[0].view.Load().Claims) == 2 && len(nodes[1].view.Load().Claims) == 2 })
+	waitUntil(t, "both cells have a partition", func() bool { return len(nodes[0].view.Load().Claims) == 2 && len(nodes[1].view.Load().Claims) == 2 })
 	var mutex sync.Mutex
 	uses := map[int]int{}
 	for _, claim := range nodes[0].view.Load().Claims {
@@ -27,7 +27,7 @@
 			})
 		}
 	}
-	waitFor(t, "twelve partitions are reserved", func() bool {
+	waitUntil(t, "twelve partitions are reserved", func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return len(uses) == 12
@@ -42,7 +42,7 @@
 func TestPartitionWithUnknownReservationIsSkipped(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 	store.locked(func() { store.failures = 1 })
 	numbers := make(chan int, 1)
 	n.ReservePartition(func(number int) { numbers <- number })
@@ -54,17 +54,17 @@
 func TestMovedClaimNamesNewPartition(t *testing.T) {
 	store := newMemoryStore()
 	n := startNode(t, store, "a", "one")
-	waitFor(t, "the cell is owned", func() bool { return n.owns("one") })
+	waitUntil(t, "the cell is owned", func() bool { return n.owns("one") })
 	token := n.view.Load().Claims["one"].Token
 
 	n.MoveClaim("one", token, 7)
 
-	waitFor(t, "the claim names the partition", func() bool { return n.view.Load().Claims["one"].Partition == 7 })
+	waitUntil(t, "the claim names the partition", func() bool { return n.view.Load().Claims["one"].Partition == 7 })
 	assert.Assert(t, n.owns("one") && n.view.Load().Claims["one"].Token > token)
 	n.MoveClaim("one", token, 9)
 	n.MoveClaim("two", token, 9)
 	n.SetCells([]string{"one", "three"})
-	waitFor(t, "the cell that was added later is owned", func() bool { return n.owns("three") })
+	waitUntil(t, "the cell that was added later is owned", func() bool { return n.owns("three") })
 	assert.Equal(t, n.view.Load().Claims["one"].Partition, 7, "a move for an outdated claim has had an effect")
 	assert.Equal(t, n.view.Load().Claims["three"].Partition, 8, "the new cell has not got the next free partition")
 }
--- a/pkg/quota/allowances.go
+++ b/pkg/quota/allowances.go
@@ -26,7 +26,7 @@
 	// longRunning is the part of used that runs until it is stopped.
 	longRunning sums
 	// loweredVersion holds the customers whose cap was lowered, each with the latest configuration
-	// version that lowered it. An entry stays until an update arrives that was allocated by that
+	// version that lowered it. A customer stays there until an update arrives that was allocated by that
 	// version: until then the cell's allowance and what other cells have running may exceed the cap.
 	loweredVersion map[string]int
 	// allocatorToken is the token of the newest allocator that has sent an update, appliedNumber
--- a/pkg/suspend/suspend.go
+++ b/pkg/suspend/suspend.go
@@ -52,9 +52,9 @@
 	return d, err
 }
 
-// Suspended returns the total time for which the machine has been suspended since New was called,
+// SuspendedTime returns the total time for which the machine has been suspended since New was called,
 // and 0 if the clocks can't be read.
-func (d *Detector) Suspended() time.Duration {
+func (d *Detector) SuspendedTime() time.Duration {
 	lead, err := d.lead()
 	if err != nil {
 		return 0
--- a/pkg/suspend/suspend_test.go
+++ b/pkg/suspend/suspend_test.go
@@ -18,12 +18,12 @@
 	detector, err := suspend.New(clock, func() (time.Duration, error) { return boot, nil })
 	assert.NilError(t, err)
 	run(time.Minute)
-	assert.Equal(t, detector.Suspended(), time.Duration(0))
+	assert.Equal(t, detector.SuspendedTime(), time.Duration(0))
 	boot += 3 * time.Second
 	run(time.Second)
-	assert.Equal(t, detector.Suspended(), 3*time.Second)
+	assert.Equal(t, detector.SuspendedTime(), 3*time.Second)
 	boot += time.Second
-	assert.Equal(t, detector.Suspended(), 4*time.Second)
+	assert.Equal(t, detector.SuspendedTime(), 4*time.Second)
 }
 
 // TestPauseBetweenReadingsIsNotCounted guards against a pause of the process between the readings of
@@ -42,9 +42,9 @@
 	})
 	assert.NilError(t, err)
 	pauses = 1
-	assert.Equal(t, detector.Suspended(), time.Duration(0))
+	assert.Equal(t, detector.SuspendedTime(), time.Duration(0))
 	pauses = 100
-	assert.Equal(t, detector.Suspended(), time.Duration(0), "0 if the clocks can't be compared")
+	assert.Equal(t, detector.SuspendedTime(), time.Duration(0), "0 if the clocks can't be compared")
 }
 
 func TestNewFailsIfTheBootClockFails(t *testing.T) {
@@ -55,13 +55,13 @@
 func TestSystemClocksCanBeRead(t *testing.T) {
 	detector, err := suspend.New(clockwork.NewRealClock(), suspend.BootTime)
 	assert.NilError(t, err)
-	assert.Assert(t, detector.Suspended() < time.Second)
+	assert.Assert(t, detector.SuspendedTime() < time.Second)
 }
 
 func BenchmarkSuspended(b *testing.B) {
 	detector, err := suspend.New(clockwork.NewRealClock(), suspend.BootTime)
 	assert.NilError(b, err)
 	for b.Loop() {
-		detector.Suspended()
+		detector.SuspendedTime()
 	}
 }
--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -27,7 +27,7 @@
 	failing := f.firstPoolBox()
 	f.cluster.Endpoints[failing].SetFault(fakes.FaultFailAll)
 	load := startLoadGenerator(f.cluster, testClients)
-	f.waitFor("the box is in the free pool", func() bool {
+	f.waitUntil("the box is in the free pool", func() bool {
 		box, _ := f.run.observer.currentState().Box(failing)
 		return box.Pool == fleetstate.FreePool
 	})
@@ -89,7 +89,7 @@
 		if leaving {
 			wanted = http.StatusServiceUnavailable
 		}
-		f.waitFor(fmt.Sprintf("the response has status %d", wanted), func() bool {
+		f.waitUntil(fmt.Sprintf("the response has status %d", wanted), func() bool {
 			header := map[string]string{entry.HeaderDeadline: "100"}
 			return f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, header).status == wanted
 		})
@@ -108,9 +108,9 @@
 		body := fakes.Work{Nonce: f.nonce(), WorkMs: 1}
 		f.runInBackground(func() { f.callUntilDone(ctx, "view", body) })
 	}
-	f.waitFor("many requests wait", func() bool { return entryProcess.Metrics.Count("waiting") > 100 })
+	f.waitUntil("many requests wait", func() bool { return entryProcess.Metrics.Count("waiting") > 100 })
 	cancel()
-	f.waitFor("no request waits", func() bool { return entryProcess.Metrics.Count("waiting") == 0 })
+	f.waitUntil("no request waits", func() bool { return entryProcess.Metrics.Count("waiting") == 0 })
 	f.endFaults()
 	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
@@ -141,7 +141,7 @@
 	})
 	f.run.options.Seconds = 1
 	assert.NilError(t, f.run.maintainAllBoxes(context.Background()))
-	f.waitFor("the wave is halted", func() bool { return len(f.deferredChanges("halted")) > 0 })
+	f.waitUntil("the wave is halted", func() bool { return len(f.deferredChanges("halted")) > 0 })
 	down := 0
 	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Phase == fleetstate.Maintenance && box.Pool != fleetstate.FreePool {
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -118,7 +118,7 @@
 }
 
 // NewCluster starts the stand-ins, and a keeper and an entry on each node. The table
-// is still empty then; see StartReady.
+// is still empty then; see NewReadyCluster.
 func NewCluster(user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	c := &Cluster{
 		User: user, Seed: seed, Network: fakes.NewNetwork(), Endpoints: map[string]*fakes.Endpoint{}, Observations: fakes.NewObservations(),
--- a/pkg/trial/helpers_test.go
+++ b/pkg/trial/helpers_test.go
@@ -24,9 +24,9 @@
 	})
 }
 
-// waitFor waits until a condition holds, and fails the test if it doesn't within
+// waitUntil waits until a condition holds, and fails the test if it doesn't within
 // waitTimeout.
-func (f *fixture) waitFor(what string, condition func() bool) {
+func (f *fixture) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
 	assert.Assert(f.t, f.run.waitUntil(context.Background(), waitTimeout, condition), "timed out waiting until "+what)
 }
--- a/pkg/trial/input_test.go
+++ b/pkg/trial/input_test.go
@@ -55,7 +55,7 @@
 	first := make(chan clientResponse, 1)
 	long := fakes.Work{Nonce: f.nonce(), WorkMs: 500}
 	f.runInBackground(func() { first <- f.call("view", long, customer) })
-	f.waitFor("the first request runs", func() bool { return f.cluster.Observations.Runs(long.Nonce) == 1 })
+	f.waitUntil("the first request runs", func() bool { return f.cluster.Observations.Runs(long.Nonce) == 1 })
 
 	second := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, customer)
 
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -121,7 +121,7 @@
 	work := fakes.Work{Nonce: f.nonce(), WorkMs: 400}
 	header := map[string]string{entry.HeaderIdempotencyKey: "k"}
 	f.runInBackground(func() { f.tryCallNode(f.cluster.Nodes[0], "pay", mustJSON(t, work), header) })
-	f.waitFor("the request runs", func() bool { return f.cluster.Observations.Runs(work.Nonce) == 1 })
+	f.waitUntil("the request runs", func() bool { return f.cluster.Observations.Runs(work.Nonce) == 1 })
 	assert.NilError(t, f.cluster.KillEntry(f.cluster.Nodes[0]))
 
 	second := f.callNode(f.cluster.Nodes[1], "pay", mustJSON(t, work), header, work.Nonce)
--- a/pkg/trial/outage_test.go
+++ b/pkg/trial/outage_test.go
@@ -31,7 +31,7 @@
 // their boxes.
 func TestZoneThatIsCutOffKeepsServing(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
-	f.waitFor("the zone's entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
+	f.waitUntil("the zone's entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
 	before := f.run.observer.currentState()
 	f.cluster.Network.CutBoth("north", platformZone)
 	f.cluster.Network.CutBoth("north", "south")
@@ -46,7 +46,7 @@
 		}
 	}
 	f.cluster.Network.Heal()
-	f.waitFor("the zone reads the log again", func() bool {
+	f.waitUntil("the zone reads the log again", func() bool {
 		return f.cluster.Nodes[0].keeperProcess.Metrics.Count("offset") >= f.run.observer.currentState().Offset()
 	})
 }
@@ -84,7 +84,7 @@
 
 	f.cluster.Platform.Log.SetFaults(fakes.LogFaults{})
 
-	f.waitFor("requests are answered again", func() bool {
+	f.waitUntil("requests are answered again", func() bool {
 		return f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil).status == http.StatusOK
 	})
 	assert.Equal(t, f.run.observer.currentState().Table().Version(), 1)
@@ -94,7 +94,7 @@
 // expired, so that new processes need the snapshot.
 func TestNewProcessStartsFromSnapshot(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
-	f.waitFor("a snapshot is in the log", func() bool { return len(f.cluster.Platform.Log.Peek("snapshots", 0, 1)) > 0 })
+	f.waitUntil("a snapshot is in the log", func() bool { return len(f.cluster.Platform.Log.Peek("snapshots", 0, 1)) > 0 })
 	f.cluster.Platform.Log.Expire("fleet", f.cluster.NewestSnapshotOffset())
 	for _, node := range f.cluster.Nodes {
 		assert.NilError(t, f.cluster.KillEntry(node))
@@ -103,7 +103,7 @@
 	for _, node := range f.cluster.Nodes {
 		assert.NilError(t, f.cluster.StartNode(node))
 	}
-	f.waitFor("requests are answered again", func() bool {
+	f.waitUntil("requests are answered again", func() bool {
 		return f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil).status == http.StatusOK
 	})
 }
@@ -118,7 +118,7 @@
 
 	assert.NilError(t, f.run.editTable(context.Background(), "ana", south, func(wanted *settings.Table) { wanted.Services[0].Row.Queue++ }))
 
-	f.waitFor("the edit is in force in the zone that is cut off", f.run.newestTableInForce)
+	f.waitUntil("the edit is in force in the zone that is cut off", f.run.newestTableInForce)
 	got := f.call("view", fakes.Work{Nonce: f.nonce(), WorkMs: 1}, nil)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 	f.cluster.Network.Heal()
@@ -130,21 +130,21 @@
 // back in the list.
 func TestListThatOmitsLiveBoxesInterruptsNoRequest(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
-	f.waitFor("the zone's entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
+	f.waitUntil("the zone's entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
 	load := startLoadGenerator(f.cluster, testClients)
 	dropped := f.firstPoolBox()
 	info, _ := f.run.observer.currentState().Box(dropped)
 	f.cluster.Platform.RemoveBox(dropped)
 	f.cluster.Platform.RemoveBox(f.cluster.Nodes[0].Name)
 
-	f.waitFor("the box is replaced", func() bool {
+	f.waitUntil("the box is replaced", func() bool {
 		box, _ := f.run.observer.currentState().Box(dropped)
 		return box.Pool == fleetstate.FreePool && f.run.observer.poolsFilled()
 	})
 	f.run.wait(context.Background(), longerThanLease)
 	assert.Assert(t, f.boxesSentTo(0) > 0, "an entry that renews its lease lost its boxes")
 	f.cluster.Platform.PutBox(wire.ListedBox{Info: info.Info})
-	f.waitFor("the box is up again", func() bool {
+	f.waitUntil("the box is up again", func() bool {
 		box, _ := f.run.observer.currentState().Box(dropped)
 		return box.Health == wire.HealthUp
 	})
@@ -173,7 +173,7 @@
 		}
 	}
 
-	f.waitFor("the other boxes are maintained and the pool has the slots that it needs", func() bool { return f.run.observer.dueBoxes() == 0 && f.run.observer.poolsFilled() })
+	f.waitUntil("the other boxes are maintained and the pool has the slots that it needs", func() bool { return f.run.observer.dueBoxes() == 0 && f.run.observer.poolsFilled() })
 
 	load.stop()
 	overlaps, cutInFlight, _ := f.cluster.Observations.Violations()
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -59,8 +59,8 @@
 	for number := range stopped {
 		assert.NilError(t, f.cluster.StartNode(f.cluster.Nodes[number]))
 	}
-	f.waitFor("the pools have the slots that they need again", f.run.observer.poolsFilled)
-	f.waitFor("every entry has the newest table", f.run.newestTableInForce)
+	f.waitUntil("the pools have the slots that they need again", f.run.observer.poolsFilled)
+	f.waitUntil("every entry has the newest table", f.run.newestTableInForce)
 	load.stop()
 	report := f.run.report()
 	report.BelowFloor = 0
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -137,9 +137,9 @@
 	return operator.New(address, r.cluster.Network.Dialer(clientZone), r.cluster.clock, initialState, author), nil
 }
 
-// StartReady starts a user's fleet and returns once its table is in force and its
+// NewReadyCluster starts a user's fleet and returns once its table is in force and its
 // pools have the boxes that their services need.
-func StartReady(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
+func NewReadyCluster(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	cluster, err := NewCluster(user, seed, logger)
 	if err != nil {
 		return nil, err
--- a/pkg/trial/stop_test.go
+++ b/pkg/trial/stop_test.go
@@ -23,13 +23,13 @@
 	f := newFixture(t, twoEntryUser())
 	load := startLoadGenerator(f.cluster, testClients)
 	node := f.cluster.Nodes[1]
-	f.waitFor("both entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
+	f.waitUntil("both entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
 
 	assert.NilError(t, f.cluster.StopEntry(context.Background(), node))
 
-	f.waitFor("its boxes have another sender", func() bool { return f.boxesSentTo(1) == 0 })
+	f.waitUntil("its boxes have another sender", func() bool { return f.boxesSentTo(1) == 0 })
 	assert.NilError(t, f.cluster.StartEntry(node))
-	f.waitFor("the new process has boxes", func() bool { return f.boxesSentTo(1) > 0 })
+	f.waitUntil("the new process has boxes", func() bool { return f.boxesSentTo(1) > 0 })
 	load.stop()
 	for _, result := range load.results() {
 		assert.Equal(t, result.outcome, wire.OutcomeAnswered, "%+v", result)
@@ -41,11 +41,11 @@
 func TestBoxesOfKilledEntryAreReleased(t *testing.T) {
 	f := newFixture(t, twoEntryUser())
 	load := startLoadGenerator(f.cluster, testClients)
-	f.waitFor("both entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
+	f.waitUntil("both entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
 
 	assert.NilError(t, f.cluster.KillEntry(f.cluster.Nodes[1]))
 
-	f.waitFor("its boxes are released", func() bool { return f.boxesSentTo(1) == 0 && f.run.observer.poolsFilled() })
+	f.waitUntil("its boxes are released", func() bool { return f.boxesSentTo(1) == 0 && f.run.observer.poolsFilled() })
 	load.stop()
 	for _, result := range load.results() {
 		assert.Assert(t, result.repeatable || f.cluster.Observations.Runs(result.nonce) <= 1, "%+v", result)
@@ -56,16 +56,16 @@
 // other keeper of the zone releases the entry's boxes once its lease has expired.
 func TestBoxesOfLostNodeAreReleased(t *testing.T) {
 	f := newFixture(t, twoEntryUser())
-	f.waitFor("both entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
+	f.waitUntil("both entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
 	lost := f.cluster.Nodes[1]
 	assert.NilError(t, f.cluster.StopKeeper(lost))
 	assert.NilError(t, f.cluster.KillEntry(lost))
 
-	f.waitFor("its boxes are released", func() bool { return f.boxesSentTo(1) == 0 && f.run.observer.poolsFilled() })
+	f.waitUntil("its boxes are released", func() bool { return f.boxesSentTo(1) == 0 && f.run.observer.poolsFilled() })
 
 	assert.NilError(t, f.cluster.StartKeeper(lost))
 	assert.NilError(t, f.cluster.StartEntry(lost))
-	f.waitFor("the new entry has boxes again", func() bool { return f.boxesSentTo(1) > 0 })
+	f.waitUntil("the new entry has boxes again", func() bool { return f.boxesSentTo(1) > 0 })
 }
 
 // boxesSentTo counts the boxes whose sender is the entry of a node, or a former process
