--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -70,7 +70,7 @@
 	step int
 	now  time.Time
 	// suspendedFor is the total time for which the machine was suspended, as of the last call of
-	// Suspended.
+	// CheckSuspension.
 	suspendedFor time.Duration
 	// resumedAt is when this owner last continued after a pause. Messages that it handles within
 	// catchUpTime after that may have arrived during the pause.
