--- a/pkg/capacity/rows.go
+++ b/pkg/capacity/rows.go
@@ -7,10 +7,11 @@
 	"damsonwinch/pkg/planbench"
 )
 
-// Row is a row of the capacity page: what a cause costs a role, such as the keeper, in
-// three fleets. Formula says how the values follow from the slopes and the demand,
-// Mechanism which code determines them, and Verdict whether TwoYears is within Limit.
-// The values and Limit are in the unit Unit; a Limit of 0 means that there is none.
+// Row is a row of the capacity page. It holds the cost of one cause, such as table
+// edits, for one role, such as the keeper, in three fleets: Lisbon, Podkarpacie and a
+// fleet in two years. These values and Limit are in the unit Unit. Formula says how the
+// values follow from the slopes and the demand, and Mechanism which code determines
+// them. Verdict says whether TwoYears is within Limit; a Limit of 0 means no limit.
 type Row struct {
 	Role        string  `json:"role"`
 	Cause       string  `json:"cause"`
@@ -35,11 +36,11 @@
 	// MovesPerDay is the number of boxes that change to another pool in a day. The users
 	// state none, so that it is an assumption.
 	MovesPerDay float64 `json:"moves_a_day"`
-	// KeysPerSecond is the number of requests with an idempotency key in a second. It is
-	// an assumption.
+	// KeysPerSecond is the number of requests per second that have an idempotency key. It
+	// is an assumption.
 	KeysPerSecond float64 `json:"keys_a_second"`
-	// RenewIntervalS is the time between two renewals of a zone, and ListIntervalS the
-	// time between two reads of the platform's list, in seconds.
+	// RenewIntervalS is the time between two renewals of a zone's members, and
+	// ListIntervalS the time between two reads of the platform's list, in seconds.
 	RenewIntervalS float64 `json:"renew_s"`
 	ListIntervalS  float64 `json:"list_s"`
 }
@@ -52,8 +53,8 @@
 	}
 }
 
-// DemandToday returns the demand of a user's fleet today. What the users don't state is
-// assumed.
+// DemandToday returns the demand of a user's fleet today, with the given numbers of
+// boxes and zones. Values that the users don't state are assumptions.
 func DemandToday(boxes, zones int) Demand {
 	sizes := planbench.Sizes{Boxes: boxes, Pools: 3, Halls: zones, RackBoxes: 4, BoxSlots: 8, Entries: 6, Teams: 4}
 	return Demand{Sizes: sizes, EditsPerDay: 20, RestartsPerDay: 7, FailuresPerDay: 1, MaintainDays: 42, MovesPerDay: 5, KeysPerSecond: 1, RenewIntervalS: 4, ListIntervalS: 0.5}
@@ -70,17 +71,17 @@
 	noLimit                 = 0.0
 )
 
-// boxRecordBytes is the size of a record of one change of a box, with its share of the
-// batch that carries it.
+// boxRecordBytes is the size of a record of one change of a box, including its share of
+// the batch that contains it.
 const boxRecordBytes = 330
 
 // recordsPerMaintenance counts the records of a box's maintenance: drain, empty, carry
 // and back.
 const recordsPerMaintenance = 4
 
-// recordsPerRestart counts the records of an entry's restart: the renewal that announces
-// that it leaves, the hand-over of its boxes and the renewal by which it joins, in
-// batches.
+// recordsPerRestart counts the records of an entry's restart, which come in batches: the
+// renewal that announces its stop, the handover of its boxes and the renewal with which
+// it joins again.
 const recordsPerRestart = 6
 
 // recordsPerMove counts the records of a move to another pool: drain and empty. The new
@@ -90,7 +91,7 @@
 // slopesByName holds slopes by their names.
 type slopesByName map[string]Slope
 
-// valueAt returns the value of a slope at a size.
+// valueAt returns the value of the named slope at a size.
 func (s slopesByName) valueAt(name string, size float64) float64 {
 	return s[name].At(size)
 }
@@ -113,18 +114,18 @@
 	return rows
 }
 
-// rule computes a row.
+// rule computes a row for any demand.
 type rule struct {
-	// Row has the texts and the limit of the row.
+	// Row has the texts and the limit of the row, but no values and no verdict.
 	Row
-	// value computes what Formula says.
+	// value returns the row's value for a demand, as Formula says.
 	value func(Demand) float64
-	// fixedVerdict replaces the verdict if a comparison with the limit can't give it.
+	// fixedVerdict is the verdict if it can't be found by a comparison with the limit.
 	fixedVerdict string
 }
 
-// row returns the row with its values for lisbon, podkarpacie and two years from now,
-// and with its verdict.
+// row returns the row with its values and its verdict. The demands are those of Lisbon,
+// of Podkarpacie and of two years from now.
 func (r rule) row(demands [3]Demand) Row {
 	row := r.Row
 	row.Lisbon, row.Podkarpacie, row.TwoYears = r.value(demands[0]), r.value(demands[1]), r.value(demands[2])
--- a/pkg/capacity/rules.go
+++ b/pkg/capacity/rules.go
@@ -5,12 +5,12 @@
 const (
 	bytesPerKB = 1024
 	usPerMs    = 1000
-	// cpuPercentPerMs is the part of a core, in per cent, that one millisecond of
-	// processor time per second is.
+	// cpuPercentPerMs is the percentage of a core that one millisecond of processor time
+	// per second amounts to.
 	cpuPercentPerMs = 0.1
 )
 
-// stateRules returns the rules for memory and for sizes that grow with the state.
+// stateRules returns the rules for memory and for sizes that grow with the fleet's state.
 func stateRules(slopes slopesByName) []rule {
 	return []rule{
 		{Row: Row{Role: "keeper", Cause: "state of the fleet", Formula: "memory(boxes)", Unit: "MB", Limit: stateMemoryLimitMB, Mechanism: "persistent maps, pkg/fold/state.go"},
@@ -31,8 +31,8 @@
 	}
 }
 
-// readRule returns the rule for reading the records of one cause, which every keeper
-// does. recordRate returns the number of records per second.
+// readRule returns the rule for the reads of one cause's records by a keeper. Every
+// keeper reads them all. recordRate returns the number of records per second.
 func readRule(cause, formula, mechanism string, recordRate func(Demand) float64) rule {
 	return rule{
 		Row:   Row{Role: "keeper", Cause: cause, Formula: formula, Unit: "KB/s", Limit: trafficLimitKBPerSecond, Mechanism: mechanism},
@@ -43,8 +43,8 @@
 // editRate returns the number of records of table edits per second.
 func (d Demand) editRate() float64 { return d.EditsPerDay / secondsPerDay }
 
-// failureRate returns the number of records of failures per second. A failed box leaves
-// its pool, and another one takes its place.
+// failureRate returns the number of records of failures per second. Each failure causes
+// two moves: the failed box leaves its pool, and another box takes its place.
 func (d Demand) failureRate() float64 { return d.FailuresPerDay * 2 * recordsPerMove / secondsPerDay }
 
 // restartRate returns the number of records of restarts per second.
@@ -61,7 +61,7 @@
 }
 
 // renewalRate returns the number of records of renewals per second. In each zone, one
-// record in each interval renews all members.
+// record renews all members once in each RenewIntervalS.
 func (d Demand) renewalRate() float64 {
 	return float64(d.Sizes.Halls) / d.RenewIntervalS
 }
@@ -71,8 +71,8 @@
 	return float64(d.Sizes.Entries) / float64(d.Sizes.Halls)
 }
 
-// messageRules returns the rules for what processes read and write, in KB per second
-// unless they say otherwise.
+// messageRules returns the rules for the data that processes read and write. Most rows
+// are in KB per second.
 func messageRules(slopes slopesByName) []rule {
 	renewalKB := func(d Demand) float64 {
 		return d.renewalRate() * slopes.valueAt(slopeRenewalSize, d.membersPerZone()) / bytesPerKB
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -46,8 +46,8 @@
 	return s.Intercept + s.Slope*size
 }
 
-// fitLine returns the slope with the line through the values at the sizes. The first
-// size must be the smallest.
+// fitLine returns the slope with a line fitted through the values, one for each size.
+// The first size must be the smallest.
 func fitLine(name, unit, per string, sizes, values []float64) Slope {
 	intercept, slope := stat.LinearRegression(sizes, values, nil, false)
 	fitted := Slope{Name: name, Unit: unit, Per: per, Sizes: sizes, Values: values, Intercept: intercept, Slope: slope}
@@ -65,9 +65,9 @@
 	sizeFactor = 10
 )
 
-// Slopes measures what grows with the fleet, at the given sizes and at a tenth and a
-// hundredth of their boxes and pools, and what grows with the members of a zone and with
-// the keys in a batch of claims.
+// Slopes measures the quantities that grow with the fleet: at the given sizes, and at a
+// tenth and a hundredth of their boxes and pools. It also measures those that grow with
+// the members of a zone and with the keys in a batch of claims.
 func Slopes(ctx context.Context, clock damsonwinch.Clock, sizes planbench.Sizes) ([]Slope, error) {
 	boxes := []float64{float64(sizes.Boxes) / (sizeFactor * sizeFactor), float64(sizes.Boxes) / sizeFactor, float64(sizes.Boxes)}
 	measured := map[string][]float64{}
@@ -101,7 +101,7 @@
 	slopeClaimSize    = "claim and outcome records"
 )
 
-// fleetSlopes returns the names and the units of the slopes that measureFleet measures.
+// fleetSlopes returns the name and the unit of each slope that measureFleet measures.
 func fleetSlopes() [][2]string {
 	return [][2]string{
 		{slopeMemory, "MB"}, {slopeSnapshot, "KB"}, {slopeRestore, "ms"}, {slopeApply, "us"}, {slopePlan, "ms"}, {slopeFirstPlan, "ms"},
@@ -109,8 +109,9 @@
 	}
 }
 
-// measureFleet measures a fleet with a number of boxes, and as many pools as are in
-// proportion to it. It appends a value for each slope of fleetSlopes to values.
+// measureFleet measures a fleet with the given number of boxes and a number of pools in
+// proportion to it. For each slope of fleetSlopes it appends a value to values, under
+// the name of the slope.
 func measureFleet(clock damsonwinch.Clock, sizes planbench.Sizes, boxes int, values map[string][]float64) error {
 	sizes.Pools = max(1, sizes.Pools*boxes/sizes.Boxes)
 	sizes.Boxes = boxes
@@ -163,7 +164,7 @@
 	return float64(len(text)) / 1024
 }
 
-// platformList returns the platform's list of the boxes of a state.
+// platformList returns a list, like the platform's, of all boxes in a state.
 func platformList(state fold.State) []wire.ListedBox {
 	var listed []wire.ListedBox
 	for _, box := range state.Boxes() {
@@ -172,7 +173,7 @@
 	return listed
 }
 
-// healthBatch returns a batch that changes the health of one box.
+// healthBatch returns a batch that changes the health of one box in a state.
 func healthBatch(state fold.State) wire.Batch {
 	box := state.Boxes()[len(state.Boxes())/2]
 	change := &wire.BoxChange{Box: box.Info.Name, Epoch: box.Epoch, Health: wire.HealthDown}
@@ -220,8 +221,8 @@
 	}
 }
 
-// renewalBatch returns a batch that renews the members of a zone. The first renewal
-// of a member has its addresses and its zone as well.
+// renewalBatch returns a batch that renews the given number of members of a zone. Only
+// the first renewal of a member contains its addresses and its zone.
 func renewalBatch(members int, isFirst bool) wire.Batch {
 	const incarnation = 1796213881457816681
 	batch := wire.Batch{Id: "hall-1-entry-01/1796213881457816681/100000", Node: "hall-1-entry-01", Incarnation: incarnation, Number: 100_000}
@@ -238,8 +239,8 @@
 	return batch
 }
 
-// claimBatchBytes returns the size of a batch with the claim and the outcome of a number
-// of keys, in bytes.
+// claimBatchBytes returns the size, in bytes, of a batch with a claim and an outcome for
+// each of the given number of keys.
 func claimBatchBytes(keys int) float64 {
 	var claims wire.ClaimBatch
 	for number := range keys {
--- a/pkg/loadtest/cost.go
+++ b/pkg/loadtest/cost.go
@@ -16,7 +16,7 @@
 )
 
 // Cost compares requests through an entry and through the plain gateway with requests
-// sent directly to an endpoint. There are so few at once that none waits in a queue.
+// sent directly to an endpoint. So few are in flight at once that none waits in a queue.
 type Cost struct {
 	// DirectUs is the processor time of a direct request in microseconds, and EntryUs
 	// that of a request through an entry. Both include client and endpoint.
@@ -34,8 +34,9 @@
 	IdleUsPerSecond float64 `json:"idle_us_per_second"`
 }
 
-// Requests by which the cost of a route is measured: costRequests in each round, from
-// costClients clients.
+// The cost of a route is measured in costRounds rounds. In each round, costClients
+// clients send costRequests requests together. idleTime is how long the idle fleet is
+// measured.
 const (
 	costClients  = 4
 	costRequests = 2000
@@ -43,8 +44,9 @@
 	idleTime     = 2 * time.Second
 )
 
-// measureCost measures the three routes in turn in each round, so that other load on
-// the machine affects them alike.
+// measureCost measures three routes of a request: directly to an endpoint, through an
+// entry and through the plain gateway. Each round measures all of them in turn, so that
+// other load on the machine affects them alike.
 func measureCost(ctx context.Context, cluster *trial.Cluster, plain *plainGateway, options Options) (Cost, error) {
 	idle, err := processorTimeOf(func() error {
 		options.Clock.Sleep(idleTime)
@@ -72,8 +74,9 @@
 	}, nil
 }
 
-// measureRoute returns the processor time per request, without that of the idle fleet,
-// and the median latency, both in microseconds.
+// measureRoute sends costRequests requests to an address, at a path that ends before
+// the name of the service. It returns the processor time per request, without that of
+// the idle fleet, and the median latency. Both, and idlePerSecond, are in microseconds.
 func measureRoute(ctx context.Context, options Options, address, path string, idlePerSecond float64) (float64, float64, error) {
 	client := newClient(costClients)
 	defer client.CloseIdleConnections()
--- a/pkg/loadtest/drive.go
+++ b/pkg/loadtest/drive.go
@@ -20,16 +20,17 @@
 	"damsonwinch/pkg/wire"
 )
 
-// gateway is what requests are sent through: an entry or the plain gateway.
+// gateway is a target of requests: the entries of the fleet, or the plain gateway.
 type gateway struct {
 	name string
-	// addresses get requests in turn.
+	// addresses are the addresses that get requests in turn.
 	addresses []string
 }
 
 const (
+	// maxLatencyUs is the largest latency that the histograms record, in microseconds.
 	maxLatencyUs = 60_000_000
-	// significantFigures is the precision of the histograms.
+	// significantFigures is the precision of the histograms, in decimal digits.
 	significantFigures = 3
 	usPerMs            = 1000
 	medianPercent      = 50
@@ -43,6 +44,7 @@
 	classes map[string]*ClassResult
 }
 
+// newClassResults returns empty results for each class.
 func newClassResults() *classResults {
 	c := &classResults{classes: map[string]*ClassResult{}}
 	for _, class := range []wire.Class{wire.ClassUrgent, wire.ClassNormal, wire.ClassSameDay} {
@@ -51,7 +53,7 @@
 	return c
 }
 
-// add counts a response. Status is 0 if there was none.
+// add counts a request. The status is that of its response, or 0 if there was none.
 func (c *classResults) add(class wire.Class, status int, latency, deadline time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,9 +74,9 @@
 	}
 }
 
-// offerLoad sends requests at random times, on average rate per second, for the length
-// of a phase. It doesn't wait for responses before it sends more, unless all
-// connections are in use.
+// offerLoad sends requests at random times for the length of a phase, on average as
+// many per second as the rate. It doesn't wait for a response before it sends the next
+// request, unless all connections are in use. It returns once all requests have ended.
 func offerLoad(ctx context.Context, options Options, g gateway, rate float64) PhaseResult {
 	random := rand.New(rand.NewPCG(options.Seed, uint64(rate)))
 	results := newClassResults()
@@ -115,8 +117,9 @@
 	return sendTo(options, client, "http://"+address+"/v1/run/"+service, nonce, class, deadline, serviceMs)
 }
 
-// sendTo sends a request with the given work to a URL. It returns the status and the
-// latency of the response; the status is 0 if there is no complete response.
+// sendTo sends a request to a URL, on which an endpoint works for workMs milliseconds.
+// It returns the status and the latency of the response. The status is 0 if there is no
+// complete response.
 func sendTo(options Options, client *http.Client, url, nonce string, class wire.Class, deadline time.Duration, workMs int) (int, time.Duration) {
 	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: workMs})
 	if err != nil {
@@ -140,7 +143,8 @@
 	return response.StatusCode, options.Clock.Since(sentAt)
 }
 
-// summarise computes the goodput and the quantiles of a phase.
+// summarise returns the result of a phase of the given duration, with its goodput and
+// quantiles.
 func summarise(results *classResults, duration time.Duration) PhaseResult {
 	inTime := 0
 	for _, result := range results.classes {
--- a/pkg/loadtest/loadtest.go
+++ b/pkg/loadtest/loadtest.go
@@ -1,7 +1,7 @@
 // Package loadtest measures the latency, goodput and processor time of requests
-// through the entries of a fleet, under overload and with failing boxes. In the same
-// run it measures a plain gateway for comparison, which has round robin and no classes
-// or ejection.
+// through the entries of a fleet, under overload and with failing boxes. For comparison
+// it measures a plain gateway in the same run, which sends requests to the boxes round
+// robin, and has neither classes nor ejection.
 package loadtest
 
 import (
@@ -25,7 +25,7 @@
 type Options struct {
 	// Seed determines the times and classes of the requests.
 	Seed uint64
-	// Connections is the largest number of requests that are sent at once.
+	// Connections is the maximum number of requests in flight.
 	Connections int
 	// Phase is the length of each phase.
 	Phase time.Duration
@@ -48,7 +48,8 @@
 	// milliseconds.
 	P50Ms float64 `json:"p50_ms"`
 	P99Ms float64 `json:"p99_ms"`
-	// WaitP99Ms is P99Ms without the time that a request works on an endpoint.
+	// WaitP99Ms is P99Ms without the time that a request works on an endpoint. It is at
+	// least 0.
 	WaitP99Ms float64                 `json:"wait_p99_ms"`
 	histogram *hdrhistogram.Histogram // Of the latency in microseconds.
 }
@@ -57,9 +58,10 @@
 type PhaseResult struct {
 	Phase   string `json:"phase"`
 	Gateway string `json:"gateway"`
-	// Offered is the number of requests that were to be sent per second.
+	// Offered is the number of requests per second that the phase was to send.
 	Offered float64 `json:"offered_per_second"`
-	// Goodput is the number of requests answered within their deadlines per second.
+	// Goodput is the number of requests per second that were answered with status 200
+	// within their deadlines.
 	Goodput float64                 `json:"goodput_per_second"`
 	Classes map[string]*ClassResult `json:"classes"` // By the name of the class.
 }
@@ -69,7 +71,7 @@
 	Seed        uint64 `json:"seed"`
 	Connections int    `json:"connections"`
 	// Slots is the number of requests that the boxes of the fleet can run at once, and
-	// ServiceMs how long each request runs, in milliseconds.
+	// ServiceMs how long each request works on an endpoint, in milliseconds.
 	Slots       int           `json:"slots"`
 	ServiceMs   int           `json:"service_ms"`
 	Cost        Cost          `json:"cost"`
@@ -88,7 +90,8 @@
 }
 
 // The service that is measured, the settings of its pool, and the mix of the requests.
-// slots is what the boxes of trial.Lisbon have together.
+// slots is the number of slots of all boxes of trial.Lisbon together. One in
+// failingBoxInterval boxes fails in the phase "bad-boxes".
 const (
 	serviceMs          = 200
 	service            = "quotes"
@@ -116,8 +119,8 @@
 	return wire.ClassNormal, normalDeadline
 }
 
-// loadUser returns the fleet of a user of package trial, with a table of one service
-// that uses all boxes.
+// loadUser returns a user of package trial, with the usual fleet and a table of one
+// service that uses all boxes.
 func loadUser() (trial.User, error) {
 	user, err := trial.NewUser(trial.Lisbon)
 	if err != nil {
@@ -172,9 +175,9 @@
 		}
 	}
 	failBoxes(cluster)
-	const lightLoad = 60 // Per cent.
+	const lightLoadPercent = 60
 	for _, g := range []gateway{{"damsonwinch", cluster.ReadyAddresses()}, {"plain", []string{plain.address}}} {
-		r.measurePhase(ctx, options, "bad-boxes", g, lightLoad)
+		r.measurePhase(ctx, options, "bad-boxes", g, lightLoadPercent)
 	}
 	return ctx.Err()
 }
@@ -190,13 +193,13 @@
 	}
 }
 
-// measurePhase runs a phase through a gateway and adds its result to the report. Load
-// is a percentage of what the fleet can serve.
-func (r *Report) measurePhase(ctx context.Context, options Options, name string, g gateway, load int) {
+// measurePhase runs a phase through a gateway and adds its result to the report.
+// loadPercent is a percentage of the rate that the fleet can serve.
+func (r *Report) measurePhase(ctx context.Context, options Options, name string, g gateway, loadPercent int) {
 	if ctx.Err() != nil {
 		return
 	}
-	rate := float64(slots) * float64(time.Second/time.Millisecond) / serviceMs * float64(load) / percent
+	rate := float64(slots) * float64(time.Second/time.Millisecond) / serviceMs * float64(loadPercent) / percent
 	result := offerLoad(ctx, options, g, rate)
 	result.Phase, result.Gateway, result.Offered = name, g.name, rate
 	r.Phases = append(r.Phases, result)
@@ -211,7 +214,7 @@
 	_, _ = fmt.Fprintf(options.Progress, format+"\n", values...)
 }
 
-// checkGoals compares the measured values with the goals.
+// checkGoals adds the goals to the report, with the values that were measured for them.
 func (r *Report) checkGoals() {
 	r.addGoal("processor time through an entry / of a direct call, at most", 1.5, r.Cost.Ratio, false)
 	r.addGoal("median added latency in us, at most", 300, r.Cost.AddedUs, false)
@@ -237,8 +240,8 @@
 	return float64(part) / float64(whole)
 }
 
-// addGoal adds a goal to the report. The limit is the smallest value that meets it if
-// atLeast is set, otherwise the largest.
+// addGoal adds a goal to the report. The limit is the smallest value that meets the
+// goal if atLeast is set, otherwise the largest.
 func (r *Report) addGoal(goal string, limit, measured float64, atLeast bool) {
 	met := measured <= limit
 	if atLeast {
@@ -247,8 +250,8 @@
 	r.GoalResults = append(r.GoalResults, GoalResult{Goal: goal, Limit: limit, Measured: measured, Met: met})
 }
 
-// phase returns the result of a phase through the entries, or a zero result if the
-// phase didn't run.
+// phase returns the result of the named phase through the entries, or a zero result if
+// the phase didn't run.
 func (r *Report) phase(name string) PhaseResult {
 	for _, phase := range r.Phases {
 		if phase.Phase == name && phase.Gateway == "damsonwinch" {
@@ -258,12 +261,14 @@
 	return PhaseResult{}
 }
 
-// goodput returns the goodput of a phase through the entries.
+// goodput returns the goodput of the named phase through the entries, in requests per
+// second.
 func (r *Report) goodput(name string) float64 {
 	return r.phase(name).Goodput
 }
 
-// class returns the result of a class in a phase through the entries.
+// class returns the result of a class in the named phase through the entries, or a zero
+// result if there is none.
 func (r *Report) class(name string, class wire.Class) ClassResult {
 	if result := r.phase(name).Classes[string(class)]; result != nil {
 		return *result
--- a/pkg/loadtest/plain.go
+++ b/pkg/loadtest/plain.go
@@ -15,7 +15,7 @@
 )
 
 // plainGateway is the gateway that damsonwinch is compared with. It sends requests to
-// the boxes in turn. Each box has a queue of its own in order of arrival.
+// the boxes in turn. Each box has a first-in, first-out queue of its own.
 type plainGateway struct {
 	address string
 	boxes   []*plainBox
@@ -34,6 +34,7 @@
 	waiting atomic.Int64
 }
 
+// readHeaderTimeout is how long the gateway waits for the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
 // startPlainGateway starts a plain gateway to the endpoints of a cluster.
@@ -60,8 +61,8 @@
 	g.client.CloseIdleConnections()
 }
 
-// forward sends a request to the next box and passes the response on. It refuses the
-// request if too many wait for that box.
+// forward sends a request to the next box and returns the box's response to the client.
+// If too many requests wait for that box, it refuses the request with status 429.
 func (g *plainGateway) forward(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/pkg/planbench/baseline.go
+++ b/pkg/planbench/baseline.go
@@ -25,14 +25,14 @@
 	return b.plan
 }
 
-// baseline holds the data of one run of Baseline.
+// baseline holds the data of one call of Baseline.
 type baseline struct {
-	state fold.State // With the drains applied that are proposed so far.
+	state fold.State // The fleet's state after the drains proposed so far.
 	plan  plan.Plan
 }
 
-// proposeDrain proposes a drain and returns true, or returns false if the drain would
-// be refused.
+// proposeDrain proposes to drain a box and then to move it to the target pool, or to
+// maintain it. It returns false, and proposes nothing, if the drain would be refused.
 func (b *baseline) proposeDrain(box fold.Box, target string, maintain bool) bool {
 	next, err := b.state.WithDrain(box.Info.Name, target, maintain)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return true
 }
 
-// fillPool gives a pool free boxes until it has wantedSlots, or frees its last boxes as
-// long as it keeps them.
+// fillPool gives free boxes to a pool until it has the wanted slots, and frees its last
+// boxes as long as it keeps the wanted slots.
 func (b *baseline) fillPool(pool string) {
 	rackSlots := map[string]int{}
 	slots, boxSlots := 0, 1
@@ -78,9 +78,9 @@
 	}
 }
 
-// wantedSlots returns how many slots a pool needs so that its services keep theirs with
-// the rack with the most slots lost and one box in maintenance. rackSlots are the pool's
-// slots by rack, and boxSlots those of the largest box.
+// wantedSlots returns the number of slots that a pool needs so that its services have
+// enough even if its largest rack fails while a box is in maintenance. rackSlots holds
+// the pool's slots by rack, and boxSlots is the number of slots of the largest box.
 func (b *baseline) wantedSlots(pool string, rackSlots map[string]int, boxSlots int) int {
 	maxRackSlots := 0
 	for _, slots := range rackSlots {
@@ -89,8 +89,8 @@
 	return b.state.Table().NeededSlots(pool) + maxRackSlots + boxSlots
 }
 
-// maintainOne proposes the maintenance of the first box that is due and whose drain
-// isn't refused.
+// maintainOne proposes the maintenance of the first box that is due for it and whose
+// drain isn't refused.
 func (b *baseline) maintainOne() {
 	before := b.state.Table().Deployment().MaintainBefore
 	for _, box := range b.state.Boxes() {
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -18,8 +18,8 @@
 // Sizes describes how large a fleet is. Package capacity writes it as JSON under the
 // names of its fields.
 type Sizes struct {
-	// Boxes is the number of endpoint boxes, Pools that of pools and Halls that of
-	// availability zones.
+	// Boxes is the number of endpoint boxes, Pools the number of pools and Halls the
+	// number of availability zones.
 	Boxes int
 	Pools int
 	Halls int
@@ -43,13 +43,13 @@
 // Planner is a function that makes a plan for the fleet's state, as plan.New does.
 type Planner func(state fold.State, options plan.Options) plan.Plan
 
-// simulation is a fleet without processes: this package makes the log records and
-// applies them to the state.
+// simulation is a fleet without processes: this package creates the log records and
+// applies them to the fleet's state.
 type simulation struct {
 	planner     Planner
 	state       fold.State
 	nowMs       int // The log time, in milliseconds since 1970.
-	batchNumber int // Of the newest batch.
+	batchNumber int // The number of the newest batch, or 0 if there is none.
 	// moves counts the boxes that left a pool, and evicted those of them that were not
 	// up.
 	moves   int
@@ -74,8 +74,8 @@
 	return &simulation{planner: planner, state: initialState, nowMs: startMs}, nil
 }
 
-// appendBatch applies a log record with the proposals to the state and returns their
-// results.
+// appendBatch applies a log record with the proposals to the state. It returns their
+// results in the same order.
 func (s *simulation) appendBatch(proposals ...wire.Proposal) []fold.Result {
 	s.batchNumber++
 	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(s.batchNumber), Node: nodeName, Incarnation: 1, Number: s.batchNumber, Proposals: proposals})
@@ -87,7 +87,8 @@
 	return results
 }
 
-// enroll adds one sender in each zone, enrolls the boxes and publishes the table.
+// enroll adds one sender in each zone of the boxes, enrolls the boxes and publishes the
+// table.
 func (s *simulation) enroll(boxes []wire.BoxInfo, table settings.Table) error {
 	zones := map[string]bool{}
 	for _, box := range boxes {
@@ -100,12 +101,14 @@
 	return s.editTable(func(wanted *settings.Table) { *wanted = table })
 }
 
-// member returns the next renewal of the one keeper and entry of a zone.
+// member returns the next renewal of a zone's node. Each zone has a single node, which
+// runs a keeper and an entry.
 func (s *simulation) member(zone string) wire.Member {
 	return wire.Member{Node: nodeName + "-" + zone, Hall: zone, Keeper: 1, Entry: 1, Seq: s.batchNumber + 1, Folded: s.state.Offset()}
 }
 
-// editTable publishes a changed table.
+// editTable publishes the table with a change. It returns an error if the edit is
+// refused.
 func (s *simulation) editTable(change func(*settings.Table)) error {
 	wanted := s.state.Table().File()
 	change(&wanted)
@@ -121,7 +124,8 @@
 	return nil
 }
 
-// UserFleet returns the endpoint boxes and the table of a user of package trial.
+// UserFleet returns the endpoint boxes, without addresses, and the table of the named
+// user of package trial.
 func UserFleet(name string) ([]wire.BoxInfo, settings.Table, error) {
 	user, err := trial.NewUser(name)
 	if err != nil {
@@ -136,8 +140,8 @@
 	return boxes, user.Table, nil
 }
 
-// LargeFleet returns the endpoint boxes and the table of a fleet with the given sizes.
-// Each pool has two services.
+// LargeFleet returns the endpoint boxes, without addresses, and the table of a fleet
+// with the given sizes. Each pool has two services.
 func LargeFleet(sizes Sizes) ([]wire.BoxInfo, settings.Table) {
 	var boxes []wire.BoxInfo
 	fleet := settings.Fleet{RackBoxes: sizes.RackBoxes, BoxSlots: sizes.BoxSlots}
@@ -157,8 +161,9 @@
 	return boxes, table
 }
 
-// largeRow returns the row of a service that needs the given slots, a tenth of them as
-// spare slots. A twentieth of the boxes of its pool, or one, may be down at once.
+// largeRow returns the row of a service that needs the given number of slots, a tenth of
+// them as spare slots. A twentieth of the boxes of its pool, but at least one, may be
+// down at once.
 func largeRow(pool string, slots int, sizes Sizes) settings.Row {
 	const spareDivisor, downDivisor = 10, 20
 	row := settings.Row{
@@ -176,8 +181,8 @@
 	simulation *simulation
 }
 
-// NewFleet returns a fleet with a table and enrolled boxes, which are all in the free
-// pool.
+// NewFleet returns a LargeFleet with its table in force and its boxes enrolled. All
+// boxes are in the free pool.
 func NewFleet(sizes Sizes) (*Fleet, error) {
 	s, err := newSimulation(plan.New)
 	if err != nil {
@@ -187,12 +192,13 @@
 	return &Fleet{simulation: s}, s.enroll(boxes, table)
 }
 
-// InitialState returns the state before the first record.
+// InitialState returns the state of the fleet before the first record of the log is
+// applied.
 func InitialState() (fold.State, error) {
 	return process.InitialState()
 }
 
-// State returns the fleet's state.
+// State returns the fleet's state after the records applied so far.
 func (f *Fleet) State() fold.State {
 	return f.simulation.state
 }
@@ -202,8 +208,8 @@
 	plan.New(f.simulation.state, plan.Options{})
 }
 
-// PlanUntilStable makes and carries out plans until a plan proposes nothing, or for 400
-// rounds.
+// PlanUntilStable makes and carries out plans until a plan proposes nothing, but no more
+// than 400 plans.
 func (f *Fleet) PlanUntilStable() {
 	f.simulation.planUntilStable(maxRounds)
 }
--- a/pkg/planbench/month.go
+++ b/pkg/planbench/month.go
@@ -19,16 +19,17 @@
 type Result struct {
 	Fleet string `json:"fleet"`
 	Boxes int    `json:"boxes"`
-	// Moves counts the boxes that left a pool. The bound is the number that had to: the
-	// failed boxes, and those that other pools lacked.
+	// Moves counts the boxes that left a pool. MovesBound counts those that had to leave:
+	// the failed boxes, and the boxes that other pools lacked.
 	Moves         int `json:"moves"`
 	MovesBaseline int `json:"moves_baseline"`
 	MovesBound    int `json:"moves_bound"`
-	// RolloutRounds is the number of rounds in which all boxes were maintained.
+	// RolloutRounds is the number of planning rounds until all boxes were maintained.
 	RolloutRounds   int `json:"rollout_rounds"`
 	RolloutBaseline int `json:"rollout_baseline"`
 	RolloutBound    int `json:"rollout_bound"`
-	// Spare is the number of slots that all pools together had above their floors.
+	// Spare is the number of slots that all pools together had above their floors at the
+	// start of the month.
 	Spare         int `json:"spare"`
 	SpareBaseline int `json:"spare_baseline"`
 	SpareBound    int `json:"spare_bound"`
@@ -40,8 +41,9 @@
 	// HeapGrowthMb is by how much the heap grew while the fleet was enrolled and PlanMs
 	// was measured, in units of 1024 x 1024 bytes.
 	HeapGrowthMb float64 `json:"peak_mb"`
-	// BrokenBudgets counts the pools whose budget did not hold after an event of the
-	// month had been dealt with, summed over all events.
+	// BrokenBudgets counts the pools that would lack slots if their largest rack failed.
+	// They are counted after the plans for each event of the month, and summed over all
+	// events.
 	BrokenBudgets int `json:"broken_budgets"`
 }
 
@@ -102,10 +104,10 @@
 	// moves counts the boxes that left a pool, evicted those of them that were not up,
 	// and forced those that other pools lacked.
 	moves, evicted, forced int
-	// rounds is the number of rounds of the maintenance wave.
+	// rounds is the number of planning rounds of the maintenance wave.
 	rounds, roundsBound int
-	// spare is the number of slots above the pools' floors, and brokenBudgets the number
-	// of pools whose budget did not hold, summed over the events.
+	// spare is the number of slots above the pools' floors before the first event.
+	// brokenBudgets is as in Result.
 	spare, spareBound, brokenBudgets int
 }
 
@@ -141,10 +143,10 @@
 	return m, nil
 }
 
-// waveRounds returns the number of rounds of a maintenance wave over the given number of
-// boxes. If the first round maintains at most one box of a large fleet, it returns the
-// number of boxes without simulating the other rounds: thousands of rounds that all do
-// the same would show nothing more.
+// waveRounds simulates a maintenance wave over the given number of boxes and returns the
+// number of its rounds. If the first round maintains at most one box of a large fleet, it
+// returns the number of due boxes without simulating the other rounds: thousands of
+// rounds that all do the same would show nothing more.
 func (s *simulation) waveRounds(boxes int) int {
 	due := s.dueBoxes()
 	s.runRound()
@@ -165,8 +167,8 @@
 	return due
 }
 
-// monthEvents returns the events of a month, one a day: changes of the last service's
-// spare slots and of the first service's floor, and racks that fail and come back.
+// monthEvents returns the events of a month, one for each day: the first service's floor
+// and the last service's spare slots change, and racks fail and come back.
 func monthEvents(boxes []wire.BoxInfo) []func(*simulation) error {
 	changeFloor := func(percentChange int) func(*simulation) error {
 		return func(s *simulation) error {
@@ -206,10 +208,10 @@
 	return spare
 }
 
-// spareSlotsBound returns a lower bound for spareSlots: every pool has the slots that
-// its services need even if one rack has failed and as many boxes are in maintenance as
-// the table's weights ask for. It assumes that the boxes of a pool can be spread evenly
-// over all racks.
+// spareSlotsBound returns a lower bound for spareSlots. It requires that every pool has
+// the slots that its services need even if one rack has failed and as many boxes are in
+// maintenance as the table's weights ask for. It assumes that the boxes of a pool can be
+// spread evenly over all racks.
 func (s *simulation) spareSlotsBound() int {
 	bound := 0
 	size := s.maxBoxSlots()
@@ -230,8 +232,9 @@
 	return bound
 }
 
-// roundsBound returns a lower bound for the rounds in which every box is maintained, if
-// as many boxes of each pool are maintained at once as the table's weights ask for.
+// roundsBound returns a lower bound for the number of rounds in which every box is
+// maintained. It assumes that each round maintains as many boxes of each pool as the
+// table's weights ask for.
 func (s *simulation) roundsBound() int {
 	bound := 0
 	for _, pool := range s.state.Table().Deployment().Pools {
@@ -267,8 +270,8 @@
 	return max(0, neededBoxes-freeBoxes)
 }
 
-// brokenBudgets counts the pools whose budget doesn't hold: if their largest rack
-// failed, their services would lack slots.
+// brokenBudgets returns the number of pools whose services would lack slots if the
+// largest rack of the pool failed.
 func (s *simulation) brokenBudgets() int {
 	count := 0
 	for _, pool := range s.state.Table().Deployment().Pools {
@@ -279,8 +282,9 @@
 	return count
 }
 
-// timePlans measures the time of a plan for a fleet whose boxes are all free, and of a
-// plan after one edit of a fleet for which there was nothing left to plan.
+// timePlans sets PlanMs, IncrementalMs and HeapGrowthMb of a result. It measures a plan
+// for a fleet whose boxes are all free. It then plans until nothing is left to do, edits
+// the table and measures the next plan.
 func timePlans(clock damsonwinch.Clock, result *Result, boxes []wire.BoxInfo, table settings.Table) error {
 	s, err := newSimulation(plan.New)
 	if err != nil {
@@ -303,7 +307,8 @@
 	return nil
 }
 
-// MedianMs returns the median time that work takes in seven runs, in milliseconds.
+// MedianMs calls work seven times and returns the median of the times that it takes, in
+// milliseconds.
 func MedianMs(clock damsonwinch.Clock, work func()) float64 {
 	var times []float64
 	for range timedRuns {
--- a/pkg/planbench/month_test.go
+++ b/pkg/planbench/month_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// isWithinTenPercent says whether a value is at most 10 % above its lower bound.
+// isWithinTenPercent reports whether a value is at most 10 % above its lower bound.
 func isWithinTenPercent(measure, bound int) bool {
 	const maxPercent = 110
 	return measure*percent <= bound*maxPercent
@@ -55,8 +55,8 @@
 	assert.Equal(t, sim.moves, 0)
 }
 
-// TestPlanIsAcceptedAndLeavesNothingToPropose: all proposals of the first plan of a
-// fleet are accepted, and once they are carried out, plans soon propose nothing.
+// TestPlanIsAcceptedAndLeavesNothingToPropose checks that all proposals of a fleet's
+// first plan are accepted. At most two more plans may propose something.
 func TestPlanIsAcceptedAndLeavesNothingToPropose(t *testing.T) {
 	boxes, table := LargeFleet(Sizes{Boxes: 400, Pools: 5, Halls: 4, RackBoxes: 4, BoxSlots: 8, Teams: 1})
 	sim, err := newSimulation(plan.New)
@@ -70,8 +70,8 @@
 	assert.Equal(t, len(plan.New(sim.state, plan.Options{}).Proposals), 0)
 }
 
-// newStableFleet returns a fleet with a number of boxes for which there is nothing left
-// to plan.
+// newStableFleet returns a fleet with the given number of boxes, for which a plan
+// proposes nothing. Its number of pools is in proportion to the boxes.
 func newStableFleet(b *testing.B, boxes int) *simulation {
 	sizes := SizesInTwoYears()
 	sizes.Boxes, sizes.Pools = boxes, max(2, sizes.Pools*boxes/sizes.Boxes)
--- a/pkg/planbench/rounds.go
+++ b/pkg/planbench/rounds.go
@@ -6,8 +6,8 @@
 	"damsonwinch/pkg/wire"
 )
 
-// planUntilStable makes and carries out plans until a plan proposes nothing, or for
-// maxRounds rounds. It returns the number of rounds whose plans proposed something.
+// planUntilStable makes and carries out plans until a plan proposes nothing, but no more
+// than maxRounds plans. It returns the number of plans that proposed something.
 func (s *simulation) planUntilStable(maxRounds int) int {
 	for round := range maxRounds {
 		if !s.runRound() {
@@ -18,7 +18,7 @@
 }
 
 // runRound makes one plan and carries it out completely: draining boxes become empty,
-// boxes in maintenance are rebooted, and boxes without a sender get one. It returns
+// boxes in maintenance are rebooted, and boxes without a sender get one. It reports
 // whether the plan proposed anything.
 func (s *simulation) runRound() bool {
 	s.nowMs += stepMs
@@ -65,8 +65,8 @@
 	return proposals
 }
 
-// countMoves counts the boxes that leave a pool by accepted drains. It also counts those
-// of them that are not up: these must leave, so that the lower bound includes them.
+// countMoves counts the boxes that accepted drains take out of a pool. It also counts
+// those of them that are not up: they have to leave, so the lower bound includes them.
 func (s *simulation) countMoves(results []fold.Result) {
 	for _, result := range results {
 		if !result.Accepted || result.Proposal.Kind != wire.KindDrain {
@@ -83,7 +83,7 @@
 	}
 }
 
-// setRackHealth changes the health of all boxes of a rack.
+// setRackHealth sets the health of all boxes of a zone's rack.
 func (s *simulation) setRackHealth(zone, rack string, health wire.Health) {
 	var proposals []wire.Proposal
 	for _, box := range s.state.Boxes() {
--- a/pkg/trial/callers.go
+++ b/pkg/trial/callers.go
@@ -18,25 +18,29 @@
 	"damsonwinch/pkg/wire"
 )
 
-// clientResult is what a client knows of one of its requests.
+// clientResult is the result of one request, as its client has observed it.
 type clientResult struct {
-	nonce      string
+	// nonce identifies the request in the endpoints' observations.
+	nonce string
+	// repeatable means that requests of the service may run more than once.
 	repeatable bool
-	outcome    wire.Outcome
-	status     int
-	// wrongAnswer says that the response has status 200, but isn't the one to this
-	// request's body.
+	// outcome is what the response says, or unknown if there is no response.
+	outcome wire.Outcome
+	status  int // The HTTP status, or 0 if there is no response.
+	// wrongAnswer means that the response has status 200, but not the body that is
+	// expected for this request.
 	wrongAnswer bool
-	// noResponse says that the request could not be sent, or that the connection
+	// noResponse means that the request could not be sent, or that the connection
 	// failed before the end of the response.
 	noResponse bool
 	latency    time.Duration
 	class      wire.Class
-	// reason is the body of a response with another status than 200, or the error.
+	// reason is the body of a response with another status than 200, or the text of the
+	// error if there is no response.
 	reason string
 }
 
-// loadGenerator sends requests as many clients do, and records the results.
+// loadGenerator simulates clients: it sends their requests and records the results.
 type loadGenerator struct {
 	cluster  *Cluster
 	client   *http.Client
@@ -46,9 +50,9 @@
 	group    errgroup.Group
 }
 
-// The load: how long requests work on an endpoint, how large their bodies are, how
-// long a client waits between two requests, and how many requests have which
-// properties.
+// Properties of the load. A request works for up to maxWorkMs on an endpoint, and its
+// body has less than maxPadBytes of padding. A client pauses for less than maxPauseMs
+// between two requests.
 const (
 	clientTimeout   = 40 * time.Second
 	idleConnections = 64
@@ -144,7 +148,8 @@
 	return wire.ClassNormal
 }
 
-// send sends a request and completes its result.
+// send sends a request with the given body and completes the result with the response
+// or the error.
 func (g *loadGenerator) send(request *http.Request, body []byte, result *clientResult) {
 	response, err := g.client.Do(request)
 	if err != nil {
@@ -165,7 +170,7 @@
 	}
 }
 
-// results returns the results so far.
+// results returns a copy of the results so far.
 func (g *loadGenerator) results() []clientResult {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -56,7 +56,7 @@
 	mutex         sync.Mutex
 	keeperProcess *process.Keeper
 	entryProcess  *process.Entry
-	// stopped says that the entry has been stopped or killed and not started again.
+	// stopped means that the entry has been stopped or killed and not started again.
 	stopped bool
 }
 
@@ -70,7 +70,7 @@
 	Network  *standin.Network
 	// Endpoints are the stand-in endpoints by the names of their boxes.
 	Endpoints map[string]*standin.Endpoint
-	// Observations is what the endpoints have seen of the clients' requests.
+	// Observations holds the runs and the violations that the endpoints have counted.
 	Observations *standin.Observations
 	Nodes        []*Node
 	clock        clockwork.Clock
@@ -78,12 +78,12 @@
 	violations   *violationLog
 	// nextPort is the next port that freeAddresses tries, 0 before its first call.
 	nextPort int
-	// reboot is what the platform's maintenance does to a box.
+	// reboot is the function by which the platform reboots a box for its maintenance.
 	reboot atomic.Pointer[func(ctx context.Context, box string) error]
 }
 
-// NewestSnapshotOffset returns the offset up to which the newest snapshot in the log
-// covers the records, or 0 if there is no snapshot.
+// NewestSnapshotOffset returns the offset from which a process has to read the log
+// after it has restored the newest snapshot, or 0 if there is no snapshot.
 func (c *Cluster) NewestSnapshotOffset() int {
 	newest := 0
 	for _, record := range c.Platform.Log.Peek(damsonwinch.StreamSnapshots, 0, maxSnapshots) {
@@ -95,6 +95,7 @@
 	return newest
 }
 
+// maxSnapshots is the maximum number of snapshots that NewestSnapshotOffset reads.
 const maxSnapshots = 1000
 
 // SetReboot replaces the function by which the platform reboots a box for its
@@ -141,6 +142,8 @@
 	return c, nil
 }
 
+// startPlatform starts the stand-in platform on a free port and sets its address in
+// the user's fleet.
 func (c *Cluster) startPlatform() error {
 	log := standin.NewLog(c.clock, c.Seed, 0)
 	c.SetReboot(func(ctx context.Context, box string) error { return c.Endpoints[box].Reboot(ctx, rebootTime) })
@@ -157,6 +160,8 @@
 	return nil
 }
 
+// startEndpoints starts a stand-in endpoint for each box of the user's fleet and adds
+// the boxes to the platform's list.
 func (c *Cluster) startEndpoints() error {
 	for _, zone := range c.User.Fleet.Halls {
 		for number := range zone.Boxes {
@@ -173,8 +178,9 @@
 	return nil
 }
 
-// NewBoxInfo returns the description of an endpoint box as it stands in the
-// platform's list. Number counts the boxes of the zone from 0.
+// NewBoxInfo returns the description of an endpoint box for the platform's list. The
+// number is the index of the box in its zone, from 0. The address is the IP address
+// and port of its endpoint.
 func NewBoxInfo(zone string, number int, fleet settings.Fleet, address string) wire.BoxInfo {
 	return wire.BoxInfo{
 		Name: fmt.Sprintf("%s-box-%02d", zone, number+1), Hall: zone, Rack: fmt.Sprintf("rack-%02d", number/fleet.RackBoxes+1),
@@ -262,7 +268,8 @@
 	portRanges      = 150
 )
 
-// freeAddresses returns loopback addresses on whose ports nobody listens now.
+// freeAddresses returns the given number of loopback addresses on whose ports nobody
+// listens now.
 func (c *Cluster) freeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < count {
@@ -284,6 +291,7 @@
 	return addresses, nil
 }
 
+// processEnv returns the environment of the processes on a node.
 func (c *Cluster) processEnv(node *Node) process.Env {
 	return process.Env{Clock: c.clock, Dial: c.Network.Dialer(node.Zone), Logger: c.logger, OnViolation: c.violations.add, Seed: c.Seed}
 }
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -15,10 +15,12 @@
 	"damsonwinch/pkg/wire"
 )
 
+// observeInterval is the time between two checks of an observer.
 const observeInterval = 20 * time.Millisecond
 
-// observer reads the log of the stand-in platform directly and checks against it
-// which table the processes have in force and which boxes serve.
+// observer reads the log of the stand-in platform directly. It compares the fleet's
+// state in the log with the tables that the processes have in force and with the
+// endpoints that serve.
 type observer struct {
 	cluster *Cluster
 	cancel  context.CancelFunc
@@ -27,23 +29,24 @@
 	state   fold.State
 	// acceptedAt is when each table version entered the log.
 	acceptedAt map[int]time.Time
-	// versionInForce is the highest table version seen in force at each process,
-	// which is a *process.Entry or a *process.Keeper.
+	// versionInForce holds, by process, the highest table version that the process had
+	// in force. The keys are of type *process.Entry and *process.Keeper.
 	versionInForce map[any]int
-	moved          int // Boxes that left a pool.
-	maintained     int // Boxes whose maintenance ended.
-	// belowFloor counts the checks that found a pool below its floor, and
-	// versionReverted those that found an older table than before at a process.
+	moved          int // The number of boxes that left a pool.
+	maintained     int // The number of boxes whose maintenance ended.
+	// belowFloor counts the checks that found a pool with too few slots for its floors,
+	// and versionReverted those that found a process with an older table than before.
 	belowFloor      int
 	versionReverted int
-	// maxRollout is the longest time that a table took from its acceptance by the log
-	// to its being in force at a process.
-	maxRollout     time.Duration
+	// maxRollout is the longest time from the acceptance of a table in the log until a
+	// process had it in force.
+	maxRollout time.Duration
+	// checkingFloors is set by startFloorChecks.
 	checkingFloors bool
 }
 
-// startObserver starts an observer that checks the cluster at each observeInterval
-// until stop.
+// startObserver starts an observer that checks the cluster every observeInterval until
+// stop.
 func startObserver(c *Cluster) (*observer, error) {
 	initialState, err := process.InitialState()
 	if err != nil {
@@ -58,6 +61,7 @@
 	return o, nil
 }
 
+// stop ends the checks and waits for the last one.
 func (o *observer) stop() {
 	o.cancel()
 	_ = o.group.Wait()
@@ -76,11 +80,13 @@
 	}
 }
 
+// observe reads the new records of the log, and then checks the processes and the
+// pools once.
 func (o *observer) observe() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	const maxRecords = 1000
-	// Peek reads the log in spite of the faults that the log simulates.
+	// Peek reads the log even while its injected faults make reads fail.
 	records := o.cluster.Platform.Log.Peek(damsonwinch.StreamFleet, o.state.Offset(), maxRecords)
 	for _, record := range records {
 		o.apply(record)
@@ -89,7 +95,8 @@
 	o.checkFloors()
 }
 
-// apply applies a log record to the observer's state and counts what it changes.
+// apply applies a log record to the observer's state, and counts the moves and the
+// maintenance that it completes.
 func (o *observer) apply(record wire.Entry) {
 	previous := o.state
 	next, results := previous.Apply(record)
@@ -104,7 +111,9 @@
 	}
 }
 
-// countChange counts a move or a maintenance that an accepted proposal has ended.
+// countChange counts a box if an accepted proposal has taken it out of a pool or ended
+// its maintenance. previous and next are the states before and after the proposal's
+// record.
 func (o *observer) countChange(result fold.Result, previous, next fold.State) {
 	change := result.Proposal.Change
 	if change == nil {
@@ -120,7 +129,7 @@
 	}
 }
 
-// checkVersions checks which table each running process has in force.
+// checkVersions calls checkVersion for each running process.
 func (o *observer) checkVersions() {
 	for _, node := range o.cluster.Nodes {
 		node.mutex.Lock()
@@ -135,16 +144,16 @@
 	}
 }
 
-// checkVersion compares the table version of a process with the versions that it had
-// before.
+// checkVersion counts a process that has an older table version than before. For newer
+// versions it measures the time from their acceptance until now.
 func (o *observer) checkVersion(process any, version int) {
 	previous, found := o.versionInForce[process]
 	if found && version < previous {
 		o.versionReverted++
 	}
 	if !found {
-		// A process that has just started has no table yet. It counts from when it has
-		// the newest one.
+		// A process that has just started has no table yet. It is checked from the time
+		// when it first has the newest one.
 		if version == o.state.Table().Version() {
 			o.versionInForce[process] = version
 		}
@@ -158,8 +167,9 @@
 	o.versionInForce[process] = max(previous, version)
 }
 
-// checkFloors checks whether the boxes of each pool give the slots of its floors. It
-// asks the endpoints whether they serve, since the processes may not know it.
+// checkFloors counts the pools whose serving boxes have fewer slots than their floors
+// require. It asks the endpoints whether they serve, since the processes may not know
+// it yet.
 func (o *observer) checkFloors() {
 	if !o.checkingFloors {
 		return
@@ -192,7 +202,7 @@
 	return o.state
 }
 
-// poolsFilled says whether there is a table and every pool has the slots that its
+// poolsFilled reports whether there is a table and every pool has the slots that its
 // services need, even if its largest rack fails.
 func (o *observer) poolsFilled() bool {
 	state := o.currentState()
@@ -207,7 +217,8 @@
 	return true
 }
 
-// dueBoxes counts the boxes that are up and still due for maintenance in the wave.
+// dueBoxes returns the number of boxes that are up and still due for maintenance in the
+// current wave.
 func (o *observer) dueBoxes() int {
 	state := o.currentState()
 	count := 0
@@ -227,7 +238,8 @@
 	return maps.Clone(c.violations.counts)
 }
 
-// jsonLine returns a value as JSON on one line, or the error's text.
+// jsonLine returns a value as JSON on one line, or the text of the error if it can't be
+// encoded.
 func jsonLine(value any) string {
 	line, err := json.Marshal(value)
 	if err != nil {
--- a/pkg/trial/report.go
+++ b/pkg/trial/report.go
@@ -9,10 +9,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// Report is the result of a run. Most violations are counted from what the clients
-// and the endpoints recorded, independently of the processes. ReportedViolations
-// counts those that the processes themselves reported.
+// Report is the result of a run. ReportedViolations counts the violations that the
+// processes themselves reported. All others are counted independently of the
+// processes, by the clients, the endpoints and the observer.
 type Report struct {
+	// Users is the name of the user whose fleet ran.
 	Users    string `json:"users"`
 	Seed     uint64 `json:"seed"`
 	Requests int    `json:"requests"`
@@ -25,17 +26,18 @@
 	RunTwice int `json:"run_twice"`
 	// NotRunButRan counts requests with the outcome "not-run" that an endpoint ran.
 	NotRunButRan int `json:"not_run_but_ran"`
-	// WrongAnswer counts responses that belong to another request.
+	// WrongAnswer counts responses with status 200 whose body isn't the one expected for
+	// the request.
 	WrongAnswer int `json:"wrong_answer"`
 	// CutInFlight counts requests that ran on a box when it was rebooted.
 	CutInFlight int `json:"cut_in_flight"`
 	// PoolOverlap counts how often a box ran requests of two pools at once.
 	PoolOverlap int `json:"pool_overlap"`
-	// BelowFloor counts the checks that found the serving boxes of a pool to give
-	// fewer slots than its floors.
+	// BelowFloor counts the checks that found a pool whose serving boxes had fewer slots
+	// than its floors require.
 	BelowFloor int `json:"below_floor"`
-	// ConfigReverted counts the checks that found an older table in force at a process
-	// than before.
+	// ConfigReverted counts the checks that found a process with an older table than
+	// before.
 	ConfigReverted int `json:"config_reverted"`
 	// SentToLeaving counts requests that reached a box too long after the list had
 	// marked it as leaving.
@@ -44,18 +46,20 @@
 	ReportedViolations int `json:"violations"`
 	BoxesMoved         int `json:"boxes_moved"`
 	BoxesMaintained    int `json:"boxes_maintained"`
-	// TableRolloutMsMax is the longest time from the acceptance of a table to its being
-	// in force at a process, in milliseconds.
+	// TableRolloutMsMax is the longest time from the acceptance of a table until a
+	// process had it in force, in milliseconds.
 	TableRolloutMsMax int `json:"table_rollout_ms_max"`
-	LogAppends        int `json:"log_appends"`
+	// LogAppends is the number of records that were appended to the log.
+	LogAppends int `json:"log_appends"`
 
-	// details has a line for each violation of which more is known, and reasons counts
-	// the requests without an answer of status 200 by outcome and status.
+	// details has a line for each violation of which more is known. reasons counts the
+	// requests that were not answered with status 200, by outcome and status.
 	details []string
 	reasons map[string]int
 }
 
-// TotalViolations returns the number of violations of all kinds. It must be 0.
+// TotalViolations returns the number of violations of all kinds. A correct system has
+// none.
 func (r Report) TotalViolations() int {
 	return r.RunTwice + r.NotRunButRan + r.WrongAnswer + r.CutInFlight + r.PoolOverlap + r.BelowFloor + r.ConfigReverted +
 		r.SentToLeaving + r.ReportedViolations
@@ -85,8 +89,8 @@
 	return report
 }
 
-// addResult counts the result of one request. Runs is how often the request ran on
-// endpoints, by their observations.
+// addResult counts the result of one request. runs is how often the endpoints observed
+// the request to run.
 func (r *Report) addResult(result clientResult, runs int) {
 	r.Requests++
 	switch result.outcome {
@@ -113,7 +117,7 @@
 	}
 }
 
-// Write prints the report for people, and as its last line the report as JSON.
+// Write writes the report as readable text, and as JSON on the last line.
 func (r Report) Write(out io.Writer) error {
 	lines := []string{
 		"",
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -33,8 +33,9 @@
 }
 
 const (
+	// clientCount is the number of clients that send requests at the same time.
 	clientCount = 60
-	// stepTimeout bounds an operator's call and the wait for its effect.
+	// stepTimeout bounds an operator's call, and separately the wait for its effect.
 	stepTimeout = 10 * time.Second
 )
 
@@ -48,9 +49,9 @@
 	startedAt time.Time
 }
 
-// Run starts a user's fleet, takes it through the scenario under load and returns
-// the report. The report is valid even if there is an error, as far as the scenario
-// got; see playScenario for the steps.
+// Run starts a user's fleet, takes it through the scenario under load and returns the
+// report. playScenario lists the steps. If a step fails, Run returns its error and a
+// report on the run up to that step.
 func Run(ctx context.Context, options Options) (Report, error) {
 	user, err := NewUser(options.User)
 	if err != nil {
@@ -97,8 +98,8 @@
 	}
 }
 
-// waitUntil polls a condition until it holds or the timeout is over, and returns
-// whether it holds.
+// waitUntil polls a condition until it holds, the timeout is over or the context ends.
+// It reports whether the condition holds in the end.
 func (r *run) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	const pollInterval = 20 * time.Millisecond
 	deadline := r.cluster.clock.Now().Add(timeout)
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// operatorClient returns a client with which an operator talks to the keeper of a
-// node. Edits name the author as theirs.
+// operatorClient returns an operator's client of a node's keeper. The log records the
+// author with each edit.
 func (r *run) operatorClient(author string, nodeIndex int) (*operator.Client, error) {
 	initialState, err := process.InitialState()
 	if err != nil {
@@ -138,7 +139,8 @@
 }
 
 // StartReady starts a user's fleet and returns once its table is in force and its
-// pools have the boxes that their services need.
+// pools have the boxes that their services need. The seed is that of Options. The
+// caller has to close the cluster.
 func StartReady(ctx context.Context, user User, seed uint64, logger logrus.FieldLogger) (*Cluster, error) {
 	cluster, err := NewCluster(user, seed, logger)
 	if err != nil {
@@ -154,7 +156,8 @@
 }
 
 // editTable publishes a changed table in an operator's name, through the keeper of a
-// node. It returns once the log has accepted the edit, or with an error.
+// node. It returns nil once the edit is accepted, and an error if it is refused or not
+// decided within stepTimeout.
 func (r *run) editTable(ctx context.Context, author string, nodeIndex int, change func(*settings.Table)) error {
 	client, err := r.operatorClient(author, nodeIndex)
 	if err != nil {
@@ -174,8 +177,8 @@
 }
 
 // publishFirstTable publishes the user's table once all boxes are enrolled. It
-// returns once the pools have their boxes and all entries have the table. The check
-// of the pools' floors starts then, since the pools are below them before.
+// returns once the pools have their boxes and all entries have the table. Floors are
+// checked only from then on, since the pools have too few slots before.
 func (r *run) publishFirstTable(ctx context.Context) error {
 	r.waitUntil(ctx, stepTimeout, func() bool { return len(r.observer.currentState().Boxes()) == len(r.cluster.Endpoints) })
 	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) { *wanted = r.cluster.User.Table })
@@ -192,7 +195,7 @@
 	return nil
 }
 
-// newestTableInForce says whether every entry has the newest table of the log.
+// newestTableInForce reports whether every entry has the newest table of the log.
 func (r *run) newestTableInForce() bool {
 	for _, node := range r.cluster.Nodes {
 		if node.entryProcess.Metrics.Count("table_version") < r.observer.currentState().Table().Version() {
@@ -269,8 +272,8 @@
 	return err
 }
 
-// maintainAllBoxes starts a maintenance wave over all boxes, and waits for its end or
-// for about a third of the run's length.
+// maintainAllBoxes starts a maintenance wave over all boxes. It waits until the wave is
+// complete, but for no more than 35 % of the run's length.
 func (r *run) maintainAllBoxes(ctx context.Context) error {
 	startedAt := r.cluster.clock.Now()
 	err := r.editTable(ctx, "ana", 0, func(wanted *settings.Table) {
@@ -288,8 +291,8 @@
 	return nil
 }
 
-// cutOffZone cuts the first zone off from the platform and from the other zones for a
-// part of the run.
+// cutOffZone cuts the first zone off from the platform and from the other zones for
+// 15 % of the run's length.
 func (r *run) cutOffZone(ctx context.Context) error {
 	zones := r.cluster.zoneNames()
 	cutOff := zones[0]
@@ -325,9 +328,8 @@
 	return r.cluster.StartEntry(node)
 }
 
-// takeLogDown makes the log unavailable for a time. After that the log loses the
-// answers to some appends, which take effect nevertheless; this lasts to the end of
-// the run.
+// takeLogDown makes the log unavailable for a time. From then to the end of the run,
+// the log loses the answers to some appends, which take effect nevertheless.
 func (r *run) takeLogDown(ctx context.Context) error {
 	r.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
 	r.logStep("the log is down")
@@ -338,8 +340,8 @@
 	return nil
 }
 
-// breakBoxes makes one box fail every request, and marks a box of another zone as
-// leaving in the platform's list.
+// breakBoxes makes one box fail every request, and makes the platform's list show a box
+// of another zone as leaving.
 func (r *run) breakBoxes(ctx context.Context) error {
 	failing, failingZone, leaving := "", "", ""
 	for _, box := range r.observer.currentState().Boxes() {
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -1,7 +1,7 @@
 // Package trial runs a whole fleet in one process: keepers, entries, a stand-in
 // platform and stand-in endpoints, which talk to each other over real loopback
 // sockets. It takes the fleet through a scenario of edits, moves, maintenance and
-// faults under load, and counts violations of what the system guarantees.
+// faults under load, and counts the violations of the system's guarantees.
 package trial
 
 import (
@@ -26,13 +26,13 @@
 	Podkarpacie = "podkarpacie"
 )
 
-// UserNames returns the names that NewUser takes.
+// UserNames returns the names that NewUser accepts.
 func UserNames() []string {
 	return []string{Lisbon, Podkarpacie}
 }
 
-// NewUser returns the user with a name. The sizes of its fleet and its table are
-// those that the user stated in its requirements.
+// NewUser returns the user with the given name. The sizes of its fleet and its table
+// are those that the user stated in its requirements.
 func NewUser(name string) (User, error) {
 	switch name {
 	case Lisbon:
@@ -57,16 +57,19 @@
 }
 
 // serviceSpec has the settings in which the services of the trial's tables differ.
+// settings.Row describes them.
 type serviceSpec struct {
 	service    string
 	pool       string
 	weight     int
-	floor      int
+	floor      int // In slots, as spare.
 	spare      int
 	deadlineMs int
 	repeatable bool
 }
 
+// namedRow returns the row of the service. All other settings are the same for all
+// services.
 func (s serviceSpec) namedRow() settings.NamedRow {
 	const maxSlots, queueLimit, maxDown, runMs = 200, 600, 2, 1500
 	return settings.NamedRow{Service: s.service, Row: settings.Row{
@@ -110,8 +113,9 @@
 	)
 }
 
-// EndpointBoxes returns the descriptions of a fleet's endpoint boxes. Their addresses
-// have consecutive ports, from the address of the first endpoint in the settings on.
+// EndpointBoxes returns the descriptions of a fleet's endpoint boxes for the platform's
+// list. The first box has the address fleet.Endpoints, and the others the ports that
+// follow.
 func EndpointBoxes(fleet settings.Fleet) ([]wire.BoxInfo, error) {
 	firstAddress, err := netip.ParseAddrPort(fleet.Endpoints)
 	if err != nil {
@@ -127,8 +131,8 @@
 	return boxes, nil
 }
 
-// EntryBoxes returns the descriptions of a fleet's entry boxes as they stand in the
-// platform's list. They have no addresses.
+// EntryBoxes returns the descriptions of a fleet's entry boxes for the platform's list,
+// without addresses.
 func EntryBoxes(fleet settings.Fleet) []wire.BoxInfo {
 	var boxes []wire.BoxInfo
 	for _, zone := range fleet.Halls {
@@ -139,6 +143,7 @@
 	return boxes
 }
 
+// entryName returns the name of the entry box with an index, from 0, in a zone.
 func entryName(zone string, number int) string {
 	return fmt.Sprintf("%s-entry-%d", zone, number+1)
 }
