--- a/pkg/trial/boxes_test.go
+++ b/pkg/trial/boxes_test.go
@@ -59,8 +59,8 @@
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
-// TestLeavingBoxGetsNoNewRequestsWhileLogIsDown: the entries learn that a box leaves
-// from the platform's list even if they can't read the log.
+// TestLeavingBoxGetsNoNewRequestsWhileLogIsDown: the entries learn from the platform's
+// list that a box is leaving, even if they can't read the log.
 func TestLeavingBoxGetsNoNewRequestsWhileLogIsDown(t *testing.T) {
 	f := newFixture(t, smallUser())
 	load := startLoadGenerator(f.cluster, testClients)
@@ -75,8 +75,8 @@
 	assert.Assert(t, len(load.results()) > 0)
 }
 
-// TestBoxGetsRequestsAgainWhenListWithdrawsLeaving: the list marks all boxes as
-// leaving, so that no request can run, and then marks none.
+// TestBoxGetsRequestsAgainWhenListWithdrawsLeaving: the list shows all boxes as
+// leaving, so that no request can run, and then none. Requests run again.
 func TestBoxGetsRequestsAgainWhenListWithdrawsLeaving(t *testing.T) {
 	f := newFixture(t, smallUser())
 	f.cluster.Platform.Log.SetFaults(standin.LogFaults{Down: true})
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestCancelledRequestsLeaveQueue: clients that disconnect while their requests wait
-// free the places in the queue.
+// TestCancelledRequestsLeaveQueue: clients disconnect while their requests wait, and
+// their places in the queue become free.
 func TestCancelledRequestsLeaveQueue(t *testing.T) {
 	f := newFixture(t, smallUser())
 	f.setFault(standin.FaultHang, allBoxes)
@@ -116,7 +116,8 @@
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
-// TestMaintenanceWaveInterruptsNoRequest maintains every box under load.
+// TestMaintenanceWaveInterruptsNoRequest maintains every box under load. Every request
+// is answered.
 func TestMaintenanceWaveInterruptsNoRequest(t *testing.T) {
 	f := newFixture(t, smallUser())
 	load := startLoadGenerator(f.cluster, testClients)
--- a/pkg/trial/cut_test.go
+++ b/pkg/trial/cut_test.go
@@ -14,21 +14,21 @@
 	"damsonwinch/pkg/wire"
 )
 
-// twoZoneUser returns a small user with zones north, with two entries, and south, with
-// one.
+// twoZoneUser returns smallUser with two zones of five boxes each: north with two
+// entries, and south with one.
 func twoZoneUser() User {
 	user := smallUser()
 	user.Fleet.Halls = []settings.Hall{newZone("north", 5, 2), newZone("south", 5, 1)}
 	return user
 }
 
-// longerThanLease is the length of an outage after which a lease that was renewed in
-// the log only has expired.
+// longerThanLease is the length of an outage of the log in which every lease expires,
+// unless the keepers of the zone extend it.
 const longerThanLease = 3 * leaseMs * time.Millisecond
 
-// TestZoneThatIsCutOffKeepsServing: its entries are cut off from the platform and the
-// other zone. The keepers of their own zone extend their leases, and nobody else takes
-// their boxes.
+// TestZoneThatIsCutOffKeepsServing: a zone is cut off from the platform and the other
+// zone. Its own keepers extend the leases of its entries, and its boxes keep their
+// senders.
 func TestZoneThatIsCutOffKeepsServing(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
 	f.waitFor("the zone's entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
@@ -90,8 +90,8 @@
 	assert.Equal(t, f.run.observer.currentState().Table().Version(), 1)
 }
 
-// TestNewProcessStartsFromSnapshot: the records before the newest snapshot have
-// expired, so that new processes need the snapshot.
+// TestNewProcessStartsFromSnapshot: the records up to the newest snapshot have expired,
+// so that new processes need the snapshot.
 func TestNewProcessStartsFromSnapshot(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
 	f.waitFor("a snapshot is in the log", func() bool { return len(f.cluster.Platform.Log.Peek("snapshots", 0, 1)) > 0 })
@@ -109,8 +109,8 @@
 }
 
 // TestZoneWithoutPlatformFollowsLogThroughOtherZone: a zone that can't reach the
-// platform reads the log from the other zone's keepers, so that an edit takes effect
-// there too.
+// platform reads the log from the other zone's keepers. An edit comes into force in
+// both zones.
 func TestZoneWithoutPlatformFollowsLogThroughOtherZone(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
 	f.cluster.Network.Cut("north", platformZone)
@@ -124,10 +124,10 @@
 	f.cluster.Network.Heal()
 }
 
-// TestListThatOmitsLiveBoxesInterruptsNoRequest: the list drops an entry box and an
+// TestListThatOmitsLiveBoxesInterruptsNoRequest: the list omits an entry box and an
 // endpoint box that still work. The entry keeps its boxes because it renews its lease.
-// The endpoint box is replaced without a failed request, and is up again once it is
-// back in the list.
+// The endpoint box is replaced without a failed request, and counts as up again once
+// the list has it again.
 func TestListThatOmitsLiveBoxesInterruptsNoRequest(t *testing.T) {
 	f := newFixture(t, twoZoneUser())
 	f.waitFor("the zone's entries have boxes", func() bool { return f.boxesSentTo(0) > 0 && f.boxesSentTo(1) > 0 })
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestMaintenanceWaveGoesOnAfterRackLoss: the boxes of the lost rack are replaced, the
-// wave goes on within the pool's budget, and the pool has the slots that it needs
-// again.
+// TestMaintenanceWaveGoesOnAfterRackLoss: a rack is lost during a wave. Its boxes are
+// replaced, the wave goes on within the pool's budget, and in the end the pool has the
+// slots that it needs.
 func TestMaintenanceWaveGoesOnAfterRackLoss(t *testing.T) {
 	user := smallUser()
 	user.Fleet.Halls = []settings.Hall{newZone("north", 10, 2)}
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -79,7 +79,8 @@
 	nonce      string
 }
 
-// call sends work to the first entry, which must respond.
+// call sends a request with the given work to the first entry. The test fails if there
+// is no response.
 func (f *fixture) call(service string, work standin.Work, header map[string]string) reply {
 	f.t.Helper()
 	body, err := json.Marshal(work)
@@ -87,7 +88,8 @@
 	return f.callWithBody(service, body, header, work.Nonce)
 }
 
-// callWithBody sends a body to the first entry, which must respond.
+// callWithBody sends a request with the given body to the first entry. The test fails
+// if there is no response.
 func (f *fixture) callWithBody(service string, body []byte, header map[string]string, nonce string) reply {
 	f.t.Helper()
 	return f.callNode(f.cluster.Nodes[0], service, body, header, nonce)
@@ -99,8 +101,8 @@
 	return fmt.Sprintf("n%d", f.nonces)
 }
 
-// setFault gives a fault to the first boxes that are not in the free pool, up to the
-// given number of boxes.
+// setFault sets the fault of boxes that are not in the free pool: of the first ones, up
+// to the given number.
 func (f *fixture) setFault(fault standin.EndpointFault, boxes int) {
 	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Pool == "free" {
@@ -124,10 +126,10 @@
 // allBoxes exceeds the number of boxes in every test.
 const allBoxes = 100
 
-// TestClientGetsCorrectOutcomeForEachEndpointFault shows, for each fault of all boxes,
-// the outcome that the client gets, whether the endpoints ran the request at most
-// once, and the outcome of a second request with the same key. A request that may be
-// repeated comes first, then one that may not.
+// TestClientGetsCorrectOutcomeForEachEndpointFault prints, for each fault of the boxes,
+// the outcome that the client gets. It sends a request that may be repeated and then
+// one that may not. For the latter it also prints whether the endpoints ran the request
+// at most once, and the outcome of a second request with the same key.
 func TestClientGetsCorrectOutcomeForEachEndpointFault(t *testing.T) {
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, d *datadriven.TestData) string {
 		// Each row has a fleet of its own, so that ejections in one row don't affect another.
--- a/pkg/trial/random_test.go
+++ b/pkg/trial/random_test.go
@@ -68,8 +68,8 @@
 	assert.Assert(t, report.Answered > report.Requests/2, "seed %d: %+v", seed, report)
 }
 
-// randomEvent causes or ends a random fault, or edits the table, and returns a
-// description of it. Stopped has the indexes of the nodes that are stopped.
+// randomEvent causes a random fault, ends faults or edits the table, and returns a
+// description of what it did. stopped holds the indexes of the nodes that are stopped.
 func (f *fixture) randomEvent(random *rand.Rand, stopped map[int]bool) string {
 	zones := []string{"north", "south", "west", platformZone}
 	node := random.IntN(len(f.cluster.Nodes))
@@ -111,8 +111,9 @@
 	}
 }
 
-// killOrStart starts a node that is stopped. It kills another one, unless half of the
-// nodes are stopped.
+// killOrStart starts the node with the given index if it is stopped. Otherwise it kills
+// the node, unless half of the nodes are stopped already. It returns a description of
+// what it did.
 func (f *fixture) killOrStart(node int, stopped map[int]bool) string {
 	if stopped[node] {
 		delete(stopped, node)
--- a/pkg/trial/stop_test.go
+++ b/pkg/trial/stop_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestPlannedStopInterruptsNoRequest stops an entry under load and starts it again.
-// Every request is answered, and the other entry takes over the boxes meanwhile.
+// Every request is answered, and the other entry takes over the boxes in between.
 func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	f := newFixture(t, twoEntryUser())
 	load := startLoadGenerator(f.cluster, testClients)
@@ -69,7 +69,7 @@
 }
 
 // boxesSentTo counts the boxes whose sender is the entry of a node, or a former process
-// of it.
+// of that entry.
 func (f *fixture) boxesSentTo(node int) int {
 	count := 0
 	for _, sender := range f.run.observer.currentState().Senders() {
--- a/pkg/trial/story_test.go
+++ b/pkg/trial/story_test.go
@@ -24,11 +24,11 @@
 	})
 }
 
-// waitFor waits until a condition holds, and fails the test if it doesn't within
-// waitTimeout.
-func (f *fixture) waitFor(what string, condition func() bool) {
+// waitFor waits until a condition holds. After waitTimeout it fails the test and reports
+// the description of the condition.
+func (f *fixture) waitFor(description string, condition func() bool) {
 	f.t.Helper()
-	assert.Assert(f.t, f.run.waitUntil(context.Background(), waitTimeout, condition), "timed out waiting until "+what)
+	assert.Assert(f.t, f.run.waitUntil(context.Background(), waitTimeout, condition), "timed out waiting until "+description)
 }
 
 // firstPoolBox returns the name of the first box that isn't in the free pool.
@@ -42,7 +42,8 @@
 	return ""
 }
 
-// callNode sends a request to the entry of a node, which must respond.
+// callNode sends a request to the entry of a node. The test fails if there is no
+// response.
 func (f *fixture) callNode(node *Node, service string, body []byte, header map[string]string, nonce string) reply {
 	f.t.Helper()
 	response, err := f.tryCallNode(node, service, body, header)
@@ -51,8 +52,8 @@
 	return response
 }
 
-// tryCallNode sends a request to the entry of a node, which may end meanwhile: the
-// error says that there was no response.
+// tryCallNode sends a request to the entry of a node. It returns an error if there is no
+// complete response, for example because the entry was killed.
 func (f *fixture) tryCallNode(node *Node, service string, body []byte, header map[string]string) (reply, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+node.entry.HttpAddress+"/v1/run/"+service, bytes.NewReader(body))
 	assert.NilError(f.t, err)
@@ -69,7 +70,7 @@
 		retryAfter: response.Header.Get("Retry-After")}, err
 }
 
-// callUntilDone sends a request to the first entry and gives it up when the context
+// callUntilDone sends a request to the first entry, and cancels it when the context
 // ends.
 func (f *fixture) callUntilDone(ctx context.Context, service string, work standin.Work) {
 	address := f.cluster.Nodes[0].entry.HttpAddress
@@ -80,8 +81,8 @@
 	}
 }
 
-// deferredChanges returns the changes that the plan of the first keeper defers and
-// whose descriptions contain a text.
+// deferredChanges returns the descriptions of the changes that the first keeper's plan
+// defers, but only of those that contain the text.
 func (f *fixture) deferredChanges(text string) []string {
 	client, err := f.run.operatorClient("test", 0)
 	assert.NilError(f.t, err)
