--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -23,9 +23,9 @@
 // by linear regression.
 type Slope struct {
 	Name string `json:"name"`
-	// Unit is the unit of Values and Intercept. Slope is in Unit for each Per.
+	// Unit is the unit of Values and Intercept. The unit of Slope is Unit per Per.
 	Unit string `json:"unit"`
-	// Per says what Sizes count, such as boxes.
+	// Per is the thing that Sizes count, such as "box".
 	Per       string    `json:"per"`
 	Sizes     []float64 `json:"sizes"`
 	Values    []float64 `json:"values"` // One for each element of Sizes.
--- a/pkg/loadtest/drive.go
+++ b/pkg/loadtest/drive.go
@@ -117,9 +117,9 @@
 	return sendTo(options, client, "http://"+address+"/v1/run/"+service, nonce, class, deadline, serviceMs)
 }
 
-// sendTo sends a request to a URL, on which an endpoint works for workMs milliseconds.
-// It returns the status and the latency of the response. The status is 0 if there is no
-// complete response.
+// sendTo sends a request to a URL. The endpoint that runs the request works on it for
+// workMs milliseconds. sendTo returns the status and the latency of the response. The
+// status is 0 if there is no complete response.
 func sendTo(options Options, client *http.Client, url, nonce string, class wire.Class, deadline time.Duration, workMs int) (int, time.Duration) {
 	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: workMs})
 	if err != nil {
--- a/pkg/loadtest/plain.go
+++ b/pkg/loadtest/plain.go
@@ -25,7 +25,7 @@
 	group   errgroup.Group
 }
 
-// plainBox is an endpoint as the plain gateway sees it.
+// plainBox is an endpoint and its queue in the plain gateway.
 type plainBox struct {
 	address string
 	// slots holds an element for each request that runs on the box.
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -43,7 +43,7 @@
 	idlePollInterval  = 2 * time.Second
 	pollRetryInterval = 300 * time.Millisecond
 	// scaleDownDelay is how long a pool keeps boxes that it no longer needs. Moving a box
-	// away and back costs users about 6 s of its work, including the time in transit.
+	// away and back costs users about 6 s of the box's work, including the time in transit.
 	scaleDownDelay = 1 * time.Second
 )
 
@@ -169,10 +169,12 @@
 	return max(1, int(share*1000))
 }
 
+// seconds converts a number of seconds from the settings to a duration.
 func seconds(count float64) time.Duration {
 	return time.Duration(count * float64(time.Second))
 }
 
+// milliseconds converts a number of milliseconds from the settings to a duration.
 func milliseconds(count int) time.Duration {
 	return time.Duration(count) * time.Millisecond
 }
--- a/pkg/trial/cluster.go
+++ b/pkg/trial/cluster.go
@@ -111,6 +111,7 @@
 	details []string
 }
 
+// add adds a violation of the named invariant. It is process.Env.OnViolation.
 func (l *violationLog) add(name, detail string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/pkg/trial/faults_test.go
+++ b/pkg/trial/faults_test.go
@@ -101,8 +101,8 @@
 	return fmt.Sprintf("n%d", f.nonces)
 }
 
-// setFault sets the fault of boxes that are not in the free pool: of the first ones, up
-// to the given number.
+// setFault sets the fault of the first boxes that are not in the free pool, up to the
+// given number of boxes.
 func (f *fixture) setFault(fault standin.EndpointFault, boxes int) {
 	for _, box := range f.run.observer.currentState().Boxes() {
 		if box.Pool == "free" {
@@ -139,8 +139,8 @@
 		d.ScanArgs(t, "fault", &fault)
 		if d.HasArg("boxes") {
 			d.ScanArgs(t, "boxes", &boxes)
-			// The box for a request is chosen at random. Only a request that is sent again
-			// has the same outcome whichever box comes first.
+			// The box for a request is chosen at random. Only a request that may be repeated
+			// has the same outcome whichever box gets it first.
 			services = services[:1]
 		}
 		var lines strings.Builder
--- a/pkg/trial/observer.go
+++ b/pkg/trial/observer.go
@@ -67,6 +67,7 @@
 	_ = o.group.Wait()
 }
 
+// run calls observe every observeInterval until the context ends.
 func (o *observer) run(ctx context.Context) {
 	ticker := o.cluster.clock.NewTicker(observeInterval)
 	defer ticker.Stop()
--- a/pkg/trial/users.go
+++ b/pkg/trial/users.go
@@ -52,6 +52,7 @@
 	return settings.Fleet{Halls: zones, RackBoxes: rackBoxes, BoxSlots: boxSlots}
 }
 
+// newZone returns a zone with the given numbers of endpoint boxes and entry boxes.
 func newZone(name string, boxes, entries int) settings.Hall {
 	return settings.Hall{Name: name, Boxes: boxes, Entries: entries}
 }
