--- a/pkg/front/admit.go
+++ b/pkg/entry/admission.go
@@ -1,12 +1,12 @@
-package front
+package entry
 
 import (
 	"fmt"
 	"net/http"
 	"time"
 
-	"damsonwinch/pkg/fold"
-	"damsonwinch/pkg/limit"
+	"damsonwinch/pkg/apportion"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/queue"
 	"damsonwinch/pkg/settings"
 	"damsonwinch/pkg/wire"
@@ -35,7 +35,7 @@
 	address string
 	// row is the row of the request's service. It is not set in a refusal.
 	row       settings.Row
-	forwardTo fold.SenderKey
+	forwardTo fleetstate.SenderKey
 }
 
 // requestState is what the loop keeps of a request that waits in a queue or has been granted a box.
@@ -128,7 +128,7 @@
 		return false
 	}
 	for _, box := range e.ownBoxes(pool) {
-		if box.Phase == fold.Serving {
+		if box.Phase == fleetstate.Serving {
 			return true
 		}
 	}
@@ -173,7 +173,7 @@
 	if len(weights) == index {
 		weights = append(weights, e.ownSlots(pool))
 	}
-	return limit.Share(total, weights, index)
+	return apportion.Share(total, weights, index)
 }
 
 // usage returns the usage of a service. It adds an empty one if there is none.
--- a/pkg/standin/log.go
+++ b/pkg/fakes/log.go
@@ -1,7 +1,7 @@
-// Package standin holds fakes of the system's environment: the platform, endpoints and the network
+// Package fakes holds stand-ins for the system's environment: the platform, endpoints and the network
 // between availability zones. Faults can be injected into each of them. Only tests and the command
-// dw-trial use it.
-package standin
+// dw-trial use it. For the platform that dw-node uses, see damsonwinch/platform/standin.
+package fakes
 
 import (
 	"context"
--- a/pkg/loadtest/drive.go
+++ b/pkg/loadtest/load.go
@@ -15,8 +15,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"damsonwinch/pkg/front"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
 	"damsonwinch/pkg/wire"
 )
 
@@ -121,7 +121,7 @@
 // workMs milliseconds. sendTo returns the status and the latency of the response. The
 // status is 0 if there is no complete response.
 func sendTo(options Options, client *http.Client, url, nonce string, class wire.Class, deadline time.Duration, workMs int) (int, time.Duration) {
-	body, err := json.Marshal(standin.Work{Nonce: nonce, WorkMs: workMs})
+	body, err := json.Marshal(fakes.Work{Nonce: nonce, WorkMs: workMs})
 	if err != nil {
 		return 0, 0
 	}
@@ -129,8 +129,8 @@
 	if err != nil {
 		return 0, 0
 	}
-	request.Header.Set(front.HeaderClass, string(class))
-	request.Header.Set(front.HeaderDeadline, fmt.Sprint(deadline.Milliseconds()))
+	request.Header.Set(entry.HeaderClass, string(class))
+	request.Header.Set(entry.HeaderDeadline, fmt.Sprint(deadline.Milliseconds()))
 	sentAt := options.Clock.Now()
 	response, err := client.Do(request)
 	if err != nil {
--- a/pkg/planbench/fleet.go
+++ b/pkg/planbench/fleet.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"fmt"
 
-	"damsonwinch/pkg/fold"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/plan"
 	"damsonwinch/pkg/process"
 	"damsonwinch/pkg/settings"
@@ -41,13 +41,13 @@
 }
 
 // Planner is a function that makes a plan for the fleet's state, as plan.New does.
-type Planner func(state fold.State, options plan.Options) plan.Plan
+type Planner func(state fleetstate.State, options plan.Options) plan.Plan
 
 // simulation is a fleet without processes: this package creates the log records and
 // applies them to the fleet's state.
 type simulation struct {
 	planner     Planner
-	state       fold.State
+	state       fleetstate.State
 	nowMs       int // The log time, in milliseconds since 1970.
 	batchNumber int // The number of the newest batch, or 0 if there is none.
 	// moves counts the boxes that left a pool, and evicted those of them that were not
@@ -76,7 +76,7 @@
 
 // appendBatch applies a log record with the proposals to the state. It returns their
 // results in the same order.
-func (s *simulation) appendBatch(proposals ...wire.Proposal) []fold.Result {
+func (s *simulation) appendBatch(proposals ...wire.Proposal) []fleetstate.Result {
 	s.batchNumber++
 	data, err := json.Marshal(wire.Batch{Id: fmt.Sprint(s.batchNumber), Node: nodeName, Incarnation: 1, Number: s.batchNumber, Proposals: proposals})
 	if err != nil {
@@ -194,12 +194,12 @@
 
 // InitialState returns the state of the fleet before the first record of the log is
 // applied.
-func InitialState() (fold.State, error) {
+func InitialState() (fleetstate.State, error) {
 	return process.InitialState()
 }
 
 // State returns the fleet's state after the records applied so far.
-func (f *Fleet) State() fold.State {
+func (f *Fleet) State() fleetstate.State {
 	return f.simulation.state
 }
 
--- a/pkg/trial/story_test.go
+++ b/pkg/trial/helpers_test.go
@@ -10,9 +10,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"damsonwinch/pkg/fold"
-	"damsonwinch/pkg/front"
-	"damsonwinch/pkg/standin"
+	"damsonwinch/pkg/entry"
+	"damsonwinch/pkg/fakes"
+	"damsonwinch/pkg/fleetstate"
 	"damsonwinch/pkg/wire"
 )
 
@@ -34,7 +34,7 @@
 // firstPoolBox returns the name of the first box that isn't in the free pool.
 func (f *fixture) firstPoolBox() string {
 	for _, box := range f.run.observer.currentState().Boxes() {
-		if box.Pool != fold.FreePool {
+		if box.Pool != fleetstate.FreePool {
 			return box.Info.Name
 		}
 	}
@@ -66,13 +66,13 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
-	return reply{outcome: response.Header.Get(front.HeaderOutcome), status: response.StatusCode, body: string(answer),
+	return reply{outcome: response.Header.Get(entry.HeaderOutcome), status: response.StatusCode, body: string(answer),
 		retryAfter: response.Header.Get("Retry-After")}, err
 }
 
 // callUntilDone sends a request to the first entry, and cancels it when the context
 // ends.
-func (f *fixture) callUntilDone(ctx context.Context, service string, work standin.Work) {
+func (f *fixture) callUntilDone(ctx context.Context, service string, work fakes.Work) {
 	address := f.cluster.Nodes[0].entry.HttpAddress
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/run/"+service, bytes.NewReader(mustJSON(f.t, work)))
 	assert.NilError(f.t, err)
