--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -124,7 +124,7 @@
 }
 
 // TestRevokedKeyIsRefusedAndItsJobRunsOn replaces a customer's key. Calls with the old key are
-// rejected. The job that was submitted with it runs on, and the new key gives access to it, even
+// refused. The job that was submitted with it runs on, and the new key gives access to it, even
 // after another node has taken over its cell.
 func TestRevokedKeyIsRefusedAndItsJobRunsOn(t *testing.T) {
 	c := newClusterWithCustomers(t, 3)
@@ -132,7 +132,7 @@
 	c.configureCustomers(3, []string{bakeryNewKey}, []string{millKey})
 	oldClient := c.client
 	c.client = oldClient.WithKey(bakeryNewKey)
-	c.waitUntil("all nodes reject the old key and accept the new one", func() bool {
+	c.waitUntil("all nodes refuse the old key and accept the new one", func() bool {
 		for number := range c.nodes {
 			if status, _ := c.callNode(number, oldClient, http.MethodGet, testPrefix+jobID(0)); status != http.StatusUnauthorized {
 				return false
@@ -149,7 +149,7 @@
 	assert.Equal(t, c.platform.CountStarts(jobID(0))[jobID(0)+".0.0.0"], 1, "the task was not started again")
 
 	c.configureCustomers(4, nil, []string{millKey})
-	c.waitUntil("calls of a customer without keys are rejected", func() bool {
+	c.waitUntil("calls of a customer without keys are refused", func() bool {
 		status, _, err := c.client.State(context.Background(), c.clientAddress(0), testHost, testPrefix+jobID(0))
 		return err == nil && status == http.StatusUnauthorized
 	})
--- a/pkg/process/node_test.go
+++ b/pkg/process/node_test.go
@@ -375,13 +375,13 @@
 }
 
 // TestNewestConfigurationComesIntoForce replaces the only queue by another one. All nodes serve the
-// new queue and reject calls on the old one, even after an older configuration has arrived late.
+// new queue and refuse calls on the old one, even after an older configuration has arrived late.
 func TestNewestConfigurationComesIntoForce(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit(jobID(0), standin.Work{Ms: 10}, standin.Phase{Count: 1})
 	assert.NilError(t, c.platform.PutConfiguration(2, standin.Queue{Name: "other", Host: testHost, PathPrefix: "/other/", Pool: "runs", MaxAttempts: 3}))
 	for number := range c.nodes {
-		c.waitUntil("calls on the removed queue are rejected", func() bool {
+		c.waitUntil("calls on the removed queue are refused", func() bool {
 			status, _, err := c.client.State(context.Background(), c.clientAddress(number), testHost, testPrefix+jobID(0))
 			return err == nil && status == http.StatusNotFound
 		})
--- a/pkg/process/slow_link_test.go
+++ b/pkg/process/slow_link_test.go
@@ -60,7 +60,7 @@
 // links, which were most nodes, the newest version never came into force. Minutes later they still
 // served clients on a queue that this version had removed.
 //
-// A read of the store had a total timeout that did not depend on the size of its answer: 0.6 s more
+// A read of the store had a total timeout that did not depend on the size of its response: 0.6 s more
 // than the requested wait, and 0.6 s after a failure, when a read doesn't wait. The record took longer
 // than that on a slow link, and each retry started again from its first byte. The links were saturated
 // and the store had refused nothing, as the bytes received before each timeout showed.
@@ -74,7 +74,7 @@
 	// About 600 KB, which take 3 s.
 	assert.NilError(t, c.platform.PutConfiguration(2, queuesWithOthers("other", "/other/", 3000)...))
 	c.waitUntil("calls on the new queue are served", func() bool { return c.servesQueue(1, "/other/") })
-	assert.Assert(t, !c.servesQueue(1, testPrefix), "calls on the removed queue are rejected")
+	assert.Assert(t, !c.servesQueue(1, testPrefix), "calls on the removed queue are refused")
 }
 
 // servesQueue reports whether a node accepts calls on the queue with the given path prefix.
--- a/pkg/trial/keys_test.go
+++ b/pkg/trial/keys_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestKeySentToTwoEntriesAtOnceRunsOnce sends each of 30 keys to two entries at the
-// same time. One request gets the answer and the other a conflict.
+// same time. One request gets the response and the other a conflict.
 func TestKeySentToTwoEntriesAtOnceRunsOnce(t *testing.T) {
 	user := smallUser()
 	user.Fleet.Halls = []settings.Hall{newZone("north", 5, 1), newZone("south", 5, 1)}
@@ -83,7 +83,7 @@
 	assert.Equal(t, f.cluster.Observations.Runs(work.Nonce), 1)
 }
 
-// TestRequestRunsIfResponseToItsClaimIsLost: the log takes the claim but its answer is
+// TestRequestRunsIfResponseToItsClaimIsLost: the log takes the claim but its response is
 // lost. The entry reads the claim back from the log.
 func TestRequestRunsIfResponseToItsClaimIsLost(t *testing.T) {
 	f := newFixture(t, smallUser())
--- a/pkg/trial/run.go
+++ b/pkg/trial/run.go
@@ -329,7 +329,7 @@
 }
 
 // takeLogDown makes the log unavailable for a time. From then to the end of the run,
-// the log loses the answers to some appends, which take effect nevertheless.
+// the log loses the responses to some appends, which take effect nevertheless.
 func (r *run) takeLogDown(ctx context.Context) error {
 	r.cluster.Platform.Log.SetFaults(fakes.LogFaults{Down: true})
 	r.logStep("the log is down")
