--- a/pkg/cell/sim_rules_test.go
+++ b/pkg/cell/sim_rules_test.go
@@ -9,9 +9,9 @@
 	"damsonwinch/pkg/wire"
 )
 
-// lateCopyTime is how long after the acknowledgement of a result another speculative attempt may
+// lateAttemptTime is how long after the acknowledgement of a result another speculative attempt may
 // still start: its start request may have been in transit.
-const lateCopyTime = 1500 * time.Millisecond
+const lateAttemptTime = 1500 * time.Millisecond
 
 // rules checks what must always hold, by what endpoints do and clients see.
 type rules struct {
@@ -92,7 +92,7 @@
 		r.fail("TWICE: %s runs twice at once", request.Task)
 	}
 	ackedAt, acked := r.ackedAt[request.Task]
-	if !phase.Lasting && r.done[request.Task] && acked && (!phase.Copies || r.world.now.Sub(ackedAt) > lateCopyTime) {
+	if !phase.Lasting && r.done[request.Task] && acked && (!phase.Copies || r.world.now.Sub(ackedAt) > lateAttemptTime) {
 		r.fail("TWICE: %s starts after its result was acknowledged", request.Task)
 	}
 	for _, earlier := range phase.After {
