--- a/pkg/lease/exhaustive_test.go
+++ b/pkg/lease/exhaustive_test.go
@@ -68,7 +68,7 @@
 	pending     bool
 	exited      bool // The incarnation that was asked has exited.
 	granted     bool
-	askedAt     int // Tick of the request.
+	requestedAt int // Tick of the request.
 	incarnation int // The incarnation that was asked.
 }
 
@@ -224,7 +224,7 @@
 		sender := keeper.grantor.senders["s"]
 		b = appendBytes(b, w.senderMembers[k], keeper.incarnation, keeper.applied, keeper.skew, keeper.restarts, sender.lastRenewal, sender.proposedRenewal)
 		b = append(b, tickByte(sender.readAt), tickByte(sender.extendedUntil), boolByte(keeper.alive))
-		b = appendBytes(b, keeper.reply.askedAt, keeper.reply.incarnation)
+		b = appendBytes(b, keeper.reply.requestedAt, keeper.reply.incarnation)
 		b = append(b, boolByte(keeper.reply.pending), boolByte(keeper.reply.exited), boolByte(keeper.reply.granted))
 	}
 	return string(b)
@@ -353,7 +353,7 @@
 // arrive at any later time.
 func (w *world) requestExtension(k, incarnation int) {
 	keeper := &w.keepers[k]
-	reply := replyModel{pending: true, askedAt: w.now, incarnation: incarnation}
+	reply := replyModel{pending: true, requestedAt: w.now, incarnation: incarnation}
 	switch {
 	case !keeper.alive || keeper.incarnation != incarnation:
 		reply.exited = true
@@ -372,7 +372,7 @@
 	peer := Peer{Node: fmt.Sprint(k), Incarnation: reply.incarnation}
 	switch {
 	case reply.granted:
-		w.holder = w.holder.WithExtension(peer, at(reply.askedAt))
+		w.holder = w.holder.WithExtension(peer, at(reply.requestedAt))
 	case reply.exited && activeRules.exitedBeforeRelease:
 		w.holder = w.holder.WithPeerExited(peer, at(w.now))
 	case reply.exited:
