--- a/pkg/intake/cells.go
+++ b/pkg/intake/cells.go
@@ -19,12 +19,12 @@
 // Submit implements damsonwinch.Jobs.
 func (r *Router) Submit(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
-	if !layout.Known() {
+	if !layout.Decided() {
 		return undecided()
 	}
-	number := layout.OfJob(args.Id)
+	number := layout.JobShard(args.Id)
 	if args.Spec != nil && job.Lasting(*args.Spec) {
-		number = layout.OfLasting(args.Pool)
+		number = layout.LongRunningJobShard(args.Pool)
 	}
 	return r.route(ctx, submit, inCell(args, number))
 }
@@ -43,10 +43,10 @@
 // pool for those.
 func (r *Router) find(ctx context.Context, m method, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
-	if !layout.Known() {
+	if !layout.Decided() {
 		return undecided()
 	}
-	number, lasting := layout.OfJob(args.Id), layout.OfLasting(args.Pool)
+	number, lasting := layout.JobShard(args.Id), layout.LongRunningJobShard(args.Pool)
 	reply := r.route(ctx, m, inCell(args, number))
 	if reply.Outcome == wire.JobOutcomeNoSuchJob && lasting != number {
 		return r.route(ctx, m, inCell(args, lasting))
@@ -58,7 +58,7 @@
 // can't tell leaves the whole untold.
 func (r *Router) Pending(ctx context.Context, args wire.JobArgs) wire.JobReply {
 	layout := r.deps.Cells.View().Layout
-	if !layout.Known() {
+	if !layout.Decided() {
 		return undecided()
 	}
 	replies := make([]wire.JobReply, layout.Shards)
--- a/pkg/intake/service.go
+++ b/pkg/intake/service.go
@@ -69,7 +69,7 @@
 		Node: s.self.Node, Incarnation: s.self.Incarnation, AgeMs: int(now.Sub(view.ConfirmedAt).Milliseconds()),
 		StoreAgeMs: int(now.Sub(s.cells.StoreAnsweredAt()).Milliseconds()),
 	}
-	if view.Layout.Known() {
+	if view.Layout.Decided() {
 		reply.Layout = &wire.Layout{Shards: view.Layout.Shards, Pools: view.Layout.Pools}
 	}
 	for _, claim := range view.Claims {
--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -43,7 +43,7 @@
 func (n *Node) decideLayout() {
 	view := n.View()
 	pools := runningPools(n.state.configuration)
-	if view.Layout.Known() || n.state.boxes == 0 || len(pools) == 0 {
+	if view.Layout.Decided() || n.state.boxes == 0 || len(pools) == 0 {
 		return
 	}
 	count := shard.Count(n.state.boxes, len(pools), weightsOf(view.Members))
@@ -53,7 +53,7 @@
 	n.deps.Logger.WithFields(logrus.Fields{
 		"shards": count, "boxes": n.state.boxes, "pools": len(pools), "members": len(view.Members),
 	}).Info("layout of cells decided")
-	n.ownership.Decide(shard.New(count, pools))
+	n.ownership.Decide(shard.NewLayout(count, pools))
 }
 
 func weightsOf(members []ownership.Member) []int {
@@ -66,7 +66,7 @@
 
 // useLayout has the cells of a layout owned and planned for once it is in force.
 func (n *Node) useLayout(layout shard.Layout) {
-	if !layout.Known() || n.state.layout.Equal(layout) {
+	if !layout.Decided() || n.state.layout.Equal(layout) {
 		return
 	}
 	n.state.layout = layout
--- a/pkg/node/placements.go
+++ b/pkg/node/placements.go
@@ -73,7 +73,7 @@
 // fleet in one shard never does.
 func (n *Node) needPlacements() {
 	claim, known := n.View().Claims[fleetCell]
-	if n.state.placing || !known || !n.state.layout.Cut() {
+	if n.state.placing || !known || !n.state.layout.Sharded() {
 		return
 	}
 	n.state.placing = true
--- a/pkg/node/registry.go
+++ b/pkg/node/registry.go
@@ -103,7 +103,7 @@
 // sort sorts the lives in some pools by their shards, those for which the placements read are
 // new enough. It says whether any were, and whether others wait for newer placements.
 func (r *registry) sort(layout shard.Layout, pools map[string]bool, placed *placements) (sorted, waiting bool) {
-	if !layout.Cut() {
+	if !layout.Sharded() {
 		return false, false
 	}
 	for named, l := range r.lives {
@@ -113,7 +113,7 @@
 		case placed.readAt.Before(l.seenAt):
 			waiting = true
 		default:
-			l.sorted, l.shard = true, layout.OfLife(endpoint.Box, endpoint.Pool, named, placed.of(endpoint.Box))
+			l.sorted, l.shard = true, layout.LifeShard(endpoint.Box, endpoint.Pool, named, placed.of(endpoint.Box))
 			r.lives[named] = l
 			sorted = true
 		}
@@ -124,7 +124,7 @@
 // told says whether owners can be told of the endpoints: those that were listed at first have
 // been sorted, so that no owner takes the others for all there are.
 func (r *registry) told(layout shard.Layout, placed *placements) bool {
-	return !layout.Cut() || !r.readAt.IsZero() && !placed.readAt.Before(r.readAt)
+	return !layout.Sharded() || !r.readAt.IsZero() && !placed.readAt.Before(r.readAt)
 }
 
 // of returns the endpoints of a cell.
@@ -142,7 +142,7 @@
 
 // isIn says whether a life belongs to a shard.
 func (r *registry) isIn(named damsonwinch.Life, number int, layout shard.Layout) bool {
-	if !layout.Cut() {
+	if !layout.Sharded() {
 		return number == 0
 	}
 	found := r.lives[named]
--- a/pkg/ownership/layout.go
+++ b/pkg/ownership/layout.go
@@ -39,7 +39,7 @@
 // of two nodes that decide at once one finds out.
 func (o *Ownership) writeLayout() {
 	s := &o.state
-	if s.layout.Known() || !s.layoutWanted.Known() {
+	if s.layout.Decided() || !s.layoutWanted.Decided() {
 		return
 	}
 	layout, end := s.layoutWanted, s.end
@@ -74,15 +74,15 @@
 		o.deps.Logger.WithError(err).Error("layout not understood")
 		return
 	}
-	o.setLayout(shard.New(found.Shards, found.Pools))
+	o.setLayout(shard.NewLayout(found.Shards, found.Pools))
 }
 
 // hearLayout takes the layout that another node knows, and says whether it is new here.
 func (o *Ownership) hearLayout(heard *wire.Layout) bool {
-	if heard == nil || o.state.layout.Known() {
+	if heard == nil || o.state.layout.Decided() {
 		return false
 	}
-	o.setLayout(shard.New(heard.Shards, heard.Pools))
+	o.setLayout(shard.NewLayout(heard.Shards, heard.Pools))
 	return true
 }
 
--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -35,7 +35,7 @@
 
 // deal deals the customers' caps to the cells. What is raised is recorded first.
 func (p *Planner) deal() {
-	if !p.layout.Known() {
+	if !p.layout.Decided() {
 		return
 	}
 	for _, customer := range p.allotter.Deal(p.deps.Clock.Now()) {
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -244,7 +244,7 @@
 		p.pools, p.layout = m.configuration.Pools, m.layout
 		p.supply.SetPools(p.pools, p.layout)
 		p.allotter.Configure(m.configuration.Version, m.configuration.Customers)
-		if p.layout.Known() {
+		if p.layout.Decided() {
 			p.allotter.SetCells(now, p.cells())
 		}
 		p.deal()
@@ -300,7 +300,7 @@
 		p.boxesOut, p.boxesAt = true, now
 		p.readBoxes(now)
 	}
-	if !p.layout.Known() {
+	if !p.layout.Decided() {
 		return
 	}
 	if p.boxesIn {
--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -25,18 +25,18 @@
 	Pools []string
 }
 
-// New returns the layout of pools that are cut into so many shards.
-func New(shards int, pools []string) Layout {
+// NewLayout returns the layout of pools that are cut into so many shards.
+func NewLayout(shards int, pools []string) Layout {
 	return Layout{Shards: shards, Pools: slices.Sorted(slices.Values(pools))}
 }
 
-// Known says whether the layout has been decided.
-func (l Layout) Known() bool {
+// Decided says whether the layout has been decided.
+func (l Layout) Decided() bool {
 	return l.Shards > 0
 }
 
-// Cut says whether the fleet is in more shards than one.
-func (l Layout) Cut() bool {
+// Sharded says whether the fleet is in more shards than one.
+func (l Layout) Sharded() bool {
 	return l.Shards > 1
 }
 
@@ -45,20 +45,20 @@
 	return l.Shards == other.Shards && slices.Equal(l.Pools, other.Pools)
 }
 
-// OfBox returns the shard of a box on which there has been no order.
-func (l Layout) OfBox(box string) int {
+// BoxShard returns the shard of a box on which there has been no order.
+func (l Layout) BoxShard(box string) int {
 	return l.hashed(box)
 }
 
-// OfJob returns the shard of a job of short tasks.
-func (l Layout) OfJob(id string) int {
+// JobShard returns the shard of a job of short tasks.
+func (l Layout) JobShard(id string) int {
 	return l.hashed(id)
 }
 
-// OfLasting returns the shard of a pool's lasting jobs. Their tasks mostly must not share a
+// LongRunningJobShard returns the shard of a pool's lasting jobs. Their tasks mostly must not share a
 // box, so that a cell with one such job holds some 24 to 38 boxes for good, hardly a third
 // of them in use: they are all in one cell of the pool, and each pool's in another shard.
-func (l Layout) OfLasting(pool string) int {
+func (l Layout) LongRunningJobShard(pool string) int {
 	if at, known := slices.BinarySearch(l.Pools, pool); known {
 		return at % max(1, l.Shards)
 	}
--- a/pkg/shard/placement.go
+++ b/pkg/shard/placement.go
@@ -14,18 +14,18 @@
 	Before int
 }
 
-// OfLife returns the shard of a box's life in a pool, by the newest order on the box, if
+// LifeShard returns the shard of a box's life in a pool, by the newest order on the box, if
 // there is one. It stays the same for as long as that life does.
-func (l Layout) OfLife(box, pool string, life damsonwinch.Life, placed *Placement) int {
+func (l Layout) LifeShard(box, pool string, life damsonwinch.Life, placed *Placement) int {
 	if placed == nil {
-		return l.OfBox(box)
+		return l.BoxShard(box)
 	}
 	number := placed.Before
 	if !life.MayBe(placed.Endpoint) && (placed.Pool == "" || placed.Pool == pool) {
 		number = placed.Shard
 	}
 	if number < 0 || number >= max(1, l.Shards) {
-		return l.OfBox(box)
+		return l.BoxShard(box)
 	}
 	return number
 }
--- a/pkg/supply/box.go
+++ b/pkg/supply/box.go
@@ -115,7 +115,7 @@
 
 // place notes the shard of a box's present life.
 func (p *Planner) place(b *box) {
-	b.shard = p.layout.OfLife(b.info.Name, b.info.Pool, b.life, b.placed)
+	b.shard = p.layout.LifeShard(b.info.Name, b.info.Pool, b.life, b.placed)
 }
 
 // groupBoxes sorts the boxes by their cells.
