--- a/pkg/node/layout.go
+++ b/pkg/node/layout.go
@@ -53,7 +53,7 @@
 	n.deps.Logger.WithFields(logrus.Fields{
 		"shards": count, "boxes": n.state.boxCount, "pools": len(pools), "members": len(view.Members),
 	}).Info("layout of cells decided")
-	n.ownership.ProposeLayout(shard.NewLayout(count, pools))
+	n.ownership.ProposeLayout(shard.New(count, pools))
 }
 
 // memberWeights returns the weights of members, in their order.
--- a/pkg/ownership/layout.go
+++ b/pkg/ownership/layout.go
@@ -75,7 +75,7 @@
 		o.deps.Logger.WithError(err).Error("layout cannot be decoded")
 		return
 	}
-	o.setLayout(shard.NewLayout(stored.Shards, stored.Pools))
+	o.setLayout(shard.New(stored.Shards, stored.Pools))
 }
 
 // adoptPeerLayout adopts the layout in another node's reply if this node has none, and reports
@@ -84,7 +84,7 @@
 	if received == nil || o.state.layout.Decided() {
 		return false
 	}
-	o.setLayout(shard.NewLayout(received.Shards, received.Pools))
+	o.setLayout(shard.New(received.Shards, received.Pools))
 	return true
 }
 
--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -26,8 +26,8 @@
 	Pools []string
 }
 
-// NewLayout returns the layout that divides pools into a number of shards.
-func NewLayout(shards int, pools []string) Layout {
+// New returns the layout that divides pools into a number of shards.
+func New(shards int, pools []string) Layout {
 	return Layout{Shards: shards, Pools: slices.Sorted(slices.Values(pools))}
 }
 
