--- a/pkg/planner/allowances.go
+++ b/pkg/planner/allowances.go
@@ -10,11 +10,11 @@
 	"damsonwinch/pkg/wire"
 )
 
-// allocationPrefix, followed by a customer's name, is the key of the record of the allowances that each
-// cell may have of the customer's cap.
+// allocationPrefix is the prefix of keys in the planner's stream that a customer's name follows. Such a
+// record holds the limits of the cells that share the customer's cap.
 const allocationPrefix = "allotted/"
 
-// loadAllocation takes over the allowances of a customer that an earlier planner recorded.
+// loadAllocation takes over the cells' limits for a customer from the record of an earlier planner.
 func (p *Planner) loadAllocation(record damsonwinch.Record) error {
 	var saved wire.AllottedRecord
 	if err := json.Unmarshal(record.Value, &saved); err != nil {
@@ -35,8 +35,8 @@
 	return names
 }
 
-// allocate divides the customers' caps among the cells. Raised allowances are recorded before the cells
-// are told of them.
+// allocate divides the customers' caps among the cells, unless the layout of the cells isn't decided
+// yet. It queues records of raised limits, which must be appended before the cells are told.
 func (p *Planner) allocate() {
 	if !p.layout.Decided() {
 		return
@@ -48,9 +48,9 @@
 	p.flush()
 }
 
-// The cost of an allocation round is proportional to the number of cells. With a round for each reply
-// of a cell the total cost would grow with the square of that number, and the planner may run on a weak
-// node. Both gaps are multiplied by the number of cells.
+// Gaps between allocation rounds and between calls, in both cases multiplied by the number of cells. The
+// cost of a round is proportional to that number. With a round for each reply of a cell the total cost
+// would grow with its square, and the planner may run on a weak node.
 const (
 	// allocationGapPerCell is the minimum time between two allocation rounds.
 	allocationGapPerCell = 2 * time.Millisecond
@@ -60,8 +60,8 @@
 	sendGapPerCell = 5 * time.Millisecond
 )
 
-// allocateThrottled runs an allocation round and sends the allowances that it has changed, unless the
-// last round is too recent. Then the next reply or plan leads to a round.
+// allocateThrottled runs an allocation round and sends the changed allowances. It does nothing if the
+// last round was too recent; a later reply or plan calls it again.
 func (p *Planner) allocateThrottled(now time.Time) {
 	if now.Sub(p.allocatedAt) < time.Duration(len(p.cellNames()))*allocationGapPerCell {
 		return
@@ -71,9 +71,9 @@
 	p.sendAllowances()
 }
 
-// sendAllowances calls the owners of the cells that have allowances to be told of, without waiting for
-// the next plan: a customer's work moves from pool to pool within a second, and waits in the new pool
-// until its allowance has moved too.
+// sendAllowances calls the owners of the cells for which there are unsent allowances. It doesn't wait
+// for the next plan, because a customer's work moves from pool to pool within a second and waits in the
+// new pool until the allowance has moved too. An owner is not called within the gap after the last call.
 func (p *Planner) sendAllowances() {
 	cells := p.cellNames()
 	now, gap := p.deps.Clock.Now(), time.Duration(len(cells))*sendGapPerCell
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner runs the fleet planner, on the one node that owns the fleet's cell. The planner gets
-// reports from the owners of all cells, has pkg/supply decide on the boxes, records each order and then
-// gives it to the platform. It also divides the customers' caps among the cells.
+// Package planner runs the fleet planner on the one node that owns the fleet's cell. The planner gets
+// reports from the owners of all cells, has package supply decide on the boxes, records each order and
+// then sends it to the platform. It also divides the customers' caps among the cells by package quota.
 package planner
 
 import (
@@ -24,15 +24,15 @@
 )
 
 const (
-	// planInterval is the time between two plans. It is short because jobs that can wait for 1.2 s and
-	// still be on time have already spent half of that waiting.
+	// planInterval is the time between two plans. It is short because the most urgent jobs can wait for
+	// only 1.2 s and still be on time, and they already wait for half of that.
 	planInterval    = 100 * time.Millisecond
-	boxListInterval = 400 * time.Millisecond
-	// callTimeout bounds a call. A request for the list of boxes may take longer if no gap between two
-	// parts of the answer does: the list grows with the fleet and has 1.7 MB for 5,800 boxes.
+	boxListInterval = 400 * time.Millisecond // Between two requests for the list of boxes.
+	// callTimeout bounds a call. For the list of boxes it bounds only the time without progress: the
+	// list grows with the fleet and has 1.7 MB for 5,800 boxes.
 	callTimeout     = 800 * time.Millisecond
-	poolLogInterval = time.Second
-	inboxSize       = 64
+	poolLogInterval = time.Second // Between two log lines on the pools.
+	inboxSize       = 64          // Messages.
 )
 
 // Deps are the dependencies of a Planner.
@@ -44,15 +44,16 @@
 	Metrics *metrics.Set
 	// SuspendedTime returns for how long the machine has been suspended.
 	SuspendedTime damsonwinch.SuspendedTime
-	// Sync calls the owner of a cell.
+	// Sync calls the owner of the cell args.Cell. The reply is the owner's report on the cell.
 	Sync func(ctx context.Context, args wire.SyncArgs) (wire.SyncReply, error)
 	// OnFirstBoxList is called with the number of boxes in the first list that has been received.
 	OnFirstBoxList func(count int)
-	// WaveReport returns a report to the operator on a wave, and the stream to append it to.
+	// WaveReport returns a report to the operator that a wave is completed, or else that it has started,
+	// and the stream to append it to.
 	WaveReport func(wave int, completed bool) (damsonwinch.Stream, damsonwinch.Record)
 }
 
-// Options identify a Planner.
+// Options identify a Planner and hold the durations by which it plans.
 type Options struct {
 	Node   string             // The name of this node.
 	Cell   string             // The name of the fleet's cell.
@@ -79,11 +80,11 @@
 	syncInFlight     map[string]bool
 	syncedAt         map[string]time.Time
 	allocatedAt      time.Time // The last allocation round of allocateThrottled.
-	boxesRequestedAt time.Time
+	boxesRequestedAt time.Time // The newest request for the list of boxes.
 	boxListInFlight  bool
 	boxListReceived  bool // At least one has been received.
-	// pendingRecords are the records for the next append. After it pendingOrders are given, and the
-	// raised allowances of pendingCustomers may be sent.
+	// pendingRecords are the records for the next append. After that append pendingOrders are sent to
+	// the platform, and the raised allowances of pendingCustomers to the cells.
 	pendingRecords   []damsonwinch.Record
 	pendingOrders    []supply.Order
 	pendingCustomers []string
@@ -106,12 +107,12 @@
 		reply wire.SyncReply
 		err   error
 	}
-	boxesListed struct { // The result of a request for the list of boxes.
+	boxesListed struct { // The result of a request for the list of boxes, sent at requestedAt.
 		boxes       []damsonwinch.Box
 		requestedAt time.Time
 		err         error
 	}
-	appended struct { // The result of an append, with what may be sent after it.
+	appended struct { // The result of an append, with the orders and customers that waited for it.
 		orders    []supply.Order
 		customers []string
 		err       error
@@ -127,7 +128,7 @@
 	}
 )
 
-// New starts a planner, which runs until Close, a suspension of the machine, or another planner's takeover.
+// New starts a planner. It stops at Close, an error, a suspension of the machine or another's takeover.
 func New(deps Deps, options Options) *Planner {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
@@ -146,7 +147,7 @@
 	return p.done
 }
 
-// Token returns the epoch by which this node owns the fleet's cell.
+// Token returns the epoch by which this node owns the fleet's cell, the fencing token of its orders.
 func (p *Planner) Token() int {
 	return p.options.Token
 }
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// Configure sets the configuration in force and the layout of the cells.
+// Configure sets the configuration in force and the cells' layout. Nothing is planned while it is undecided.
 func (p *Planner) Configure(configuration damsonwinch.Configuration, layout shard.Layout) {
 	p.send(configured{configuration: configuration, layout: layout})
 }
@@ -236,7 +237,7 @@
 	return nil
 }
 
-// handle handles a message. The planner stops if it returns an error.
+// handle handles a message in the planner's goroutine. An error stops the planner.
 func (p *Planner) handle(m any) error {
 	now := p.deps.Clock.Now()
 	switch m := m.(type) {
@@ -281,7 +282,7 @@
 	return nil
 }
 
-// handleOrderAnswer takes the platform's answer to an order. A stale token stops the planner.
+// handleOrderAnswer handles the platform's answer to an order. ErrStaleToken stops the planner.
 func (p *Planner) handleOrderAnswer(now time.Time, m orderAnswered) {
 	fields := logrus.Fields{"box": m.order.Box, "pool": m.order.Pool, "wave": m.order.Wave}
 	if m.err != nil {
@@ -294,7 +295,7 @@
 	}
 }
 
-// plan requests the list of boxes and allocates caps if due, decides on orders, and calls all cells' owners.
+// plan requests the list of boxes and allocates caps if due, decides on orders and calls all cells' owners.
 func (p *Planner) plan() {
 	now := p.deps.Clock.Now()
 	if !p.boxListInFlight && now.Sub(p.boxesRequestedAt) >= boxListInterval {
@@ -318,7 +319,7 @@
 	}
 }
 
-// logPools logs the pools, and the customers that need more than their allowances, each poolLogInterval.
+// logPools logs the pools and the customers that need more than their allowances, once in poolLogInterval.
 func (p *Planner) logPools(now time.Time) {
 	if now.Sub(p.poolsLoggedAt) < poolLogInterval {
 		return
@@ -341,7 +342,7 @@
 	})
 }
 
-// sendOrder gives the platform an order that has been recorded.
+// sendOrder sends the platform an order that has been recorded.
 func (p *Planner) sendOrder(order supply.Order) {
 	p.deps.Logger.WithFields(logrus.Fields{"box": order.Box, "pool": order.Pool, "wave": order.Wave, "why": order.Cause}).Info("order on box")
 	issuer := damsonwinch.Issuer{Node: p.options.Node, Token: p.options.Token}
@@ -359,7 +360,7 @@
 	})
 }
 
-// reportWaves reports to the operator the waves that have started or been completed.
+// reportWaves reports to the operator which waves have started or been completed.
 func (p *Planner) reportWaves() {
 	for _, report := range p.supply.PendingWaveReports() {
 		if p.reportInFlight[report.Wave] {
@@ -383,7 +384,7 @@
 	wavePrefix  = "wave/"
 )
 
-// loadRecord takes over a record of an earlier planner.
+// loadRecord restores state from a record of an earlier planner. A record of an unknown kind is an error.
 func (p *Planner) loadRecord(record damsonwinch.Record) error {
 	switch {
 	case strings.HasPrefix(record.Key, orderPrefix):
--- a/pkg/planner/records.go
+++ b/pkg/planner/records.go
@@ -13,7 +13,7 @@
 	"damsonwinch/pkg/wire"
 )
 
-// loadOrder takes over an order that an earlier planner recorded.
+// loadOrder takes over an order from the record of an earlier planner.
 func (p *Planner) loadOrder(record damsonwinch.Record) error {
 	var order wire.OrderRecord
 	if err := json.Unmarshal(record.Value, &order); err != nil {
@@ -23,8 +23,9 @@
 	return nil
 }
 
-// ParsePlacement returns the box and the placement of an order that is recorded in a planner's stream.
-// For a record of another kind the box is empty; for an order without a placement the placement is nil.
+// ParsePlacement parses a record of a planner's stream. If it is an order on a box, ParsePlacement returns
+// the box and its placement by that order, nil if the record has no placement. For records of other kinds
+// the box is empty.
 func ParsePlacement(record damsonwinch.Record) (box string, placement *shard.Placement, err error) {
 	if !strings.HasPrefix(record.Key, orderPrefix) {
 		return "", nil, nil
@@ -36,7 +37,7 @@
 	return order.Box, supply.PlacementFromRecord(order), nil
 }
 
-// loadWave takes over the progress of a wave that an earlier planner recorded.
+// loadWave takes over the progress of a wave from the record of an earlier planner.
 func (p *Planner) loadWave(record damsonwinch.Record) error {
 	var wave wire.WaveRecord
 	if err := json.Unmarshal(record.Value, &wave); err != nil {
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// queueOrder queues the records of an order and of the progress of its wave for the next append. The
-// order is given once they have been appended.
+// queueOrder queues the records of an order, decided at now, and of the progress of its wave for the next
+// append. The order is sent to the platform once they have been appended.
 func (p *Planner) queueOrder(order supply.Order, now time.Time) {
 	p.queueRecord(orderPrefix+order.Box, wire.OrderRecord{
 		Box: order.Box, Pool: order.Pool, Wave: order.Wave, AtMs: int(now.UnixMilli()), Endpoint: order.Life.String(), Cause: order.Cause,
@@ -69,7 +70,8 @@
 	p.pendingRecords = append(p.pendingRecords, damsonwinch.Record{Key: key, Value: encoded})
 }
 
-// flush appends the queued records, unless an append is in progress: its end calls flush again.
+// flush starts to append the queued records. If an append is in progress it does nothing, since
+// handleAppended calls flush again.
 func (p *Planner) flush() {
 	if p.appendInFlight || len(p.pendingRecords) == 0 {
 		return
@@ -84,8 +86,8 @@
 	})
 }
 
-// handleAppended takes the result of an append: the orders whose records have been appended are given,
-// and raised allowances sent. It returns the error with which the append failed.
+// handleAppended handles the result of an append. It sends the orders and the raised allowances whose
+// records have been appended. If the append has failed, it returns the error, which stops the planner.
 func (p *Planner) handleAppended(m appended) error {
 	p.appendInFlight = false
 	if m.err != nil {
--- a/pkg/planner/sync.go
+++ b/pkg/planner/sync.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// sync sends the owner of a cell the directives for its endpoints and the allowances that are new to it.
-// The reply is a report on the cell.
+// sync calls the owner of a cell with the directives for its endpoints and the allowances that it hasn't
+// confirmed. The reply is a report on the cell.
 func (p *Planner) sync(cell string) {
 	directives := p.supply.Directives(cell)
 	update := p.allocator.NextUpdate(cell)
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -275,6 +275,7 @@
 	w.after(0, o.tick)
 }
 
+// nextToken returns a fencing token that is higher than all before.
 func (w *world) nextToken() int {
 	w.lastToken++
 	return w.lastToken
--- a/pkg/shard/layout.go
+++ b/pkg/shard/layout.go
@@ -4,9 +4,9 @@
 //
 // All pools of a fleet have the same number of shards. A box belongs to a shard by a hash of its name,
 // until the planner moves it to another pool and with that to another shard. A job belongs to one shard
-// for good, by a hash of its ID; long-running jobs belong to one by their pool. Cells share nothing: an
-// endpoint has one owner throughout its life, and a job is in one stream, so that a cell needs to know
-// nothing of the others.
+// for good: by a hash of its ID, or by its pool if it is long-running. Cells share nothing: an endpoint
+// has one owner throughout its life, and a job is in one stream, so that a cell needs to know nothing
+// of the others.
 package shard
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Layout is the division of a fleet into shards. It is decided once and never changed, because jobs are
-// found by it. The zero value stands for a layout that hasn't been decided.
+// Layout is the division of a fleet into shards. It is decided once and never changed, because it tells
+// in which cell a job is. The zero value stands for a layout that hasn't been decided.
 type Layout struct {
 	// Shards is the number of shards.
 	Shards int
@@ -58,8 +58,8 @@
 
 // LongRunningJobShard returns the shard of a pool's long-running jobs. Most of their tasks must not
 // share a box, so that a cell with one such job keeps some 24 to 38 boxes for good, of which hardly a
-// third is in use. Therefore all of them are in one cell of the pool, and those of each pool are in
-// another shard as far as there are enough shards.
+// third is in use. Therefore all such jobs of a pool are in one cell, and different pools have them in
+// different shards as far as there are enough shards.
 func (l Layout) LongRunningJobShard(pool string) int {
 	if index, found := slices.BinarySearch(l.Pools, pool); found {
 		return index % max(1, l.Shards)
@@ -75,7 +75,8 @@
 	return int(xxhash.Sum64String(name) % uint64(l.Shards))
 }
 
-// CellNames returns the names of a pool's cells, in order of their shards.
+// CellNames returns the names of a pool's cells, in order of their shards. There are none while the
+// layout is undecided.
 func (l Layout) CellNames(pool string) []string {
 	names := make([]string, l.Shards)
 	for number := range names {
@@ -88,7 +89,8 @@
 // names of pools don't contain it.
 const separator = "@"
 
-// CellName returns the name of a pool's cell in a shard. In shard 0 it is the pool's own name.
+// CellName returns the name of a pool's cell in the shard with the given number. In shard 0 it is the
+// pool's own name.
 func CellName(pool string, number int) string {
 	if number == 0 {
 		return pool
@@ -96,8 +98,8 @@
 	return pool + separator + strconv.Itoa(number)
 }
 
-// ParseCellName returns the pool and the shard of a cell. A name that doesn't end with a shard's number
-// is taken for a pool's own name, which is its cell in shard 0.
+// ParseCellName returns the pool and the number of the shard of a cell, given its name. A name that
+// doesn't end with a shard's number is taken for a pool's own name, which is its cell in shard 0.
 func ParseCellName(cell string) (pool string, number int) {
 	index := strings.LastIndex(cell, separator)
 	if index <= 0 {
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -42,8 +42,8 @@
 	return all
 }
 
-// TestJobsAndBoxesAreSpreadEvenlyAndDeterministically: each shard gets its share of the jobs and boxes
-// up to 10 %, and the pools of a layout don't change the shard of a job.
+// TestJobsAndBoxesAreSpreadEvenlyAndDeterministically: the numbers of jobs and boxes in each shard are
+// within 10 % of the mean, and the shard of a job doesn't depend on the pools of the layout.
 func TestJobsAndBoxesAreSpreadEvenlyAndDeterministically(t *testing.T) {
 	const shards, names = 4, 4000
 	layout := shard.New(shards, []string{"b", "a"})
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestLongRunningJobsOfEachPoolHaveAShardOfTheirOwn: each of them keeps boxes for good, so that no two
-// pools share a shard while there are as many shards as pools. A pool that is added after the layout was
-// decided gets a shard too.
+// TestLongRunningJobsOfEachPoolHaveAShardOfTheirOwn: these jobs keep boxes for good. So no two pools must
+// have theirs in the same shard if there are as many shards as pools. A pool that is added after the
+// layout was decided gets a shard too.
 func TestLongRunningJobsOfEachPoolHaveAShardOfTheirOwn(t *testing.T) {
 	layout := shard.New(4, []string{"d", "b", "c", "a"})
 	shards := map[int]bool{}
@@ -101,8 +101,8 @@
 }
 
 // TestLifeStaysInItsShardThroughAllOrders: crashes, orders that are carried out and orders that are not
-// follow each other at random. From its start to its end, a life has the same shard by whatever order on
-// its box is the newest.
+// follow each other at random. From its start to its end a life must stay in the same shard, whichever
+// order on its box is the newest.
 func TestLifeStaysInItsShardThroughAllOrders(t *testing.T) {
 	for name, lifeOf := range map[string]func(number int) damsonwinch.Life{
 		"a new ID for each": func(number int) damsonwinch.Life { return damsonwinch.Life{ID: fmt.Sprintf("life-%d", number)} },
@@ -112,8 +112,8 @@
 	}
 }
 
-// checkRandomOrders plays random crashes and orders on one box for each of many seeds and checks the
-// shard of the present life after each. lifeOf returns the box's life by its number.
+// checkRandomOrders simulates, for each of 2,000 seeds, random crashes and orders on one box. It checks the
+// shard of the present life after each. lifeOf returns the life with the given number, counted from 0.
 func checkRandomOrders(t *testing.T, lifeOf func(number int) damsonwinch.Life) {
 	layout := shard.New(5, []string{"p", "q", "r"})
 	moves := 0
--- a/pkg/supply/lasting_test.go
+++ b/pkg/supply/lasting_test.go
@@ -22,6 +22,7 @@
 	boxes   []damsonwinch.Box
 }
 
+// newShardedFleet returns a fleet with its three pools and without boxes.
 func newShardedFleet() *shardedFleet {
 	f := &shardedFleet{now: time.Unix(1_000_000, 0), layout: shard.New(fleetShards, []string{"held", "short"})}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
--- a/pkg/supply/lives_test.go
+++ b/pkg/supply/lives_test.go
@@ -17,6 +17,7 @@
 	box damsonwinch.Box
 }
 
+// newOneBoxFleet returns a fleet whose one box is up in the pool "held", listed by the platform.
 func newOneBoxFleet() *oneBoxFleet {
 	f := &oneBoxFleet{shardedFleet: *newShardedFleet()}
 	f.add("held", 1, 0)
--- a/pkg/supply/plan_bench_test.go
+++ b/pkg/supply/plan_bench_test.go
@@ -20,6 +20,7 @@
 	now     time.Time
 }
 
+// newBenchFleet returns a fleet with the given numbers of boxes and pools, which the planner knows.
 func newBenchFleet(boxes, pools int) *benchFleet {
 	f := &benchFleet{now: time.Unix(1_000_000, 0)}
 	f.planner = supply.New(supply.Options{MoveTime: 1500 * time.Millisecond, MaintainTime: 2 * time.Second, ScaleDownDelay: time.Second, TakeoverDelay: 3 * time.Second})
