--- a/pkg/process/crash_test.go
+++ b/pkg/process/crash_test.go
@@ -10,8 +10,8 @@
 	"damsonwinch/platform/standin"
 )
 
-// maxCrashingStarts is how often a task may be started that crashes every endpoint on which it
-// starts: three times until three endpoints have crashed, and then less than three times more.
+// maxCrashingStarts is how often a task may be started if it crashes every endpoint on which it
+// starts: three times until three endpoints have crashed, and then at most twice more.
 const maxCrashingStarts = 5
 
 // TestTaskThatCrashesItsEndpointsIsGivenUp checks on whole nodes what
@@ -21,8 +21,8 @@
 	newCluster(t, 2).checkCrashingTaskIsGivenUp()
 }
 
-// checkCrashingTaskIsGivenUp submits six jobs, and one with a task that crashes each endpoint that
-// starts it. That job has to fail, and the six others have to be completed.
+// checkCrashingTaskIsGivenUp submits six jobs, and then one whose first task crashes every endpoint
+// that starts it. The last job has to fail, and the six others have to be completed.
 func (c *testCluster) checkCrashingTaskIsGivenUp() {
 	t := c.t
 	t.Helper()
--- a/pkg/process/entry.go
+++ b/pkg/process/entry.go
@@ -19,7 +19,8 @@
 	Invariants *invariant.Checker
 }
 
-// NewEntry starts an entry, which serves at the addresses of its settings when NewEntry returns.
+// NewEntry starts an entry. When NewEntry returns, the entry serves at the addresses of its
+// settings.
 func NewEntry(config settings.Entry, env Env) (*Entry, error) {
 	initialState, err := InitialState()
 	if err != nil {
@@ -42,6 +43,7 @@
 	return &Entry{entry: started, platform: client, debug: serveDebug(listeners[2], set), Metrics: set, Invariants: checker}, nil
 }
 
+// entryWithDefaults returns the settings with defaults in place of zero values.
 func entryWithDefaults(config settings.Entry) settings.Entry {
 	config.LeaseMs = orDefault(config.LeaseMs, defaultLeaseMs)
 	config.RenewMs = orDefault(config.RenewMs, defaultRenewMs)
@@ -58,7 +60,7 @@
 	return err
 }
 
-// Close ends the entry at once and waits for its goroutines.
+// Close ends the entry at once, without handing its boxes over, and waits for its goroutines.
 func (e *Entry) Close() error {
 	err := e.entry.Close()
 	e.closePlatformAndDebug()
--- a/pkg/process/keeper.go
+++ b/pkg/process/keeper.go
@@ -29,8 +29,8 @@
 	Invariants *invariant.Checker
 }
 
-// NewKeeper starts a keeper, which serves at the addresses of its settings when NewKeeper
-// returns. Zero fields of options stand for the planner's defaults.
+// NewKeeper starts a keeper. When NewKeeper returns, the keeper serves at the addresses of its
+// settings. Fields of options that are 0 mean the planner's defaults.
 func NewKeeper(config settings.Keeper, options plan.Options, env Env) (*Keeper, error) {
 	initialState, err := InitialState()
 	if err != nil {
@@ -52,6 +52,7 @@
 	return &Keeper{keeper: started, platform: client, debug: serveDebug(listeners[1], set), Metrics: set, Invariants: checker}, nil
 }
 
+// keeperWithDefaults returns the settings with defaults in place of zero values.
 func keeperWithDefaults(config settings.Keeper) settings.Keeper {
 	config.LeaseMs = orDefault(config.LeaseMs, defaultLeaseMs)
 	config.DriftMs = orDefault(config.DriftMs, defaultDriftMs)
--- a/pkg/process/keys_test.go
+++ b/pkg/process/keys_test.go
@@ -51,7 +51,7 @@
 	return c
 }
 
-// configureCustomers writes a configuration with the given keys of the bakery and the mill.
+// configureCustomers writes a configuration in which the bakery and the mill have the given keys.
 func (c *testCluster) configureCustomers(version int, bakeryKeys, millKeys []string) {
 	c.t.Helper()
 	c.platform.SetCustomers(standin.Customer{Name: "bakery", Keys: bakeryKeys}, standin.Customer{Name: "mill", Keys: millKeys})
@@ -68,7 +68,8 @@
 	return status
 }
 
-// callNode makes a client's call to one node and returns the status and the body of the response.
+// callNode makes a client's call without a body to one node. It returns the status and the body of the
+// response.
 func (c *testCluster) callNode(number int, client *standin.Client, method, path string) (int, string) {
 	c.t.Helper()
 	status, body, err := client.Do(context.Background(), method, c.configs[number].ClientAddress, testHost, path, nil)
@@ -76,9 +77,9 @@
 	return status, string(body)
 }
 
-// TestCallsWithoutValidKeyAreUnauthorized calls every node, whichever owns the cell. The response to
-// a call without a valid key is always the same: it reveals nothing about the job, nor what is wrong
-// with the key.
+// TestCallsWithoutValidKeyAreUnauthorized calls every node, whether it owns the cell or not. The
+// response to a call without a valid key is always the same. It reveals nothing about the job, nor
+// what is wrong with the key.
 func TestCallsWithoutValidKeyAreUnauthorized(t *testing.T) {
 	c := newClusterWithCustomers(t, 3)
 	c.submit(jobID(0), standin.Work{Ms: 50}, oneTask)
@@ -155,8 +156,8 @@
 }
 
 // TestForwardedCallIsAuthorizedByItsKey calls the port on which a node serves other nodes. The node
-// checks the digest of the customer's key, and does not trust the caller's statement of who the
-// customer is, whether the queue is public or which configuration is in force.
+// checks the digest of the customer's key. It does not trust the caller's statements about the
+// customer, about the queue being public, or about the configuration in force.
 func TestForwardedCallIsAuthorizedByItsKey(t *testing.T) {
 	c := newClusterWithCustomers(t, 1)
 	c.submit(jobID(0), standin.Work{Ms: 50}, oneTask)
@@ -185,8 +186,8 @@
 	}
 }
 
-// TestKeysDuringStoreOutage checks that a node that cannot confirm the configuration goes on accepting
-// the keys that it knows, or refuses calls if its settings say so.
+// TestKeysDuringStoreOutage checks that a node which cannot confirm the configuration goes on
+// accepting the keys of the last one, or refuses calls if its settings say so.
 func TestKeysDuringStoreOutage(t *testing.T) {
 	for name, failClosed := range map[string]bool{"accepts known keys": false, "refuses": true} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/process/lives_test.go
+++ b/pkg/process/lives_test.go
@@ -9,7 +9,7 @@
 	"damsonwinch/platform/standin"
 )
 
-// newClusterReusingIDs is newCluster with endpoints that keep their IDs when they restart.
+// newClusterReusingIDs is newCluster with endpoints that have the same IDs after a restart.
 func newClusterReusingIDs(t *testing.T, nodes int) *testCluster {
 	options := platformOptions()
 	options.ReuseEndpointIDs = true
@@ -17,8 +17,8 @@
 }
 
 // TestTasksRestartWhenEndpointRestartsUnderItsID crashes two endpoints that restart under the same
-// IDs. Their tasks are started again, even if an endpoint is back before any node has noticed that
-// its earlier life ended.
+// IDs. Their tasks are started again, even if an endpoint is back before any node has noticed the
+// end of its earlier life.
 func TestTasksRestartWhenEndpointRestartsUnderItsID(t *testing.T) {
 	c := newClusterReusingIDs(t, 2)
 	c.submit(jobID(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MaxMissing: 1, MaxPerBox: 1})
@@ -67,7 +67,7 @@
 }
 
 // TestWaveCompletesWithReusedEndpointIDs checks that a box counts as maintained although its endpoint
-// has the same ID before and after.
+// has the same ID before and after the maintenance.
 func TestWaveCompletesWithReusedEndpointIDs(t *testing.T) {
 	c := newClusterReusingIDs(t, 2)
 	c.submit(jobID(0), standin.Work{}, standin.Phase{Count: 1, MilliCPU: 500, LongRunning: true, MaxMissing: 1})
--- a/pkg/process/load.go
+++ b/pkg/process/load.go
@@ -14,9 +14,9 @@
 // loadReportInterval is the time between two log lines about a node's load.
 const loadReportInterval = 5 * time.Second
 
-// loadReporter logs what has kept a node busy: the counters that have changed, the CPU time used
-// and how late the node's own timer was handled. The lines show whether an owner is overloaded
-// or cut off.
+// loadReporter logs what has kept a node busy: the changes of its counters, the CPU time used and
+// the delay with which the reporter's own timer was handled. The lines show whether an owner is
+// overloaded or cut off.
 type loadReporter struct {
 	clock        damsonwinch.Clock
 	logger       logrus.FieldLogger
@@ -25,7 +25,7 @@
 	lastCPUTime  time.Duration  // As of the last line.
 }
 
-// run writes a line every loadReportInterval until ctx ends.
+// run logs a line every loadReportInterval until ctx ends.
 func (l *loadReporter) run(ctx context.Context) {
 	ticker := l.clock.NewTicker(loadReportInterval)
 	defer ticker.Stop()
@@ -49,7 +49,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// report writes a line. The delay is the time between the tick that was due and its handling.
+// report logs a line on the time since the last one. The delay is the time from the tick of the
+// timer until the tick was handled.
 func (l *loadReporter) report(delay time.Duration) {
 	counters := l.metrics.Counters()
 	used := cpuTime()
--- a/pkg/process/node.go
+++ b/pkg/process/node.go
@@ -34,8 +34,8 @@
 const (
 	// renewalGrace bounds how long an owner that cannot reach the store renews leases.
 	renewalGrace = 5 * time.Second
-	// maxStartDelay bounds how long after it was sent an unanswered start request may take
-	// effect.
+	// maxStartDelay is how long after it was sent a start request may still take effect if it got
+	// no response.
 	maxStartDelay = 2500 * time.Millisecond
 	// minCommitInterval is the time between two appends. Changes within it share an append.
 	minCommitInterval = 30 * time.Millisecond
@@ -59,16 +59,16 @@
 	group        errgroup.Group
 	// closers close the clients of the platform's services.
 	closers []func()
-	// ctx ends the goroutine that reports the load.
+	// ctx is cancelled by Close, which ends the goroutine that reports the load.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// stopping is set once a planned stop has begun. The node reports then that it is not ready.
+	// stopping is set by Stop. From then on the node reports that it is not ready.
 	stopping atomic.Bool
 	Metrics  *metrics.Set
 	env      Env
 }
 
-// NewNode starts a node, which serves at the addresses of its settings when NewNode returns.
+// NewNode starts a node. When NewNode returns, the node serves at the addresses of its settings.
 func NewNode(config settings.Node, env Env) (*Node, error) {
 	listeners, err := listenAll(config.CallAddress, config.ClientAddress, config.ReadyAddress, config.DebugAddress)
 	if err != nil {
@@ -115,7 +115,7 @@
 }
 
 // maxKeyAge returns how long customers' keys are accepted after the configuration was last
-// confirmed. With 0 they are accepted without a limit.
+// confirmed, or 0 if there is no limit.
 func maxKeyAge(bounds settings.Bounds) time.Duration {
 	if !bounds.RevokeFailClosed {
 		return 0
@@ -123,7 +123,8 @@
 	return milliseconds(bounds.RevokeMs)
 }
 
-// decodeOperator decodes a record of the operator's stream for node.Platform.
+// decodeOperator decodes a record of the operator's stream for node.Platform. It returns the
+// configuration or the wave that the record holds, and neither for a record of another kind.
 func decodeOperator(record damsonwinch.Record) (*damsonwinch.Configuration, *damsonwinch.Wave, error) {
 	decoded, err := platform.DecodeOperatorRecord(record)
 	return decoded.Configuration, decoded.Wave, err
@@ -153,12 +154,13 @@
 }
 
 // linkMbpsPerCore is the link speed in Mbit/s that a node needs to make use of one core. The
-// requests and records of the work that a core can manage take 25 Mbit/s. A takeover reads
-// about 2 MB of records of work in progress, which takes 0.2 s at 100 Mbit/s.
+// requests and records of the work that a core can manage take 25 Mbit/s. A node that takes a
+// cell over reads about 2 MB of records of work in progress, which takes 0.2 s at 100 Mbit/s.
 const linkMbpsPerCore = 100
 
 // nodeWeight returns the node's weight for the assignment of cells, in thousandths of a core.
-// Whichever of its CPU share and its link allows less work determines the weight.
+// The weight follows from the node's CPU share, or from its link if the link allows less work.
+// It is at least 1.
 func nodeWeight(config settings.Node) int {
 	share := config.CoreShare
 	if config.LinkMbps > 0 {
@@ -175,7 +177,8 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-// serve starts an HTTP server and logs an error if it ends before it is closed.
+// serve starts an HTTP server on a listener. It logs an error if the server ends before it is
+// closed.
 func (n *Node) serve(listener net.Listener, handler http.Handler, logger logrus.FieldLogger) *http.Server {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout}
 	n.group.Go(func() error {
@@ -187,7 +190,8 @@
 	return server
 }
 
-// handleReady answers 200 if clients should be sent to this node, and else 503.
+// handleReady responds with status 200 if clients should be sent to this node, and with 503
+// otherwise.
 func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if n.stopping.Load() || !n.node.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts the processes of dw-node, dw-keeper and dw-entry: it builds all
-// components of a process from its settings.
+// Package process assembles and starts the programs dw-node, dw-keeper and dw-entry from their
+// settings.
 package process
 
 import (
@@ -19,20 +19,23 @@
 	"damsonwinch/pkg/table"
 )
 
+// readHeaderTimeout is how long an HTTP server waits for the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
-// Env is the environment of a process: what its settings do not describe.
+// Env holds what a process needs in addition to its settings.
 type Env struct {
 	Clock damsonwinch.Clock
-	// SuspendedTime returns for how long the machine has been suspended. Only a Node uses it.
+	// SuspendedTime returns the total time for which the machine has been suspended. Only a Node
+	// uses it.
 	SuspendedTime damsonwinch.SuspendedTime
 	Dial          damsonwinch.Dial
 	Logger        logrus.FieldLogger
-	// OnViolation is called upon the first violation of each invariant.
+	// OnViolation is called upon the first violation of each invariant, with the name of the
+	// invariant and a description of the violation. A Node never calls it.
 	OnViolation func(name, detail string)
 	// Metrics receives the counters of the process. If it is nil, the process creates a set.
 	Metrics *metrics.Set
-	// Seed is the seed of an Entry's random choices.
+	// Seed is the seed of the random choices of an Entry. Only an Entry uses it.
 	Seed uint64
 }
 
@@ -51,6 +54,7 @@
 	group  errgroup.Group
 }
 
+// serveDebug starts a server that serves the counters of set on a listener until it is closed.
 func serveDebug(listener net.Listener, set *metrics.Set) *debugServer {
 	handler := http.NewServeMux()
 	handler.Handle("GET /debug/vars", set)
@@ -64,7 +68,8 @@
 	_ = d.group.Wait()
 }
 
-// listenAll opens a TCP listener at each address. If one fails it closes those already open.
+// listenAll opens a TCP listener at each address and returns the listeners in the same order. If
+// one address fails, it closes the listeners already open.
 func listenAll(addresses ...string) ([]net.Listener, error) {
 	listeners := make([]net.Listener, 0, len(addresses))
 	for _, address := range addresses {
@@ -80,8 +85,8 @@
 	return listeners, nil
 }
 
-// newMetrics returns the metrics of a process, and a checker of invariants whose counters are
-// part of them.
+// newMetrics returns the metrics of a process, and a checker of invariants. The metrics include
+// the checker's counters.
 func newMetrics(env Env) (*metrics.Set, *invariant.Checker) {
 	set := env.Metrics
 	if set == nil {
--- a/pkg/process/quota_test.go
+++ b/pkg/process/quota_test.go
@@ -25,7 +25,7 @@
 }
 
 // submitTwoTasks submits a job of two tasks, each of one core, to the queue with the given path prefix
-// until it is accepted. The platform counts the runs of the given customer.
+// until the job is accepted. The platform counts its runs as the given customer's.
 func (c *testCluster) submitTwoTasks(client *standin.Client, prefix, id, customer string) {
 	c.t.Helper()
 	try := 0
@@ -36,7 +36,8 @@
 	})
 }
 
-// isCompleted reports whether a job is completed, by its queue's path prefix and its ID.
+// isCompleted reports whether the job with the given ID is completed. The prefix is the path prefix of
+// its queue.
 func (c *testCluster) isCompleted(client *standin.Client, prefix, id string) bool {
 	_, state, err := client.State(c.t.Context(), c.clientAddress(0), testHost, prefix+id)
 	return err == nil && state == "completed"
@@ -57,10 +58,10 @@
 	return found
 }
 
-// TestCustomerStaysUnderItsCap gives a customer work in two pools whose owners share no state. The node
-// that allocates the customer's cap is killed, and then an owner. The customer never exceeds its cap
-// and uses all of it, and another customer is not delayed. A raised cap is used, and a lowered cap
-// applies to all tasks that start from then on.
+// TestCustomerStaysUnderItsCap gives a customer work in two pools whose owners share no state. It kills
+// the node that allocates the customer's cap, and then an owner. The customer never exceeds its cap
+// and uses all of it, and another customer is not delayed. After the cap is raised, the customer uses
+// all of the new one. A lowered cap applies to all tasks that start from then on.
 func TestCustomerStaysUnderItsCap(t *testing.T) {
 	c := newCluster(t, 3)
 	bakery, mill := c.client.WithKey(bakeryKey), c.client.WithKey(millKey)
--- a/pkg/process/shard_test.go
+++ b/pkg/process/shard_test.go
@@ -22,8 +22,8 @@
 }
 
 // TestPoolIsShardedIntoCells uses a pool with more work than one owner can manage. Its jobs are
-// spread over several cells, every node finds them, and a long-running job runs on after the owner of
-// its cell was killed.
+// spread over several cells, and every node finds them. A long-running job runs on after an owner was
+// killed.
 func TestPoolIsShardedIntoCells(t *testing.T) {
 	c := newClusterOfWeakNodes(t, 4)
 	c.submit(jobID(0), standin.Work{}, standin.Phase{Count: 2, MilliCPU: 500, LongRunning: true, MaxMissing: 1, MaxPerBox: 1})
@@ -52,7 +52,7 @@
 }
 
 // TestLayoutSurvivesRestartOfAllNodes kills all nodes and starts them again with more CPU. They keep
-// the number of cells that was decided first, although they would now decide on fewer.
+// the original number of cells, although they would now choose fewer.
 func TestLayoutSurvivesRestartOfAllNodes(t *testing.T) {
 	c := newClusterOfWeakNodes(t, 4)
 	for number := range 6 {
--- a/pkg/process/slow_link_test.go
+++ b/pkg/process/slow_link_test.go
@@ -30,7 +30,7 @@
 // readsPerSecond is the number of full reads of a throttledConn per second.
 const readsPerSecond = 50
 
-// throttledConn limits the size and the rate of its reads.
+// throttledConn is a connection that limits the size and the rate of reads.
 type throttledConn struct {
 	net.Conn
 	bytesPerRead int
@@ -44,8 +44,8 @@
 	return read, err
 }
 
-// queuesWithOthers returns a queue with the given name and path prefix, and the given number of other
-// queues.
+// queuesWithOthers returns a queue with the given name and path prefix, followed by the given number
+// of other queues.
 func queuesWithOthers(name, prefix string, others int) []standin.Queue {
 	queues := []standin.Queue{{Name: name, Host: testHost, PathPrefix: prefix, Pool: "runs", MaxAttempts: 3}}
 	for number := range others {
@@ -58,7 +58,7 @@
 
 // The operator's configuration had grown by 1,400 queues three times. On the nodes with the slowest
 // links, which were most nodes, the newest version never came into force. Minutes later they still
-// served clients on a queue that it had removed.
+// served clients on a queue that this version had removed.
 //
 // A read of the store had a total timeout that did not depend on the size of its answer: 0.6 s more
 // than the requested wait, and 0.6 s after a failure, when a read doesn't wait. The record took longer
--- a/pkg/process/suspend_test.go
+++ b/pkg/process/suspend_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, c.nodes[owner].Metrics.Count("suspended_ms"), 5000)
 }
 
-// suspendedTime returns the function that returns for how long a node's machine has been suspended.
+// suspendedTime returns the function from which a node learns how long its machine has been suspended.
 func (c *testCluster) suspendedTime(number int) func() time.Duration {
 	for len(c.suspended) <= number {
 		c.suspended = append(c.suspended, &atomic.Int64{})
--- a/pkg/standin/endpoint.go
+++ b/pkg/standin/endpoint.go
@@ -19,7 +19,7 @@
 	"damsonwinch/pkg/send"
 )
 
-// EndpointFault is a fault with which an endpoint handles every request.
+// EndpointFault is a fault that an endpoint shows on every request.
 type EndpointFault string
 
 // Faults of an endpoint.
@@ -40,9 +40,9 @@
 
 // Work is the body of a request to a stand-in endpoint.
 type Work struct {
-	// Nonce identifies the request among the runs that the endpoints count.
+	// Nonce is unique to the request. The endpoints count the runs of the request under it.
 	Nonce string `json:"nonce"`
-	// WorkMs is how long the endpoint runs the request, in milliseconds.
+	// WorkMs is how long the endpoint works on the request, in milliseconds.
 	WorkMs int `json:"work_ms"`
 	// Padding makes the request larger and has no other effect.
 	Padding string `json:"pad,omitempty"`
@@ -50,16 +50,16 @@
 	Poison bool `json:"poison,omitempty"`
 }
 
-// ExpectedResponse returns the only correct body of a response to a request with the given body.
+// ExpectedResponse returns the only correct response body for the given request body.
 func ExpectedResponse(body []byte) string {
 	return "done " + string(body) + " done"
 }
 
-// Observations counts what a group of endpoints has observed. Trials compare it with what the clients
-// have observed.
+// Observations holds the counts of a group of endpoints: runs and violations of invariants. Trials
+// compare the runs with the results that clients have got.
 type Observations struct {
 	mutex sync.Mutex
-	// runCounts holds, by nonce, how many runs of a request have begun.
+	// runCounts holds, by nonce, how many runs of the request have begun.
 	runCounts map[string]int
 	// poolOverlaps counts the requests that began while their box ran requests of another pool.
 	poolOverlaps int
@@ -70,12 +70,12 @@
 	lateArrivals int
 }
 
-// NewObservations returns observations with all counts 0.
+// NewObservations returns Observations in which all counts are 0.
 func NewObservations() *Observations {
 	return &Observations{runCounts: map[string]int{}}
 }
 
-// Runs returns how often the request with a nonce began to run.
+// Runs returns how many runs of the request with the given nonce have begun.
 func (o *Observations) Runs(nonce string) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -83,7 +83,8 @@
 }
 
 // Violations returns the number of requests that began while their box ran requests of another pool,
-// that were cut off by a reboot, and that reached a box long after it began to leave.
+// the number that were in flight when their box rebooted, and the number that reached a box too long
+// after the list began to show it as leaving.
 func (o *Observations) Violations() (poolOverlaps, cutRequests, lateArrivals int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -109,16 +110,16 @@
 
 	mutex        sync.Mutex
 	fault        EndpointFault
-	inFlight     map[string]int // By pool.
+	inFlight     map[string]int // The number of requests, by pool.
 	rebooting    bool
-	leavingSince time.Time
+	leavingSince time.Time // Zero if the list has not shown the box as leaving.
 }
 
 // leavingGrace is how long a box may still get requests after the list began to show it as leaving.
 const leavingGrace = 2 * time.Second
 
-// NewEndpoint returns an endpoint that serves on a listener until Close. It records what it observes in
-// observations. The function poolOf returns the pool of a service.
+// NewEndpoint returns an endpoint that serves on a listener until Close. It counts runs and violations
+// in observations. The function poolOf returns the pool of a service.
 func NewEndpoint(name string, clock damsonwinch.Clock, listener net.Listener, observations *Observations, poolOf func(string) string) *Endpoint {
 	e := &Endpoint{Name: name, clock: clock, observations: observations, poolOf: poolOf, listener: listener, inFlight: map[string]int{}}
 	router := mux.NewRouter()
@@ -161,8 +162,8 @@
 	e.leavingSince = e.clock.Now()
 }
 
-// Reboot makes the box unavailable for a duration, or until ctx ends. The requests in flight are counted
-// as cut off.
+// Reboot makes the box refuse requests for a duration, or until ctx ends, and returns then. The requests
+// in flight go on, but are counted as violations. Reboot returns an error only if ctx has ended.
 func (e *Endpoint) Reboot(ctx context.Context, duration time.Duration) error {
 	e.mutex.Lock()
 	e.rebooting = true
@@ -182,9 +183,10 @@
 	return ctx.Err()
 }
 
-// remoteRebootTime is how long a reboot takes that a stand-in platform in another process requests.
+// remoteRebootTime is how long a reboot takes if a stand-in platform in another process requests it.
 const remoteRebootTime = 2 * time.Second
 
+// handleReboot reboots the box and responds once it serves again.
 func (e *Endpoint) handleReboot(w http.ResponseWriter, r *http.Request) {
 	respond(w, struct{}{}, e.Reboot(r.Context(), remoteRebootTime))
 }
@@ -192,6 +194,7 @@
 // errClosed means that the endpoint closes the connection instead of sending a response.
 var errClosed = errors.New("the endpoint closes the connection")
 
+// handleRun runs a request and responds, as far as the current fault allows.
 func (e *Endpoint) handleRun(w http.ResponseWriter, r *http.Request) {
 	fault, rebooting := e.status()
 	if rebooting || fault == FaultRefuse {
@@ -226,7 +229,8 @@
 	return e.fault, e.rebooting
 }
 
-// doWork runs a request and records it. It returns errClosed if the endpoint sends no response.
+// doWork counts a request and works on it for the time that it asks for. It returns errClosed if the
+// endpoint must not send a response.
 func (e *Endpoint) doWork(r *http.Request, work Work, fault EndpointFault) error {
 	pool := e.poolOf(mux.Vars(r)["service"])
 	e.beginRequest(pool, work.Nonce)
@@ -251,7 +255,7 @@
 	return nil
 }
 
-// beginRequest counts a request that begins to run, and its violations.
+// beginRequest counts a request that begins to run, and the violations that its arrival causes.
 func (e *Endpoint) beginRequest(pool, nonce string) {
 	e.mutex.Lock()
 	e.inFlight[pool]++
@@ -269,6 +273,7 @@
 	})
 }
 
+// endRequest removes a request of a pool from those in flight.
 func (e *Endpoint) endRequest(pool string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -278,7 +283,7 @@
 	}
 }
 
-// sendResponse sends the response to a request that has run, as the fault says.
+// sendResponse sends the response to a request that has run. Some faults make the response wrong.
 func (e *Endpoint) sendResponse(w http.ResponseWriter, body []byte, fault EndpointFault) {
 	text := ExpectedResponse(body)
 	switch fault {
--- a/pkg/standin/log.go
+++ b/pkg/standin/log.go
@@ -1,6 +1,6 @@
-// Package standin holds substitutes for what surrounds the system: the platform, endpoints and the
-// network between availability zones. Their faults can be switched on and off. Only tests and the
-// command dw-trial use it.
+// Package standin holds fakes of the system's environment: the platform, endpoints and the network
+// between availability zones. Faults can be injected into each of them. Only tests and the command
+// dw-trial use it.
 package standin
 
 import (
@@ -14,15 +14,16 @@
 	"damsonwinch/pkg/wire"
 )
 
-// LogFaults are the faults of a log. Of the faults that have a rate, at most one hits an append.
+// LogFaults are the faults of a Log. The zero value means none. Of the faults that have a rate, at most
+// one affects an append.
 type LogFaults struct {
 	// Down makes every append and read fail.
 	Down bool
-	// LostAnswerRate is the share of appends, from 0 to 1, that take effect but return an error.
+	// LostAnswerRate is the fraction of appends, from 0 to 1, that take effect but return an error.
 	LostAnswerRate float64
-	// DropRate is the share of appends, from 0 to 1, that return an error and take no effect.
+	// DropRate is the fraction of appends, from 0 to 1, that return an error and take no effect.
 	DropRate float64
-	// LateRate is the share of appends, from 0 to 1, that return an error at once and take effect
+	// LateRate is the fraction of appends, from 0 to 1, that return an error at once and take effect
 	// after LateDelay.
 	LateRate  float64
 	LateDelay time.Duration
@@ -33,7 +34,8 @@
 // Errors of the stand-in log.
 var (
 	errDown = errors.New("the log is down")
-	// errAnswerLost means that the append may have taken effect.
+	// errAnswerLost means that the append has an unknown outcome: it may have taken effect, or may
+	// do so later.
 	errAnswerLost = errors.New("the answer was lost")
 )
 
@@ -50,10 +52,9 @@
 	maxRecords int
 }
 
-// stream is one stream of a Log.
+// stream is one stream of records of a Log.
 type stream struct {
-	// first is the offset of the first one of records, which holds the records that have not
-	// expired.
+	// records holds the records that have not expired. The first one has the offset first.
 	first   int
 	records []wire.Entry
 	// changed is closed by the next append.
@@ -63,7 +64,7 @@
 var _ damsonwinch.Log = (*Log)(nil)
 
 // NewLog returns an empty log that keeps the last maxRecords records of each stream, or all if maxRecords
-// is 0. The seed determines which appends are hit by faults.
+// is 0. The seed determines which appends are affected by faults.
 func NewLog(clock damsonwinch.Clock, seed uint64, maxRecords int) *Log {
 	return &Log{clock: clock, random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*stream{}, maxRecords: maxRecords}
 }
@@ -89,7 +90,8 @@
 	l.stream(name).expire(first)
 }
 
-// Append adds a record to a stream and returns its offset, subject to the current faults.
+// Append adds a record to the named stream and returns its offset. The current faults can make it fail,
+// with or without adding the record.
 func (l *Log) Append(ctx context.Context, name, data string) (int, error) {
 	l.mutex.Lock()
 	faults := l.faults
@@ -142,8 +144,8 @@
 	return offset
 }
 
-// Read returns at most maximum records of a stream, starting at offset from. If there is none yet it
-// waits up to waitMs milliseconds for the first one.
+// Read returns at most maximum records of the named stream, starting at offset from. If there is none
+// yet, it waits up to waitMs milliseconds for the next append.
 func (l *Log) Read(ctx context.Context, name string, from, maximum, waitMs int) (wire.LogPage, error) {
 	page, changed, err := l.page(name, from, maximum)
 	if err != nil || len(page.Records) > 0 || waitMs <= 0 || page.First > from {
@@ -159,15 +161,16 @@
 	return page, err
 }
 
-// Peek returns at most maximum records of a stream, starting at offset from, regardless of faults. It is
-// for observers outside the system.
+// Peek returns at most maximum records of the named stream, starting at offset from. Faults don't affect
+// it: it is for observers outside the system.
 func (l *Log) Peek(name string, from, maximum int) []wire.Entry {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.stream(name).page(from, maximum).Records
 }
 
-// page returns a page of a stream, and a channel that the next append to the stream closes.
+// page returns a page of at most maximum records of the named stream, starting at offset from, and a
+// channel that the next append to the stream closes.
 func (l *Log) page(name string, from, maximum int) (wire.LogPage, chan struct{}, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -178,7 +181,7 @@
 	return s.page(from, maximum), s.changed, nil
 }
 
-// stream returns the named stream, which is created if it doesn't exist. The caller holds the lock.
+// stream returns the named stream. It creates the stream if there is none. The caller holds the lock.
 func (l *Log) stream(name string) *stream {
 	if l.streams[name] == nil {
 		l.streams[name] = &stream{changed: make(chan struct{})}
@@ -186,6 +189,8 @@
 	return l.streams[name]
 }
 
+// page returns at most maximum records, but at least one if there is any, starting at offset from. If
+// the record at that offset has expired, the page starts at the first record kept.
 func (s *stream) page(from, maximum int) wire.LogPage {
 	page := wire.LogPage{First: s.first, Next: s.next(), Records: []wire.Entry{}}
 	start := max(from, s.first) - s.first
--- a/pkg/standin/network.go
+++ b/pkg/standin/network.go
@@ -9,13 +9,14 @@
 )
 
 // Network connects processes in different availability zones over real sockets, and can cut the links
-// between zones. A cut closes the existing connections from one zone to another. New connections are
-// not established: dialing blocks until its context ends.
+// between zones. A cut closes the existing connections from one zone to another. While the cut lasts,
+// no new connection is established: dialing blocks until its context ends.
 type Network struct {
 	mutex sync.Mutex
 	// zones holds the zone of each address.
 	zones map[string]string
-	// cuts holds the links that are cut. A link is the zone that dials and the zone of the address.
+	// cuts holds the links that are cut. A link is a pair: the zone that dials, and the zone of the
+	// address dialed.
 	cuts map[[2]string]bool
 	// conns holds the open connections.
 	conns map[*trackedConn]bool
@@ -33,7 +34,7 @@
 	return &Network{zones: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*trackedConn]bool{}}
 }
 
-// SetZone sets the zone of an address. An address without one is in the zone "".
+// SetZone sets the zone of an address. An address whose zone was never set is in the zone "".
 func (n *Network) SetZone(address, zone string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -65,8 +66,8 @@
 	return link, n.cuts[link]
 }
 
-// track adds a connection to the open ones. It closes the connection if the link has been cut while
-// the connection was being established.
+// track returns the connection as one that a cut of its link closes. It closes the connection at once if
+// the link was cut while the connection was being established.
 func (n *Network) track(conn net.Conn, link [2]string) net.Conn {
 	tracked := &trackedConn{Conn: conn, network: n, link: link}
 	n.mutex.Lock()
@@ -86,7 +87,8 @@
 	return c.Conn.Close()
 }
 
-// Cut cuts the link on which processes in one zone open connections to another zone.
+// Cut cuts the link on which processes in one zone open connections to another zone, until Heal. It
+// closes the existing connections of the link.
 func (n *Network) Cut(from, to string) {
 	n.mutex.Lock()
 	n.cuts[[2]string{from, to}] = true
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -22,11 +22,12 @@
 	"damsonwinch/pkg/wire"
 )
 
+// readHeaderTimeout is how long an HTTP server waits for the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
-// Platform is the stand-in platform. It serves a log, the list of boxes and box control by the
-// platform's published HTTP protocol. The list shows what tests have put there, so that it can lag
-// behind the boxes' actual state.
+// Platform is the stand-in platform. It serves a log, the list of boxes and box control over the
+// platform's published HTTP protocol. Tests write the list, so that it can lag behind the actual state
+// of the boxes.
 type Platform struct {
 	Log   *Log
 	clock damsonwinch.Clock
@@ -38,19 +39,20 @@
 	group  errgroup.Group
 }
 
-// NewPlatform returns a platform that serves the given log. It maintains a box by calling reboot.
+// NewPlatform returns a platform with the given log and an empty list of boxes. To maintain a box it
+// calls reboot, which returns once the box serves again.
 func NewPlatform(clock damsonwinch.Clock, log *Log, reboot func(ctx context.Context, box string) error) *Platform {
 	return &Platform{Log: log, clock: clock, boxes: map[string]wire.ListedBox{}, reboot: reboot}
 }
 
-// PutBox adds a box to the list, or replaces its entry there.
+// PutBox adds a box to the list, or replaces the listed box of the same name.
 func (p *Platform) PutBox(box wire.ListedBox) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.boxes[box.Info.Name] = box
 }
 
-// SetLeaving sets whether the list shows a box as leaving.
+// SetLeaving sets whether the list shows a box as leaving. It has no effect on a box that is not listed.
 func (p *Platform) SetLeaving(name string, leaving bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -87,7 +89,8 @@
 	return p.reboot(ctx, box)
 }
 
-// Serve starts to serve the platform's protocol on a listener, until Close.
+// Serve starts a server of the platform's protocol on a listener and returns. The server runs until
+// Close.
 func (p *Platform) Serve(listener net.Listener) {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/log/{stream}", p.handleAppend).Methods(http.MethodPost)
@@ -113,6 +116,7 @@
 	respond(w, wire.AppendReply{Offset: offset}, err)
 }
 
+// handleRead handles a read of the log. The query has the parameters from, max and wait_ms of Log.Read.
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	var numbers [3]int
 	for i, name := range []string{"from", "max", "wait_ms"} {
@@ -127,6 +131,8 @@
 	respond(w, page, err)
 }
 
+// handleList responds with the list of a zone, or with status 304 if the caller has the same list
+// already, as its ETag shows.
 func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
 	boxes, err := p.Boxes(r.Context(), r.URL.Query().Get("hall"))
 	text, marshalErr := json.Marshal(boxes)
@@ -143,8 +149,8 @@
 	respond(w, struct{}{}, p.Maintain(r.Context(), mux.Vars(r)["box"]))
 }
 
-// respond sends a value as JSON, or status 503 with an error. If the error is errAnswerLost it closes
-// the connection instead.
+// respond sends the value as JSON if err is nil, and otherwise status 503 with the text of err. If err is
+// errAnswerLost it closes the connection without a response.
 func respond(w http.ResponseWriter, value any, err error) {
 	if errors.Is(err, errAnswerLost) {
 		closeConnection(w)
@@ -159,7 +165,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// closeConnection closes the connection of a request without a response.
+// closeConnection closes a request's connection without sending a response.
 func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
